--- a/crates/duty/src/lib.rs
+++ b/crates/duty/src/lib.rs
@@ -35,6 +35,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
     pub number: u32,
+    #[serde(rename = "life")]
     pub life: u64,
 }
 
@@ -43,5 +44,6 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Token {
     pub term: u64,
+    #[serde(rename = "owner")]
     pub owner: Member,
 }
--- a/crates/duty/src/voter.rs
+++ b/crates/duty/src/voter.rs
@@ -9,8 +9,10 @@
 pub enum Ask {
     /// Would a claim be granted, and past which term? Changes nothing, so that one who is cut off from most voters
     /// drives no term up (pre-vote).
+    #[serde(rename = "Look")]
     Look { round: u64, from: Member },
     /// Grant, or renew, this term for so long.
+    #[serde(rename = "Claim")]
     Claim { round: u64, from: Member, term: u64, lease: Ns },
     /// The owner needs it no more; `to` may have it at once.
     Release { from: Member, term: u64, to: Option<Member> },
@@ -19,9 +21,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Reply {
     /// The highest term met, who holds it still, and for how long.
+    #[serde(rename = "Seen")]
     Seen {
         round: u64,
+        #[serde(rename = "highest")]
         highest: u64,
+        #[serde(rename = "held")]
         held: Option<(Member, Ns)>,
     },
     Granted {
@@ -29,9 +34,12 @@
         term: u64,
     },
     /// Not now: as another holds it, or the term is old.
+    #[serde(rename = "Refused")]
     Refused {
         round: u64,
+        #[serde(rename = "highest")]
         highest: u64,
+        #[serde(rename = "held")]
         held: Option<(Member, Ns)>,
     },
 }
--- a/crates/duty/src/warming.rs
+++ b/crates/duty/src/warming.rs
@@ -13,6 +13,7 @@
     pub object: u64,
     pub part: u32,
     /// The object kind by its number.
+    #[serde(rename = "kind")]
     pub kind: u16,
 }
 
