--- /dev/null
+++ b/crates/tier/tests/http_format.rs
@@ -0,0 +1,312 @@
+//! Requests and answers of relays over HTTP, byte by byte: between relays, to publishers and to operators.
+
+use std::io::{Read, Write};
+use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
+use std::process::{Child, Command, Stdio};
+use std::time::{Duration, Instant};
+
+use sablecross_relay::{Call, Reply, Request};
+use sablecross_tier::publish::Publisher;
+use sablecross_tier::settings::Member;
+use tempfile::TempDir;
+
+const TIMEOUT: Duration = Duration::from_secs(10);
+
+/// An address of this test's own, so that tests beside one another never meet.
+fn address(test: u8, last: u8) -> SocketAddr {
+    (Ipv4Addr::new(127, 150 + test, (std::process::id() % 251) as u8, last), 7_070).into()
+}
+
+/// A relay as a process, ended with the test.
+struct Process {
+    child: Child,
+    at: SocketAddr,
+    _dir: TempDir,
+}
+
+impl Process {
+    fn start(at: SocketAddr, settings: &str) -> Process {
+        let dir = TempDir::new().expect("a folder");
+        let file = dir.path().join("relay.scm");
+        std::fs::write(&file, settings).expect("a settings file");
+        let child = Command::new(env!("CARGO_BIN_EXE_tier-relay"))
+            .arg(&file)
+            .stdin(Stdio::piped())
+            .stdout(Stdio::null())
+            .stderr(Stdio::null())
+            .spawn()
+            .expect("a relay");
+        let process = Process { child, at, _dir: dir };
+        let begun = Instant::now();
+        while TcpStream::connect(at).is_err() {
+            assert!(begun.elapsed() < TIMEOUT, "the relay does not serve");
+            std::thread::sleep(Duration::from_millis(20));
+        }
+        process
+    }
+
+    /// All that it answers up to the end of the connection.
+    fn exchange(&self, request: &str) -> String {
+        let mut stream = connect(self.at);
+        stream.write_all(request.as_bytes()).expect("written");
+        let mut answer = Vec::new();
+        stream.read_to_end(&mut answer).expect("an answer");
+        String::from_utf8(answer).expect("text")
+    }
+}
+
+impl Drop for Process {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+    }
+}
+
+fn connect(at: SocketAddr) -> TcpStream {
+    let stream = TcpStream::connect(at).expect("a connection");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
+    stream
+}
+
+/// The next call that comes in, up to the end of its body.
+fn received(listener: &TcpListener) -> (TcpStream, Vec<u8>) {
+    let (stream, _) = listener.accept().expect("a call");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
+    let mut bytes = Vec::new();
+    let mut byte = [0];
+    while !bytes.ends_with(b"\r\n\r\n") {
+        (&stream).read_exact(&mut byte).expect("a head");
+        bytes.push(byte[0]);
+    }
+    let head = String::from_utf8_lossy(&bytes).into_owned();
+    let length = head.lines().find_map(|l| l.strip_prefix("Content-Length: "));
+    let mut body = vec![0; length.map_or(0, |l| l.parse().expect("a length"))];
+    (&stream).read_exact(&mut body).expect("a body");
+    bytes.extend_from_slice(&body);
+    (stream, bytes)
+}
+
+fn text(bytes: Vec<u8>) -> String {
+    String::from_utf8(bytes).expect("text")
+}
+
+#[test]
+fn a_plain_relay_calls_an_outside_feed_and_passes_words_on() {
+    let (at, upstream) = (address(0, 1), address(0, 2));
+    let listener = TcpListener::bind(upstream).expect("an upstream");
+    let settings = format!(
+        "(relay (number . 3) (listen . \"{at}\"))\n(member (number . 3) (address . \"{at}\"))\n\
+         (upstream (address . \"{upstream}\"))\n"
+    );
+    let relay = Process::start(at, &settings);
+    let (_stream, call) = received(&listener);
+    let expected = format!(
+        "GET /v1/events HTTP/1.1\r\nHost: {upstream}\r\nAccept: text/event-stream\r\nLast-Event-ID: 0\r\n\
+         Sablecross-Relay: 3\r\n\r\n"
+    );
+    assert_eq!(text(call), expected);
+
+    let mut reader = connect(relay.at);
+    let word = "POST /v1/hierarchy/in-force HTTP/1.1\r\nContent-Length: 2\r\nConnection: close\r\n\r\n{}";
+    reader.write_all(word.as_bytes()).expect("written");
+    let (mut stream, call) = received(&listener);
+    let expected = format!(
+        "POST /v1/hierarchy/in-force HTTP/1.1\r\nHost: {upstream}\r\nContent-Type: application/json\r\n\
+         Connection: close\r\nContent-Length: 2\r\n\r\n{{}}"
+    );
+    assert_eq!(text(call), expected);
+    stream.write_all(b"HTTP/1.1 204 No Content\r\n\r\n").expect("written");
+    let mut answer = String::new();
+    reader.read_to_string(&mut answer).expect("an answer");
+    assert_eq!(answer, "HTTP/1.1 204 No Content\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+}
+
+#[test]
+fn a_plain_relay_calls_a_voter() {
+    let (at, voter) = (address(1, 1), address(1, 2));
+    let listener = TcpListener::bind(voter).expect("a voter");
+    let settings = format!(
+        "(relay (number . 3))\n(member (number . 3) (address . \"{at}\"))\n\
+         (member (number . 0) (address . \"{voter}\") (votes . #t))\n"
+    );
+    let _relay = Process::start(at, &settings);
+    let (_stream, call) = received(&listener);
+    let expected = format!(
+        "GET /v1/events HTTP/1.1\r\nHost: {voter}\r\nAccept: text/event-stream\r\nLast-Event-ID: 0\r\n\
+         Sablecross-Relay: 3\r\nSablecross-In-Force: 0\r\n\r\n"
+    );
+    assert_eq!(text(call), expected);
+}
+
+#[test]
+fn a_voter_calls_another_and_answers_it() {
+    let (at, other) = (address(2, 1), address(2, 2));
+    let listener = TcpListener::bind(other).expect("a voter");
+    let settings = format!(
+        "(relay (number . 0))\n(member (number . 0) (address . \"{at}\") (votes . #t))\n\
+         (member (number . 1) (address . \"{other}\") (votes . #t))\n"
+    );
+    let _relay = Process::start(at, &settings);
+    let (_stream, call) = received(&listener);
+    let head_length = call.windows(4).position(|w| w == b"\r\n\r\n").expect("a head") + 4;
+    let (head, body) = call.split_at(head_length);
+    let expected =
+        format!("POST /v1/relay HTTP/1.1\r\nHost: {other}\r\nContent-Length: {}\r\n\r\n", body.len());
+    assert_eq!(text(head.to_vec()), expected);
+    // Its place, 0; the lives of both, its own a Unix time in ms and the other's unknown; what it asks.
+    assert_eq!((&body[..4], &body[12..]), (b"\x93\x00\x92\xcf".as_slice(), b"\x00\xa5Learn".as_slice()));
+    let request: Request = rmp_serde::from_slice(body).expect("a request");
+    assert_eq!((request.from, request.call), (0, Call::Learn));
+
+    // From place 1, which lives for the ninth time; it answers with what it holds, which is nothing.
+    let question = b"\x93\x01\x92\x00\x09\xa5Learn";
+    let mut stream = connect(at);
+    let head =
+        format!("POST /v1/relay HTTP/1.1\r\nContent-Length: {}\r\nConnection: close\r\n\r\n", question.len());
+    stream.write_all(head.as_bytes()).expect("written");
+    stream.write_all(question).expect("written");
+    let mut answer = Vec::new();
+    stream.read_to_end(&mut answer).expect("an answer");
+    let head_length = answer.windows(4).position(|w| w == b"\r\n\r\n").expect("a head") + 4;
+    let (head, body) = answer.split_at(head_length);
+    let expected = format!(
+        "HTTP/1.1 200 OK\r\nContent-Type: application/msgpack\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
+        body.len()
+    );
+    assert_eq!(text(head.to_vec()), expected);
+    let _: Reply = rmp_serde::from_slice(body).expect("a reply");
+    let learnt = b"\x81\xa6Learnt\x93\x92\x00\x92\x00\x00\xc2\x95\x00\x92\x00\x92\x00\x92\x00\x00\x00\
+        \x97\x00\x00\x92\x00\x92\x00\x00\xc2\x00\x80\xc0\x90";
+    assert_eq!(
+        (&body[..3], &body[11..]),
+        (b"\x92\x92\xcf".as_slice(), [b"\x09".as_slice(), learnt].concat().as_slice())
+    );
+}
+
+#[test]
+fn publishing_and_reading() {
+    let at = address(3, 1);
+    let settings = format!(
+        "(relay (number . 0) (lease-ms . 500) (ack-ms . 800))\n(member (number . 0) (address . \"{at}\") (votes . #t))\n"
+    );
+    let relay = Process::start(at, &settings);
+    let list = r#"{"members":{"index":1,"snapshot":true,"endpoints":[]}}"#;
+    let post = |headers: &str, body: &str| {
+        let length = body.len();
+        relay.exchange(&format!(
+            "POST /v1/events HTTP/1.1\r\n{headers}Content-Length: {length}\r\nConnection: close\r\n\r\n{body}"
+        ))
+    };
+    let json = |status: &str, body: &str| {
+        let length = body.len();
+        format!(
+            "HTTP/1.1 {status}\r\nContent-Type: application/json\r\nContent-Length: {length}\r\n\
+             Connection: close\r\n\r\n{body}"
+        )
+    };
+    // Not before every lease that it may have granted in an earlier life is over.
+    let nobody = r#"{"error":"not the source: nobody is for now","owner":null}"#;
+    assert_eq!(post("", list), json("503 Service Unavailable", nobody));
+    let begun = Instant::now();
+    while post("Sablecross-Mark: m-1\r\n", list) == json("503 Service Unavailable", nobody) {
+        assert!(begun.elapsed() < TIMEOUT);
+        std::thread::sleep(Duration::from_millis(50));
+    }
+    // The same mark once more: the same number.
+    let published = post("Sablecross-Mark: m-1\r\n", list);
+    let number = published.rsplit_once("{\"n\":").and_then(|(_, n)| n.strip_suffix('}')).expect("a number");
+    let number: u64 = number.parse().expect("a number");
+    assert_eq!(published, json("200 OK", &format!("{{\"n\":{number}}}")));
+
+    let refused = r#"{"error":"the event has no members, purge or hierarchy","owner":null}"#;
+    assert_eq!(post("", "{}"), json("400 Bad Request", refused));
+    let long = r#"{"error":"Sablecross-Mark: between 1 and 128 bytes of UTF-8"}"#;
+    let mark = format!("Sablecross-Mark: {}\r\n", "m".repeat(129));
+    assert_eq!(post(&mark, list), json("400 Bad Request", long));
+
+    let events = relay.exchange(&format!("GET /v1/events HTTP/1.1\r\nLast-Event-ID: {}\r\n\r\n", number - 1));
+    let expected = format!(
+        "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\nConnection: close\r\n\r\n\
+         id: {number}\ndata: {{\"n\":{number},\"members\":{{\"index\":1,\"snapshot\":true,\"endpoints\":[]}}}}\n\n"
+    );
+    assert_eq!(events, expected);
+    // A relay hears at once how old it is what this one knows, and by whom.
+    let from_relay = relay.exchange(&format!(
+        "GET /v1/events HTTP/1.1\r\nLast-Event-ID: {number}\r\nSablecross-Relay: 0\r\nSablecross-In-Force: 1\r\n\r\n"
+    ));
+    let comment = from_relay.split_once("\r\n\r\n").map(|(_, body)| body);
+    assert_eq!(comment, Some(": fresh 0 owner 0 term 1\n\n"));
+
+    let status = relay.exchange("GET /v1/status HTTP/1.0\r\n\r\n");
+    let (head, body) = status.split_once("\r\n\r\n").expect("an answer");
+    let length = body.len();
+    let expected = format!(
+        "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {length}\r\nConnection: close"
+    );
+    assert_eq!(head, expected);
+    assert!(body.starts_with("{\"name\":\"relay-0\",\"unix_ms\":"), "{body}");
+}
+
+#[test]
+fn requests_that_cannot_be_served() {
+    let at = address(4, 1);
+    let settings = format!("(relay (number . 0))\n(member (number . 0) (address . \"{at}\") (votes . #t))\n");
+    let relay = Process::start(at, &settings);
+    for (request, expected) in REFUSED {
+        assert_eq!(relay.exchange(request), expected, "{request}");
+    }
+}
+
+const REFUSED: [(&str, &str); 7] = [
+    (
+        "GET /v1/nothing HTTP/1.1\r\n\r\n",
+        "HTTP/1.1 404 Not Found\r\nContent-Type: application/json\r\nContent-Length: 27\r\nConnection: close\r\n\r\n\
+         {\"error\":\"nothing is here\"}",
+    ),
+    (
+        "DELETE /v1/events HTTP/1.1\r\n\r\n",
+        "HTTP/1.1 405 Method Not Allowed\r\nContent-Type: application/json\r\nContent-Length: 26\r\nConnection: close\r\n\r\n\
+         {\"error\":\"another method\"}",
+    ),
+    (
+        "GET /v1/events HTTP/1.1\r\nLast-Event-ID: x\r\n\r\n",
+        "HTTP/1.1 400 Bad Request\r\nContent-Type: application/json\r\nContent-Length: 39\r\nConnection: close\r\n\r\n\
+         {\"error\":\"Last-Event-ID: not a number\"}",
+    ),
+    (
+        "POST /v1/events HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n",
+        "HTTP/1.1 411 Length Required\r\nContent-Type: application/json\r\nContent-Length: 43\r\nConnection: close\r\n\r\n\
+         {\"error\":\"bodies come with Content-Length\"}",
+    ),
+    (
+        "POST /v1/events HTTP/1.1\r\nContent-Length: 1048577\r\n\r\n",
+        "HTTP/1.1 413 Content Too Large\r\nContent-Type: application/json\r\nContent-Length: 57\r\nConnection: close\r\n\r\n\
+         {\"error\":\"the body has 1048577 bytes, more than 1048576\"}",
+    ),
+    (
+        "POST /v1/relay HTTP/1.1\r\nContent-Length: 0\r\n\r\n",
+        "HTTP/1.1 400 Bad Request\r\nContent-Type: application/json\r\nContent-Length: 93\r\nConnection: close\r\n\r\n\
+         {\"error\":\"not a call of a voter: IO error while reading marker: failed to fill whole buffer\"}",
+    ),
+    (
+        "POST /v1/hierarchy/in-force HTTP/1.1\r\nContent-Length: 2\r\nConnection: close\r\n\r\n{}",
+        "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
+    ),
+];
+
+#[test]
+fn a_publisher_calls_a_voter() {
+    let at = address(5, 1);
+    let listener = TcpListener::bind(at).expect("a voter");
+    let publish = std::thread::spawn(move || {
+        let voter = Member { number: 0, address: at, votes: true };
+        Publisher::new(&[voter]).publish("m-1", b"{}", Duration::from_secs(5))
+    });
+    let (mut stream, call) = received(&listener);
+    let expected = format!(
+        "POST /v1/events HTTP/1.1\r\nHost: {at}\r\nSablecross-Mark: m-1\r\nContent-Length: 2\r\n\r\n{{}}"
+    );
+    assert_eq!(text(call), expected);
+    stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{\"n\":42}").expect("written");
+    assert_eq!(publish.join().expect("published"), Ok(42));
+}
--- /dev/null
+++ b/crates/tier/tests/wire_format.rs
@@ -0,0 +1,172 @@
+//! The bytes of the calls between voters, as programs of other versions send and read them: MessagePack, fields by
+//! their order, variants by their names.
+
+use std::fmt::Debug;
+
+use sablecross_duty::{Ask, Member, Reply as Said, Token};
+use sablecross_relay::group::Held;
+use sablecross_relay::{Answer, Base, Call, Entry, Reply, Request};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|b| format!("{b:02x}")).collect()
+}
+
+fn bytes(hex: &str) -> Vec<u8> {
+    let digits: Vec<u8> = hex.bytes().filter(|b| !b.is_ascii_whitespace()).collect();
+    let byte = |pair: &[u8]| std::str::from_utf8(pair).ok().and_then(|p| u8::from_str_radix(p, 16).ok());
+    digits.chunks(2).map(|pair| byte(pair).expect("hex")).collect()
+}
+
+/// The value has these bytes, and these bytes are the value.
+fn holds<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, expected: &str) {
+    let expected: String = expected.split_whitespace().collect();
+    let encoded = rmp_serde::to_vec(value).expect("encoded");
+    assert_eq!(hex(&encoded), expected, "{value:?}");
+    let decoded: T = rmp_serde::from_slice(&bytes(&expected)).expect("decoded");
+    assert_eq!(&decoded, value);
+}
+
+fn member() -> Member {
+    Member { number: 7, life: 9 }
+}
+
+fn token() -> Token {
+    Token { term: 3, owner: member() }
+}
+
+fn entries() -> Vec<Entry> {
+    let body = "{\"purge\":{}}".to_owned();
+    let plain = Entry { number: 6, by: token(), body: "{}".into(), mark: None };
+    vec![plain, Entry { number: 300, by: token(), body, mark: Some("m-1".into()) }]
+}
+
+fn base() -> Base {
+    Base {
+        number: 5,
+        began: 4,
+        by: token(),
+        listed: true,
+        index: 2,
+        members: [("n1".to_owned(), "{\"name\":\"n1\"}".to_owned())].into(),
+        hierarchy: Some((3, "{\"hierarchy\":{}}".to_owned())),
+    }
+}
+
+fn held() -> Held {
+    Held { era: 1_000, last: (300, token()), committed: 6, base: Some(base()), entries: entries() }
+}
+
+fn request(call: Call) -> Request {
+    Request { from: 1, lives: vec![0, 9], call }
+}
+
+fn reply(answer: Answer) -> Reply {
+    Reply { lives: vec![0, 9], answer }
+}
+
+#[test]
+fn log_entries_and_bases() {
+    for (entry, expected) in entries().iter().zip(ENTRIES) {
+        holds(entry, expected);
+    }
+    holds(&base(), BASE);
+    holds(&Base::default(), EMPTY_BASE);
+    holds(&held(), HELD);
+    holds(&Held::default(), EMPTY_HELD);
+}
+
+#[test]
+fn calls() {
+    let calls = [
+        Call::Duty(Ask::Look { round: 2, from: member() }),
+        Call::Duty(Ask::Claim { round: 2, from: member(), term: 3, lease: 1_000_000_000 }),
+        Call::Duty(Ask::Release { from: member(), term: 3, to: None }),
+        Call::Duty(Ask::Release { from: member(), term: 3, to: Some(Member { number: 8, life: 1 }) }),
+        Call::Learn,
+        Call::Read { by: token(), era: 1_000, after: 6 },
+        Call::Keep {
+            by: token(),
+            era: 1_000,
+            previous: (5, token()),
+            base: None,
+            entries: entries(),
+            committed: 6,
+        },
+        Call::Keep {
+            by: token(),
+            era: 1_000,
+            previous: (5, token()),
+            base: Some(base()),
+            entries: Vec::new(),
+            committed: 5,
+        },
+    ];
+    assert_eq!(calls.len(), CALLS.len());
+    for (call, expected) in calls.into_iter().zip(CALLS) {
+        holds(&request(call), expected);
+    }
+}
+
+#[test]
+fn answers() {
+    let answers = [
+        Answer::Nothing,
+        Answer::Duty(Said::Seen { round: 2, highest: 3, held: None }),
+        Answer::Duty(Said::Seen { round: 2, highest: 3, held: Some((member(), 500)) }),
+        Answer::Duty(Said::Granted { round: 2, term: 3 }),
+        Answer::Duty(Said::Refused { round: 2, highest: 3, held: None }),
+        Answer::Duty(Said::Refused { round: 2, highest: 3, held: Some((member(), 500)) }),
+        Answer::Learnt { promised: token(), sure: true, held: held() },
+        Answer::Held { by: token(), sure: false, held: Held { base: None, ..held() } },
+        Answer::Kept { by: token(), era: 1_000, upto: 300, floor: 6 },
+        Answer::Unsure { by: token() },
+        Answer::Has { by: token(), era: 1_000, committed: 6 },
+        Answer::Old(token()),
+    ];
+    assert_eq!(answers.len(), ANSWERS.len());
+    for (answer, expected) in answers.into_iter().zip(ANSWERS) {
+        holds(&reply(answer), expected);
+    }
+    holds(&Reply::default(), EMPTY_REPLY);
+}
+
+const ENTRIES: [&str; 2] = ["94069203920709a27b7dc0", "94cd012c9203920709ac7b227075726765223a7b7d7da36d2d31"];
+const BASE: &str =
+    "9705049203920709c30281a26e31ad7b226e616d65223a226e31227d9203b07b22686965726172636879223a7b7d7d";
+const EMPTY_BASE: &str = "9700009200920000c20080c0";
+const HELD: &str = "95cd03e892cd012c9203920709069705049203920709c30281a26e31ad7b226e616d65223a226e31227d9203b07b2268\
+  6965726172636879223a7b7d7d9294069203920709a27b7dc094cd012c9203920709ac7b227075726765223a7b7d7da3\
+  6d2d31";
+const EMPTY_HELD: &str = "95009200920092000000c090";
+const EMPTY_REPLY: &str = "9290a74e6f7468696e67";
+const CALLS: [&str; 8] = [
+    "930192000981a44475747981a44c6f6f6b9202920709",
+    "930192000981a44475747981a5436c61696d940292070903ce3b9aca00",
+    "930192000981a44475747981a752656c656173659392070903c0",
+    "930192000981a44475747981a752656c656173659392070903920801",
+    "9301920009a54c6561726e",
+    "930192000981a452656164939203920709cd03e806",
+    "930192000981a44b656570969203920709cd03e892059203920709c09294069203920709a27b7dc094cd012c92039207\
+      09ac7b227075726765223a7b7d7da36d2d3106",
+    "930192000981a44b656570969203920709cd03e8920592039207099705049203920709c30281a26e31ad7b226e616d65\
+      223a226e31227d9203b07b22686965726172636879223a7b7d7d9005",
+];
+const ANSWERS: [&str; 12] = [
+    "92920009a74e6f7468696e67",
+    "9292000981a44475747981a45365656e930203c0",
+    "9292000981a44475747981a45365656e93020392920709cd01f4",
+    "9292000981a44475747981a74772616e746564920203",
+    "9292000981a44475747981a752656675736564930203c0",
+    "9292000981a44475747981a75265667573656493020392920709cd01f4",
+    "9292000981a64c6561726e74939203920709c395cd03e892cd012c9203920709069705049203920709c30281a26e31ad\
+      7b226e616d65223a226e31227d9203b07b22686965726172636879223a7b7d7d9294069203920709a27b7dc094cd012c\
+      9203920709ac7b227075726765223a7b7d7da36d2d31",
+    "9292000981a448656c64939203920709c295cd03e892cd012c920392070906c09294069203920709a27b7dc094cd012c\
+      9203920709ac7b227075726765223a7b7d7da36d2d31",
+    "9292000981a44b657074949203920709cd03e8cd012c06",
+    "9292000981a6556e73757265919203920709",
+    "9292000981a3486173939203920709cd03e806",
+    "9292000981a34f6c649203920709",
+];
