--- a/crates/relay/src/group.rs
+++ b/crates/relay/src/group.rs
@@ -68,11 +68,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
     /// When the log began anew, Unix ms: what was numbered before that is another log.
+    #[serde(rename = "era")]
     pub era: u64,
     /// Its last entry, with its owner's token, and the last that may be told.
+    #[serde(rename = "last")]
     pub last: (u64, Token),
     pub committed: u64,
     /// Where what was asked for begins before the entries that are left.
+    #[serde(rename = "base")]
     pub base: Option<Base>,
     pub entries: Vec<Entry>,
 }
@@ -80,16 +83,30 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Call {
     /// Of the duty of feeding.
+    #[serde(rename = "Duty")]
     Duty(Ask),
     /// By a voter that begins anew: what do you hold?
+    #[serde(rename = "Learn")]
     Learn,
     /// By a new owner: older ones are shut out from here on; what do you hold after this number of this era?
-    Read { by: Token, era: u64, after: u64 },
+    Read {
+        #[serde(rename = "by")]
+        by: Token,
+        #[serde(rename = "era")]
+        era: u64,
+        #[serde(rename = "after")]
+        after: u64,
+    },
     /// By the owner: keep these behind the previous one, and tell up to `committed`.
+    #[serde(rename = "Keep")]
     Keep {
+        #[serde(rename = "by")]
         by: Token,
+        #[serde(rename = "era")]
         era: u64,
+        #[serde(rename = "previous")]
         previous: (u64, Token),
+        #[serde(rename = "base")]
         base: Option<Base>,
         entries: Vec<Entry>,
         committed: u64,
@@ -100,13 +117,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
     /// The place of the caller, and the latest lives of all that it knows of.
+    #[serde(rename = "from")]
     pub from: u32,
+    #[serde(rename = "lives")]
     pub lives: Vec<u64>,
     pub call: Call,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reply {
+    #[serde(rename = "lives")]
     pub lives: Vec<u64>,
     pub answer: Answer,
 }
@@ -115,38 +135,59 @@
 pub enum Answer {
     /// It says nothing yet.
     #[default]
+    #[serde(rename = "Nothing")]
     Nothing,
+    #[serde(rename = "Duty")]
     Duty(Said),
     /// To one that begins anew: the newest token met, and whether all that was kept is known here.
+    #[serde(rename = "Learnt")]
     Learnt {
+        #[serde(rename = "promised")]
         promised: Token,
+        #[serde(rename = "sure")]
         sure: bool,
+        #[serde(rename = "held")]
         held: Held,
     },
     /// To a new owner.
+    #[serde(rename = "Held")]
     Held {
+        #[serde(rename = "by")]
         by: Token,
+        #[serde(rename = "sure")]
         sure: bool,
+        #[serde(rename = "held")]
         held: Held,
     },
     /// Kept up to this number; all that count here have the floor in force.
+    #[serde(rename = "Kept")]
     Kept {
+        #[serde(rename = "by")]
         by: Token,
+        #[serde(rename = "era")]
         era: u64,
+        #[serde(rename = "upto")]
         upto: u64,
+        #[serde(rename = "floor")]
         floor: u64,
     },
     /// It began anew when too few remembered, and keeps nothing but a log that begins anew as well.
+    #[serde(rename = "Unsure")]
     Unsure {
+        #[serde(rename = "by")]
         by: Token,
     },
     /// What is before that is not as the owner has it: what it has in common ends here at the latest.
+    #[serde(rename = "Has")]
     Has {
+        #[serde(rename = "by")]
         by: Token,
+        #[serde(rename = "era")]
         era: u64,
         committed: u64,
     },
     /// A newer owner was met.
+    #[serde(rename = "Old")]
     Old(Token),
 }
 
--- a/crates/relay/src/log.rs
+++ b/crates/relay/src/log.rs
@@ -16,9 +16,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     pub number: u64,
+    #[serde(rename = "by")]
     pub by: Token,
     /// Without its number.
     pub body: String,
+    #[serde(rename = "mark")]
     pub mark: Option<String>,
 }
 
@@ -28,12 +30,16 @@
     pub number: u64,
     /// The number that its era began with: nothing of that is told before a majority keeps what follows
     /// (`Group`).
+    #[serde(rename = "began")]
     pub began: u64,
     /// The token of the entry with this number.
+    #[serde(rename = "by")]
     pub by: Token,
     /// A whole list is known. Until then nothing can be told to those who are behind.
+    #[serde(rename = "listed")]
     pub listed: bool,
     /// The latest index of the list, as its publisher counts.
+    #[serde(rename = "index")]
     pub index: u64,
     /// The endpoints' JSON by their names.
     pub members: BTreeMap<String, String>,
--- a/crates/relay/src/readers.rs
+++ b/crates/relay/src/readers.rs
@@ -28,6 +28,7 @@
     /// In force there.
     pub number: u64,
     /// Since its last word; none: it never came.
+    #[serde(rename = "heard_ms_ago")]
     pub heard_ms_ago: Option<u64>,
     pub connected: bool,
     /// It said no word for so long that the floor does not wait for it any more.
@@ -142,6 +143,7 @@
     pub name: String,
     pub number: u64,
     /// Its last word; none: it never came.
+    #[serde(rename = "heard_unix_ms")]
     pub heard_unix_ms: Option<u64>,
     pub connected: bool,
     pub relay: String,
@@ -151,10 +153,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Whole {
     /// By name.
+    #[serde(rename = "readers")]
     pub readers: Vec<Merged>,
     /// Numbers in force at all that counted, each with since when (Unix ms), by number.
+    #[serde(rename = "passed")]
     pub passed: Vec<(u64, u64)>,
     /// The highest number told anywhere.
+    #[serde(rename = "last")]
     pub last: u64,
 }
 
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -96,27 +96,37 @@
     /// `owner`, `voter` or `plain`.
     pub role: String,
     /// The owner that was heard of last: number and term.
+    #[serde(rename = "owner")]
     pub owner: Option<u32>,
     pub term: u64,
     /// Since the owner's last word came, along the chain.
+    #[serde(rename = "fresh_ms")]
     pub fresh_ms: Option<u64>,
     /// The number of the base, the last that may be told, the last that is kept.
+    #[serde(rename = "base")]
     pub base: u64,
+    #[serde(rename = "last")]
     pub last: u64,
+    #[serde(rename = "kept")]
     pub kept: u64,
     pub log_bytes: usize,
     /// Endpoints of the list; none: no whole list is known.
     pub endpoints: Option<usize>,
     pub floor: u64,
     /// At the owner: numbers and since when they are in force everywhere, Unix ms.
+    #[serde(rename = "passed")]
     pub passed: Vec<(u64, u64)>,
+    #[serde(rename = "readers")]
     pub readers: Vec<View>,
     /// A voter that has not learned yet what it kept before its start, and how long it waits.
+    #[serde(rename = "learning_ms")]
     pub learning_ms: Option<u64>,
     /// When the log began anew with what was left, Unix ms; 0: never. Publish the list and the purges that
     /// bind once more.
+    #[serde(rename = "anew_unix_ms")]
     pub anew_unix_ms: u64,
     /// Words of old owners that were refused here.
+    #[serde(rename = "refused")]
     pub refused: u64,
 }
 
