--- a/crates/relay/src/log.rs
+++ b/crates/relay/src/log.rs
@@ -345,7 +345,7 @@
 
     /// Purges that may bind still at this Unix ms, as bodies with their marks, in their order.
     pub fn binding(&self, unix: u64) -> Vec<(String, Option<String>)> {
-        let binds = |e: &Kept| matches!(e.kind, Kind::Purge { at } if !self.horizon.over(at, unix));
+        let binds = |e: &Kept| matches!(e.kind, Kind::Purge { at: made } if !self.horizon.over(made, unix));
         let numbered = (self.base.number + 1..).zip(&self.events);
         numbered.filter(|(_, e)| binds(e)).map(|(n, e)| (e.body(n), e.mark.clone())).collect()
     }
