--- a/crates/relay/src/log.rs
+++ b/crates/relay/src/log.rs
@@ -16,9 +16,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     pub number: u64,
+    #[serde(rename = "by")]
     pub by: Token,
     /// Without its number.
     pub body: String,
+    #[serde(rename = "mark")]
     pub mark: Option<String>,
 }
 
@@ -28,12 +30,16 @@
     pub number: u64,
     /// The number that its era began with: nothing of that is told before a majority keeps what follows
     /// (`Group`).
+    #[serde(rename = "began")]
     pub began: u64,
     /// The token of the entry with this number.
+    #[serde(rename = "by")]
     pub by: Token,
     /// A whole list is known. Until then nothing can be told to those who are behind.
+    #[serde(rename = "listed")]
     pub listed: bool,
     /// The latest index of the list, as its publisher counts.
+    #[serde(rename = "index")]
     pub index: u64,
     /// The endpoints' JSON by their names.
     pub members: BTreeMap<String, String>,
@@ -339,7 +345,7 @@
 
     /// Purges that may bind still at this Unix ms, as bodies with their marks, in their order.
     pub fn binding(&self, unix: u64) -> Vec<(String, Option<String>)> {
-        let binds = |e: &Kept| matches!(e.kind, Kind::Purge { at } if !self.horizon.over(at, unix));
+        let binds = |e: &Kept| matches!(e.kind, Kind::Purge { at: made } if !self.horizon.over(made, unix));
         let numbered = (self.base.number + 1..).zip(&self.events);
         numbered.filter(|(_, e)| binds(e)).map(|(n, e)| (e.body(n), e.mark.clone())).collect()
     }
