--- /dev/null
+++ b/crates/store/tests/stored_format.rs
@@ -0,0 +1,130 @@
+//! The bytes of the log on disk: each record as JSON, the tables of the database, and a file of an earlier program.
+
+use std::path::Path;
+
+use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
+use sablecross_duty::{Member, Token};
+use sablecross_hierarchy::spec::Told;
+use sablecross_hierarchy::{Ending, Record};
+use sablecross_store::Log;
+
+/// A version with every field set to a value of its own, and one node with the defaults.
+const SPEC: &str = r#"{"head":{"version":3,"ceiling":500.0,"margin":0.1,"cold-from":0.3,"warm-after-ms":21000,"fall-multiple":2.5,"siblings":true,"hold-ms":1,"settle-ms":2,"give-up-ms":30001},"nodes":[{"name":"o","tier":0,"sources":[],"capacity":900.0,"demand":0.0,"hit":0.0,"share":256,"since-ms":0},{"name":"e","tier":2,"sources":["o"],"capacity":800.0,"demand":100.0,"hit":0.5,"share":64,"since-ms":7}]}"#;
+
+fn spec() -> Told {
+    serde_json::from_str(SPEC).expect("a version")
+}
+
+/// Every variant, with optional fields present and absent. `SPEC` stands for the version's text.
+fn examples() -> Vec<(Record, &'static str)> {
+    let version = spec();
+    let ended = |change, how| Record::Ended { change, how };
+    vec![
+        (
+            Record::Start { number: 4, next_change: 9, version: version.clone() },
+            r#"{"start":{"number":4,"next_change":9,"version":SPEC}}"#,
+        ),
+        (
+            Record::Begun { change: 9, aim: version.clone(), home: version.clone() },
+            r#"{"begun":{"change":9,"aim":SPEC,"home":SPEC}}"#,
+        ),
+        (
+            Record::Step { change: 9, number: 5, back: false, version: version.clone() },
+            r#"{"step":{"change":9,"number":5,"back":false,"version":SPEC}}"#,
+        ),
+        (Record::InForce { number: 5 }, r#"{"in-force":{"number":5}}"#),
+        (Record::Waits { aim: Some(version.clone()) }, r#"{"waits":{"aim":SPEC}}"#),
+        (Record::Waits { aim: None }, r#"{"waits":{"aim":null}}"#),
+        (Record::Back { change: 9 }, r#"{"back":{"change":9}}"#),
+        (
+            Record::Step { change: 9, number: 6, back: true, version },
+            r#"{"step":{"change":9,"number":6,"back":true,"version":SPEC}}"#,
+        ),
+        (ended(9, Ending::RolledBack), r#"{"ended":{"change":9,"how":"rolled-back"}}"#),
+        (ended(10, Ending::Done), r#"{"ended":{"change":10,"how":"done"}}"#),
+        (ended(11, Ending::Superseded), r#"{"ended":{"change":11,"how":"superseded"}}"#),
+        (ended(12, Ending::Left), r#"{"ended":{"change":12,"how":"left"}}"#),
+    ]
+}
+
+#[test]
+fn each_record_has_this_text() {
+    for (record, text) in examples() {
+        let text = text.replace("SPEC", SPEC);
+        assert_eq!(serde_json::to_string(&record).expect("encoded"), text);
+        assert_eq!(serde_json::from_str::<Record>(&text).expect("decoded"), record);
+    }
+}
+
+/// The tables, read without this crate: by their names and types alone.
+fn raw(file: &Path) -> (Vec<(u64, String)>, Option<(u64, u32, u64)>) {
+    let database = Database::open(file).expect("opened");
+    let read = database.begin_read().expect("read");
+    let records = read.open_table(TableDefinition::<u64, &[u8]>::new("records")).expect("the records");
+    let newest = read.open_table(TableDefinition::<(), (u64, u32, u64)>::new("newest")).expect("the token");
+    let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).expect("text");
+    let records = records.iter().expect("entries").map(|entry| {
+        let (at, bytes) = entry.expect("an entry");
+        (at.value(), text(bytes.value()))
+    });
+    (records.collect(), newest.get(()).expect("read").map(|token| token.value()))
+}
+
+fn texts() -> Vec<(u64, String)> {
+    let texts = examples().into_iter().map(|(_, text)| text.replace("SPEC", SPEC));
+    texts.enumerate().map(|(at, text)| (at as u64, text)).collect()
+}
+
+fn token(term: u64) -> Token {
+    Token { term, owner: Member { number: 2, life: 1_700_000_000_123 } }
+}
+
+/// Writes all examples as `data/log-0.1.0.redb` has them.
+fn write_examples(file: &Path) {
+    let (mut log, before) = Log::open(file).expect("opened");
+    assert!(before.is_empty());
+    for (record, _) in examples() {
+        log.write_as(token(7), &record).expect("written");
+    }
+}
+
+#[test]
+fn the_database_has_these_tables() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let file = folder.path().join("log.redb");
+    drop(Log::open(&file).expect("opened"));
+    assert_eq!(raw(&file), (Vec::new(), None));
+    write_examples(&file);
+    assert_eq!(raw(&file), (texts(), Some((7, 2, 1_700_000_000_123))));
+}
+
+/// `data/log-0.1.0.redb` was made by `write_examples` above with the program of commit 6b53750 (version 0.1.0, redb 4),
+/// into a new file, which was then compacted (`redb::Database::compact`). It is never to be written again: a later
+/// program has to read what that one left.
+#[test]
+fn a_file_of_the_first_program_is_read_and_goes_on() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let file = folder.path().join("log.redb");
+    let old = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/log-0.1.0.redb");
+    std::fs::write(&file, std::fs::read(old).expect("the old file")).expect("copied");
+    assert_eq!(raw(&file), (texts(), Some((7, 2, 1_700_000_000_123))));
+
+    let (mut log, records) = Log::open(&file).expect("opened");
+    let mut expected: Vec<Record> = examples().into_iter().map(|(record, _)| record).collect();
+    assert_eq!(records, expected);
+    assert_eq!(log.newest().expect("read"), token(7));
+
+    // It goes on behind what was there, and an older token is still rejected.
+    let next = Record::InForce { number: 8 };
+    assert!(log.write_as(token(6), &next).is_err());
+    log.write_as(token(8), &next).expect("written");
+    drop(log);
+    let (mut log, records) = Log::open(&file).expect("opened again");
+    expected.push(next);
+    assert_eq!(records, expected);
+    assert_eq!(log.newest().expect("read"), token(8));
+    drop(log);
+    let (raw_records, newest) = raw(&file);
+    assert_eq!(raw_records.last(), Some(&(12, r#"{"in-force":{"number":8}}"#.into())));
+    assert_eq!(newest, Some((8, 2, 1_700_000_000_123)));
+}
