--- /dev/null
+++ b/crates/forms/tests/settings_format.rs
@@ -0,0 +1,102 @@
+//! The line that an error is printed as, and the form of a settings file: both are what operators see.
+
+use garde::Validate;
+use sablecross_forms::{Fault, Placed, read};
+use serde::{Deserialize, Serialize};
+
+#[derive(Debug, Deserialize, Serialize, Validate, PartialEq)]
+#[serde(rename_all = "kebab-case", deny_unknown_fields)]
+enum Form {
+    Node(#[garde(dive)] Node),
+}
+
+#[derive(Debug, Deserialize, Serialize, Validate, PartialEq)]
+#[serde(rename_all = "kebab-case", deny_unknown_fields)]
+struct Node {
+    #[garde(length(min = 1, max = 8))]
+    name: String,
+    #[garde(skip)]
+    #[serde(default)]
+    sources: Vec<String>,
+    #[garde(range(min = 0.0, max = 1.0))]
+    #[serde(default)]
+    hit_part: f64,
+    #[garde(skip)]
+    #[serde(default)]
+    checked: bool,
+}
+
+#[test]
+fn an_error_is_one_line_of_place_key_problem_and_remedy() {
+    let cases = [
+        (
+            ("f.scm", 3, 9, "node.tier", "greater than 7", "use 7"),
+            "f.scm:3:9: node.tier: greater than 7 (use 7)",
+        ),
+        (("f.scm", 3, 9, "node.tier", "greater than 7", ""), "f.scm:3:9: node.tier: greater than 7"),
+        (("f.scm", 1, 1, "", "no form", "add one"), "f.scm:1:1: no form (add one)"),
+        (("", 0, 0, "", "no form", ""), ":0:0: no form"),
+    ];
+    for ((file, line, column, key, what, todo), expected) in cases {
+        let (file, key, what, todo) = (file.into(), key.into(), what.into(), todo.into());
+        assert_eq!(Fault { file, line, column, key, what, todo }.to_string(), expected);
+    }
+    let form = Placed { line: 4, value: () };
+    assert_eq!(form.fault("f", "node", "twice", "keep one").to_string(), "f:4:1: node: twice (keep one)");
+}
+
+#[test]
+fn a_form_has_this_text() {
+    let node = |name: &str, sources: &[&str], hit_part, checked| {
+        let sources = sources.iter().map(|s| (*s).to_owned()).collect();
+        Form::Node(Node { name: name.into(), sources, hit_part, checked })
+    };
+    let text = "; a comment\n(node (name . \"a\"))\n(node (name . \"b\") (sources \"a\" \"c\")\n  (hit-part . 0.5) (checked . #t))\n";
+    let expected = [(2, node("a", &[], 0.0, false)), (3, node("b", &["a", "c"], 0.5, true))];
+    let expected = expected.map(|(line, value)| Placed { line, value });
+    assert_eq!(read::<Form>("f", text).expect("forms"), expected);
+}
+
+#[test]
+fn each_kind_of_error_has_this_line() {
+    let long = format!("(node (name . \"a\") (sources {}))", "\"a\" ".repeat(5_000));
+    let cases = [
+        (
+            "(node (name . \"\")\n (hit-part . 1.5))",
+            "f:2:3: node.hit-part: greater than 1 | f:1:8: node.name: length is lower than 1",
+        ),
+        (
+            "(node (name . \"a\") (sources \"a\" 7))",
+            "f:1:33: node.sources[1]: invalid type: number, expected a string",
+        ),
+        (
+            "(node (name . \"a\") (hit-part . \"x\"))",
+            "f:1:21: node.hit-part: invalid type: string \"x\", expected a number",
+        ),
+        ("(node (name . \"a\") (name . \"b\"))", "f:1:1: node: duplicate field `name`"),
+        (
+            "(node (name . \"a\") (odd . 1))",
+            "f:1:21: node.odd: unknown field `odd`, expected one of `name`, `sources`, `hit-part`, `checked`",
+        ),
+        ("\n(node)", "f:2:1: node: missing field `name`"),
+        ("(knot)", "f:1:1: unknown variant `knot`, expected `node`"),
+        ("(node . )", "f:1:10: not an S-expression: expected value at line 1 column 9"),
+        ("(node 5)", "f:1:1: node: invalid type: number, expected cons cell"),
+        ("(5)", "f:1:1: invalid type: number, expected symbol"),
+        ("()", "f:1:1: invalid type: null value, expected symbol or cons cell"),
+        ("(node", "f:1:1: a parenthesis that is never closed (close the form that begins here)"),
+        ("(node)\n)", "f:2:1: a parenthesis that closes nothing (remove it, or open one before)"),
+        ("(node (name . \"a))", "f:1:15: a string that never ends (close it with \")"),
+        ("node", "f:1:1: a word outside of all forms (write (word (key . value) ...))"),
+        (
+            "((((((((((((((((((((((((((((((((((((((((((((((((((((((((((((((((((((((",
+            "f:1:65: parentheses lie too deep in one another (write (word (key . value) ...))",
+        ),
+        (&long, "f:1:1: a form too long (split it: a form has 16 KiB at most)"),
+    ];
+    for (text, expected) in cases {
+        let errors = read::<Form>("f", text).expect_err("faulty");
+        let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
+        assert_eq!(lines.join(" | "), expected, "{text}");
+    }
+}
