--- a/crates/hierarchy/src/change.rs
+++ b/crates/hierarchy/src/change.rs
@@ -64,36 +64,58 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Record {
     /// All before it is no longer needed: this version was in force everywhere.
+    #[serde(rename = "start")]
     Start {
+        #[serde(rename = "number")]
         number: u64,
+        #[serde(rename = "next_change")]
         next_change: u64,
+        #[serde(rename = "version")]
         version: Told,
     },
     /// With what was in force when no change ran: one that takes the place of another goes back there.
+    #[serde(rename = "begun")]
     Begun {
+        #[serde(rename = "change")]
         change: u64,
+        #[serde(rename = "aim")]
         aim: Told,
+        #[serde(rename = "home")]
         home: Told,
     },
     /// A change that waits for the one that runs; none: it waits no more.
+    #[serde(rename = "waits")]
     Waits {
+        #[serde(rename = "aim")]
         aim: Option<Told>,
     },
     /// It is to be taken back.
+    #[serde(rename = "back")]
     Back {
+        #[serde(rename = "change")]
         change: u64,
     },
+    #[serde(rename = "step")]
     Step {
+        #[serde(rename = "change")]
         change: u64,
+        #[serde(rename = "number")]
         number: u64,
+        #[serde(rename = "back")]
         back: bool,
+        #[serde(rename = "version")]
         version: Told,
     },
+    #[serde(rename = "in-force")]
     InForce {
+        #[serde(rename = "number")]
         number: u64,
     },
+    #[serde(rename = "ended")]
     Ended {
+        #[serde(rename = "change")]
         change: u64,
+        #[serde(rename = "how")]
         how: Ending,
     },
 }
@@ -101,10 +123,14 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ending {
+    #[serde(rename = "done")]
     Done,
+    #[serde(rename = "rolled-back")]
     RolledBack,
+    #[serde(rename = "superseded")]
     Superseded,
     /// No way led on and none back: what is in force stays.
+    #[serde(rename = "left")]
     Left,
 }
 
--- a/crates/hierarchy/src/spec.rs
+++ b/crates/hierarchy/src/spec.rs
@@ -17,7 +17,9 @@
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Form {
+    #[serde(rename = "hierarchy")]
     Hierarchy(#[garde(dive)] Head),
+    #[serde(rename = "node")]
     Node(#[garde(dive)] Line),
 }
 
@@ -120,7 +122,9 @@
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Told {
+    #[serde(rename = "head")]
     pub head: Head,
+    #[serde(rename = "nodes")]
     pub nodes: Vec<Line>,
 }
 
