--- a/crates/hierarchy/src/spec.rs
+++ b/crates/hierarchy/src/spec.rs
@@ -185,9 +185,9 @@
         return Err(faults);
     }
     let told = Told { head: head.clone(), nodes: lines.into_iter().map(|(_, l)| l.clone()).collect() };
-    told.hierarchy(known).map_err(|what| {
-        vec![Fault { file: file.into(), line: 1, column: 1, key: String::new(), what, todo: String::new() }]
-    })
+    let whole =
+        |what| Fault { file: file.into(), line: 1, column: 1, key: String::new(), what, todo: String::new() };
+    told.hierarchy(known).map_err(|what| vec![whole(what)])
 }
 
 impl Told {
