--- a/crates/forms/tests/settings_format.rs
+++ b/crates/forms/tests/settings_format.rs
@@ -39,7 +39,8 @@
     ];
     for ((file, line, column, key, what, todo), expected) in cases {
         let (file, key, what, todo) = (file.into(), key.into(), what.into(), todo.into());
-        assert_eq!(Fault { file, line, column, key, what, todo }.to_string(), expected);
+        let error = Fault { file, line, column, key, what, todo };
+        assert_eq!(error.to_string(), expected);
     }
     let form = Placed { line: 4, value: () };
     assert_eq!(form.fault("f", "node", "twice", "keep one").to_string(), "f:4:1: node: twice (keep one)");
