--- /dev/null
+++ b/crates/director/tests/settings_format.rs
@@ -0,0 +1,185 @@
+//! The file that `NODE_CONFIG` names: every key, what it loads to, and the line for each key that is missing or
+//! faulty. Keys and lines are literals: `data/faulty_settings.tsv` holds a key's place in the sample, what it is
+//! replaced by (`-`: it is left out) and the line.
+
+use std::process::Command;
+
+use sablecross::{Effect, ObjectKind, Settings, State};
+use sablecross_director::life::config::Config;
+use sablecross_director::plain::facts::{Fact, Member};
+use serde_json::Value;
+
+const SAMPLE: &str = include_str!("../../../deploy/sample.json");
+const FAULTY: &str = include_str!("data/faulty_settings.tsv");
+
+/// The sample with one value replaced or left out.
+fn changed(place: &str, to: &str) -> String {
+    let mut all: Value = serde_json::from_str(SAMPLE).expect("the sample is good");
+    let (above, key) = place.rsplit_once('/').expect("a place");
+    let key = key.replace("~1", "/");
+    match (all.pointer_mut(above).expect(place), to) {
+        (Value::Object(fields), "-") => drop(fields.remove(&key).expect(place)),
+        (Value::Object(fields), to) => {
+            drop(fields.insert(key, serde_json::from_str(to).expect("a value")));
+        }
+        (Value::Array(items), "-") => drop(items.remove(key.parse().expect("a place"))),
+        (Value::Array(items), to) => {
+            items[key.parse::<usize>().expect("a place")] = serde_json::from_str(to).expect("a value");
+        }
+        _ => unreachable!("{place}"),
+    }
+    all.to_string()
+}
+
+fn line(text: &str) -> Option<String> {
+    Config::parse(text).err().map(|e| e.to_string())
+}
+
+#[test]
+fn the_sample_loads_to_the_same_values() {
+    let config = Config::parse(SAMPLE).expect("the sample is good");
+    assert_eq!((config.name.as_str(), config.seed), ("sample", 0x6e1f_0c27_a4d5_9b83));
+    assert_eq!(config.listen.to_string(), "127.0.0.1:10080");
+    assert_eq!(config.feeds.iter().map(ToString::to_string).collect::<Vec<_>>(), ["127.0.0.1:7070"]);
+    let kind = |budget, stretch, utility, fresh, parts| ObjectKind {
+        latency_budget: budget,
+        budget_stretch: Some(stretch),
+        utility,
+        effect: Effect::Idempotent,
+        fresh,
+        grace: 0,
+        parts,
+        written: false,
+    };
+    let settings = Settings {
+        zone: 1,
+        number: 0,
+        directors: vec![0, 1],
+        object_kinds: vec![
+            kind(300_000_000, 1.6, 2.0, 0, true),
+            kind(200_000_000, 2.0, 1.0, 20_000_000_000, false),
+        ],
+        parent_kind: Some(1),
+        origin_kind: 2,
+        follow_list: false,
+        cancels: true,
+        second_copies: true,
+        pauses: true,
+        longest_pause: 2_000_000_000,
+        most_sends: 6,
+        cold_from: 0.25,
+        warm_after: 18_000_000_000,
+        fall_multiple: 3.0,
+        parent_cold_from: 0.08,
+        parent_warm_after: 20_000_000_000,
+        parent_fall_multiple: 2.0,
+        stream_kb_per_s: 9_000.0,
+        direct: true,
+        joins: true,
+        purge_cleared: 6_000_000_000,
+        tick: 1_000_000,
+    };
+    assert_eq!(config.settings, settings);
+    assert_eq!(config.names.kinds, ["footage", "readings"]);
+    let mut zones: Vec<_> = config.names.zones.iter().map(|(name, n)| (name.as_str(), *n)).collect();
+    zones.sort_unstable();
+    assert_eq!(zones, [("edge", 1), ("hub", 0)]);
+    let mut machines: Vec<_> = config.names.machines.iter().map(|(name, n)| (name.as_str(), *n)).collect();
+    machines.sort_unstable();
+    assert_eq!(machines, [("origin", 2), ("parent", 1), ("small", 0)]);
+    assert!(!config.names.duties);
+    let limits = &config.limits;
+    assert_eq!((limits.clients, limits.links, limits.links_a_node, limits.ending), (349, 496, 64, 32));
+    assert_eq!((limits.lookups, limits.bodies), (3_072, 50_331_648));
+    assert_eq!((limits.dial, limits.idle), (400_000_000, 24_000_000_000));
+    assert_eq!((config.known.last, config.known.events.len()), (1, 1));
+    let event = &config.known.events[0];
+    assert_eq!(event.n, 1);
+    let member = |name: &str, address: &str, zone: &str, kind: &str, cell| Member {
+        name: name.into(),
+        address: address.parse().expect("an address"),
+        zone: zone.into(),
+        kind: kind.into(),
+        cell,
+        state: State::Ready,
+        started: 0,
+    };
+    let members = vec![
+        member("cache-a", "127.0.0.1:11001", "edge", "small", 0),
+        member("parent-a", "127.0.0.1:11002", "hub", "parent", 1_000),
+        member("origin", "127.0.0.1:11003", "hub", "origin", 65_535),
+    ];
+    assert_eq!(event.fact, Fact::Members { members, whole: true });
+}
+
+#[test]
+fn more_feeds_and_a_later_number_are_read() {
+    let text = SAMPLE
+        .replace("\"feed\": ", "\"feeds\": [\"127.0.0.1:1\", \"[::1]:2\"], \"feed\": ")
+        .replace("\"known\": {\"n\": 1,", "\"known\": {\"n\": 41,");
+    let config = Config::parse(&text).expect("good");
+    let feeds: Vec<_> = config.feeds.iter().map(ToString::to_string).collect();
+    assert_eq!(feeds, ["127.0.0.1:7070", "127.0.0.1:1", "[::1]:2"]);
+    assert_eq!((config.known.last, config.known.events.len()), (41, 1));
+}
+
+#[test]
+fn each_key_that_is_missing_or_faulty_has_its_line() {
+    let rows: Vec<Vec<&str>> = FAULTY.lines().map(|row| row.split('\t').collect()).collect();
+    assert!(rows.len() > 150, "{}", rows.len());
+    for row in rows {
+        let [place, to, want] = row[..] else { panic!("{row:?}") };
+        assert_eq!(line(&changed(place, to)).as_deref().unwrap_or("+"), want, "{place} {to}");
+    }
+}
+
+/// Runs a start that ends at its settings: the words of its one line.
+fn refused(file: Option<&str>) -> String {
+    let mut program = Command::new(env!("CARGO_BIN_EXE_sablecross-director"));
+    program.env_remove("RUST_LOG").env_remove("SABLECROSS_LOG").env_remove("NODE_CONFIG");
+    if let Some(file) = file {
+        program.env("NODE_CONFIG", file);
+    }
+    let out = program.output().expect("runs");
+    let log = String::from_utf8(out.stderr).expect("text");
+    assert_eq!((out.status.code(), log.lines().count()), (Some(1), 1), "{log}");
+    let (_, words) = log.trim_end().split_once(" ERROR ").expect("an error");
+    words.split_once(": ").expect("its module").1.to_owned()
+}
+
+#[test]
+fn a_start_names_file_key_and_cause() {
+    let dir = std::env::temp_dir().join(format!("sablecross-settings-{}", std::process::id()));
+    std::fs::create_dir_all(&dir).expect("made");
+    let file = |name: &str, text: &str| {
+        let path = dir.join(name);
+        std::fs::write(&path, text).expect("written");
+        path.to_str().expect("text").to_owned()
+    };
+    assert_eq!(refused(None), "NODE_CONFIG: not set");
+    let none = dir.join("none.json");
+    let none = none.to_str().expect("text");
+    assert_eq!(refused(Some(none)), format!("NODE_CONFIG: {none}: No such file or directory (os error 2)"));
+    let cut = file("cut.json", "{\"name\":");
+    let cause = "EOF while parsing a value at line 1 column 8";
+    assert_eq!(refused(Some(&cut)), format!("configuration: {cause} (NODE_CONFIG: {cut})"));
+    let listen = file("listen.json", &changed("/listen", "\"here\""));
+    assert_eq!(refused(Some(&listen)), format!("listen: not an address: here (NODE_CONFIG: {listen})"));
+    let cold = file("cold.json", &changed("/settings/guarantees/coldFrom", "1.5"));
+    let cause = "settings: bad setting: guarantees.coldFrom=1.5";
+    assert_eq!(refused(Some(&cold)), format!("{cause} (NODE_CONFIG: {cold})"));
+    std::fs::remove_dir_all(dir).expect("removed");
+}
+
+#[test]
+fn the_log_follows_its_variables() {
+    let log = |variable: &str, value: &str| {
+        let mut program = Command::new(env!("CARGO_BIN_EXE_sablecross-director"));
+        program.env_remove("RUST_LOG").env_remove("SABLECROSS_LOG").env_remove("NODE_CONFIG");
+        String::from_utf8(program.env(variable, value).output().expect("runs").stderr).expect("text")
+    };
+    let object: Value = serde_json::from_str(&log("SABLECROSS_LOG", "json")).expect("an object");
+    assert_eq!((&object["level"], &object["message"]), (&"ERROR".into(), &"NODE_CONFIG: not set".into()));
+    assert_eq!(log("RUST_LOG", "off"), "");
+    assert!(log("SABLECROSS_LOG", "text").ends_with("NODE_CONFIG: not set\n"));
+}
--- /dev/null
+++ b/crates/inhand/tests/settings_format.rs
@@ -0,0 +1,230 @@
+//! The settings of an instance by their paths, as operators write them: every key, every value of an enumeration,
+//! and the line for each one that is missing or faulty. Paths and lines are literals.
+
+use sablecross::{Effect, Load, ObjectKind, Settings, Within};
+use sablecross_inhand::settings::{self, Pairs};
+
+/// Every key that is read, with a value of its own.
+const FULL: [(&str, &str); 54] = [
+    ("az", "1"),
+    ("index", "2"),
+    ("discovery", "on_request"),
+    ("periodUs", "1000"),
+    ("classes.count", "5"),
+    ("classes.0.effect", "idempotent"),
+    ("classes.0.aimUs", "300000"),
+    ("classes.0.aimStretch", "1.5"),
+    ("classes.0.worth", "2"),
+    ("classes.1.effect", "at_most_once"),
+    ("classes.1.aimUs", "200000"),
+    ("classes.1.worth", "1"),
+    ("classes.2.effect", "deduplicated"),
+    ("classes.2.group", "all"),
+    ("classes.2.memorySpanUs", "5000000"),
+    ("classes.2.aimUs", "1"),
+    ("classes.2.worth", "0.5"),
+    ("classes.3.effect", "deduplicated"),
+    ("classes.3.group", "zone"),
+    ("classes.3.memorySpanUs", "6000000"),
+    ("classes.3.aimUs", "2"),
+    ("classes.3.worth", "0.25"),
+    ("classes.4.effect", "deduplicated"),
+    ("classes.4.group", "cell"),
+    ("classes.4.memorySpanUs", "18446744073709551615"),
+    ("classes.4.aimUs", "3"),
+    ("classes.4.worth", "0"),
+    ("ceilings.mayCancel", "true"),
+    ("ceilings.parallelTries", "false"),
+    ("ceilings.retryAfter", "true"),
+    ("ceilings.maxRetryAfterUs", "2000000"),
+    ("ceilings.sendCap", "6"),
+    ("ceilings.dialTimeoutUs", "400000"),
+    ("ceilings.keepaliveUs", "30000000"),
+    ("guarantees.coldFrom", "0.25"),
+    ("guarantees.warmAfterUs", "18000000"),
+    ("guarantees.fallMultiple", "3"),
+    ("extra.freshForUs", "0,20000000,1,2,3"),
+    ("extra.usableAfterUs", "4,5,6,7,8"),
+    ("extra.multiPart", "true,false,false,false,false"),
+    ("extra.neverKept", "false,true,false,false,false"),
+    ("extra.midKind", "1"),
+    ("extra.masterKind", "2"),
+    ("extra.direct", "true"),
+    ("extra.joins", "false"),
+    ("extra.streamKbPerS", "9000.5"),
+    ("extra.clearedWithinUs", "6000000"),
+    ("extra.parentStartsAt", "0.08"),
+    ("extra.parentColdUs", "20000000"),
+    ("extra.upperFallMultiple", "2"),
+    ("extra.zoneBalancers", "3,4"),
+    // Not read.
+    ("unheardOf.a.0", "1"),
+    ("guarantees.fallUs", "1000000"),
+    ("classes.0.deadlineUs", "4000000"),
+];
+
+const YEAR_NS: u64 = 31_622_400_000_000_000;
+
+fn decoded() -> Settings {
+    let kind = |latency_budget, budget_stretch, utility, effect| ObjectKind {
+        latency_budget,
+        budget_stretch,
+        utility,
+        effect,
+        fresh: 0,
+        grace: 0,
+        parts: false,
+        written: false,
+    };
+    let within = |within, memory| Effect::Deduplicated { within, memory };
+    Settings {
+        zone: 1,
+        number: 2,
+        directors: vec![3, 4],
+        object_kinds: vec![
+            ObjectKind {
+                fresh: 0,
+                grace: 4_000,
+                parts: true,
+                ..kind(300_000_000, Some(1.5), 2.0, Effect::Idempotent)
+            },
+            ObjectKind {
+                fresh: 20_000_000_000,
+                grace: 5_000,
+                written: true,
+                ..kind(200_000_000, None, 1.0, Effect::SideEffecting)
+            },
+            ObjectKind {
+                fresh: 1_000,
+                grace: 6_000,
+                ..kind(1_000, None, 0.5, within(Within::All, 5_000_000_000))
+            },
+            ObjectKind {
+                fresh: 2_000,
+                grace: 7_000,
+                ..kind(2_000, None, 0.25, within(Within::Zone, 6_000_000_000))
+            },
+            ObjectKind {
+                fresh: 3_000,
+                grace: 8_000,
+                ..kind(3_000, None, 0.0, within(Within::Cell, YEAR_NS))
+            },
+        ],
+        parent_kind: Some(1),
+        origin_kind: 2,
+        follow_list: true,
+        cancels: true,
+        second_copies: false,
+        pauses: true,
+        longest_pause: 2_000_000_000,
+        most_sends: 6,
+        cold_from: 0.25,
+        warm_after: 18_000_000_000,
+        fall_multiple: 3.0,
+        parent_cold_from: 0.08,
+        parent_warm_after: 20_000_000_000,
+        parent_fall_multiple: 2.0,
+        stream_kb_per_s: 9_000.5,
+        direct: true,
+        joins: false,
+        purge_cleared: 6_000_000_000,
+        tick: 1_000_000,
+    }
+}
+
+/// All pairs, but for this key; with another value for it, if there is one.
+fn with(key: &str, value: Option<&str>) -> Pairs {
+    assert!(FULL.iter().any(|(k, _)| *k == key), "{key}");
+    let value = |k: &str, v: &str| if k == key { value.map(str::to_owned) } else { Some(v.to_owned()) };
+    FULL.iter().filter_map(|(k, v)| Some(((*k).to_owned(), value(k, v)?))).collect()
+}
+
+fn line(pairs: &Pairs) -> Option<String> {
+    settings::decode(pairs).err().map(|e| e.to_string())
+}
+
+#[test]
+fn every_key_is_read_under_its_path() {
+    assert_eq!(settings::decode(&with("az", Some("1"))).expect("good"), decoded());
+    let pairs = with("az", Some("1"));
+    assert_eq!(pairs.ns("ceilings.dialTimeoutUs").expect("good"), 400_000_000);
+    assert_eq!(pairs.ns("ceilings.keepaliveUs").expect("good"), 30_000_000_000);
+    assert_eq!(pairs.text("discovery").expect("good"), "on_request");
+    assert_eq!(pairs.list::<u32>("extra.zoneBalancers").expect("good"), [3, 4]);
+    assert_eq!(pairs.get::<f64>("extra.streamKbPerS").expect("good"), 9_000.5);
+}
+
+#[test]
+fn values_that_mean_something_of_their_own() {
+    let other = |key, value, settings| {
+        assert_eq!(settings::decode(&with(key, value)).expect(key), settings, "{key}={value:?}");
+    };
+    other("extra.midKind", Some("-1"), Settings { parent_kind: None, ..decoded() });
+    for discovery in ["pushed", "anything"] {
+        other("discovery", Some(discovery), Settings { follow_list: false, ..decoded() });
+    }
+    other("periodUs", Some("99999999999999999"), Settings { tick: YEAR_NS, ..decoded() });
+    other("unheardOf.a.0", None, decoded());
+    let mut unstretched = decoded();
+    unstretched.object_kinds[0].budget_stretch = None;
+    other("classes.0.aimStretch", None, unstretched);
+    // Without a use for them these may be left out.
+    for key in ["ceilings.dialTimeoutUs", "ceilings.keepaliveUs", "guarantees.fallUs"] {
+        other(key, None, decoded());
+    }
+}
+
+#[test]
+fn what_is_missing_is_named() {
+    let optional = [
+        "classes.0.aimStretch",
+        "ceilings.dialTimeoutUs",
+        "ceilings.keepaliveUs",
+        "unheardOf.a.0",
+        "guarantees.fallUs",
+        "classes.0.deadlineUs",
+    ];
+    for (key, _) in FULL.iter().filter(|(key, _)| !optional.contains(key)) {
+        assert_eq!(line(&with(key, None)), Some(format!("setting missing: {key}")));
+    }
+}
+
+#[test]
+fn what_is_faulty_is_named_with_its_value() {
+    let unread = ["discovery", "ceilings.dialTimeoutUs", "ceilings.keepaliveUs"];
+    let unread = |key: &str| unread.contains(&key) || FULL[51..].iter().any(|(k, _)| *k == key);
+    for (key, _) in FULL.iter().filter(|(key, _)| !unread(key)) {
+        assert_eq!(line(&with(key, Some("odd"))), Some(format!("bad setting: {key}=odd")));
+    }
+    let cases = [
+        ("classes.count", "0", "bad setting: classes.count=0"),
+        ("classes.count", "6", "setting missing: classes.5.effect"),
+        ("classes.0.worth", "-1", "bad setting: classes.0.worth=-1"),
+        ("classes.0.worth", "NaN", "bad setting: classes.0.worth=NaN"),
+        ("classes.0.aimStretch", "inf", "bad setting: classes.0.aimStretch=inf"),
+        ("guarantees.coldFrom", "1.5", "bad setting: guarantees.coldFrom=1.5"),
+        ("extra.parentStartsAt", "1e308", &format!("bad setting: extra.parentStartsAt=1{}", "0".repeat(308))),
+        ("extra.freshForUs", "1,2", "bad setting: extra.freshForUs has no item 2"),
+        ("extra.usableAfterUs", "", "bad setting: extra.usableAfterUs has no item 0"),
+        ("extra.multiPart", "true", "bad setting: extra.multiPart has no item 1"),
+        ("extra.neverKept", "true,true,true", "bad setting: extra.neverKept has no item 3"),
+        ("extra.zoneBalancers", "3", "bad setting: extra.zoneBalancers has no item 1, which az names"),
+        ("az", "7", "bad setting: extra.zoneBalancers has no item 7, which az names"),
+        ("extra.zoneBalancers", "3,-4", "bad setting: extra.zoneBalancers=3,-4"),
+        ("periodUs", "-1", "bad setting: periodUs=-1"),
+    ];
+    for (key, value, want) in cases {
+        assert_eq!(line(&with(key, Some(value))).as_deref(), Some(want), "{key}={value}");
+    }
+}
+
+#[test]
+fn load_reports_and_notes_by_their_words() {
+    let values = [("active", 7.0), ("cpu", 0.61), ("x0", 0.2), ("x1", 0.3)];
+    let Load { busy, link } = settings::load(values.into_iter());
+    assert_eq!((busy, link), (Some(0.61), Some(0.3)));
+    let Load { busy, link } = settings::load([("cpu", f64::NAN), ("x1", f64::INFINITY)].into_iter());
+    assert_eq!((busy, link), (None, None));
+    let hits: Vec<_> = (0..7).map(settings::hit).collect();
+    assert_eq!(hits, [None, Some(true), Some(false), Some(false), Some(false), Some(true), None]);
+}
