--- a/crates/director/tests/settings_format.rs
+++ b/crates/director/tests/settings_format.rs
@@ -104,12 +104,12 @@
         state: State::Ready,
         started: 0,
     };
-    let members = vec![
+    let listed = vec![
         member("cache-a", "127.0.0.1:11001", "edge", "small", 0),
         member("parent-a", "127.0.0.1:11002", "hub", "parent", 1_000),
         member("origin", "127.0.0.1:11003", "hub", "origin", 65_535),
     ];
-    assert_eq!(event.fact, Fact::Members { members, whole: true });
+    assert_eq!(event.fact, Fact::Members { members: listed, whole: true });
 }
 
 #[test]
--- a/crates/director/tests/wire_format.rs
+++ b/crates/director/tests/wire_format.rs
@@ -270,13 +270,13 @@
         state,
         started,
     };
-    let members = vec![
+    let listed = vec![
         member("cache-a", "127.0.0.1:11001", "edge", "small", 4, State::Ready, 1_700_000_000_123_000_000),
         member("b", "[::1]:2", "hub", "parent", 65_535, State::Draining, 0),
         member("c", "127.0.0.1:3", "hub", "origin", 0, State::Gone, u64::MAX),
     ];
     let read = event(text).expect("an event");
-    assert_eq!((read.n, read.fact), (12, Fact::Members { members, whole: false }));
+    assert_eq!((read.n, read.fact), (12, Fact::Members { members: listed, whole: false }));
     let read = event(r#"{"n": 1, "members": {"snapshot": true, "endpoints": []}}"#).expect("an event");
     assert_eq!((read.n, read.fact), (1, Fact::Members { members: Vec::new(), whole: true }));
 
