--- a/crates/director/tests/settings_format.rs
+++ b/crates/director/tests/settings_format.rs
@@ -1,150 +1,185 @@
-//! The coordination settings with every key and every default, the tag of a health check, and the frame of a call
-//! between members, as literals: a rename in the source must not change them.
-#![cfg(feature = "duty")]
+//! The file that `NODE_CONFIG` names: every key, what it loads to, and the line for each key that is missing or
+//! faulty. Keys and lines are literals: `data/faulty_settings.tsv` holds a key's place in the sample, what it is
+//! replaced by (`-`: it is left out) and the line.
 
-use std::io::{Read, Write};
-use std::net::TcpListener;
-use std::time::Duration;
+use std::process::Command;
 
-use sablecross_director::duty::settings::{DRIVING, DUTIES, Setting, WARMING, named};
-use sablecross_director::duty::{Tag, ask};
-use sablecross_duty::word::{Answer, Request, Word};
-use sablecross_duty::{Member, Pace, Terms, Token};
+use sablecross::{Effect, ObjectKind, Settings, State};
+use sablecross_director::life::config::Config;
+use sablecross_director::plain::facts::{Fact, Member};
+use serde_json::Value;
 
-const MS: u64 = 1_000_000;
+const SAMPLE: &str = include_str!("../../../deploy/sample.json");
+const FAULTY: &str = include_str!("data/faulty_settings.tsv");
+
+/// The sample with one value replaced or left out.
+fn changed(place: &str, to: &str) -> String {
+    let mut all: Value = serde_json::from_str(SAMPLE).expect("the sample is good");
+    let (above, key) = place.rsplit_once('/').expect("a place");
+    let key = key.replace("~1", "/");
+    match (all.pointer_mut(above).expect(place), to) {
+        (Value::Object(fields), "-") => drop(fields.remove(&key).expect(place)),
+        (Value::Object(fields), to) => {
+            drop(fields.insert(key, serde_json::from_str(to).expect("a value")));
+        }
+        (Value::Array(items), "-") => drop(items.remove(key.parse().expect("a place"))),
+        (Value::Array(items), to) => {
+            items[key.parse::<usize>().expect("a place")] = serde_json::from_str(to).expect("a value");
+        }
+        _ => unreachable!("{place}"),
+    }
+    all.to_string()
+}
+
+fn line(text: &str) -> Option<String> {
+    Config::parse(text).err().map(|e| e.to_string())
+}
 
 #[test]
-fn every_key_of_the_settings() {
-    let text = r#"
-(duty (lease-ms . 301) (round-ms . 102) (apart-ms . 53) (beat-ms . 204) (probe-ms . 1005) (patience-ms . 406)
-      (gone-after-ms . 60007) (probing . #t) (warming . #t) (warm-bears . 20.5) (warm-part . 0.75) (warm-objects . 208))
-(voter (number . 9) (address . "127.0.0.1:10089"))
-(voter (number . 1) (address . "[::1]:10081"))
-"#;
-    let whole = Setting {
-        terms: Terms {
-            voters: vec![9, 1],
-            duties: vec![0, 1, 2],
-            lease: 301 * MS,
-            round: 102 * MS,
-            apart: 53 * MS,
-            beat: 204 * MS,
-            probe: 1_005 * MS,
-            patience: 406 * MS,
-        },
-        addresses: vec!["127.0.0.1:10089".parse().expect("one"), "[::1]:10081".parse().expect("one")],
-        probing: true,
-        gone_after: 60_007 * MS,
-        warming: Some(Pace { bears: 20.5, part: 0.75, from: 1.0, after: 0, patience: 301 * MS, most: 208 }),
+fn the_sample_loads_to_the_same_values() {
+    let config = Config::parse(SAMPLE).expect("the sample is good");
+    assert_eq!((config.name.as_str(), config.seed), ("sample", 0x6e1f_0c27_a4d5_9b83));
+    assert_eq!(config.listen.to_string(), "127.0.0.1:10080");
+    assert_eq!(config.feeds.iter().map(ToString::to_string).collect::<Vec<_>>(), ["127.0.0.1:7070"]);
+    let kind = |budget, stretch, utility, fresh, parts| ObjectKind {
+        latency_budget: budget,
+        budget_stretch: Some(stretch),
+        utility,
+        effect: Effect::Idempotent,
+        fresh,
+        grace: 0,
+        parts,
+        written: false,
+    };
+    let settings = Settings {
+        zone: 1,
+        number: 0,
+        directors: vec![0, 1],
+        object_kinds: vec![
+            kind(300_000_000, 1.6, 2.0, 0, true),
+            kind(200_000_000, 2.0, 1.0, 20_000_000_000, false),
+        ],
+        parent_kind: Some(1),
+        origin_kind: 2,
+        follow_list: false,
+        cancels: true,
+        second_copies: true,
+        pauses: true,
+        longest_pause: 2_000_000_000,
+        most_sends: 6,
+        cold_from: 0.25,
+        warm_after: 18_000_000_000,
+        fall_multiple: 3.0,
+        parent_cold_from: 0.08,
+        parent_warm_after: 20_000_000_000,
+        parent_fall_multiple: 2.0,
+        stream_kb_per_s: 9_000.0,
+        direct: true,
+        joins: true,
+        purge_cleared: 6_000_000_000,
+        tick: 1_000_000,
     };
-    assert_eq!(Setting::parse("f", text).expect("read"), whole);
-    let without = text.replace("(probing . #t) (warming . #t)", "(probing . #f) (warming . #f)");
-    assert_eq!(
-        Setting::parse("f", &without).expect("read"),
-        Setting { probing: false, warming: None, ..whole }
-    );
+    assert_eq!(config.settings, settings);
+    assert_eq!(config.names.kinds, ["footage", "readings"]);
+    let mut zones: Vec<_> = config.names.zones.iter().map(|(name, n)| (name.as_str(), *n)).collect();
+    zones.sort_unstable();
+    assert_eq!(zones, [("edge", 1), ("hub", 0)]);
+    let mut machines: Vec<_> = config.names.machines.iter().map(|(name, n)| (name.as_str(), *n)).collect();
+    machines.sort_unstable();
+    assert_eq!(machines, [("origin", 2), ("parent", 1), ("small", 0)]);
+    assert!(!config.names.duties);
+    let limits = &config.limits;
+    assert_eq!((limits.clients, limits.links, limits.links_a_node, limits.ending), (349, 496, 64, 32));
+    assert_eq!((limits.lookups, limits.bodies), (3_072, 50_331_648));
+    assert_eq!((limits.dial, limits.idle), (400_000_000, 24_000_000_000));
+    assert_eq!((config.known.last, config.known.events.len()), (1, 1));
+    let event = &config.known.events[0];
+    assert_eq!(event.n, 1);
+    let member = |name: &str, address: &str, zone: &str, kind: &str, cell| Member {
+        name: name.into(),
+        address: address.parse().expect("an address"),
+        zone: zone.into(),
+        kind: kind.into(),
+        cell,
+        state: State::Ready,
+        started: 0,
+    };
+    let listed = vec![
+        member("cache-a", "127.0.0.1:11001", "edge", "small", 0),
+        member("parent-a", "127.0.0.1:11002", "hub", "parent", 1_000),
+        member("origin", "127.0.0.1:11003", "hub", "origin", 65_535),
+    ];
+    assert_eq!(event.fact, Fact::Members { members: listed, whole: true });
 }
 
 #[test]
-fn every_default_of_the_settings() {
-    let voter = "(voter (number . 0) (address . \"127.0.0.1:10080\"))";
-    let defaults = Setting {
-        terms: Terms {
-            voters: vec![0],
-            duties: vec![0, 1, 2],
-            lease: 1_000 * MS,
-            round: 200 * MS,
-            apart: 50 * MS,
-            beat: 200 * MS,
-            probe: 1_000 * MS,
-            patience: 400 * MS,
-        },
-        addresses: vec!["127.0.0.1:10080".parse().expect("one")],
-        probing: true,
-        gone_after: 60_000 * MS,
-        warming: None,
-    };
-    assert_eq!(Setting::parse("f", &format!("(duty)\n{voter}")).expect("read"), defaults);
-    let warming = Pace { bears: 20.0, part: 0.25, from: 1.0, after: 0, patience: 1_000 * MS, most: 200 };
-    assert_eq!(
-        Setting::parse("f", &format!("(duty (warming . #t))\n{voter}")).expect("read"),
-        Setting { warming: Some(warming), ..defaults }
-    );
+fn more_feeds_and_a_later_number_are_read() {
+    let text = SAMPLE
+        .replace("\"feed\": ", "\"feeds\": [\"127.0.0.1:1\", \"[::1]:2\"], \"feed\": ")
+        .replace("\"known\": {\"n\": 1,", "\"known\": {\"n\": 41,");
+    let config = Config::parse(&text).expect("good");
+    let feeds: Vec<_> = config.feeds.iter().map(ToString::to_string).collect();
+    assert_eq!(feeds, ["127.0.0.1:7070", "127.0.0.1:1", "[::1]:2"]);
+    assert_eq!((config.known.last, config.known.events.len()), (41, 1));
 }
 
 #[test]
-fn what_is_wrong_is_named_by_file_line_key_and_cause() {
-    let voter = "(voter (number . 0) (address . \"127.0.0.1:1\"))";
-    let mut said = Vec::new();
-    for text in [
-        voter.to_owned(),
-        "(duty)".into(),
-        format!("(duty (lease-ms . 10))\n{voter}"),
-        format!("(duty (lease-ms . 300) (round-ms . 200))\n{voter}"),
-        format!("(duty (warming . #t) (probing . #f))\n{voter}"),
-        format!("(duty (warm-part . 2.0))\n{voter}"),
-        format!("(duty)\n{voter}\n{voter}"),
-        format!("(duty)\n(duty)\n{voter}"),
-        "(duty)\n(voter (number . 0) (address . \"here\"))".into(),
-        "(duty)\n(voter (number . 2000000) (address . \"127.0.0.1:1\"))".into(),
-        format!("(duty (lease . 10))\n{voter}"),
-        format!("(duty)\n{voter}\n(owner)"),
-    ] {
-        let faults = Setting::parse("f", &text).expect_err(&text);
-        said.push(faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "));
+fn each_key_that_is_missing_or_faulty_has_its_line() {
+    let rows: Vec<Vec<&str>> = FAULTY.lines().map(|row| row.split('\t').collect()).collect();
+    assert!(rows.len() > 150, "{}", rows.len());
+    for row in rows {
+        let [place, to, want] = row[..] else { panic!("{row:?}") };
+        assert_eq!(line(&changed(place, to)).as_deref().unwrap_or("+"), want, "{place} {to}");
     }
-    let expected = [
-        r#"f:1:1: duty: no (duty ...) form (add one)"#,
-        r#"f:1:1: voter: between 1 and 15 voters are needed (three or five are usual)"#,
-        r#"f:1:8: duty.lease-ms: lower than 50"#,
-        r#"f:1:1: duty.round-ms: longer than half of the lease (an owner has to renew in time)"#,
-        r#"f:1:1: duty.warming: boxes are not probed (warming goes by the same connections)"#,
-        r#"f:1:8: duty.warm-part: greater than 1"#,
-        r#"f:3:1: voter: its number or address is another voter's too (each votes once)"#,
-        r#"f:2:1: duty: a second one (keep one)"#,
-        r#"f:2:22: voter.address: invalid socket address syntax"#,
-        r#"f:2:9: voter.number: greater than 1000000"#,
-        r#"f:1:8: duty.lease: unknown field `lease`, expected one of `lease-ms`, `round-ms`, `apart-ms`, `beat-ms`, `probe-ms`, `patience-ms`, `gone-after-ms`, `probing`, `warming`, `warm-bears`, `warm-part`, `warm-objects`"#,
-        r#"f:3:1: unknown variant `owner`, expected `duty` or `voter`"#,
-    ];
-    assert_eq!(said, expected);
 }
 
-#[test]
-fn the_names_and_numbers_of_what_a_member_can_own() {
-    assert_eq!(DUTIES, [(0, "dealing"), (1, "driving"), (2, "warming")]);
-    assert_eq!((DRIVING, WARMING, named(1), named(3)), (1, 2, "driving", "unknown"));
+/// Runs a start that ends at its settings: the words of its one line.
+fn refused(file: Option<&str>) -> String {
+    let mut program = Command::new(env!("CARGO_BIN_EXE_sablecross-director"));
+    program.env_remove("RUST_LOG").env_remove("SABLECROSS_LOG").env_remove("NODE_CONFIG");
+    if let Some(file) = file {
+        program.env("NODE_CONFIG", file);
+    }
+    let out = program.output().expect("runs");
+    let log = String::from_utf8(out.stderr).expect("text");
+    assert_eq!((out.status.code(), log.lines().count()), (Some(1), 1), "{log}");
+    let (_, words) = log.trim_end().split_once(" ERROR ").expect("an error");
+    words.split_once(": ").expect("its module").1.to_owned()
 }
 
 #[test]
-fn the_tag_of_a_health_check() {
-    let tag = Tag { token: Token { term: 0xa1, owner: Member { number: 0xb2, life: 0xc3 } }, number: 0xd4 };
-    assert_eq!(tag.to_string(), "a1-b2-c3-d4");
-    assert_eq!("a1-b2-c3-d4".parse(), Ok(tag));
-    for odd in ["", "a1-b2-c3", "a1-b2-c3-x", "a1-100000000-c3-d4"] {
-        assert_eq!(odd.parse::<Tag>(), Err(()), "{odd}");
-    }
+fn a_start_names_file_key_and_cause() {
+    let dir = std::env::temp_dir().join(format!("sablecross-settings-{}", std::process::id()));
+    std::fs::create_dir_all(&dir).expect("made");
+    let file = |name: &str, text: &str| {
+        let path = dir.join(name);
+        std::fs::write(&path, text).expect("written");
+        path.to_str().expect("text").to_owned()
+    };
+    assert_eq!(refused(None), "NODE_CONFIG: not set");
+    let none = dir.join("none.json");
+    let none = none.to_str().expect("text");
+    assert_eq!(refused(Some(none)), format!("NODE_CONFIG: {none}: No such file or directory (os error 2)"));
+    let cut = file("cut.json", "{\"name\":");
+    let cause = "EOF while parsing a value at line 1 column 8";
+    assert_eq!(refused(Some(&cut)), format!("configuration: {cause} (NODE_CONFIG: {cut})"));
+    let listen = file("listen.json", &changed("/listen", "\"here\""));
+    assert_eq!(refused(Some(&listen)), format!("listen: not an address: here (NODE_CONFIG: {listen})"));
+    let cold = file("cold.json", &changed("/settings/guarantees/coldFrom", "1.5"));
+    let cause = "settings: bad setting: guarantees.coldFrom=1.5";
+    assert_eq!(refused(Some(&cold)), format!("{cause} (NODE_CONFIG: {cold})"));
+    std::fs::remove_dir_all(dir).expect("removed");
 }
 
 #[test]
-fn a_call_is_this_frame_and_its_answer_that_one() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
-    let at = listener.local_addr().expect("bound");
-    let voter = std::thread::spawn(move || {
-        let (mut stream, _) = listener.accept().expect("called");
-        // An array of four: a call, its number, the method, and no fields beside the body.
-        let call = b"\x94\x00\x01\xa4duty\x92\x80\xc4\x0a\x92\x92\x07\x08\x91\xa4Show";
-        let mut came = vec![0; call.len()];
-        stream.read_exact(&mut came).expect("a call");
-        assert_eq!(came.escape_ascii().to_string(), call.escape_ascii().to_string());
-        let body = b"\x91\x81\xa9HandsOver\x92\x01\xc3";
-        stream.write_all(b"\x94\x01\x01\xc0\x92\xc4").expect("answered");
-        stream.write_all(&[body.len() as u8]).expect("answered");
-        stream.write_all(body).expect("answered");
-        stream.write_all(b"\x80").expect("answered");
-    });
-    let request = Request { from: Member { number: 7, life: 8 }, words: vec![Word::Show] };
-    let answers = ask(at, &request, Duration::from_secs(5));
-    voter.join().expect("the frame");
-    assert_eq!(answers.expect("answered"), [Answer::HandsOver(1, true)]);
+fn the_log_follows_its_variables() {
+    let log = |variable: &str, value: &str| {
+        let mut program = Command::new(env!("CARGO_BIN_EXE_sablecross-director"));
+        program.env_remove("RUST_LOG").env_remove("SABLECROSS_LOG").env_remove("NODE_CONFIG");
+        String::from_utf8(program.env(variable, value).output().expect("runs").stderr).expect("text")
+    };
+    let object: Value = serde_json::from_str(&log("SABLECROSS_LOG", "json")).expect("an object");
+    assert_eq!((&object["level"], &object["message"]), (&"ERROR".into(), &"NODE_CONFIG: not set".into()));
+    assert_eq!(log("RUST_LOG", "off"), "");
+    assert!(log("SABLECROSS_LOG", "text").ends_with("NODE_CONFIG: not set\n"));
 }
