--- /dev/null
+++ b/crates/wirehost/tests/settings_format.rs
@@ -0,0 +1,151 @@
+//! The settings of the simulator's wire: every key that is read, in every form that its value may take.
+
+use sablecross::{Effect, ObjectKind, Settings, Within};
+use sablecross_inhand::settings;
+
+const SETTINGS: &str = include_str!("data/settings.txt");
+
+fn decode(text: &str) -> Result<Settings, String> {
+    let pairs = text.lines().filter_map(|line| line.split_once('='));
+    settings::decode(&pairs.map(|(path, value)| (path.to_owned(), value.to_owned())).collect())
+        .map_err(|error| error.to_string())
+}
+
+/// What the text of `data/settings.txt` says.
+fn expected() -> Settings {
+    let idempotent = ObjectKind {
+        latency_budget: 250_000_000,
+        budget_stretch: None,
+        utility: 1.0,
+        effect: Effect::Idempotent,
+        fresh: 0,
+        grace: 0,
+        parts: false,
+        written: false,
+    };
+    Settings {
+        zone: 2,
+        number: 0,
+        directors: vec![0, 0, 1],
+        object_kinds: vec![
+            idempotent.clone(),
+            ObjectKind {
+                effect: Effect::Deduplicated { within: Within::All, memory: 5_000_000_000 },
+                ..idempotent.clone()
+            },
+            ObjectKind { utility: 2.0, effect: Effect::SideEffecting, written: true, ..idempotent.clone() },
+            ObjectKind {
+                latency_budget: 400_000_000,
+                budget_stretch: Some(1.6),
+                fresh: 20_000_000_000,
+                grace: 30_000_000_000,
+                parts: true,
+                ..idempotent
+            },
+        ],
+        parent_kind: Some(1),
+        origin_kind: 2,
+        follow_list: true,
+        cancels: true,
+        second_copies: true,
+        pauses: true,
+        longest_pause: 2_000_000_000,
+        most_sends: 6,
+        cold_from: 0.23,
+        warm_after: 18_000_000_000,
+        fall_multiple: 3.0,
+        parent_cold_from: 0.078,
+        parent_warm_after: 20_000_000_000,
+        parent_fall_multiple: 2.0,
+        stream_kb_per_s: 2_700.0,
+        direct: true,
+        joins: true,
+        purge_cleared: 6_000_000_000,
+        tick: 2_000_000,
+    }
+}
+
+#[test]
+fn each_setting_has_its_key() {
+    assert_eq!(decode(SETTINGS), Ok(expected()));
+    let changed: [(&str, &str, fn(&mut Settings)); 16] = [
+        ("az=2", "az=1", |s| s.zone = 1),
+        ("index=0", "index=4", |s| s.number = 4),
+        ("zoneBalancers=0,0,1", "zoneBalancers=3,0,1", |s| s.directors = vec![3, 0, 1]),
+        ("midKind=1", "midKind=-1", |s| s.parent_kind = None),
+        ("masterKind=2", "masterKind=0", |s| s.origin_kind = 0),
+        ("discovery=on_request", "discovery=pushed", |s| s.follow_list = false),
+        ("mayCancel=true", "mayCancel=false", |s| s.cancels = false),
+        ("parallelTries=true", "parallelTries=false", |s| s.second_copies = false),
+        ("retryAfter=true", "retryAfter=false", |s| s.pauses = false),
+        ("direct=true", "direct=false", |s| s.direct = false),
+        ("joins=true", "joins=false", |s| s.joins = false),
+        ("periodUs=2000", "periodUs=5000", |s| s.tick = 5_000_000),
+        // What is longer than a year is a year.
+        ("clearedWithinUs=6000000", "clearedWithinUs=99999999999999", |s| {
+            s.purge_cleared = 366 * 86_400 * 1_000_000_000;
+        }),
+        ("group=all", "group=zone", |s| {
+            s.object_kinds[1].effect = Effect::Deduplicated { within: Within::Zone, memory: 5_000_000_000 };
+        }),
+        ("group=all", "group=cell", |s| {
+            s.object_kinds[1].effect = Effect::Deduplicated { within: Within::Cell, memory: 5_000_000_000 };
+        }),
+        ("aimStretch=1.6", "aimStretch=0", |s| s.object_kinds[3].budget_stretch = Some(0.0)),
+    ];
+    for (from, to, change) in changed {
+        let mut settings = expected();
+        change(&mut settings);
+        assert!(SETTINGS.contains(from), "{from}");
+        assert_eq!(decode(&SETTINGS.replace(from, to)), Ok(settings), "{to}");
+    }
+}
+
+/// Every key is needed but the stretch of a class's latency objective; the error names the one that is missing.
+#[test]
+fn a_missing_key_is_named() {
+    for line in SETTINGS.lines() {
+        let (key, _) = line.split_once('=').expect("a key and a value");
+        let without: Vec<&str> = SETTINGS.lines().filter(|other| *other != line).collect();
+        let decoded = decode(&without.join("\n"));
+        if key.ends_with("aimStretch") || key == "report.names" {
+            assert!(decoded.is_ok(), "{key}");
+        } else {
+            assert_eq!(decoded, Err(format!("setting missing: {key}")));
+        }
+    }
+}
+
+#[test]
+fn a_bad_value_is_named_with_its_key() {
+    let cases = [
+        ("az=2", "az=x", "bad setting: az=x"),
+        ("az=2", "az=9", "bad setting: extra.zoneBalancers has no item 9, which az names"),
+        ("classes.count=4", "classes.count=0", "bad setting: classes.count=0"),
+        ("0.effect=idempotent", "0.effect=once", "bad setting: classes.0.effect=once"),
+        ("group=all", "group=rack", "bad setting: classes.1.group=rack"),
+        ("freshForUs=0,0,0,20000000", "freshForUs=0,0", "bad setting: extra.freshForUs has no item 2"),
+        ("multiPart=false,", "multiPart=no,", "bad setting: extra.multiPart=no,false,false,true"),
+        ("coldFrom=0.23", "coldFrom=1.5", "bad setting: guarantees.coldFrom=1.5"),
+        ("streamKbPerS=2700.0", "streamKbPerS=-1", "bad setting: extra.streamKbPerS=-1"),
+        ("streamKbPerS=2700.0", "streamKbPerS=inf", "bad setting: extra.streamKbPerS=inf"),
+    ];
+    for (from, to, error) in cases {
+        assert!(SETTINGS.contains(from), "{from}");
+        assert_eq!(decode(&SETTINGS.replacen(from, to, 1)), Err(error.to_owned()), "{to}");
+    }
+}
+
+/// The values of a load report are found by their names, a note's hit by its number.
+#[test]
+fn load_reports_and_notes_have_their_names_and_numbers() {
+    let report = [("active", 3.0), ("cpu", 0.5), ("x0", 0.1), ("x1", 0.75)];
+    let load = settings::load(report.into_iter());
+    assert_eq!((load.busy, load.link), (Some(0.5), Some(0.75)));
+    let load = settings::load([("cpu", f64::NAN), ("rps", 7.0)].into_iter());
+    assert_eq!((load.busy, load.link), (None, None));
+    let hits = [None, Some(true), Some(false), Some(false), Some(false), Some(true), None, None];
+    for (note, hit) in hits.into_iter().enumerate() {
+        assert_eq!(settings::hit(note as u32), hit, "{note}");
+    }
+}
