--- /dev/null
+++ b/tests/stable_values.rs
@@ -0,0 +1,141 @@
+//! Values that all directors share, whatever version they run (the order of the nodes, the positions of objects, the
+//! ring), and the lines of the log, as operators read them.
+
+#[allow(dead_code)]
+mod help;
+
+use help::*;
+use sablecross::rules::Violation;
+use sablecross::*;
+
+#[test]
+fn nodes_keep_their_order() {
+    let cases = [
+        ("", 0xcbf2_9ce4_8422_2325),
+        ("a", 0xaf63_dc4c_8601_ec8c),
+        ("edge-1", 0xf1d7_a8b4_352b_c316),
+        ("upper-a:9000", 0xbef3_61c7_a19a_a6dc),
+    ];
+    for (name, value) in cases {
+        assert_eq!(rank(name), value, "{name}");
+    }
+}
+
+#[test]
+fn objects_keep_their_positions() {
+    let mixed = [
+        (0, 0xe220_a839_7b1d_cdaf),
+        (1, 0x910a_2dec_8902_5cc1),
+        (77, 0x6258_cbe0_7c1f_f081),
+        (u64::MAX, 0xe4d9_7177_1b65_2c20),
+    ];
+    for (number, value) in mixed {
+        assert_eq!(mix(number), value, "{number}");
+    }
+    let copies = [
+        (0, 0, 0xa706_dd2f_4d19_7e6f),
+        (77, 0, 0xe5a0_ace1_2514_ee45),
+        (77, 1, 0x3973_5f77_b4cc_4e3d),
+        (1 << 52, 9, 0xab24_c5d7_fe01_f1ff),
+    ];
+    for (object, part, position) in copies {
+        assert_eq!(copy_place(object, part), position, "{object} {part}");
+    }
+    let fills = [(0, 0xe4d9_7177_1b65_2c20), (77, 0x1dbe_7211_92d4_100d), (1 << 52, 0x71a9_9a03_6bf2_4b40)];
+    for (object, position) in fills {
+        assert_eq!(fill_place(object), position, "{object}");
+    }
+}
+
+#[test]
+fn the_ring_keeps_its_members() {
+    let members = vec![
+        (rank("edge-1"), 0, 0),
+        (rank("edge-2"), 1, 0),
+        (rank("edge-3"), 2, 64),
+        (rank("edge-4"), 3, 256),
+    ];
+    let ring = Pie::deal(members);
+    let owners = |fit: &dyn Fn(usize) -> bool| -> Vec<usize> {
+        (0..24).map(|object| ring.owner(copy_place(object, 0), fit).expect("one is fit")).collect()
+    };
+    assert_eq!(owners(&|_| true), [1, 0, 2, 2, 0, 0, 1, 0, 0, 0, 0, 0, 2, 2, 0, 2, 1, 1, 1, 2, 2, 1, 2, 0]);
+    assert_eq!(
+        owners(&|member| member != 1),
+        [0, 0, 2, 2, 0, 0, 0, 0, 0, 0, 0, 0, 2, 2, 0, 2, 0, 2, 2, 2, 2, 0, 2, 0]
+    );
+    let nearest: Vec<usize> = ring.around(copy_place(77, 0)).take(24).collect();
+    assert_eq!(nearest, [0, 1, 1, 1, 1, 1, 0, 1, 1, 0, 2, 1, 1, 0, 0, 0, 1, 1, 1, 0, 1, 0, 1, 1]);
+    // 256 virtual nodes for each full member, fewer for one that withholds some.
+    assert_eq!(ring.around(0).count(), 256 + 256 + 192);
+    assert_eq!(ring.owner(3, |_| false), None);
+}
+
+#[test]
+fn a_change_of_the_list_has_its_line() {
+    let mut c = director(settings(), &list(4, 2));
+    assert_eq!(c.notes(), [""; 0]);
+    c.listed(START, &list(5, 1), true);
+    assert_eq!(c.notes(), ["list members=5 before=4", "list members=1 before=2"]);
+}
+
+#[test]
+fn a_member_that_fails_and_comes_back_has_its_lines() {
+    let mut c = director(settings(), &list(4, 2));
+    for object in 0..400 {
+        let now = START + object * 40 * MS;
+        let mut request = lookup(object, now);
+        if let Route::Send(send) = go(&mut c, now, &mut request) {
+            let fails = send.node == 2 && object < 80;
+            let outcome = if fails { Outcome::Error } else { Outcome::Satisfied };
+            end(&mut c, now + 10 * MS, &mut request, outcome);
+        }
+    }
+    assert_eq!(c.notes(), ["down node=2 failing=0.40", "up node=2 failing=0.32"]);
+}
+
+#[test]
+fn slow_attempts_everywhere_have_their_lines() {
+    let mut c = director(settings(), &list(4, 2));
+    for (start, took) in [(0, 120 * MS), (40 * SEC, 3 * SEC), (90 * SEC, 120 * MS)] {
+        for object in 0..200 {
+            look(&mut c, START + start + object * 40 * MS, object, took, Outcome::Satisfied);
+        }
+    }
+    assert_eq!(c.notes(), ["jam late=0.19", "jam over late=0.13"]);
+}
+
+#[test]
+fn a_burst_has_its_lines() {
+    let mut c = director(settings(), &list(4, 2));
+    let mut now = START + MS;
+    for count in [40, 60, 50, 45, 55, 50, 62, 41, 50, 47, 53, 50] {
+        for i in 0..count * 4 {
+            look(&mut c, now + i, 10_000 + i, MS, Outcome::Satisfied);
+        }
+        now += 2 * SEC + 3 * MS;
+    }
+    for i in 0..400 {
+        look(&mut c, now + i * MS, 3, MS, Outcome::Satisfied);
+    }
+    look(&mut c, now + 5 * SEC, 3, MS, Outcome::Satisfied);
+    look(&mut c, now + 8 * SEC, 3, MS, Outcome::Satisfied);
+    assert_eq!(c.notes(), ["burst object=3 rate=8700 over=8649", "burst over objects=1"]);
+}
+
+/// The director's log line `violation request=R rule=W` gives the rule by these words.
+#[test]
+fn violations_keep_their_names() {
+    let names = [
+        (Violation::AnsweredTwice, "AnsweredTwice"),
+        (Violation::AttemptAfterAnswer, "AttemptAfterAnswer"),
+        (Violation::AttemptAfterDeadline, "AttemptAfterDeadline"),
+        (Violation::AttemptForGoneClient, "AttemptForGoneClient"),
+        (Violation::NodeNotReady, "NodeNotReady"),
+        (Violation::SourceNotReady, "SourceNotReady"),
+        (Violation::EffectRepeated, "EffectRepeated"),
+    ];
+    for (violation, name) in names {
+        assert_eq!(format!("{violation:?}"), name);
+    }
+}
