--- a/crates/wirehost/tests/settings_format.rs
+++ b/crates/wirehost/tests/settings_format.rs
@@ -5,6 +5,9 @@
 
 const SETTINGS: &str = include_str!("data/settings.txt");
 
+/// A text of the settings, what stands in its place, and what that changes.
+type Change = (&'static str, &'static str, fn(&mut Settings));
+
 fn decode(text: &str) -> Result<Settings, String> {
     let pairs = text.lines().filter_map(|line| line.split_once('='));
     settings::decode(&pairs.map(|(path, value)| (path.to_owned(), value.to_owned())).collect())
@@ -68,7 +71,7 @@
 #[test]
 fn each_setting_has_its_key() {
     assert_eq!(decode(SETTINGS), Ok(expected()));
-    let changed: [(&str, &str, fn(&mut Settings)); 16] = [
+    let changed: [Change; 16] = [
         ("az=2", "az=1", |s| s.zone = 1),
         ("index=0", "index=4", |s| s.number = 4),
         ("zoneBalancers=0,0,1", "zoneBalancers=3,0,1", |s| s.directors = vec![3, 0, 1]),
