--- a/crates/relay/tests/horizon.rs
+++ b/crates/relay/tests/horizon.rs
@@ -12,8 +12,8 @@
 use sablecross_relay::Horizon;
 use sablecross_relay::horizon::HELD;
 
-fn with(cleared: Ns, fresh: Ns, grace: Ns) -> Settings {
-    let kinds = vec![ObjectKind { fresh, grace, ..kind(Effect::Idempotent) }];
+fn with(cleared: Ns, fresh_time: Ns, grace_time: Ns) -> Settings {
+    let kinds = vec![ObjectKind { fresh: fresh_time, grace: grace_time, ..kind(Effect::Idempotent) }];
     Settings { purge_cleared: cleared, object_kinds: kinds, ..settings() }
 }
 
