--- a/crates/slopes/src/duties.rs
+++ b/crates/capacity/src/duties.rs
@@ -5,8 +5,8 @@
 use std::time::Instant;
 
 use sablecross::mix;
-use sablecross_duty::word::{Answer, DEALING, Request, Roster, State};
-use sablecross_duty::{Do, Member, Ns, Office, Shares, Terms};
+use sablecross_coordination::messages::{ASSIGNMENT_ROLE, Assignment, HealthState, Reply, Request};
+use sablecross_coordination::{Action, CoordinationConfig, Coordinator, Member, Ns, RendezvousShares};
 
 use crate::cost::{Cost, How, in_turns, micros};
 use crate::fit::Point;
@@ -21,16 +21,16 @@
 const VOTERS: u32 = 5;
 const ROUNDS: usize = 5;
 
-fn terms() -> Terms {
-    Terms {
+fn terms() -> CoordinationConfig {
+    CoordinationConfig {
         voters: (0..VOTERS).collect(),
-        duties: vec![DEALING, 1],
-        lease: SEC,
-        round: 200 * MS,
-        apart: 50 * MS,
-        beat: 500 * MS,
-        probe: SEC,
-        patience: 400 * MS,
+        roles: vec![ASSIGNMENT_ROLE, 1],
+        lease_duration: SEC,
+        round_timeout: 200 * MS,
+        claim_spacing: 50 * MS,
+        heartbeat_interval: 500 * MS,
+        check_interval: SEC,
+        check_timeout: 400 * MS,
     }
 }
 
@@ -51,7 +51,7 @@
 
 struct Fleet {
     now: Ns,
-    offices: Vec<Office>,
+    offices: Vec<Coordinator>,
     used: Vec<Used>,
     way: VecDeque<Letter>,
 }
@@ -67,11 +67,12 @@
     fn new(members: u32, boxes: u64) -> Fleet {
         let boxes: BTreeSet<u64> = (0..boxes).collect();
         let office = |number: u32| {
-            let mut office = Office::new(Member { number, life: 1 }, terms(), mix(number.into()), 0);
-            office.listed(0, &boxes);
+            let mut office =
+                Coordinator::new(Member { number, incarnation: 1 }, terms(), mix(number.into()), 0);
+            office.update_targets(0, &boxes);
             office
         };
-        let offices: Vec<Office> = (0..members).map(office).collect();
+        let offices: Vec<Coordinator> = (0..members).map(office).collect();
         Fleet { now: 0, used: vec![Used::default(); offices.len()], offices, way: VecDeque::new() }
     }
 
@@ -80,16 +81,16 @@
         loop {
             let (office, used) = (&mut self.offices[number], &mut self.used[number]);
             let me = office.me();
-            let acts = timed(used, || office.acts());
+            let acts = timed(used, || office.take_actions());
             let mut probes = Vec::new();
             for act in acts {
                 match act {
-                    Do::Call { voter, number, words } => {
-                        let request = Request { from: me, words };
+                    Action::Call { voter, call_id: number, messages: words } => {
+                        let request = Request { from: me, messages: words };
                         let body = timed(used, || rmp_serde::to_vec(&request)).unwrap_or_default();
                         self.way.push_back(Letter { from: me, voter, number, body });
                     }
-                    Do::Probe { chore, token } => probes.push((chore, token)),
+                    Action::CheckHealth { target: chore, token } => probes.push((chore, token)),
                     _ => {}
                 }
             }
@@ -97,7 +98,9 @@
                 return;
             }
             for (chore, token) in probes {
-                timed(used, || office.probed(self.now, chore, token, Ok(State::Well(Some(0.5)))));
+                timed(used, || {
+                    office.on_check_result(self.now, chore, token, Ok(HealthState::Healthy(Some(0.5))))
+                });
             }
         }
     }
@@ -107,8 +110,8 @@
         let (at, by) = (voter as usize, from.number as usize);
         let (office, used) = (&mut self.offices[at], &mut self.used[at]);
         let answer = timed(used, || {
-            let words = rmp_serde::from_slice::<Request>(&body).map(|r| r.words).unwrap_or_default();
-            rmp_serde::to_vec(&office.called(self.now, from, &words)).unwrap_or_default()
+            let words = rmp_serde::from_slice::<Request>(&body).map(|r| r.messages).unwrap_or_default();
+            rmp_serde::to_vec(&office.on_request(self.now, from, &words)).unwrap_or_default()
         });
         for party in [at, by] {
             self.used[party].calls += 1;
@@ -117,8 +120,8 @@
         self.carry(at);
         let (office, used) = (&mut self.offices[by], &mut self.used[by]);
         timed(used, || {
-            let said: Vec<Answer> = rmp_serde::from_slice(&answer).unwrap_or_default();
-            office.answered(self.now, voter, number, said);
+            let said: Vec<Reply> = rmp_serde::from_slice(&answer).unwrap_or_default();
+            office.on_replies(self.now, voter, number, said);
         });
         self.carry(by);
     }
@@ -129,7 +132,7 @@
             for number in 0..self.offices.len() {
                 // Members begin spread over a beat.
                 let begins = mix(number as u64) % (500 * MS);
-                if self.now < begins || self.offices[number].next() > self.now {
+                if self.now < begins || self.offices[number].next_wakeup() > self.now {
                     continue;
                 }
                 let (office, used) = (&mut self.offices[number], &mut self.used[number]);
@@ -143,7 +146,7 @@
     }
 
     fn dealer(&self) -> Option<usize> {
-        self.offices.iter().take(VOTERS as usize).position(|o| o.token(self.now, DEALING).is_some())
+        self.offices.iter().take(VOTERS as usize).position(|o| o.token(self.now, ASSIGNMENT_ROLE).is_some())
     }
 }
 
@@ -243,8 +246,11 @@
 
 /// The longest that one change of the deal takes a member: whose are the 490 boxes now?
 pub fn share() -> Cost {
-    let shares = |many: u32| Shares::of((0..many).map(|number| (Member { number, life: 1 }, 1.0)));
-    let mut sizes: Vec<(f64, Shares)> = MEMBERS.iter().map(|m| (f64::from(*m), shares(*m))).collect();
+    let shares = |many: u32| {
+        RendezvousShares::from_weights((0..many).map(|number| (Member { number, incarnation: 1 }, 1.0)))
+    };
+    let mut sizes: Vec<(f64, RendezvousShares)> =
+        MEMBERS.iter().map(|m| (f64::from(*m), shares(*m))).collect();
     let points = in_turns(&mut sizes, ROUNDS, |shares| {
         micros(|| (0..490).filter(|chore| shares.owner(*chore).is_some()).count()).0
     });
@@ -255,9 +261,9 @@
 /// A deal told whole, as to a member that has just begun.
 pub fn roster() -> Cost {
     let point = |&many: &u32| {
-        let members = (0..many).map(|number| Member { number, life: 1_764_576_000_123_000 }).collect();
-        let roster = Roster { members, ..Default::default() };
-        let bytes = rmp_serde::to_vec(&vec![Answer::Dealt(roster)]).map_or(f64::NAN, |b| b.len() as f64);
+        let members = (0..many).map(|number| Member { number, incarnation: 1_764_576_000_123_000 }).collect();
+        let roster = Assignment { members, ..Default::default() };
+        let bytes = rmp_serde::to_vec(&vec![Reply::Assigned(roster)]).map_or(f64::NAN, |b| b.len() as f64);
         Point { size: f64::from(many), value: bytes }
     };
     let points = MEMBERS.iter().map(point).collect();
--- a/crates/slopes/src/feed.rs
+++ b/crates/capacity/src/feed.rs
@@ -4,8 +4,8 @@
 use std::hint::black_box;
 
 use sablecross::mix;
-use sablecross_director::plain::facts::Numbered;
-use sablecross_feed::{Cursor, Said, Stream, Verdict};
+use sablecross_director::discovery_event::NumberedEvent;
+use sablecross_discovery::{EventCursor, EventStreamParser, EventVerdict, StreamItem};
 use serde_json::{Value, json};
 
 use crate::cost::{Cost, How, in_turns, micros};
@@ -58,17 +58,18 @@
 /// Reads it all as a director does: the stream's blocks, JSON, the fact, the rule on numbers. How many were
 /// taken.
 fn read(text: &[u8]) -> usize {
-    let mut stream = Stream::new(MOST);
-    stream.take(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
-    let mut cursor = Cursor::after(FIRST - 1);
+    let mut stream = EventStreamParser::new(MOST);
+    stream.push(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
+    let mut cursor = EventCursor::after_number(FIRST - 1);
     let mut taken = 0;
     for piece in text.chunks(16 << 10) {
-        stream.take(piece);
-        while let Ok(Some(said)) = stream.said() {
-            let Said::Event { id, data } = said else { continue };
+        stream.push(piece);
+        while let Ok(Some(said)) = stream.next_item() {
+            let StreamItem::Event { id, data } = said else { continue };
             let parsed = serde_json::from_str(&data).map_err(|e| e.to_string());
-            let parsed = parsed.and_then(|v: Value| Numbered::of(&v)).map(|e| (e.n, e.fact));
-            if let Verdict::Take(fact) = cursor.event(id, parsed) {
+            let parsed =
+                parsed.and_then(|v: Value| NumberedEvent::from_json(&v)).map(|e| (e.number, e.event));
+            if let EventVerdict::New(fact) = cursor.classify(id, parsed) {
                 black_box(fact);
                 taken += 1;
             }
--- a/crates/slopes/src/module.rs
+++ b/crates/capacity/src/module.rs
@@ -4,7 +4,8 @@
 use std::time::Instant;
 
 use sablecross::{
-    Choice, Effect, Listed, Lookup, Ns, ObjectKind, Outcome, Route, Sent, Settings, State, mix, rank,
+    Attempt, Effect, EndpointState, EndpointUpdate, Ns, Outcome, Request, RequestClass, RouteDecision,
+    Router, Settings, mix, rank,
 };
 
 use crate::cost::{Cost, How, grown, in_turns, median, micros};
@@ -29,68 +30,68 @@
 }
 
 pub fn settings(nodes: usize) -> Settings {
-    let kind = ObjectKind {
-        latency_budget: 400 * MS,
-        budget_stretch: Some(1.5),
-        utility: 1.0,
+    let kind = RequestClass {
+        latency_objective: 400 * MS,
+        latency_objective_stretch: Some(1.5),
+        priority_weight: 1.0,
         effect: Effect::Idempotent,
-        fresh: 0,
-        grace: 0,
-        parts: false,
-        written: false,
+        fresh_for: 0,
+        stale_for: 0,
+        is_multipart: false,
+        is_uncacheable: false,
     };
     Settings {
         zone: zones(nodes) / 2,
-        number: 0,
-        directors: vec![DIRECTORS_A_ZONE; zones(nodes)],
-        object_kinds: vec![kind],
+        director_index: 0,
+        directors_per_zone: vec![DIRECTORS_A_ZONE; zones(nodes)],
+        request_classes: vec![kind],
         parent_kind: Some(1),
         origin_kind: 2,
-        follow_list: false,
-        cancels: true,
-        second_copies: true,
-        pauses: true,
-        longest_pause: 2 * SEC,
-        most_sends: 6,
-        cold_from: 0.2,
-        warm_after: 20 * SEC,
-        fall_multiple: 3.0,
-        parent_cold_from: 0.1,
-        parent_warm_after: 20 * SEC,
-        parent_fall_multiple: 2.0,
+        polls_endpoint_list: false,
+        may_cancel: true,
+        may_hedge: true,
+        may_send_retry_after: true,
+        max_retry_after: 2 * SEC,
+        max_attempts: 6,
+        slow_start_initial_share: 0.2,
+        slow_start_window: 20 * SEC,
+        collapse_multiple: 3.0,
+        parent_slow_start_initial_share: 0.1,
+        parent_slow_start_window: 20 * SEC,
+        parent_collapse_multiple: 2.0,
         stream_kb_per_s: 1_000.0,
-        direct: true,
-        joins: true,
-        purge_cleared: CLEARED,
+        may_bypass_cache: true,
+        may_coalesce: true,
+        purge_propagation_window: CLEARED,
         tick: 2 * MS,
     }
 }
 
 /// Zone by zone; every fourth node is a parent, the last one the origin.
-pub fn list(nodes: usize) -> Vec<Listed> {
+pub fn list(nodes: usize) -> Vec<EndpointUpdate> {
     let machine = |n| if n + 1 == nodes { 2 } else { usize::from(n % 4 == 1) };
-    let line = |n: usize| Listed {
+    let line = |n: usize| EndpointUpdate {
         node: n,
         rank: rank(&format!("s-{:08x}", mix(n as u64) as u32)),
         zone: n * zones(nodes) / nodes,
-        machine: machine(n),
+        machine_kind: machine(n),
         cell: n / 2,
-        started: 0,
-        state: State::Ready,
-        withheld: 0,
+        started_at: 0,
+        state: EndpointState::Ready,
+        withheld_virtual_nodes: 0,
     };
     (0..nodes).map(line).collect()
 }
 
-pub fn choice(nodes: usize) -> Choice {
-    let mut choice = Choice::new(settings(nodes), 7, START);
-    choice.listed(START, &list(nodes), true);
+pub fn choice(nodes: usize) -> Router {
+    let mut choice = Router::new(settings(nodes), 7, START);
+    choice.update_endpoints(START, &list(nodes), true);
     choice
 }
 
-fn with_purges(known: usize) -> Choice {
-    let mut choice = Choice::new(settings(10), 7, START);
-    (0..known as u64).for_each(|n| choice.purged(START, Some(mix(n)), 0, 0));
+fn with_purges(known: usize) -> Router {
+    let mut choice = Router::new(settings(10), 7, START);
+    (0..known as u64).for_each(|n| choice.record_purge(START, Some(mix(n)), 0, 0));
     choice
 }
 
@@ -98,7 +99,7 @@
 /// what is done once a second is in it.
 pub fn purge_known() -> Cost {
     struct At {
-        choice: Choice,
+        choice: Router,
         known: u64,
         next: u64,
     }
@@ -111,7 +112,7 @@
         let (took, ()) = micros(|| {
             for _ in 0..35 {
                 let now = START + SEC + at.next * SEC / 35;
-                at.choice.purged(now, Some(mix(at.next % at.known)), 0, 0);
+                at.choice.record_purge(now, Some(mix(at.next % at.known)), 0, 0);
                 at.next += 1;
             }
         });
@@ -130,19 +131,19 @@
 /// Purges at a steady rate, once as many are known as bind.
 pub fn purge_rate() -> Cost {
     struct At {
-        choice: Choice,
+        choice: Router,
         rate: u64,
         next: u64,
     }
     impl At {
         fn purge(&mut self) {
             let now = START + self.next * SEC / self.rate;
-            self.choice.purged(now, Some(mix(self.next)), 0, 0);
+            self.choice.record_purge(now, Some(mix(self.next)), 0, 0);
             self.next += 1;
         }
     }
     let begin = |rate| {
-        let mut at = At { choice: Choice::new(settings(10), 7, START), rate, next: 0 };
+        let mut at = At { choice: Router::new(settings(10), 7, START), rate, next: 0 };
         (0..rate * (BINDS + 4)).for_each(|_| at.purge());
         (rate as f64, at)
     };
@@ -172,21 +173,23 @@
 ) -> Cost {
     let begin = |&nodes: &usize| {
         let lines = list(nodes);
-        let moved: Vec<Listed> = which(nodes).into_iter().map(|n| lines[n]).collect();
+        let moved: Vec<EndpointUpdate> = which(nodes).into_iter().map(|n| lines[n]).collect();
         (nodes as f64, (choice(nodes), moved, false))
     };
     let mut sizes: Vec<_> = NODES[1..].iter().map(begin).collect();
     let points = in_turns(&mut sizes, 4 * ROUNDS, |(choice, moved, gone)| {
         *gone = !*gone;
-        moved.iter_mut().for_each(|l| l.state = if *gone { State::Gone } else { State::Ready });
+        moved
+            .iter_mut()
+            .for_each(|l| l.state = if *gone { EndpointState::Gone } else { EndpointState::Ready });
         let (took, ()) = micros(|| {
             if at_once {
-                choice.listed(START, moved, false);
+                choice.update_endpoints(START, moved, false);
             } else {
-                moved.iter().for_each(|l| choice.listed(START, std::slice::from_ref(l), false));
+                moved.iter().for_each(|l| choice.update_endpoints(START, std::slice::from_ref(l), false));
             }
         });
-        choice.notes();
+        choice.take_log_lines();
         took
     });
     Cost { name, what, over: "nodes", unit: "us", how: How::Timed, points }
@@ -214,7 +217,7 @@
 
 /// The ordinary path of lookups: each routed, asked for its patience, ended as satisfied.
 struct Path {
-    choice: Choice,
+    choice: Router,
     now: Ns,
     next: u64,
     /// Nanoseconds of the three calls over the last round, and how many were sent.
@@ -230,33 +233,38 @@
         for _ in 0..LOOKUPS {
             self.now += 2 * MS;
             self.next = mix(self.next);
-            let mut lookup = Lookup {
+            let mut lookup = Request {
                 object: self.next % 20_000,
                 part: 0,
                 group: 3,
-                kind: 0,
+                class: 0,
                 size_kb: 100.0,
-                arrived: self.now,
+                arrived_at: self.now,
                 deadline: self.now + 4 * SEC,
-                repeat: false,
-                write: false,
-                sends: Vec::with_capacity(1),
+                is_client_retry: false,
+                is_write: false,
+                attempts: Vec::with_capacity(1),
             };
             let begun = Instant::now();
             let route = self.choice.route(self.now, &lookup);
             self.took[0] += begun.elapsed().as_nanos() as f64 - clock;
-            let Route::Send(send) = route else { continue };
+            let RouteDecision::Attempt(send) = route else { continue };
             self.sent += 1;
-            lookup.sends.push(Sent { node: send.node, source: send.source, at: self.now, result: None });
+            lookup.attempts.push(Attempt {
+                node: send.node,
+                source: send.source,
+                sent_at: self.now,
+                outcome: None,
+            });
             let begun = Instant::now();
-            black_box(self.choice.patience(self.now, &lookup));
+            black_box(self.choice.next_check(self.now, &lookup));
             self.took[2] += begun.elapsed().as_nanos() as f64 - clock;
-            lookup.sends[0].result = Some(Outcome::Satisfied);
+            lookup.attempts[0].outcome = Some(Outcome::Success);
             let begun = Instant::now();
-            black_box(self.choice.after(self.now + 30 * MS, &lookup, 0, 30 * MS, None));
+            black_box(self.choice.on_outcome(self.now + 30 * MS, &lookup, 0, 30 * MS, None));
             self.took[1] += begun.elapsed().as_nanos() as f64 - clock;
         }
-        self.choice.notes();
+        self.choice.take_log_lines();
     }
 }
 
--- a/crates/slopes/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -91,7 +91,7 @@
 const FEED: &str = "relays (`crates/relay`)";
 const STAR: &str = "none: one source, a star";
 const POOLS: &str = "pools of connections (`wire/nodes.rs`)";
-const DUTY: &str = "duties (`crates/duty`) among the 13";
+const DUTY: &str = "duties (`crates/coordination`) among the 13";
 const ALL_MEMBERS: &str = "none: all directors as members";
 
 /// Rows of one who or when.
--- a/crates/slopes/src/real.rs
+++ b/crates/capacity/src/real.rs
@@ -12,13 +12,13 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use sablecross::mix;
-use sablecross_director::duty::ask;
-use sablecross_director::plain::limits::Limits;
-use sablecross_director::plain::names::DUTY;
+use sablecross_coordination::messages::{ASSIGNMENT_ROLE, Message, Reply as Said, Request};
+use sablecross_coordination::{Action, CoordinationConfig, Coordinator, Member, Ns};
+use sablecross_director::coordination::call_member;
+use sablecross_director::limits::Limits;
+use sablecross_director::name_table::PEER_CALL_METHOD;
 use sablecross_director::wire::rpc;
-use sablecross_duty::word::{Answer as Said, DEALING, Request, Word};
-use sablecross_duty::{Do, Member, Ns, Office, Terms};
-use sablecross_lab::load::{Answer, any_answer, lookup};
+use sablecross_testbed::load::{Answer, any_answer, lookup};
 use serde_json::{Value, json};
 
 use crate::cost::{Cost, How, median, resident_of};
@@ -512,16 +512,16 @@
 const MS: Ns = 1_000_000;
 
 /// As the file of the duties has it.
-fn terms() -> Terms {
-    Terms {
+fn terms() -> CoordinationConfig {
+    CoordinationConfig {
         voters: (0..VOTERS).collect(),
-        duties: vec![DEALING, 1],
-        lease: 1_000 * MS,
-        round: 200 * MS,
-        apart: 50 * MS,
-        beat: 500 * MS,
-        probe: 1_000 * MS,
-        patience: 400 * MS,
+        roles: vec![ASSIGNMENT_ROLE, 1],
+        lease_duration: 1_000 * MS,
+        round_timeout: 200 * MS,
+        claim_spacing: 50 * MS,
+        heartbeat_interval: 500 * MS,
+        check_interval: 1_000 * MS,
+        check_timeout: 400 * MS,
     }
 }
 
@@ -529,14 +529,14 @@
 fn exchange(link: &mut TcpStream, number: u32, request: &Request, limits: &Limits) -> io::Result<Vec<Said>> {
     let bad = |_| io::Error::from(io::ErrorKind::InvalidData);
     let body = rmp_serde::to_vec(request).map_err(|e| io::Error::other(e.to_string()))?;
-    link.write_all(&rpc::call(number, DUTY, &body))?;
+    link.write_all(&rpc::encode_call(number, PEER_CALL_METHOD, &body))?;
     let (mut bytes, mut more) = (Vec::new(), [0; 4_096]);
     loop {
-        match rpc::answered(&bytes, limits) {
+        match rpc::decode_response(&bytes, limits) {
             Ok((_, Some(body), _)) => return rmp_serde::from_slice(body).map_err(|e| bad(e.to_string())),
             Ok((_, None, _)) => return Err(io::ErrorKind::Unsupported.into()),
-            Err(rpc::Flaw::Bad(why)) => return Err(bad(why.into())),
-            Err(rpc::Flaw::Short) => match link.read(&mut more)? {
+            Err(rpc::DecodeError::Invalid(why)) => return Err(bad(why.into())),
+            Err(rpc::DecodeError::Incomplete) => match link.read(&mut more)? {
                 0 => return Err(io::ErrorKind::UnexpectedEof.into()),
                 n => bytes.extend_from_slice(&more[..n]),
             },
@@ -547,34 +547,34 @@
 /// A member without clients: its office, with a connection to each voter, until it is over.
 fn member(number: u32, voters: &[SocketAddr], begun: Instant, over: &AtomicBool) -> io::Result<()> {
     let now = || begun.elapsed().as_nanos() as Ns + 1;
-    let limits = Limits::of(64, 64, 0, 0);
+    let limits = Limits::new(64, 64, 0, 0);
     let links = voters.iter().map(|at| {
         let link = TcpStream::connect(at)?;
         link.set_nodelay(true)?;
         Ok(link)
     });
     let mut links = links.collect::<io::Result<Vec<TcpStream>>>()?;
-    let me = Member { number, life: 1 };
-    let mut office = Office::new(me, terms(), mix(number.into()), now());
+    let me = Member { number, incarnation: 1 };
+    let mut office = Coordinator::new(me, terms(), mix(number.into()), now());
     while !over.load(Ordering::Relaxed) {
         office.step(now());
-        for act in office.acts() {
-            let Do::Call { voter, number, words } = act else { continue };
-            let request = Request { from: me, words };
+        for act in office.take_actions() {
+            let Action::Call { voter, call_id: number, messages: words } = act else { continue };
+            let request = Request { from: me, messages: words };
             let said = exchange(&mut links[voter as usize], number as u32 + 1, &request, &limits)?;
-            office.answered(now(), voter, number, said);
+            office.on_replies(now(), voter, number, said);
         }
-        let next = office.next().saturating_sub(now()).clamp(MS, 100 * MS);
+        let next = office.next_wakeup().saturating_sub(now()).clamp(MS, 100 * MS);
         thread::sleep(Duration::from_nanos(next));
     }
     Ok(())
 }
 
 fn deals(at: SocketAddr) -> io::Result<bool> {
-    let request = Request { from: Member::default(), words: vec![Word::Show] };
-    let said = ask(at, &request, Duration::from_secs(2))?;
-    let shown = said.into_iter().filter_map(|s| if let Said::Shown(shown) = s { Some(shown) } else { None });
-    Ok(shown.flat_map(|s| s.duties).any(|held| held.duty == DEALING && held.own.is_some()))
+    let request = Request { from: Member::default(), messages: vec![Message::ShowStatus] };
+    let said = call_member(at, &request, Duration::from_secs(2))?;
+    let shown = said.into_iter().filter_map(|s| if let Said::Status(shown) = s { Some(shown) } else { None });
+    Ok(shown.flat_map(|s| s.roles).any(|held| held.role == ASSIGNMENT_ROLE && held.own_lease.is_some()))
 }
 
 /// Parts of a core of a voter and of the one that deals, with so many members, the voters among them.
--- a/crates/slopes/src/sheet.rs
+++ b/crates/capacity/src/sheet.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use garde::Validate;
-use sablecross_forms::Fault;
+use sablecross_sexpr_config::ConfigError;
 use serde::Deserialize;
 
 #[derive(Clone, Debug, Deserialize, Validate, PartialEq)]
@@ -170,8 +170,8 @@
     pub order: Vec<String>,
 }
 
-pub fn read(file: &str, text: &str) -> Result<Sheet, Vec<Fault>> {
-    let forms = sablecross_forms::read::<Form>(file, text)?;
+pub fn read(file: &str, text: &str) -> Result<Sheet, Vec<ConfigError>> {
+    let forms = sablecross_sexpr_config::parse_forms::<Form>(file, text)?;
     let (mut target, mut budget, mut assumed) = (None, None, None);
     let (mut slopes, mut figures, mut order) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
     let mut faults = Vec::new();
@@ -187,17 +187,24 @@
             Form::Figure(f) => figures.insert(f.name.clone(), f.clone()).is_some(),
         };
         if twice {
-            faults.push(form.fault(file, "name", "stands twice", "leave one of the two out"));
+            faults.push(form.error(file, "name", "stands twice", "leave one of the two out"));
         }
     }
     let missing = |what: &str| {
         let (key, what) = (what.to_owned(), format!("no ({what} ...) form"));
-        Fault { file: file.into(), line: 1, column: 1, key, what, todo: "add it".into() }
+        ConfigError { file: file.into(), line: 1, column: 1, key, problem: what, remedy: "add it".into() }
     };
     for name in NEEDED.iter().filter(|n| !slopes.contains_key(**n) && !figures.contains_key(**n)) {
         let what = format!("no slope or figure of the name {name}");
         let todo = "measure it, or leave a figure without a value".into();
-        faults.push(Fault { file: file.into(), line: 1, column: 1, key: "name".into(), what, todo });
+        faults.push(ConfigError {
+            file: file.into(),
+            line: 1,
+            column: 1,
+            key: "name".into(),
+            problem: what,
+            remedy: todo,
+        });
     }
     match (target, budget, assumed) {
         (Some(target), Some(budget), Some(assumed)) if faults.is_empty() => {
--- a/crates/slopes/tests/slopes.rs
+++ b/crates/capacity/tests/slopes.rs
@@ -1,6 +1,6 @@
 //! The fit, the sheet and the page.
 
-use sablecross_slopes::{Line, Point, feed, module, page, sheet};
+use sablecross_capacity::{Line, Point, feed, module, page, sheet};
 
 const SHEET: &str = include_str!("../../../docs/capacity.scm");
 const PAGE: &str = include_str!("../../../docs/CAPACITY.md");
@@ -99,9 +99,9 @@
     for nodes in [10, 20, 490] {
         let (list, set) = (module::list(nodes), module::settings(nodes));
         assert_eq!(list.len(), nodes);
-        assert!(list.iter().all(|l| l.zone < set.directors.len()));
-        assert!(list.iter().any(|l| l.zone == set.zone && l.machine == 0), "no cache in the own zone");
-        let parents = list.iter().filter(|l| l.machine == 1).count();
+        assert!(list.iter().all(|l| l.zone < set.directors_per_zone.len()));
+        assert!(list.iter().any(|l| l.zone == set.zone && l.machine_kind == 0), "no cache in the own zone");
+        let parents = list.iter().filter(|l| l.machine_kind == 1).count();
         assert!((nodes / 5..=nodes / 3).contains(&parents), "{parents}");
     }
 }
--- a/crates/cli/src/capacity.rs
+++ b/crates/cli/src/capacity.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use clap::Args;
-use sablecross_slopes::{page, sheet};
+use sablecross_capacity::{page, sheet};
 
 use crate::Verdict;
 
--- a/crates/cli/src/duty.rs
+++ b/crates/cli/src/duty.rs
@@ -6,10 +6,10 @@
 use std::time::{Duration, Instant};
 
 use clap::{Args, Subcommand};
-use sablecross_director::duty::ask;
-use sablecross_director::duty::settings::{DRIVING, DUTIES, Setting, named};
-use sablecross_duty::Member;
-use sablecross_duty::word::{Answer, Duty, Request, Shown, Word};
+use sablecross_coordination::Member;
+use sablecross_coordination::messages::{MemberStatus, Message, Reply, Request, RoleId};
+use sablecross_director::coordination::call_member;
+use sablecross_director::coordination::settings::{CoordinationSettings, HIERARCHY_ROLE, ROLES, role_name};
 
 use crate::Verdict;
 
@@ -57,7 +57,7 @@
 }
 
 /// Whoever looks from outside is no member.
-const OUTSIDE: Member = Member { number: u32::MAX, life: 0 };
+const OUTSIDE: Member = Member { number: u32::MAX, incarnation: 0 };
 
 impl Whom {
     fn addresses(&self) -> Result<Vec<SocketAddr>, Vec<String>> {
@@ -69,8 +69,10 @@
             Some(file) => {
                 let name = file.display().to_string();
                 let text = std::fs::read_to_string(file).map_err(|e| vec![format!("{name}: {e}")])?;
-                let setting = Setting::parse(&name, &text);
-                Ok(setting.map_err(|f| f.iter().map(ToString::to_string).collect::<Vec<_>>())?.addresses)
+                let setting = CoordinationSettings::parse(&name, &text);
+                Ok(setting
+                    .map_err(|f| f.iter().map(ToString::to_string).collect::<Vec<_>>())?
+                    .voter_addresses)
             }
         }
     }
@@ -79,14 +81,14 @@
         Duration::from_secs_f64(self.time.clamp(0.01, 3_600.0))
     }
 
-    fn say(&self, at: SocketAddr, word: Word) -> Result<Vec<Answer>, String> {
-        let request = Request { from: OUTSIDE, words: vec![word] };
-        ask(at, &request, self.time()).map_err(|e| format!("{at}: {e}"))
+    fn say(&self, at: SocketAddr, word: Message) -> Result<Vec<Reply>, String> {
+        let request = Request { from: OUTSIDE, messages: vec![word] };
+        call_member(at, &request, self.time()).map_err(|e| format!("{at}: {e}"))
     }
 
-    fn shown(&self, at: SocketAddr) -> Result<Shown, String> {
-        let said = self.say(at, Word::Show)?;
-        let shown = said.into_iter().find_map(|a| if let Answer::Shown(s) = a { Some(s) } else { None });
+    fn shown(&self, at: SocketAddr) -> Result<MemberStatus, String> {
+        let said = self.say(at, Message::ShowStatus)?;
+        let shown = said.into_iter().find_map(|a| if let Reply::Status(s) = a { Some(s) } else { None });
         shown.ok_or(format!("{at}: it shows nothing"))
     }
 }
@@ -119,50 +121,50 @@
         println!("{text}");
     } else {
         for (at, s) in &views {
-            let voter = match (s.voter, s.silent) {
+            let voter = match (s.voter, s.silent_for) {
                 (None, _) => "no voter".into(),
                 (Some(v), 0) => format!("voter {v}"),
                 (Some(v), left) => format!("voter {v}, silent for {} more", seconds(left)),
             };
-            println!("{at} member {} life {} ({voter})", s.me.number, s.me.life);
-            for h in &s.duties {
-                let owner = match h.owner {
+            println!("{at} member {} life {} ({voter})", s.member.number, s.member.incarnation);
+            for h in &s.roles {
+                let owner = match h.holder {
                     Some((m, left)) => format!("granted to member {} for {}", m.number, seconds(left)),
                     None => "granted to nobody".into(),
                 };
-                let own = h.own.map_or(String::new(), |(t, left)| {
+                let own = h.own_lease.map_or(String::new(), |(t, left)| {
                     format!(", OWNS term {} for {}", t.term, seconds(left))
                 });
-                println!("  {:<8} highest term {}, {owner}{own}", named(h.duty), h.highest);
+                println!("  {:<8} highest term {}, {owner}{own}", role_name(h.role), h.highest_term);
             }
-            let holds = if s.holds == 0 {
+            let holds = if s.assignment_valid_for == 0 {
                 "does not hold here now".into()
             } else {
-                format!("holds for {}", seconds(s.holds))
+                format!("holds for {}", seconds(s.assignment_valid_for))
             };
             println!(
                 "  deal {}.{} by member {} among {} members, {holds}; {} boxes here, {} probes made",
-                s.roster.stamp.term,
-                s.roster.stamp.number,
-                s.roster.dealer.number,
-                s.roster.members.len(),
-                s.chores,
-                s.probes
+                s.assignment.version.term,
+                s.assignment.version.number,
+                s.assignment.assigner.number,
+                s.assignment.members.len(),
+                s.target_count,
+                s.checks_sent
             );
-            for (duty, status) in &s.status {
-                println!("  {} says: {status}", named(*duty));
+            for (duty, status) in &s.role_status {
+                println!("  {} says: {status}", role_name(*duty));
             }
             println!(
                 "  refused here {}, older deals passed over {}, own refused at gates {}",
-                s.refused, s.passed_over, s.was_refused
+                s.rejected_here, s.stale_assignments_ignored, s.own_rejections
             );
         }
     }
-    for (duty, name) in DUTIES {
+    for (duty, name) in ROLES {
         let owners: Vec<u32> = views
             .values()
-            .filter(|s| s.duties.iter().any(|h| h.duty == duty && h.own.is_some()))
-            .map(|s| s.me.number)
+            .filter(|s| s.roles.iter().any(|h| h.role == duty && h.own_lease.is_some()))
+            .map(|s| s.member.number)
             .collect();
         match owners[..] {
             [] => eprintln!("{name}: nobody of those asked owns it"),
@@ -175,11 +177,11 @@
     Ok(if silent.is_empty() { Verdict::Well } else { Verdict::Refused })
 }
 
-fn owner(whom: &Whom, duty: Duty) -> Result<Option<(SocketAddr, u32, u64)>, Vec<String>> {
+fn owner(whom: &Whom, duty: RoleId) -> Result<Option<(SocketAddr, u32, u64)>, Vec<String>> {
     let views = whom.addresses()?.into_iter().filter_map(|at| Some((at, whom.shown(at).ok()?)));
-    let owns = |(at, s): (SocketAddr, Shown)| {
-        let own = s.duties.iter().find(|h| h.duty == duty)?.own?;
-        Some((at, s.me.number, own.0.term))
+    let owns = |(at, s): (SocketAddr, MemberStatus)| {
+        let own = s.roles.iter().find(|h| h.role == duty)?.own_lease?;
+        Some((at, s.member.number, own.0.term))
     };
     Ok(views.filter_map(owns).max_by_key(|o| o.2))
 }
@@ -187,28 +189,31 @@
 fn change(file: &std::path::Path, follow: f64, whom: &Whom) -> Result<Verdict, Vec<String>> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| vec![format!("{name}: {e}")])?;
-    sablecross_hierarchy::spec::read(&name, &text, None)
+    sablecross_hierarchy::spec::parse_settings(&name, &text, None)
         .map_err(|f| f.iter().map(ToString::to_string).collect::<Vec<_>>())?;
-    let Some((at, number, term)) = owner(whom, DRIVING)? else {
+    let Some((at, number, term)) = owner(whom, HIERARCHY_ROLE)? else {
         eprintln!("driving: nobody of those asked owns it now: ask again");
         return Ok(Verdict::Refused);
     };
-    let said = whom.say(at, Word::Wish(DRIVING, text.into_bytes())).map_err(|e| vec![e])?;
-    if !said.contains(&Answer::Wished(DRIVING, Ok(()))) {
+    let said = whom.say(at, Message::Propose(HIERARCHY_ROLE, text.into_bytes())).map_err(|e| vec![e])?;
+    if !said.contains(&Reply::ProposalResult(HIERARCHY_ROLE, Ok(()))) {
         eprintln!("driving: member {number} does not own it any more: ask again");
         return Ok(Verdict::Refused);
     }
     println!("member {number} drives in term {term}");
-    let before = whom.shown(at).ok().and_then(|s| s.status.into_iter().find(|(d, _)| *d == DRIVING));
+    let before =
+        whom.shown(at).ok().and_then(|s| s.role_status.into_iter().find(|(d, _)| *d == HIERARCHY_ROLE));
     let mut ran = before.is_none_or(|(_, status)| !status.contains("no change runs"));
     let begun = Instant::now();
     let mut last = String::new();
     while begun.elapsed().as_secs_f64() < follow {
         std::thread::sleep(Duration::from_millis(100));
         // A new owner goes on with it.
-        let Some((at, number, _)) = owner(whom, DRIVING)? else { continue };
+        let Some((at, number, _)) = owner(whom, HIERARCHY_ROLE)? else { continue };
         let Ok(shown) = whom.shown(at) else { continue };
-        let Some((_, status)) = shown.status.into_iter().find(|(d, _)| *d == DRIVING) else { continue };
+        let Some((_, status)) = shown.role_status.into_iter().find(|(d, _)| *d == HIERARCHY_ROLE) else {
+            continue;
+        };
         if status != last {
             println!("{:>7.1} s  member {number}: {status}", begun.elapsed().as_secs_f64());
         }
@@ -231,16 +236,16 @@
 }
 
 fn hand_over(name: &str, to: Option<u32>, whom: &Whom) -> Result<Verdict, Vec<String>> {
-    let Some((duty, _)) = DUTIES.iter().find(|d| d.1 == name).copied() else {
-        let known: Vec<&str> = DUTIES.iter().map(|d| d.1).collect();
+    let Some((duty, _)) = ROLES.iter().find(|d| d.1 == name).copied() else {
+        let known: Vec<&str> = ROLES.iter().map(|d| d.1).collect();
         return Err(vec![format!("{name}: no such duty; there are {}", known.join(", "))]);
     };
     let Some((at, number, term)) = owner(whom, duty)? else {
         eprintln!("{name}: nobody of those asked owns it now");
         return Ok(Verdict::Refused);
     };
-    let said = whom.say(at, Word::HandOver(duty, to)).map_err(|e| vec![e])?;
-    if !said.contains(&Answer::HandsOver(duty, true)) {
+    let said = whom.say(at, Message::HandOver(duty, to)).map_err(|e| vec![e])?;
+    if !said.contains(&Reply::HandOverStarted(duty, true)) {
         eprintln!("{name}: member {number} owned it and does not any more: look again");
         return Ok(Verdict::Refused);
     }
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use clap::Args;
-use sablecross_lab::fleet;
+use sablecross_testbed::fleet;
 
 use crate::{Verdict, trial};
 
--- a/crates/cli/src/hierarchy.rs
+++ b/crates/cli/src/hierarchy.rs
@@ -8,9 +8,11 @@
 use clap::{Args, Subcommand, ValueEnum};
 use petgraph::dot::{Config, Dot};
 use petgraph::graph::DiGraph;
-use sablecross_hierarchy::flow::{Index, Side};
-use sablecross_hierarchy::spec::{Told, read};
-use sablecross_hierarchy::{Admission, FULL, Hierarchy, Member, NodeId, Plan, Refusal, plan};
+use sablecross_hierarchy::load_flow::{FlowGraph, NodeIndex};
+use sablecross_hierarchy::spec::{HierarchySpec, parse_settings};
+use sablecross_hierarchy::{
+    Admission, AdmissionError, FULL_SHARE, Hierarchy, HierarchyNode, NodeId, Plan, plan,
+};
 use serde_json::{Value, json};
 
 use crate::Verdict;
@@ -91,7 +93,7 @@
 fn load(file: &Path, known: Option<&Hierarchy>) -> Result<(u64, Hierarchy), Faults> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| vec![format!("{name}: {e}")])?;
-    read(&name, &text, known).map_err(|f| f.iter().map(ToString::to_string).collect())
+    parse_settings(&name, &text, known).map_err(|f| f.iter().map(ToString::to_string).collect())
 }
 
 fn check(files: &[PathBuf], as_json: bool) -> Result<Verdict, Faults> {
@@ -124,14 +126,14 @@
 
 /// What each node is asked for, by its number; nothing for a hierarchy with a circle.
 fn loads(h: &Hierarchy) -> BTreeMap<NodeId, f64> {
-    let index = Index::of(&[h]);
-    let cells = index.cells(h);
-    let side = Side::new(cells.iter().map(Option::as_ref).collect());
-    side.map_or_else(|_| BTreeMap::new(), |s| index.ids.iter().copied().zip(s.into).collect())
+    let index = NodeIndex::from_versions(&[h]);
+    let cells = index.flow_nodes(h);
+    let side = FlowGraph::new(cells.iter().map(Option::as_ref).collect());
+    side.map_or_else(|_| BTreeMap::new(), |s| index.ids.iter().copied().zip(s.incoming_load).collect())
 }
 
 fn names(h: &Hierarchy, ids: &[NodeId]) -> String {
-    ids.iter().map(|s| h.name(*s)).collect::<Vec<_>>().join(" ")
+    ids.iter().map(|s| h.node_name(*s)).collect::<Vec<_>>().join(" ")
 }
 
 fn show(number: u64, h: &Hierarchy, form: Form) -> String {
@@ -141,8 +143,8 @@
             let nodes: Vec<Value> = h
                 .iter()
                 .map(|(id, m)| {
-                    json!({"name": &*m.name, "tier": m.tier, "capacity": m.capacity, "share": m.share,
-                        "asked": loads.get(&id), "sources": m.sources.iter().map(|s| h.name(*s)).collect::<Vec<_>>()})
+                    json!({"name": &*m.name, "tier": m.tier, "capacity": m.capacity, "share": m.ring_share,
+                        "asked": loads.get(&id), "sources": m.sources.iter().map(|s| h.node_name(*s)).collect::<Vec<_>>()})
                 })
                 .collect();
             format!("{}\n", json!({"version": number, "ceiling": h.rules.ceiling, "nodes": nodes}))
@@ -160,11 +162,11 @@
                 "{:<20} {:>4} {:>9} {:>9} {:>6}  sources",
                 "node", "tier", "asked/s", "bears/s", "share"
             );
-            let mut all: Vec<(NodeId, &Member)> = h.iter().map(|(id, m)| (id, &**m)).collect();
+            let mut all: Vec<(NodeId, &HierarchyNode)> = h.iter().map(|(id, m)| (id, &**m)).collect();
             all.sort_by(|a, b| (a.1.tier, &a.1.name).cmp(&(b.1.tier, &b.1.name)));
             for (id, m) in all {
                 let asked = loads.get(&id).map_or("circle".into(), |l| format!("{l:.0}"));
-                let share = format!("{}%", 100 * u32::from(m.share) / u32::from(FULL));
+                let share = format!("{}%", 100 * u32::from(m.ring_share) / u32::from(FULL_SHARE));
                 let _ = writeln!(
                     out,
                     "{:<20} {:>4} {asked:>9} {:>9.0} {share:>6}  {}",
@@ -229,15 +231,15 @@
                 let figures = [
                     ("capacity", a.capacity, b.capacity),
                     ("demand", a.demand, b.demand),
-                    ("hit", a.hit, b.hit),
+                    ("hit", a.hit_ratio, b.hit_ratio),
                 ];
                 what.extend(
                     figures.iter().filter(|(_, a, b)| a != b).map(|(k, a, b)| format!("{k} {a} to {b}")),
                 );
-                if a.share != b.share {
-                    what.push(format!("share {} to {}", a.share, b.share));
+                if a.ring_share != b.ring_share {
+                    what.push(format!("share {} to {}", a.ring_share, b.ring_share));
                 }
-                if a.since != b.since {
+                if a.started_at != b.started_at {
                     what.push("started anew".into());
                 }
                 lines.push(format!("{}: {}", a.name, what.join(", ")));
@@ -252,7 +254,7 @@
     let (number, from) = load(&args.from, None)?;
     let (aim_number, to) = load(&args.to, Some(&from))?;
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
-    let admitted: Result<(), Refusal> = Admission::new(from.clone()).and_then(|mut a| a.admit(&to));
+    let admitted: Result<(), AdmissionError> = Admission::new(from.clone()).and_then(|mut a| a.admit(&to));
     let refused = |why: String| {
         match args.form {
             Form::Json => println!("{}", json!({"refused": why})),
@@ -271,7 +273,7 @@
         std::fs::create_dir_all(folder).map_err(|e| vec![format!("{}: {e}", folder.display())])?;
         for (k, step) in plan.steps.iter().enumerate() {
             let file = folder.join(format!("step-{}.scm", k + 1));
-            let text = Told::of(number + k as u64 + 1, &step.to).text();
+            let text = HierarchySpec::from_hierarchy(number + k as u64 + 1, &step.target).to_settings_text();
             std::fs::write(&file, text).map_err(|e| vec![format!("{}: {e}", file.display())])?;
         }
     }
@@ -284,9 +286,9 @@
     let mut steps = Vec::new();
     let mut at: BTreeMap<NodeId, Vec<usize>> = BTreeMap::new();
     for (k, step) in plan.steps.iter().enumerate() {
-        steps.push((diff(&before, &step.to), step));
-        step.changed.iter().for_each(|n| at.entry(*n).or_default().push(k + 1));
-        before = step.to.clone();
+        steps.push((diff(&before, &step.target), step));
+        step.changed_nodes.iter().for_each(|n| at.entry(*n).or_default().push(k + 1));
+        before = step.target.clone();
     }
     match form {
         Form::Dot => dot(to, &loads(to), &at),
@@ -294,28 +296,33 @@
             let steps: Vec<Value> = steps
                 .iter()
                 .map(|(lines, s)| {
-                    let warm: Vec<Value> = s.needs.iter().map(|(n, w)| json!({"node": s.to.name(*n), "warmth": w})).collect();
-                    json!({"changes": lines, "origin_peak": s.peak, "origin_before": s.before, "moved": s.moved,
-                        "wait_ms": s.wait / 1_000_000, "warm": warm})
+                    let warm: Vec<Value> = s.required_warmth.iter().map(|(n, w)| json!({"node": s.target.node_name(*n), "warmth": w})).collect();
+                    json!({"changes": lines, "origin_peak": s.origin_peak, "origin_before": s.origin_before, "moved": s.moved_load,
+                        "wait_ms": s.min_delay / 1_000_000, "warm": warm})
                 })
                 .collect();
-            format!("{}\n", json!({"from": number, "to": aim, "fewest": plan.fewest, "steps": steps}))
+            format!("{}\n", json!({"from": number, "to": aim, "fewest": plan.is_minimal, "steps": steps}))
         }
         Form::Table => {
-            let how = if plan.fewest { "there are no fewer" } else { "not searched for the fewest" };
+            let how = if plan.is_minimal { "there are no fewer" } else { "not searched for the fewest" };
             let mut out = format!("version {number} to {aim} in {} steps ({how})\n", steps.len());
             for (k, (lines, s)) in steps.iter().enumerate() {
                 let _ = writeln!(
                     out,
                     "step {}: after {:.1} s; {:.0} a second change their node; origin {:.0} a second at most, {:.0} before",
                     k + 1,
-                    s.wait as f64 / 1e9,
-                    s.moved,
-                    s.peak,
-                    s.before
+                    s.min_delay as f64 / 1e9,
+                    s.moved_load,
+                    s.origin_peak,
+                    s.origin_before
                 );
-                for (node, warmth) in &s.needs {
-                    let _ = writeln!(out, "  once {} is warm by {:.0}%", s.to.name(*node), 100.0 * warmth);
+                for (node, warmth) in &s.required_warmth {
+                    let _ = writeln!(
+                        out,
+                        "  once {} is warm by {:.0}%",
+                        s.target.node_name(*node),
+                        100.0 * warmth
+                    );
                 }
                 lines.iter().for_each(|l| {
                     let _ = writeln!(out, "  {l}");
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use clap::Subcommand;
-use sablecross_lab::settings;
+use sablecross_testbed::settings;
 
 use crate::{Verdict, trial};
 
@@ -33,6 +33,6 @@
     experiment.seed = seed.unwrap_or(experiment.seed);
     trial::run(out, |program| {
         let director = || program(&["lab", "director"]);
-        sablecross_lab::run(&experiment, &director, out, |line| eprintln!("{line}"))
+        sablecross_testbed::run(&experiment, &director, out, |line| eprintln!("{line}"))
     })
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -61,11 +61,11 @@
         Command::Duty(command) => duty::run(&command),
         Command::Hierarchy(command) => hierarchy::run(&command),
         Command::Lab(lab::Command::Director) => {
-            sablecross_lab::end_with_parent();
-            return sablecross_director::life::start();
+            sablecross_testbed::exit_with_parent();
+            return sablecross_director::process::run();
         }
         Command::Lab(lab::Command::Hollow) => {
-            return match sablecross_lab::scale::hollow() {
+            return match sablecross_testbed::scale::hollow() {
                 Ok(()) => ExitCode::SUCCESS,
                 Err(e) => {
                     eprintln!("{e}");
--- a/crates/cli/src/relay.rs
+++ b/crates/cli/src/relay.rs
@@ -5,12 +5,12 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use clap::{Args, Subcommand};
-use sablecross_relay::readers::{InForce, Merged};
-use sablecross_relay::{Event, Status, merge};
-use sablecross_tier::Setting;
-use sablecross_tier::call::Line;
-use sablecross_tier::publish::{No, Publisher};
-use sablecross_tier::settings::Member;
+use sablecross_relay::subscribers::{AppliedStatus, MergedSubscriber};
+use sablecross_relay::{Event, RelayStatus, merge_statuses};
+use sablecross_relay_server::RelayServerConfig;
+use sablecross_relay_server::peer_client::PeerClient;
+use sablecross_relay_server::publisher::{PublishCallError, Publisher};
+use sablecross_relay_server::settings::MemberForm;
 use serde_json::{Value, json};
 
 use crate::Verdict;
@@ -70,11 +70,12 @@
 pub fn run(command: &Command) -> Result<Verdict, Vec<String>> {
     match command {
         Command::Run { file, with_parent } => {
-            let setting = Setting::load(file)?;
+            let setting = RelayServerConfig::load(file)?;
             if *with_parent {
-                sablecross_tier::life::end_with_parent();
+                sablecross_relay_server::process::exit_with_parent();
             }
-            sablecross_tier::life::run(setting).map_err(|e| vec![format!("{}: {e}", file.display())])?;
+            sablecross_relay_server::process::run(setting)
+                .map_err(|e| vec![format!("{}: {e}", file.display())])?;
             Ok(Verdict::Well)
         }
         Command::Show { whom, number, json } => show(whom, *number, *json),
@@ -82,10 +83,10 @@
     }
 }
 
-fn status(at: SocketAddr, time: Duration) -> Result<Status, String> {
-    let mut line = Line::new(at, time, LONGEST);
+fn status(at: SocketAddr, time: Duration) -> Result<RelayStatus, String> {
+    let mut line = PeerClient::new(at, time, LONGEST);
     let (code, body) =
-        line.call("GET", "/v1/status", "Connection: close\r\n", b"").map_err(|e| e.to_string())?;
+        line.request("GET", "/v1/status", "Connection: close\r\n", b"").map_err(|e| e.to_string())?;
     if code != 200 {
         return Err(format!("answer {code}"));
     }
@@ -101,11 +102,11 @@
 }
 
 fn show(whom: &Whom, number: Option<u64>, as_json: bool) -> Result<Verdict, Vec<String>> {
-    let setting = Setting::load(&whom.settings)?;
+    let setting = RelayServerConfig::load(&whom.settings)?;
     let time = whom.time();
     // All at once: one that hangs holds nobody up.
     let asked: Vec<_> = std::thread::scope(|all| {
-        let one = |m: &Member| {
+        let one = |m: &MemberForm| {
             let m = *m;
             (m, all.spawn(move || status(m.address, time)))
         };
@@ -115,9 +116,9 @@
     });
     let silent: Vec<(u32, String)> =
         asked.iter().filter_map(|(m, s)| Some((m.number, s.as_ref().err()?.clone()))).collect();
-    let all: Vec<Status> = asked.into_iter().filter_map(|(_, s)| s.ok()).collect();
-    let whole = merge(&all);
-    let in_force = number.map(|n| whole.in_force(n));
+    let all: Vec<RelayStatus> = asked.into_iter().filter_map(|(_, s)| s.ok()).collect();
+    let whole = merge_statuses(&all);
+    let in_force = number.map(|n| whole.applied_status(n));
     let owner = all.iter().any(|s| s.role == "owner");
     let well = silent.is_empty() && (owner || setting.voters().next().is_none());
     let well = well && in_force.as_ref().is_none_or(|f| f.missing.is_empty() && f.since_unix_ms.is_some());
@@ -128,39 +129,39 @@
         return Ok(if well { Verdict::Well } else { Verdict::Refused });
     }
     for s in &all {
-        let fresh = s.fresh_ms.map_or("never".into(), |ms| format!("{:.1} s", ms as f64 / 1e3));
+        let fresh = s.staleness_ms.map_or("never".into(), |ms| format!("{:.1} s", ms as f64 / 1e3));
         let (connected, missing) = (
-            s.readers.iter().filter(|r| r.connected).count(),
-            s.readers.iter().filter(|r| r.missing).count(),
+            s.subscribers.iter().filter(|r| r.connected).count(),
+            s.subscribers.iter().filter(|r| r.missing).count(),
         );
-        let owner = s.owner.map_or("-".into(), |o| o.to_string());
+        let owner = s.leader.map_or("-".into(), |o| o.to_string());
         println!(
             "{:10} {:6} owner {owner} term {} fresh {fresh}  events {}..{} floor {} log {} KB  readers {connected}, {missing} missing",
             s.name,
             s.role,
             s.term,
-            s.base,
-            s.last,
+            s.snapshot_number,
+            s.last_number,
             s.floor,
             s.log_bytes / 1_000
         );
-        if let Some(ms) = s.learning_ms {
+        if let Some(ms) = s.recovering_ms {
             println!("{:10} has begun anew and learns what was kept, for {:.1} s still", "", ms as f64 / 1e3);
         }
-        if s.anew_unix_ms > 0 {
-            println!("{:10} the log began anew {}", "", ago(s.anew_unix_ms));
+        if s.reset_unix_ms > 0 {
+            println!("{:10} the log began anew {}", "", ago(s.reset_unix_ms));
         }
     }
     for (number, why) in &silent {
         println!("relay-{number:<4} no answer: {why}");
     }
     if let Some(f) = in_force {
-        print_in_force(&f, whole.last);
+        print_in_force(&f, whole.last_number);
     }
     Ok(if well { Verdict::Well } else { Verdict::Refused })
 }
 
-fn print_in_force(f: &InForce, last: u64) {
+fn print_in_force(f: &AppliedStatus, last: u64) {
     let n = f.number;
     if n > last {
         println!("{n}: not told yet, the last is {last}");
@@ -172,7 +173,7 @@
         }
         None => println!("{n}: not in force everywhere"),
     }
-    for Merged { name, number, heard_unix_ms, connected, relay } in &f.missing {
+    for MergedSubscriber { name, number, last_seen_unix_ms: heard_unix_ms, connected, relay } in &f.missing {
         let how = if *connected { "connected" } else { "gone" };
         match heard_unix_ms {
             Some(heard) => {
@@ -192,16 +193,16 @@
         }
         None => (format!("event {}", place + 1), text.as_bytes().to_vec()),
     };
-    Event::read(&text, most).map_err(|e| format!("{name}: {e}"))?;
+    Event::parse(&text, most).map_err(|e| format!("{name}: {e}"))?;
     Ok(text)
 }
 
 fn publish(whom: &Whom, mark: Option<&str>, events: &[String]) -> Result<Verdict, Vec<String>> {
-    let setting = Setting::load(&whom.settings)?;
+    let setting = RelayServerConfig::load(&whom.settings)?;
     if setting.voters().next().is_none() {
         return Err(vec![format!("{}: no member votes: nobody takes events", whom.settings.display())]);
     }
-    let read = events.iter().enumerate().map(|(i, text)| event(i, text, setting.head.event_bytes));
+    let read = events.iter().enumerate().map(|(i, text)| event(i, text, setting.relay.event_bytes));
     let (mut bodies, mut faults) = (Vec::new(), Vec::new());
     for one in read {
         match one {
@@ -213,7 +214,7 @@
         return Err(faults);
     }
     let made = format!("{}-{}", unix(), std::process::id());
-    let voters: Vec<Member> = setting.voters().copied().collect();
+    let voters: Vec<MemberForm> = setting.voters().copied().collect();
     let mut publisher = Publisher::new(&voters);
     for (i, body) in bodies.iter().enumerate() {
         let mark = match mark {
@@ -225,7 +226,7 @@
             Ok(n) => println!("{n}"),
             Err(no) => {
                 eprintln!("event {} of {}: {no}", i + 1, bodies.len());
-                if let No::Late(..) = no {
+                if let PublishCallError::TimedOut(..) = no {
                     eprintln!("whether it will be told is not known: publish it again with --mark {mark}");
                 }
                 return Ok(Verdict::Refused);
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use clap::Args;
-use sablecross_lab::scale;
+use sablecross_testbed::scale;
 
 use crate::{Verdict, trial};
 
--- a/crates/cli/src/slopes.rs
+++ b/crates/cli/src/slopes.rs
@@ -1,7 +1,7 @@
 //! `sablecross slopes ...`
 
 use clap::Args;
-use sablecross_slopes::survey;
+use sablecross_capacity::survey;
 use serde_json::json;
 
 use crate::Verdict;
--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -4,7 +4,7 @@
 use std::process::Command;
 
 use clap::Args;
-use sablecross_lab::soak::{self, Options};
+use sablecross_testbed::soak::{self, Options};
 
 use super::Verdict;
 
@@ -29,7 +29,7 @@
     /// The director's program; without it, the one in this program.
     #[arg(long)]
     director: Option<PathBuf>,
-    /// The fault library (libsablecross_faults.so); without it no system calls fail.
+    /// The fault library (libsablecross_fault_injection.so); without it no system calls fail.
     #[arg(long)]
     faults: Option<PathBuf>,
     /// Where configurations and logs go.
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -3,13 +3,16 @@
 use std::path::Path;
 use std::process::Command;
 
-use sablecross_forms::Fault;
-use sablecross_lab::{Failed, Outcome};
+use sablecross_sexpr_config::ConfigError;
+use sablecross_testbed::{Failed, Outcome};
 
 use crate::Verdict;
 
 /// The settings of a trial.
-pub fn settings<T>(file: &Path, read: fn(&str, &str) -> Result<T, Vec<Fault>>) -> Result<T, Vec<String>> {
+pub fn settings<T>(
+    file: &Path,
+    read: fn(&str, &str) -> Result<T, Vec<ConfigError>>,
+) -> Result<T, Vec<String>> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| vec![format!("{name}: {e}")])?;
     read(&name, &text).map_err(|f| f.iter().map(ToString::to_string).collect())
--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -9,7 +9,7 @@
 #[test]
 fn a_short_soak_breaks_no_rule() {
     let tests = std::env::current_exe().expect("its own name");
-    let library = tests.with_file_name("libsablecross_faults.so");
+    let library = tests.with_file_name("libsablecross_fault_injection.so");
     let folder = std::env::temp_dir().join(format!("sablecross-soak-{}", std::process::id()));
     let out = sablecross(&[
         "soak",
--- a/crates/store/tests/faults.rs
+++ b/crates/controller-log/tests/faults.rs
@@ -3,8 +3,8 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-use sablecross_hierarchy::Record;
-use sablecross_store::Log;
+use sablecross_controller_log::ControllerLog;
+use sablecross_hierarchy::RolloutRecord;
 
 /// Set in the process that writes.
 const FILE: &str = "SABLECROSS_STORE_TEST";
@@ -26,19 +26,19 @@
 fn write_under_faults(file: &Path) {
     let plan = PathBuf::from(std::env::var("SABLECROSS_FAULTS").expect("a plan"));
     let fault = std::env::var("SABLECROSS_STORE_FAULT").expect("a fault");
-    let (mut log, _) = Log::open(file).expect("opened");
-    let entry = |n| Record::InForce { number: n };
-    log.write(&entry(0)).expect("written before");
+    let (mut log, _) = ControllerLog::open(file).expect("opened");
+    let entry = |n| RolloutRecord::StepCommitted { number: n };
+    log.append(&entry(0)).expect("written before");
     set(&plan, &format!("{fault} 0 1000000000 100"));
-    let failed = log.write(&entry(1)).is_err();
+    let failed = log.append(&entry(1)).is_err();
     set(&plan, "");
     // What could not be kept is kept once the disk is well.
     if failed {
-        log.write(&entry(1)).expect("written after");
+        log.append(&entry(1)).expect("written after");
     }
-    log.write(&entry(2)).expect("written at last");
+    log.append(&entry(2)).expect("written at last");
     drop(log);
-    assert_eq!(Log::open(file).expect("opened again").1.len(), 3);
+    assert_eq!(ControllerLog::open(file).expect("opened again").1.len(), 3);
 }
 
 #[test]
@@ -47,7 +47,7 @@
         return write_under_faults(Path::new(&file));
     }
     let own = std::env::current_exe().expect("its own name");
-    let library = own.with_file_name("libsablecross_faults.so");
+    let library = own.with_file_name("libsablecross_fault_injection.so");
     for fault in FAULTS {
         let folder = tempfile::tempdir().expect("a folder");
         let plan = folder.path().join("plan");
--- a/crates/store/tests/stored_format.rs
+++ b/crates/controller-log/tests/stored_format.rs
@@ -3,47 +3,47 @@
 use std::path::Path;
 
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
-use sablecross_duty::{Member, Token};
-use sablecross_hierarchy::spec::Told;
-use sablecross_hierarchy::{Ending, Record};
-use sablecross_store::Log;
+use sablecross_controller_log::ControllerLog;
+use sablecross_coordination::{FencingToken, Member};
+use sablecross_hierarchy::spec::HierarchySpec;
+use sablecross_hierarchy::{RolloutOutcome, RolloutRecord};
 
 /// A version with every field set to a value of its own, and one node with the defaults.
 const SPEC: &str = r#"{"head":{"version":3,"ceiling":500.0,"margin":0.1,"cold-from":0.3,"warm-after-ms":21000,"fall-multiple":2.5,"siblings":true,"hold-ms":1,"settle-ms":2,"give-up-ms":30001},"nodes":[{"name":"o","tier":0,"sources":[],"capacity":900.0,"demand":0.0,"hit":0.0,"share":256,"since-ms":0},{"name":"e","tier":2,"sources":["o"],"capacity":800.0,"demand":100.0,"hit":0.5,"share":64,"since-ms":7}]}"#;
 
-fn spec() -> Told {
+fn spec() -> HierarchySpec {
     serde_json::from_str(SPEC).expect("a version")
 }
 
 /// Every variant, with optional fields present and absent. `SPEC` stands for the version's text.
-fn examples() -> Vec<(Record, &'static str)> {
+fn examples() -> Vec<(RolloutRecord, &'static str)> {
     let version = spec();
-    let ended = |change, how| Record::Ended { change, how };
+    let ended = |change, how| RolloutRecord::Ended { change, outcome: how };
     vec![
         (
-            Record::Start { number: 4, next_change: 9, version: version.clone() },
+            RolloutRecord::Checkpoint { number: 4, next_change: 9, version: version.clone() },
             r#"{"start":{"number":4,"next_change":9,"version":SPEC}}"#,
         ),
         (
-            Record::Begun { change: 9, aim: version.clone(), home: version.clone() },
+            RolloutRecord::Started { change: 9, target: version.clone(), baseline: version.clone() },
             r#"{"begun":{"change":9,"aim":SPEC,"home":SPEC}}"#,
         ),
         (
-            Record::Step { change: 9, number: 5, back: false, version: version.clone() },
+            RolloutRecord::StepStarted { change: 9, number: 5, is_rollback: false, version: version.clone() },
             r#"{"step":{"change":9,"number":5,"back":false,"version":SPEC}}"#,
         ),
-        (Record::InForce { number: 5 }, r#"{"in-force":{"number":5}}"#),
-        (Record::Waits { aim: Some(version.clone()) }, r#"{"waits":{"aim":SPEC}}"#),
-        (Record::Waits { aim: None }, r#"{"waits":{"aim":null}}"#),
-        (Record::Back { change: 9 }, r#"{"back":{"change":9}}"#),
+        (RolloutRecord::StepCommitted { number: 5 }, r#"{"in-force":{"number":5}}"#),
+        (RolloutRecord::Queued { target: Some(version.clone()) }, r#"{"waits":{"aim":SPEC}}"#),
+        (RolloutRecord::Queued { target: None }, r#"{"waits":{"aim":null}}"#),
+        (RolloutRecord::RollbackStarted { change: 9 }, r#"{"back":{"change":9}}"#),
         (
-            Record::Step { change: 9, number: 6, back: true, version },
+            RolloutRecord::StepStarted { change: 9, number: 6, is_rollback: true, version },
             r#"{"step":{"change":9,"number":6,"back":true,"version":SPEC}}"#,
         ),
-        (ended(9, Ending::RolledBack), r#"{"ended":{"change":9,"how":"rolled-back"}}"#),
-        (ended(10, Ending::Done), r#"{"ended":{"change":10,"how":"done"}}"#),
-        (ended(11, Ending::Superseded), r#"{"ended":{"change":11,"how":"superseded"}}"#),
-        (ended(12, Ending::Left), r#"{"ended":{"change":12,"how":"left"}}"#),
+        (ended(9, RolloutOutcome::RolledBack), r#"{"ended":{"change":9,"how":"rolled-back"}}"#),
+        (ended(10, RolloutOutcome::Completed), r#"{"ended":{"change":10,"how":"done"}}"#),
+        (ended(11, RolloutOutcome::Superseded), r#"{"ended":{"change":11,"how":"superseded"}}"#),
+        (ended(12, RolloutOutcome::Abandoned), r#"{"ended":{"change":12,"how":"left"}}"#),
     ]
 }
 
@@ -52,7 +52,7 @@
     for (record, text) in examples() {
         let text = text.replace("SPEC", SPEC);
         assert_eq!(serde_json::to_string(&record).expect("encoded"), text);
-        assert_eq!(serde_json::from_str::<Record>(&text).expect("decoded"), record);
+        assert_eq!(serde_json::from_str::<RolloutRecord>(&text).expect("decoded"), record);
     }
 }
 
@@ -75,16 +75,16 @@
     texts.enumerate().map(|(at, text)| (at as u64, text)).collect()
 }
 
-fn token(term: u64) -> Token {
-    Token { term, owner: Member { number: 2, life: 1_700_000_000_123 } }
+fn token(term: u64) -> FencingToken {
+    FencingToken { term, holder: Member { number: 2, incarnation: 1_700_000_000_123 } }
 }
 
 /// Writes all examples as `data/log-0.1.0.redb` has them.
 fn write_examples(file: &Path) {
-    let (mut log, before) = Log::open(file).expect("opened");
+    let (mut log, before) = ControllerLog::open(file).expect("opened");
     assert!(before.is_empty());
     for (record, _) in examples() {
-        log.write_as(token(7), &record).expect("written");
+        log.append_as(token(7), &record).expect("written");
     }
 }
 
@@ -92,7 +92,7 @@
 fn the_database_has_these_tables() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("log.redb");
-    drop(Log::open(&file).expect("opened"));
+    drop(ControllerLog::open(&file).expect("opened"));
     assert_eq!(raw(&file), (Vec::new(), None));
     write_examples(&file);
     assert_eq!(raw(&file), (texts(), Some((7, 2, 1_700_000_000_123))));
@@ -109,20 +109,20 @@
     std::fs::write(&file, std::fs::read(old).expect("the old file")).expect("copied");
     assert_eq!(raw(&file), (texts(), Some((7, 2, 1_700_000_000_123))));
 
-    let (mut log, records) = Log::open(&file).expect("opened");
-    let mut expected: Vec<Record> = examples().into_iter().map(|(record, _)| record).collect();
+    let (mut log, records) = ControllerLog::open(&file).expect("opened");
+    let mut expected: Vec<RolloutRecord> = examples().into_iter().map(|(record, _)| record).collect();
     assert_eq!(records, expected);
-    assert_eq!(log.newest().expect("read"), token(7));
+    assert_eq!(log.newest_token().expect("read"), token(7));
 
     // It goes on behind what was there, and an older token is still rejected.
-    let next = Record::InForce { number: 8 };
-    assert!(log.write_as(token(6), &next).is_err());
-    log.write_as(token(8), &next).expect("written");
+    let next = RolloutRecord::StepCommitted { number: 8 };
+    assert!(log.append_as(token(6), &next).is_err());
+    log.append_as(token(8), &next).expect("written");
     drop(log);
-    let (mut log, records) = Log::open(&file).expect("opened again");
+    let (mut log, records) = ControllerLog::open(&file).expect("opened again");
     expected.push(next);
     assert_eq!(records, expected);
-    assert_eq!(log.newest().expect("read"), token(8));
+    assert_eq!(log.newest_token().expect("read"), token(8));
     drop(log);
     let (raw_records, newest) = raw(&file);
     assert_eq!(raw_records.last(), Some(&(12, r#"{"in-force":{"number":8}}"#.into())));
--- a/crates/duty/src/seat.rs
+++ b/crates/coordination/src/lease_candidate.rs
@@ -1,34 +1,34 @@
 //! A claimant's seat at one duty: it waits, looks, claims, owns, renews, hands over.
 
-use crate::voter::{Ask, Reply};
-use crate::{Member, Ns, Token};
+use crate::voter::{LeaseReply, LeaseRequest};
+use crate::{FencingToken, Member, Ns};
 
 /// The same at all members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Rules {
-    pub voters: u32,
-    pub lease: Ns,
+pub struct LeaseConfig {
+    pub voter_count: u32,
+    pub duration: Ns,
     /// A round of asking is over after this.
-    pub round: Ns,
+    pub round_timeout: Ns,
     /// Claims are held back by this for each place in the order of claimants, and by chance for as much again.
-    pub apart: Ns,
+    pub claim_spacing: Ns,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Act {
+pub enum CandidateAction {
     /// To each of the voters by its number.
-    Tell(u32, Ask),
+    Send(u32, LeaseRequest),
     /// From here on effects are allowed with this token, for as long as `token` says so.
-    Begins(Token),
+    Acquired(FencingToken),
     /// The duty rests here: `by` the end of the lease, a hand-over or a refusal.
-    Ends { term: u64, by: End },
+    Ended { term: u64, reason: LeaseEnd },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum End {
+pub enum LeaseEnd {
     Expired,
     HandedOver,
-    Refused,
+    Rejected,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -61,9 +61,9 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Seat {
+pub struct LeaseCandidate {
     me: Member,
-    rules: Rules,
+    rules: LeaseConfig,
     /// Its place in the order of claimants.
     order: u32,
     round: u64,
@@ -74,55 +74,55 @@
     chance: u64,
 }
 
-impl Seat {
+impl LeaseCandidate {
     /// `chance`: any number, another at each member.
-    pub fn new(me: Member, order: u32, rules: Rules, chance: u64, now: Ns) -> Seat {
+    pub fn new(me: Member, order: u32, rules: LeaseConfig, chance: u64, now: Ns) -> LeaseCandidate {
         let place = Place::Waits { until: now };
-        let mut seat = Seat { me, rules, order, round: 0, highest: 0, place, failed: 0, chance };
+        let mut seat = LeaseCandidate { me, rules, order, round: 0, highest: 0, place, failed: 0, chance };
         seat.wait(now, 0);
         seat
     }
 
     /// The token for an effect now; none: it is no owner. To be asked right before each effect.
-    pub fn token(&self, now: Ns) -> Option<Token> {
+    pub fn token(&self, now: Ns) -> Option<FencingToken> {
         match self.place {
-            Place::Owns { term, until, .. } if now < until => Some(Token { term, owner: self.me }),
+            Place::Owns { term, until, .. } if now < until => Some(FencingToken { term, holder: self.me }),
             _ => None,
         }
     }
 
-    pub fn owns_until(&self) -> Option<Ns> {
+    pub fn lease_until(&self) -> Option<Ns> {
         if let Place::Owns { until, .. } = self.place { Some(until) } else { None }
     }
 
     /// When `step` is to be called next.
-    pub fn next(&self) -> Ns {
+    pub fn next_wakeup(&self) -> Ns {
         match &self.place {
             Place::Waits { until } => *until,
-            Place::Looks { since, .. } | Place::Claims { since, .. } => since + self.rules.round,
+            Place::Looks { since, .. } | Place::Claims { since, .. } => since + self.rules.round_timeout,
             Place::Owns { until, next, .. } => (*until).min(*next),
         }
     }
 
     fn majority(&self, of: u64) -> bool {
-        of.count_ones() * 2 > self.rules.voters
+        of.count_ones() * 2 > self.rules.voter_count
     }
 
     /// Waits before the next look: at least so long, and by place and chance, longer after each failure.
     fn wait(&mut self, now: Ns, least: Ns) {
         self.chance =
             self.chance.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        let apart = self.rules.apart << self.failed.min(4);
+        let apart = self.rules.claim_spacing << self.failed.min(4);
         let by_chance = if apart > 0 { (self.chance >> 33) % apart } else { 0 };
-        let until = now + least + u64::from(self.order) * self.rules.apart + by_chance;
+        let until = now + least + u64::from(self.order) * self.rules.claim_spacing + by_chance;
         self.place = Place::Waits { until };
     }
 
     /// It came to nothing: what few voters granted would stand in the way of all till it ends, so it is given back.
-    fn fails(&mut self, now: Ns, least: Ns) -> Vec<Act> {
+    fn fails(&mut self, now: Ns, least: Ns) -> Vec<CandidateAction> {
         let back = match self.place {
             Place::Claims { term, .. } | Place::Owns { term, .. } => {
-                self.tell(Ask::Release { from: self.me, term, to: None })
+                self.tell(LeaseRequest::Release { from: self.me, term, to: None })
             }
             Place::Waits { .. } | Place::Looks { .. } => Vec::new(),
         };
@@ -131,32 +131,37 @@
         back
     }
 
-    fn tell(&self, ask: Ask) -> Vec<Act> {
-        (0..self.rules.voters).map(|v| Act::Tell(v, ask)).collect()
+    fn tell(&self, ask: LeaseRequest) -> Vec<CandidateAction> {
+        (0..self.rules.voter_count).map(|v| CandidateAction::Send(v, ask)).collect()
     }
 
-    fn claim(&mut self, term: u64) -> Vec<Act> {
+    fn claim(&mut self, term: u64) -> Vec<CandidateAction> {
         self.round += 1;
-        self.tell(Ask::Claim { round: self.round, from: self.me, term, lease: self.rules.lease })
+        self.tell(LeaseRequest::Acquire {
+            round: self.round,
+            from: self.me,
+            term,
+            lease: self.rules.duration,
+        })
     }
 
     /// What time brings.
-    pub fn step(&mut self, now: Ns) -> Vec<Act> {
-        let over = |since: Ns| now >= since + self.rules.round;
+    pub fn step(&mut self, now: Ns) -> Vec<CandidateAction> {
+        let over = |since: Ns| now >= since + self.rules.round_timeout;
         match self.place.clone() {
             Place::Waits { until } if now >= until => {
                 self.round += 1;
                 self.place = Place::Looks { since: now, seen: 0 };
-                self.tell(Ask::Look { round: self.round, from: self.me })
+                self.tell(LeaseRequest::PreVote { round: self.round, from: self.me })
             }
             Place::Looks { since, .. } | Place::Claims { since, .. } if over(since) => self.fails(now, 0),
             Place::Owns { term, until, .. } if now >= until => {
                 self.wait(now, 0);
-                vec![Act::Ends { term, by: End::Expired }]
+                vec![CandidateAction::Ended { term, reason: LeaseEnd::Expired }]
             }
             Place::Owns { term, until, next, .. } if now >= next => {
                 let renewal = Some(Renewal { since: now, granted: 0 });
-                self.place = Place::Owns { term, until, renewal, next: now + self.rules.lease / 4 };
+                self.place = Place::Owns { term, until, renewal, next: now + self.rules.duration / 4 };
                 self.claim(term)
             }
             _ => Vec::new(),
@@ -164,25 +169,29 @@
     }
 
     /// A voter's reply. One to an earlier round is passed over.
-    pub fn hear(&mut self, now: Ns, voter: u32, reply: Reply) -> Vec<Act> {
+    pub fn on_reply(&mut self, now: Ns, voter: u32, reply: LeaseReply) -> Vec<CandidateAction> {
         let round = match reply {
-            Reply::Seen { round, .. } | Reply::Granted { round, .. } | Reply::Refused { round, .. } => round,
+            LeaseReply::PreVoteResult { round, .. }
+            | LeaseReply::Granted { round, .. }
+            | LeaseReply::Rejected { round, .. } => round,
         };
-        if let Reply::Seen { highest, .. } | Reply::Refused { highest, .. } = reply {
+        if let LeaseReply::PreVoteResult { highest_term: highest, .. }
+        | LeaseReply::Rejected { highest_term: highest, .. } = reply
+        {
             self.highest = self.highest.max(highest);
         }
-        if round != self.round || voter >= self.rules.voters.min(64) {
+        if round != self.round || voter >= self.rules.voter_count.min(64) {
             return Vec::new();
         }
         let bit = 1u64 << voter;
         match (&mut self.place, reply) {
-            (Place::Looks { .. }, Reply::Seen { held: Some((_, left)), .. }) => {
+            (Place::Looks { .. }, LeaseReply::PreVoteResult { holder: Some((_, left)), .. }) => {
                 // Somebody owns it: to look again once that may be over.
                 self.failed = 0;
                 self.wait(now, left);
                 Vec::new()
             }
-            (Place::Looks { seen, .. }, Reply::Seen { .. }) => {
+            (Place::Looks { seen, .. }, LeaseReply::PreVoteResult { .. }) => {
                 *seen |= bit;
                 let seen = *seen;
                 if !self.majority(seen) {
@@ -192,26 +201,26 @@
                 self.place = Place::Claims { since: now, term, granted: 0 };
                 self.claim(term)
             }
-            (Place::Claims { granted, .. }, Reply::Granted { .. }) => {
+            (Place::Claims { granted, .. }, LeaseReply::Granted { .. }) => {
                 *granted |= bit;
                 let (granted, Place::Claims { since, term, .. }) = (*granted, self.place.clone()) else {
                     return Vec::new();
                 };
-                let until = since + self.rules.lease;
+                let until = since + self.rules.duration;
                 if !self.majority(granted) || now >= until {
                     return Vec::new();
                 }
                 self.failed = 0;
-                self.place = Place::Owns { term, until, renewal: None, next: now + self.rules.lease / 4 };
-                vec![Act::Begins(Token { term, owner: self.me })]
+                self.place = Place::Owns { term, until, renewal: None, next: now + self.rules.duration / 4 };
+                vec![CandidateAction::Acquired(FencingToken { term, holder: self.me })]
             }
-            (Place::Claims { .. }, Reply::Refused { held, .. }) => {
+            (Place::Claims { .. }, LeaseReply::Rejected { holder: held, .. }) => {
                 self.fails(now, held.map_or(0, |(_, left)| left))
             }
-            (Place::Owns { until, renewal: Some(r), .. }, Reply::Granted { .. }) => {
+            (Place::Owns { until, renewal: Some(r), .. }, LeaseReply::Granted { .. }) => {
                 r.granted |= bit;
-                if r.granted.count_ones() * 2 > self.rules.voters && now < *until {
-                    *until = (*until).max(r.since + self.rules.lease);
+                if r.granted.count_ones() * 2 > self.rules.voter_count && now < *until {
+                    *until = (*until).max(r.since + self.rules.duration);
                 }
                 Vec::new()
             }
@@ -220,27 +229,27 @@
     }
 
     /// A gate refused its token: it is none, and knows past which term to claim.
-    pub fn refused(&mut self, now: Ns, highest: u64) -> Vec<Act> {
+    pub fn on_rejected(&mut self, now: Ns, highest: u64) -> Vec<CandidateAction> {
         self.highest = self.highest.max(highest);
         let Place::Owns { term, .. } = self.place else { return Vec::new() };
-        let mut acts = vec![Act::Ends { term, by: End::Refused }];
+        let mut acts = vec![CandidateAction::Ended { term, reason: LeaseEnd::Rejected }];
         acts.extend(self.fails(now, 0));
         acts
     }
 
     /// Gives the duty up before its lease ends, as at a planned stop; the named one may have it at once. The caller has
     /// ended every effect in hand before.
-    pub fn hand_over(&mut self, now: Ns, to: Option<Member>) -> Vec<Act> {
+    pub fn hand_over(&mut self, now: Ns, to: Option<Member>) -> Vec<CandidateAction> {
         let Place::Owns { term, .. } = self.place else { return Vec::new() };
-        self.wait(now, self.rules.lease);
-        let mut acts = vec![Act::Ends { term, by: End::HandedOver }];
-        acts.extend(self.tell(Ask::Release { from: self.me, term, to }));
+        self.wait(now, self.rules.duration);
+        let mut acts = vec![CandidateAction::Ended { term, reason: LeaseEnd::HandedOver }];
+        acts.extend(self.tell(LeaseRequest::Release { from: self.me, term, to }));
         acts
     }
 
     /// The voters have changed, by one: what they said before counts no more, a lease that is held goes on and is renewed at
     /// once. A majority of either set has a voter in common with one of the other.
-    pub fn settles(&mut self, now: Ns, order: u32, rules: Rules) {
+    pub fn reconfigure(&mut self, now: Ns, order: u32, rules: LeaseConfig) {
         (self.rules, self.order) = (rules, order);
         self.round += 1;
         match &mut self.place {
@@ -251,7 +260,7 @@
     }
 
     /// It may look then: it was told that the duty is its own to take.
-    pub fn called(&mut self, at: Ns) {
+    pub fn schedule_claim(&mut self, at: Ns) {
         if let Place::Waits { until } = &mut self.place {
             *until = at.min(*until);
         }
--- a/crates/duty/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -7,26 +7,26 @@
 //!
 //! A lease keeps owners from getting in one another's way; that an old one does no harm rests on the gate alone.
 
-mod chores;
-mod gate;
-mod office;
+mod cache_warmer;
+mod coordinator;
+mod fencing;
+mod health_check_schedule;
+mod lease_candidate;
+mod membership;
+pub mod messages;
 mod register;
-mod seat;
-mod shares;
-mod station;
 mod voter;
-mod warming;
-pub mod word;
+mod voter_node;
 
-pub use chores::Chores;
-pub use gate::{Gate, Old};
-pub use office::{Do, Office, Terms, Unsettled};
-pub use register::{Do as Kept, Keeper, Post};
-pub use seat::{Act, End, Rules, Seat};
-pub use shares::{Shares, Suspicion};
-pub use station::Station;
-pub use voter::{Ask, Reply, Voter};
-pub use warming::{Ended, Pace, Want, Warming};
+pub use cache_warmer::{CacheWarmer, FetchOutcome, HotObject, WarmingLimits};
+pub use coordinator::{Action, CoordinationConfig, Coordinator, ReconfigureError};
+pub use fencing::{FencingGuard, StaleToken};
+pub use health_check_schedule::HealthCheckSchedule;
+pub use lease_candidate::{CandidateAction, LeaseCandidate, LeaseConfig, LeaseEnd};
+pub use membership::{FailureDetector, RendezvousShares};
+pub use register::{RegisterAction, RegisterReplica, RegisterWriter};
+pub use voter::{LeaseReply, LeaseRequest, Voter};
+pub use voter_node::VoterNode;
 
 pub use sablecross::Ns;
 use serde::{Deserialize, Serialize};
@@ -36,14 +36,14 @@
 pub struct Member {
     pub number: u32,
     #[serde(rename = "life")]
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 /// What goes along with each effect. Terms of a duty grow with each change of its owner; of two owners that hold the
 /// same term, as voters without a disk may have forgotten one, a gate takes the first it met.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Token {
+pub struct FencingToken {
     pub term: u64,
     #[serde(rename = "owner")]
-    pub owner: Member,
+    pub holder: Member,
 }
--- a/crates/duty/src/shares.rs
+++ b/crates/coordination/src/membership.rs
@@ -10,7 +10,7 @@
 /// silences of a stalled program are no bell curve). Ten means of its pauses, two seconds at least, are a death: at one
 /// message lost in ten a false one comes once in 10^10.
 #[derive(Clone, Debug, Default)]
-pub struct Suspicion {
+pub struct FailureDetector {
     heard: BTreeMap<Member, (Ns, f64)>,
     /// Those that said that they end.
     left: BTreeSet<Member>,
@@ -20,12 +20,12 @@
 const LEAST: f64 = 2e9;
 const LONGEST_MEAN: f64 = 5e8;
 
-impl Suspicion {
+impl FailureDetector {
     /// A word of a member. A new life takes the place of the earlier ones of its number.
-    pub fn heard(&mut self, now: Ns, from: Member) {
-        let lives = Member { life: 0, ..from }..=Member { life: u64::MAX, ..from };
+    pub fn record_heartbeat(&mut self, now: Ns, from: Member) {
+        let lives = Member { incarnation: 0, ..from }..=Member { incarnation: u64::MAX, ..from };
         let latest = self.heard.range(lives.clone()).next_back();
-        if latest.is_some_and(|(m, _)| m.life > from.life) || self.left.contains(&from) {
+        if latest.is_some_and(|(m, _)| m.incarnation > from.incarnation) || self.left.contains(&from) {
             return;
         }
         while let Some(earlier) = self.left.range(lives.clone()).next().copied() {
@@ -42,7 +42,7 @@
     }
 
     /// One that said that it ends; what comes of it later was on its way.
-    pub fn left(&mut self, member: Member) {
+    pub fn record_leave(&mut self, member: Member) {
         if self.heard.remove(&member).is_some() {
             self.left.insert(member);
         }
@@ -53,30 +53,30 @@
     }
 
     /// How sure it is that a member is dead: 1 and more is a verdict.
-    pub fn of(&self, now: Ns, member: Member) -> f64 {
+    pub fn suspicion_level(&self, now: Ns, member: Member) -> f64 {
         let Some((at, mean)) = self.heard.get(&member) else { return f64::INFINITY };
         now.saturating_sub(*at) as f64 / (DEAD_AT * mean).max(LEAST)
     }
 
-    pub fn alive(&self, now: Ns) -> Vec<Member> {
-        self.heard.keys().copied().filter(|m| self.of(now, *m) < 1.0).collect()
+    pub fn alive_members(&self, now: Ns) -> Vec<Member> {
+        self.heard.keys().copied().filter(|m| self.suspicion_level(now, *m) < 1.0).collect()
     }
 }
 
 /// Deals chores by rendezvous hashing (Thaler, Ravishankar 1998): of a change of one member only its own move.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Shares {
+pub struct RendezvousShares {
     /// By weight: how many parts a member takes.
     members: Vec<(Member, f64)>,
 }
 
-impl Shares {
+impl RendezvousShares {
     /// Members with no weight, or one that is no number, take nothing.
-    pub fn of(members: impl IntoIterator<Item = (Member, f64)>) -> Shares {
+    pub fn from_weights(members: impl IntoIterator<Item = (Member, f64)>) -> RendezvousShares {
         let mut members: Vec<_> = members.into_iter().filter(|(_, w)| w.is_finite() && *w > 0.0).collect();
         members.sort_by_key(|(m, _)| *m);
         members.dedup_by_key(|(m, _)| m.number);
-        Shares { members }
+        RendezvousShares { members }
     }
 
     /// Whose a chore is. Lives do not count: one that begins anew takes its own again.
--- a/crates/duty/src/word.rs
+++ b/crates/coordination/src/messages.rs
@@ -3,18 +3,18 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::voter::{Ask, Reply};
-use crate::{Member, Ns, Token, Want};
+use crate::voter::{LeaseReply, LeaseRequest};
+use crate::{FencingToken, HotObject, Member, Ns};
 
 /// A duty by its number.
-pub type Duty = u16;
+pub type RoleId = u16;
 
 /// The duty of dealing chores to those who are alive.
-pub const DEALING: Duty = 0;
+pub const ASSIGNMENT_ROLE: RoleId = 0;
 
 /// Which deal of chores: the term of the dealer and the number of its deal, in this order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Stamp {
+pub struct AssignmentVersion {
     pub term: u64,
     pub number: u64,
 }
@@ -22,237 +22,237 @@
 /// Deals of one term have numbers below this.
 const DEALS: u64 = 1 << 24;
 
-impl Stamp {
+impl AssignmentVersion {
     /// What goes along with an effect of whoever holds a share by this deal: gates take it as any other token.
-    pub fn token(self, owner: Member) -> Token {
-        Token { term: self.term.saturating_mul(DEALS) | self.number.min(DEALS - 1), owner }
+    pub fn token(self, owner: Member) -> FencingToken {
+        FencingToken { term: self.term.saturating_mul(DEALS) | self.number.min(DEALS - 1), holder: owner }
     }
 
     /// The deal of such a token.
-    pub fn of(token: Token) -> Stamp {
-        Stamp { term: token.term / DEALS, number: token.term % DEALS }
+    pub fn from_token(token: FencingToken) -> AssignmentVersion {
+        AssignmentVersion { term: token.term / DEALS, number: token.term % DEALS }
     }
 }
 
 /// To whom chores are dealt.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Roster {
+pub struct Assignment {
     #[serde(rename = "stamp")]
-    pub stamp: Stamp,
+    pub version: AssignmentVersion,
     #[serde(rename = "dealer")]
-    pub dealer: Member,
+    pub assigner: Member,
     /// In the order of their numbers.
     pub members: Vec<Member>,
 }
 
 /// How a box was found.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum State {
+pub enum HealthState {
     /// With how busy it is, from 0 to 1, where it says so.
     #[serde(rename = "Well")]
-    Well(Option<f32>),
+    Healthy(Option<f32>),
     #[serde(rename = "Ailing")]
-    Ailing,
+    Unhealthy,
     /// No answer in time.
     #[serde(rename = "Silent")]
-    Silent,
+    TimedOut,
 }
 
 /// What a probe found, so long ago.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Finding {
+pub struct HealthObservation {
     #[serde(rename = "chore")]
-    pub chore: u64,
+    pub target: u64,
     pub age: Ns,
-    pub state: State,
+    pub state: HealthState,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Request {
     pub from: Member,
     #[serde(rename = "words")]
-    pub words: Vec<Word>,
+    pub messages: Vec<Message>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Message {
     /// I am alive and go by this deal.
     #[serde(rename = "Here")]
-    Here(Stamp),
+    Heartbeat(AssignmentVersion),
     /// I end.
     #[serde(rename = "Leaves")]
-    Leaves,
+    Leave,
     #[serde(rename = "Ask")]
-    Ask(Duty, Ask),
+    Lease(RoleId, LeaseRequest),
     /// The dealer's, to be kept and passed on.
     #[serde(rename = "Deal")]
-    Deal(Roster),
+    Assign(Assignment),
     /// The dealer lives, and that deal is in force still.
     #[serde(rename = "Deals")]
-    Deals(Token, Stamp),
+    ConfirmAssignment(FencingToken, AssignmentVersion),
     #[serde(rename = "Found")]
-    Found(Vec<Finding>),
+    ReportHealth(Vec<HealthObservation>),
     /// What I am asked for most, with how often of late.
     #[serde(rename = "Hot")]
-    Hot(Vec<(Want, f32)>),
+    ReportHotObjects(Vec<(HotObject, f32)>),
     /// What was found since that number?
     #[serde(rename = "Facts")]
-    Facts(u64),
+    FetchHealth(u64),
     /// A gate was passed by a later term than the one I was given.
     #[serde(rename = "Behind")]
-    Behind(Duty, u64),
+    ReportNewerTerm(RoleId, u64),
     /// The register of a duty: its owner reads it, or writes it whole.
     #[serde(rename = "Read")]
-    Read(Duty, Token),
+    ReadRegister(RoleId, FencingToken),
     #[serde(rename = "Write")]
-    Write(Duty, Entry),
+    WriteRegister(RoleId, RegisterValue),
     /// The owner's: to be passed on to all members, unless a later one is.
     #[serde(rename = "Tell")]
-    Tell {
+    Publish {
         #[serde(rename = "duty")]
-        duty: Duty,
+        role: RoleId,
         #[serde(rename = "by")]
-        by: Token,
+        token: FencingToken,
         number: u64,
         bytes: Vec<u8>,
     },
     /// The number of what I was told last of a duty; and what I have in force of it, by number and digest.
     #[serde(rename = "Has")]
-    Has(Duty, u64, (u64, u64)),
+    ReportAppliedVersion(RoleId, u64, (u64, u64)),
     /// A voter that begins anew asks another what it met.
     #[serde(rename = "Learn")]
-    Learn(Duty),
+    FetchNewestToken(RoleId),
     /// What an operator wants of a duty.
     #[serde(rename = "Wish")]
-    Wish(Duty, Vec<u8>),
+    Propose(RoleId, Vec<u8>),
     #[serde(rename = "Show")]
-    Show,
-    HandOver(Duty, Option<u32>),
+    ShowStatus,
+    HandOver(RoleId, Option<u32>),
 }
 
 /// What a register holds: the count of its changes, by whom the last one was written, and what.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Entry {
+pub struct RegisterValue {
     #[serde(rename = "count")]
-    pub count: u64,
+    pub sequence: u64,
     #[serde(rename = "by")]
-    pub by: Token,
+    pub token: FencingToken,
     pub bytes: Vec<u8>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum Reply {
     #[serde(rename = "Said")]
-    Said(Duty, Reply),
+    Lease(RoleId, LeaseReply),
     /// A newer deal than yours, whole, or what has changed since yours.
     #[serde(rename = "Dealt")]
-    Dealt(Roster),
+    Assigned(Assignment),
     #[serde(rename = "Moved")]
-    Moved {
-        since: Stamp,
+    AssignmentChanged {
+        since: AssignmentVersion,
         #[serde(rename = "stamp")]
-        stamp: Stamp,
+        version: AssignmentVersion,
         #[serde(rename = "dealer")]
-        dealer: Member,
+        assigner: Member,
         joined: Vec<Member>,
         left: Vec<Member>,
     },
     /// To the dealer: the deal that is kept here.
     #[serde(rename = "Keeps")]
-    Keeps(Stamp),
+    AssignmentStored(AssignmentVersion),
     /// The dealer was heard of lately, and this is its deal.
     #[serde(rename = "Holds")]
-    Holds(Stamp),
+    AssignmentConfirmed(AssignmentVersion),
     /// A later life of your number has spoken: you are none, or your clock was set back.
     Displaced(u64),
     #[serde(rename = "Facts")]
-    Facts {
+    HealthObservations {
         #[serde(rename = "upto")]
-        upto: u64,
+        up_to: u64,
         #[serde(rename = "findings")]
-        findings: Vec<Finding>,
+        observations: Vec<HealthObservation>,
     },
     /// Its token is older than this one.
     #[serde(rename = "Old")]
-    Old(Duty, Token),
+    StaleToken(RoleId, FencingToken),
     /// What the register holds. `whole`: what was written before is surely known here.
     #[serde(rename = "Kept")]
-    Kept {
+    RegisterRead {
         #[serde(rename = "duty")]
-        duty: Duty,
+        role: RoleId,
         #[serde(rename = "to")]
-        to: Token,
+        token: FencingToken,
         #[serde(rename = "entry")]
-        entry: Entry,
+        value: RegisterValue,
         #[serde(rename = "whole")]
-        whole: bool,
+        is_complete: bool,
     },
     #[serde(rename = "Wrote")]
-    Wrote {
+    RegisterWritten {
         #[serde(rename = "duty")]
-        duty: Duty,
+        role: RoleId,
         #[serde(rename = "by")]
-        by: Token,
+        token: FencingToken,
         #[serde(rename = "count")]
-        count: u64,
+        sequence: u64,
     },
     #[serde(rename = "Learnt")]
-    Learnt(Duty, Token, bool),
+    NewestToken(RoleId, FencingToken, bool),
     /// Of a duty's owner, later than what you were told.
     #[serde(rename = "Told")]
-    Told(Duty, u64, Vec<u8>),
+    Published(RoleId, u64, Vec<u8>),
     #[serde(rename = "Shown")]
-    Shown(Shown),
+    Status(MemberStatus),
     /// Whether a hand-over has begun here.
     #[serde(rename = "HandsOver")]
-    HandsOver(Duty, bool),
+    HandOverStarted(RoleId, bool),
     /// A wish was heard by the owner, or who that is.
     #[serde(rename = "Wished")]
-    Wished(Duty, Result<(), String>),
+    ProposalResult(RoleId, Result<(), String>),
 }
 
 /// What operators see of a member.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Shown {
+pub struct MemberStatus {
     #[serde(rename = "me")]
-    pub me: Member,
+    pub member: Member,
     /// Whose number votes here, if one does, and for how long it keeps silent still.
     pub voter: Option<u32>,
     #[serde(rename = "silent")]
-    pub silent: Ns,
+    pub silent_for: Ns,
     #[serde(rename = "duties")]
-    pub duties: Vec<Held>,
+    pub roles: Vec<RoleStatus>,
     #[serde(rename = "roster")]
-    pub roster: Roster,
+    pub assignment: Assignment,
     /// For how long its chores are its own still; 0: not now.
     #[serde(rename = "holds")]
-    pub holds: Ns,
+    pub assignment_valid_for: Ns,
     #[serde(rename = "chores")]
-    pub chores: u32,
+    pub target_count: u32,
     #[serde(rename = "probes")]
-    pub probes: u64,
+    pub checks_sent: u64,
     /// Words and effects of old owners that were refused: here as a voter, here as a member, and of this one at gates.
     #[serde(rename = "refused")]
-    pub refused: u64,
+    pub rejected_here: u64,
     #[serde(rename = "passed_over")]
-    pub passed_over: u64,
+    pub stale_assignments_ignored: u64,
     #[serde(rename = "was_refused")]
-    pub was_refused: u64,
+    pub own_rejections: u64,
     /// What an own duty says of itself.
     #[serde(rename = "status")]
-    pub status: Vec<(Duty, String)>,
+    pub role_status: Vec<(RoleId, String)>,
 }
 
 /// A duty as a voter, or its owner, sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Held {
+pub struct RoleStatus {
     #[serde(rename = "duty")]
-    pub duty: Duty,
+    pub role: RoleId,
     #[serde(rename = "highest")]
-    pub highest: u64,
+    pub highest_term: u64,
     #[serde(rename = "owner")]
-    pub owner: Option<(Member, Ns)>,
+    pub holder: Option<(Member, Ns)>,
     /// The token and for how long, where this member owns it.
     #[serde(rename = "own")]
-    pub own: Option<(Token, Ns)>,
+    pub own_lease: Option<(FencingToken, Ns)>,
 }
--- a/crates/duty/src/voter.rs
+++ b/crates/coordination/src/voter.rs
@@ -6,28 +6,28 @@
 
 /// What a claimant asks of a voter. `round` comes back with the reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Ask {
+pub enum LeaseRequest {
     /// Would a claim be granted, and past which term? Changes nothing, so that one who is cut off from most voters
     /// drives no term up (pre-vote).
     #[serde(rename = "Look")]
-    Look { round: u64, from: Member },
+    PreVote { round: u64, from: Member },
     /// Grant, or renew, this term for so long.
     #[serde(rename = "Claim")]
-    Claim { round: u64, from: Member, term: u64, lease: Ns },
+    Acquire { round: u64, from: Member, term: u64, lease: Ns },
     /// The owner needs it no more; `to` may have it at once.
     Release { from: Member, term: u64, to: Option<Member> },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Reply {
+pub enum LeaseReply {
     /// The highest term met, who holds it still, and for how long.
     #[serde(rename = "Seen")]
-    Seen {
+    PreVoteResult {
         round: u64,
         #[serde(rename = "highest")]
-        highest: u64,
+        highest_term: u64,
         #[serde(rename = "held")]
-        held: Option<(Member, Ns)>,
+        holder: Option<(Member, Ns)>,
     },
     Granted {
         round: u64,
@@ -35,12 +35,12 @@
     },
     /// Not now: as another holds it, or the term is old.
     #[serde(rename = "Refused")]
-    Refused {
+    Rejected {
         round: u64,
         #[serde(rename = "highest")]
-        highest: u64,
+        highest_term: u64,
         #[serde(rename = "held")]
-        held: Option<(Member, Ns)>,
+        holder: Option<(Member, Ns)>,
     },
 }
 
@@ -68,63 +68,63 @@
 
 impl Voter {
     /// Without memory. `longest` bounds every lease, the same at all voters.
-    pub fn begin(now: Ns, longest: Ns) -> Voter {
+    pub fn without_memory(now: Ns, longest: Ns) -> Voter {
         Voter { highest: 0, grant: None, silent_until: now + by_any_clock(longest), longest }
     }
 
     /// At the very first start of all, or with the highest term that a disk kept: what was granted then may hold still.
-    pub fn with(highest: u64, now: Ns, longest: Ns, first: bool) -> Voter {
-        let anew = Voter::begin(now, longest);
+    pub fn restored(highest: u64, now: Ns, longest: Ns, first: bool) -> Voter {
+        let anew = Voter::without_memory(now, longest);
         Voter { highest, silent_until: if first { now } else { anew.silent_until }, ..anew }
     }
 
-    pub fn highest(&self) -> u64 {
+    pub fn highest_term(&self) -> u64 {
         self.highest
     }
 
     /// A later term was met elsewhere: claims go past it.
-    pub fn learn(&mut self, term: u64) {
+    pub fn observe_term(&mut self, term: u64) {
         self.highest = self.highest.max(term);
     }
 
     /// Whether it says nothing yet, and for how long.
-    pub fn silent(&self, now: Ns) -> Option<Ns> {
+    pub fn silent_for(&self, now: Ns) -> Option<Ns> {
         (now < self.silent_until).then(|| self.silent_until - now)
     }
 
     /// The owner by this voter, and how long it grants that still.
-    pub fn owner(&self, now: Ns) -> Option<(Member, Ns)> {
+    pub fn holder(&self, now: Ns) -> Option<(Member, Ns)> {
         self.grant.filter(|g| now < g.until).map(|g| (g.to, g.until - now))
     }
 
     /// None: it says nothing.
-    pub fn hear(&mut self, now: Ns, ask: Ask) -> Option<Reply> {
-        if self.silent(now).is_some() {
+    pub fn on_request(&mut self, now: Ns, ask: LeaseRequest) -> Option<LeaseReply> {
+        if self.silent_for(now).is_some() {
             // What it learns of terms meanwhile it keeps.
-            if let Ask::Claim { term, .. } = ask {
+            if let LeaseRequest::Acquire { term, .. } = ask {
                 self.highest = self.highest.max(term);
             }
             return None;
         }
         match ask {
-            Ask::Look { round, from } => {
-                let held = self.owner(now).filter(|(owner, _)| *owner != from);
-                Some(Reply::Seen { round, highest: self.highest, held })
+            LeaseRequest::PreVote { round, from } => {
+                let held = self.holder(now).filter(|(owner, _)| *owner != from);
+                Some(LeaseReply::PreVoteResult { round, highest_term: self.highest, holder: held })
             }
-            Ask::Claim { round, from, term, lease } => {
-                let held = self.owner(now).filter(|(owner, _)| *owner != from);
+            LeaseRequest::Acquire { round, from, term, lease } => {
+                let held = self.holder(now).filter(|(owner, _)| *owner != from);
                 let renews = self.grant.is_some_and(|g| (g.to, g.term) == (from, term));
                 if held.is_some() || term < self.highest || term == self.highest && !renews {
-                    return Some(Reply::Refused { round, highest: self.highest, held });
+                    return Some(LeaseReply::Rejected { round, highest_term: self.highest, holder: held });
                 }
                 self.highest = term;
                 // A renewal that was overtaken on its way shortens nothing.
                 let before = self.grant.filter(|_| renews).map_or(0, |g| g.until);
                 let until = (now + by_any_clock(lease.min(self.longest))).max(before);
                 self.grant = Some(Grant { to: from, term, until });
-                Some(Reply::Granted { round, term })
+                Some(LeaseReply::Granted { round, term })
             }
-            Ask::Release { from, term, to } => {
+            LeaseRequest::Release { from, term, to } => {
                 if let Some(g) = self.grant.filter(|g| (g.to, g.term) == (from, term)) {
                     // The named one has the rest of the lease to claim it before others.
                     self.grant = to.map(|to| Grant { to, ..g });
--- a/crates/duty/tests/model.rs
+++ b/crates/coordination/tests/model.rs
@@ -7,11 +7,12 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
-use sablecross_duty::*;
+use sablecross_coordination::*;
 use stateright::{Checker, Expectation, Model, Property};
 
 const LEASE: Ns = 4;
-const RULES: Rules = Rules { voters: 3, lease: LEASE, round: 2, apart: 1 };
+const RULES: LeaseConfig =
+    LeaseConfig { voter_count: 3, duration: LEASE, round_timeout: 2, claim_spacing: 1 };
 
 /// What may be left out, to see that the search finds it.
 #[derive(Clone, Copy, PartialEq)]
@@ -31,14 +32,14 @@
 struct World {
     now: Ns,
     voters: Vec<Voter>,
-    seats: Vec<Seat>,
-    asks: BTreeSet<(u32, usize, Ask)>,
+    seats: Vec<LeaseCandidate>,
+    asks: BTreeSet<(u32, usize, LeaseRequest)>,
     /// The token that an owner has checked for its next effect.
-    checked: Vec<Option<Token>>,
-    effects: BTreeSet<Token>,
-    gate: Gate,
+    checked: Vec<Option<FencingToken>>,
+    effects: BTreeSet<FencingToken>,
+    gate: FencingGuard,
     /// The newest that was let through, and whether an older one, or a second owner of its term, came through after it.
-    newest: Token,
+    newest: FencingToken,
     harm: bool,
     kills: u8,
     doubles: u8,
@@ -57,10 +58,10 @@
     Tick,
     Step(usize),
     /// Comes to a voter, and the reply comes back or is lost; or it comes once more later.
-    Ask(u32, usize, Ask, Way),
+    Ask(u32, usize, LeaseRequest, Way),
     Check(usize),
     Send(usize),
-    Effect(Token, bool),
+    Effect(FencingToken, bool),
     Kill(usize),
     HandOver(usize),
 }
@@ -74,29 +75,29 @@
 }
 
 impl Search {
-    fn acts(&self, w: &mut World, seat: usize, acts: Vec<Act>) {
+    fn acts(&self, w: &mut World, seat: usize, acts: Vec<CandidateAction>) {
         for act in acts {
             match act {
-                Act::Tell(voter, ask) => {
+                CandidateAction::Send(voter, ask) => {
                     // A look of an earlier round tells nobody anything.
                     w.asks.retain(|(_, s, a)| {
-                        *s != seat || !matches!(a, Ask::Look { .. }) || same_round(a, &ask)
+                        *s != seat || !matches!(a, LeaseRequest::PreVote { .. }) || same_round(a, &ask)
                     });
                     w.asks.insert((voter, seat, ask));
                 }
-                Act::Begins(_) => w.owned[seat] = true,
-                Act::Ends { .. } => {}
+                CandidateAction::Acquired(_) => w.owned[seat] = true,
+                CandidateAction::Ended { .. } => {}
             }
         }
     }
 }
 
-fn same_round(a: &Ask, b: &Ask) -> bool {
-    matches!((a, b), (Ask::Look { round: a, .. }, Ask::Look { round: b, .. }) if a == b)
+fn same_round(a: &LeaseRequest, b: &LeaseRequest) -> bool {
+    matches!((a, b), (LeaseRequest::PreVote { round: a, .. }, LeaseRequest::PreVote { round: b, .. }) if a == b)
 }
 
 fn member(seat: usize) -> Member {
-    Member { number: seat as u32, life: 1 }
+    Member { number: seat as u32, incarnation: 1 }
 }
 
 impl Model for Search {
@@ -104,16 +105,16 @@
     type Action = Move;
 
     fn init_states(&self) -> Vec<World> {
-        let seat = |n: usize| Seat::new(member(n), n as u32, RULES, 7, 0);
+        let seat = |n: usize| LeaseCandidate::new(member(n), n as u32, RULES, 7, 0);
         vec![World {
             now: 0,
-            voters: vec![Voter::with(0, 0, LEASE, true); 3],
+            voters: vec![Voter::restored(0, 0, LEASE, true); 3],
             seats: vec![seat(0), seat(1)],
             asks: BTreeSet::new(),
             checked: vec![None; 2],
             effects: BTreeSet::new(),
-            gate: Gate::default(),
-            newest: Token::default(),
+            gate: FencingGuard::default(),
+            newest: FencingToken::default(),
             harm: false,
             kills: 0,
             doubles: 0,
@@ -126,7 +127,7 @@
             moves.push(Move::Tick);
         }
         for (n, seat) in w.seats.iter().enumerate() {
-            if w.now >= seat.next() {
+            if w.now >= seat.next_wakeup() {
                 moves.push(Move::Step(n));
             }
             let token = seat.token(w.now);
@@ -142,7 +143,7 @@
         }
         for (v, n, ask) in &w.asks {
             moves.push(Move::Ask(*v, *n, *ask, Way::Answered));
-            if matches!(ask, Ask::Claim { .. }) {
+            if matches!(ask, LeaseRequest::Acquire { .. }) {
                 moves.push(Move::Ask(*v, *n, *ask, Way::AnswerLost));
                 if w.doubles < self.doubles {
                     moves.push(Move::Ask(*v, *n, *ask, Way::Doubled));
@@ -174,9 +175,9 @@
                 } else {
                     w.asks.remove(&(v, n, ask));
                 }
-                let reply = w.voters[v as usize].hear(w.now, ask);
+                let reply = w.voters[v as usize].on_request(w.now, ask);
                 if let Some(reply) = reply.filter(|_| way != Way::AnswerLost) {
-                    let acts = w.seats[n].hear(w.now, v, reply);
+                    let acts = w.seats[n].on_reply(w.now, v, reply);
                     self.acts(&mut w, n, acts);
                 }
             }
@@ -195,13 +196,13 @@
                 }
                 let passes = match self.fault {
                     Fault::NoGate | Fault::ClockTrusted => true,
-                    Fault::GateForgets => Gate::default().pass(token).is_ok(),
-                    Fault::None | Fault::NoSilence => match w.gate.pass(token) {
+                    Fault::GateForgets => FencingGuard::default().admit(token).is_ok(),
+                    Fault::None | Fault::NoSilence => match w.gate.admit(token) {
                         Ok(()) => true,
                         Err(old) => {
-                            let n = token.owner.number as usize;
+                            let n = token.holder.number as usize;
                             if w.seats[n].token(w.now) == Some(token) {
-                                let acts = w.seats[n].refused(w.now, old.highest.term);
+                                let acts = w.seats[n].on_rejected(w.now, old.highest.term);
                                 self.acts(&mut w, n, acts);
                             }
                             false
@@ -217,15 +218,15 @@
             Move::Kill(v) => {
                 w.kills += 1;
                 w.voters[v] = match self.fault {
-                    Fault::NoSilence => Voter::with(0, w.now, LEASE, true),
-                    _ => Voter::begin(w.now, LEASE),
+                    Fault::NoSilence => Voter::restored(0, w.now, LEASE, true),
+                    _ => Voter::without_memory(w.now, LEASE),
                 };
             }
             Move::HandOver(n) => {
                 w.checked[n] = None;
                 let acts = w.seats[n].hand_over(w.now, Some(member(1 - n)));
                 self.acts(&mut w, n, acts);
-                w.seats[1 - n].called(w.now);
+                w.seats[1 - n].schedule_claim(w.now);
             }
         }
         Some(w)
--- a/crates/duty/tests/office.rs
+++ b/crates/coordination/tests/office.rs
@@ -5,45 +5,49 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
-use sablecross_duty::word::{Answer, DEALING, Entry, Request, Stamp, State, Word};
-use sablecross_duty::{Do, Gate, Member, Ns, Office, Terms, Token, Unsettled};
+use sablecross_coordination::messages::{
+    ASSIGNMENT_ROLE, AssignmentVersion, HealthState, Message, RegisterValue, Reply, Request,
+};
+use sablecross_coordination::{
+    Action, CoordinationConfig, Coordinator, FencingGuard, FencingToken, Member, Ns, ReconfigureError,
+};
 
 const MS: Ns = 1_000_000;
 const SEC: Ns = 1_000 * MS;
 const DRIVING: u16 = 1;
 
-fn terms(voters: u32) -> Terms {
-    Terms {
+fn terms(voters: u32) -> CoordinationConfig {
+    CoordinationConfig {
         voters: (0..voters).collect(),
-        duties: vec![DEALING, DRIVING],
-        lease: SEC,
-        round: 200 * MS,
-        apart: 50 * MS,
-        beat: 200 * MS,
-        probe: SEC,
-        patience: 400 * MS,
+        roles: vec![ASSIGNMENT_ROLE, DRIVING],
+        lease_duration: SEC,
+        round_timeout: 200 * MS,
+        claim_spacing: 50 * MS,
+        heartbeat_interval: 200 * MS,
+        check_interval: SEC,
+        check_timeout: 400 * MS,
     }
 }
 
 enum Letter {
-    Call { from: Member, at: u32, voter: usize, number: u64, words: Vec<Word> },
-    Back { to: Member, voter: usize, number: u64, said: Vec<Answer> },
-    Probe { by: Member, chore: u64, token: Token },
-    Probed { by: Member, chore: u64, token: Token, state: Result<State, Token> },
+    Call { from: Member, at: u32, voter: usize, number: u64, words: Vec<Message> },
+    Back { to: Member, voter: usize, number: u64, said: Vec<Reply> },
+    Probe { by: Member, chore: u64, token: FencingToken },
+    Probed { by: Member, chore: u64, token: FencingToken, state: Result<HealthState, FencingToken> },
 }
 
 #[derive(Default)]
 struct Box {
-    gate: Gate,
+    gate: FencingGuard,
     times: Vec<Ns>,
-    passed: Vec<Token>,
+    passed: Vec<FencingToken>,
     refused: u64,
 }
 
 struct Fleet {
     now: Ns,
-    terms: Terms,
-    members: BTreeMap<u32, Office>,
+    terms: CoordinationConfig,
+    members: BTreeMap<u32, Coordinator>,
     /// The order of the voters by which each member calls.
     orders: BTreeMap<u32, Vec<u32>>,
     boxes: BTreeMap<u64, Box>,
@@ -55,8 +59,8 @@
     stalled: BTreeSet<u32>,
     rng: Pcg32,
     lossy: f64,
-    begun: Vec<(Ns, u16, Token)>,
-    kept: Vec<(Ns, Entry)>,
+    begun: Vec<(Ns, u16, FencingToken)>,
+    kept: Vec<(Ns, RegisterValue)>,
     gated: bool,
 }
 
@@ -84,8 +88,9 @@
 
     fn start(&mut self, number: u32, life: u64) {
         let chance = self.rng.random();
-        let mut office = Office::new(Member { number, life }, self.terms.clone(), chance, self.now);
-        office.listed(self.now, &self.boxes.keys().copied().collect());
+        let mut office =
+            Coordinator::new(Member { number, incarnation: life }, self.terms.clone(), chance, self.now);
+        office.update_targets(self.now, &self.boxes.keys().copied().collect());
         self.members.insert(number, office);
         self.orders.insert(number, self.terms.voters.clone());
     }
@@ -99,9 +104,9 @@
     fn carry(&mut self, number: u32) {
         let Some(office) = self.members.get_mut(&number) else { return };
         let me = office.me();
-        for act in office.acts() {
+        for act in office.take_actions() {
             match act {
-                Do::Call { voter, number, words } => {
+                Action::Call { voter, call_id: number, messages: words } => {
                     let voter = voter as usize;
                     let at = self.orders[&me.number][voter];
                     if !self.cut.contains(&(me.number, voter, true)) && self.rng.random::<f64>() >= self.lossy
@@ -109,13 +114,19 @@
                         self.later(Letter::Call { from: me, at, voter, number, words });
                     }
                 }
-                Do::Settled(voters) => {
+                Action::VotersChanged(voters) => {
                     self.orders.insert(me.number, voters);
                 }
-                Do::Probe { chore, token } => self.later(Letter::Probe { by: me, chore, token }),
-                Do::Begins(duty, token) => self.begun.push((self.now, duty, token)),
-                Do::Holds(_, entry) => self.kept.push((self.now, entry)),
-                Do::Facts(_) | Do::Ends(..) | Do::Note(_) | Do::Wish(..) | Do::Told(..) => {}
+                Action::CheckHealth { target: chore, token } => {
+                    self.later(Letter::Probe { by: me, chore, token })
+                }
+                Action::RoleAcquired(duty, token) => self.begun.push((self.now, duty, token)),
+                Action::RegisterStored(_, entry) => self.kept.push((self.now, entry)),
+                Action::HealthObservations(_)
+                | Action::RoleLost(..)
+                | Action::Log(_)
+                | Action::Proposal(..)
+                | Action::Published(..) => {}
             }
         }
     }
@@ -130,7 +141,7 @@
                         .push((self.now + 50 * MS, Letter::Call { from, at, voter, number, words }));
                 }
                 let Some(office) = self.members.get_mut(&at) else { return };
-                let said = office.called(self.now, from, &words);
+                let said = office.on_request(self.now, from, &words);
                 self.carry(at);
                 if !self.cut.contains(&(from.number, voter, false)) {
                     self.later(Letter::Back { to: from, voter, number, said });
@@ -141,7 +152,7 @@
                     return self.way.push((self.now + 50 * MS, Letter::Back { to, voter, number, said }));
                 }
                 if let Some(office) = self.members.get_mut(&to.number).filter(|o| o.me() == to) {
-                    office.answered(self.now, voter as u32, number, said);
+                    office.on_replies(self.now, voter as u32, number, said);
                     self.carry(to.number);
                 }
             }
@@ -150,7 +161,7 @@
                     return self.way.push((*until, Letter::Probe { by, chore, token }));
                 }
                 let Some(one) = self.boxes.get_mut(&chore) else { return };
-                let refused = one.gate.pass(token).err().filter(|_| self.gated);
+                let refused = one.gate.admit(token).err().filter(|_| self.gated);
                 let state = match refused {
                     Some(old) => {
                         one.refused += 1;
@@ -159,14 +170,14 @@
                     None => {
                         one.times.push(self.now);
                         one.passed.push(token);
-                        Ok(State::Well(Some(0.5)))
+                        Ok(HealthState::Healthy(Some(0.5)))
                     }
                 };
                 self.later(Letter::Probed { by, chore, token, state });
             }
             Letter::Probed { by, chore, token, state } => {
                 if let Some(office) = self.members.get_mut(&by.number).filter(|o| o.me() == by) {
-                    office.probed(self.now, chore, token, state);
+                    office.on_check_result(self.now, chore, token, state);
                     self.carry(by.number);
                 }
             }
@@ -183,7 +194,7 @@
             let due: Vec<u32> = self
                 .members
                 .iter()
-                .filter(|(n, o)| !self.stalled.contains(n) && o.next() <= self.now)
+                .filter(|(n, o)| !self.stalled.contains(n) && o.next_wakeup() <= self.now)
                 .map(|(n, _)| *n)
                 .collect();
             for number in due {
@@ -217,9 +228,9 @@
     /// Tokens in the order in which they were let through never go back, and a token has one owner.
     fn in_order(&self) -> Result<(), String> {
         for (chore, one) in &self.boxes {
-            let mut highest = Token::default();
+            let mut highest = FencingToken::default();
             for token in &one.passed {
-                if token.term < highest.term || token.term == highest.term && token.owner != highest.owner {
+                if token.term < highest.term || token.term == highest.term && token.holder != highest.holder {
                     return Err(format!("box {chore}: {token:?} after {highest:?}"));
                 }
                 highest = *token;
@@ -237,7 +248,7 @@
     assert!(longest <= 1_200 * MS && most <= 2, "{longest} {most}");
     let probes: usize = f.boxes.values().map(|b| b.times.iter().filter(|t| **t >= 4 * SEC).count()).sum();
     assert!((24 * 15..=24 * 17).contains(&probes), "{probes}");
-    let by: BTreeSet<u32> = f.boxes.values().flat_map(|b| b.passed.iter().map(|t| t.owner.number)).collect();
+    let by: BTreeSet<u32> = f.boxes.values().flat_map(|b| b.passed.iter().map(|t| t.holder.number)).collect();
     assert!(by.len() >= 5, "{by:?}");
     assert_eq!(f.boxes.values().map(|b| b.refused).sum::<u64>(), 0);
 }
@@ -248,7 +259,7 @@
         let mut f = Fleet::new(6, 3, 24, seed);
         f.run(6 * SEC);
         // The dealer and one more.
-        let dealer = f.owner(DEALING).expect("a dealer");
+        let dealer = f.owner(ASSIGNMENT_ROLE).expect("a dealer");
         let other = (dealer + 3) % 6;
         f.members.remove(&dealer);
         f.members.remove(&other);
@@ -260,8 +271,9 @@
         assert!(longest <= 5 * SEC, "seed {seed}: {longest}");
         assert!(most <= 2, "seed {seed}: {most} in a second");
         f.in_order().unwrap();
-        let last =
-            |number: u32| f.boxes.values().any(|b| b.passed.last().is_some_and(|t| t.owner.number == number));
+        let last = |number: u32| {
+            f.boxes.values().any(|b| b.passed.last().is_some_and(|t| t.holder.number == number))
+        };
         assert!(last(dealer) || last(other), "seed {seed}: the returned have chores again");
     }
 }
@@ -309,7 +321,7 @@
         let mut f = Fleet::new(9, 5, 24, seed);
         f.run(6 * SEC);
         // Two voters, the dealer among them, and members 7 and 8 see one another alone.
-        let dealer = f.owner(DEALING).expect("a dealer");
+        let dealer = f.owner(ASSIGNMENT_ROLE).expect("a dealer");
         let few: BTreeSet<u32> = [dealer, (dealer + 1) % 5, 7, 8].into();
         for m in 0..9 {
             for v in (0..5u32).filter(|v| few.contains(v) != few.contains(&m)) {
@@ -318,7 +330,7 @@
             }
         }
         f.run(14 * SEC);
-        let now_deals = f.owner(DEALING).expect("the majority has a dealer");
+        let now_deals = f.owner(ASSIGNMENT_ROLE).expect("the majority has a dealer");
         assert!(!few.contains(&now_deals), "seed {seed}");
         // Whoever is cut off has stopped; nothing of it was even refused, as it stopped before its shares moved.
         for one in f.boxes.values() {
@@ -326,7 +338,7 @@
                 .passed
                 .iter()
                 .zip(&one.times)
-                .filter(|(t, at)| **at > 9 * SEC && few.contains(&t.owner.number));
+                .filter(|(t, at)| **at > 9 * SEC && few.contains(&t.holder.number));
             assert_eq!(late.count(), 0, "seed {seed}");
         }
         f.cut.clear();
@@ -334,7 +346,7 @@
         f.in_order().unwrap();
         let (longest, most) = f.pauses(4 * SEC);
         assert!(longest <= 5 * SEC && most <= 2, "seed {seed}: {longest} {most}");
-        let back = f.boxes.values().flat_map(|b| b.passed.last()).any(|t| few.contains(&t.owner.number));
+        let back = f.boxes.values().flat_map(|b| b.passed.last()).any(|t| few.contains(&t.holder.number));
         assert!(back, "seed {seed}: the others have chores again");
     }
 }
@@ -348,7 +360,7 @@
     });
     f.run(12 * SEC);
     let at = f.now;
-    assert_eq!(f.owner(DEALING), None);
+    assert_eq!(f.owner(ASSIGNMENT_ROLE), None);
     f.run(15 * SEC);
     assert!(f.boxes.values().all(|b| b.times.last().is_some_and(|t| *t < at)), "they rest");
     (0..3).for_each(|v| f.start(v, 2));
@@ -363,13 +375,18 @@
     f.run(6 * SEC);
     // Terms grow first.
     for _ in 0..3 {
-        let dealer = f.owner(DEALING).expect("a dealer");
+        let dealer = f.owner(ASSIGNMENT_ROLE).expect("a dealer");
         f.stalled.insert(dealer);
         f.run(f.now + 3 * SEC);
         f.stalled.clear();
         f.run(f.now + 2 * SEC);
     }
-    let before = f.boxes.values().filter_map(|b| b.passed.last()).map(|t| Stamp::of(*t).term).max();
+    let before = f
+        .boxes
+        .values()
+        .filter_map(|b| b.passed.last())
+        .map(|t| AssignmentVersion::from_token(*t).term)
+        .max();
     assert!(before >= Some(3));
     // Every process begins anew: nobody but the boxes knows of the terms.
     (0..6).for_each(|m| f.start(m, 2));
@@ -379,7 +396,7 @@
     assert!(f.boxes.values().all(|b| b.refused > 0 || b.times.last().is_some_and(|t| *t > from + 3 * SEC)));
     for one in f.boxes.values() {
         let last = one.passed.last().expect("probed");
-        assert!(Stamp::of(*last).term > before.unwrap_or(0), "past what the boxes knew");
+        assert!(AssignmentVersion::from_token(*last).term > before.unwrap_or(0), "past what the boxes knew");
         assert!(one.times.last().is_some_and(|t| *t > f.now - 2 * SEC));
     }
 }
@@ -395,8 +412,8 @@
     f.start(4, 900_000);
     f.run(16 * SEC);
     let office = &f.members[&4];
-    assert!(office.me().life > 1_000_000 && !office.displaced());
-    assert!(f.boxes.values().any(|b| b.passed.last().is_some_and(|t| t.owner.number == 4)));
+    assert!(office.me().incarnation > 1_000_000 && !office.is_displaced());
+    assert!(f.boxes.values().any(|b| b.passed.last().is_some_and(|t| t.holder.number == 4)));
 }
 
 #[test]
@@ -409,7 +426,7 @@
     let new = f.members.insert(5, old).expect("there");
     // The stalled one goes on, and is told.
     f.run(11 * SEC);
-    assert!(f.members[&5].displaced());
+    assert!(f.members[&5].is_displaced());
     let probes: Vec<usize> = f.boxes.values().map(|b| b.passed.len()).collect();
     f.members.insert(5, new);
     f.run(14 * SEC);
@@ -422,7 +439,7 @@
     for seed in 0..20 {
         let mut f = Fleet::new(6, 3, 24, seed);
         f.run(6 * SEC);
-        let dealer = f.owner(DEALING).expect("a dealer");
+        let dealer = f.owner(ASSIGNMENT_ROLE).expect("a dealer");
         let now = f.now;
         if let Some(office) = f.members.get_mut(&dealer) {
             office.leave(now);
@@ -431,7 +448,7 @@
         f.run(now + 300 * MS);
         f.members.remove(&dealer);
         f.run(now + 600 * MS);
-        assert!(f.owner(DEALING).is_some_and(|o| o != dealer), "seed {seed}");
+        assert!(f.owner(ASSIGNMENT_ROLE).is_some_and(|o| o != dealer), "seed {seed}");
         f.run(now + 6 * SEC);
         // Its chores did not wait until it was taken for dead.
         let (longest, most) = f.pauses(now - 2 * SEC);
@@ -445,12 +462,13 @@
     f.run(6 * SEC);
     let owner = f.owner(DRIVING).expect("an owner");
     let (to, now) = ((owner + 1) % 3, f.now);
-    let by = Member { number: u32::MAX, life: 0 };
+    let by = Member { number: u32::MAX, incarnation: 0 };
     // One that does not own it says so.
-    let other = f.members.get_mut(&to).map(|o| o.called(now, by, &[Word::HandOver(DRIVING, None)]));
-    assert_eq!(other, Some(vec![Answer::HandsOver(DRIVING, false)]));
-    let said = f.members.get_mut(&owner).map(|o| o.called(now, by, &[Word::HandOver(DRIVING, Some(to))]));
-    assert_eq!(said, Some(vec![Answer::HandsOver(DRIVING, true)]));
+    let other = f.members.get_mut(&to).map(|o| o.on_request(now, by, &[Message::HandOver(DRIVING, None)]));
+    assert_eq!(other, Some(vec![Reply::HandOverStarted(DRIVING, false)]));
+    let said =
+        f.members.get_mut(&owner).map(|o| o.on_request(now, by, &[Message::HandOver(DRIVING, Some(to))]));
+    assert_eq!(said, Some(vec![Reply::HandOverStarted(DRIVING, true)]));
     f.carry(owner);
     f.run(now + SEC);
     assert_eq!(f.owner(DRIVING), Some(to));
@@ -481,7 +499,7 @@
             if let Some(owner) = f.owner(DRIVING) {
                 next += 1;
                 if let Some(office) = f.members.get_mut(&owner) {
-                    office.write(now, DRIVING, vec![next as u8]);
+                    office.write_register(now, DRIVING, vec![next as u8]);
                 }
                 f.carry(owner);
             }
@@ -510,38 +528,38 @@
 #[test]
 fn words_survive_their_way_and_odd_ones_do_no_harm() {
     let request = Request {
-        from: Member { number: 3, life: 9 },
-        words: vec![
-            Word::Here(Stamp { term: 2, number: 1 }),
-            Word::Behind(77, u64::MAX),
-            Word::Facts(u64::MAX),
-            Word::Write(9, Entry::default()),
-            Word::Read(DRIVING, Token::default()),
-            Word::HandOver(300, Some(8)),
+        from: Member { number: 3, incarnation: 9 },
+        messages: vec![
+            Message::Heartbeat(AssignmentVersion { term: 2, number: 1 }),
+            Message::ReportNewerTerm(77, u64::MAX),
+            Message::FetchHealth(u64::MAX),
+            Message::WriteRegister(9, RegisterValue::default()),
+            Message::ReadRegister(DRIVING, FencingToken::default()),
+            Message::HandOver(300, Some(8)),
         ],
     };
-    let mut office = Office::new(Member { number: 0, life: 1 }, terms(1), 5, 0);
+    let mut office = Coordinator::new(Member { number: 0, incarnation: 1 }, terms(1), 5, 0);
     office.step(2 * SEC);
-    let said = office.called(2 * SEC, request.from, &request.words);
-    assert!(said.contains(&Answer::HandsOver(300, false)));
+    let said = office.on_request(2 * SEC, request.from, &request.messages);
+    assert!(said.contains(&Reply::HandOverStarted(300, false)));
     assert!(
-        said.iter().any(|a| matches!(a, Answer::Old(DRIVING, _))),
+        said.iter().any(|a| matches!(a, Reply::StaleToken(DRIVING, _))),
         "a token of no term passes no gate: {said:?}"
     );
     // Odd tokens do not overflow.
-    let far = Stamp { term: u64::MAX, number: u64::MAX };
-    assert!(Stamp::of(far.token(request.from)).term > 0);
+    let far = AssignmentVersion { term: u64::MAX, number: u64::MAX };
+    assert!(AssignmentVersion::from_token(far.token(request.from)).term > 0);
 }
 
 impl Fleet {
     /// All members take other voters, one after another.
     fn settle(&mut self, voters: &[u32]) {
-        self.terms = Terms { voters: voters.to_vec(), ..self.terms.clone() };
+        self.terms = CoordinationConfig { voters: voters.to_vec(), ..self.terms.clone() };
         let (now, terms) = (self.now, self.terms.clone());
         let members: Vec<u32> = self.members.keys().copied().collect();
         for m in members {
             if let Some(office) = self.members.get_mut(&m) {
-                office.settle(now, terms.clone()).expect("one voter");
+                office.reconfigure(now, terms.clone()).expect("one voter");
             }
             self.carry(m);
         }
@@ -555,20 +573,20 @@
         f.run(6 * SEC);
         let driver = f.owner(DRIVING).expect("an owner");
         let now = f.now;
-        f.members.get_mut(&driver).expect("there").write(now, DRIVING, vec![7]);
+        f.members.get_mut(&driver).expect("there").write_register(now, DRIVING, vec![7]);
         f.carry(driver);
         f.run(now + SEC);
-        let dealer = f.owner(DEALING).expect("a dealer");
+        let dealer = f.owner(ASSIGNMENT_ROLE).expect("a dealer");
         f.settle(&[0, 1, 2, 5]);
         f.run(f.now + 2 * SEC);
-        assert_eq!(f.owner(DEALING), Some(dealer), "seed {seed}: a lease that is held goes on");
+        assert_eq!(f.owner(ASSIGNMENT_ROLE), Some(dealer), "seed {seed}: a lease that is held goes on");
         f.settle(&[0, 1, 2, 5, 6]);
         f.run(f.now + 2 * SEC);
         // The owner of dealing votes no more.
         let left: Vec<u32> = [0, 1, 2, 5, 6].into_iter().filter(|v| *v != dealer).collect();
         f.settle(&left);
         f.run(f.now + 2 * SEC);
-        let next = f.owner(DEALING).expect("another");
+        let next = f.owner(ASSIGNMENT_ROLE).expect("another");
         assert!(next != dealer && left.contains(&next), "seed {seed}");
         // The others of the first three go as well, one by one; those that joined kept what was written.
         let mut voters = left;
@@ -594,12 +612,12 @@
 
 #[test]
 fn two_voters_at_once_or_another_lease_are_refused() {
-    let mut office = Office::new(Member { number: 0, life: 1 }, terms(3), 5, 0);
-    let two = Terms { voters: vec![0, 3, 4], ..terms(3) };
-    assert_eq!(office.settle(1, two), Err(Unsettled::Many { joined: 2, left: 2 }));
-    let replaced = Terms { voters: vec![0, 1, 4], ..terms(3) };
-    assert_eq!(office.settle(1, replaced), Err(Unsettled::Many { joined: 1, left: 1 }));
-    let longer = Terms { lease: 9 * SEC, ..terms(3) };
-    assert_eq!(office.settle(1, longer), Err(Unsettled::Else));
-    assert_eq!(office.settle(1, terms(3)), Ok(()));
+    let mut office = Coordinator::new(Member { number: 0, incarnation: 1 }, terms(3), 5, 0);
+    let two = CoordinationConfig { voters: vec![0, 3, 4], ..terms(3) };
+    assert_eq!(office.reconfigure(1, two), Err(ReconfigureError::TooManyChanges { joined: 2, left: 2 }));
+    let replaced = CoordinationConfig { voters: vec![0, 1, 4], ..terms(3) };
+    assert_eq!(office.reconfigure(1, replaced), Err(ReconfigureError::TooManyChanges { joined: 1, left: 1 }));
+    let longer = CoordinationConfig { lease_duration: 9 * SEC, ..terms(3) };
+    assert_eq!(office.reconfigure(1, longer), Err(ReconfigureError::RestartRequired));
+    assert_eq!(office.reconfigure(1, terms(3)), Ok(()));
 }
--- a/crates/director/src/plain/clock.rs
+++ b/crates/director/src/clock.rs
@@ -4,10 +4,10 @@
 
 use sablecross::Ns;
 
-pub const MS: Ns = 1_000_000;
+pub const NS_PER_MS: Ns = 1_000_000;
 
 /// What the clock tells at the start of the program. Spans that reach back before it stay in range.
-const START: Ns = 2 * 366 * 86_400 * 1_000 * MS;
+const START: Ns = 2 * 366 * 86_400 * 1_000 * NS_PER_MS;
 
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
--- a/crates/director/src/duty/peers.rs
+++ b/crates/director/src/coordination/connections.rs
@@ -8,21 +8,21 @@
 use mio::{Interest, Registry, Token};
 use sablecross::Ns;
 
-use crate::plain::clock::MS;
+use crate::clock::NS_PER_MS;
 
 /// The longest pause before a connection is tried again, and how long one may take to come up or to answer.
-const LONGEST_PAUSE: Ns = 1_000 * MS;
-const FIRST_PAUSE: Ns = 50 * MS;
-const SILENT: Ns = 2_000 * MS;
+const LONGEST_PAUSE: Ns = 1_000 * NS_PER_MS;
+const FIRST_PAUSE: Ns = 50 * NS_PER_MS;
+const SILENT: Ns = 2_000 * NS_PER_MS;
 /// Bytes that wait to be written; past them a connection is stuck.
 const MOST_WAITING: usize = 256 << 10;
 
 /// A connection that is used by one party alone, with what goes out and has come in on it.
-pub struct Line {
+pub struct NodeConnection {
     pub address: SocketAddr,
     stream: Option<TcpStream>,
     out: VecDeque<u8>,
-    pub came: Vec<u8>,
+    pub received: Vec<u8>,
     /// When it was last heard of, or began; what is asked on it since is without an answer.
     heard: Ns,
     asked_since: Option<Ns>,
@@ -30,13 +30,13 @@
     pause: Ns,
 }
 
-impl Line {
-    pub fn new(address: SocketAddr) -> Line {
-        Line {
+impl NodeConnection {
+    pub fn new(address: SocketAddr) -> NodeConnection {
+        NodeConnection {
             address,
             stream: None,
             out: VecDeque::new(),
-            came: Vec::new(),
+            received: Vec::new(),
             heard: 0,
             asked_since: None,
             next_try: 0,
@@ -51,13 +51,13 @@
             let _ = registry.deregister(&mut stream);
         }
         self.out.clear();
-        self.came.clear();
+        self.received.clear();
         self.asked_since = None;
         self.next_try = now + self.pause;
         self.pause = (2 * self.pause).min(LONGEST_PAUSE);
     }
 
-    pub fn moves(&mut self, address: SocketAddr, registry: &Registry, now: Ns) {
+    pub fn set_address(&mut self, address: SocketAddr, registry: &Registry, now: Ns) {
         if self.address != address {
             self.close(registry, now);
             (self.address, self.next_try, self.pause) = (address, 0, FIRST_PAUSE);
@@ -65,7 +65,7 @@
     }
 
     /// Says something, on a connection that is there or is begun; false if none can be had now.
-    pub fn say(&mut self, bytes: &[u8], registry: &Registry, token: Token, now: Ns) -> bool {
+    pub fn send(&mut self, bytes: &[u8], registry: &Registry, token: Token, now: Ns) -> bool {
         if self.stream.is_none() && !self.begin(registry, token, now) {
             return false;
         }
@@ -126,8 +126,8 @@
         loop {
             let Some(stream) = self.stream.as_mut() else { return false };
             match stream.read(&mut bytes) {
-                Ok(n) if n > 0 && self.came.len() + n <= most => {
-                    self.came.extend_from_slice(&bytes[..n]);
+                Ok(n) if n > 0 && self.received.len() + n <= most => {
+                    self.received.extend_from_slice(&bytes[..n]);
                     (self.heard, self.pause) = (now, FIRST_PAUSE);
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
@@ -141,30 +141,30 @@
     }
 
     /// All that was asked is answered.
-    pub fn settled(&mut self) {
+    pub fn all_answered(&mut self) {
         self.asked_since = None;
     }
 
     /// One with something asked that was silent for long is stuck: a machine that vanished says nothing.
-    pub fn stuck(&self, now: Ns) -> bool {
+    pub fn is_stuck(&self, now: Ns) -> bool {
         self.asked_since.is_some_and(|since| now > since.max(self.heard) + SILENT)
     }
 }
 
 /// A voter: its line, and the number of each call that is out.
-pub struct Peer {
-    pub line: Line,
+pub struct VoterConnection {
+    pub connection: NodeConnection,
     next: u32,
     pub calls: BTreeMap<u32, u64>,
 }
 
-impl Peer {
-    pub fn new(address: SocketAddr) -> Peer {
-        Peer { line: Line::new(address), next: 0, calls: BTreeMap::new() }
+impl VoterConnection {
+    pub fn new(address: SocketAddr) -> VoterConnection {
+        VoterConnection { connection: NodeConnection::new(address), next: 0, calls: BTreeMap::new() }
     }
 
     /// The number of a new call on the wire.
-    pub fn number(&mut self, call: u64) -> u32 {
+    pub fn next_call_id(&mut self, call: u64) -> u32 {
         self.next = self.next.wrapping_add(1);
         self.calls.insert(self.next, call);
         self.next
--- a/crates/director/src/duty/boxes.rs
+++ b/crates/director/src/coordination/health_check.rs
@@ -4,58 +4,65 @@
 use std::fmt;
 use std::str::FromStr;
 
-use sablecross_duty::word::State;
-use sablecross_duty::{Member, Token, Want};
-use sablecross_inhand::settings;
+use sablecross_coordination::messages::HealthState;
+use sablecross_coordination::{FencingToken, HotObject, Member};
+use sablecross_inflight::settings;
 
-use super::peers::Line;
+use super::connections::NodeConnection;
 
 /// The tag of a probe: its token and a number, in hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Tag {
-    pub token: Token,
-    pub number: u64,
+pub struct HealthCheckTag {
+    pub token: FencingToken,
+    pub sequence: u64,
 }
 
-impl fmt::Display for Tag {
+impl fmt::Display for HealthCheckTag {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let Token { term, owner } = self.token;
-        write!(f, "{term:x}-{:x}-{:x}-{:x}", owner.number, owner.life, self.number)
+        let FencingToken { term, holder: owner } = self.token;
+        write!(f, "{term:x}-{:x}-{:x}-{:x}", owner.number, owner.incarnation, self.sequence)
     }
 }
 
-impl FromStr for Tag {
+impl FromStr for HealthCheckTag {
     type Err = ();
 
-    fn from_str(text: &str) -> Result<Tag, ()> {
+    fn from_str(text: &str) -> Result<HealthCheckTag, ()> {
         let mut parts = text.split('-').map(|p| u64::from_str_radix(p, 16).map_err(drop));
         let mut next = || parts.next().ok_or(())?;
         let (term, number, life, count) = (next()?, next()?, next()?, next()?);
-        let owner = Member { number: u32::try_from(number).map_err(drop)?, life };
-        Ok(Tag { token: Token { term, owner }, number: count })
+        let owner = Member { number: u32::try_from(number).map_err(drop)?, incarnation: life };
+        Ok(HealthCheckTag { token: FencingToken { term, holder: owner }, sequence: count })
     }
 }
 
-pub struct Probed {
+pub struct CheckedNode {
     pub name: String,
     pub node: sablecross::Ns,
-    pub line: Line,
+    pub connection: NodeConnection,
     /// Probes out, by number.
-    pub out: BTreeMap<u64, Token>,
+    pub outstanding_checks: BTreeMap<u64, FencingToken>,
     /// Bytes of a body that are still to come, and to be passed over.
-    pub skip: usize,
+    pub body_bytes_to_skip: usize,
 }
 
-impl Probed {
+impl CheckedNode {
     /// Its connection has ended: nothing that was out on it comes, nor the rest of a body.
     pub fn lost(&mut self) {
-        self.out.clear();
-        self.skip = 0;
+        self.outstanding_checks.clear();
+        self.body_bytes_to_skip = 0;
     }
 }
 
 /// A request that has a cache fetch an object, on behalf of the fleet: the token goes along as a field.
-pub fn fetch(name: &str, want: &Want, kind: &str, source: &str, wait_ms: u64, tag: Tag) -> String {
+pub fn fetch_request(
+    name: &str,
+    want: &HotObject,
+    kind: &str,
+    source: &str,
+    wait_ms: u64,
+    tag: HealthCheckTag,
+) -> String {
     format!(
         "PULL {name} class={kind},key={:016x},part={},wait={wait_ms},miss={source},prio=1,f=collapse,duty={tag} 0\r\n\r\n",
         want.object, want.part
@@ -63,20 +70,20 @@
 }
 
 /// A probe's answer: its tag, and how the box is, or by which token a newer owner probes it.
-pub fn answer(line: &str) -> Option<(Tag, Result<State, Token>)> {
+pub fn parse_answer(line: &str) -> Option<(HealthCheckTag, Result<HealthState, FencingToken>)> {
     let mut words = line.trim_end().split(' ');
-    let (tag, word, fields) = (words.next()?.parse::<Tag>().ok()?, words.next()?, words.next()?);
+    let (tag, word, fields) = (words.next()?.parse::<HealthCheckTag>().ok()?, words.next()?, words.next()?);
     let field =
         |name: &str| fields.split(',').filter_map(|f| f.split_once('=')).find(|f| f.0 == name).map(|f| f.1);
     let state = match word {
         "READY" => {
             let values = field("stats").unwrap_or_default().split(';').filter_map(|s| s.split_once(':'));
-            let load = settings::load(values.filter_map(|(name, v)| Some((name, v.parse().ok()?))));
-            Ok(State::Well(load.busy.map(|b| b as f32)))
+            let load = settings::load_report(values.filter_map(|(name, v)| Some((name, v.parse().ok()?))));
+            Ok(HealthState::Healthy(load.cpu_utilization.map(|b| b as f32)))
         }
-        "AILING" => Ok(State::Ailing),
+        "AILING" => Ok(HealthState::Unhealthy),
         // It has answered a later owner.
-        "STALE" => Err(field("newest")?.parse::<Tag>().ok()?.token),
+        "STALE" => Err(field("newest")?.parse::<HealthCheckTag>().ok()?.token),
         _ => return None,
     };
     Some((tag, state))
--- a/crates/director/src/duty/mod.rs
+++ b/crates/director/src/coordination/mod.rs
@@ -1,9 +1,9 @@
 //! Work on behalf of the fleet, where directors may talk: settings, the thread that speaks with voters and boxes, and the
-//! desk's way to it. What is decided stands in `sablecross-duty`; here is what carries it.
+//! desk's way to it. What is decided stands in `sablecross-coordination`; here is what carries it.
 
 mod agent;
-mod boxes;
-mod peers;
+mod connections;
+mod health_check;
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -13,73 +13,73 @@
 use crossbeam_channel::{Sender, TrySendError, bounded};
 use mio::Waker;
 use sablecross::Settings;
-use sablecross_duty::Want;
-use sablecross_duty::word::{Answer, Request};
-use sablecross_spread::Most;
-
-use crate::common::Common;
-use crate::exchange::{Call, Client};
-use crate::plain::facts::Member;
-use crate::plain::limits::Limits;
-use crate::plain::names::DUTY;
-use crate::upper::InForce;
-use crate::wire::rpc::{self, Flaw};
-
-pub use crate::terms as settings;
-use crate::terms::Setting;
+use sablecross_coordination::HotObject;
+use sablecross_coordination::messages::{Reply, Request};
+use sablecross_estimators::SpaceSaving;
+
+use crate::discovery_event::Endpoint;
+use crate::events::{CallId, ClientId};
+use crate::limits::Limits;
+use crate::name_table::PEER_CALL_METHOD;
+use crate::parent_hierarchy::AppliedVersion;
+use crate::shared::SharedContext;
+use crate::wire::rpc::{self, DecodeError};
+
+pub use crate::coordination_settings as settings;
+use crate::coordination_settings::CoordinationSettings;
 pub use agent::Agent;
-pub use boxes::Tag;
+pub use health_check::HealthCheckTag;
 
 /// What the desk hands on.
-pub enum In {
-    Called {
-        client: Client,
-        call: Call,
+pub enum AgentEvent {
+    PeerCall {
+        client: ClientId,
+        call: CallId,
         body: Vec<u8>,
     },
     /// The list as it was told.
-    Listed {
-        members: Vec<Member>,
-        whole: bool,
+    EndpointsChanged {
+        endpoints: Vec<Endpoint>,
+        is_snapshot: bool,
     },
     /// The hierarchy that the desk has in force now.
-    InForce(InForce),
+    HierarchyApplied(AppliedVersion),
     /// The settings were read again.
-    Settle(Box<Setting>),
+    Reconfigure(Box<CoordinationSettings>),
     Stop,
 }
 
 /// What this director is asked for most.
-type Hot = Arc<Mutex<Most<Want>>>;
+type Hot = Arc<Mutex<SpaceSaving<HotObject>>>;
 
 /// Of so many objects it is known how often they were asked for.
 const MOST_HOT: usize = 64;
 
 struct Way {
-    to_agent: Sender<In>,
+    to_agent: Sender<AgentEvent>,
     waker: Arc<Waker>,
     hot: Option<Hot>,
 }
 
 /// The desk's way to the duties; without settings there is none.
 #[derive(Default)]
-pub struct Duties(Option<Way>);
+pub struct CoordinationHandle(Option<Way>);
 
-impl Duties {
+impl CoordinationHandle {
     /// With the other end, which `Agent::serve` runs in a thread of its own.
     pub fn start(
-        setting: Option<Setting>,
+        setting: Option<CoordinationSettings>,
         settings: &Settings,
-        common: &Arc<Common>,
-    ) -> io::Result<(Duties, Option<Agent>)> {
-        let Some(setting) = setting else { return Ok((Duties::default(), None)) };
-        let (to_agent, from_desk) = bounded(common.limits.events);
-        let hot = setting.warming.is_some().then(|| Arc::new(Mutex::new(Most::new(MOST_HOT))));
+        common: &Arc<SharedContext>,
+    ) -> io::Result<(CoordinationHandle, Option<Agent>)> {
+        let Some(setting) = setting else { return Ok((CoordinationHandle::default(), None)) };
+        let (to_agent, from_desk) = bounded(common.limits.event_queue_length);
+        let hot = setting.warming.is_some().then(|| Arc::new(Mutex::new(SpaceSaving::new(MOST_HOT))));
         let (agent, waker) = Agent::new(setting, settings, Arc::clone(common), from_desk, hot.clone())?;
-        Ok((Duties(Some(Way { to_agent, waker, hot })), Some(agent)))
+        Ok((CoordinationHandle(Some(Way { to_agent, waker, hot })), Some(agent)))
     }
 
-    fn tell(&self, what: In) -> bool {
+    fn tell(&self, what: AgentEvent) -> bool {
         let Some(Way { to_agent, waker, .. }) = &self.0 else { return false };
         let told =
             !matches!(to_agent.try_send(what), Err(TrySendError::Full(_) | TrySendError::Disconnected(_)));
@@ -89,63 +89,63 @@
     }
 
     /// A lookup was taken in.
-    pub fn asked(&self, object: u64, part: u32, kind: usize) {
+    pub fn record_request(&self, object: u64, part: u32, kind: usize) {
         let hot = self.0.as_ref().and_then(|way| way.hot.as_ref());
         // While the other thread reads it, one is not counted.
         if let Some(mut hot) = hot.and_then(|hot| hot.try_lock().ok()) {
-            hot.count(Want { object, part, kind: kind as u16 }, 1.0);
+            hot.add(HotObject { object, part, class: kind as u16 }, 1.0);
         }
     }
 
     /// Hands a call over; false if there are more than can be kept, or nobody to take it.
-    pub fn called(&self, client: Client, call: Call, body: Vec<u8>) -> bool {
-        self.tell(In::Called { client, call, body })
+    pub fn forward_call(&self, client: ClientId, call: CallId, body: Vec<u8>) -> bool {
+        self.tell(AgentEvent::PeerCall { client, call, body })
     }
 
-    pub fn listed(&self, members: &[Member], whole: bool) {
+    pub fn update_endpoints(&self, members: &[Endpoint], whole: bool) {
         if self.0.is_some() {
             // With no room it lacks a change of the list until the next one: a box too many or too few is probed.
-            self.tell(In::Listed { members: members.to_vec(), whole });
+            self.tell(AgentEvent::EndpointsChanged { endpoints: members.to_vec(), is_snapshot: whole });
         }
     }
 
-    pub fn settle(&self, setting: Setting) {
-        if !self.tell(In::Settle(Box::new(setting))) {
+    pub fn reconfigure(&self, setting: CoordinationSettings) {
+        if !self.tell(AgentEvent::Reconfigure(Box::new(setting))) {
             tracing::error!("reload: duties: they take a restart");
         }
     }
 
-    pub fn in_force(&self, in_force: InForce) {
+    pub fn hierarchy_applied(&self, in_force: AppliedVersion) {
         if self.0.is_some() {
             // With no room it is said with the next version; the owner waits for it meanwhile.
-            self.tell(In::InForce(in_force));
+            self.tell(AgentEvent::HierarchyApplied(in_force));
         }
     }
 
     pub fn stop(&self) {
-        self.tell(In::Stop);
+        self.tell(AgentEvent::Stop);
     }
 }
 
 /// One call by whoever looks from outside: what is answered in time.
-pub fn ask(at: SocketAddr, request: &Request, time: Duration) -> io::Result<Vec<Answer>> {
+pub fn call_member(at: SocketAddr, request: &Request, time: Duration) -> io::Result<Vec<Reply>> {
     let bad = |e: String| io::Error::new(ErrorKind::InvalidData, e);
     let until = Instant::now() + time;
     let mut stream = TcpStream::connect_timeout(&at, time)?;
     stream.set_read_timeout(Some(time))?;
     let body = rmp_serde::to_vec(request).map_err(|e| bad(e.to_string()))?;
-    stream.write_all(&rpc::call(1, DUTY, &body))?;
-    let limits = Limits::of(64, 64, 0, 0);
+    stream.write_all(&rpc::encode_call(1, PEER_CALL_METHOD, &body))?;
+    let limits = Limits::new(64, 64, 0, 0);
     let mut bytes = Vec::new();
     loop {
-        match rpc::answered(&bytes, &limits) {
+        match rpc::decode_response(&bytes, &limits) {
             Ok((_, Some(body), _)) => return rmp_serde::from_slice(body).map_err(|e| bad(e.to_string())),
             Ok((_, None, _)) => {
                 return Err(bad("it answers no calls of duties (is SABLECROSS_DUTY set there?)".into()));
             }
-            Err(Flaw::Bad(why)) => return Err(bad(why.into())),
-            Err(Flaw::Short) if Instant::now() >= until => return Err(ErrorKind::TimedOut.into()),
-            Err(Flaw::Short) => {}
+            Err(DecodeError::Invalid(why)) => return Err(bad(why.into())),
+            Err(DecodeError::Incomplete) if Instant::now() >= until => return Err(ErrorKind::TimedOut.into()),
+            Err(DecodeError::Incomplete) => {}
         }
         let mut more = [0; 4_096];
         match stream.read(&mut more)? {
--- a/crates/director/src/terms.rs
+++ b/crates/director/src/coordination_settings.rs
@@ -3,12 +3,12 @@
 use std::net::SocketAddr;
 
 use garde::Validate;
-use sablecross_duty::word::{DEALING, Duty};
-use sablecross_duty::{Pace, Terms};
-use sablecross_forms::Fault;
+use sablecross_coordination::messages::{ASSIGNMENT_ROLE, RoleId};
+use sablecross_coordination::{CoordinationConfig, WarmingLimits};
+use sablecross_sexpr_config::ConfigError;
 use serde::{Deserialize, Serialize};
 
-use crate::plain::clock::MS;
+use crate::clock::NS_PER_MS;
 
 /// The variable that names the settings file.
 const FILE: &str = "SABLECROSS_DUTY";
@@ -121,59 +121,60 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Setting {
-    pub terms: Terms,
+pub struct CoordinationSettings {
+    pub config: CoordinationConfig,
     /// In the order of the voters.
-    pub addresses: Vec<SocketAddr>,
+    pub voter_addresses: Vec<SocketAddr>,
     pub probing: bool,
-    pub gone_after: sablecross::Ns,
+    pub member_gone_after: sablecross::Ns,
     /// How fresh caches are warmed, if they are; how warm they begin stands in the director's own settings.
-    pub warming: Option<Pace>,
+    pub warming: Option<WarmingLimits>,
 }
 
 /// Carrying changes of the hierarchy out.
-pub const DRIVING: Duty = 1;
+pub const HIERARCHY_ROLE: RoleId = 1;
 
 /// Warming fresh caches.
-pub const WARMING: Duty = 2;
+pub const WARMING_ROLE: RoleId = 2;
 
 /// What a member can own: dealing chores to the living, driving changes of the hierarchy.
-pub const DUTIES: [(Duty, &str); 3] = [(DEALING, "dealing"), (DRIVING, "driving"), (WARMING, "warming")];
+pub const ROLES: [(RoleId, &str); 3] =
+    [(ASSIGNMENT_ROLE, "dealing"), (HIERARCHY_ROLE, "driving"), (WARMING_ROLE, "warming")];
 
-pub fn named(duty: Duty) -> &'static str {
-    DUTIES.iter().find(|d| d.0 == duty).map_or("unknown", |d| d.1)
+pub fn role_name(duty: RoleId) -> &'static str {
+    ROLES.iter().find(|d| d.0 == duty).map_or("unknown", |d| d.1)
 }
 
-impl Setting {
+impl CoordinationSettings {
     /// From the file, where one is named.
-    pub fn read() -> Option<Result<Setting, String>> {
+    pub fn from_env() -> Option<Result<CoordinationSettings, String>> {
         let file = std::env::var(FILE).ok()?;
         let text = std::fs::read_to_string(&file).map_err(|e| format!("{FILE}: {file}: {e}"));
         Some(text.and_then(|text| {
-            Setting::parse(&file, &text)
+            CoordinationSettings::parse(&file, &text)
                 .map_err(|f| f.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))
         }))
     }
 
-    pub fn parse(file: &str, text: &str) -> Result<Setting, Vec<Fault>> {
-        let forms = sablecross_forms::read::<Form>(file, text)?;
+    pub fn parse(file: &str, text: &str) -> Result<CoordinationSettings, Vec<ConfigError>> {
+        let forms = sablecross_sexpr_config::parse_forms::<Form>(file, text)?;
         let none = |key: &str, what: &str, todo: &str| {
             let (key, what, todo) = (key.into(), what.into(), todo.into());
-            vec![Fault { file: file.into(), line: 1, column: 1, key, what, todo }]
+            vec![ConfigError { file: file.into(), line: 1, column: 1, key, problem: what, remedy: todo }]
         };
         let (mut head, mut lines) = (None, Vec::<Line>::new());
         for form in &forms {
             match &form.value {
                 Form::Duty(h) => {
                     if head.replace(h.clone()).is_some() {
-                        return Err(vec![form.fault(file, "duty", "a second one", "keep one")]);
+                        return Err(vec![form.error(file, "duty", "a second one", "keep one")]);
                     }
                 }
                 Form::Voter(line) => {
                     let twice = |l: &Line| l.number == line.number || l.address == line.address;
                     if lines.iter().any(twice) {
                         let what = "its number or address is another voter's too";
-                        return Err(vec![form.fault(file, "voter", what, "each votes once")]);
+                        return Err(vec![form.error(file, "voter", what, "each votes once")]);
                     }
                     lines.push(line.clone());
                 }
@@ -193,28 +194,28 @@
         if head.warming && !head.probing {
             return Err(none("duty.warming", "boxes are not probed", "warming goes by the same connections"));
         }
-        let terms = Terms {
+        let terms = CoordinationConfig {
             voters: lines.iter().map(|l| l.number).collect(),
-            duties: DUTIES.iter().map(|d| d.0).collect(),
-            lease: head.lease_ms * MS,
-            round: head.round_ms * MS,
-            apart: head.apart_ms * MS,
-            beat: head.beat_ms * MS,
-            probe: head.probe_ms * MS,
-            patience: head.patience_ms * MS,
+            roles: ROLES.iter().map(|d| d.0).collect(),
+            lease_duration: head.lease_ms * NS_PER_MS,
+            round_timeout: head.round_ms * NS_PER_MS,
+            claim_spacing: head.apart_ms * NS_PER_MS,
+            heartbeat_interval: head.beat_ms * NS_PER_MS,
+            check_interval: head.probe_ms * NS_PER_MS,
+            check_timeout: head.patience_ms * NS_PER_MS,
         };
-        Ok(Setting {
-            terms,
-            addresses: lines.iter().map(|l| l.address).collect(),
+        Ok(CoordinationSettings {
+            config: terms,
+            voter_addresses: lines.iter().map(|l| l.address).collect(),
             probing: head.probing,
-            gone_after: head.gone_after_ms * MS,
-            warming: head.warming.then_some(Pace {
-                bears: head.warm_bears,
-                part: head.warm_part,
-                from: 1.0,
-                after: 0,
-                patience: head.lease_ms * MS,
-                most: head.warm_objects,
+            member_gone_after: head.gone_after_ms * NS_PER_MS,
+            warming: head.warming.then_some(WarmingLimits {
+                warm_requests_per_second: head.warm_bears,
+                capacity_share: head.warm_part,
+                initial_share: 1.0,
+                warm_up_time: 0,
+                fetch_timeout: head.lease_ms * NS_PER_MS,
+                max_objects: head.warm_objects,
             }),
         })
     }
--- a/crates/director/src/plain/counters.rs
+++ b/crates/director/src/counters.rs
@@ -4,50 +4,50 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use sablecross::Outcome;
-use sablecross::rules::{Hold, Violation};
+use sablecross::invariants::{BeginDenied, Violation};
 
 /// Kept by the desk alone.
 #[derive(Default, Debug)]
 pub struct Counters {
-    pub taken: u64,
-    pub satisfied: u64,
+    pub received: u64,
+    pub succeeded: u64,
     pub unchanged: u64,
-    pub nacked: u64,
-    pub crowded: u64,
+    pub rejected: u64,
+    pub rejected_overload: u64,
     pub failed: u64,
-    pub unfit: u64,
+    pub unusable: u64,
     pub cancelled: u64,
-    pub in_hand: u64,
-    pub sends: u64,
-    pub further: u64,
-    pub ends: [u64; 9],
+    pub in_flight: u64,
+    pub attempts: u64,
+    pub further_attempts: u64,
+    pub outcomes: [u64; 9],
     /// Answers decided after their client had given up.
     pub late: u64,
-    pub links: u64,
-    pub links_open: u64,
-    pub facts: u64,
+    pub connections_opened: u64,
+    pub connections_open: u64,
+    pub discovery_events: u64,
     /// Rules that something chosen would have broken; it was not carried out.
     pub violations: u64,
 }
 
 /// Kept by the threads that serve connections.
 #[derive(Default, Debug)]
-pub struct Shared {
+pub struct ConnectionCounters {
     pub answers: AtomicU64,
     pub answer_bytes: AtomicU64,
     /// Answers that were not begun, or not finished, by their time.
-    pub unsent: AtomicU64,
+    pub unsent_answers: AtomicU64,
     pub body_bytes: AtomicU64,
     pub bad_messages: AtomicU64,
     pub bad_lines: AtomicU64,
     /// Connections of clients: all, closed as idle after their time or to make room, over the limit.
     pub clients: AtomicU64,
     pub idle_closed: AtomicU64,
-    pub made_room: AtomicU64,
-    pub turned_away: AtomicU64,
+    pub evicted_for_room: AtomicU64,
+    pub rejected_connections: AtomicU64,
     /// Attempts that were not begun: past their time, given up by the desk, their client gone.
     pub expired: AtomicU64,
-    pub retracted: AtomicU64,
+    pub withdrawn: AtomicU64,
     pub client_gone: AtomicU64,
     /// Times an attempt waited as it had to be looked first whether its client was there.
     pub unconfirmed: AtomicU64,
@@ -61,12 +61,12 @@
 }
 
 /// Counts why an attempt was not begun.
-pub fn hold(counters: &Shared, why: Hold) {
+pub fn count_denial(counters: &ConnectionCounters, why: BeginDenied) {
     let counter = match why {
-        Hold::Expired => &counters.expired,
-        Hold::Retracted => &counters.retracted,
-        Hold::ClientGone => &counters.client_gone,
-        Hold::Unconfirmed => &counters.unconfirmed,
+        BeginDenied::Expired => &counters.expired,
+        BeginDenied::Withdrawn => &counters.withdrawn,
+        BeginDenied::ClientGone => &counters.client_gone,
+        BeginDenied::Unconfirmed => &counters.unconfirmed,
     };
     add(counter, 1);
 }
@@ -77,60 +77,60 @@
 
 impl Counters {
     /// Something that was chosen would have broken a rule: said with the request's name, and counted.
-    pub fn violation(&mut self, name: &str, why: Violation) {
+    pub fn record_violation(&mut self, name: &str, why: Violation) {
         self.violations += 1;
         tracing::error!("violation request={name} rule={why:?}");
     }
 
-    pub fn end(&mut self, outcome: Outcome) {
-        self.ends[place(outcome)] += 1;
+    pub fn record_outcome(&mut self, outcome: Outcome) {
+        self.outcomes[place(outcome)] += 1;
     }
 }
 
 fn place(outcome: Outcome) -> usize {
     match outcome {
-        Outcome::Satisfied => 0,
+        Outcome::Success => 0,
         Outcome::Error => 1,
-        Outcome::Full => 2,
+        Outcome::Overloaded => 2,
         Outcome::TimedOut => 3,
-        Outcome::Unconnected => 4,
-        Outcome::Broken => 5,
+        Outcome::ConnectFailed => 4,
+        Outcome::ConnectionLost => 5,
         Outcome::Cancelled => 6,
-        Outcome::NeverSent => 7,
+        Outcome::NotSent => 7,
         Outcome::Miss => 8,
     }
 }
 
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let [ok, error, full, timed_out, unconnected, broken, called_off, never_sent, miss] = self.ends;
+        let [ok, error, full, timed_out, unconnected, broken, called_off, never_sent, miss] = self.outcomes;
         write!(
             f,
             "taken={} satisfied={} nacked={} failed={} cancelled={} in_hand={} unchanged={} crowded={} \
              unfit={} sends={} further={} ok={ok} miss={miss} full={full} error={error} \
              timed_out={timed_out} unconnected={unconnected} broken={broken} called_off={called_off} \
              never_sent={never_sent} late={} links={} links_open={} facts={} violations={}",
-            self.taken,
-            self.satisfied,
-            self.nacked,
+            self.received,
+            self.succeeded,
+            self.rejected,
             self.failed,
             self.cancelled,
-            self.in_hand,
+            self.in_flight,
             self.unchanged,
-            self.crowded,
-            self.unfit,
-            self.sends,
-            self.further,
+            self.rejected_overload,
+            self.unusable,
+            self.attempts,
+            self.further_attempts,
             self.late,
-            self.links,
-            self.links_open,
-            self.facts,
+            self.connections_opened,
+            self.connections_open,
+            self.discovery_events,
             self.violations,
         )
     }
 }
 
-impl fmt::Display for Shared {
+impl fmt::Display for ConnectionCounters {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let of = |c: &AtomicU64| c.load(Ordering::Relaxed);
         write!(
@@ -140,18 +140,18 @@
              feed_calls={} feed_gaps={} feed_skipped={}",
             of(&self.answers),
             of(&self.answer_bytes),
-            of(&self.unsent),
+            of(&self.unsent_answers),
             of(&self.body_bytes),
             of(&self.bad_messages),
             of(&self.bad_lines),
             of(&self.clients),
             of(&self.idle_closed),
-            of(&self.made_room),
-            of(&self.turned_away),
+            of(&self.evicted_for_room),
+            of(&self.rejected_connections),
             of(&self.shortages),
             of(&self.stalls),
             of(&self.expired),
-            of(&self.retracted),
+            of(&self.withdrawn),
             of(&self.client_gone),
             of(&self.unconfirmed),
             of(&self.feed_calls),
@@ -162,7 +162,7 @@
 }
 
 /// Threads and the most memory used so far, where the system tells.
-pub fn usage() -> String {
+pub fn process_usage() -> String {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let of = |key: &str, name: &str| {
         let line = status.lines().find_map(|l| l.strip_prefix(key))?;
--- a/crates/director/src/plain/facts.rs
+++ b/crates/director/src/discovery_event.rs
@@ -2,19 +2,19 @@
 
 use std::net::SocketAddr;
 
-use sablecross::{Ns, State};
+use sablecross::{EndpointState, Ns};
 use serde::Deserialize;
 use serde_json::Value;
 
-use super::clock::MS;
-use crate::upper::Told;
+use crate::clock::NS_PER_MS;
+use crate::parent_hierarchy::VersionAnnouncement;
 
 /// What an event of the feed says.
 #[derive(Debug, PartialEq)]
-pub enum Fact {
-    Members {
-        members: Vec<Member>,
-        whole: bool,
+pub enum DiscoveryEvent {
+    Endpoints {
+        endpoints: Vec<Endpoint>,
+        is_snapshot: bool,
     },
     /// Of an object, or with none of a whole group. When it was made is not read: it is measured by another clock.
     Purge {
@@ -22,33 +22,33 @@
         group: u32,
     },
     /// A version of the hierarchy of upper caches, where this program knows them.
-    Hierarchy(Box<Told>),
+    Hierarchy(Box<VersionAnnouncement>),
 }
 
 /// A line of the list of nodes, as the feed names it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Member {
+pub struct Endpoint {
     pub name: String,
     pub address: SocketAddr,
     pub zone: String,
     pub kind: String,
     pub cell: usize,
-    pub state: State,
+    pub state: EndpointState,
     /// The Unix time of its start, by the clock of whoever lists it; 0: long ago.
-    pub started: Ns,
+    pub started_at: Ns,
 }
 
 #[derive(Debug)]
-pub struct Numbered {
-    pub n: u64,
-    pub fact: Fact,
+pub struct NumberedEvent {
+    pub number: u64,
+    pub event: DiscoveryEvent,
 }
 
 /// The events of the start.
 #[derive(Debug)]
-pub struct Known {
+pub struct KnownEvents {
     pub last: u64,
-    pub events: Vec<Numbered>,
+    pub events: Vec<NumberedEvent>,
 }
 
 #[derive(Deserialize)]
@@ -76,35 +76,48 @@
     group: u32,
 }
 
-impl Numbered {
-    pub fn of(event: &Value) -> Result<Numbered, String> {
+impl NumberedEvent {
+    pub fn from_json(event: &Value) -> Result<NumberedEvent, String> {
         let n = event.get("n").and_then(Value::as_u64).ok_or("an event has no number")?;
         let bad = |e: serde_json::Error| format!("event {n}: {e}");
         let fact = if let Some(raw) = event.get("members") {
             let raw = RawMembers::deserialize(raw).map_err(bad)?;
             let members = raw.endpoints.into_iter().map(member).collect::<Result<_, _>>();
-            Fact::Members { members: members.map_err(|e| format!("event {n}: {e}"))?, whole: raw.snapshot }
+            DiscoveryEvent::Endpoints {
+                endpoints: members.map_err(|e| format!("event {n}: {e}"))?,
+                is_snapshot: raw.snapshot,
+            }
         } else if let Some(raw) = event.get("purge") {
             let raw = RawPurge::deserialize(raw).map_err(bad)?;
             let object = raw.key.map(|k| u64::from_str_radix(&k, 16)).transpose();
             let object = object.map_err(|_| format!("event {n}: key is no object"))?;
-            Fact::Purge { object, group: raw.group }
+            DiscoveryEvent::Purge { object, group: raw.group }
         } else if let Some(raw) = event.get("hierarchy") {
-            Fact::Hierarchy(Box::new(Told::of(raw).map_err(|e| format!("event {n}: {e}"))?))
+            DiscoveryEvent::Hierarchy(Box::new(
+                VersionAnnouncement::from_event(raw).map_err(|e| format!("event {n}: {e}"))?,
+            ))
         } else {
             return Err(format!("event {n}: neither members nor a purge"));
         };
-        Ok(Numbered { n, fact })
+        Ok(NumberedEvent { number: n, event: fact })
     }
 }
 
-fn member(raw: RawMember) -> Result<Member, String> {
+fn member(raw: RawMember) -> Result<Endpoint, String> {
     let state = match raw.status.as_str() {
-        "ready" => State::Ready,
-        "draining" => State::Draining,
-        "gone" => State::Gone,
+        "ready" => EndpointState::Ready,
+        "draining" => EndpointState::Draining,
+        "gone" => EndpointState::Gone,
         other => return Err(format!("{}: unknown status {other}", raw.name)),
     };
     let (name, address, zone, kind, cell) = (raw.name, raw.address, raw.zone, raw.kind, raw.group);
-    Ok(Member { name, address, zone, kind, cell, state, started: raw.since_ms.saturating_mul(MS) })
+    Ok(Endpoint {
+        name,
+        address,
+        zone,
+        kind,
+        cell,
+        state,
+        started_at: raw.since_ms.saturating_mul(NS_PER_MS),
+    })
 }
--- a/crates/director/src/memory/mod.rs
+++ b/crates/director/src/dispatch/mod.rs
@@ -1,3 +1,3 @@
 //! What is kept in memory.
 
-pub mod desk;
+pub mod dispatcher;
--- a/crates/director/src/plain/sparing.rs
+++ b/crates/director/src/log_rate_limiter.rs
@@ -6,16 +6,16 @@
 const SPAN: Ns = 1_000_000_000;
 
 #[derive(Debug, Default)]
-pub struct Sparing {
+pub struct LogRateLimiter {
     since: Ns,
     said: u32,
     /// Lines left out since the last one.
     held: u64,
 }
 
-impl Sparing {
+impl LogRateLimiter {
     /// Whether a line may be written now, and how many were left out before it.
-    pub fn may(&mut self, now: Ns) -> Option<u64> {
+    pub fn admit(&mut self, now: Ns) -> Option<u64> {
         if now >= self.since.saturating_add(SPAN) {
             (self.since, self.said) = (now, 0);
         }
@@ -28,7 +28,7 @@
     }
 
     pub fn warn(&mut self, now: Ns, line: impl FnOnce() -> String) {
-        match self.may(now) {
+        match self.admit(now) {
             Some(0) => tracing::warn!("{}", line()),
             Some(held) => tracing::warn!("{}; {held} such lines left out before", line()),
             None => {}
--- a/crates/director/src/main.rs
+++ b/crates/director/src/main.rs
@@ -3,5 +3,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    sablecross_director::life::start()
+    sablecross_director::process::run()
 }
--- a/crates/director/src/plain/bodies.rs
+++ b/crates/director/src/memory_budget.rs
@@ -4,39 +4,39 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 #[derive(Debug)]
-pub struct Room {
+pub struct MemoryBudget {
     most: usize,
     taken: AtomicUsize,
 }
 
 /// Room that is taken, until it is dropped.
 #[derive(Debug)]
-pub struct Hold {
+pub struct Reservation {
     bytes: usize,
-    room: Arc<Room>,
+    room: Arc<MemoryBudget>,
 }
 
 #[derive(Debug)]
 pub struct Body {
     bytes: Vec<u8>,
-    _hold: Hold,
+    _hold: Reservation,
 }
 
-impl Room {
-    pub fn of(most: usize) -> Arc<Room> {
-        Arc::new(Room { most, taken: AtomicUsize::new(0) })
+impl MemoryBudget {
+    pub fn new(most: usize) -> Arc<MemoryBudget> {
+        Arc::new(MemoryBudget { most, taken: AtomicUsize::new(0) })
     }
 
     /// Takes room, if there is so much left.
-    pub fn hold(self: &Arc<Room>, bytes: usize) -> Option<Hold> {
+    pub fn reserve(self: &Arc<MemoryBudget>, bytes: usize) -> Option<Reservation> {
         let fits = |taken: usize| taken.checked_add(bytes).filter(|&t| t <= self.most);
         self.taken.fetch_update(Ordering::Relaxed, Ordering::Relaxed, fits).ok()?;
-        Some(Hold { bytes, room: Arc::clone(self) })
+        Some(Reservation { bytes, room: Arc::clone(self) })
     }
 
     /// A body of this length, if there is room for it.
-    pub fn body(self: &Arc<Room>, length: usize) -> Option<Body> {
-        let hold = self.hold(length)?;
+    pub fn allocate_body(self: &Arc<MemoryBudget>, length: usize) -> Option<Body> {
+        let hold = self.reserve(length)?;
         Some(Body { bytes: vec![0; length], _hold: hold })
     }
 }
@@ -51,7 +51,7 @@
     }
 }
 
-impl Drop for Hold {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.room.taken.fetch_sub(self.bytes, Ordering::Relaxed);
     }
--- a/crates/director/src/plain/names.rs
+++ b/crates/director/src/name_table.rs
@@ -2,25 +2,25 @@
 
 use std::collections::HashMap;
 
-use sablecross_inhand::settings::{Pairs, Result};
+use sablecross_inflight::settings::{Result, SettingsMap};
 use serde_json::Value;
 
 /// The method by which members of a fleet call one another.
-pub const DUTY: &str = "duty";
+pub const PEER_CALL_METHOD: &str = "duty";
 
 /// The names by which the outside calls what the module numbers.
 #[derive(Debug, Default)]
-pub struct Names {
-    pub kinds: Vec<String>,
+pub struct NameTable {
+    pub classes: Vec<String>,
     pub zones: HashMap<String, usize>,
-    pub machines: HashMap<String, usize>,
+    pub node_kinds: HashMap<String, usize>,
     /// Whether other members of the fleet are answered.
-    pub duties: bool,
+    pub answers_peers: bool,
 }
 
-impl Names {
+impl NameTable {
     /// `raw` are the same settings as they were told: lists call zones and machines by the very names.
-    pub fn of(p: &Pairs, raw: &Value) -> Result<Names> {
+    pub fn from_settings(p: &SettingsMap, raw: &Value) -> Result<NameTable> {
         let count: usize = p.get("classes.count")?;
         let kinds = (0..count).map(|i| p.text(&format!("classes.{i}.name")).map(str::to_owned));
         let numbered = |key: &str| -> Result<HashMap<String, usize>> {
@@ -28,11 +28,11 @@
             let name = |v: &Value| v.as_str().map(str::to_owned).ok_or(format!("bad setting: {key}: {v}"));
             names.iter().enumerate().map(|(i, v)| Ok((name(v)?, i))).collect()
         };
-        Ok(Names {
-            kinds: kinds.collect::<Result<_>>()?,
+        Ok(NameTable {
+            classes: kinds.collect::<Result<_>>()?,
             zones: numbered("zones")?,
-            machines: numbered("kinds")?,
-            duties: false,
+            node_kinds: numbered("kinds")?,
+            answers_peers: false,
         })
     }
 }
--- a/crates/director/src/plain/roster.rs
+++ b/crates/director/src/node_registry.rs
@@ -3,11 +3,11 @@
 
 use std::collections::HashMap;
 
-use sablecross::{Listed, Ns, State, rank};
+use sablecross::{EndpointState, EndpointUpdate, Ns, rank};
 
-use super::facts::Member;
-use super::names::Names;
-use super::source_clock::SourceClock;
+use crate::discovery_event::Endpoint;
+use crate::name_table::NameTable;
+use crate::source_clock::SourceClock;
 
 #[derive(Default)]
 struct Known {
@@ -16,7 +16,7 @@
     /// none can have sent to that node, and its number is free for another.
     gone: Option<u64>,
     start: Start,
-    state: State,
+    state: EndpointState,
 }
 
 /// When a node started: as it was listed, and in local time, which stays the same for as long as the listed one does.
@@ -27,7 +27,7 @@
 }
 
 #[derive(Default)]
-pub struct Roster {
+pub struct NodeRegistry {
     /// By the module's numbers.
     nodes: Vec<Known>,
     numbers: HashMap<String, usize>,
@@ -35,8 +35,8 @@
     source_clock: SourceClock,
 }
 
-impl Roster {
-    pub fn number_of(&self, name: &str) -> Option<usize> {
+impl NodeRegistry {
+    pub fn index_of(&self, name: &str) -> Option<usize> {
         self.numbers.get(name).copied()
     }
 
@@ -45,12 +45,12 @@
     }
 
     /// What the list says of a node.
-    pub fn state(&self, node: usize) -> State {
-        self.nodes.get(node).map_or(State::Gone, |known| known.state)
+    pub fn state(&self, node: usize) -> EndpointState {
+        self.nodes.get(node).map_or(EndpointState::Gone, |known| known.state)
     }
 
     /// Lets go of the numbers of nodes that went before the oldest lookup in hand came, and that are idle.
-    pub fn release(&mut self, oldest: u64, idle: impl Fn(usize) -> bool) {
+    pub fn release_unused(&mut self, oldest: u64, idle: impl Fn(usize) -> bool) {
         for (node, known) in self.nodes.iter_mut().enumerate() {
             if idle(node) && known.gone.take_if(|first| *first <= oldest).is_some() {
                 self.numbers.remove(&std::mem::take(&mut known.name));
@@ -60,32 +60,32 @@
     }
 
     /// Takes in the starts of a whole event, or of several, before any line of them is read.
-    pub fn observe(&mut self, members: &[Member], now: Ns) {
+    pub fn observe_starts(&mut self, members: &[Endpoint], now: Ns) {
         for member in members {
-            self.source_clock.observe(member.started, now);
+            self.source_clock.observe(member.started_at, now);
         }
     }
 
     /// One line, unless the settings do not know its like or it went before it came.
-    pub fn line(&mut self, names: &Names, m: &Member, now: Ns) -> Option<Listed> {
-        let (Some(&zone), Some(&machine)) = (names.zones.get(&m.zone), names.machines.get(&m.kind)) else {
+    pub fn endpoint_update(&mut self, names: &NameTable, m: &Endpoint, now: Ns) -> Option<EndpointUpdate> {
+        let (Some(&zone), Some(&machine)) = (names.zones.get(&m.zone), names.node_kinds.get(&m.kind)) else {
             tracing::warn!("list: {}: zone {} or type {} is not in the settings", m.name, m.zone, m.kind);
             return None;
         };
         let node = match self.numbers.get(&m.name) {
             Some(&node) => node,
-            None if m.state == State::Gone => return None,
+            None if m.state == EndpointState::Gone => return None,
             None => self.number(&m.name),
         };
-        Some(Listed {
+        Some(EndpointUpdate {
             node,
             rank: rank(&m.name),
             zone,
-            machine,
+            machine_kind: machine,
             cell: m.cell,
-            started: self.started(node, m.started, now),
+            started_at: self.started(node, m.started_at, now),
             state: m.state,
-            withheld: 0,
+            withheld_virtual_nodes: 0,
         })
     }
 
@@ -93,7 +93,7 @@
     fn started(&mut self, node: usize, listed: Ns, now: Ns) -> Ns {
         let start = &mut self.nodes[node].start;
         if start.listed != listed {
-            let local = self.source_clock.local(listed, now).max(1);
+            let local = self.source_clock.to_local(listed, now).max(1);
             *start = Start { listed, local: if listed == 0 { 0 } else { local } };
         }
         start.local
@@ -113,15 +113,15 @@
 
     /// Notes who is gone, as the lines and those that a whole list leaves out say; `next` is the lookup to come.
     /// Those that are gone, again where they are.
-    pub fn settle(&mut self, lines: &[Listed], whole: bool, next: u64) -> Vec<usize> {
-        let states: HashMap<usize, State> = lines.iter().map(|l| (l.node, l.state)).collect();
+    pub fn mark_gone(&mut self, lines: &[EndpointUpdate], whole: bool, next: u64) -> Vec<usize> {
+        let states: HashMap<usize, EndpointState> = lines.iter().map(|l| (l.node, l.state)).collect();
         let mut gone = Vec::new();
         for (node, known) in self.nodes.iter_mut().enumerate() {
             if let Some(state) = states.get(&node) {
                 known.state = *state;
             }
-            if states.get(&node).map_or(whole, |s| *s == State::Gone) {
-                known.state = State::Gone;
+            if states.get(&node).map_or(whole, |s| *s == EndpointState::Gone) {
+                known.state = EndpointState::Gone;
                 gone.push(node);
                 if !known.name.is_empty() {
                     known.gone.get_or_insert(next);
--- a/crates/director/src/plain/os_error.rs
+++ b/crates/director/src/os_error.rs
@@ -4,7 +4,7 @@
 
 /// The connection or the file is as it was, and nothing has come yet. A program that is stopped and continued, as one
 /// held to part of a core is, has its waits interrupted: times count by the clock alone.
-pub fn is_pause(e: &io::Error) -> bool {
+pub fn is_would_block(e: &io::Error) -> bool {
     matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::WouldBlock)
 }
 
--- a/crates/director/src/life/config.rs
+++ b/crates/director/src/process/config.rs
@@ -4,13 +4,13 @@
 use std::net::SocketAddr;
 
 use sablecross::Settings;
-use sablecross_inhand::settings::{self, Pairs};
+use sablecross_inflight::settings::{self, SettingsMap};
 use serde_json::Value;
 use thiserror::Error;
 
-use crate::plain::facts::{Known, Numbered};
-use crate::plain::limits::Limits;
-use crate::plain::names::Names;
+use crate::discovery_event::{KnownEvents, NumberedEvent};
+use crate::limits::Limits;
+use crate::name_table::NameTable;
 
 type Result<T> = std::result::Result<T, String>;
 
@@ -22,44 +22,44 @@
     pub feeds: Vec<SocketAddr>,
     pub seed: u64,
     pub settings: Settings,
-    pub names: Names,
+    pub names: NameTable,
     pub limits: Limits,
-    pub known: Known,
+    pub known: KnownEvents,
 }
 
 /// Why there is no configuration.
 #[derive(Debug, Error)]
-pub enum LoadError {
+pub enum ConfigLoadError {
     #[error("NODE_CONFIG: not set")]
-    Unset,
+    NotSet,
     #[error("NODE_CONFIG: {path}: {why}")]
     Unreadable { path: String, why: io::Error },
     /// Not JSON, or not all of it.
     #[error("configuration: {why} (NODE_CONFIG: {path})")]
-    Unparsed { path: String, why: serde_json::Error },
+    InvalidJson { path: String, why: serde_json::Error },
     /// Names the key at fault.
     #[error("{why} (NODE_CONFIG: {path})")]
-    Faulty { path: String, why: String },
+    InvalidSetting { path: String, why: String },
 }
 
-impl LoadError {
+impl ConfigLoadError {
     /// Whether the file may be readable a little later as it is, or once it has been written to its end.
-    pub fn may_pass(&self) -> bool {
-        matches!(self, LoadError::Unreadable { .. } | LoadError::Unparsed { .. })
+    pub fn is_transient(&self) -> bool {
+        matches!(self, ConfigLoadError::Unreadable { .. } | ConfigLoadError::InvalidJson { .. })
     }
 }
 
 impl Config {
     /// From the file that `NODE_CONFIG` names.
-    pub fn load() -> std::result::Result<Config, LoadError> {
-        let path = std::env::var("NODE_CONFIG").map_err(|_| LoadError::Unset)?;
+    pub fn load() -> std::result::Result<Config, ConfigLoadError> {
+        let path = std::env::var("NODE_CONFIG").map_err(|_| ConfigLoadError::NotSet)?;
         let text = match std::fs::read_to_string(&path) {
             Ok(text) => text,
-            Err(why) => return Err(LoadError::Unreadable { path, why }),
+            Err(why) => return Err(ConfigLoadError::Unreadable { path, why }),
         };
         match serde_json::from_str(&text) {
-            Ok(all) => Config::of(&all).map_err(|why| LoadError::Faulty { path, why }),
-            Err(why) => Err(LoadError::Unparsed { path, why }),
+            Ok(all) => Config::of(&all).map_err(|why| ConfigLoadError::InvalidSetting { path, why }),
+            Err(why) => Err(ConfigLoadError::InvalidJson { path, why }),
         }
     }
 
@@ -72,33 +72,34 @@
         let seed = string(all, "seed")?;
         let known = all.get("known").ok_or("known: missing")?;
         let events = known.get("events").and_then(Value::as_array).ok_or("known.events: not a list")?;
-        let events = events.iter().map(|e| Numbered::of(e).map_err(|e| format!("known.events: {e}")));
+        let events =
+            events.iter().map(|e| NumberedEvent::from_json(e).map_err(|e| format!("known.events: {e}")));
         let events = events.collect::<Result<_>>()?;
         let last = known.get("n").and_then(Value::as_u64).ok_or("known.n: not a whole number")?;
         let mut pairs = Vec::new();
         flatten(String::new(), all.get("settings").ok_or("settings: missing")?, &mut pairs);
-        let pairs: Pairs = pairs.into_iter().collect();
+        let pairs: SettingsMap = pairs.into_iter().collect();
         let in_settings = |e: String| format!("settings: {e}");
         let count = |key: &str| -> Result<usize> {
             let value = all.pointer(&format!("/limits/{key}")).ok_or(format!("limits.{key}: missing"))?;
             let n = value.as_u64().filter(|&n| n > 0).ok_or(format!("limits.{key}: not a count: {value}"))?;
             usize::try_from(n).map_err(|_| format!("limits.{key}: too large: {n}"))
         };
-        let time = |key: &str| pairs.ns(key).map_err(in_settings);
+        let time = |key: &str| pairs.nanoseconds(key).map_err(in_settings);
         Ok(Config {
             name: string(all, "name")?.to_owned(),
             listen: address(all, "listen")?,
             feeds: feeds(all)?,
             seed: u64::from_str_radix(seed, 16).map_err(|_| format!("seed: not hexadecimal: {seed}"))?,
             settings: settings::decode(&pairs).map_err(in_settings)?,
-            names: Names::of(&pairs, &all["settings"]).map_err(in_settings)?,
-            limits: Limits::of(
+            names: NameTable::from_settings(&pairs, &all["settings"]).map_err(in_settings)?,
+            limits: Limits::new(
                 count("sockets")?,
                 count("memory_mb")?,
                 time("ceilings.dialTimeoutUs")?,
                 time("ceilings.keepaliveUs")?,
             ),
-            known: Known { last, events },
+            known: KnownEvents { last, events },
         })
     }
 }
--- a/crates/director/src/life/journal.rs
+++ b/crates/director/src/process/logging.rs
@@ -17,7 +17,7 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{Layer, Registry, fmt};
 
-use super::starting::Starting;
+use super::startup::StartupRetry;
 
 /// Which parts are heard, and from which level on: `info` if it is not set or can't be read.
 const FILTER: &str = "RUST_LOG";
@@ -74,13 +74,13 @@
 }
 
 /// The log of a program, until it ends.
-pub struct Journal {
+pub struct LogWriter {
     messages: Option<Sender<Message>>,
 }
 
-impl Journal {
+impl LogWriter {
     /// Once, at the start of the program. Without a thread for it lines are written directly.
-    pub fn begin(starting: &Starting) -> Journal {
+    pub fn start(starting: &StartupRetry) -> LogWriter {
         let (messages, waiting) = bounded(QUEUE);
         let dropped = Arc::new(AtomicU64::new(0));
         let started = starting.retry(|| {
@@ -93,11 +93,11 @@
             Ok(_) => subscribe(BoxMakeWriter::new(move || queue.clone())),
             Err(_) => subscribe(BoxMakeWriter::new(stderr)),
         }
-        Journal { messages: started.is_ok().then_some(messages) }
+        LogWriter { messages: started.is_ok().then_some(messages) }
     }
 
     /// Waits a little for the last lines.
-    pub fn end(self) {
+    pub fn flush(self) {
         let Some(messages) = self.messages else { return };
         let (written, done) = bounded(0);
         if messages.send_timeout(Message::Flush(written), LAST_LINES).is_ok() {
--- a/crates/director/src/life/signals.rs
+++ b/crates/director/src/process/signals.rs
@@ -8,33 +8,33 @@
 use signal_hook::consts::{SIGHUP, SIGTERM, SIGUSR1};
 use signal_hook::iterator::Signals;
 
-use super::config::{Config, LoadError};
-use crate::exchange::Event;
-use crate::plain::facts::Fact;
-use crate::terms::Setting;
-use crate::upper::Told;
-use crate::wire::feed::Move;
+use super::config::{Config, ConfigLoadError};
+use crate::coordination_settings::CoordinationSettings;
+use crate::discovery_event::DiscoveryEvent;
+use crate::events::Event;
+use crate::parent_hierarchy::VersionAnnouncement;
+use crate::wire::discovery_client::FeedMove;
 
-pub const HEARD: [i32; 3] = [SIGHUP, SIGTERM, SIGUSR1];
+pub const HANDLED_SIGNALS: [i32; 3] = [SIGHUP, SIGTERM, SIGUSR1];
 
 /// What of the configuration stays as it was at the start.
-pub struct Fixed {
+pub struct ReloadContext {
     name: String,
     listen: SocketAddr,
     settings: Settings,
     /// Moves that the feed's thread has not come to yet: a later one takes the place of the oldest, so that no
     /// signal waits behind a feed that is down.
-    overtaken: Receiver<Move>,
+    overtaken: Receiver<FeedMove>,
 }
 
-impl Fixed {
-    pub fn of(config: &Config, overtaken: Receiver<Move>) -> Fixed {
+impl ReloadContext {
+    pub fn new(config: &Config, overtaken: Receiver<FeedMove>) -> ReloadContext {
         let Config { name, listen, settings, .. } = config;
-        Fixed { name: name.clone(), listen: *listen, settings: settings.clone(), overtaken }
+        ReloadContext { name: name.clone(), listen: *listen, settings: settings.clone(), overtaken }
     }
 
     /// Reads the configuration again: the feed moves, all else takes a restart. A faulty one changes nothing.
-    fn reload(&self, moves: &Sender<Move>) -> Result<(), LoadError> {
+    fn reload(&self, moves: &Sender<FeedMove>) -> Result<(), ConfigLoadError> {
         let config = Config::load()?;
         let same = [
             ("name", self.name == config.name),
@@ -60,22 +60,27 @@
 
 /// Reads the files of the duties and the hierarchy again; false once the desk is gone.
 fn reload_more(events: &Sender<Event>) -> bool {
-    let setting = Setting::read()
+    let setting = CoordinationSettings::from_env()
         .and_then(|read| read.map_err(|e| tracing::error!("reload failed, the old duties stay: {e}")).ok());
     if let Some(setting) = setting
-        && events.send(Event::Settle(Box::new(setting))).is_err()
+        && events.send(Event::CoordinationReloaded(Box::new(setting))).is_err()
     {
         return false;
     }
-    let told = Told::read().and_then(|read| {
+    let told = VersionAnnouncement::from_settings_file().and_then(|read| {
         read.map_err(|e| tracing::error!("reload failed, the old hierarchy stays: {e}")).ok()
     });
-    told.is_none_or(|told| events.send(Event::Fact(Fact::Hierarchy(Box::new(told)))).is_ok())
+    told.is_none_or(|told| events.send(Event::Discovery(DiscoveryEvent::Hierarchy(Box::new(told)))).is_ok())
 }
 
 /// Hears signals for ever, or until the desk is gone. A reload that fails is tried again for a while, during which
 /// other signals are heard: the file may be in the midst of being written, or no descriptor be left to read it.
-pub fn hear(mut signals: Signals, fixed: &Fixed, events: &Sender<Event>, moves: &Sender<Move>) {
+pub fn handle_signals(
+    mut signals: Signals,
+    fixed: &ReloadContext,
+    events: &Sender<Event>,
+    moves: &Sender<FeedMove>,
+) {
     let mut reload_by: Option<Instant> = None;
     loop {
         let heard: Vec<i32> = if reload_by.is_some() {
@@ -93,8 +98,8 @@
                     }
                     Ok(())
                 }
-                SIGTERM => events.send(Event::Stop),
-                _ => events.send(Event::Report),
+                SIGTERM => events.send(Event::Shutdown),
+                _ => events.send(Event::LogCounters),
             };
             if told.is_err() {
                 return;
@@ -103,7 +108,7 @@
         if let Some(by) = reload_by {
             match fixed.reload(moves) {
                 Ok(()) => reload_by = None,
-                Err(e) if Instant::now() < by && e.may_pass() => tracing::debug!("reload waits: {e}"),
+                Err(e) if Instant::now() < by && e.is_transient() => tracing::debug!("reload waits: {e}"),
                 Err(e) => {
                     tracing::error!("reload failed, the old configuration stays: {e}");
                     reload_by = None;
--- a/crates/director/src/life/starting.rs
+++ b/crates/director/src/process/startup.rs
@@ -6,8 +6,8 @@
 
 use crossbeam_channel::{Sender, bounded};
 
-use crate::exchange::Event;
-use crate::plain::os_error;
+use crate::events::Event;
+use crate::os_error;
 
 /// A start that can't be has ended after this.
 const PATIENCE: Duration = Duration::from_secs(5);
@@ -21,17 +21,17 @@
 
 impl Drop for Vital {
     fn drop(&mut self) {
-        let _ = self.events.send(Event::Died(self.name));
+        let _ = self.events.send(Event::ThreadEnded(self.name));
     }
 }
 
-pub struct Starting {
+pub struct StartupRetry {
     until: Instant,
 }
 
-impl Starting {
-    pub fn begin() -> Starting {
-        Starting { until: Instant::now() + PATIENCE }
+impl StartupRetry {
+    pub fn new() -> StartupRetry {
+        StartupRetry { until: Instant::now() + PATIENCE }
     }
 
     /// Whether what failed so may go well before the start's time is over; it has waited a little then.
@@ -56,7 +56,7 @@
     }
 
     /// Starts a thread whose end ends the program.
-    pub fn spawn_vital(
+    pub fn spawn_essential(
         &self,
         name: &'static str,
         stack: usize,
--- a/crates/director/src/plain/source_clock.rs
+++ b/crates/director/src/source_clock.rs
@@ -32,7 +32,7 @@
     }
 
     /// The local time of a stamp that was observed, or a later one.
-    pub fn local(&self, stamp: Ns, now: Ns) -> Ns {
+    pub fn to_local(&self, stamp: Ns, now: Ns) -> Ns {
         let age = self.at_least(now).saturating_sub(stamp);
         now.saturating_sub(age)
     }
--- a/crates/director/src/plain/stall.rs
+++ b/crates/director/src/stall_detector.rs
@@ -4,28 +4,28 @@
 
 use sablecross::Ns;
 
-use super::clock::MS;
+use crate::clock::NS_PER_MS;
 
 /// What is no longer than this is the way through the program.
-const NOTICED: Ns = 20 * MS;
+const NOTICED: Ns = 20 * NS_PER_MS;
 
 /// Watches the waits of one thread.
 #[derive(Clone, Copy, Debug)]
-pub struct StallWatch {
+pub struct StallDetector {
     /// When its last wait ended.
     woke: Ns,
     /// Found at waits that ended without telling what has come.
     carried: Ns,
 }
 
-impl StallWatch {
-    pub fn begin(now: Ns) -> StallWatch {
-        StallWatch { woke: now, carried: 0 }
+impl StallDetector {
+    pub fn new(now: Ns) -> StallDetector {
+        StallDetector { woke: now, carried: 0 }
     }
 
     /// A wait of at most so long that began at `entered` is over. How long before now at most what is found then may
     /// have come, beside the length of the wait itself. One that was interrupted has not told what has come.
-    pub fn woken(&mut self, entered: Ns, wait: Duration, now: Ns, interrupted: bool) -> Ns {
+    pub fn on_wakeup(&mut self, entered: Ns, wait: Duration, now: Ns, interrupted: bool) -> Ns {
         let busy = entered.saturating_sub(self.woke);
         self.woke = now;
         let waited = now.saturating_sub(entered);
