--- a/crates/director/src/wire/clients.rs
+++ b/crates/director/src/wire/client_server.rs
@@ -13,29 +13,29 @@
 use mio::{Events, Interest, Poll, Token, Waker};
 use sablecross::Ns;
 
-use super::connection::{Connection, Over};
-pub use super::reply::{Reply, Say};
-use crate::common::Common;
-use crate::exchange::{Call, Client, Event};
-use crate::plain::clock::MS;
-use crate::plain::counters;
-use crate::plain::os_error::{is_failed_connection, is_pause};
-use crate::plain::sparing::Sparing;
-use crate::plain::stall::StallWatch;
+use super::client_connection::{ClientConnection, CloseReason};
+pub use super::response::{PendingResponse, Response};
+use crate::clock::NS_PER_MS;
+use crate::counters;
+use crate::events::{CallId, ClientId, Event};
+use crate::log_rate_limiter::LogRateLimiter;
+use crate::os_error::{is_failed_connection, is_would_block};
+use crate::shared::SharedContext;
+use crate::stall_detector::StallDetector;
 
 const LISTENER: Token = Token(usize::MAX);
 const REPLIES: Token = Token(usize::MAX - 1);
 
 /// The desk's way to the clients.
-pub struct Outlet {
-    replies: Sender<Reply>,
+pub struct ResponseSender {
+    replies: Sender<PendingResponse>,
     waker: Waker,
     finishing: Arc<AtomicBool>,
 }
 
-impl Outlet {
+impl ResponseSender {
     /// Hands an answer over; it comes back if there are more than can be kept just now.
-    pub fn tell(&self, reply: Reply) -> Result<(), Reply> {
+    pub fn send(&self, reply: PendingResponse) -> Result<(), PendingResponse> {
         let told = match self.replies.try_send(reply) {
             Err(TrySendError::Full(reply)) => Err(reply),
             // Without the clients' thread nobody is owed anything.
@@ -47,49 +47,49 @@
     }
 
     /// No more clients are taken; each connection ends once nothing is open on it.
-    pub fn finish(&self) {
+    pub fn begin_shutdown(&self) {
         self.finishing.store(true, Ordering::Release);
         let _ = self.waker.wake();
     }
 }
 
-pub struct Clients {
+pub struct ClientServer {
     poll: Poll,
     /// None once the program ends.
     listener: Option<TcpListener>,
-    replies: Receiver<Reply>,
-    of: Arc<Common>,
-    open: BTreeMap<Client, Connection>,
+    replies: Receiver<PendingResponse>,
+    of: Arc<SharedContext>,
+    open: BTreeMap<ClientId, ClientConnection>,
     /// How many of those are ending.
     ending: usize,
-    next: Client,
+    next: ClientId,
     finishing: Arc<AtomicBool>,
     /// Connections that have more to say than their share.
-    more: Vec<Client>,
+    more: Vec<ClientId>,
     /// When connections are taken again, after that could not be done.
     accept_at: Option<Ns>,
     /// One that was taken and can't be watched yet.
     unwatched: Option<(TcpStream, SocketAddr)>,
     /// Since when connections may wait to be taken.
     untaken_since: Option<Ns>,
-    stalls: StallWatch,
+    stalls: StallDetector,
     /// Since when what is read now may have lain unread.
     heard_at: Ns,
     /// When it was first told to finish.
     finishing_since: Option<Ns>,
-    log: Sparing,
+    log: LogRateLimiter,
 }
 
-impl Clients {
-    pub fn listen(at: SocketAddr, of: &Arc<Common>) -> io::Result<(Clients, Outlet)> {
+impl ClientServer {
+    pub fn bind(at: SocketAddr, of: &Arc<SharedContext>) -> io::Result<(ClientServer, ResponseSender)> {
         let poll = Poll::new()?;
         let mut listener = TcpListener::bind(at)?;
         poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
-        let (replies, from_desk) = bounded(of.limits.replies);
+        let (replies, from_desk) = bounded(of.limits.response_queue_length);
         let finishing = Arc::new(AtomicBool::new(false));
         let waker = Waker::new(poll.registry(), REPLIES)?;
-        let outlet = Outlet { replies, waker, finishing: Arc::clone(&finishing) };
-        let clients = Clients {
+        let outlet = ResponseSender { replies, waker, finishing: Arc::clone(&finishing) };
+        let clients = ClientServer {
             poll,
             listener: Some(listener),
             replies: from_desk,
@@ -102,31 +102,31 @@
             accept_at: None,
             unwatched: None,
             untaken_since: None,
-            stalls: StallWatch::begin(of.clock.now()),
+            stalls: StallDetector::new(of.clock.now()),
             heard_at: of.clock.now(),
             finishing_since: None,
-            log: Sparing::default(),
+            log: LogRateLimiter::default(),
         };
         Ok((clients, outlet))
     }
 
-    pub fn address(&self) -> io::Result<SocketAddr> {
+    pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.listener.as_ref().ok_or(ErrorKind::NotConnected)?.local_addr()
     }
 
     /// Serves until it has finished, or the desk is gone.
-    pub fn serve(mut self) {
+    pub fn run(mut self) {
         let limits = &Arc::clone(&self.of).limits;
-        let mut events = Events::with_capacity(limits.turns);
+        let mut events = Events::with_capacity(limits.max_messages_per_turn);
         let mut sweep = self.of.clock.now();
         loop {
             let next = self.accept_at.map_or(sweep, |at| at.min(sweep));
             let wait = if self.more.is_empty() { self.of.clock.until(next) } else { Default::default() };
-            let wait = wait.min(Duration::from_nanos(limits.longest_wait));
+            let wait = wait.min(Duration::from_nanos(limits.max_poll_wait));
             let entered = self.of.clock.now();
             let polled = self.poll.poll(&mut events, Some(wait));
             if let Err(e) = &polled
-                && !is_pause(e)
+                && !is_would_block(e)
             {
                 return tracing::error!("connections of clients: {e}");
             }
@@ -138,9 +138,9 @@
                     REPLIES => {}
                     Token(client) => {
                         if event.is_writable() {
-                            self.write(client as Client);
+                            self.write(client as ClientId);
                         }
-                        again.push(client as Client);
+                        again.push(client as ClientId);
                     }
                 }
             }
@@ -151,8 +151,8 @@
             again.dedup();
             again.into_iter().for_each(|client| self.read(client));
             // With more events than one wait tells, others may have gone that were not looked at.
-            if polled.is_ok() && events.iter().count() < limits.turns {
-                self.of.clients_heard(woke);
+            if polled.is_ok() && events.iter().count() < limits.max_messages_per_turn {
+                self.of.record_clients_checked(woke);
             }
             let now = self.of.clock.now();
             if self.accept_at.is_some_and(|at| now >= at) {
@@ -160,12 +160,12 @@
             }
             let finishing = self.finishing.load(Ordering::Acquire);
             if now >= sweep || finishing {
-                sweep = now + if finishing { limits.stop_poll } else { limits.sweep };
+                sweep = now + if finishing { limits.shutdown_poll_interval } else { limits.sweep_interval };
                 self.sweep(now);
                 self.accept();
             }
             if finishing && self.finished() {
-                let _ = self.of.events.send(Event::Finished);
+                let _ = self.of.events.send(Event::ClientsFinished);
                 return;
             }
         }
@@ -174,11 +174,11 @@
     /// A wait is over: since when what is read now may have lain unread. The time now.
     fn woken(&mut self, entered: Ns, wait: Duration, interrupted: bool) -> Ns {
         let now = self.of.clock.now();
-        let unread = self.stalls.woken(entered, wait, now, interrupted);
+        let unread = self.stalls.on_wakeup(entered, wait, now, interrupted);
         self.heard_at = now.saturating_sub(unread);
         if unread > 0 {
             counters::add(&self.of.counters.stalls, 1);
-            tracing::debug!("stood still for up to {} ms", unread / MS);
+            tracing::debug!("stood still for up to {} ms", unread / NS_PER_MS);
         }
         now
     }
@@ -188,12 +188,12 @@
         let now = self.of.clock.now();
         let since = *self.finishing_since.get_or_insert(now);
         // Those that wait to be taken are owed an answer, as long as they can be taken before long.
-        if self.accept_at.is_none() || now >= since + self.of.limits.half_said {
+        if self.accept_at.is_none() || now >= since + self.of.limits.partial_message_timeout {
             self.listener = None;
             self.unwatched = None;
         }
-        let resting = self.open.iter().filter(|(_, c)| c.is_resting());
-        for client in resting.map(|(id, _)| *id).collect::<Vec<Client>>() {
+        let resting = self.open.iter().filter(|(_, c)| c.is_idle());
+        for client in resting.map(|(id, _)| *id).collect::<Vec<ClientId>>() {
             self.rest(client);
         }
         self.open.is_empty() && self.listener.is_none()
@@ -201,10 +201,10 @@
 
     /// Ends a connection on which nothing is open, unless something has come on it that is not read yet: that
     /// would be owed an answer.
-    fn rest(&mut self, client: Client) {
+    fn rest(&mut self, client: ClientId) {
         self.read(client);
-        if self.open.get(&client).is_some_and(Connection::is_resting) {
-            self.close(client, Over::Resting);
+        if self.open.get(&client).is_some_and(ClientConnection::is_idle) {
+            self.close(client, CloseReason::Idle);
         }
     }
 
@@ -214,7 +214,7 @@
             return Some(taken);
         }
         let listener = self.listener.as_ref()?;
-        for _ in 0..self.of.limits.turns {
+        for _ in 0..self.of.limits.max_messages_per_turn {
             match listener.accept() {
                 Ok(taken) => return Some(taken),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
@@ -236,7 +236,7 @@
     fn accept_later(&mut self) {
         counters::add(&self.of.counters.shortages, 1);
         self.untaken_since.get_or_insert(self.heard_at);
-        self.accept_at = Some(self.of.clock.now() + self.of.limits.shortage_pause);
+        self.accept_at = Some(self.of.clock.now() + self.of.limits.shortage_retry_interval);
     }
 
     /// Takes all that wait to come in. With all slots taken the longest idle connection makes room: of those that
@@ -248,7 +248,7 @@
         while let Some((mut stream, peer)) = self.next_connection() {
             let (now, client) = (self.of.clock.now(), self.next);
             if !self.has_place(now) {
-                counters::add(&self.of.counters.turned_away, 1);
+                counters::add(&self.of.counters.rejected_connections, 1);
                 continue;
             }
             let interest = Interest::READABLE | Interest::WRITABLE;
@@ -262,7 +262,7 @@
             }
             // Without it answers are but slower.
             let _ = stream.set_nodelay(true);
-            let connection = Connection::new(stream, peer, self.untaken_since, &self.of);
+            let connection = ClientConnection::new(stream, peer, self.untaken_since, &self.of);
             counters::add(&self.of.counters.clients, 1);
             self.next += 1;
             self.open.insert(client, connection);
@@ -271,12 +271,14 @@
 
     /// Whether there is a place for one more, made if need be.
     fn has_place(&mut self, now: Ns) -> bool {
-        let settled = now.saturating_sub(self.of.limits.settled);
-        while self.open.len() - self.ending >= self.of.limits.clients {
-            let resting = self.open.iter().filter(|(_, c)| c.is_resting());
-            let longest = resting.map(|(id, c)| (c.spoke || c.since > settled, c.since, *id)).min();
-            let half_heard = self.open.iter().filter(|(_, c)| c.is_half_heard());
-            let half_heard = half_heard.map(|(id, c)| (c.since, *id)).min();
+        let settled = now.saturating_sub(self.of.limits.new_client_grace);
+        while self.open.len() - self.ending >= self.of.limits.max_client_connections {
+            let resting = self.open.iter().filter(|(_, c)| c.is_idle());
+            let longest = resting
+                .map(|(id, c)| (c.has_sent_message || c.last_activity > settled, c.last_activity, *id))
+                .min();
+            let half_heard = self.open.iter().filter(|(_, c)| c.has_only_partial_message());
+            let half_heard = half_heard.map(|(id, c)| (c.last_activity, *id)).min();
             let longest = match (longest, half_heard) {
                 (Some((_, _, longest)), _) => {
                     // One that has just said something stays, and the next one is looked at.
@@ -284,13 +286,13 @@
                     longest
                 }
                 (None, Some((_, half))) => {
-                    self.close(half, Over::Fault("half a message, and no place left"));
+                    self.close(half, CloseReason::ProtocolError("half a message, and no place left"));
                     half
                 }
                 (None, None) => return false,
             };
-            let stays = self.open.get(&longest).is_some_and(|c| c.ending.is_none());
-            counters::add(&self.of.counters.made_room, usize::from(!stays));
+            let stays = self.open.get(&longest).is_some_and(|c| c.closing_until.is_none());
+            counters::add(&self.of.counters.evicted_for_room, usize::from(!stays));
         }
         true
     }
@@ -305,20 +307,21 @@
             let client = reply.client;
             // What was withdrawn meanwhile is not owed any more.
             let open = self.open.get_mut(&client);
-            let Call { number, turn } = reply.call;
-            let owed = |c: &Connection| c.calls.get(&number).is_some_and(|(open, _)| *open == turn);
+            let CallId { number, generation: turn } = reply.call;
+            let owed =
+                |c: &ClientConnection| c.open_calls.get(&number).is_some_and(|(open, _)| *open == turn);
             let Some(connection) = open.filter(|c| owed(c)) else { continue };
-            connection.calls.remove(&number);
-            connection.answers.push_back(reply);
-            if connection.throttled && connection.calls.len() < self.of.limits.open_a_client {
-                connection.throttled = false;
+            connection.open_calls.remove(&number);
+            connection.queued_responses.push_back(reply);
+            if connection.is_throttled && connection.open_calls.len() < self.of.limits.max_open_per_client {
+                connection.is_throttled = false;
                 self.more.push(client);
             }
             self.write(client);
         }
     }
 
-    fn read(&mut self, client: Client) {
+    fn read(&mut self, client: ClientId) {
         let Some(connection) = self.open.get_mut(&client) else { return };
         connection.unread_since.get_or_insert(self.heard_at);
         match connection.read(client, &self.of, &mut self.log) {
@@ -328,7 +331,7 @@
         }
     }
 
-    fn write(&mut self, client: Client) {
+    fn write(&mut self, client: ClientId) {
         let Some(connection) = self.open.get_mut(&client) else { return };
         if let Err(why) = connection.write(&self.of) {
             self.close(client, why);
@@ -337,50 +340,53 @@
 
     /// Closes what says nothing whole in its time, or nothing more, and what takes no answers.
     fn sweep(&mut self, now: Ns) {
-        let late: Vec<(Client, Over)> =
-            self.open.iter().filter_map(|(id, c)| Some((*id, c.late(now, &self.of)?))).collect();
+        let late: Vec<(ClientId, CloseReason)> =
+            self.open.iter().filter_map(|(id, c)| Some((*id, c.overdue_reason(now, &self.of)?))).collect();
         for (client, why) in late {
-            if why == Over::Resting {
+            if why == CloseReason::Idle {
                 self.rest(client);
             } else {
                 self.close(client, why);
             }
-            let stays = self.open.get(&client).is_some_and(|c| c.ending.is_none());
-            counters::add(&self.of.counters.idle_closed, usize::from(!stays && why != Over::Gone));
+            let stays = self.open.get(&client).is_some_and(|c| c.closing_until.is_none());
+            counters::add(
+                &self.of.counters.idle_closed,
+                usize::from(!stays && why != CloseReason::Disconnected),
+            );
         }
-        let waiting = self.open.iter().filter(|(_, c)| c.writing.is_some()).map(|(id, _)| *id);
-        waiting.collect::<Vec<Client>>().into_iter().for_each(|client| self.write(client));
+        let waiting = self.open.iter().filter(|(_, c)| c.current_response.is_some()).map(|(id, _)| *id);
+        waiting.collect::<Vec<ClientId>>().into_iter().for_each(|client| self.write(client));
     }
 
     /// Ends a connection. Unless its client has gone, it is told that no more comes and has some time to take what
     /// is under way; past a bound of such connections the one that has had most of it is cut.
-    fn close(&mut self, client: Client, why: Over) {
+    fn close(&mut self, client: ClientId, why: CloseReason) {
         let Some(connection) = self.open.get_mut(&client) else { return };
-        if connection.ending.is_some() {
+        if connection.closing_until.is_some() {
             self.ending -= 1;
             self.open.remove(&client);
             return;
         }
         let now = self.of.clock.now();
-        if let Over::Fault(why) = why {
+        if let CloseReason::ProtocolError(why) = why {
             counters::add(&self.of.counters.bad_messages, 1);
             self.log.warn(now, || format!("client {}: closed: {why}", connection.peer));
         }
-        let unsent = connection.answers.len() + usize::from(connection.writing.is_some());
-        counters::add(&self.of.counters.unsent, unsent);
-        connection.calls.values().for_each(|(_, withdrawn)| withdrawn.say());
-        let _ = self.of.events.send(Event::Left { client });
-        if why == Over::Gone || connection.stream.shutdown(Shutdown::Write).is_err() {
+        let unsent = connection.queued_responses.len() + usize::from(connection.current_response.is_some());
+        counters::add(&self.of.counters.unsent_answers, unsent);
+        connection.open_calls.values().for_each(|(_, withdrawn)| withdrawn.cancel());
+        let _ = self.of.events.send(Event::ClientDisconnected { client });
+        if why == CloseReason::Disconnected || connection.stream.shutdown(Shutdown::Write).is_err() {
             self.open.remove(&client);
             return;
         }
-        connection.end_by(now + self.of.limits.last_bytes, &self.of);
+        connection.begin_closing(now + self.of.limits.closing_timeout, &self.of);
         self.ending += 1;
-        let all = self.open.iter().filter_map(|(id, c)| Some((c.ending?, *id)));
-        if self.ending > self.of.limits.ending
+        let all = self.open.iter().filter_map(|(id, c)| Some((c.closing_until?, *id)));
+        if self.ending > self.of.limits.max_closing_clients
             && let Some((_, first)) = all.min()
         {
-            self.close(first, Over::Gone);
+            self.close(first, CloseReason::Disconnected);
         }
     }
 }
--- a/crates/director/src/wire/feed.rs
+++ b/crates/director/src/wire/discovery_client.rs
@@ -1,5 +1,5 @@
 //! The control feed: numbered events over HTTP, each taken once and in order. What its bytes say, which events are news and
-//! which feed is called is decided in `sablecross-feed`; here are its sockets.
+//! which feed is called is decided in `sablecross-discovery`; here are its sockets.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,34 +7,36 @@
 use std::time::{Duration, Instant};
 
 use crossbeam_channel::Receiver;
-use sablecross_feed::{Cursor, Feeds, Flaw, Said, Stream, Verdict, request};
+use sablecross_discovery::{
+    EventCursor, EventStreamParser, EventVerdict, FeedSelector, StreamError, StreamItem, events_request,
+};
 use serde_json::Value;
 
-use super::intake::Intake;
-use crate::common::Common;
-use crate::exchange::Event;
-use crate::plain::counters;
-use crate::plain::facts::{Fact, Known, Numbered};
-use crate::plain::os_error::is_pause;
-use crate::upper::InForce;
+use super::read_buffer::ReadBuffer;
+use crate::counters;
+use crate::discovery_event::{DiscoveryEvent, KnownEvents, NumberedEvent};
+use crate::events::Event;
+use crate::os_error::is_would_block;
+use crate::parent_hierarchy::AppliedVersion;
+use crate::shared::SharedContext;
 
 /// Where the feed is from now on, home first, and what was known there.
-pub type Move = (Vec<SocketAddr>, Known);
+pub type FeedMove = (Vec<SocketAddr>, KnownEvents);
 
 /// Follows the feed for ever, or until the desk is gone.
-pub struct Follower {
-    pub cursor: Cursor,
-    pub feeds: Feeds,
-    pub common: Arc<Common>,
-    pub moves: Receiver<Move>,
+pub struct DiscoveryClient {
+    pub cursor: EventCursor,
+    pub feeds: FeedSelector,
+    pub shared: Arc<SharedContext>,
+    pub moves: Receiver<FeedMove>,
     /// It answered last time; it has not been called yet.
-    pub up: bool,
-    pub first: bool,
+    pub is_up: bool,
+    pub is_first_call: bool,
     /// The name under which it says what it has in force.
-    pub party: String,
-    pub in_force: Receiver<InForce>,
+    pub director_name: String,
+    pub applied_versions: Receiver<AppliedVersion>,
     /// What it has to say, until the feed has heard it; when it was said last.
-    pub word: Option<(InForce, Instant)>,
+    pub pending_report: Option<(AppliedVersion, Instant)>,
 }
 
 enum Over {
@@ -45,7 +47,7 @@
     /// The stream came to its end, as it may at any time.
     Ended,
     /// The feed is to be followed elsewhere.
-    Moved(Move),
+    Moved(FeedMove),
     Desk,
 }
 
@@ -55,8 +57,8 @@
     }
 }
 
-impl From<Flaw> for Over {
-    fn from(flaw: Flaw) -> Over {
+impl From<StreamError> for Over {
+    fn from(flaw: StreamError) -> Over {
         Over::Call(flaw.to_string())
     }
 }
@@ -64,11 +66,11 @@
 /// Read at once.
 const READ: usize = 16 << 10;
 
-impl Follower {
-    pub fn follow(mut self) {
+impl DiscoveryClient {
+    pub fn run(mut self) {
         let began = Instant::now();
         loop {
-            let (start, before) = (Instant::now(), self.cursor.last());
+            let (start, before) = (Instant::now(), self.cursor.last_number());
             match self.call().err().unwrap_or(Over::Ended) {
                 Over::Desk => return,
                 Over::Moved(to) => {
@@ -79,44 +81,44 @@
                 }
                 // It is over only if the next call fails: relays end streams all the time.
                 Over::Ended => {
-                    tracing::debug!("feed ended after={}", self.cursor.last());
-                    self.feeds.ended(began.elapsed());
+                    tracing::debug!("feed ended after={}", self.cursor.last_number());
+                    self.feeds.on_stream_ended(began.elapsed());
                 }
                 Over::Again(why) => self.over(&why),
                 Over::Call(why) => {
                     self.over(&why);
-                    self.feeds.failed(began.elapsed());
+                    self.feeds.on_failed(began.elapsed());
                 }
             }
             // Called again at once, but for one that fails or ends at once: no loop without a pause.
-            if self.cursor.last() == before && start.elapsed() < self.common.limits.feed_pause {
-                std::thread::sleep(self.common.limits.feed_pause);
+            if self.cursor.last_number() == before && start.elapsed() < self.shared.limits.feed_retry_delay {
+                std::thread::sleep(self.shared.limits.feed_retry_delay);
             }
         }
     }
 
     fn over(&mut self, why: &str) {
-        if std::mem::take(&mut self.up) {
-            tracing::info!("feed over after={} why={why}", self.cursor.last());
+        if std::mem::take(&mut self.is_up) {
+            tracing::info!("feed over after={} why={why}", self.cursor.last_number());
         }
     }
 
     /// The numbers go on: of what was known there, only what follows the last one is news.
-    fn moved(&mut self, (to, known): Move) -> Result<(), Over> {
+    fn moved(&mut self, (to, known): FeedMove) -> Result<(), Over> {
         let Some((home, others)) = to.split_first() else { return Ok(()) };
-        let from = self.feeds.at();
-        tracing::info!("feed moved after={} from={from} to={home}", self.cursor.last());
-        self.feeds = Feeds::new(&self.party, *home, others);
+        let from = self.feeds.current();
+        tracing::info!("feed moved after={} from={from} to={home}", self.cursor.last_number());
+        self.feeds = FeedSelector::new(&self.director_name, *home, others);
         for event in known.events {
-            if self.cursor.follows(event.n) {
-                self.take(event.fact)?;
+            if self.cursor.advance_if_next(event.number) {
+                self.take(event.event)?;
             }
         }
         Ok(())
     }
 
-    fn take(&mut self, fact: Fact) -> Result<(), Over> {
-        self.common.events.send(Event::Fact(fact)).map_err(|_| Over::Desk)
+    fn take(&mut self, fact: DiscoveryEvent) -> Result<(), Over> {
+        self.shared.events.send(Event::Discovery(fact)).map_err(|_| Over::Desk)
     }
 
     /// An error if the feed is to be followed elsewhere.
@@ -127,25 +129,25 @@
     /// Says what is in force, where a hierarchy is: again after a while until it is heard.
     fn say(&mut self) {
         let now = Instant::now();
-        for in_force in self.in_force.try_iter() {
-            self.word = Some((in_force, now));
+        for in_force in self.applied_versions.try_iter() {
+            self.pending_report = Some((in_force, now));
         }
-        let Some((word, at)) = self.word.filter(|(_, at)| *at <= now) else { return };
+        let Some((word, at)) = self.pending_report.filter(|(_, at)| *at <= now) else { return };
         match self.said(word) {
-            Ok(()) => self.word = None,
+            Ok(()) => self.pending_report = None,
             Err(e) => {
                 tracing::debug!("feed: in force not heard: {e}");
-                self.word = Some((word, at.max(now) + self.common.limits.feed_silence));
+                self.pending_report = Some((word, at.max(now) + self.shared.limits.feed_silence_timeout));
             }
         }
     }
 
-    fn said(&self, word: InForce) -> io::Result<()> {
+    fn said(&self, word: AppliedVersion) -> io::Result<()> {
         let body = format!(
             r#"{{"party":"{}","number":{},"digest":"{:016x}"}}"#,
-            self.party, word.number, word.digest
+            self.director_name, word.number, word.digest
         );
-        let (at, dial) = (self.feeds.at(), Duration::from_nanos(self.common.limits.dial));
+        let (at, dial) = (self.feeds.current(), Duration::from_nanos(self.shared.limits.connect_timeout));
         let stream = TcpStream::connect_timeout(&at, dial)?;
         stream.set_read_timeout(Some(dial))?;
         stream.set_write_timeout(Some(dial))?;
@@ -156,34 +158,38 @@
             body.len()
         );
         (&stream).write_all(request.as_bytes())?;
-        let mut intake =
-            Intake::new(self.common.limits.head, self.common.limits.feed_event, &self.common.room);
+        let mut intake = ReadBuffer::new(
+            self.shared.limits.max_head_bytes,
+            self.shared.limits.max_feed_event_bytes,
+            &self.shared.memory_budget,
+        );
         loop {
             let mut headers = [httparse::EMPTY_HEADER; 32];
             let mut answer = httparse::Response::new(&mut headers);
-            match answer.parse(intake.seen()) {
+            match answer.parse(intake.unread()) {
                 Ok(httparse::Status::Complete(_)) if answer.code.is_some_and(|c| c / 100 == 2) => {
                     return Ok(());
                 }
-                Ok(httparse::Status::Partial) if intake.more(&stream)? => {}
+                Ok(httparse::Status::Partial) if intake.fill(&stream)? => {}
                 _ => return Err(io::Error::new(ErrorKind::InvalidData, "not taken")),
             }
         }
     }
 
     /// Reads more; false at the end. Silence past its time is an error, and so is news of another address.
-    fn hear(&mut self, stream: &mut Stream, socket: &TcpStream) -> Result<bool, Over> {
+    fn hear(&mut self, stream: &mut EventStreamParser, socket: &TcpStream) -> Result<bool, Over> {
         let (start, mut bytes) = (Instant::now(), [0; READ]);
         loop {
             self.say();
             self.stays()?;
             match (&mut &*socket).read(&mut bytes) {
-                Err(e) if is_pause(&e) && start.elapsed() < self.common.limits.feed_silence => {}
-                Err(e) if is_pause(&e) => return Err(Over::Call("silent".into())),
+                Err(e) if is_would_block(&e) && start.elapsed() < self.shared.limits.feed_silence_timeout => {
+                }
+                Err(e) if is_would_block(&e) => return Err(Over::Call("silent".into())),
                 Err(e) => return Err(e.into()),
                 Ok(0) => return Ok(false),
                 Ok(n) => {
-                    stream.take(&bytes[..n]);
+                    stream.push(&bytes[..n]);
                     return Ok(true);
                 }
             }
@@ -193,29 +199,30 @@
     /// One connection, read until its end.
     fn call(&mut self) -> Result<(), Over> {
         self.stays()?;
-        counters::add(&self.common.counters.feed_calls, 1);
-        let at = self.feeds.at();
-        let socket = TcpStream::connect_timeout(&at, Duration::from_nanos(self.common.limits.dial))?;
-        socket.set_read_timeout(Some(self.common.limits.feed_poll))?;
-        socket.set_write_timeout(Some(self.common.limits.feed_silence))?;
-        (&socket).write_all(request(at, self.cursor.last()).as_bytes())?;
-        let mut stream = Stream::new(self.common.limits.feed_event);
+        counters::add(&self.shared.counters.feed_calls, 1);
+        let at = self.feeds.current();
+        let socket =
+            TcpStream::connect_timeout(&at, Duration::from_nanos(self.shared.limits.connect_timeout))?;
+        socket.set_read_timeout(Some(self.shared.limits.feed_poll_interval))?;
+        socket.set_write_timeout(Some(self.shared.limits.feed_silence_timeout))?;
+        (&socket).write_all(events_request(at, self.cursor.last_number()).as_bytes())?;
+        let mut stream = EventStreamParser::new(self.shared.limits.max_feed_event_bytes);
         loop {
-            while let Some(said) = stream.said()? {
+            while let Some(said) = stream.next_item()? {
                 match said {
-                    Said::Up => {
-                        self.feeds.answered();
-                        if !std::mem::replace(&mut self.up, true) || self.first {
-                            tracing::info!("feed up after={}", self.cursor.last());
+                    StreamItem::Connected => {
+                        self.feeds.on_connected();
+                        if !std::mem::replace(&mut self.is_up, true) || self.is_first_call {
+                            tracing::info!("feed up after={}", self.cursor.last_number());
                         }
-                        self.first = false;
+                        self.is_first_call = false;
                     }
-                    Said::Event { id, data } => self.event(id, &data)?,
-                    Said::Comment(_) => {}
+                    StreamItem::Event { id, data } => self.event(id, &data)?,
+                    StreamItem::Comment(_) => {}
                 }
             }
             if !self.hear(&mut stream, &socket)? {
-                return Ok(stream.end()?);
+                return Ok(stream.finish()?);
             }
         }
     }
@@ -223,16 +230,16 @@
     /// Takes one event in, unless it is a repeat or others are missing before it.
     fn event(&mut self, id: Option<u64>, data: &str) -> Result<(), Over> {
         let parsed = serde_json::from_str(data).map_err(|e| e.to_string());
-        let parsed = parsed.and_then(|v: Value| Numbered::of(&v));
-        match self.cursor.event(id, parsed.map(|e| (e.n, e.fact))) {
-            Verdict::Take(fact) => self.take(fact),
-            Verdict::Repeat => Ok(()),
-            Verdict::Again(why) => {
-                counters::add(&self.common.counters.feed_gaps, 1);
+        let parsed = parsed.and_then(|v: Value| NumberedEvent::from_json(&v));
+        match self.cursor.classify(id, parsed.map(|e| (e.number, e.event))) {
+            EventVerdict::New(fact) => self.take(fact),
+            EventVerdict::Duplicate => Ok(()),
+            EventVerdict::Resubscribe(why) => {
+                counters::add(&self.shared.counters.feed_gaps, 1);
                 Err(Over::Again(why))
             }
-            Verdict::Skip { number, why } => {
-                counters::add(&self.common.counters.feed_skipped, 1);
+            EventVerdict::Skip { number, reason: why } => {
+                counters::add(&self.shared.counters.feed_skipped, 1);
                 tracing::warn!("feed skipped n={number}: {why}");
                 Ok(())
             }
--- a/crates/director/src/wire/mod.rs
+++ b/crates/director/src/wire/mod.rs
@@ -1,14 +1,14 @@
 //! What is spoken on the wire: with clients, with nodes, with the feed.
 
-pub mod clients;
-mod connection;
-pub mod feed;
-pub(crate) mod intake;
-pub mod lines;
-mod link;
-pub mod links;
-pub mod nodes;
-mod reply;
+mod client_connection;
+pub mod client_server;
+pub mod discovery_client;
+mod node_connection;
+pub mod node_connections;
+pub mod node_pool;
+pub mod node_protocol;
+pub(crate) mod read_buffer;
+mod response;
 pub mod rpc;
 
 use std::io::{self, ErrorKind, IoSlice, Write};
--- a/crates/director/src/wire/intake.rs
+++ b/crates/director/src/wire/read_buffer.rs
@@ -3,31 +3,31 @@
 use std::io::{self, ErrorKind, Read};
 use std::sync::Arc;
 
-use crate::plain::bodies::{Hold, Room};
+use crate::memory_budget::{MemoryBudget, Reservation};
 
-pub struct Intake {
+pub struct ReadBuffer {
     bytes: Vec<u8>,
     from: usize,
     to: usize,
     first: usize,
     most: usize,
     /// What it has grown by counts with the bodies: many half messages must not fill the memory.
-    room: Arc<Room>,
-    grown: Option<Hold>,
+    room: Arc<MemoryBudget>,
+    grown: Option<Reservation>,
 }
 
-impl Intake {
+impl ReadBuffer {
     /// Grows from its first size to hold a message of at most this size.
-    pub fn new(first: usize, most: usize, room: &Arc<Room>) -> Intake {
+    pub fn new(first: usize, most: usize, room: &Arc<MemoryBudget>) -> ReadBuffer {
         let room = Arc::clone(room);
-        Intake { bytes: vec![0; first], from: 0, to: 0, first, most, room, grown: None }
+        ReadBuffer { bytes: vec![0; first], from: 0, to: 0, first, most, room, grown: None }
     }
 
-    pub fn seen(&self) -> &[u8] {
+    pub fn unread(&self) -> &[u8] {
         &self.bytes[self.from..self.to]
     }
 
-    pub fn used(&mut self, n: usize) {
+    pub fn consume(&mut self, n: usize) {
         self.from = (self.from + n).min(self.to);
         if self.from == self.to {
             (self.from, self.to) = (0, 0);
@@ -39,7 +39,7 @@
     }
 
     /// Reads more, once; false at the end. An error may be but a pause.
-    pub fn more(&mut self, mut source: impl Read) -> io::Result<bool> {
+    pub fn fill(&mut self, mut source: impl Read) -> io::Result<bool> {
         if self.to == self.bytes.len() {
             self.bytes.copy_within(self.from..self.to, 0);
             (self.from, self.to) = (0, self.to - self.from);
@@ -49,7 +49,7 @@
                 }
                 let length = (2 * self.to).min(self.most);
                 self.grown = None;
-                self.grown = Some(self.room.hold(length).ok_or(ErrorKind::OutOfMemory)?);
+                self.grown = Some(self.room.reserve(length).ok_or(ErrorKind::OutOfMemory)?);
                 self.bytes.resize(length, 0);
             }
         }
--- a/crates/director/tests/codec.rs
+++ b/crates/director/tests/codec.rs
@@ -3,29 +3,29 @@
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-use sablecross::{Choice, Lookup, Outcome, Route, Send, Sent, Settings, State};
-use sablecross_director::common::Common;
-use sablecross_director::exchange::{Asked, Call, Withdrawn};
-use sablecross_director::life::config::Config;
-use sablecross_director::plain::bodies::Room;
-use sablecross_director::plain::facts::{Fact, Member};
-use sablecross_director::plain::limits::Limits;
-use sablecross_director::plain::names::Names;
-use sablecross_director::wire::lines;
-use sablecross_director::wire::links::Links;
-use sablecross_director::wire::nodes::Nodes;
-use sablecross_director::wire::rpc::{self, Fields, Flaw, Message};
+use sablecross::{Attempt, AttemptSpec, EndpointState, Outcome, Request, RouteDecision, Router, Settings};
+use sablecross_director::discovery_event::{DiscoveryEvent, Endpoint};
+use sablecross_director::events::{CallId, CancellationFlag, IncomingRequest};
+use sablecross_director::limits::Limits;
+use sablecross_director::memory_budget::MemoryBudget;
+use sablecross_director::name_table::NameTable;
+use sablecross_director::process::config::Config;
+use sablecross_director::shared::SharedContext;
+use sablecross_director::wire::node_connections::NodeConnectionServer;
+use sablecross_director::wire::node_pool::NodePool;
+use sablecross_director::wire::node_protocol;
+use sablecross_director::wire::rpc::{self, DecodeError, Message, RequestFields};
 
 use serde_json::Value;
 
 const SAMPLE: &str = include_str!("../../../deploy/sample.json");
 
 fn limits() -> Limits {
-    Limits::of(1_024, 192, 400_000_000, 30_000_000_000)
+    Limits::new(1_024, 192, 400_000_000, 30_000_000_000)
 }
 
-fn names() -> Names {
-    Names { kinds: vec!["footage".into(), "readings".into()], ..Names::default() }
+fn names() -> NameTable {
+    NameTable { classes: vec!["footage".into(), "readings".into()], ..NameTable::default() }
 }
 
 fn text(out: &mut Vec<u8>, text: &str) {
@@ -62,22 +62,26 @@
 fn a_lookup_is_read_whole_or_not_at_all() {
     let (names, limits) = (names(), limits());
     let bytes = lookup("readings", &FIELDS, b"body");
-    let fields = Fields {
-        name: *b"9b1f03aa5c7e2d41",
-        kind: 1,
+    let fields = RequestFields {
+        request_id: *b"9b1f03aa5c7e2d41",
+        class: 1,
         budget_ms: 1_500,
         object: 0x7f3a_9c21_e0b4_d655,
         part: 3,
         group: 17,
         size_kb: 412.5,
-        tag: Some("4be0c1927d55a6f3"),
-        mark: Some("d06a66f0be6341e94b0783615350ddcc"),
-        repeat: true,
+        client_tag: Some("4be0c1927d55a6f3"),
+        idempotency_key: Some("d06a66f0be6341e94b0783615350ddcc"),
+        is_client_retry: true,
     };
-    let whole = Message::Lookup { call: 7, fields, body: b"body" };
-    assert_eq!(rpc::read(&bytes, &names, &limits), Ok((whole, bytes.len())));
+    let whole = Message::Request { call: 7, fields, body: b"body" };
+    assert_eq!(rpc::decode(&bytes, &names, &limits), Ok((whole, bytes.len())));
     for n in 0..bytes.len() {
-        assert_eq!(rpc::read(&bytes[..n], &names, &limits), Err(Flaw::Short), "first {n} bytes");
+        assert_eq!(
+            rpc::decode(&bytes[..n], &names, &limits),
+            Err(DecodeError::Incomplete),
+            "first {n} bytes"
+        );
     }
 }
 
@@ -124,8 +128,11 @@
         vec![0x94, 0, 7, 0xa7, b'f', b'o', b'o', b't', b'a', b'g', b'e', 0x91, 0x80],
     ];
     for (i, bytes) in unfit.iter().enumerate() {
-        let read = rpc::read(bytes, &names, &limits);
-        assert!(matches!(read, Ok((Message::Unfit { call: 7, .. }, n)) if n == bytes.len()), "{i}: {read:?}");
+        let read = rpc::decode(bytes, &names, &limits);
+        assert!(
+            matches!(read, Ok((Message::Unusable { call: 7, .. }, n)) if n == bytes.len()),
+            "{i}: {read:?}"
+        );
     }
     let deep: Vec<u8> = std::iter::repeat_n(0x91, 40).collect();
     let ends: [&[u8]; 9] = [
@@ -140,13 +147,13 @@
         &deep,
     ];
     for bytes in ends {
-        let read = rpc::read(bytes, &names, &limits);
+        let read = rpc::decode(bytes, &names, &limits);
         // What is cut short may still be a message; here it may not.
-        let over = matches!(read, Err(Flaw::Bad(_))) || bytes == [0x93, 2, 0xa1, b'x'];
+        let over = matches!(read, Err(DecodeError::Invalid(_))) || bytes == [0x93, 2, 0xa1, b'x'];
         assert!(over, "{bytes:?}: {read:?}");
     }
-    let endless = vec![0; limits.head + limits.body + 1];
-    assert!(rpc::read(&[&[0xdc, 0x3f, 0xff], &endless[..]].concat(), &names, &limits).is_err());
+    let endless = vec![0; limits.max_head_bytes + limits.max_body_bytes + 1];
+    assert!(rpc::decode(&[&[0xdc, 0x3f, 0xff], &endless[..]].concat(), &names, &limits).is_err());
 }
 
 #[test]
@@ -158,17 +165,17 @@
     let mut cancel = vec![0x93, 2];
     text(&mut cancel, "cancelRequest");
     cancel.extend([0x91, 0xcd, 1, 0]);
-    assert_eq!(rpc::read(&alive, &names, &limits), Ok((Message::Alive { call: 8 }, alive.len())));
-    assert_eq!(rpc::read(&cancel, &names, &limits), Ok((Message::Cancel { call: 256 }, cancel.len())));
+    assert_eq!(rpc::decode(&alive, &names, &limits), Ok((Message::HealthCheck { call: 8 }, alive.len())));
+    assert_eq!(rpc::decode(&cancel, &names, &limits), Ok((Message::Cancel { call: 256 }, cancel.len())));
 
-    let satisfied = rpc::satisfied(7, 3, false);
+    let satisfied = rpc::encode_success(7, 3, false);
     assert_eq!(satisfied.before, [0x94, 1, 7, 0xc0, 0x92, 0xc4, 3]);
     assert_eq!(satisfied.after, [0x80]);
-    assert_eq!(rpc::satisfied(7, 0, true).after, *b"\x81\xa9unchanged\xa11");
-    assert_eq!(rpc::alive(300, true), [0x94, 1, 0xcd, 1, 44, 0xc0, 0x92, 0xc3, 0x80]);
-    assert_eq!(rpc::error(7, "Rejected", &[]), *b"\x94\x01\x07\x92\xa8Rejected\x80\xc0");
+    assert_eq!(rpc::encode_success(7, 0, true).after, *b"\x81\xa9unchanged\xa11");
+    assert_eq!(rpc::encode_health(300, true), [0x94, 1, 0xcd, 1, 44, 0xc0, 0x92, 0xc3, 0x80]);
+    assert_eq!(rpc::encode_error(7, "Rejected", &[]), *b"\x94\x01\x07\x92\xa8Rejected\x80\xc0");
     assert_eq!(
-        rpc::error(7, "Rejected", &[("backoff", "40")]),
+        rpc::encode_error(7, "Rejected", &[("backoff", "40")]),
         *b"\x94\x01\x07\x92\xa8Rejected\x81\xa7backoff\xa240\xc0"
     );
 }
@@ -177,15 +184,15 @@
 fn heads_of_answers() {
     const NAME: &str = "9b1f03aa5c7e2d41";
     let cases = [
-        ("ACK how=HIT,entity=t1,issued=17 5", Some((Outcome::Satisfied, Some(true), Some("t1"), false, 5))),
-        ("ACK how=MISS,entity=t1 5", Some((Outcome::Satisfied, Some(false), Some("t1"), false, 5))),
-        ("ACK how=COLLAPSED 0", Some((Outcome::Satisfied, Some(false), None, false, 0))),
-        ("ACK how=STALE 0", Some((Outcome::Satisfied, Some(true), None, false, 0))),
-        ("NOMOD entity=t1 0", Some((Outcome::Satisfied, None, Some("t1"), true, 0))),
+        ("ACK how=HIT,entity=t1,issued=17 5", Some((Outcome::Success, Some(true), Some("t1"), false, 5))),
+        ("ACK how=MISS,entity=t1 5", Some((Outcome::Success, Some(false), Some("t1"), false, 5))),
+        ("ACK how=COLLAPSED 0", Some((Outcome::Success, Some(false), None, false, 0))),
+        ("ACK how=STALE 0", Some((Outcome::Success, Some(true), None, false, 0))),
+        ("NOMOD entity=t1 0", Some((Outcome::Success, None, Some("t1"), true, 0))),
         ("NOENT - 0", Some((Outcome::Miss, None, None, false, 0))),
-        ("AGAIN how=UP_BUSY 0", Some((Outcome::Full, None, None, false, 0))),
+        ("AGAIN how=UP_BUSY 0", Some((Outcome::Overloaded, None, None, false, 0))),
         ("EIO - 0", Some((Outcome::Error, None, None, false, 0))),
-        ("STALE - 0", Some((Outcome::NeverSent, None, None, false, 0))),
+        ("STALE - 0", Some((Outcome::NotSent, None, None, false, 0))),
         ("NOMOD entity=t1 5", None),
         ("ACK - many", None),
         ("ACK - -1", None),
@@ -196,95 +203,97 @@
     ];
     for (rest, want) in cases {
         let line = format!("{NAME} {rest}");
-        let head = lines::head(line.as_bytes());
-        let got = head.map(|h| (h.outcome, h.hit, h.tag, h.unchanged, h.length));
+        let head = node_protocol::parse_answer_head(line.as_bytes());
+        let got = head.map(|h| (h.outcome, h.is_cache_hit, h.tag, h.is_unchanged, h.body_length));
         assert_eq!(got, want, "{rest}");
     }
-    assert_eq!(lines::head(b"short ACK - 0"), None);
-    assert_eq!(lines::head(b"\xff\xfe ACK - 0"), None);
+    assert_eq!(node_protocol::parse_answer_head(b"short ACK - 0"), None);
+    assert_eq!(node_protocol::parse_answer_head(b"\xff\xfe ACK - 0"), None);
     let line = format!("{NAME} ACK stats=active:7;cpu:0.61;x1:x 0");
-    let load = lines::head(line.as_bytes()).and_then(|h| h.load).expect("a report");
-    assert_eq!((load.busy, load.link), (Some(0.61), None));
+    let load = node_protocol::parse_answer_head(line.as_bytes()).and_then(|h| h.load).expect("a report");
+    assert_eq!((load.cpu_utilization, load.link_utilization), (Some(0.61), None));
 }
 
 #[test]
 fn every_field_of_a_send_is_written() {
-    let room = Room::of(100);
-    let asked = |tag: Option<&str>| Asked {
+    let room = MemoryBudget::new(100);
+    let asked = |tag: Option<&str>| IncomingRequest {
         client: 1,
-        call: Call { number: 7, turn: 0 },
-        withdrawn: Withdrawn::default(),
-        name: *b"9b1f03aa5c7e2d41",
-        kind: 0,
+        call: CallId { number: 7, generation: 0 },
+        cancellation: CancellationFlag::default(),
+        request_id: *b"9b1f03aa5c7e2d41",
+        class: 0,
         object: 0x00ff,
         part: 3,
         group: 17,
         size_kb: 1.0,
-        tag: tag.map(Into::into),
-        mark: tag.map(|_| "m7".into()),
-        repeat: false,
-        body: room.body(2).expect("room").into(),
-        arrived: 0,
+        client_tag: tag.map(Into::into),
+        idempotency_key: tag.map(|_| "m7".into()),
+        is_client_retry: false,
+        body: room.allocate_body(2).expect("room").into(),
+        arrived_at: 0,
         budget: 0,
     };
-    let bare = Send {
+    let bare = AttemptSpec {
         node: 0,
         source: None,
-        time_out: 1_500_400_000,
+        timeout: 1_500_400_000,
         begin_by: u64::MAX,
-        oldest: None,
-        join: false,
-        renew: false,
-        keep: 0,
+        max_age: None,
+        coalesce: false,
+        refresh: false,
+        retention_rank: 0,
     };
-    let full = Send { oldest: Some(1), join: true, renew: true, keep: 2, ..bare };
+    let full = AttemptSpec { max_age: Some(1), coalesce: true, refresh: true, retention_rank: 2, ..bare };
     let start = "PULL 9b1f03aa5c7e2d41 class=footage,key=00000000000000ff,part=3,wait=1500";
-    let line = |asked: &Asked, send: &Send, source| {
-        String::from_utf8(lines::pull(asked, send, "footage", source, None).line(send.time_out))
-            .expect("text")
+    let line = |asked: &IncomingRequest, send: &AttemptSpec, source| {
+        String::from_utf8(
+            node_protocol::pull_head(asked, send, "footage", source, None).with_wait(send.timeout),
+        )
+        .expect("text")
     };
     assert_eq!(line(&asked(None), &bare, None), format!("{start} 2\r\n"));
     assert_eq!(
         line(&asked(Some("t1")), &full, Some("parent-a")),
         format!("{start},miss=parent-a,prio=2,within=1,f=collapse+refresh,mine=t1,once=m7 2\r\n")
     );
-    assert_eq!(lines::kill(b"9b1f03aa5c7e2d41"), b"KILL 9b1f03aa5c7e2d41\r\n");
+    assert_eq!(node_protocol::kill_line(b"9b1f03aa5c7e2d41"), b"KILL 9b1f03aa5c7e2d41\r\n");
 }
 
 /// Where a director sends each of these objects, and from where they are filled, by name; its list comes in
 /// this order, at addresses of its own.
 fn homes(number: usize, order: impl Iterator<Item = usize>) -> Vec<(String, String)> {
     let config = Config::parse(SAMPLE).expect("the sample is good");
-    let (common, _) = Common::new(config.names, limits());
+    let (common, _) = SharedContext::new(config.names, limits());
     let now = common.clock.now();
-    let (_links, orders) = Links::new(&common).expect("polls");
-    let mut nodes = Nodes::new(orders, common);
-    let member = |i: usize| Member {
+    let (_links, orders) = NodeConnectionServer::new(&common).expect("polls");
+    let mut nodes = NodePool::new(orders, common);
+    let member = |i: usize| Endpoint {
         name: format!("s-{:08x}", i * 0x0135_79bd),
         address: SocketAddr::from(([127, number as u8, 0, i as u8], 10_080)),
         zone: if i < 6 { "edge" } else { "hub" }.into(),
         kind: if i < 6 { "small" } else { "parent" }.into(),
         cell: i,
-        state: State::Ready,
-        started: 0,
+        state: EndpointState::Ready,
+        started_at: 0,
     };
-    let members: Vec<Member> = order.map(member).collect();
-    let mut choice = Choice::new(Settings { number, ..config.settings }, number as u64, now);
-    choice.listed(now, &nodes.listed(&members, true, 0, 0), true);
+    let members: Vec<Endpoint> = order.map(member).collect();
+    let mut choice = Router::new(Settings { director_index: number, ..config.settings }, number as u64, now);
+    choice.update_endpoints(now, &nodes.update_endpoints(&members, true, 0, 0), true);
     let home = |object| {
-        let lookup = Lookup {
+        let lookup = Request {
             object,
             part: 0,
             group: 0,
-            kind: 0,
+            class: 0,
             size_kb: 10.0,
-            arrived: now,
+            arrived_at: now,
             deadline: now + 3_000_000_000,
-            repeat: false,
-            write: false,
-            sends: Vec::new(),
+            is_client_retry: false,
+            is_write: false,
+            attempts: Vec::new(),
         };
-        let Route::Send(send) = choice.route(now, &lookup) else { panic!("not sent") };
+        let RouteDecision::Attempt(send) = choice.route(now, &lookup) else { panic!("not sent") };
         let name = |node| nodes.name(node).to_owned();
         (name(send.node), send.source.map(name).unwrap_or_default())
     };
@@ -303,19 +312,19 @@
 
 #[test]
 fn bodies_in_hand_are_bounded() {
-    let room = Room::of(10);
-    let first = room.body(6).expect("room");
-    assert!(room.body(5).is_none() && room.body(usize::MAX).is_none());
-    let second = room.body(4).expect("room");
+    let room = MemoryBudget::new(10);
+    let first = room.allocate_body(6).expect("room");
+    assert!(room.allocate_body(5).is_none() && room.allocate_body(usize::MAX).is_none());
+    let second = room.allocate_body(4).expect("room");
     drop(first);
-    assert!(room.body(6).is_some() && room.body(7).is_none());
+    assert!(room.allocate_body(6).is_some() && room.allocate_body(7).is_none());
     drop(second);
 }
 
 #[test]
 fn a_faulty_configuration_is_named_by_its_key() {
     let config = Config::parse(SAMPLE).expect("the sample is good");
-    assert_eq!((config.settings.zone, config.names.kinds.len()), (1, 2));
+    assert_eq!((config.settings.zone, config.names.classes.len()), (1, 2));
     assert_eq!(config.names.zones, HashMap::from([("hub".into(), 0), ("edge".into(), 1)]));
     let cases = [
         ("\"name\": \"sample\"", "\"name\": 7", "name:"),
@@ -397,28 +406,28 @@
                 Ok(config) => config,
             };
             served += 1;
-            let kinds = config.settings.object_kinds.len();
-            let (common, _) = Common::new(config.names, config.limits);
-            let (now, longest) = (common.clock.now(), common.limits.longest_budget);
-            let (_links, orders) = Links::new(&common).expect("polls");
-            let mut nodes = Nodes::new(orders, common);
-            let mut choice = Choice::new(config.settings, 1, now);
+            let kinds = config.settings.request_classes.len();
+            let (common, _) = SharedContext::new(config.names, config.limits);
+            let (now, longest) = (common.clock.now(), common.limits.max_budget);
+            let (_links, orders) = NodeConnectionServer::new(&common).expect("polls");
+            let mut nodes = NodePool::new(orders, common);
+            let mut choice = Router::new(config.settings, 1, now);
             for event in config.known.events {
-                if let Fact::Members { members, whole } = event.fact {
-                    choice.listed(now, &nodes.listed(&members, whole, 0, 0), whole);
+                if let DiscoveryEvent::Endpoints { endpoints: members, is_snapshot: whole } = event.event {
+                    choice.update_endpoints(now, &nodes.update_endpoints(&members, whole, 0, 0), whole);
                 }
             }
-            choice.purged(now, Some(3), 0, 0);
+            choice.record_purge(now, Some(3), 0, 0);
             for (kind, object) in (0..kinds).flat_map(|k| [(k, 1), (k, 3)]) {
                 let mut lookup = lookup_of(object, now, now + longest);
-                lookup.kind = kind;
+                lookup.class = kind;
                 for later in [0, 1, 500_000_000] {
-                    if let Route::Send(send) = choice.route(now + later, &lookup) {
-                        let Send { node, source, .. } = send;
-                        lookup.sends.push(Sent { node, source, at: now + later, result: None });
-                        choice.patience(now + later, &lookup);
-                        lookup.sends.last_mut().expect("sent").result = Some(Outcome::Error);
-                        choice.after(now + later, &lookup, lookup.sends.len() - 1, later, None);
+                    if let RouteDecision::Attempt(send) = choice.route(now + later, &lookup) {
+                        let AttemptSpec { node, source, .. } = send;
+                        lookup.attempts.push(Attempt { node, source, sent_at: now + later, outcome: None });
+                        choice.next_check(now + later, &lookup);
+                        lookup.attempts.last_mut().expect("sent").outcome = Some(Outcome::Error);
+                        choice.on_outcome(now + later, &lookup, lookup.attempts.len() - 1, later, None);
                     }
                 }
             }
@@ -435,8 +444,8 @@
     }
     let [first, other] = [&sample, &turned].map(|s| Config::parse(&s.to_string()).expect("good"));
     let named = |c: &Config, name: &str| {
-        let at = c.names.kinds.iter().position(|k| k == name).expect("named");
-        c.settings.object_kinds[at].clone()
+        let at = c.names.classes.iter().position(|k| k == name).expect("named");
+        c.settings.request_classes[at].clone()
     };
     for name in ["footage", "readings"] {
         assert_eq!(named(&first, name), named(&other, name));
@@ -446,43 +455,58 @@
     assert_eq!(Config::parse(&spaced).expect("good").names.zones["north, by sea"], 1);
 }
 
-fn lookup_of(object: u64, arrived: u64, deadline: u64) -> Lookup {
+fn lookup_of(object: u64, arrived: u64, deadline: u64) -> Request {
     let (part, group, kind, size_kb) = (0, 0, 0, 10.0);
     let (repeat, write, sends) = (false, false, Vec::new());
-    Lookup { object, part, group, kind, size_kb, arrived, deadline, repeat, write, sends }
+    Request {
+        object,
+        part,
+        group,
+        class: kind,
+        size_kb,
+        arrived_at: arrived,
+        deadline,
+        is_client_retry: repeat,
+        is_write: write,
+        attempts: sends,
+    }
 }
 
 #[test]
 fn the_number_of_a_node_that_is_gone_comes_free() {
     let config = Config::parse(SAMPLE).expect("the sample is good");
-    let (common, _) = Common::new(config.names, limits());
-    let (_links, orders) = Links::new(&common).expect("polls");
-    let mut nodes = Nodes::new(orders, common);
+    let (common, _) = SharedContext::new(config.names, limits());
+    let (_links, orders) = NodeConnectionServer::new(&common).expect("polls");
+    let mut nodes = NodePool::new(orders, common);
     let mut list = |name: &str, state, oldest, next| {
-        let member = Member {
+        let member = Endpoint {
             name: name.into(),
             address: SocketAddr::from(([127, 0, 0, 1], 10_080)),
             zone: "edge".into(),
             kind: "small".into(),
             cell: 0,
             state,
-            started: 0,
+            started_at: 0,
         };
-        nodes.listed(&[member], false, oldest, next).first().map(|line| line.node)
+        nodes.update_endpoints(&[member], false, oldest, next).first().map(|line| line.node)
     };
-    assert_eq!(list("a", State::Ready, 0, 0), Some(0));
-    assert_eq!(list("a", State::Gone, 3, 7), Some(0));
-    assert_eq!(list("b", State::Ready, 6, 9), Some(1), "a lookup from before may still have sent to it");
-    assert_eq!(list("c", State::Ready, 7, 9), Some(0), "none from before is in hand");
-    assert_eq!(list("a", State::Ready, 7, 9), Some(2), "a name that comes back is a new node");
-    assert_eq!(list("unheard", State::Gone, 7, 9), None);
+    assert_eq!(list("a", EndpointState::Ready, 0, 0), Some(0));
+    assert_eq!(list("a", EndpointState::Gone, 3, 7), Some(0));
+    assert_eq!(
+        list("b", EndpointState::Ready, 6, 9),
+        Some(1),
+        "a lookup from before may still have sent to it"
+    );
+    assert_eq!(list("c", EndpointState::Ready, 7, 9), Some(0), "none from before is in hand");
+    assert_eq!(list("a", EndpointState::Ready, 7, 9), Some(2), "a name that comes back is a new node");
+    assert_eq!(list("unheard", EndpointState::Gone, 7, 9), None);
     // One that is gone and back keeps its number.
-    assert_eq!(list("b", State::Gone, 8, 10), Some(1));
-    assert_eq!(list("b", State::Ready, 8, 10), Some(1));
-    assert_eq!(list("d", State::Ready, 50, 50), Some(3));
+    assert_eq!(list("b", EndpointState::Gone, 8, 10), Some(1));
+    assert_eq!(list("b", EndpointState::Ready, 8, 10), Some(1));
+    assert_eq!(list("d", EndpointState::Ready, 50, 50), Some(3));
     for n in 0..100 {
         let name = format!("n{n}");
-        assert!(list(&name, State::Ready, n + 60, n + 60) <= Some(5), "{name}");
-        list(&name, State::Gone, n + 60, n + 60);
+        assert!(list(&name, EndpointState::Ready, n + 60, n + 60) <= Some(5), "{name}");
+        list(&name, EndpointState::Gone, n + 60, n + 60);
     }
 }
--- a/crates/director/tests/duty.rs
+++ b/crates/director/tests/coordination.rs
@@ -1,5 +1,5 @@
 //! Members of a fleet that call one another, as programs on loopback.
-#![cfg(feature = "duty")]
+#![cfg(feature = "coordination")]
 
 mod help;
 
@@ -10,12 +10,12 @@
 use std::time::{Duration, Instant};
 
 use help::*;
-use sablecross_director::duty::settings::Setting;
-use sablecross_director::duty::{Tag, ask};
-use sablecross_duty::word::{Answer, Request, Shown, Word};
-use sablecross_duty::{Gate, Member};
+use sablecross_coordination::messages::{MemberStatus, Message, Reply, Request};
+use sablecross_coordination::{FencingGuard, Member};
+use sablecross_director::coordination::settings::CoordinationSettings;
+use sablecross_director::coordination::{HealthCheckTag, call_member};
 
-const OUTSIDE: Member = Member { number: u32::MAX, life: 0 };
+const OUTSIDE: Member = Member { number: u32::MAX, incarnation: 0 };
 
 fn settings(voters: &[SocketAddr]) -> String {
     let head = "(duty (lease-ms . 400) (round-ms . 100) (apart-ms . 20) (beat-ms . 100) (probe-ms . 100))\n";
@@ -25,7 +25,8 @@
 }
 
 fn file(name: &str, text: &str) -> PathBuf {
-    let file = std::env::temp_dir().join(format!("sablecross-duty-{name}-{}.scm", std::process::id()));
+    let file =
+        std::env::temp_dir().join(format!("sablecross-coordination-{name}-{}.scm", std::process::id()));
     std::fs::write(&file, text).expect("written");
     file
 }
@@ -42,9 +43,10 @@
     TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port")
 }
 
-fn shown(at: SocketAddr) -> Option<Shown> {
-    let said = ask(at, &Request { from: OUTSIDE, words: vec![Word::Show] }, SHORT).ok()?;
-    said.into_iter().find_map(|a| if let Answer::Shown(s) = a { Some(s) } else { None })
+fn shown(at: SocketAddr) -> Option<MemberStatus> {
+    let said =
+        call_member(at, &Request { from: OUTSIDE, messages: vec![Message::ShowStatus] }, SHORT).ok()?;
+    said.into_iter().find_map(|a| if let Reply::Status(s) = a { Some(s) } else { None })
 }
 
 fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
@@ -59,12 +61,12 @@
 }
 
 /// A box that answers probes; each one's tag is told.
-fn box_that_answers() -> (SocketAddr, Receiver<Tag>) {
+fn box_that_answers() -> (SocketAddr, Receiver<HealthCheckTag>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let address = listener.local_addr().expect("bound");
     let (tell, told) = channel();
     std::thread::spawn(move || {
-        let gate = std::sync::Arc::new(std::sync::Mutex::new(Gate::default()));
+        let gate = std::sync::Arc::new(std::sync::Mutex::new(FencingGuard::default()));
         for stream in listener.incoming().map_while(Result::ok) {
             let (tell, gate) = (tell.clone(), gate.clone());
             std::thread::spawn(move || {
@@ -72,12 +74,12 @@
                 let mut line = String::new();
                 while reader.read_line(&mut line).is_ok_and(|n| n > 0) {
                     if let Some(text) = line.trim_end().strip_prefix("METER ") {
-                        let tag: Tag = text.parse().expect("a tag");
-                        let passed = gate.lock().expect("whole").pass(tag.token);
+                        let tag: HealthCheckTag = text.parse().expect("a tag");
+                        let passed = gate.lock().expect("whole").admit(tag.token);
                         let said = match passed {
                             Ok(()) => format!("{text} READY stats=cpu:0.25 0\r\n\r\n"),
                             Err(old) => {
-                                let newest = Tag { token: old.highest, number: 0 };
+                                let newest = HealthCheckTag { token: old.highest, sequence: 0 };
                                 format!("{text} STALE newest={newest} 0\r\n\r\n")
                             }
                         };
@@ -107,11 +109,12 @@
         std::mem::forget(feed);
     }
     let owner = || {
-        (0..3)
-            .find(|n| shown(at[*n]).is_some_and(|s| s.duties.iter().any(|d| d.duty == 0 && d.own.is_some())))
+        (0..3).find(|n| {
+            shown(at[*n]).is_some_and(|s| s.roles.iter().any(|d| d.role == 0 && d.own_lease.is_some()))
+        })
     };
     let first = until("somebody deals", owner);
-    let by = |tag: &Tag| tag.token.owner.number;
+    let by = |tag: &HealthCheckTag| tag.token.holder.number;
     let holder = by(&probes.recv_timeout(LONG).expect("a probe"));
     // The owner of the duty and the holder of the box end at once.
     for n in [first, holder as usize] {
@@ -122,7 +125,8 @@
         // One of three is no majority: it rests, and says so.
         until("it rests", || {
             let last = (0..3).find(|n| !gone.contains(n))?;
-            shown(at[last]).filter(|s| s.holds == 0 && s.duties.iter().all(|d| d.own.is_none()))
+            shown(at[last])
+                .filter(|s| s.assignment_valid_for == 0 && s.roles.iter().all(|d| d.own_lease.is_none()))
         });
     } else {
         let next = until("another deals", || owner().filter(|n| *n != first));
@@ -146,17 +150,17 @@
         .collect();
     let owner = |duty: u16| {
         (0..3).find_map(|n| {
-            let own = shown(at[n])?.duties.iter().find(|d| d.duty == duty)?.own?;
+            let own = shown(at[n])?.roles.iter().find(|d| d.role == duty)?.own_lease?;
             Some((n, own.0.term))
         })
     };
     let (first, term) = until("somebody drives", || owner(1));
     let to = (first as u32 + 1) % 3;
-    let request = Request { from: OUTSIDE, words: vec![Word::HandOver(1, Some(to))] };
+    let request = Request { from: OUTSIDE, messages: vec![Message::HandOver(1, Some(to))] };
     let said = until("the roster is known", || {
-        ask(at[first], &request, LONG).ok().filter(|s| s.contains(&Answer::HandsOver(1, true)))
+        call_member(at[first], &request, LONG).ok().filter(|s| s.contains(&Reply::HandOverStarted(1, true)))
     });
-    assert_eq!(said, [Answer::HandsOver(1, true)]);
+    assert_eq!(said, [Reply::HandOverStarted(1, true)]);
     let (next, later) = until("it was taken", || owner(1).filter(|o| o.1 > term));
     assert!(later > term && next != first);
     worlds[next].signal("TERM");
@@ -173,7 +177,7 @@
         .collect();
     let owner = || {
         (0..4).find_map(|n| {
-            let own = shown(at[n])?.duties.iter().find(|d| d.duty == 0)?.own?;
+            let own = shown(at[n])?.roles.iter().find(|d| d.role == 0)?.own_lease?;
             Some((n, own.0.term))
         })
     };
@@ -184,7 +188,7 @@
     };
     tell_all(&settings(&at));
     worlds.iter().for_each(|w| drop(w.logged("reload duties voters=4")));
-    until("the fourth votes", || shown(at[3]).filter(|s| s.voter == Some(3) && s.silent == 0));
+    until("the fourth votes", || shown(at[3]).filter(|s| s.voter == Some(3) && s.silent_for == 0));
     // Numbers stay as they are: the owner's line goes.
     let less: String = settings(&at)
         .lines()
@@ -194,7 +198,7 @@
     tell_all(&less);
     let (next, _) = until("another deals", || owner().filter(|o| o.0 != first));
     assert_ne!(next, first);
-    until("it votes no more", || shown(at[first]).filter(|s| s.voter.is_none() && s.duties.is_empty()));
+    until("it votes no more", || shown(at[first]).filter(|s| s.voter.is_none() && s.roles.is_empty()));
     // Two at once are refused, and nothing changes.
     tell_all(&settings(&at[next..=next]));
     worlds.iter().for_each(|w| drop(w.logged("reload failed, the old duties stay: ")));
@@ -205,8 +209,8 @@
 #[test]
 fn without_settings_the_method_is_unknown_and_odd_calls_do_no_harm() {
     let world = World::start();
-    let request = Request { from: OUTSIDE, words: vec![Word::Show] };
-    let e = ask(world.address, &request, LONG).expect_err("it answers none");
+    let request = Request { from: OUTSIDE, messages: vec![Message::ShowStatus] };
+    let e = call_member(world.address, &request, LONG).expect_err("it answers none");
     assert!(e.to_string().contains("SABLECROSS_DUTY"), "{e}");
     let at = free();
     let file = file("odd", &settings(&[at]));
@@ -214,7 +218,7 @@
     until("it answers", || shown(at));
     let mut stream = std::net::TcpStream::connect(at).expect("connected");
     stream
-        .write_all(&sablecross_director::wire::rpc::call(3, "duty", b"nothing of the kind"))
+        .write_all(&sablecross_director::wire::rpc::encode_call(3, "duty", b"nothing of the kind"))
         .expect("written");
     until("it answers still", || shown(at));
     let mut client = world.client();
@@ -237,9 +241,12 @@
         (format!("(duty (lease . 10))\n{voter}"), "lease"),
     ];
     for (text, what) in cases {
-        let said = Setting::parse("f", &text).expect_err(&text)[0].to_string();
+        let said = CoordinationSettings::parse("f", &text).expect_err(&text)[0].to_string();
         assert!(said.contains(what), "{text}: {said}");
     }
     let text = include_str!("../../../deploy/duty.scm");
-    assert_eq!(Setting::parse("deploy/duty.scm", text).expect("the sample").terms.voters, [0, 1, 2]);
+    assert_eq!(
+        CoordinationSettings::parse("deploy/duty.scm", text).expect("the sample").config.voters,
+        [0, 1, 2]
+    );
 }
--- a/crates/director/tests/coordination_settings_format.rs
+++ b/crates/director/tests/coordination_settings_format.rs
@@ -1,15 +1,17 @@
 //! The coordination settings with every key and every default, the tag of a health check, and the frame of a call
 //! between members, as literals: a rename in the source must not change them.
-#![cfg(feature = "duty")]
+#![cfg(feature = "coordination")]
 
 use std::io::{Read, Write};
 use std::net::TcpListener;
 use std::time::Duration;
 
-use sablecross_director::duty::settings::{DRIVING, DUTIES, Setting, WARMING, named};
-use sablecross_director::duty::{Tag, ask};
-use sablecross_duty::word::{Answer, Request, Word};
-use sablecross_duty::{Member, Pace, Terms, Token};
+use sablecross_coordination::messages::{Message, Reply, Request};
+use sablecross_coordination::{CoordinationConfig, FencingToken, Member, WarmingLimits};
+use sablecross_director::coordination::settings::{
+    CoordinationSettings, HIERARCHY_ROLE, ROLES, WARMING_ROLE, role_name,
+};
+use sablecross_director::coordination::{HealthCheckTag, call_member};
 
 const MS: u64 = 1_000_000;
 
@@ -21,54 +23,68 @@
 (voter (number . 9) (address . "127.0.0.1:10089"))
 (voter (number . 1) (address . "[::1]:10081"))
 "#;
-    let whole = Setting {
-        terms: Terms {
+    let whole = CoordinationSettings {
+        config: CoordinationConfig {
             voters: vec![9, 1],
-            duties: vec![0, 1, 2],
-            lease: 301 * MS,
-            round: 102 * MS,
-            apart: 53 * MS,
-            beat: 204 * MS,
-            probe: 1_005 * MS,
-            patience: 406 * MS,
+            roles: vec![0, 1, 2],
+            lease_duration: 301 * MS,
+            round_timeout: 102 * MS,
+            claim_spacing: 53 * MS,
+            heartbeat_interval: 204 * MS,
+            check_interval: 1_005 * MS,
+            check_timeout: 406 * MS,
         },
-        addresses: vec!["127.0.0.1:10089".parse().expect("one"), "[::1]:10081".parse().expect("one")],
+        voter_addresses: vec!["127.0.0.1:10089".parse().expect("one"), "[::1]:10081".parse().expect("one")],
         probing: true,
-        gone_after: 60_007 * MS,
-        warming: Some(Pace { bears: 20.5, part: 0.75, from: 1.0, after: 0, patience: 301 * MS, most: 208 }),
+        member_gone_after: 60_007 * MS,
+        warming: Some(WarmingLimits {
+            warm_requests_per_second: 20.5,
+            capacity_share: 0.75,
+            initial_share: 1.0,
+            warm_up_time: 0,
+            fetch_timeout: 301 * MS,
+            max_objects: 208,
+        }),
     };
-    assert_eq!(Setting::parse("f", text).expect("read"), whole);
+    assert_eq!(CoordinationSettings::parse("f", text).expect("read"), whole);
     let without = text.replace("(probing . #t) (warming . #t)", "(probing . #f) (warming . #f)");
     assert_eq!(
-        Setting::parse("f", &without).expect("read"),
-        Setting { probing: false, warming: None, ..whole }
+        CoordinationSettings::parse("f", &without).expect("read"),
+        CoordinationSettings { probing: false, warming: None, ..whole }
     );
 }
 
 #[test]
 fn every_default_of_the_settings() {
     let voter = "(voter (number . 0) (address . \"127.0.0.1:10080\"))";
-    let defaults = Setting {
-        terms: Terms {
+    let defaults = CoordinationSettings {
+        config: CoordinationConfig {
             voters: vec![0],
-            duties: vec![0, 1, 2],
-            lease: 1_000 * MS,
-            round: 200 * MS,
-            apart: 50 * MS,
-            beat: 200 * MS,
-            probe: 1_000 * MS,
-            patience: 400 * MS,
+            roles: vec![0, 1, 2],
+            lease_duration: 1_000 * MS,
+            round_timeout: 200 * MS,
+            claim_spacing: 50 * MS,
+            heartbeat_interval: 200 * MS,
+            check_interval: 1_000 * MS,
+            check_timeout: 400 * MS,
         },
-        addresses: vec!["127.0.0.1:10080".parse().expect("one")],
+        voter_addresses: vec!["127.0.0.1:10080".parse().expect("one")],
         probing: true,
-        gone_after: 60_000 * MS,
+        member_gone_after: 60_000 * MS,
         warming: None,
     };
-    assert_eq!(Setting::parse("f", &format!("(duty)\n{voter}")).expect("read"), defaults);
-    let warming = Pace { bears: 20.0, part: 0.25, from: 1.0, after: 0, patience: 1_000 * MS, most: 200 };
+    assert_eq!(CoordinationSettings::parse("f", &format!("(duty)\n{voter}")).expect("read"), defaults);
+    let warming = WarmingLimits {
+        warm_requests_per_second: 20.0,
+        capacity_share: 0.25,
+        initial_share: 1.0,
+        warm_up_time: 0,
+        fetch_timeout: 1_000 * MS,
+        max_objects: 200,
+    };
     assert_eq!(
-        Setting::parse("f", &format!("(duty (warming . #t))\n{voter}")).expect("read"),
-        Setting { warming: Some(warming), ..defaults }
+        CoordinationSettings::parse("f", &format!("(duty (warming . #t))\n{voter}")).expect("read"),
+        CoordinationSettings { warming: Some(warming), ..defaults }
     );
 }
 
@@ -90,7 +106,7 @@
         format!("(duty (lease . 10))\n{voter}"),
         format!("(duty)\n{voter}\n(owner)"),
     ] {
-        let faults = Setting::parse("f", &text).expect_err(&text);
+        let faults = CoordinationSettings::parse("f", &text).expect_err(&text);
         said.push(faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "));
     }
     let expected = [
@@ -112,17 +128,20 @@
 
 #[test]
 fn the_names_and_numbers_of_what_a_member_can_own() {
-    assert_eq!(DUTIES, [(0, "dealing"), (1, "driving"), (2, "warming")]);
-    assert_eq!((DRIVING, WARMING, named(1), named(3)), (1, 2, "driving", "unknown"));
+    assert_eq!(ROLES, [(0, "dealing"), (1, "driving"), (2, "warming")]);
+    assert_eq!((HIERARCHY_ROLE, WARMING_ROLE, role_name(1), role_name(3)), (1, 2, "driving", "unknown"));
 }
 
 #[test]
 fn the_tag_of_a_health_check() {
-    let tag = Tag { token: Token { term: 0xa1, owner: Member { number: 0xb2, life: 0xc3 } }, number: 0xd4 };
+    let tag = HealthCheckTag {
+        token: FencingToken { term: 0xa1, holder: Member { number: 0xb2, incarnation: 0xc3 } },
+        sequence: 0xd4,
+    };
     assert_eq!(tag.to_string(), "a1-b2-c3-d4");
     assert_eq!("a1-b2-c3-d4".parse(), Ok(tag));
     for odd in ["", "a1-b2-c3", "a1-b2-c3-x", "a1-100000000-c3-d4"] {
-        assert_eq!(odd.parse::<Tag>(), Err(()), "{odd}");
+        assert_eq!(odd.parse::<HealthCheckTag>(), Err(()), "{odd}");
     }
 }
 
@@ -143,8 +162,8 @@
         stream.write_all(body).expect("answered");
         stream.write_all(b"\x80").expect("answered");
     });
-    let request = Request { from: Member { number: 7, life: 8 }, words: vec![Word::Show] };
-    let answers = ask(at, &request, Duration::from_secs(5));
+    let request = Request { from: Member { number: 7, incarnation: 8 }, messages: vec![Message::ShowStatus] };
+    let answers = call_member(at, &request, Duration::from_secs(5));
     voter.join().expect("the frame");
-    assert_eq!(answers.expect("answered"), [Answer::HandsOver(1, true)]);
+    assert_eq!(answers.expect("answered"), [Reply::HandOverStarted(1, true)]);
 }
--- a/crates/director/tests/help/faults.rs
+++ b/crates/director/tests/help/faults.rs
@@ -10,14 +10,14 @@
 }
 
 impl Faults {
-    /// A plan that is in force from the start on; `crates/faults/src/plan.rs` has its grammar.
+    /// A plan that is in force from the start on; `crates/fault-injection/src/plan.rs` has its grammar.
     pub fn plan(rules: &str) -> Faults {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-        let name = format!("sablecross-faults-{}-{number}.plan", std::process::id());
+        let name = format!("sablecross-fault-injection-{}-{number}.plan", std::process::id());
         // The library lies beside the tests, as one of their dependencies.
         let tests = std::env::current_exe().expect("its own name");
-        let library = tests.with_file_name("libsablecross_faults.so");
+        let library = tests.with_file_name("libsablecross_fault_injection.so");
         assert!(library.exists(), "built with the tests");
         let faults = Faults { plan: std::env::temp_dir().join(name), library: library.into_os_string() };
         faults.set(rules);
--- a/crates/director/tests/settings_format.rs
+++ b/crates/director/tests/settings_format.rs
@@ -4,9 +4,9 @@
 
 use std::process::Command;
 
-use sablecross::{Effect, ObjectKind, Settings, State};
-use sablecross_director::life::config::Config;
-use sablecross_director::plain::facts::{Fact, Member};
+use sablecross::{Effect, EndpointState, RequestClass, Settings};
+use sablecross_director::discovery_event::{DiscoveryEvent, Endpoint};
+use sablecross_director::process::config::Config;
 use serde_json::Value;
 
 const SAMPLE: &str = include_str!("../../../deploy/sample.json");
@@ -41,75 +41,83 @@
     assert_eq!((config.name.as_str(), config.seed), ("sample", 0x6e1f_0c27_a4d5_9b83));
     assert_eq!(config.listen.to_string(), "127.0.0.1:10080");
     assert_eq!(config.feeds.iter().map(ToString::to_string).collect::<Vec<_>>(), ["127.0.0.1:7070"]);
-    let kind = |budget, stretch, utility, fresh, parts| ObjectKind {
-        latency_budget: budget,
-        budget_stretch: Some(stretch),
-        utility,
+    let kind = |budget, stretch, utility, fresh, parts| RequestClass {
+        latency_objective: budget,
+        latency_objective_stretch: Some(stretch),
+        priority_weight: utility,
         effect: Effect::Idempotent,
-        fresh,
-        grace: 0,
-        parts,
-        written: false,
+        fresh_for: fresh,
+        stale_for: 0,
+        is_multipart: parts,
+        is_uncacheable: false,
     };
     let settings = Settings {
         zone: 1,
-        number: 0,
-        directors: vec![0, 1],
-        object_kinds: vec![
+        director_index: 0,
+        directors_per_zone: vec![0, 1],
+        request_classes: vec![
             kind(300_000_000, 1.6, 2.0, 0, true),
             kind(200_000_000, 2.0, 1.0, 20_000_000_000, false),
         ],
         parent_kind: Some(1),
         origin_kind: 2,
-        follow_list: false,
-        cancels: true,
-        second_copies: true,
-        pauses: true,
-        longest_pause: 2_000_000_000,
-        most_sends: 6,
-        cold_from: 0.25,
-        warm_after: 18_000_000_000,
-        fall_multiple: 3.0,
-        parent_cold_from: 0.08,
-        parent_warm_after: 20_000_000_000,
-        parent_fall_multiple: 2.0,
+        polls_endpoint_list: false,
+        may_cancel: true,
+        may_hedge: true,
+        may_send_retry_after: true,
+        max_retry_after: 2_000_000_000,
+        max_attempts: 6,
+        slow_start_initial_share: 0.25,
+        slow_start_window: 18_000_000_000,
+        collapse_multiple: 3.0,
+        parent_slow_start_initial_share: 0.08,
+        parent_slow_start_window: 20_000_000_000,
+        parent_collapse_multiple: 2.0,
         stream_kb_per_s: 9_000.0,
-        direct: true,
-        joins: true,
-        purge_cleared: 6_000_000_000,
+        may_bypass_cache: true,
+        may_coalesce: true,
+        purge_propagation_window: 6_000_000_000,
         tick: 1_000_000,
     };
     assert_eq!(config.settings, settings);
-    assert_eq!(config.names.kinds, ["footage", "readings"]);
+    assert_eq!(config.names.classes, ["footage", "readings"]);
     let mut zones: Vec<_> = config.names.zones.iter().map(|(name, n)| (name.as_str(), *n)).collect();
     zones.sort_unstable();
     assert_eq!(zones, [("edge", 1), ("hub", 0)]);
-    let mut machines: Vec<_> = config.names.machines.iter().map(|(name, n)| (name.as_str(), *n)).collect();
+    let mut machines: Vec<_> = config.names.node_kinds.iter().map(|(name, n)| (name.as_str(), *n)).collect();
     machines.sort_unstable();
     assert_eq!(machines, [("origin", 2), ("parent", 1), ("small", 0)]);
-    assert!(!config.names.duties);
+    assert!(!config.names.answers_peers);
     let limits = &config.limits;
-    assert_eq!((limits.clients, limits.links, limits.links_a_node, limits.ending), (349, 496, 64, 32));
-    assert_eq!((limits.lookups, limits.bodies), (3_072, 50_331_648));
-    assert_eq!((limits.dial, limits.idle), (400_000_000, 24_000_000_000));
+    assert_eq!(
+        (
+            limits.max_client_connections,
+            limits.max_node_connections,
+            limits.max_connections_per_node,
+            limits.max_closing_clients
+        ),
+        (349, 496, 64, 32)
+    );
+    assert_eq!((limits.max_requests, limits.body_memory_bytes), (3_072, 50_331_648));
+    assert_eq!((limits.connect_timeout, limits.node_idle_timeout), (400_000_000, 24_000_000_000));
     assert_eq!((config.known.last, config.known.events.len()), (1, 1));
     let event = &config.known.events[0];
-    assert_eq!(event.n, 1);
-    let member = |name: &str, address: &str, zone: &str, kind: &str, cell| Member {
+    assert_eq!(event.number, 1);
+    let member = |name: &str, address: &str, zone: &str, kind: &str, cell| Endpoint {
         name: name.into(),
         address: address.parse().expect("an address"),
         zone: zone.into(),
         kind: kind.into(),
         cell,
-        state: State::Ready,
-        started: 0,
+        state: EndpointState::Ready,
+        started_at: 0,
     };
     let listed = vec![
         member("cache-a", "127.0.0.1:11001", "edge", "small", 0),
         member("parent-a", "127.0.0.1:11002", "hub", "parent", 1_000),
         member("origin", "127.0.0.1:11003", "hub", "origin", 65_535),
     ];
-    assert_eq!(event.fact, Fact::Members { members: listed, whole: true });
+    assert_eq!(event.event, DiscoveryEvent::Endpoints { endpoints: listed, is_snapshot: true });
 }
 
 #[test]
--- a/crates/director/tests/upper.rs
+++ b/crates/director/tests/upper.rs
@@ -27,8 +27,9 @@
 }
 
 fn event(n: u64, text: &str) -> String {
-    let (number, version) = sablecross_hierarchy::spec::read("test", text, None).expect("a version");
-    let told = sablecross_hierarchy::spec::Told::of(number, &version);
+    let (number, version) =
+        sablecross_hierarchy::spec::parse_settings("test", text, None).expect("a version");
+    let told = sablecross_hierarchy::spec::HierarchySpec::from_hierarchy(number, &version);
     format!("{{\"n\":{n},\"hierarchy\":{}}}", serde_json::to_string(&told).expect("json"))
 }
 
--- a/crates/director/tests/wire_format.rs
+++ b/crates/director/tests/wire_format.rs
@@ -4,15 +4,15 @@
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 
-use sablecross::{Outcome, Send, State};
-use sablecross_director::exchange::{Asked, Call, Withdrawn};
-use sablecross_director::plain::bodies::Room;
-use sablecross_director::plain::counters::{Counters, Shared};
-use sablecross_director::plain::facts::{Fact, Member, Numbered};
-use sablecross_director::plain::limits::Limits;
-use sablecross_director::plain::names::Names;
-use sablecross_director::wire::lines;
-use sablecross_director::wire::rpc::{self, Fields, Message};
+use sablecross::{AttemptSpec, EndpointState, Outcome};
+use sablecross_director::counters::{ConnectionCounters, Counters};
+use sablecross_director::discovery_event::{DiscoveryEvent, Endpoint, NumberedEvent};
+use sablecross_director::events::{CallId, CancellationFlag, IncomingRequest};
+use sablecross_director::limits::Limits;
+use sablecross_director::memory_budget::MemoryBudget;
+use sablecross_director::name_table::NameTable;
+use sablecross_director::wire::node_protocol;
+use sablecross_director::wire::rpc::{self, Message, RequestFields};
 
 use serde_json::{Value, json};
 
@@ -26,11 +26,15 @@
 }
 
 fn limits() -> Limits {
-    Limits::of(1_024, 192, 400_000_000, 30_000_000_000)
+    Limits::new(1_024, 192, 400_000_000, 30_000_000_000)
 }
 
-fn names() -> Names {
-    Names { kinds: vec!["footage".into(), "readings".into()], duties: true, ..Names::default() }
+fn names() -> NameTable {
+    NameTable {
+        classes: vec!["footage".into(), "readings".into()],
+        answers_peers: true,
+        ..NameTable::default()
+    }
 }
 
 /// A request with every field, and one with those alone that must be there.
@@ -60,42 +64,45 @@
     let read = |hex: &str| {
         let bytes = bytes(hex);
         let bytes: &'static [u8] = bytes.leak();
-        let (message, length) = rpc::read(bytes, &names, &limits).expect("a message");
+        let (message, length) = rpc::decode(bytes, &names, &limits).expect("a message");
         assert_eq!(length, bytes.len());
         message
     };
-    let full = Fields {
-        name: *b"9b1f03aa5c7e2d41",
-        kind: 1,
+    let full = RequestFields {
+        request_id: *b"9b1f03aa5c7e2d41",
+        class: 1,
         budget_ms: 1_500,
         object: 0x7f3a_9c21_e0b4_d655,
         part: 3,
         group: 17,
         size_kb: 412.5,
-        tag: Some("4be0c1927d55a6f3"),
-        mark: Some("d06a66f0be6341e9"),
-        repeat: true,
+        client_tag: Some("4be0c1927d55a6f3"),
+        idempotency_key: Some("d06a66f0be6341e9"),
+        is_client_retry: true,
     };
-    assert_eq!(read(FULL), Message::Lookup { call: 300, fields: full, body: b"body" });
-    let least = Fields {
-        name: *b"9b1f03aa5c7e2d41",
-        kind: 0,
+    assert_eq!(read(FULL), Message::Request { call: 300, fields: full, body: b"body" });
+    let least = RequestFields {
+        request_id: *b"9b1f03aa5c7e2d41",
+        class: 0,
         budget_ms: 0,
         object: 0x7f3a_9c21_e0b4_d655,
         part: 0,
         group: 0,
         size_kb: 0.0,
-        tag: None,
-        mark: None,
-        repeat: false,
+        client_tag: None,
+        idempotency_key: None,
+        is_client_retry: false,
     };
-    assert_eq!(read(LEAST), Message::Lookup { call: 7, fields: least, body: b"" });
-    assert_eq!(read("94 00 08 a5 616c697665 91 80"), Message::Alive { call: 8 });
+    assert_eq!(read(LEAST), Message::Request { call: 7, fields: least, body: b"" });
+    assert_eq!(read("94 00 08 a5 616c697665 91 80"), Message::HealthCheck { call: 8 });
     assert_eq!(read("93 02 ad 63616e63656c52657175657374 91 ceffffffff"), Message::Cancel { call: u32::MAX });
-    assert_eq!(read("94 00 09 a4 64757479 92 80 c4 03 010203"), Message::Duty { call: 9, body: &[1, 2, 3] });
+    assert_eq!(
+        read("94 00 09 a4 64757479 92 80 c4 03 010203"),
+        Message::PeerCall { call: 9, body: &[1, 2, 3] }
+    );
     assert_eq!(
         read("94 00 0a a6 636c69707379 92 80 c4 00"),
-        Message::Unfit { call: 10, why: "unknown method" }
+        Message::Unusable { call: 10, cause: "unknown method" }
     );
 }
 
@@ -117,39 +124,39 @@
     for (from, to, cause) in cases {
         assert!(LEAST.contains(from), "{from}");
         let bytes = bytes(&LEAST.replacen(from, to, 1));
-        let (message, _) = rpc::read(&bytes, &names, &limits).expect("a message");
-        assert_eq!(message, Message::Unfit { call: 7, why: cause }, "{to}");
+        let (message, _) = rpc::decode(&bytes, &names, &limits).expect("a message");
+        assert_eq!(message, Message::Unusable { call: 7, cause: cause }, "{to}");
     }
 }
 
 #[test]
 fn answers_to_clients() {
     let framed = |call, length, unchanged| {
-        let frame = rpc::satisfied(call, length, unchanged);
+        let frame = rpc::encode_success(call, length, unchanged);
         format!("{} {}", hex(&frame.before), hex(&frame.after))
     };
     assert_eq!(framed(7, 3, false), "940107c092c403 80");
     assert_eq!(framed(300, 300, false), "9401cd012cc092c5012c 80");
     assert_eq!(framed(70_000, 70_000, false), "9401ce00011170c092c600011170 80");
     assert_eq!(framed(7, 0, true), "940107c092c400 81a9756e6368616e676564a131");
-    assert_eq!(hex(&rpc::error(7, "Rejected", &[])), "94010792a852656a656374656480c0");
+    assert_eq!(hex(&rpc::encode_error(7, "Rejected", &[])), "94010792a852656a656374656480c0");
     assert_eq!(
-        hex(&rpc::error(7, "Rejected", &[("backoff", "40")])),
+        hex(&rpc::encode_error(7, "Rejected", &[("backoff", "40")])),
         "94010792a852656a656374656481a76261636b6f6666a23430c0"
     );
-    assert_eq!(hex(&rpc::error(7, "Failed", &[])), "94010792a64661696c656480c0");
-    assert_eq!(hex(&rpc::alive(8, true)), "940108c092c380");
-    assert_eq!(hex(&rpc::alive(8, false)), "940108c092c280");
+    assert_eq!(hex(&rpc::encode_error(7, "Failed", &[])), "94010792a64661696c656480c0");
+    assert_eq!(hex(&rpc::encode_health(8, true)), "940108c092c380");
+    assert_eq!(hex(&rpc::encode_health(8, false)), "940108c092c280");
 }
 
 #[test]
 fn calls_between_directors() {
     let limits = limits();
-    let call = rpc::call(9, "duty", &[1, 2, 3]);
+    let call = rpc::encode_call(9, "duty", &[1, 2, 3]);
     assert_eq!(hex(&call), "940009a4647574799280c403010203");
     let read = |hex: &str| {
         let bytes: &'static [u8] = bytes(hex).leak();
-        rpc::answered(bytes, &limits).expect("an answer")
+        rpc::decode_response(bytes, &limits).expect("an answer")
     };
     assert_eq!(read("94 01 09 c0 92 c4 02 0405 80"), (9, Some(&[4, 5][..]), 10));
     assert_eq!(read("94 01 09 92 a6 4661696c6564 80 c0"), (9, None, 13));
@@ -159,80 +166,87 @@
 fn heads_of_answers_of_nodes() {
     const NAME: &str = "9b1f03aa5c7e2d41";
     let cases = [
-        ("ACK - 5", Outcome::Satisfied, None, None, false, 5),
-        ("ACK how=HIT,entity=t1,issued=17 5", Outcome::Satisfied, Some(true), Some("t1"), false, 5),
-        ("ACK how=MISS 5", Outcome::Satisfied, Some(false), None, false, 5),
-        ("ACK how=MISS_ORIGIN 5", Outcome::Satisfied, Some(false), None, false, 5),
-        ("ACK how=COLLAPSED 0", Outcome::Satisfied, Some(false), None, false, 0),
-        ("ACK how=STALE 0", Outcome::Satisfied, Some(true), None, false, 0),
-        ("ACK how=UNHEARD 0", Outcome::Satisfied, None, None, false, 0),
-        ("NOMOD entity=t1 0", Outcome::Satisfied, None, Some("t1"), true, 0),
+        ("ACK - 5", Outcome::Success, None, None, false, 5),
+        ("ACK how=HIT,entity=t1,issued=17 5", Outcome::Success, Some(true), Some("t1"), false, 5),
+        ("ACK how=MISS 5", Outcome::Success, Some(false), None, false, 5),
+        ("ACK how=MISS_ORIGIN 5", Outcome::Success, Some(false), None, false, 5),
+        ("ACK how=COLLAPSED 0", Outcome::Success, Some(false), None, false, 0),
+        ("ACK how=STALE 0", Outcome::Success, Some(true), None, false, 0),
+        ("ACK how=UNHEARD 0", Outcome::Success, None, None, false, 0),
+        ("NOMOD entity=t1 0", Outcome::Success, None, Some("t1"), true, 0),
         ("NOENT - 0", Outcome::Miss, None, None, false, 0),
-        ("AGAIN how=UP_BUSY 0", Outcome::Full, None, None, false, 0),
+        ("AGAIN how=UP_BUSY 0", Outcome::Overloaded, None, None, false, 0),
         ("EIO - 0", Outcome::Error, None, None, false, 0),
-        ("STALE - 0", Outcome::NeverSent, None, None, false, 0),
+        ("STALE - 0", Outcome::NotSent, None, None, false, 0),
     ];
     for (rest, outcome, hit, tag, unchanged, length) in cases {
         let line = format!("{NAME} {rest}");
-        let head = lines::head(line.as_bytes()).expect(rest);
-        assert_eq!(&head.name, NAME.as_bytes());
-        let read = (head.outcome, head.hit, head.tag, head.unchanged, head.length);
+        let head = node_protocol::parse_answer_head(line.as_bytes()).expect(rest);
+        assert_eq!(&head.request_id, NAME.as_bytes());
+        let read = (head.outcome, head.is_cache_hit, head.tag, head.is_unchanged, head.body_length);
         assert_eq!(read, (outcome, hit, tag, unchanged, length), "{rest}");
         assert_eq!(head.load, None);
     }
     let line = format!("{NAME} ACK stats=active:7;cpu:0.61;x0:0.1;x1:0.25,entity=t1 0");
-    let load = lines::head(line.as_bytes()).and_then(|head| head.load).expect("a report");
-    assert_eq!((load.busy, load.link), (Some(0.61), Some(0.25)));
+    let load =
+        node_protocol::parse_answer_head(line.as_bytes()).and_then(|head| head.load).expect("a report");
+    assert_eq!((load.cpu_utilization, load.link_utilization), (Some(0.61), Some(0.25)));
 }
 
 #[test]
 fn lines_to_nodes() {
-    let room = Room::of(100);
-    let asked = |tag: Option<&str>, mark: Option<&str>, length| Asked {
+    let room = MemoryBudget::new(100);
+    let asked = |tag: Option<&str>, mark: Option<&str>, length| IncomingRequest {
         client: 1,
-        call: Call { number: 7, turn: 0 },
-        withdrawn: Withdrawn::default(),
-        name: *b"9b1f03aa5c7e2d41",
-        kind: 0,
+        call: CallId { number: 7, generation: 0 },
+        cancellation: CancellationFlag::default(),
+        request_id: *b"9b1f03aa5c7e2d41",
+        class: 0,
         object: 0x00ff,
         part: 3,
         group: 17,
         size_kb: 1.0,
-        tag: tag.map(Into::into),
-        mark: mark.map(Into::into),
-        repeat: false,
-        body: room.body(length).expect("room").into(),
-        arrived: 0,
+        client_tag: tag.map(Into::into),
+        idempotency_key: mark.map(Into::into),
+        is_client_retry: false,
+        body: room.allocate_body(length).expect("room").into(),
+        arrived_at: 0,
         budget: 0,
     };
-    let bare = Send {
+    let bare = AttemptSpec {
         node: 0,
         source: None,
-        time_out: 1_500_400_000,
+        timeout: 1_500_400_000,
         begin_by: u64::MAX,
-        oldest: None,
-        join: false,
-        renew: false,
-        keep: 0,
+        max_age: None,
+        coalesce: false,
+        refresh: false,
+        retention_rank: 0,
     };
-    let line = |asked: &Asked, send: &Send, source, way| {
-        let head = lines::pull(asked, send, "footage", source, way);
-        String::from_utf8(head.line(send.time_out)).expect("text")
+    let line = |asked: &IncomingRequest, send: &AttemptSpec, source, way| {
+        let head = node_protocol::pull_head(asked, send, "footage", source, way);
+        String::from_utf8(head.with_wait(send.timeout)).expect("text")
     };
     let plain = asked(None, None, 0);
     let start = "PULL 9b1f03aa5c7e2d41 class=footage,key=00000000000000ff,part=3,wait=1500";
     assert_eq!(line(&plain, &bare, None, None), format!("{start} 0\r\n"));
-    let full = Send { oldest: Some(2_500_000_000), join: true, renew: true, keep: 2, ..bare };
+    let full = AttemptSpec {
+        max_age: Some(2_500_000_000),
+        coalesce: true,
+        refresh: true,
+        retention_rank: 2,
+        ..bare
+    };
     let rest = ",miss=parent-a,way=hub-1+origin,prio=2,within=2500,f=collapse+refresh,mine=t1,once=m7 2\r\n";
     assert_eq!(
         line(&asked(Some("t1"), Some("m7"), 2), &full, Some("parent-a"), Some("hub-1+origin")),
         format!("{start}{rest}")
     );
     let one = [
-        (Send { keep: 1, ..bare }, ",prio=1"),
-        (Send { oldest: Some(0), ..bare }, ",within=1"),
-        (Send { join: true, ..bare }, ",f=collapse"),
-        (Send { renew: true, ..bare }, ",f=refresh"),
+        (AttemptSpec { retention_rank: 1, ..bare }, ",prio=1"),
+        (AttemptSpec { max_age: Some(0), ..bare }, ",within=1"),
+        (AttemptSpec { coalesce: true, ..bare }, ",f=collapse"),
+        (AttemptSpec { refresh: true, ..bare }, ",f=refresh"),
     ];
     for (send, field) in one {
         assert_eq!(line(&plain, &send, None, None), format!("{start}{field} 0\r\n"));
@@ -241,15 +255,15 @@
     assert_eq!(line(&asked(None, Some("m7"), 0), &bare, None, None), format!("{start},once=m7 0\r\n"));
     // A millisecond at least is told.
     assert_eq!(
-        lines::pull(&plain, &bare, "footage", None, None).line(0),
+        node_protocol::pull_head(&plain, &bare, "footage", None, None).with_wait(0),
         b"PULL 9b1f03aa5c7e2d41 class=footage,key=00000000000000ff,part=3,wait=1 0\r\n"
     );
-    assert_eq!(lines::kill(b"9b1f03aa5c7e2d41"), b"KILL 9b1f03aa5c7e2d41\r\n");
+    assert_eq!(node_protocol::kill_line(b"9b1f03aa5c7e2d41"), b"KILL 9b1f03aa5c7e2d41\r\n");
 }
 
-fn event(text: &str) -> Result<Numbered, String> {
+fn event(text: &str) -> Result<NumberedEvent, String> {
     let value: Value = serde_json::from_str(text).expect("JSON");
-    Numbered::of(&value).map_err(|e| e.to_string())
+    NumberedEvent::from_json(&value).map_err(|e| e.to_string())
 }
 
 #[test]
@@ -261,24 +275,38 @@
          "status": "draining", "weight": 1, "since_ms": 0},
         {"name": "c", "address": "127.0.0.1:3", "zone": "hub", "type": "origin", "group": 0,
          "status": "gone", "since_ms": 18446744073709551615}]}}"#;
-    let member = |name: &str, address: &str, zone: &str, kind: &str, cell, state, started| Member {
+    let member = |name: &str, address: &str, zone: &str, kind: &str, cell, state, started| Endpoint {
         name: name.into(),
         address: address.parse::<SocketAddr>().expect("an address"),
         zone: zone.into(),
         kind: kind.into(),
         cell,
         state,
-        started,
+        started_at: started,
     };
     let listed = vec![
-        member("cache-a", "127.0.0.1:11001", "edge", "small", 4, State::Ready, 1_700_000_000_123_000_000),
-        member("b", "[::1]:2", "hub", "parent", 65_535, State::Draining, 0),
-        member("c", "127.0.0.1:3", "hub", "origin", 0, State::Gone, u64::MAX),
+        member(
+            "cache-a",
+            "127.0.0.1:11001",
+            "edge",
+            "small",
+            4,
+            EndpointState::Ready,
+            1_700_000_000_123_000_000,
+        ),
+        member("b", "[::1]:2", "hub", "parent", 65_535, EndpointState::Draining, 0),
+        member("c", "127.0.0.1:3", "hub", "origin", 0, EndpointState::Gone, u64::MAX),
     ];
     let read = event(text).expect("an event");
-    assert_eq!((read.n, read.fact), (12, Fact::Members { members: listed, whole: false }));
+    assert_eq!(
+        (read.number, read.event),
+        (12, DiscoveryEvent::Endpoints { endpoints: listed, is_snapshot: false })
+    );
     let read = event(r#"{"n": 1, "members": {"snapshot": true, "endpoints": []}}"#).expect("an event");
-    assert_eq!((read.n, read.fact), (1, Fact::Members { members: Vec::new(), whole: true }));
+    assert_eq!(
+        (read.number, read.event),
+        (1, DiscoveryEvent::Endpoints { endpoints: Vec::new(), is_snapshot: true })
+    );
 
     let purges = [
         (r#"{"n": 7, "purge": {"key": "00000000000000ff", "made_ms": 9}}"#, Some(0xff), 0),
@@ -289,7 +317,7 @@
     ];
     for (text, object, group) in purges {
         let read = event(text).expect("an event");
-        assert_eq!((read.n, read.fact), (7, Fact::Purge { object, group }), "{text}");
+        assert_eq!((read.number, read.event), (7, DiscoveryEvent::Purge { object, group }), "{text}");
     }
 }
 
@@ -332,38 +360,38 @@
 #[test]
 fn the_line_of_the_counters() {
     let counters = Counters {
-        taken: 1,
-        satisfied: 2,
-        nacked: 3,
+        received: 1,
+        succeeded: 2,
+        rejected: 3,
         failed: 4,
         cancelled: 5,
-        in_hand: 6,
+        in_flight: 6,
         unchanged: 7,
-        crowded: 8,
-        unfit: 9,
-        sends: 10,
-        further: 11,
+        rejected_overload: 8,
+        unusable: 9,
+        attempts: 10,
+        further_attempts: 11,
         late: 12,
-        links: 13,
-        links_open: 14,
-        facts: 15,
+        connections_opened: 13,
+        connections_open: 14,
+        discovery_events: 15,
         violations: 16,
         ..Counters::default()
     };
     let mut counters = counters;
     let ends = [
-        Outcome::Satisfied,
+        Outcome::Success,
         Outcome::Miss,
-        Outcome::Full,
+        Outcome::Overloaded,
         Outcome::Error,
         Outcome::TimedOut,
-        Outcome::Unconnected,
-        Outcome::Broken,
+        Outcome::ConnectFailed,
+        Outcome::ConnectionLost,
         Outcome::Cancelled,
-        Outcome::NeverSent,
+        Outcome::NotSent,
     ];
     for (i, outcome) in ends.into_iter().enumerate() {
-        (0..=i).for_each(|_| counters.end(outcome));
+        (0..=i).for_each(|_| counters.record_outcome(outcome));
     }
     assert_eq!(
         counters.to_string(),
@@ -371,22 +399,22 @@
          further=11 ok=1 miss=2 full=3 error=4 timed_out=5 unconnected=6 broken=7 called_off=8 never_sent=9 \
          late=12 links=13 links_open=14 facts=15 violations=16"
     );
-    let shared = Shared::default();
+    let shared = ConnectionCounters::default();
     let all = [
         &shared.answers,
         &shared.answer_bytes,
-        &shared.unsent,
+        &shared.unsent_answers,
         &shared.body_bytes,
         &shared.bad_messages,
         &shared.bad_lines,
         &shared.clients,
         &shared.idle_closed,
-        &shared.made_room,
-        &shared.turned_away,
+        &shared.evicted_for_room,
+        &shared.rejected_connections,
         &shared.shortages,
         &shared.stalls,
         &shared.expired,
-        &shared.retracted,
+        &shared.withdrawn,
         &shared.client_gone,
         &shared.unconfirmed,
         &shared.feed_calls,
--- a/crates/feed/src/stream.rs
+++ b/crates/discovery/src/event_stream.rs
@@ -4,9 +4,9 @@
 
 /// What a feed says.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum StreamItem {
     /// The call was answered: events follow.
-    Up,
+    Connected,
     /// An event, with the number that stands before it if one does.
     Event { id: Option<u64>, data: String },
     /// A comment, which shows that the feed lives.
@@ -15,9 +15,9 @@
 
 /// Why a call is over.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Flaw {
+pub enum StreamError {
     #[error("answer {0}")]
-    Refused(u16),
+    UnexpectedStatus(u16),
     #[error("not HTTP: {0}")]
     NotHttp(httparse::Error),
     #[error("bad chunk")]
@@ -44,7 +44,7 @@
 
 /// Reads one answer, as its bytes come.
 #[derive(Debug)]
-pub struct Stream {
+pub struct EventStreamParser {
     /// What has come, as it came, where it is not text yet.
     raw: Vec<u8>,
     text: Vec<u8>,
@@ -55,14 +55,14 @@
     most: usize,
 }
 
-impl Stream {
+impl EventStreamParser {
     /// No head and no event is longer than `most` bytes.
-    pub fn new(most: usize) -> Stream {
-        Stream { raw: Vec::new(), text: Vec::new(), used: 0, seen: 0, body: Body::Head, most }
+    pub fn new(most: usize) -> EventStreamParser {
+        EventStreamParser { raw: Vec::new(), text: Vec::new(), used: 0, seen: 0, body: Body::Head, most }
     }
 
     /// More bytes have come.
-    pub fn take(&mut self, bytes: &[u8]) {
+    pub fn push(&mut self, bytes: &[u8]) {
         if matches!(self.body, Body::Plain) {
             self.text.extend_from_slice(bytes);
         } else {
@@ -71,17 +71,17 @@
     }
 
     /// The connection has ended; an error if that was within the head.
-    pub fn end(&self) -> Result<(), Flaw> {
-        if matches!(self.body, Body::Head) { Err(Flaw::EndedInHead) } else { Ok(()) }
+    pub fn finish(&self) -> Result<(), StreamError> {
+        if matches!(self.body, Body::Head) { Err(StreamError::EndedInHead) } else { Ok(()) }
     }
 
     /// Bytes that are kept for what has not come whole.
-    pub fn kept(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.raw.len() + self.text.len() - self.used
     }
 
     /// The next thing that is said, if it has come whole.
-    pub fn said(&mut self) -> Result<Option<Said>, Flaw> {
+    pub fn next_item(&mut self) -> Result<Option<StreamItem>, StreamError> {
         if matches!(self.body, Body::Head) {
             return self.head();
         }
@@ -89,7 +89,7 @@
         while let Some((at, width)) = self.block() {
             let block = &self.text[self.used..at];
             if block.len() > self.most {
-                return Err(Flaw::TooLong);
+                return Err(StreamError::TooLong);
             }
             let said = read(block);
             self.used = at + width;
@@ -100,16 +100,16 @@
         }
         self.text.drain(..self.used);
         (self.seen, self.used) = (self.seen - self.used, 0);
-        if self.text.len() > self.most { Err(Flaw::TooLong) } else { Ok(None) }
+        if self.text.len() > self.most { Err(StreamError::TooLong) } else { Ok(None) }
     }
 
-    fn head(&mut self) -> Result<Option<Said>, Flaw> {
+    fn head(&mut self) -> Result<Option<StreamItem>, StreamError> {
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut answer = httparse::Response::new(&mut headers);
         match answer.parse(&self.raw) {
             Ok(httparse::Status::Complete(length)) => {
                 if answer.code != Some(200) {
-                    return Err(Flaw::Refused(answer.code.unwrap_or(0)));
+                    return Err(StreamError::UnexpectedStatus(answer.code.unwrap_or(0)));
                 }
                 let chunked = answer.headers.iter().any(|h| {
                     h.name.eq_ignore_ascii_case("transfer-encoding")
@@ -122,16 +122,16 @@
                     self.body = Body::Plain;
                     self.text = std::mem::take(&mut self.raw);
                 }
-                Ok(Some(Said::Up))
+                Ok(Some(StreamItem::Connected))
             }
-            Ok(httparse::Status::Partial) if self.raw.len() > self.most => Err(Flaw::TooLong),
+            Ok(httparse::Status::Partial) if self.raw.len() > self.most => Err(StreamError::TooLong),
             Ok(httparse::Status::Partial) => Ok(None),
-            Err(e) => Err(Flaw::NotHttp(e)),
+            Err(e) => Err(StreamError::NotHttp(e)),
         }
     }
 
     /// Moves what has come in chunks to the text.
-    fn unchunk(&mut self) -> Result<(), Flaw> {
+    fn unchunk(&mut self) -> Result<(), StreamError> {
         let Body::Chunks { left, begun } = &mut self.body else { return Ok(()) };
         let mut from = 0;
         let done = loop {
@@ -148,14 +148,14 @@
             let skip = if *begun { 2 } else { 0 };
             let Some(line) = come.get(skip..) else { break Ok(()) };
             match httparse::parse_chunk_size(line) {
-                Ok(httparse::Status::Complete((_, 0))) => break Err(Flaw::Ended),
+                Ok(httparse::Status::Complete((_, 0))) => break Err(StreamError::Ended),
                 Ok(httparse::Status::Complete((length, size))) => {
-                    *left = usize::try_from(size).map_err(|_| Flaw::BadChunk)?;
+                    *left = usize::try_from(size).map_err(|_| StreamError::BadChunk)?;
                     *begun = true;
                     from += skip + length;
                 }
                 Ok(httparse::Status::Partial) => break Ok(()),
-                Err(_) => break Err(Flaw::BadChunk),
+                Err(_) => break Err(StreamError::BadChunk),
             }
         };
         self.raw.drain(..from);
@@ -188,7 +188,7 @@
 }
 
 /// What a block of lines says; nothing, if it is empty.
-fn read(block: &[u8]) -> Option<Said> {
+fn read(block: &[u8]) -> Option<StreamItem> {
     let block = String::from_utf8_lossy(block);
     let (mut id, mut data, mut comment) = (None, String::new(), None);
     for line in block.lines() {
@@ -203,7 +203,7 @@
         }
     }
     if data.is_empty() {
-        return comment.map(|c| Said::Comment(c.to_owned()));
+        return comment.map(|c| StreamItem::Comment(c.to_owned()));
     }
-    Some(Said::Event { id, data })
+    Some(StreamItem::Event { id, data })
 }
--- a/crates/feed/src/feeds.rs
+++ b/crates/discovery/src/feed_selector.rs
@@ -11,7 +11,7 @@
 /// The feeds of one reader: home first, then the others in an order of its own, so that the readers of one that is lost
 /// spread over all that are left.
 #[derive(Clone, Debug)]
-pub struct Feeds {
+pub struct FeedSelector {
     all: Vec<SocketAddr>,
     at: usize,
     own: u64,
@@ -27,24 +27,24 @@
     hasher.finish()
 }
 
-impl Feeds {
+impl FeedSelector {
     /// `name`: the reader's, another at each.
-    pub fn new(name: &str, home: SocketAddr, others: &[SocketAddr]) -> Feeds {
+    pub fn new(name: &str, home: SocketAddr, others: &[SocketAddr]) -> FeedSelector {
         let own = hash(name);
         let mut rest: Vec<SocketAddr> = others.iter().copied().filter(|a| *a != home).collect();
         rest.sort_by_key(|at| (hash((own, at)), *at));
         rest.dedup();
         let all = std::iter::once(home).chain(rest).collect();
-        Feeds { all, at: 0, own, home_due: Duration::ZERO, back_to: None }
+        FeedSelector { all, at: 0, own, home_due: Duration::ZERO, back_to: None }
     }
 
     /// Whom to call now.
-    pub fn at(&self) -> SocketAddr {
+    pub fn current(&self) -> SocketAddr {
         self.all[self.at]
     }
 
     /// It could not be reached, said nothing or refused: the next one is called.
-    pub fn failed(&mut self, now: Duration) {
+    pub fn on_failed(&mut self, now: Duration) {
         let next = (self.at + 1) % self.all.len();
         if self.at == 0 {
             self.home_due = now + self.away();
@@ -53,7 +53,7 @@
     }
 
     /// The stream came to its end: the same one is called again, or home once that is due.
-    pub fn ended(&mut self, now: Duration) {
+    pub fn on_stream_ended(&mut self, now: Duration) {
         if self.at != 0 && now >= self.home_due {
             self.home_due = now + self.away();
             self.back_to = Some(self.at);
@@ -62,7 +62,7 @@
     }
 
     /// It answers: this one is followed.
-    pub fn answered(&mut self) {
+    pub fn on_connected(&mut self) {
         self.back_to = None;
     }
 
--- a/crates/spread/src/lib.rs
+++ b/crates/estimators/src/lib.rs
@@ -5,11 +5,11 @@
 //! Times are whole nanoseconds that never go back; values are plain numbers: 0 and 1 for a failure, a logarithm for a
 //! speed. Empirical Bayes after Efron and Morris 1975; Space-Saving after Metwally, Agrawal, El Abbadi 2005.
 
-mod group;
-mod most;
+mod shrinkage_estimator;
+mod space_saving;
 
-pub use group::{Estimate, Group};
-pub use most::Most;
+pub use shrinkage_estimator::{Estimate, ShrinkageEstimator};
+pub use space_saving::SpaceSaving;
 
 /// Whole nanoseconds.
 pub type Ns = u64;
--- a/crates/spread/src/group.rs
+++ b/crates/estimators/src/shrinkage_estimator.rs
@@ -7,7 +7,7 @@
 pub struct Estimate {
     pub mean: f64,
     /// How much of it rests on the member's own samples: 0 none, 1 all.
-    pub sure: f64,
+    pub confidence: f64,
     /// Standard error of the mean.
     pub error: f64,
 }
@@ -44,7 +44,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Group {
+pub struct ShrinkageEstimator {
     half_life: Ns,
     /// The most samples of a member that count: with many of them the newest are enough.
     most: f64,
@@ -63,16 +63,16 @@
 /// How often it is reckoned anew, in half-lives.
 const EVERY: u64 = 8;
 
-impl Group {
+impl ShrinkageEstimator {
     /// Samples count half after `half_life`; a member's newest `most` count at all; `prior` is believed at the start.
-    pub fn new(half_life: Ns, most: f64, prior: f64) -> Group {
+    pub fn new(half_life: Ns, most: f64, prior: f64) -> ShrinkageEstimator {
         let half_life = half_life.max(1);
         let (members, all) = (Vec::new(), Faded::default());
-        Group { half_life, most, prior, members, all, shrink: 10.0, reckoned: 0 }
+        ShrinkageEstimator { half_life, most, prior, members, all, shrink: 10.0, reckoned: 0 }
     }
 
     /// A sample of a member; one that is no number is passed over.
-    pub fn note(&mut self, now: Ns, member: usize, value: f64) {
+    pub fn record(&mut self, now: Ns, member: usize, value: f64) {
         if !value.is_finite() {
             return;
         }
@@ -115,12 +115,12 @@
         (all.sum + self.prior) / (all.weight + 1.0)
     }
 
-    pub fn of(&self, now: Ns, member: usize) -> Estimate {
+    pub fn estimate(&self, now: Ns, member: usize) -> Estimate {
         let own = self.members.get(member).map_or(Faded::default(), |m| m.faded(now, self.half_life));
         let all = self.all.faded(now, self.half_life);
         let weight = own.weight + self.shrink;
         let mean = (own.sum + self.shrink * self.mean_of(&all)) / weight;
-        Estimate { mean, sure: own.weight / weight, error: (all.variance() / weight).sqrt() }
+        Estimate { mean, confidence: own.weight / weight, error: (all.variance() / weight).sqrt() }
     }
 
     /// How unlike members are, by how much their means vary beyond what chance would do (method of moments).
--- a/crates/spread/src/most.rs
+++ b/crates/estimators/src/space_saving.rs
@@ -6,19 +6,19 @@
 /// So many counters: any object with more than `total / counters` of what was counted has one, and its count is over
 /// the truth by that much at most.
 #[derive(Clone, Debug)]
-pub struct Most<K = u64> {
+pub struct SpaceSaving<K = u64> {
     counters: usize,
     /// Count, and how much of it may be another's.
     held: HashMap<K, (f64, f64)>,
     total: f64,
 }
 
-impl<K: Copy + Ord + Hash> Most<K> {
-    pub fn new(counters: usize) -> Most<K> {
-        Most { counters: counters.max(1), held: HashMap::new(), total: 0.0 }
+impl<K: Copy + Ord + Hash> SpaceSaving<K> {
+    pub fn new(counters: usize) -> SpaceSaving<K> {
+        SpaceSaving { counters: counters.max(1), held: HashMap::new(), total: 0.0 }
     }
 
-    pub fn count(&mut self, object: K, weight: f64) {
+    pub fn add(&mut self, object: K, weight: f64) {
         if weight.is_nan() || weight <= 0.0 {
             return;
         }
@@ -48,7 +48,7 @@
     }
 
     /// All counts become this part of themselves: called at the end of a window.
-    pub fn fade(&mut self, part: f64) {
+    pub fn decay(&mut self, part: f64) {
         let part = part.clamp(0.0, 1.0);
         self.total *= part;
         self.held.retain(|_, (count, over)| {
@@ -58,7 +58,7 @@
     }
 
     /// Objects that surely have more than this part of all, the most first.
-    pub fn over(&self, part: f64) -> Vec<(K, f64)> {
+    pub fn above_share(&self, part: f64) -> Vec<(K, f64)> {
         let sure =
             |(object, (count, over)): (&K, &(f64, f64))| (*object, (count - over) / self.total.max(1e-9));
         let mut found: Vec<_> = self.held.iter().map(sure).filter(|(_, share)| *share > part).collect();
--- a/crates/drive/tests/drive.rs
+++ b/crates/hierarchy-controller/tests/drive.rs
@@ -2,10 +2,10 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
-use sablecross_drive::{Declined, Driving, Order, told};
-use sablecross_duty::word::Entry;
-use sablecross_duty::{Gate, Member, Ns, Token};
-use sablecross_hierarchy::{Holder, Taken};
+use sablecross_coordination::messages::RegisterValue;
+use sablecross_coordination::{FencingGuard, FencingToken, Member, Ns};
+use sablecross_hierarchy::{OfferOutcome, VersionHolder};
+use sablecross_hierarchy_controller::{ControllerAction, HierarchyController, ProposalError, decode_spec};
 
 const MS: Ns = 1_000_000;
 const SEC: Ns = 1_000 * MS;
@@ -34,11 +34,11 @@
 /// The register and the members as the voters and directors keep them.
 struct World {
     now: Ns,
-    gate: Gate,
-    entry: Entry,
-    board: Gate,
-    members: Vec<(Member, Holder)>,
-    owners: Vec<Driving>,
+    gate: FencingGuard,
+    entry: RegisterValue,
+    board: FencingGuard,
+    members: Vec<(Member, VersionHolder)>,
+    owners: Vec<HierarchyController>,
     term: u64,
     orders: usize,
     done: Vec<String>,
@@ -49,12 +49,13 @@
 
 impl World {
     fn new() -> World {
-        let members = (0..4).map(|number| (Member { number, life: 1 }, Holder::new())).collect();
+        let members =
+            (0..4).map(|number| (Member { number, incarnation: 1 }, VersionHolder::new())).collect();
         let mut w = World {
             now: 0,
-            gate: Gate::default(),
-            entry: Entry::default(),
-            board: Gate::default(),
+            gate: FencingGuard::default(),
+            entry: RegisterValue::default(),
+            board: FencingGuard::default(),
             members,
             owners: Vec::new(),
             term: 0,
@@ -70,47 +71,50 @@
     /// Another one owns the duty from here on; those before are there still, stalled.
     fn owner(&mut self) {
         self.term += 1;
-        let token = Token { term: self.term, owner: Member { number: (self.term % 4) as u32, life: 1 } };
-        let mut next = Driving::begin(token, 10 * SEC);
+        let token = FencingToken {
+            term: self.term,
+            holder: Member { number: (self.term % 4) as u32, incarnation: 1 },
+        };
+        let mut next = HierarchyController::new(token, 10 * SEC);
         let alive: Vec<Member> = self.members.iter().map(|m| m.0).collect();
-        next.members(self.now, &alive);
-        self.gate.pass(token).expect("a newer term");
-        self.entry.by = token;
-        next.kept(self.now, &self.entry.clone());
+        next.update_members(self.now, &alive);
+        self.gate.admit(token).expect("a newer term");
+        self.entry.token = token;
+        next.on_persisted(self.now, &self.entry.clone());
         self.owners.push(next);
     }
 
     /// Carries one order of an owner out, the newest one's or an old one's.
-    fn order(&mut self, by: usize, order: Order) {
+    fn order(&mut self, by: usize, order: ControllerAction) {
         let token = self.owners[by].token();
         match order {
-            Order::Keep(bytes) => {
-                if self.gate.pass(token).is_err() {
+            ControllerAction::Persist(bytes) => {
+                if self.gate.admit(token).is_err() {
                     self.refused += 1;
                     return;
                 }
-                self.entry = Entry { count: self.entry.count + 1, by: token, bytes };
+                self.entry = RegisterValue { sequence: self.entry.sequence + 1, token, bytes };
                 let entry = self.entry.clone();
-                self.owners[by].kept(self.now, &entry);
+                self.owners[by].on_persisted(self.now, &entry);
             }
-            Order::Publish { number, bytes } => {
-                if self.board.pass(token).is_err() {
+            ControllerAction::Publish { number, bytes } => {
+                if self.board.admit(token).is_err() {
                     self.refused += 1;
                     return;
                 }
-                let (n, version) = told(&bytes).and_then(|t| t.hierarchy(None)).expect("a version");
+                let (n, version) = decode_spec(&bytes).and_then(|t| t.to_hierarchy(None)).expect("a version");
                 assert_eq!(n, number);
                 for (_, holder) in &mut self.members {
                     let before = holder.number();
                     let taken = holder.offer(number, &version);
-                    assert_ne!(taken, Taken::Other, "one number, two versions");
+                    assert_ne!(taken, OfferOutcome::Conflicting, "one number, two versions");
                     assert!(holder.number() >= before);
-                    if taken == Taken::New && before > 0 {
+                    if taken == OfferOutcome::Accepted && before > 0 {
                         self.apart = self.apart.max(number - before);
                     }
                 }
             }
-            Order::Note(line) => self.done.push(line),
+            ControllerAction::Log(line) => self.done.push(line),
         }
     }
 
@@ -128,12 +132,12 @@
                 })
                 .collect();
             for (m, number, digest) in said {
-                self.owners[by].in_force(self.now, m, number, digest);
+                self.owners[by].on_version_applied(self.now, m, number, digest);
             }
             let now = self.now;
-            self.owners[by].step(now);
+            self.owners[by].tick(now);
             loop {
-                let orders = self.owners[by].orders();
+                let orders = self.owners[by].take_actions();
                 if orders.is_empty() {
                     break;
                 }
@@ -141,7 +145,7 @@
                 while let Some(order) = orders.next() {
                     if self.orders == most {
                         // What it would have done next it does when it wakes.
-                        let late: Vec<Order> = std::iter::once(order).chain(orders).collect();
+                        let late: Vec<ControllerAction> = std::iter::once(order).chain(orders).collect();
                         self.owner();
                         for order in late {
                             self.order(by, order);
@@ -156,16 +160,16 @@
         false
     }
 
-    fn wish(&mut self, shape: usize) -> Result<(), Declined> {
+    fn wish(&mut self, shape: usize) -> Result<(), ProposalError> {
         let (by, now) = (self.owners.len() - 1, self.now);
-        self.owners[by].wish(now, text(shape).as_bytes())
+        self.owners[by].propose(now, text(shape).as_bytes())
     }
 
     fn ended(&self) -> bool {
-        let newest = self.owners.last().and_then(Driving::driver).expect("a driver");
-        newest.running().is_none()
-            && newest.missing().is_empty()
-            && self.members.iter().all(|(_, h)| h.number() == newest.told().0)
+        let newest = self.owners.last().and_then(HierarchyController::rollout).expect("a driver");
+        newest.progress().is_none()
+            && newest.missing_participants().is_empty()
+            && self.members.iter().all(|(_, h)| h.number() == newest.published().0)
     }
 }
 
@@ -188,7 +192,7 @@
             assert!(
                 w.ended(),
                 "shape {shape}, before order {at}: {:?}",
-                w.owners.last().map(Driving::status)
+                w.owners.last().map(HierarchyController::status)
             );
             // What was lost before it was kept never began: whoever asked is told nothing of it, and asks again.
             assert_eq!(w.apart, u64::from(at > 0), "shape {shape}, before order {at}");
@@ -218,17 +222,20 @@
             if rng.random::<f64>() < 0.3 {
                 let n = rng.random_range(0..4);
                 // Begun anew: it has nothing in force.
-                w.members[n] = (Member { number: n as u32, life: w.members[n].0.life + 1 }, Holder::new());
+                w.members[n] = (
+                    Member { number: n as u32, incarnation: w.members[n].0.incarnation + 1 },
+                    VersionHolder::new(),
+                );
                 let alive: Vec<Member> = w.members.iter().map(|m| m.0).collect();
                 let (by, now) = (w.owners.len() - 1, w.now);
-                w.owners[by].members(now, &alive);
+                w.owners[by].update_members(now, &alive);
             }
         }
         w.orders = 0;
         w.run(120 * SEC, usize::MAX);
-        let published = w.owners.last().map(Driving::status);
-        let newest = w.owners.last().and_then(Driving::driver).expect("a driver");
-        assert!(newest.running().is_none(), "seed {seed}: {published:?}");
+        let published = w.owners.last().map(HierarchyController::status);
+        let newest = w.owners.last().and_then(HierarchyController::rollout).expect("a driver");
+        assert!(newest.progress().is_none(), "seed {seed}: {published:?}");
     }
 }
 
@@ -239,37 +246,40 @@
     w.run(3 * SEC, usize::MAX);
     let lost = w.members.pop().expect("four");
     let alive: Vec<Member> = w.members.iter().map(|m| m.0).collect();
-    w.owners[0].members(w.now, &alive);
+    w.owners[0].update_members(w.now, &alive);
     w.wish(1).expect("a change");
     w.run(5 * SEC, usize::MAX);
     assert!(!w.ended(), "it waits for the one that is missing");
     for _ in 0..40 {
-        w.owners[0].members(w.now, &alive);
+        w.owners[0].update_members(w.now, &alive);
         w.run(SEC, usize::MAX);
     }
     assert!(w.ended(), "{}", w.owners[0].status());
     // A late word of it changes nothing.
-    w.owners[0].in_force(w.now, lost.0, 1, 1);
+    w.owners[0].on_version_applied(w.now, lost.0, 1, 1);
     assert!(w.ended());
 }
 
 #[test]
 fn odd_wishes_and_registers_are_declined_by_word() {
     let mut w = World::new();
-    let said = w.owners[0].wish(0, b"(hierarchy (version . 1)").expect_err("cut short").to_string();
+    let said = w.owners[0].propose(0, b"(hierarchy (version . 1)").expect_err("cut short").to_string();
     assert!(said.contains("never closed"), "{said}");
     assert!(w.owners[0].status().contains("last refused"));
-    assert!(matches!(w.owners[0].wish(0, &[0xff, 0xfe]), Err(Declined::Faulty(_))));
+    assert!(matches!(w.owners[0].propose(0, &[0xff, 0xfe]), Err(ProposalError::Invalid(_))));
     w.wish(0).expect("a first one");
     w.run(3 * SEC, usize::MAX);
-    assert!(matches!(w.wish(0), Err(Declined::Driver(_))), "it is in force already");
+    assert!(matches!(w.wish(0), Err(ProposalError::Rollout(_))), "it is in force already");
     // A register that holds another form, or half of one, is left alone.
     for bytes in [vec![9, 9, 9], w.entry.bytes[..w.entry.bytes.len() / 2].to_vec(), vec![1]] {
-        let token = Token { term: 9, owner: Member { number: 1, life: 1 } };
-        let mut next = Driving::begin(token, SEC);
-        next.kept(0, &Entry { count: 5, by: token, bytes });
-        let orders = next.orders();
-        assert!(matches!(&orders[..], [Order::Note(line)] if line.contains("unreadable")), "{orders:?}");
-        assert!(next.wish(0, text(1).as_bytes()).is_err());
+        let token = FencingToken { term: 9, holder: Member { number: 1, incarnation: 1 } };
+        let mut next = HierarchyController::new(token, SEC);
+        next.on_persisted(0, &RegisterValue { sequence: 5, token, bytes });
+        let orders = next.take_actions();
+        assert!(
+            matches!(&orders[..], [ControllerAction::Log(line)] if line.contains("unreadable")),
+            "{orders:?}"
+        );
+        assert!(next.propose(0, text(1).as_bytes()).is_err());
     }
 }
--- a/crates/hierarchy/benches/versions.rs
+++ b/crates/hierarchy/benches/versions.rs
@@ -7,20 +7,20 @@
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
-use sablecross_hierarchy::order::{Order, sorted};
-use sablecross_hierarchy::{FULL, Hierarchy, Member, NodeId, Rules, plan};
+use sablecross_hierarchy::topological_order::{TopologicalOrder, topological_sort};
+use sablecross_hierarchy::{FULL_SHARE, Hierarchy, HierarchyNode, HierarchyRules, NodeId, plan};
 
-fn rules() -> Rules {
-    Rules {
+fn rules() -> HierarchyRules {
+    HierarchyRules {
         ceiling: 1e9,
         margin: 0.2,
-        cold_from: 0.25,
-        warm_after: 20_000_000_000,
-        fall_multiple: 2.0,
-        siblings: true,
-        hold: 3_000_000_000,
-        settle: 5_000_000_000,
-        give_up: 30_000_000_000,
+        slow_start_initial_share: 0.25,
+        slow_start_window: 20_000_000_000,
+        collapse_multiple: 2.0,
+        allows_siblings: true,
+        drain_window: 3_000_000_000,
+        fill_window: 5_000_000_000,
+        step_timeout: 30_000_000_000,
     }
 }
 
@@ -44,38 +44,39 @@
         };
         sources.sort_unstable();
         sources.dedup();
-        let member = Member {
+        let member = HierarchyNode {
             name: format!("n{n}").into(),
             tier: t,
             sources: sources.into(),
             capacity: 1e9,
             demand: if t == 3 { 10.0 } else { 0.0 },
-            hit: 0.5,
-            share: FULL,
-            since: 0,
+            hit_ratio: 0.5,
+            ring_share: FULL_SHARE,
+            started_at: 0,
         };
-        h = h.with(n, member);
+        h = h.with_node(n, member);
     }
     h
 }
 
-fn changed(h: &Hierarchy, node: NodeId) -> Member {
+fn changed(h: &Hierarchy, node: NodeId) -> HierarchyNode {
     let m = h.get(node).unwrap();
-    Member { capacity: m.capacity - 1.0, ..(**m).clone() }
+    HierarchyNode { capacity: m.capacity - 1.0, ..(**m).clone() }
 }
 
 fn versions(c: &mut Criterion) {
     for nodes in [10, 1_000, 100_000] {
         let h = grown(nodes, &mut Pcg32::seed_from_u64(1));
-        let plain: BTreeMap<NodeId, Member> = h.iter().map(|(id, m)| (id, (**m).clone())).collect();
-        let shared: BTreeMap<NodeId, Arc<Member>> = h.iter().map(|(id, m)| (id, Arc::clone(m))).collect();
+        let plain: BTreeMap<NodeId, HierarchyNode> = h.iter().map(|(id, m)| (id, (**m).clone())).collect();
+        let shared: BTreeMap<NodeId, Arc<HierarchyNode>> =
+            h.iter().map(|(id, m)| (id, Arc::clone(m))).collect();
         let mut group = c.benchmark_group("versions");
         group.sample_size(20);
         let id = |name: &str| BenchmarkId::new(name, nodes);
         group.bench_function(id("keep, persistent"), |b| b.iter(|| black_box(h.clone())));
         group.bench_function(id("keep, plain map"), |b| b.iter_with_large_drop(|| black_box(plain.clone())));
         group.bench_function(id("change one, persistent"), |b| {
-            b.iter(|| black_box(h.with(nodes / 2, changed(&h, nodes / 2))));
+            b.iter(|| black_box(h.with_node(nodes / 2, changed(&h, nodes / 2))));
         });
         group.bench_function(id("change one, map of shared members"), |b| {
             b.iter_with_large_drop(|| {
@@ -84,7 +85,7 @@
                 next
             });
         });
-        let next = h.with(nodes / 2, changed(&h, nodes / 2));
+        let next = h.with_node(nodes / 2, changed(&h, nodes / 2));
         group.bench_function(id("what differs, persistent"), |b| b.iter(|| black_box(h.diff(&next).count())));
         group.bench_function(id("get, persistent"), |b| b.iter(|| black_box(h.get(nodes / 3))));
         group.bench_function(id("get, plain map"), |b| b.iter(|| black_box(plain.get(&(nodes / 3)))));
@@ -96,18 +97,18 @@
     for nodes in [10u32, 1_000, 100_000] {
         let h = grown(nodes, &mut Pcg32::seed_from_u64(1));
         let out: Vec<Vec<u32>> = h.iter().map(|(_, m)| m.sources.to_vec()).collect();
-        let mut order = Order::new(nodes as usize);
+        let mut order = TopologicalOrder::new(nodes as usize);
         for (a, sources) in out.iter().enumerate() {
-            sources.iter().for_each(|&s| order.insert(a as u32, s).unwrap());
+            sources.iter().for_each(|&s| order.insert_edge(a as u32, s).unwrap());
         }
         let mut rng = Pcg32::seed_from_u64(2);
         // Edges among all nodes that close no cycle, and one that does.
         let edges: Vec<(u32, u32)> = (0..64)
             .map(|_| {
                 let (a, b) = (rng.random_range(1..nodes), rng.random_range(1..nodes));
-                if order.place(a) < order.place(b) { (a, b) } else { (b, a) }
+                if order.position(a) < order.position(b) { (a, b) } else { (b, a) }
             })
-            .filter(|(a, b)| a != b && !order.out(*a).contains(b))
+            .filter(|(a, b)| a != b && !order.sources(*a).contains(b))
             .collect();
         let mut group = c.benchmark_group("cycles");
         group.sample_size(20);
@@ -116,8 +117,8 @@
             b.iter(|| {
                 next = (next + 1) % edges.len();
                 let (x, y) = edges[next];
-                order.insert(x, y).unwrap();
-                order.remove(x, y);
+                order.insert_edge(x, y).unwrap();
+                order.remove_edge(x, y);
             });
         });
         // Against the order: the source of an asker is moved before a node that stood before it.
@@ -129,13 +130,13 @@
                 |order| {
                     next = (next + 1) % against.len();
                     let (x, y) = against[next];
-                    black_box(order.insert(x, y).is_ok());
+                    black_box(order.insert_edge(x, y).is_ok());
                 },
                 BatchSize::LargeInput,
             );
         });
         group.bench_function(BenchmarkId::new("a full search", nodes), |b| {
-            b.iter(|| black_box(sorted(&out).is_ok()))
+            b.iter(|| black_box(topological_sort(&out).is_ok()))
         });
         group.finish();
     }
@@ -151,7 +152,7 @@
         let mut aim = h.clone();
         for _ in 0..moves {
             let n = rng.random_range(nodes / 20 + 1..nodes);
-            aim = aim.with(n, Arc::clone(other.get(n).unwrap()));
+            aim = aim.with_node(n, Arc::clone(other.get(n).unwrap()));
         }
         let name = format!("{nodes} nodes, {moves} moved");
         group.bench_function(&name, |b| b.iter(|| black_box(plan(&h, &aim, 0).unwrap().steps.len())));
--- a/crates/hierarchy/src/way.rs
+++ b/crates/hierarchy/src/fill_path.rs
@@ -3,52 +3,52 @@
 
 use std::collections::BTreeMap;
 
-use sablecross::{Pie, Stand, rank};
+use sablecross::{HashRing, RingMember, rank};
 
-use crate::version::{FULL, Hierarchy, NodeId};
+use crate::version::{FULL_SHARE, Hierarchy, NodeId};
 
 /// Upper nodes that a way may pass; a longer one is cut, which no admitted version brings about.
-pub const LONGEST: usize = 16;
+pub const MAX_PATH_LENGTH: usize = 16;
 
 /// The pies of one version, dealt once for it.
 #[derive(Clone, Debug, Default)]
-pub struct Ways {
-    pies: BTreeMap<u8, Pie>,
+pub struct FillPaths {
+    pies: BTreeMap<u8, HashRing>,
 }
 
 /// Why a node must not pass a fill on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stop {
+pub enum FillRejection {
     /// It has come through here before.
-    Again,
+    Loop,
     /// It has come through too many nodes.
-    Long,
+    TooLong,
 }
 
-impl Ways {
-    pub fn of(version: &Hierarchy) -> Ways {
-        let mut stands: BTreeMap<u8, Vec<Stand>> = BTreeMap::new();
+impl FillPaths {
+    pub fn from_hierarchy(version: &Hierarchy) -> FillPaths {
+        let mut stands: BTreeMap<u8, Vec<RingMember>> = BTreeMap::new();
         for (id, m) in version.iter() {
-            let stand = (rank(&m.name), id as usize, FULL - m.share.min(FULL));
+            let stand = (rank(&m.name), id as usize, FULL_SHARE - m.ring_share.min(FULL_SHARE));
             stands.entry(m.tier).or_default().push(stand);
         }
-        let deal = |(tier, mut stands): (u8, Vec<Stand>)| {
+        let deal = |(tier, mut stands): (u8, Vec<RingMember>)| {
             stands.sort_unstable();
-            (tier, Pie::deal(stands))
+            (tier, HashRing::build(stands))
         };
-        Ways { pies: stands.into_iter().map(deal).collect() }
+        FillPaths { pies: stands.into_iter().map(deal).collect() }
     }
 
     /// Where a node fills an object from, among those that are fit: its sources of the highest tier first, there
     /// the one that stands nearest to the object's place.
-    pub fn next(
+    pub fn next_source(
         &self,
         version: &Hierarchy,
         node: NodeId,
         place: u64,
         fit: impl Fn(NodeId) -> bool,
     ) -> Option<NodeId> {
-        let sources: Vec<NodeId> = version.asked(node).filter(|s| fit(*s)).collect();
+        let sources: Vec<NodeId> = version.active_sources(node).filter(|s| fit(*s)).collect();
         let tier = |s: &NodeId| version.get(*s).map_or(0, |m| m.tier);
         let nearest = sources.iter().map(tier).max()?;
         let pie = self.pies.get(&nearest)?;
@@ -57,7 +57,7 @@
     }
 
     /// The whole way of an object from a node on, without it, to the origin or as far as one leads.
-    pub fn way(
+    pub fn path(
         &self,
         version: &Hierarchy,
         node: NodeId,
@@ -66,8 +66,10 @@
     ) -> Vec<NodeId> {
         let mut way = Vec::new();
         let mut at = node;
-        while way.len() < LONGEST {
-            let Some(next) = self.next(version, at, place, &fit).filter(|n| !way.contains(n)) else { break };
+        while way.len() < MAX_PATH_LENGTH {
+            let Some(next) = self.next_source(version, at, place, &fit).filter(|n| !way.contains(n)) else {
+                break;
+            };
             way.push(next);
             at = next;
         }
@@ -77,10 +79,10 @@
 
 /// What a node does with a fill that says through whom it came: the second guard, should directors hold versions
 /// that no plan brought about.
-pub fn passes<'a>(own: &str, mut came: impl Iterator<Item = &'a str>) -> Result<(), Stop> {
+pub fn check_fill_path<'a>(own: &str, mut came: impl Iterator<Item = &'a str>) -> Result<(), FillRejection> {
     let mut length = 0;
     if came.by_ref().inspect(|_| length += 1).any(|n| n == own) {
-        return Err(Stop::Again);
+        return Err(FillRejection::Loop);
     }
-    if length >= LONGEST { Err(Stop::Long) } else { Ok(()) }
+    if length >= MAX_PATH_LENGTH { Err(FillRejection::TooLong) } else { Ok(()) }
 }
--- a/crates/hierarchy/src/lib.rs
+++ b/crates/hierarchy/src/lib.rs
@@ -12,18 +12,18 @@
 //!
 //! Nothing here reads a clock, a file or a socket.
 
-pub mod admit;
-pub mod change;
-pub mod flow;
-pub mod holder;
-pub mod order;
+pub mod admission;
+pub mod fill_path;
+pub mod load_flow;
 pub mod plan;
+pub mod rollout;
 pub mod spec;
+pub mod topological_order;
 pub mod version;
-pub mod way;
+pub mod version_holder;
 
-pub use admit::{Admission, Refusal};
-pub use change::{Act, Driver, Ending, Input, Record};
-pub use holder::{Holder, Taken};
-pub use plan::{NoPlan, Plan, Step, plan};
-pub use version::{FULL, Hierarchy, Member, NodeId, Rules};
+pub use admission::{Admission, AdmissionError};
+pub use plan::{Plan, PlanError, PlanStep, plan};
+pub use rollout::{Rollout, RolloutAction, RolloutInput, RolloutOutcome, RolloutRecord};
+pub use version::{FULL_SHARE, Hierarchy, HierarchyNode, HierarchyRules, NodeId};
+pub use version_holder::{OfferOutcome, VersionHolder};
--- a/crates/hierarchy/src/flow.rs
+++ b/crates/hierarchy/src/load_flow.rs
@@ -9,66 +9,66 @@
 
 use sablecross::Ns;
 
-use crate::order;
-use crate::version::{COLD_PART, Hierarchy, Member, NodeId, Rules};
+use crate::topological_order;
+use crate::version::{COLD_LOAD_FRACTION, Hierarchy, HierarchyNode, HierarchyRules, NodeId};
 
 /// A node as one version has it, its sources by their dense numbers.
 #[derive(Clone, Debug)]
-pub struct Cell {
-    pub member: Arc<Member>,
+pub struct FlowNode {
+    pub node: Arc<HierarchyNode>,
     pub sources: Vec<u32>,
 }
 
 /// One version by dense numbers: who is sent on to whom, how much, and what comes of it.
 #[derive(Clone, Debug)]
-pub struct Side<'a> {
-    pub cells: Vec<Option<&'a Cell>>,
+pub struct FlowGraph<'a> {
+    pub nodes: Vec<Option<&'a FlowNode>>,
     /// By node the sources that it may be sent on to, and the parts of what it passes on.
-    pub may: Vec<Vec<u32>>,
+    pub possible_sources: Vec<Vec<u32>>,
     parts: Vec<Vec<(u32, f64)>>,
     /// Requests a second.
-    pub into: Vec<f64>,
+    pub incoming_load: Vec<f64>,
     /// Who is sent on to whom: the asker comes first.
-    pub order: Vec<u32>,
+    pub topological_order: Vec<u32>,
 }
 
 /// Why one version can't follow another.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Breach {
+pub enum TransitionViolation {
     /// A fill could come back to a node, along this way.
-    Loop(Vec<u32>),
+    Cycle(Vec<u32>),
     /// A node could be asked by someone, while it has no way on in one of the two versions.
-    NoWay(u32),
+    NoPathToOrigin(u32),
     /// A node would be asked for more a second than it bears.
-    Bears { node: u32, load: f64, bears: f64 },
+    NodeOverloaded { node: u32, load: f64, capacity: f64 },
     /// The origin could be asked for so much a second.
-    Ceiling { peak: f64, most: f64 },
+    OriginOverloaded { peak: f64, limit: f64 },
 }
 
 /// What a step from one version to another comes to.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Reckoned {
+pub struct TransitionLoad {
     /// The most that the origin can be asked for, in fetches a second, and what it is before.
-    pub peak: f64,
-    pub before: f64,
+    pub origin_peak: f64,
+    pub origin_before: f64,
     /// Requests a second that change their node.
-    pub moved: f64,
+    pub moved_load: f64,
     /// The warmth that nodes must have before it.
-    pub needs: Vec<(u32, f64)>,
+    pub required_warmth: Vec<(u32, f64)>,
 }
 
-impl<'a> Side<'a> {
+impl<'a> FlowGraph<'a> {
     /// A cycle is an error: the way from a node back to it.
-    pub fn new(cells: Vec<Option<&'a Cell>>) -> Result<Side<'a>, Vec<u32>> {
-        let share = |s: u32| cells[s as usize].map_or(0, |c| c.member.share);
+    pub fn new(cells: Vec<Option<&'a FlowNode>>) -> Result<FlowGraph<'a>, Vec<u32>> {
+        let share = |s: u32| cells[s as usize].map_or(0, |c| c.node.ring_share);
         let may: Vec<Vec<u32>> = cells
             .iter()
             .map(|c| {
                 c.map_or_else(Vec::new, |c| c.sources.iter().copied().filter(|&s| share(s) > 0).collect())
             })
             .collect();
-        let order = order::sorted(&may)?;
-        let tier = |s: u32| cells[s as usize].map_or(0, |c| c.member.tier);
+        let order = topological_order::topological_sort(&may)?;
+        let tier = |s: u32| cells[s as usize].map_or(0, |c| c.node.tier);
         let parts: Vec<Vec<(u32, f64)>> = may
             .iter()
             .map(|may| {
@@ -78,141 +78,165 @@
                 first().map(|s| (s, f64::from(share(s)) / all)).collect()
             })
             .collect();
-        let mut into: Vec<f64> = cells.iter().map(|c| c.map_or(0.0, |c| c.member.demand)).collect();
+        let mut into: Vec<f64> = cells.iter().map(|c| c.map_or(0.0, |c| c.node.demand)).collect();
         for &n in &order {
-            let on = into[n as usize] * cells[n as usize].map_or(0.0, |c| 1.0 - c.member.hit);
+            let on = into[n as usize] * cells[n as usize].map_or(0.0, |c| 1.0 - c.node.hit_ratio);
             for &(s, part) in &parts[n as usize] {
                 into[s as usize] += on * part;
             }
         }
-        Ok(Side { cells, may, parts, into, order })
+        Ok(FlowGraph {
+            nodes: cells,
+            possible_sources: may,
+            parts,
+            incoming_load: into,
+            topological_order: order,
+        })
     }
 
     fn passes(&self, n: u32) -> f64 {
-        self.cells[n as usize].map_or(0.0, |c| 1.0 - c.member.hit)
+        self.nodes[n as usize].map_or(0.0, |c| 1.0 - c.node.hit_ratio)
     }
 
     /// What a node passes on to each source, in requests a second.
     fn sent(&self, n: u32) -> impl Iterator<Item = (u32, f64)> + '_ {
-        let on = self.into[n as usize] * self.passes(n);
+        let on = self.incoming_load[n as usize] * self.passes(n);
         self.parts[n as usize].iter().map(move |&(s, part)| (s, on * part))
     }
 
-    pub fn member(&self, n: u32) -> Option<&'a Member> {
-        self.cells[n as usize].map(|c| &*c.member)
+    pub fn node(&self, n: u32) -> Option<&'a HierarchyNode> {
+        self.nodes[n as usize].map(|c| &*c.node)
     }
 
-    pub fn at_origin(&self) -> f64 {
-        let nodes = 0..self.cells.len() as u32;
-        nodes.filter(|&n| self.member(n).is_some_and(Member::is_origin)).map(|n| self.into[n as usize]).sum()
+    pub fn origin_load(&self) -> f64 {
+        let nodes = 0..self.nodes.len() as u32;
+        nodes
+            .filter(|&n| self.node(n).is_some_and(HierarchyNode::is_origin))
+            .map(|n| self.incoming_load[n as usize])
+            .sum()
     }
 }
 
 /// What a node bears at a warmth, in requests a second.
-pub fn bears(m: &Member, rules: &Rules, warmth: f64) -> f64 {
-    if warmth >= 1.0 { m.capacity } else { m.capacity * (COLD_PART * rules.fall_multiple * warmth).min(1.0) }
+pub fn usable_capacity(m: &HierarchyNode, rules: &HierarchyRules, warmth: f64) -> f64 {
+    if warmth >= 1.0 {
+        m.capacity
+    } else {
+        m.capacity * (COLD_LOAD_FRACTION * rules.collapse_multiple * warmth).min(1.0)
+    }
 }
 
 /// How warm a node is, by its time alone.
-pub fn warmth(m: &Member, rules: &Rules, now: Ns) -> f64 {
-    if m.since == 0 || m.is_origin() || rules.warm_after == 0 {
+pub fn warmth(m: &HierarchyNode, rules: &HierarchyRules, now: Ns) -> f64 {
+    if m.started_at == 0 || m.is_origin() || rules.slow_start_window == 0 {
         return 1.0;
     }
-    let age = now.saturating_sub(m.since) as f64 / rules.warm_after as f64;
-    (rules.cold_from + (1.0 - rules.cold_from) * age).min(1.0)
+    let age = now.saturating_sub(m.started_at) as f64 / rules.slow_start_window as f64;
+    (rules.slow_start_initial_share + (1.0 - rules.slow_start_initial_share) * age).min(1.0)
 }
 
 /// Slack of sums.
 const NEAR: f64 = 1e-6;
 
 /// Whether `v` may follow `u`, whoever holds which of the two meanwhile.
-pub fn transition(u: &Side, v: &Side, rules: &Rules, now: Ns) -> Result<Reckoned, Breach> {
-    let nodes = 0..u.cells.len() as u32;
+pub fn check_transition(
+    u: &FlowGraph,
+    v: &FlowGraph,
+    rules: &HierarchyRules,
+    now: Ns,
+) -> Result<TransitionLoad, TransitionViolation> {
+    let nodes = 0..u.nodes.len() as u32;
     let union: Vec<Vec<u32>> = nodes
         .clone()
         .map(|n| {
-            let (old, new) = (&u.may[n as usize], &v.may[n as usize]);
+            let (old, new) = (&u.possible_sources[n as usize], &v.possible_sources[n as usize]);
             let mut both = old.clone();
             both.extend(new.iter().filter(|s| !old.contains(s)));
             both
         })
         .collect();
-    let order = order::sorted(&union).map_err(Breach::Loop)?;
+    let order = topological_order::topological_sort(&union).map_err(TransitionViolation::Cycle)?;
     if let Some(n) = stranded(u, v, &union) {
-        return Err(Breach::NoWay(n));
+        return Err(TransitionViolation::NoPathToOrigin(n));
     }
 
-    let mut moved = vec![0.0; u.cells.len()];
+    let mut moved = vec![0.0; u.nodes.len()];
     for n in nodes.clone().filter(|&n| u.parts[n as usize] != v.parts[n as usize] || differs(u, v, n)) {
         for (s, flow) in v.sent(n) {
             let before = u.sent(n).find(|(t, _)| *t == s).map_or(0.0, |(_, f)| f);
             moved[s as usize] += (flow - before).max(0.0);
         }
     }
-    let origin = |n: u32| [u, v].iter().any(|side| side.member(n).is_some_and(Member::is_origin));
+    let origin = |n: u32| [u, v].iter().any(|side| side.node(n).is_some_and(HierarchyNode::is_origin));
     nodes.clone().filter(|&n| origin(n)).for_each(|n| moved[n as usize] = 0.0);
 
-    let before = u.at_origin();
+    let before = u.origin_load();
     let (most, peak) = (rules.ceiling * (1.0 - rules.margin), worst(u, v, &order, &moved, origin));
     if peak > most + NEAR && !(peak <= before + NEAR && moved.iter().all(|&m| m <= NEAR)) {
-        return Err(Breach::Ceiling { peak, most });
+        return Err(TransitionViolation::OriginOverloaded { peak, limit: most });
     }
     let mut needs = Vec::new();
     for n in nodes {
-        let Some(m) = v.member(n).filter(|m| !m.is_origin()) else { continue };
-        let (old, new) = (u.into[n as usize], v.into[n as usize]);
+        let Some(m) = v.node(n).filter(|m| !m.is_origin()) else { continue };
+        let (old, new) = (u.incoming_load[n as usize], v.incoming_load[n as usize]);
         if new > m.capacity + NEAR && new > old + NEAR {
-            return Err(Breach::Bears { node: n, load: new, bears: m.capacity });
+            return Err(TransitionViolation::NodeOverloaded { node: n, load: new, capacity: m.capacity });
         }
         if warmth(m, rules, now) >= 1.0 || new <= old + NEAR {
             continue;
         }
         let load = worst(u, v, &order, &moved, |t| t == n);
-        let least = bears(m, rules, rules.cold_from);
+        let least = usable_capacity(m, rules, rules.slow_start_initial_share);
         if load <= least + NEAR {
             continue;
         }
         // One that is asked already gets warm if it is waited for; one that is not stays cold.
-        let served = u.member(n).is_some_and(|m| m.share > 0) && old > 0.0;
+        let served = u.node(n).is_some_and(|m| m.ring_share > 0) && old > 0.0;
         if !served {
-            return Err(Breach::Bears { node: n, load, bears: least });
+            return Err(TransitionViolation::NodeOverloaded { node: n, load, capacity: least });
         }
-        let need = load / (m.capacity * COLD_PART * rules.fall_multiple).max(f64::MIN_POSITIVE);
+        let need = load / (m.capacity * COLD_LOAD_FRACTION * rules.collapse_multiple).max(f64::MIN_POSITIVE);
         needs.push((n, need.min(1.0)));
     }
-    Ok(Reckoned { peak, before, moved: moved.iter().sum(), needs })
+    Ok(TransitionLoad {
+        origin_peak: peak,
+        origin_before: before,
+        moved_load: moved.iter().sum(),
+        required_warmth: needs,
+    })
 }
 
 /// A node that someone may ask by one of the two versions and that has no way on in the other: one that holds this
 /// other could not fill. So a node is listed before it is asked, and asked by nobody before it goes.
-fn stranded(u: &Side, v: &Side, union: &[Vec<u32>]) -> Option<u32> {
+fn stranded(u: &FlowGraph, v: &FlowGraph, union: &[Vec<u32>]) -> Option<u32> {
     let mut asked = vec![false; union.len()];
     union.iter().flatten().for_each(|&s| asked[s as usize] = true);
-    let ends = |side: &Side, n: u32| match side.member(n) {
-        Some(m) => !m.is_origin() && side.may[n as usize].is_empty(),
+    let ends = |side: &FlowGraph, n: u32| match side.node(n) {
+        Some(m) => !m.is_origin() && side.possible_sources[n as usize].is_empty(),
         None => true,
     };
-    let brings = |n: u32| v.member(n).is_some_and(|m| m.demand > 0.0);
+    let brings = |n: u32| v.node(n).is_some_and(|m| m.demand > 0.0);
     (0..union.len() as u32)
         .find(|&n| asked[n as usize] && (ends(u, n) || ends(v, n)) || brings(n) && ends(v, n))
 }
 
-fn differs(u: &Side, v: &Side, n: u32) -> bool {
-    (u.into[n as usize] - v.into[n as usize]).abs() > NEAR || u.passes(n) != v.passes(n)
+fn differs(u: &FlowGraph, v: &FlowGraph, n: u32) -> bool {
+    (u.incoming_load[n as usize] - v.incoming_load[n as usize]).abs() > NEAR || u.passes(n) != v.passes(n)
 }
 
 /// The most that the targets can be asked for together, in requests a second, over all mixtures of two versions.
-fn worst(u: &Side, v: &Side, order: &[u32], moved: &[f64], target: impl Fn(u32) -> bool) -> f64 {
+fn worst(u: &FlowGraph, v: &FlowGraph, order: &[u32], moved: &[f64], target: impl Fn(u32) -> bool) -> f64 {
     // Of one request that comes to a node, how many reach a target; and of one that it passes on.
-    let mut reach = vec![0.0f64; u.cells.len()];
+    let mut reach = vec![0.0f64; u.nodes.len()];
     let mut sum = 0.0;
     for &n in order.iter().rev() {
-        let on =
-            |side: &Side| -> f64 { side.parts[n as usize].iter().map(|&(s, p)| p * reach[s as usize]).sum() };
+        let on = |side: &FlowGraph| -> f64 {
+            side.parts[n as usize].iter().map(|&(s, p)| p * reach[s as usize]).sum()
+        };
         let (old, new) = (on(u), on(v));
-        let held = |side: &Side| side.member(n).map_or(0.0, |m| m.hit);
+        let held = |side: &FlowGraph| side.node(n).map_or(0.0, |m| m.hit_ratio);
         reach[n as usize] = if target(n) { 1.0 } else { (old * u.passes(n)).max(new * v.passes(n)) };
-        let demand = |side: &Side| side.member(n).map_or(0.0, |m| m.demand);
+        let demand = |side: &FlowGraph| side.node(n).map_or(0.0, |m| m.demand);
         sum += demand(u).max(demand(v)) * reach[n as usize];
         if !target(n) {
             sum += moved[n as usize] * held(v) * old.max(new);
@@ -223,29 +247,29 @@
 
 /// All versions' nodes by dense numbers.
 #[derive(Clone, Debug, Default)]
-pub struct Index {
+pub struct NodeIndex {
     pub ids: Vec<NodeId>,
 }
 
-impl Index {
-    pub fn of(versions: &[&Hierarchy]) -> Index {
+impl NodeIndex {
+    pub fn from_versions(versions: &[&Hierarchy]) -> NodeIndex {
         let mut ids: Vec<NodeId> = versions.iter().flat_map(|h| h.iter().map(|(id, _)| id)).collect();
         ids.sort_unstable();
         ids.dedup();
-        Index { ids }
+        NodeIndex { ids }
     }
 
-    pub fn dense(&self, id: NodeId) -> Option<u32> {
+    pub fn position(&self, id: NodeId) -> Option<u32> {
         self.ids.binary_search(&id).ok().map(|i| i as u32)
     }
 
     /// A member's cell; sources that no version has are left out.
-    pub fn cell(&self, member: &Arc<Member>) -> Cell {
-        let sources = member.sources.iter().filter_map(|s| self.dense(*s)).collect();
-        Cell { member: Arc::clone(member), sources }
+    pub fn flow_node(&self, member: &Arc<HierarchyNode>) -> FlowNode {
+        let sources = member.sources.iter().filter_map(|s| self.position(*s)).collect();
+        FlowNode { node: Arc::clone(member), sources }
     }
 
-    pub fn cells(&self, h: &Hierarchy) -> Vec<Option<Cell>> {
-        self.ids.iter().map(|id| h.get(*id).map(|m| self.cell(m))).collect()
+    pub fn flow_nodes(&self, h: &Hierarchy) -> Vec<Option<FlowNode>> {
+        self.ids.iter().map(|id| h.get(*id).map(|m| self.flow_node(m))).collect()
     }
 }
--- a/crates/hierarchy/src/plan.rs
+++ b/crates/hierarchy/src/plan.rs
@@ -15,8 +15,10 @@
 use sablecross::Ns;
 use thiserror::Error;
 
-use crate::flow::{self, Breach, Cell, Index, Reckoned, Side, transition};
-use crate::version::{FULL, Hierarchy, Member, NodeId};
+use crate::load_flow::{
+    self, FlowGraph, FlowNode, NodeIndex, TransitionLoad, TransitionViolation, check_transition,
+};
+use crate::version::{FULL_SHARE, Hierarchy, HierarchyNode, NodeId};
 
 /// Places are taken and given up by so many parts; a large change that finds no way tries finer ones.
 const PARTS: [u16; 3] = [4, 16, 64];
@@ -24,80 +26,80 @@
 const SMALL: usize = 768;
 /// As many looks at a step a search and a sweep may take; each costs time by the nodes and their sources.
 const SEARCH_LOOKS: usize = 8_000;
-pub const MOST_LOOKS: usize = 4_000;
+pub const MAX_SWEEP_EVALUATIONS: usize = 4_000;
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Step {
-    pub to: Hierarchy,
-    pub changed: Vec<NodeId>,
+pub struct PlanStep {
+    pub target: Hierarchy,
+    pub changed_nodes: Vec<NodeId>,
     /// Fetches a second at the origin: the most there can be in this step, and what it is before.
-    pub peak: f64,
-    pub before: f64,
+    pub origin_peak: f64,
+    pub origin_before: f64,
     /// Requests a second that change their node.
-    pub moved: f64,
+    pub moved_load: f64,
     /// Nodes that must be so warm before this step.
-    pub needs: Vec<(NodeId, f64)>,
+    pub required_warmth: Vec<(NodeId, f64)>,
     /// How long after the step before it may begin.
-    pub wait: Ns,
+    pub min_delay: Ns,
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    pub steps: Vec<Step>,
+    pub steps: Vec<PlanStep>,
     /// Whether there are no fewer steps of these states.
-    pub fewest: bool,
-    pub looks: usize,
+    pub is_minimal: bool,
+    pub evaluations: usize,
 }
 
 #[derive(Clone, Debug, Error, PartialEq)]
-pub enum NoPlan {
+pub enum PlanError {
     #[error("after {done} of {of} moves a fill could run in a circle: {}", .way.join(" > "))]
-    Loop { done: usize, of: usize, way: Vec<Arc<str>> },
+    Cycle { done: usize, of: usize, way: Vec<Arc<str>> },
     #[error(
         "after {done} of {of} moves {node} could be asked and has no way to the origin (give it a source)"
     )]
-    NoWay { done: usize, of: usize, node: Arc<str> },
+    NoPathToOrigin { done: usize, of: usize, node: Arc<str> },
     #[error(
         "after {done} of {of} moves {node} would be asked for {load:.0} a second and bears {bears:.0}: \
          raise its capacity, or begin it earlier"
     )]
-    Bears { done: usize, of: usize, node: Arc<str>, load: f64, bears: f64 },
+    NodeOverloaded { done: usize, of: usize, node: Arc<str>, load: f64, bears: f64 },
     #[error(
         "after {done} of {of} moves the origin could be asked for {peak:.0} a second, of {most:.0}: \
          raise the ceiling, or move less at a time"
     )]
-    Ceiling { done: usize, of: usize, peak: f64, most: f64 },
+    OriginOverloaded { done: usize, of: usize, peak: f64, most: f64 },
     #[error("too much at once: {looks} looks did not end it; change fewer nodes at a time")]
     TooLarge { looks: usize },
 }
 
-impl NoPlan {
+impl PlanError {
     /// How far past its bound the step was: the least of all that were tried is what stands in every way.
     fn excess(&self) -> f64 {
         match self {
-            NoPlan::Loop { .. } | NoPlan::NoWay { .. } => f64::MAX,
-            NoPlan::Bears { load, bears, .. } => load / bears.max(f64::MIN_POSITIVE),
-            NoPlan::Ceiling { peak, most, .. } => peak / most.max(f64::MIN_POSITIVE),
-            NoPlan::TooLarge { .. } => f64::INFINITY,
+            PlanError::Cycle { .. } | PlanError::NoPathToOrigin { .. } => f64::MAX,
+            PlanError::NodeOverloaded { load, bears, .. } => load / bears.max(f64::MIN_POSITIVE),
+            PlanError::OriginOverloaded { peak, most, .. } => peak / most.max(f64::MIN_POSITIVE),
+            PlanError::TooLarge { .. } => f64::INFINITY,
         }
     }
 }
 
-fn milder(before: Option<NoPlan>, no: NoPlan) -> Option<NoPlan> {
+fn milder(before: Option<PlanError>, no: PlanError) -> Option<PlanError> {
     Some(before.filter(|b| b.excess() <= no.excess()).unwrap_or(no))
 }
 
 /// The states that one node goes through, the first of them in force.
 struct Track {
     node: u32,
-    states: Vec<Option<Cell>>,
+    states: Vec<Option<FlowNode>>,
 }
 
 struct Board<'a> {
-    index: Index,
+    index: NodeIndex,
     from: &'a Hierarchy,
     to: &'a Hierarchy,
-    base: Vec<Option<Cell>>,
+    base: Vec<Option<FlowNode>>,
     tracks: Vec<Track>,
     now: Ns,
 }
@@ -106,7 +108,7 @@
 type At = Vec<u16>;
 
 /// A plan from what is in force to an aim that was admitted.
-pub fn plan(from: &Hierarchy, to: &Hierarchy, now: Ns) -> Result<Plan, NoPlan> {
+pub fn plan(from: &Hierarchy, to: &Hierarchy, now: Ns) -> Result<Plan, PlanError> {
     let mut looks = 0;
     let mut first = None;
     for parts in PARTS {
@@ -117,7 +119,7 @@
             looks += searched;
             match found {
                 Ok(stops) => return Ok(board.steps(&stops, true, looks)),
-                Err(NoPlan::TooLarge { .. }) => {}
+                Err(PlanError::TooLarge { .. }) => {}
                 Err(no) => {
                     first = milder(first, no);
                     continue;
@@ -132,42 +134,48 @@
             Err(no) => first = milder(first, no),
         }
     }
-    Err(first.unwrap_or(NoPlan::TooLarge { looks }))
+    Err(first.unwrap_or(PlanError::TooLarge { looks }))
 }
 
 /// A jump in one step, whatever comes of it; for comparison.
-pub fn jump(from: &Hierarchy, to: &Hierarchy) -> Step {
-    Step {
-        to: to.clone(),
-        changed: from.diff(to).map(|d| d.node).collect(),
-        peak: 0.0,
-        before: 0.0,
-        moved: 0.0,
-        needs: Vec::new(),
-        wait: 0,
+pub fn direct_step(from: &Hierarchy, to: &Hierarchy) -> PlanStep {
+    PlanStep {
+        target: to.clone(),
+        changed_nodes: from.diff(to).map(|d| d.node).collect(),
+        origin_peak: 0.0,
+        origin_before: 0.0,
+        moved_load: 0.0,
+        required_warmth: Vec::new(),
+        min_delay: 0,
     }
 }
 
 /// The same without sources that are not in it (yet, or any more): nobody is sent there.
 fn clean(version: &Hierarchy) -> Hierarchy {
-    let named = |m: &Member| m.sources.iter().any(|s| version.get(*s).is_none());
-    let cleaned: Vec<(NodeId, Option<Arc<Member>>)> = version
+    let named = |m: &HierarchyNode| m.sources.iter().any(|s| version.get(*s).is_none());
+    let cleaned: Vec<(NodeId, Option<Arc<HierarchyNode>>)> = version
         .iter()
         .filter(|(_, m)| named(m))
         .map(|(id, m)| {
             let sources = m.sources.iter().copied().filter(|s| version.get(*s).is_some()).collect();
-            (id, Some(Arc::new(Member { sources, ..(**m).clone() })))
+            (id, Some(Arc::new(HierarchyNode { sources, ..(**m).clone() })))
         })
         .collect();
-    version.apply(cleaned)
+    version.with_changes(cleaned)
 }
 
 /// The states between two of one node, both included.
-fn states(before: Option<&Arc<Member>>, after: Option<&Arc<Member>>, parts: u16) -> Vec<Option<Arc<Member>>> {
-    let sized = |m: &Arc<Member>, share: u16| Some(Arc::new(Member { share, ..(**m).clone() }));
+fn states(
+    before: Option<&Arc<HierarchyNode>>,
+    after: Option<&Arc<HierarchyNode>>,
+    parts: u16,
+) -> Vec<Option<Arc<HierarchyNode>>> {
+    let sized = |m: &Arc<HierarchyNode>, share: u16| {
+        Some(Arc::new(HierarchyNode { ring_share: share, ..(**m).clone() }))
+    };
     // Down or up to a share by parts of the whole, without the one it begins at.
-    let ramp = |m: &Arc<Member>, from: u16, to: u16| -> Vec<Option<Arc<Member>>> {
-        let part = FULL / parts;
+    let ramp = |m: &Arc<HierarchyNode>, from: u16, to: u16| -> Vec<Option<Arc<HierarchyNode>>> {
+        let part = FULL_SHARE / parts;
         let mut all = Vec::new();
         let mut at = from;
         while at != to {
@@ -182,23 +190,23 @@
         (None, Some(new)) => {
             // It is listed before it takes a place: its askers may name it while nobody is sent there yet.
             all.push(sized(new, 0));
-            all.extend(ramp(new, 0, new.share));
+            all.extend(ramp(new, 0, new.ring_share));
         }
         (Some(old), None) => {
             // Nobody is sent there any more before it goes.
-            all.extend(ramp(old, old.share, 0));
+            all.extend(ramp(old, old.ring_share, 0));
             all.push(None);
         }
-        (Some(old), Some(new)) if old.tier != new.tier || old.since != new.since => {
-            all.extend(ramp(old, old.share, 0));
-            let up = ramp(new, 0, new.share);
+        (Some(old), Some(new)) if old.tier != new.tier || old.started_at != new.started_at => {
+            all.extend(ramp(old, old.ring_share, 0));
+            let up = ramp(new, 0, new.ring_share);
             all.extend(if up.is_empty() { vec![Some(Arc::clone(new))] } else { up });
         }
         (Some(old), Some(new)) => {
-            if old.share != new.share && sized(old, new.share).as_ref() != Some(new) {
-                all.push(sized(new, old.share));
+            if old.ring_share != new.ring_share && sized(old, new.ring_share).as_ref() != Some(new) {
+                all.push(sized(new, old.ring_share));
             }
-            let ends = ramp(new, old.share, new.share);
+            let ends = ramp(new, old.ring_share, new.ring_share);
             all.extend(if ends.is_empty() { vec![Some(Arc::clone(new))] } else { ends });
         }
     }
@@ -207,19 +215,19 @@
 
 impl<'a> Board<'a> {
     fn new(from: &'a Hierarchy, to: &'a Hierarchy, now: Ns, parts: u16) -> Board<'a> {
-        let index = Index::of(&[from, to]);
-        let base = index.cells(from);
+        let index = NodeIndex::from_versions(&[from, to]);
+        let base = index.flow_nodes(from);
         let tracks = from.diff(to).filter_map(|d| {
             let cells = states(d.before.as_ref(), d.after.as_ref(), parts).into_iter();
-            let states = cells.map(|m| m.map(|m| index.cell(&m))).collect();
-            Some(Track { node: index.dense(d.node)?, states })
+            let states = cells.map(|m| m.map(|m| index.flow_node(&m))).collect();
+            Some(Track { node: index.position(d.node)?, states })
         });
         let mut tracks: Vec<Track> = tracks.collect();
         // Those nearest to the origin first, as the new version has it.
-        let cells = index.cells(to);
-        if let Ok(side) = Side::new(cells.iter().map(Option::as_ref).collect()) {
-            let mut place = vec![0; side.order.len()];
-            side.order.iter().enumerate().for_each(|(i, &n)| place[n as usize] = i);
+        let cells = index.flow_nodes(to);
+        if let Ok(side) = FlowGraph::new(cells.iter().map(Option::as_ref).collect()) {
+            let mut place = vec![0; side.topological_order.len()];
+            side.topological_order.iter().enumerate().for_each(|(i, &n)| place[n as usize] = i);
             tracks.sort_by_key(|t| std::cmp::Reverse(place[t.node as usize]));
         }
         Board { index, from, to, base, tracks, now }
@@ -233,43 +241,47 @@
         self.tracks.iter().fold(1usize, |n, t| n.saturating_mul(t.states.len()))
     }
 
-    fn side(&self, at: &At) -> Result<Side<'_>, Vec<u32>> {
-        let mut cells: Vec<Option<&Cell>> = self.base.iter().map(Option::as_ref).collect();
+    fn side(&self, at: &At) -> Result<FlowGraph<'_>, Vec<u32>> {
+        let mut cells: Vec<Option<&FlowNode>> = self.base.iter().map(Option::as_ref).collect();
         for (track, &i) in self.tracks.iter().zip(at) {
             cells[track.node as usize] = track.states[usize::from(i)].as_ref();
         }
-        Side::new(cells)
+        FlowGraph::new(cells)
     }
 
-    fn look(&self, u: &Side, at: &At, looks: &mut usize) -> Result<Reckoned, Breach> {
+    fn look(&self, u: &FlowGraph, at: &At, looks: &mut usize) -> Result<TransitionLoad, TransitionViolation> {
         *looks += 1;
-        let v = self.side(at).map_err(Breach::Loop)?;
-        transition(u, &v, &self.to.rules, self.now)
+        let v = self.side(at).map_err(TransitionViolation::Cycle)?;
+        check_transition(u, &v, &self.to.rules, self.now)
     }
 
     fn name(&self, n: u32) -> Arc<str> {
         let id = self.index.ids[n as usize];
-        let name = if self.to.get(id).is_some() { self.to.name(id) } else { self.from.name(id) };
+        let name = if self.to.get(id).is_some() { self.to.node_name(id) } else { self.from.node_name(id) };
         name.into()
     }
 
-    fn why(&self, at: &At, breach: Breach) -> NoPlan {
+    fn why(&self, at: &At, breach: TransitionViolation) -> PlanError {
         let done = at.iter().map(|&i| usize::from(i)).sum();
         let of = self.end().iter().map(|&i| usize::from(i)).sum();
         match breach {
-            Breach::Loop(way) => {
-                NoPlan::Loop { done, of, way: way.into_iter().map(|n| self.name(n)).collect() }
+            TransitionViolation::Cycle(way) => {
+                PlanError::Cycle { done, of, way: way.into_iter().map(|n| self.name(n)).collect() }
+            }
+            TransitionViolation::NoPathToOrigin(node) => {
+                PlanError::NoPathToOrigin { done, of, node: self.name(node) }
+            }
+            TransitionViolation::NodeOverloaded { node, load, capacity: bears } => {
+                PlanError::NodeOverloaded { done, of, node: self.name(node), load, bears }
             }
-            Breach::NoWay(node) => NoPlan::NoWay { done, of, node: self.name(node) },
-            Breach::Bears { node, load, bears } => {
-                NoPlan::Bears { done, of, node: self.name(node), load, bears }
+            TransitionViolation::OriginOverloaded { peak, limit: most } => {
+                PlanError::OriginOverloaded { done, of, peak, most }
             }
-            Breach::Ceiling { peak, most } => NoPlan::Ceiling { done, of, peak, most },
         }
     }
 
     /// The fewest steps: breadth first over all states of all tracks.
-    fn search(&self, looks: &mut usize) -> Result<Vec<At>, NoPlan> {
+    fn search(&self, looks: &mut usize) -> Result<Vec<At>, PlanError> {
         let end = self.end();
         let sizes: Vec<usize> = end.iter().map(|&e| usize::from(e) + 1).collect();
         let code = |at: &At| at.iter().zip(&sizes).fold(0, |c, (&i, s)| c * s + usize::from(i));
@@ -288,7 +300,7 @@
         let mut level = vec![0];
         let mut seen = vec![false; all.len()];
         seen[0] = true;
-        let mut mildest: Option<NoPlan> = None;
+        let mut mildest: Option<PlanError> = None;
         while !seen[goal] && !level.is_empty() {
             let mut next = Vec::new();
             for &from in &level {
@@ -300,7 +312,7 @@
                         continue;
                     }
                     if *looks >= SEARCH_LOOKS {
-                        return Err(NoPlan::TooLarge { looks: *looks });
+                        return Err(PlanError::TooLarge { looks: *looks });
                     }
                     match self.look(&u, &all[to], looks) {
                         Ok(_) => {
@@ -326,7 +338,7 @@
             level = next;
         }
         if !seen[goal] {
-            return Err(mildest.unwrap_or(NoPlan::TooLarge { looks: *looks }));
+            return Err(mildest.unwrap_or(PlanError::TooLarge { looks: *looks }));
         }
         let mut way = Vec::new();
         let mut at = goal;
@@ -339,20 +351,24 @@
     }
 
     /// As many tracks as a step bears, until all have come to their ends.
-    fn sweep(&self, looks: &mut usize) -> Result<Vec<At>, NoPlan> {
+    fn sweep(&self, looks: &mut usize) -> Result<Vec<At>, PlanError> {
         let end = self.end();
         let mut at: At = vec![0; end.len()];
         let mut stops = Vec::new();
         while at != end {
-            let u = self.side(&at).map_err(|way| self.why(&at, Breach::Loop(way)))?;
+            let u = self.side(&at).map_err(|way| self.why(&at, TransitionViolation::Cycle(way)))?;
             let open: Vec<usize> = (0..end.len()).filter(|&i| at[i] < end[i]).collect();
             let mut next = at.clone();
             let mut last = None;
             self.move_on(&u, &open, &end, &mut next, looks, &mut last);
             if next == at {
-                let breach = last.unwrap_or(Breach::Loop(Vec::new()));
+                let breach = last.unwrap_or(TransitionViolation::Cycle(Vec::new()));
                 let no = self.why(&at, breach);
-                return Err(if *looks >= MOST_LOOKS { NoPlan::TooLarge { looks: *looks } } else { no });
+                return Err(if *looks >= MAX_SWEEP_EVALUATIONS {
+                    PlanError::TooLarge { looks: *looks }
+                } else {
+                    no
+                });
             }
             at = next;
             stops.push(at.clone());
@@ -363,14 +379,14 @@
     /// Moves these tracks on as far as goes: all at once, else each half for itself.
     fn move_on(
         &self,
-        u: &Side,
+        u: &FlowGraph,
         open: &[usize],
         end: &At,
         next: &mut At,
         looks: &mut usize,
-        last: &mut Option<Breach>,
+        last: &mut Option<TransitionViolation>,
     ) {
-        if open.is_empty() || *looks >= MOST_LOOKS {
+        if open.is_empty() || *looks >= MAX_SWEEP_EVALUATIONS {
             return;
         }
         let mut tried = next.clone();
@@ -416,51 +432,67 @@
         let mut stirred = false;
         for at in stops {
             let mut looks = 0;
-            let reckoned = self
-                .side(&before)
-                .ok()
-                .and_then(|u| self.look(&u, at, &mut looks).ok())
-                .unwrap_or(Reckoned { peak: 0.0, before: 0.0, moved: 0.0, needs: Vec::new() });
+            let reckoned =
+                self.side(&before).ok().and_then(|u| self.look(&u, at, &mut looks).ok()).unwrap_or(
+                    TransitionLoad {
+                        origin_peak: 0.0,
+                        origin_before: 0.0,
+                        moved_load: 0.0,
+                        required_warmth: Vec::new(),
+                    },
+                );
             // What the step before has moved fills first.
-            let mut wait = if stirred { rules.settle } else { 0 };
-            stirred = reckoned.moved > 0.0;
-            for &(n, need) in &reckoned.needs {
+            let mut wait = if stirred { rules.fill_window } else { 0 };
+            stirred = reckoned.moved_load > 0.0;
+            for &(n, need) in &reckoned.required_warmth {
                 let id = self.index.ids[n as usize];
-                let warm = self.from.get(id).map_or(rules.cold_from, |m| flow::warmth(m, rules, self.now));
+                let warm = self
+                    .from
+                    .get(id)
+                    .map_or(rules.slow_start_initial_share, |m| load_flow::warmth(m, rules, self.now));
                 let begun = asked.get(&n).copied();
                 // Its warmth counts from when it is asked; one that was asked before the plan has what it has.
-                let (since, from) = begun.map_or((self.now, warm), |at| (at, rules.cold_from));
-                let part = ((need - from) / (1.0 - rules.cold_from).max(1e-9)).max(0.0);
-                let ready = since + (part * rules.warm_after as f64) as Ns;
+                let (since, from) = begun.map_or((self.now, warm), |at| (at, rules.slow_start_initial_share));
+                let part = ((need - from) / (1.0 - rules.slow_start_initial_share).max(1e-9)).max(0.0);
+                let ready = since + (part * rules.slow_start_window as f64) as Ns;
                 wait = wait.max(ready.saturating_sub(time));
             }
             time += wait;
-            let changes: Vec<(NodeId, Option<Arc<Member>>)> = self
+            let changes: Vec<(NodeId, Option<Arc<HierarchyNode>>)> = self
                 .tracks
                 .iter()
                 .enumerate()
                 .filter(|(i, _)| before[*i] != at[*i])
                 .map(|(i, t)| {
                     let cell = t.states[usize::from(at[i])].as_ref();
-                    (self.index.ids[t.node as usize], cell.map(|c| Arc::clone(&c.member)))
+                    (self.index.ids[t.node as usize], cell.map(|c| Arc::clone(&c.node)))
                 })
                 .collect();
             for (id, member) in &changes {
-                if let (Some(n), Some(m)) = (self.index.dense(*id), member)
-                    && m.share > 0
+                if let (Some(n), Some(m)) = (self.index.position(*id), member)
+                    && m.ring_share > 0
                 {
                     asked.entry(n).or_insert(time);
                 }
             }
-            version = version.apply(changes);
+            version = version.with_changes(changes);
             let to = clean(&version);
             let changed = last.diff(&to).map(|d| d.node).collect();
             last = to.clone();
-            let needs = reckoned.needs.iter().map(|&(n, w)| (self.index.ids[n as usize], w)).collect();
-            let Reckoned { peak, before: was, moved, .. } = reckoned;
-            steps.push(Step { to, changed, peak, before: was, moved, needs, wait });
+            let needs =
+                reckoned.required_warmth.iter().map(|&(n, w)| (self.index.ids[n as usize], w)).collect();
+            let TransitionLoad { origin_peak: peak, origin_before: was, moved_load: moved, .. } = reckoned;
+            steps.push(PlanStep {
+                target: to,
+                changed_nodes: changed,
+                origin_peak: peak,
+                origin_before: was,
+                moved_load: moved,
+                required_warmth: needs,
+                min_delay: wait,
+            });
             before = at.clone();
         }
-        Plan { steps, fewest, looks }
+        Plan { steps, is_minimal: fewest, evaluations: looks }
     }
 }
