--- a/crates/hierarchy/src/change.rs
+++ b/crates/hierarchy/src/rollout.rs
@@ -11,103 +11,103 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::admit::{Admission, Refusal};
-use crate::plan::{NoPlan, Step, plan};
-use crate::spec::Told;
+use crate::admission::{Admission, AdmissionError};
+use crate::plan::{PlanError, PlanStep, plan};
+use crate::spec::HierarchySpec;
 use crate::version::{Hierarchy, NodeId};
 
 /// A director, or a node that passes fills on.
-pub type Party = Arc<str>;
+pub type Participant = Arc<str>;
 
 /// What the driver hears.
 #[derive(Clone, Debug)]
-pub enum Input {
+pub enum RolloutInput {
     /// A version is wanted.
     Propose {
-        aim: Hierarchy,
+        target: Hierarchy,
     },
     /// A party has this in force; also its word when it comes, or comes back.
-    InForce {
-        party: Party,
+    VersionApplied {
+        participant: Participant,
         number: u64,
         digest: u64,
     },
     /// A party is gone for good: it takes nothing and asks nobody any more.
-    Gone {
-        party: Party,
+    ParticipantGone {
+        participant: Participant,
     },
     /// Fetches a second that the origin counted, and nodes that most directors judge down.
-    Evidence {
+    HealthReport {
         origin: f64,
-        down: Vec<NodeId>,
+        down_nodes: Vec<NodeId>,
     },
     /// An operator wants the change that runs to be taken back.
-    TakeBack,
+    RollBack,
     Tick,
 }
 
 /// What the caller is to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
-    Write(Record),
+pub enum RolloutAction {
+    Persist(RolloutRecord),
     /// To be told to all parties, again and again until each has it in force.
     Publish {
         number: u64,
         version: Hierarchy,
     },
     /// A line for the log.
-    Note(String),
+    Log(String),
 }
 
 /// The log, one entry before each thing that others see.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Record {
+pub enum RolloutRecord {
     /// All before it is no longer needed: this version was in force everywhere.
     #[serde(rename = "start")]
-    Start {
+    Checkpoint {
         #[serde(rename = "number")]
         number: u64,
         #[serde(rename = "next_change")]
         next_change: u64,
         #[serde(rename = "version")]
-        version: Told,
+        version: HierarchySpec,
     },
     /// With what was in force when no change ran: one that takes the place of another goes back there.
     #[serde(rename = "begun")]
-    Begun {
+    Started {
         #[serde(rename = "change")]
         change: u64,
         #[serde(rename = "aim")]
-        aim: Told,
+        target: HierarchySpec,
         #[serde(rename = "home")]
-        home: Told,
+        baseline: HierarchySpec,
     },
     /// A change that waits for the one that runs; none: it waits no more.
     #[serde(rename = "waits")]
-    Waits {
+    Queued {
         #[serde(rename = "aim")]
-        aim: Option<Told>,
+        target: Option<HierarchySpec>,
     },
     /// It is to be taken back.
     #[serde(rename = "back")]
-    Back {
+    RollbackStarted {
         #[serde(rename = "change")]
         change: u64,
     },
     #[serde(rename = "step")]
-    Step {
+    StepStarted {
         #[serde(rename = "change")]
         change: u64,
         #[serde(rename = "number")]
         number: u64,
         #[serde(rename = "back")]
-        back: bool,
+        is_rollback: bool,
         #[serde(rename = "version")]
-        version: Told,
+        version: HierarchySpec,
     },
     #[serde(rename = "in-force")]
-    InForce {
+    StepCommitted {
         #[serde(rename = "number")]
         number: u64,
     },
@@ -116,43 +116,43 @@
         #[serde(rename = "change")]
         change: u64,
         #[serde(rename = "how")]
-        how: Ending,
+        outcome: RolloutOutcome,
     },
 }
 
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Ending {
+pub enum RolloutOutcome {
     #[serde(rename = "done")]
-    Done,
+    Completed,
     #[serde(rename = "rolled-back")]
     RolledBack,
     #[serde(rename = "superseded")]
     Superseded,
     /// No way led on and none back: what is in force stays.
     #[serde(rename = "left")]
-    Left,
+    Abandoned,
 }
 
 #[derive(Clone, Debug, Error, PartialEq)]
-pub enum No {
+pub enum RolloutError {
     #[error("refused: {0}")]
-    Refused(#[from] Refusal),
+    NotAdmitted(#[from] AdmissionError),
     #[error("no plan: {0}")]
-    NoPlan(#[from] NoPlan),
+    NoPlan(#[from] PlanError),
     #[error("change {running} runs and another waits for it: ask again when that has begun")]
     Busy { running: u64 },
     #[error("it is in force already")]
-    Same,
+    AlreadyActive,
     #[error(
         "{party} has version {theirs} in force and this log knows {ours} at most: it is an old copy; \
          find the newest log, or start anew from what is in force"
     )]
-    Stale { party: Party, theirs: u64, ours: u64 },
+    Stale { party: Participant, theirs: u64, ours: u64 },
     #[error("no change runs")]
-    Idle,
+    NotRunning,
     #[error("the log does not begin with a version in force, or breaks off where that can't be")]
-    Log,
+    InvalidLog,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -174,7 +174,7 @@
     target: Hierarchy,
     back: bool,
     /// The step that was told last stands first.
-    steps: Vec<Step>,
+    steps: Vec<PlanStep>,
     /// What was in force on the way here, the oldest first.
     passed: Vec<Hierarchy>,
     stage: Stage,
@@ -182,7 +182,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Driver {
+pub struct Rollout {
     admission: Admission,
     /// The last version that everyone had in force, and the last number given out.
     held: Hierarchy,
@@ -193,31 +193,39 @@
     next_change: u64,
     run: Option<Run>,
     next: Option<Hierarchy>,
-    parties: BTreeMap<Party, (u64, u64)>,
-    stale: Option<No>,
+    parties: BTreeMap<Participant, (u64, u64)>,
+    stale: Option<RolloutError>,
     origin: Option<f64>,
-    acts: Vec<Act>,
+    acts: Vec<RolloutAction>,
 }
 
-impl Driver {
+impl Rollout {
     /// From a version that everyone has in force, or will have before any other.
     pub fn new(
         number: u64,
         version: Hierarchy,
-        parties: impl IntoIterator<Item = Party>,
-    ) -> Result<Driver, No> {
+        parties: impl IntoIterator<Item = Participant>,
+    ) -> Result<Rollout, RolloutError> {
         let number = number.max(1);
         Admission::new(version.clone())?;
-        let start = Record::Start { number, next_change: 1, version: Told::of(number, &version) };
-        let mut driver = Driver::at(number, version, parties)?;
-        driver.act(Act::Write(start));
+        let start = RolloutRecord::Checkpoint {
+            number,
+            next_change: 1,
+            version: HierarchySpec::from_hierarchy(number, &version),
+        };
+        let mut driver = Rollout::at(number, version, parties)?;
+        driver.act(RolloutAction::Persist(start));
         driver.publish();
         Ok(driver)
     }
 
-    fn at(number: u64, version: Hierarchy, parties: impl IntoIterator<Item = Party>) -> Result<Driver, No> {
-        Ok(Driver {
-            admission: Admission::standing(version.clone())?,
+    fn at(
+        number: u64,
+        version: Hierarchy,
+        parties: impl IntoIterator<Item = Participant>,
+    ) -> Result<Rollout, RolloutError> {
+        Ok(Rollout {
+            admission: Admission::from_active(version.clone())?,
             home: version.clone(),
             held: version,
             held_number: number,
@@ -234,66 +242,68 @@
 
     /// From its log, after an end at any point. What was told last is told again; it goes on from there.
     pub fn recover(
-        records: &[Record],
-        parties: impl IntoIterator<Item = Party>,
+        records: &[RolloutRecord],
+        parties: impl IntoIterator<Item = Participant>,
         now: Ns,
-    ) -> Result<Driver, No> {
-        let mut found: Option<Driver> = None;
+    ) -> Result<Rollout, RolloutError> {
+        let mut found: Option<Rollout> = None;
         let mut pending: Option<(bool, Hierarchy)> = None;
         for record in records {
             let known = found.as_ref().map(|d| d.held.clone());
-            let read = |told: &Told| told.hierarchy(known.as_ref()).map(|(_, h)| h).map_err(|_| No::Log);
-            if let Record::Start { number, next_change, version } = record {
-                let mut start = Driver::at(*number, read(version)?, [])?;
+            let read = |told: &HierarchySpec| {
+                told.to_hierarchy(known.as_ref()).map(|(_, h)| h).map_err(|_| RolloutError::InvalidLog)
+            };
+            if let RolloutRecord::Checkpoint { number, next_change, version } = record {
+                let mut start = Rollout::at(*number, read(version)?, [])?;
                 start.next_change = *next_change;
                 found = Some(start);
                 pending = None;
                 continue;
             }
-            let d = found.as_mut().ok_or(No::Log)?;
+            let d = found.as_mut().ok_or(RolloutError::InvalidLog)?;
             match record {
-                Record::Start { .. } => {}
-                Record::Begun { change, aim: told, home } => {
+                RolloutRecord::Checkpoint { .. } => {}
+                RolloutRecord::Started { change, target: told, baseline: home } => {
                     d.next_change = change + 1;
                     d.next = None;
                     d.home = read(home)?;
                     d.run = Some(Run::new(*change, d.home.clone(), read(told)?, now));
                 }
-                Record::Waits { aim } => d.next = aim.as_ref().map(read).transpose()?,
-                Record::Back { .. } => {
+                RolloutRecord::Queued { target: aim } => d.next = aim.as_ref().map(read).transpose()?,
+                RolloutRecord::RollbackStarted { .. } => {
                     if let Some(run) = d.run.as_mut() {
                         run.turn(true);
                     }
                 }
-                Record::Step { number, back, version, .. } => {
+                RolloutRecord::StepStarted { number, is_rollback: back, version, .. } => {
                     d.number = *number;
                     pending = Some((*back, read(version)?));
                 }
-                Record::InForce { number } => {
-                    let (back, version) = pending.take().ok_or(No::Log)?;
+                RolloutRecord::StepCommitted { number } => {
+                    let (back, version) = pending.take().ok_or(RolloutError::InvalidLog)?;
                     if let Some(run) = d.run.as_mut() {
                         run.passed.push(std::mem::replace(&mut d.held, version));
                         run.turn(back);
                     }
                     d.held_number = *number;
                 }
-                Record::Ended { .. } => d.run = None,
+                RolloutRecord::Ended { .. } => d.run = None,
             }
         }
-        let mut driver = found.ok_or(No::Log)?;
+        let mut driver = found.ok_or(RolloutError::InvalidLog)?;
         driver.parties = parties.into_iter().map(|p| (p, (0, 0))).collect();
-        driver.admission = Admission::standing(driver.held.clone())?;
+        driver.admission = Admission::from_active(driver.held.clone())?;
         if let Some(run) = driver.run.as_mut() {
             match pending {
                 Some((back, version)) => {
                     run.turn(back);
-                    run.steps = vec![crate::plan::jump(&driver.held, &version)];
+                    run.steps = vec![crate::plan::direct_step(&driver.held, &version)];
                     run.stage = Stage::Publishing { since: now };
                 }
                 // Lookups from before the end may be in hand still.
                 None => {
-                    run.steps = vec![crate::plan::jump(&driver.held, &driver.held)];
-                    run.stage = Stage::Draining { until: now + driver.held.rules.hold };
+                    run.steps = vec![crate::plan::direct_step(&driver.held, &driver.held)];
+                    run.stage = Stage::Draining { until: now + driver.held.rules.drain_window };
                 }
             }
         }
@@ -306,54 +316,54 @@
     }
 
     /// Takes what is to be done, in order.
-    pub fn acts(&mut self) -> Vec<Act> {
+    pub fn take_actions(&mut self) -> Vec<RolloutAction> {
         std::mem::take(&mut self.acts)
     }
 
     /// The number told last and what it holds.
-    pub fn told(&self) -> (u64, &Hierarchy) {
+    pub fn published(&self) -> (u64, &Hierarchy) {
         (self.number, self.pending().unwrap_or(&self.held))
     }
 
     /// The last version that everyone had in force.
-    pub fn in_force(&self) -> (u64, &Hierarchy) {
+    pub fn committed(&self) -> (u64, &Hierarchy) {
         (self.held_number, &self.held)
     }
 
     /// The change that runs, whether it is on its way back, and how many steps are left.
-    pub fn running(&self) -> Option<(u64, bool, usize)> {
+    pub fn progress(&self) -> Option<(u64, bool, usize)> {
         self.run.as_ref().map(|r| (r.change, r.back, r.steps.len()))
     }
 
     /// When it wants to be ticked next.
-    pub fn wake(&self) -> Option<Ns> {
+    pub fn next_wakeup(&self) -> Option<Ns> {
         let run = self.run.as_ref()?;
         Some(match run.stage {
             // A step that is on its way back can only wait.
             Stage::Publishing { .. } if run.noted => return None,
-            Stage::Publishing { since } => since + self.held.rules.give_up,
+            Stage::Publishing { since } => since + self.held.rules.step_timeout,
             Stage::Draining { until } => until,
             Stage::Waiting { until } if self.calm() => until,
-            Stage::Waiting { until } => until + self.held.rules.give_up,
+            Stage::Waiting { until } => until + self.held.rules.step_timeout,
         })
     }
 
     /// Parties that have not said that they have the last number in force.
-    pub fn missing(&self) -> Vec<Party> {
-        let (number, version) = self.told();
+    pub fn missing_participants(&self) -> Vec<Participant> {
+        let (number, version) = self.published();
         let digest = version.digest();
-        let here = |&(_, said): &(&Party, &(u64, u64))| *said != (number, digest);
+        let here = |&(_, said): &(&Participant, &(u64, u64))| *said != (number, digest);
         self.parties.iter().filter(here).map(|(p, _)| Arc::clone(p)).collect()
     }
 
-    pub fn hear(&mut self, input: Input, now: Ns) -> Result<(), No> {
+    pub fn handle(&mut self, input: RolloutInput, now: Ns) -> Result<(), RolloutError> {
         match input {
-            Input::Propose { aim } => self.propose(aim, now)?,
-            Input::InForce { party, number, digest } => {
+            RolloutInput::Propose { target: aim } => self.propose(aim, now)?,
+            RolloutInput::VersionApplied { participant: party, number, digest } => {
                 if number > self.number {
                     let (theirs, ours) = (number, self.number);
                     self.note(format!("hierarchy stale party={party} theirs={theirs} ours={ours}"));
-                    self.stale = Some(No::Stale { party, theirs, ours });
+                    self.stale = Some(RolloutError::Stale { party, theirs, ours });
                     return Ok(());
                 }
                 // Words of older numbers are late, or come from one that has to be told again.
@@ -362,20 +372,20 @@
                     *said = (number, digest);
                 }
             }
-            Input::Gone { party } => {
+            RolloutInput::ParticipantGone { participant: party } => {
                 self.parties.remove(&party);
             }
-            Input::Evidence { origin, down } => {
+            RolloutInput::HealthReport { origin, down_nodes: down } => {
                 self.origin = Some(origin);
                 let over = origin > self.held.rules.ceiling;
                 let touched = |n: &&NodeId| {
-                    self.run.as_ref().is_some_and(|r| r.steps.iter().any(|s| s.changed.contains(n)))
+                    self.run.as_ref().is_some_and(|r| r.steps.iter().any(|s| s.changed_nodes.contains(n)))
                 };
                 let ill = down.iter().find(touched).copied();
                 let why = if over {
                     Some(format!("origin={origin:.0} ceiling={:.0}", self.held.rules.ceiling))
                 } else {
-                    ill.map(|n| format!("down={}", self.told().1.name(n)))
+                    ill.map(|n| format!("down={}", self.published().1.node_name(n)))
                 };
                 if let Some(why) = why
                     && self.run.as_ref().is_some_and(|r| !r.back)
@@ -383,30 +393,32 @@
                     self.turn_back(now, &why);
                 }
             }
-            Input::TakeBack => match &self.run {
-                None => return Err(No::Idle),
+            RolloutInput::RollBack => match &self.run {
+                None => return Err(RolloutError::NotRunning),
                 Some(run) if run.back => {}
                 Some(_) => self.turn_back(now, "asked"),
             },
-            Input::Tick => {}
+            RolloutInput::Tick => {}
         }
         self.go_on(now);
         Ok(())
     }
 
-    fn propose(&mut self, aim: Hierarchy, now: Ns) -> Result<(), No> {
+    fn propose(&mut self, aim: Hierarchy, now: Ns) -> Result<(), RolloutError> {
         if let Some(stale) = &self.stale {
             return Err(stale.clone());
         }
         let aim = self.own(&aim)?;
         match &self.run {
-            Some(run) if self.next.is_some() => Err(No::Busy { running: run.change }),
-            Some(run) if run.target == aim => Err(No::Same),
+            Some(run) if self.next.is_some() => Err(RolloutError::Busy { running: run.change }),
+            Some(run) if run.target == aim => Err(RolloutError::AlreadyActive),
             Some(run) => {
                 // From what is in force, not from a half-way picture: it is planned once that is known.
                 self.admission.clone().admit(&aim)?;
                 let change = run.change;
-                self.act(Act::Write(Record::Waits { aim: Some(Told::of(self.number, &aim)) }));
+                self.act(RolloutAction::Persist(RolloutRecord::Queued {
+                    target: Some(HierarchySpec::from_hierarchy(self.number, &aim)),
+                }));
                 self.note(format!("hierarchy change waits behind={change}"));
                 self.next = Some(aim);
                 if matches!(self.run.as_ref().map(|r| r.stage), Some(Stage::Waiting { .. })) {
@@ -414,26 +426,30 @@
                 }
                 Ok(())
             }
-            None if self.held == aim => Err(No::Same),
+            None if self.held == aim => Err(RolloutError::AlreadyActive),
             None => self.begin(aim, now),
         }
     }
 
     /// A version with the numbers that what is in force has: nodes are the same by their names.
-    fn own(&self, aim: &Hierarchy) -> Result<Hierarchy, Refusal> {
-        let told = Told::of(self.number, aim).hierarchy(Some(&self.held));
-        told.map(|(_, aim)| aim).map_err(|what| Refusal::Doubled { what })
+    fn own(&self, aim: &Hierarchy) -> Result<Hierarchy, AdmissionError> {
+        let told = HierarchySpec::from_hierarchy(self.number, aim).to_hierarchy(Some(&self.held));
+        told.map(|(_, aim)| aim).map_err(|what| AdmissionError::DuplicateNode { what })
     }
 
-    fn begin(&mut self, aim: Hierarchy, now: Ns) -> Result<(), No> {
+    fn begin(&mut self, aim: Hierarchy, now: Ns) -> Result<(), RolloutError> {
         let mut admission = self.admission.clone();
         admission.admit(&aim)?;
         let found = plan(&self.held, &aim, now)?;
         let change = self.next_change;
         self.next_change += 1;
-        let home = Told::of(self.held_number, &self.home);
-        self.act(Act::Write(Record::Begun { change, aim: Told::of(self.number, &aim), home }));
-        let peak = found.steps.iter().map(|s| s.peak).fold(0.0, f64::max);
+        let home = HierarchySpec::from_hierarchy(self.held_number, &self.home);
+        self.act(RolloutAction::Persist(RolloutRecord::Started {
+            change,
+            target: HierarchySpec::from_hierarchy(self.number, &aim),
+            baseline: home,
+        }));
+        let peak = found.steps.iter().map(|s| s.origin_peak).fold(0.0, f64::max);
         self.note(format!(
             "hierarchy change={change} begun nodes={} steps={} peak={peak:.0} ceiling={:.0}",
             self.held.diff(&aim).count(),
@@ -444,7 +460,7 @@
         run.steps = found.steps;
         if run.steps.is_empty() {
             // Rules alone have changed.
-            run.steps = vec![crate::plan::jump(&self.held, &run.target)];
+            run.steps = vec![crate::plan::direct_step(&self.held, &run.target)];
         }
         self.run = Some(run);
         self.tell(now);
@@ -459,18 +475,23 @@
         self.parties.values_mut().for_each(|said| *said = (0, 0));
         run.stage = Stage::Publishing { since: now };
         run.noted = false;
-        let version = Told::of(self.number, &step.to);
-        let record = Record::Step { change: run.change, number: self.number, back: run.back, version };
+        let version = HierarchySpec::from_hierarchy(self.number, &step.target);
+        let record = RolloutRecord::StepStarted {
+            change: run.change,
+            number: self.number,
+            is_rollback: run.back,
+            version,
+        };
         let line = format!(
             "hierarchy change={} step version={} left={} back={} moved={:.0} peak={:.0}",
             run.change,
             self.number,
             run.steps.len() - 1,
             u8::from(run.back),
-            step.moved,
-            step.peak
+            step.moved_load,
+            step.origin_peak
         );
-        self.act(Act::Write(record));
+        self.act(RolloutAction::Persist(record));
         self.note(line);
         self.publish();
     }
@@ -479,22 +500,22 @@
         if self.stale.is_some() {
             return;
         }
-        let (number, version) = self.told();
-        let publish = Act::Publish { number, version: version.clone() };
+        let (number, version) = self.published();
+        let publish = RolloutAction::Publish { number, version: version.clone() };
         self.act(publish);
     }
 
     /// What is told and not in force with everyone.
     fn pending(&self) -> Option<&Hierarchy> {
         let run = self.run.as_ref()?;
-        matches!(run.stage, Stage::Publishing { .. }).then(|| run.steps.first().map(|s| &s.to))?
+        matches!(run.stage, Stage::Publishing { .. }).then(|| run.steps.first().map(|s| &s.target))?
     }
 
     /// Whether the origin bears the next step, by what it was last heard to bear.
     fn calm(&self) -> bool {
         let Some(next) = self.run.as_ref().and_then(|r| r.steps.get(1)) else { return true };
         let most = self.held.rules.ceiling * (1.0 - self.held.rules.margin);
-        let more = (next.peak - next.before).max(0.0);
+        let more = (next.origin_peak - next.origin_before).max(0.0);
         self.origin.is_none_or(|o| o + more <= most) || self.run.as_ref().is_some_and(|r| r.back)
     }
 
@@ -504,17 +525,17 @@
     }
 
     fn turn(&mut self, now: Ns) -> bool {
-        let missing = self.missing();
+        let missing = self.missing_participants();
         let calm = self.calm();
-        let give_up = self.held.rules.give_up;
+        let give_up = self.held.rules.step_timeout;
         let Some(run) = self.run.as_mut() else { return false };
         match run.stage {
             Stage::Publishing { .. } if missing.is_empty() => {
                 let Some(step) = run.steps.first() else { return false };
-                run.passed.push(std::mem::replace(&mut self.held, step.to.clone()));
-                run.stage = Stage::Draining { until: now + self.held.rules.hold };
+                run.passed.push(std::mem::replace(&mut self.held, step.target.clone()));
+                run.stage = Stage::Draining { until: now + self.held.rules.drain_window };
                 self.held_number = self.number;
-                self.act(Act::Write(Record::InForce { number: self.number }));
+                self.act(RolloutAction::Persist(RolloutRecord::StepCommitted { number: self.number }));
                 self.note(format!("hierarchy in force version={}", self.number));
                 true
             }
@@ -536,7 +557,7 @@
                 }
                 let Some(run) = self.run.as_mut() else { return false };
                 match run.steps.get(1) {
-                    Some(next) => run.stage = Stage::Waiting { until: now + next.wait },
+                    Some(next) => run.stage = Stage::Waiting { until: now + next.min_delay },
                     None if self.held == run.target => self.end(now),
                     None => self.replan(now),
                 }
@@ -564,7 +585,7 @@
                 self.tell(now);
             }
             Ok(_) => {
-                run.steps = vec![crate::plan::jump(&self.held, &run.target)];
+                run.steps = vec![crate::plan::direct_step(&self.held, &run.target)];
                 self.tell(now);
             }
             Err(no) if run.back => {
@@ -583,18 +604,18 @@
     fn retrace(&mut self, now: Ns) {
         let Some(run) = self.run.as_mut() else { return };
         let Some(at) = run.passed.iter().rposition(|v| *v == run.target) else {
-            return self.finish(Ending::Left);
+            return self.finish(RolloutOutcome::Abandoned);
         };
         let mut before = self.held.clone();
         let mut steps = Vec::new();
         for version in run.passed[at..].iter().rev() {
             if *version != before {
-                steps.push(crate::plan::jump(&before, version));
+                steps.push(crate::plan::direct_step(&before, version));
                 before = version.clone();
             }
         }
         if steps.is_empty() {
-            return self.finish(Ending::Left);
+            return self.finish(RolloutOutcome::Abandoned);
         }
         run.steps = steps;
         self.tell(now);
@@ -606,11 +627,11 @@
         let Some(run) = self.run.as_mut() else { return };
         run.turn(true);
         let change = run.change;
-        self.acts.push(Act::Write(Record::Back { change }));
+        self.acts.push(RolloutAction::Persist(RolloutRecord::RollbackStarted { change }));
         run.steps = match pending {
             // The rest is planned when this one is in force everywhere.
-            true => vec![crate::plan::jump(&run.steps[0].to, &self.held)],
-            false => vec![crate::plan::jump(&self.held, &self.held)],
+            true => vec![crate::plan::direct_step(&run.steps[0].target, &self.held)],
+            false => vec![crate::plan::direct_step(&self.held, &self.held)],
         };
         self.note(format!("hierarchy change={change} back {why}"));
         if pending {
@@ -630,7 +651,7 @@
         let Some(aim) = self.next.clone() else { return false };
         // What it was numbered by may not be in force any more.
         let aim = self.own(&aim).unwrap_or(aim);
-        let fit = || -> Result<(), No> {
+        let fit = || -> Result<(), RolloutError> {
             self.admission.clone().admit(&aim)?;
             if self.held != aim {
                 plan(&self.held, &aim, now)?;
@@ -641,14 +662,14 @@
             self.drop_next(&why.to_string());
             return false;
         }
-        self.finish(Ending::Superseded);
+        self.finish(RolloutOutcome::Superseded);
         self.begin_next(now);
         true
     }
 
     fn end(&mut self, now: Ns) {
         let back = self.run.as_ref().is_some_and(|r| r.back);
-        self.finish(if back { Ending::RolledBack } else { Ending::Done });
+        self.finish(if back { RolloutOutcome::RolledBack } else { RolloutOutcome::Completed });
         self.begin_next(now);
     }
 
@@ -656,7 +677,7 @@
     fn begin_next(&mut self, now: Ns) {
         let Some(aim) = self.next.clone() else { return };
         let begun = match self.own(&aim) {
-            Ok(aim) if aim == self.held => Err(No::Same),
+            Ok(aim) if aim == self.held => Err(RolloutError::AlreadyActive),
             Ok(aim) => self.begin(aim, now),
             Err(refusal) => Err(refusal.into()),
         };
@@ -668,48 +689,48 @@
 
     fn drop_next(&mut self, why: &str) {
         self.next = None;
-        self.act(Act::Write(Record::Waits { aim: None }));
+        self.act(RolloutAction::Persist(RolloutRecord::Queued { target: None }));
         self.note(format!("hierarchy change that waited: {why}"));
     }
 
-    fn finish(&mut self, how: Ending) {
+    fn finish(&mut self, how: RolloutOutcome) {
         let Some(run) = self.run.take() else { return };
-        if how != Ending::Superseded {
+        if how != RolloutOutcome::Superseded {
             self.home = self.held.clone();
         }
         // What is in force was admitted, or lies between two that were.
-        if let Ok(admission) = Admission::standing(self.held.clone()) {
+        if let Ok(admission) = Admission::from_active(self.held.clone()) {
             self.admission = admission;
         }
-        self.act(Act::Write(Record::Ended { change: run.change, how }));
+        self.act(RolloutAction::Persist(RolloutRecord::Ended { change: run.change, outcome: how }));
         // A half-way version is nothing to start from: then what was kept before is needed still.
-        if how != Ending::Superseded {
-            let version = Told::of(self.held_number, &self.held);
-            self.act(Act::Write(Record::Start {
+        if how != RolloutOutcome::Superseded {
+            let version = HierarchySpec::from_hierarchy(self.held_number, &self.held);
+            self.act(RolloutAction::Persist(RolloutRecord::Checkpoint {
                 number: self.number,
                 next_change: self.next_change,
                 version,
             }));
             if let Some(aim) = &self.next {
-                let aim = Some(Told::of(self.number, aim));
-                self.act(Act::Write(Record::Waits { aim }));
+                let aim = Some(HierarchySpec::from_hierarchy(self.number, aim));
+                self.act(RolloutAction::Persist(RolloutRecord::Queued { target: aim }));
             }
         }
         self.note(format!("hierarchy change={} ended how={how:?} version={}", run.change, self.held_number));
     }
 
-    fn act(&mut self, act: Act) {
+    fn act(&mut self, act: RolloutAction) {
         self.acts.push(act);
     }
 
     fn note(&mut self, line: String) {
-        self.act(Act::Note(line));
+        self.act(RolloutAction::Log(line));
     }
 
     /// All that decides what it does next, for a search over its states. Times are told by how far off they are.
-    pub fn key(&self, now: Ns) -> impl std::hash::Hash + Eq + use<> {
+    pub fn state_key(&self, now: Ns) -> impl std::hash::Hash + Eq + use<> {
         let run = self.run.as_ref().map(|r| {
-            let steps: Vec<u64> = r.steps.iter().map(|s| s.to.digest()).collect();
+            let steps: Vec<u64> = r.steps.iter().map(|s| s.target.digest()).collect();
             let passed: Vec<u64> = r.passed.iter().map(Hierarchy::digest).collect();
             let stage = match r.stage {
                 Stage::Publishing { since } => (0, now.abs_diff(since)),
@@ -718,7 +739,7 @@
             };
             (r.change, r.from.digest(), r.target.digest(), r.back, steps, passed, stage, r.noted)
         });
-        let parties: Vec<(Party, (u64, u64))> =
+        let parties: Vec<(Participant, (u64, u64))> =
             self.parties.iter().map(|(p, s)| (Arc::clone(p), *s)).collect();
         let next = self.next.as_ref().map(Hierarchy::digest);
         let numbers = (self.held_number, self.number, self.next_change);
--- a/crates/hierarchy/src/spec.rs
+++ b/crates/hierarchy/src/spec.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 
 use garde::Validate;
-use sablecross_forms::{Fault, Placed};
+use sablecross_sexpr_config::{ConfigError, Located};
 use serde::{Deserialize, Serialize};
 
-use crate::version::{FULL, Hierarchy, Member, NodeId, Rules};
+use crate::version::{FULL_SHARE, Hierarchy, HierarchyNode, HierarchyRules, NodeId};
 
 const MS: u64 = 1_000_000;
 /// A day.
@@ -16,17 +16,17 @@
 /// One form of a settings file.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub enum Form {
+pub enum SpecForm {
     #[serde(rename = "hierarchy")]
-    Hierarchy(#[garde(dive)] Head),
+    Hierarchy(#[garde(dive)] SpecHeader),
     #[serde(rename = "node")]
-    Node(#[garde(dive)] Line),
+    Node(#[garde(dive)] NodeSpec),
 }
 
 /// What holds for the whole.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct Head {
+pub struct SpecHeader {
     /// The number of this version; a later one is larger.
     #[garde(range(min = 1))]
     pub version: u64,
@@ -87,13 +87,13 @@
 }
 
 fn full() -> u16 {
-    FULL
+    FULL_SHARE
 }
 
 /// A node.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct Line {
+pub struct NodeSpec {
     #[garde(length(min = 1, max = 64), custom(word))]
     pub name: String,
     #[garde(range(max = 7))]
@@ -109,7 +109,7 @@
     #[garde(range(min = 0.0, max = 1.0))]
     #[serde(default)]
     pub hit: f64,
-    #[garde(range(max = FULL))]
+    #[garde(range(max = FULL_SHARE))]
     #[serde(default = "full")]
     pub share: u16,
     /// Unix milliseconds of its start, if it is cold; 0: it has long been running.
@@ -121,30 +121,34 @@
 /// A whole version, as events and logs carry it.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Told {
+pub struct HierarchySpec {
     #[serde(rename = "head")]
-    pub head: Head,
+    pub header: SpecHeader,
     #[serde(rename = "nodes")]
-    pub nodes: Vec<Line>,
+    pub nodes: Vec<NodeSpec>,
 }
 
 /// Reads a settings file: the version's number and the version. Nodes that `known` has keep their numbers.
-pub fn read(file: &str, text: &str, known: Option<&Hierarchy>) -> Result<(u64, Hierarchy), Vec<Fault>> {
-    let forms: Vec<Placed<Form>> = sablecross_forms::read(file, text)?;
+pub fn parse_settings(
+    file: &str,
+    text: &str,
+    known: Option<&Hierarchy>,
+) -> Result<(u64, Hierarchy), Vec<ConfigError>> {
+    let forms: Vec<Located<SpecForm>> = sablecross_sexpr_config::parse_forms(file, text)?;
     let mut faults = Vec::new();
     let mut head = None;
     let mut lines = Vec::new();
     let mut seen: HashMap<&str, usize> = HashMap::new();
     for form in &forms {
         match &form.value {
-            Form::Hierarchy(h) if head.is_none() => head = Some(h),
-            Form::Hierarchy(_) => {
-                faults.push(form.fault(file, "hierarchy", "a second head", "keep one (hierarchy ...)"));
+            SpecForm::Hierarchy(h) if head.is_none() => head = Some(h),
+            SpecForm::Hierarchy(_) => {
+                faults.push(form.error(file, "hierarchy", "a second head", "keep one (hierarchy ...)"));
             }
-            Form::Node(line) => {
+            SpecForm::Node(line) => {
                 if let Some(before) = seen.insert(&line.name, form.line) {
                     let what = format!("{} stands on line {before} already", line.name);
-                    faults.push(form.fault(file, "node.name", what, "give each node one form"));
+                    faults.push(form.error(file, "node.name", what, "give each node one form"));
                 }
                 lines.push((form, line));
             }
@@ -156,7 +160,7 @@
             let key = format!("node.sources[{i}]");
             if !seen.contains_key(&**source) {
                 let todo = "add a form for it, or take it away";
-                faults.push(form.fault(
+                faults.push(form.error(
                     file,
                     &key,
                     format!("{}: no node is called {source}", line.name),
@@ -164,7 +168,7 @@
                 ));
             }
             if !met.insert(source) {
-                faults.push(form.fault(
+                faults.push(form.error(
                     file,
                     &key,
                     format!("{}: {source} stands twice", line.name),
@@ -177,65 +181,79 @@
         let todo = "begin with (hierarchy (version . 1) (ceiling . 100))";
         let what = "no (hierarchy ...) form";
         let (key, todo) = ("hierarchy".into(), todo.into());
-        faults.push(Fault { file: file.into(), line: 1, column: 1, key, what: what.into(), todo });
+        faults.push(ConfigError {
+            file: file.into(),
+            line: 1,
+            column: 1,
+            key,
+            problem: what.into(),
+            remedy: todo,
+        });
         return Err(faults);
     };
     if !faults.is_empty() {
         faults.truncate(20);
         return Err(faults);
     }
-    let told = Told { head: head.clone(), nodes: lines.into_iter().map(|(_, l)| l.clone()).collect() };
-    let whole =
-        |what| Fault { file: file.into(), line: 1, column: 1, key: String::new(), what, todo: String::new() };
-    told.hierarchy(known).map_err(|what| vec![whole(what)])
+    let told =
+        HierarchySpec { header: head.clone(), nodes: lines.into_iter().map(|(_, l)| l.clone()).collect() };
+    let whole = |what| ConfigError {
+        file: file.into(),
+        line: 1,
+        column: 1,
+        key: String::new(),
+        problem: what,
+        remedy: String::new(),
+    };
+    told.to_hierarchy(known).map_err(|what| vec![whole(what)])
 }
 
-impl Told {
-    pub fn of(number: u64, h: &Hierarchy) -> Told {
+impl HierarchySpec {
+    pub fn from_hierarchy(number: u64, h: &Hierarchy) -> HierarchySpec {
         let r = &h.rules;
-        let head = Head {
+        let head = SpecHeader {
             version: number,
             ceiling: r.ceiling,
             margin: r.margin,
-            cold_from: r.cold_from,
-            warm_after_ms: r.warm_after / MS,
-            fall_multiple: r.fall_multiple,
-            siblings: r.siblings,
-            hold_ms: r.hold / MS,
-            settle_ms: r.settle / MS,
-            give_up_ms: r.give_up / MS,
+            cold_from: r.slow_start_initial_share,
+            warm_after_ms: r.slow_start_window / MS,
+            fall_multiple: r.collapse_multiple,
+            siblings: r.allows_siblings,
+            hold_ms: r.drain_window / MS,
+            settle_ms: r.fill_window / MS,
+            give_up_ms: r.step_timeout / MS,
         };
-        let nodes = h.iter().map(|(_, m)| Line {
+        let nodes = h.iter().map(|(_, m)| NodeSpec {
             name: m.name.to_string(),
             tier: m.tier,
-            sources: m.sources.iter().map(|s| h.name(*s).to_owned()).collect(),
+            sources: m.sources.iter().map(|s| h.node_name(*s).to_owned()).collect(),
             capacity: m.capacity,
             demand: m.demand,
-            hit: m.hit,
-            share: m.share,
-            since_ms: m.since / MS,
+            hit: m.hit_ratio,
+            share: m.ring_share,
+            since_ms: m.started_at / MS,
         });
-        Told { head, nodes: nodes.collect() }
+        HierarchySpec { header: head, nodes: nodes.collect() }
     }
 
     /// The number and the version. Nodes that `known` has keep their numbers; others get free ones.
-    pub fn hierarchy(&self, known: Option<&Hierarchy>) -> Result<(u64, Hierarchy), String> {
-        let h = &self.head;
-        let rules = Rules {
+    pub fn to_hierarchy(&self, known: Option<&Hierarchy>) -> Result<(u64, Hierarchy), String> {
+        let h = &self.header;
+        let rules = HierarchyRules {
             ceiling: h.ceiling,
             margin: h.margin,
-            cold_from: h.cold_from,
-            warm_after: h.warm_after_ms.saturating_mul(MS),
-            fall_multiple: h.fall_multiple,
-            siblings: h.siblings,
-            hold: h.hold_ms.saturating_mul(MS),
-            settle: h.settle_ms.saturating_mul(MS),
-            give_up: h.give_up_ms.saturating_mul(MS),
+            slow_start_initial_share: h.cold_from,
+            slow_start_window: h.warm_after_ms.saturating_mul(MS),
+            collapse_multiple: h.fall_multiple,
+            allows_siblings: h.siblings,
+            drain_window: h.hold_ms.saturating_mul(MS),
+            fill_window: h.settle_ms.saturating_mul(MS),
+            step_timeout: h.give_up_ms.saturating_mul(MS),
         };
         let mut next = known.and_then(|k| k.iter().last()).map_or(0, |(id, _)| id + 1);
         let mut ids: HashMap<&str, NodeId> = HashMap::new();
         for line in &self.nodes {
-            let id = known.and_then(|k| k.id(&line.name)).unwrap_or_else(|| {
+            let id = known.and_then(|k| k.node_id(&line.name)).unwrap_or_else(|| {
                 next += 1;
                 next - 1
             });
@@ -248,32 +266,33 @@
         all = all.with_rules(Arc::new(rules));
         let gone: Vec<NodeId> =
             all.iter().filter(|(_, m)| !ids.contains_key(&*m.name)).map(|(id, _)| id).collect();
-        let mut changes: Vec<(NodeId, Option<Arc<Member>>)> = gone.into_iter().map(|id| (id, None)).collect();
+        let mut changes: Vec<(NodeId, Option<Arc<HierarchyNode>>)> =
+            gone.into_iter().map(|id| (id, None)).collect();
         for line in &self.nodes {
             let sources = line.sources.iter().map(|s| {
                 ids.get(&**s).copied().ok_or_else(|| format!("{}: no node is called {s}", line.name))
             });
-            let member = Member {
+            let member = HierarchyNode {
                 name: line.name.as_str().into(),
                 tier: line.tier,
                 sources: sources.collect::<Result<Vec<_>, _>>()?.into(),
                 capacity: line.capacity,
                 demand: line.demand,
-                hit: line.hit,
-                share: line.share,
-                since: line.since_ms.saturating_mul(MS),
+                hit_ratio: line.hit,
+                ring_share: line.share,
+                started_at: line.since_ms.saturating_mul(MS),
             };
             let id = ids[&*line.name];
             if all.get(id).is_none_or(|m| **m != member) {
                 changes.push((id, Some(Arc::new(member))));
             }
         }
-        Ok((h.version, all.apply(changes)))
+        Ok((h.version, all.with_changes(changes)))
     }
 
     /// The text of a settings file that says the same.
-    pub fn text(&self) -> String {
-        let h = &self.head;
+    pub fn to_settings_text(&self) -> String {
+        let h = &self.header;
         let mut text = format!(
             "(hierarchy (version . {}) (ceiling . {}) (margin . {}) (cold-from . {}) (warm-after-ms . {})\n  \
              (fall-multiple . {}) (siblings . {}) (hold-ms . {}) (settle-ms . {}) (give-up-ms . {}))\n",
@@ -300,7 +319,7 @@
                     text += &format!(" ({key} . {value})");
                 }
             }
-            if n.share != FULL {
+            if n.share != FULL_SHARE {
                 text += &format!(" (share . {})", n.share);
             }
             if n.since_ms != 0 {
--- a/crates/hierarchy/src/order.rs
+++ b/crates/hierarchy/src/topological_order.rs
@@ -3,7 +3,7 @@
 
 /// Nodes from 0 up, each with its edges. `edge(a, b)`: a fills from b, so a stands before b.
 #[derive(Clone, Debug, Default)]
-pub struct Order {
+pub struct TopologicalOrder {
     place: Vec<u32>,
     out: Vec<Vec<u32>>,
     into: Vec<Vec<u32>>,
@@ -12,9 +12,9 @@
     search: u32,
 }
 
-impl Order {
-    pub fn new(nodes: usize) -> Order {
-        let mut order = Order::default();
+impl TopologicalOrder {
+    pub fn new(nodes: usize) -> TopologicalOrder {
+        let mut order = TopologicalOrder::default();
         order.grow(nodes);
         order
     }
@@ -37,23 +37,23 @@
     }
 
     /// Where a node stands; who fills from whom stands before.
-    pub fn place(&self, node: u32) -> u32 {
+    pub fn position(&self, node: u32) -> u32 {
         self.place[node as usize]
     }
 
-    pub fn out(&self, node: u32) -> &[u32] {
+    pub fn sources(&self, node: u32) -> &[u32] {
         &self.out[node as usize]
     }
 
     /// Adds an edge. One that would close a cycle is not added: the cycle is given, from `a` back to `a`.
-    pub fn insert(&mut self, a: u32, b: u32) -> Result<(), Vec<u32>> {
+    pub fn insert_edge(&mut self, a: u32, b: u32) -> Result<(), Vec<u32>> {
         if a == b {
             return Err(vec![a, a]);
         }
         if self.out[a as usize].contains(&b) {
             return Ok(());
         }
-        let (low, high) = (self.place(b), self.place(a));
+        let (low, high) = (self.position(b), self.position(a));
         if low < high {
             let ahead = self.ahead(b, a, high)?;
             let behind = self.behind(a, low);
@@ -64,7 +64,7 @@
         Ok(())
     }
 
-    pub fn remove(&mut self, a: u32, b: u32) {
+    pub fn remove_edge(&mut self, a: u32, b: u32) {
         self.out[a as usize].retain(|&x| x != b);
         self.into[b as usize].retain(|&x| x != a);
     }
@@ -137,7 +137,7 @@
 }
 
 /// A full search: an order of all nodes (who fills from whom comes first), or a cycle, from a node back to it.
-pub fn sorted(out: &[Vec<u32>]) -> Result<Vec<u32>, Vec<u32>> {
+pub fn topological_sort(out: &[Vec<u32>]) -> Result<Vec<u32>, Vec<u32>> {
     let mut into = vec![0u32; out.len()];
     out.iter().flatten().for_each(|&s| into[s as usize] += 1);
     let mut order: Vec<u32> = (0..out.len() as u32).filter(|&n| into[n as usize] == 0).collect();
--- a/crates/hierarchy/src/holder.rs
+++ b/crates/hierarchy/src/version_holder.rs
@@ -3,33 +3,33 @@
 use crate::version::Hierarchy;
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Holder {
+pub struct VersionHolder {
     number: u64,
     version: Option<Hierarchy>,
 }
 
 /// What became of a version that was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum OfferOutcome {
     /// In force from now on.
-    New,
+    Accepted,
     /// In force already.
-    Same,
+    Unchanged,
     /// Older than what is in force: passed over.
     Older,
     /// The number in force, with another content: passed over, and not to be said to be in force.
-    Other,
+    Conflicting,
 }
 
-impl Default for Holder {
+impl Default for VersionHolder {
     fn default() -> Self {
-        Holder::new()
+        VersionHolder::new()
     }
 }
 
-impl Holder {
-    pub fn new() -> Holder {
-        Holder { number: 0, version: None }
+impl VersionHolder {
+    pub fn new() -> VersionHolder {
+        VersionHolder { number: 0, version: None }
     }
 
     /// The number in force; 0: none.
@@ -42,15 +42,15 @@
         self.version.as_ref()
     }
 
-    pub fn offer(&mut self, number: u64, version: &Hierarchy) -> Taken {
+    pub fn offer(&mut self, number: u64, version: &Hierarchy) -> OfferOutcome {
         if number < self.number || number == 0 {
-            return Taken::Older;
+            return OfferOutcome::Older;
         }
         if number == self.number {
             let same = self.version.as_ref().is_some_and(|v| v.digest() == version.digest());
-            return if same { Taken::Same } else { Taken::Other };
+            return if same { OfferOutcome::Unchanged } else { OfferOutcome::Conflicting };
         }
         (self.number, self.version) = (number, Some(version.clone()));
-        Taken::New
+        OfferOutcome::Accepted
     }
 }
--- a/crates/hierarchy/tests/help/mod.rs
+++ b/crates/hierarchy/tests/help/mod.rs
@@ -3,21 +3,21 @@
 
 use rand::RngExt;
 use rand_pcg::Pcg32;
-use sablecross_hierarchy::{FULL, Hierarchy, Member, NodeId, Rules, spec};
+use sablecross_hierarchy::{FULL_SHARE, Hierarchy, HierarchyNode, HierarchyRules, NodeId, spec};
 
 pub const SEC: u64 = 1_000_000_000;
 
-pub fn rules() -> Rules {
-    Rules {
+pub fn rules() -> HierarchyRules {
+    HierarchyRules {
         ceiling: 1e6,
         margin: 0.2,
-        cold_from: 0.25,
-        warm_after: 20 * SEC,
-        fall_multiple: 2.0,
-        siblings: true,
-        hold: 3 * SEC,
-        settle: 5 * SEC,
-        give_up: 30 * SEC,
+        slow_start_initial_share: 0.25,
+        slow_start_window: 20 * SEC,
+        collapse_multiple: 2.0,
+        allows_siblings: true,
+        drain_window: 3 * SEC,
+        fill_window: 5 * SEC,
+        step_timeout: 30 * SEC,
     }
 }
 
@@ -25,22 +25,31 @@
 
 /// A version from the forms of its nodes; those of `known` keep their numbers.
 pub fn read(nodes: &str, known: Option<&Hierarchy>) -> Hierarchy {
-    spec::read("test", &format!("{HEAD}{nodes}"), known).unwrap_or_else(|f| panic!("{f:?}")).1
+    spec::parse_settings("test", &format!("{HEAD}{nodes}"), known).unwrap_or_else(|f| panic!("{f:?}")).1
 }
 
 /// The origin is node 0; a bit of `masks[n - 1]` is a source of node n. No loads.
 pub fn of_masks(masks: &[u8]) -> Hierarchy {
-    let mut h = Hierarchy::new(rules()).with(0, member("o", 0, &[]));
+    let mut h = Hierarchy::new(rules()).with_node(0, member("o", 0, &[]));
     for (i, mask) in masks.iter().enumerate() {
         let sources: Vec<NodeId> = (0..8).filter(|s| mask >> s & 1 == 1).collect();
-        h = h.with(i as NodeId + 1, member(&format!("n{}", i + 1), 1, &sources));
+        h = h.with_node(i as NodeId + 1, member(&format!("n{}", i + 1), 1, &sources));
     }
     h
 }
 
-pub fn member(name: &str, tier: u8, sources: &[NodeId]) -> Member {
+pub fn member(name: &str, tier: u8, sources: &[NodeId]) -> HierarchyNode {
     let (capacity, sources) = (1e6, sources.into());
-    Member { name: name.into(), tier, sources, capacity, demand: 0.0, hit: 0.0, share: FULL, since: 0 }
+    HierarchyNode {
+        name: name.into(),
+        tier,
+        sources,
+        capacity,
+        demand: 0.0,
+        hit_ratio: 0.0,
+        ring_share: FULL_SHARE,
+        started_at: 0,
+    }
 }
 
 /// All loop-free ways to give sources to `n` nodes so that each leads to the origin.
@@ -69,7 +78,7 @@
 /// Upper tiers over an origin, `edge` nodes with demand below them; some may fill from their own tier.
 pub fn random(nodes: u32, edge: u32, siblings: f64, rng: &mut Pcg32) -> Hierarchy {
     let upper = nodes - edge - 1;
-    let mut h = Hierarchy::new(rules()).with(0, Member { capacity: 1e9, ..member("o", 0, &[]) });
+    let mut h = Hierarchy::new(rules()).with_node(0, HierarchyNode { capacity: 1e9, ..member("o", 0, &[]) });
     let mut line: Vec<NodeId> = (1..=upper).collect();
     // Siblings fill from those that stand before them in an order of their own.
     for i in (1..line.len()).rev() {
@@ -84,13 +93,16 @@
             sources.sort_unstable();
             sources.dedup();
         }
-        h = h.with(n, Member { hit: 0.5, ..member(&format!("u{n}"), 1, &sources) });
+        h = h.with_node(n, HierarchyNode { hit_ratio: 0.5, ..member(&format!("u{n}"), 1, &sources) });
     }
     for n in upper + 1..nodes {
         let mut sources: Vec<NodeId> = (0..3).map(|_| rng.random_range(1..=upper)).collect();
         sources.sort_unstable();
         sources.dedup();
-        h = h.with(n, Member { hit: 0.6, demand: 10.0, ..member(&format!("e{n}"), 2, &sources) });
+        h = h.with_node(
+            n,
+            HierarchyNode { hit_ratio: 0.6, demand: 10.0, ..member(&format!("e{n}"), 2, &sources) },
+        );
     }
     h
 }
--- a/crates/hierarchy/tests/model.rs
+++ b/crates/hierarchy/tests/model.rs
@@ -12,16 +12,18 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use help::{all_masks, of_masks};
-use sablecross_hierarchy::change::Party;
-use sablecross_hierarchy::{Act, Driver, Hierarchy, Holder, Input, NodeId, Record};
+use sablecross_hierarchy::rollout::Participant;
+use sablecross_hierarchy::{
+    Hierarchy, NodeId, Rollout, RolloutAction, RolloutInput, RolloutRecord, VersionHolder,
+};
 use stateright::{Checker, Model, Property};
 
 #[derive(Clone, Debug)]
 struct World {
-    driver: Driver,
-    log: Vec<Arc<Record>>,
+    driver: Rollout,
+    log: Vec<Arc<RolloutRecord>>,
     now: u64,
-    holders: Vec<Holder>,
+    holders: Vec<VersionHolder>,
     /// What was told to each party, in any order and as often as may be; what is never taken is lost.
     told: BTreeSet<(usize, u64)>,
     versions: Vec<(u64, Hierarchy)>,
@@ -39,11 +41,11 @@
 
 impl World {
     fn key(&self) -> impl Hash + Eq + '_ {
-        let holders: Vec<u64> = self.holders.iter().map(Holder::number).collect();
+        let holders: Vec<u64> = self.holders.iter().map(VersionHolder::number).collect();
         // Times count by how long ago they are: the same state later is the same state.
         let fills: Vec<_> = self.fills.iter().map(|(k, at)| (*k, self.now - at)).collect();
         let flags = (self.begun, self.second, self.kills, self.bad, self.twice);
-        (self.driver.key(self.now), holders, &self.told, &self.words, fills, flags)
+        (self.driver.state_key(self.now), holders, &self.told, &self.words, fills, flags)
     }
 }
 
@@ -85,30 +87,30 @@
 }
 
 impl Search {
-    fn parties(&self) -> Vec<Party> {
+    fn parties(&self) -> Vec<Participant> {
         (1..self.from.len()).map(|n| format!("n{n}").into()).collect()
     }
 
     fn settle(&self, w: &mut World, kill: bool) {
-        for act in w.driver.acts() {
+        for act in w.driver.take_actions() {
             match act {
-                Act::Write(record) => w.log.push(Arc::new(record)),
+                RolloutAction::Persist(record) => w.log.push(Arc::new(record)),
                 // Killed once all is kept and nothing is told yet; the acts before that are tested by themselves.
-                Act::Publish { .. } if kill => {}
-                Act::Publish { number, version } => {
+                RolloutAction::Publish { .. } if kill => {}
+                RolloutAction::Publish { number, version } => {
                     if !w.versions.iter().any(|(n, _)| *n == number) {
                         w.versions.push((number, version));
                     }
                     w.told.extend((0..w.holders.len()).map(|p| (p, number)));
                 }
-                Act::Note(_) => {}
+                RolloutAction::Log(_) => {}
             }
         }
     }
 
     /// Lets fills set out and go on by what each node holds now.
     fn walk(&self, w: &mut World) {
-        if w.driver.running().is_none() {
+        if w.driver.progress().is_none() {
             // Only while something changes can a fill meet more than one version.
             w.fills.clear();
             return;
@@ -123,7 +125,7 @@
                 continue;
             }
             w.fills.insert((start, at), born);
-            for s in w.holders[at as usize - 1].version().into_iter().flat_map(|v| v.asked(at)) {
+            for s in w.holders[at as usize - 1].version().into_iter().flat_map(|v| v.active_sources(at)) {
                 w.twice |= s == start;
                 if s != 0 {
                     next.push(((start, s), born));
@@ -132,8 +134,8 @@
         }
     }
 
-    fn hear(&self, w: &mut World, input: Input) {
-        let _ = w.driver.hear(input, w.now);
+    fn hear(&self, w: &mut World, input: RolloutInput) {
+        let _ = w.driver.handle(input, w.now);
         self.settle(w, false);
     }
 }
@@ -143,17 +145,26 @@
     type Action = Move;
 
     fn init_states(&self) -> Vec<World> {
-        let mut driver = Driver::new(1, self.from.clone(), self.parties()).unwrap();
-        let mut holders = vec![Holder::new(); self.from.len() - 1];
-        driver.acts();
+        let mut driver = Rollout::new(1, self.from.clone(), self.parties()).unwrap();
+        let mut holders = vec![VersionHolder::new(); self.from.len() - 1];
+        driver.take_actions();
         for (party, holder) in self.parties().into_iter().zip(&mut holders) {
             holder.offer(1, &self.from);
-            driver.hear(Input::InForce { party, number: 1, digest: self.from.digest() }, 0).unwrap();
+            driver
+                .handle(
+                    RolloutInput::VersionApplied {
+                        participant: party,
+                        number: 1,
+                        digest: self.from.digest(),
+                    },
+                    0,
+                )
+                .unwrap();
         }
-        let version = sablecross_hierarchy::spec::Told::of(1, &self.from);
+        let version = sablecross_hierarchy::spec::HierarchySpec::from_hierarchy(1, &self.from);
         vec![World {
             driver,
-            log: vec![Arc::new(Record::Start { number: 1, next_change: 1, version })],
+            log: vec![Arc::new(RolloutRecord::Checkpoint { number: 1, next_change: 1, version })],
             now: 0,
             holders,
             told: BTreeSet::new(),
@@ -174,20 +185,20 @@
         }
         if !w.begun {
             actions.push(Move::Propose);
-        } else if !w.second && self.second.is_some() && w.driver.running().is_some() {
+        } else if !w.second && self.second.is_some() && w.driver.progress().is_some() {
             actions.push(Move::Second);
         }
         actions.extend(
             w.told.iter().filter(|(p, n)| *n > w.holders[*p].number()).map(|&(p, n)| Move::Take(p, n)),
         );
         actions.extend(w.words.iter().map(|&(p, n, d)| Move::Word(p, n, d)));
-        if w.driver.wake().is_some() {
+        if w.driver.next_wakeup().is_some() {
             actions.push(Move::Tick);
         }
         if w.begun && w.kills < self.kills {
             actions.push(Move::Kill);
         }
-        if w.begun && w.bad < self.bad && w.driver.running().is_some_and(|(_, back, _)| !back) {
+        if w.begun && w.bad < self.bad && w.driver.progress().is_some_and(|(_, back, _)| !back) {
             actions.push(Move::Evidence);
         }
     }
@@ -201,12 +212,12 @@
                     w.versions.push((2, self.aim.clone()));
                     w.told.extend((0..w.holders.len()).map(|p| (p, 2)));
                 }
-                self.hear(&mut w, Input::Propose { aim: self.aim.clone() });
+                self.hear(&mut w, RolloutInput::Propose { target: self.aim.clone() });
             }
             Move::Second => {
                 w.second = true;
                 let aim = self.second.clone()?;
-                self.hear(&mut w, Input::Propose { aim });
+                self.hear(&mut w, RolloutInput::Propose { target: aim });
             }
             Move::Take(p, n) => {
                 let version = w.versions.iter().find(|(number, _)| *number == n)?.1.clone();
@@ -217,22 +228,25 @@
                 // A word that was heard may come again: it changes nothing then.
                 let party = self.parties()[p].clone();
                 w.words.remove(&(p, number, digest));
-                self.hear(&mut w, Input::InForce { party: party.clone(), number, digest });
-                self.hear(&mut w, Input::InForce { party, number, digest });
+                self.hear(
+                    &mut w,
+                    RolloutInput::VersionApplied { participant: party.clone(), number, digest },
+                );
+                self.hear(&mut w, RolloutInput::VersionApplied { participant: party, number, digest });
             }
             Move::Tick => {
-                let wake = w.driver.wake()?;
+                let wake = w.driver.next_wakeup()?;
                 w.now = w.now.max(wake);
                 // No lookup is in hand for longer than this.
-                let (now, hold) = (w.now, self.from.rules.hold);
+                let (now, hold) = (w.now, self.from.rules.drain_window);
                 w.fills.retain(|_, at| self.hasty || *at + hold > now);
-                self.hear(&mut w, Input::Tick);
+                self.hear(&mut w, RolloutInput::Tick);
             }
             Move::Kill => {
                 w.kills += 1;
                 self.settle(&mut w, true);
-                let log: Vec<Record> = w.log.iter().map(|r| (**r).clone()).collect();
-                w.driver = Driver::recover(&log, self.parties(), w.now).ok()?;
+                let log: Vec<RolloutRecord> = w.log.iter().map(|r| (**r).clone()).collect();
+                w.driver = Rollout::recover(&log, self.parties(), w.now).ok()?;
                 self.settle(&mut w, false);
                 // Each says what it holds when the driver is back.
                 let said: Vec<_> = w
@@ -245,14 +259,14 @@
             }
             Move::Evidence => {
                 w.bad += 1;
-                self.hear(&mut w, Input::Evidence { origin: 1e7, down: Vec::new() });
+                self.hear(&mut w, RolloutInput::HealthReport { origin: 1e7, down_nodes: Vec::new() });
             }
         }
         self.walk(&mut w);
         // What would change nothing is as good as lost.
         let World { told, words, holders, driver, .. } = &mut w;
         told.retain(|(p, n)| *n > holders[*p].number());
-        words.retain(|(_, n, _)| *n == driver.told().0);
+        words.retain(|(_, n, _)| *n == driver.published().0);
         Some(w)
     }
 
@@ -261,14 +275,14 @@
             Property::always("no fill meets a node twice", |_, w: &World| !w.twice),
             Property::always("no one goes back to an older number", |_, w: &World| {
                 // Holders are told apart from the log: what is in force is never beyond what was kept.
-                w.holders.iter().all(|h| h.number() <= w.driver.told().0)
+                w.holders.iter().all(|h| h.number() <= w.driver.published().0)
             }),
             Property::eventually("every change ends, and all agree", |s: &Search, w: &World| {
-                let held = w.driver.in_force().1;
+                let held = w.driver.committed().1;
                 let one = *held == s.aim || *held == s.from || s.second.as_ref() == Some(held);
                 let agreed = w.holders.iter().all(|h| h.version() == Some(held));
                 let agreed = agreed && w.told.is_empty();
-                w.begun && w.driver.running().is_none() && one && agreed
+                w.begun && w.driver.progress().is_none() && one && agreed
             }),
         ]
     }
--- a/crates/hierarchy/tests/plans.rs
+++ b/crates/hierarchy/tests/plans.rs
@@ -8,15 +8,17 @@
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
-use sablecross_hierarchy::flow::{Index, Side, transition};
-use sablecross_hierarchy::order::sorted;
-use sablecross_hierarchy::{Admission, FULL, Hierarchy, Member, NoPlan, NodeId, Rules, plan};
+use sablecross_hierarchy::load_flow::{FlowGraph, NodeIndex, check_transition};
+use sablecross_hierarchy::topological_order::topological_sort;
+use sablecross_hierarchy::{
+    Admission, FULL_SHARE, Hierarchy, HierarchyNode, HierarchyRules, NodeId, PlanError, plan,
+};
 
 /// Whether a fill can meet a node twice while everyone holds one of two versions, by a search of its own.
 fn loops(u: &Hierarchy, v: &Hierarchy) -> bool {
     let nodes: BTreeSet<NodeId> = u.iter().chain(v.iter()).map(|(id, _)| id).collect();
     let edges: BTreeMap<NodeId, BTreeSet<NodeId>> =
-        nodes.iter().map(|&n| (n, u.asked(n).chain(v.asked(n)).collect())).collect();
+        nodes.iter().map(|&n| (n, u.active_sources(n).chain(v.active_sources(n)).collect())).collect();
     nodes.iter().any(|&start| {
         let (mut met, mut next) = (BTreeSet::new(), vec![start]);
         while let Some(n) = next.pop() {
@@ -34,13 +36,13 @@
 }
 
 /// Checks a plan, and gives its number of steps.
-fn check(from: &Hierarchy, to: &Hierarchy, steps: &[sablecross_hierarchy::Step]) -> usize {
+fn check(from: &Hierarchy, to: &Hierarchy, steps: &[sablecross_hierarchy::PlanStep]) -> usize {
     let mut before = from.clone();
     for step in steps {
-        assert!(!loops(&before, &step.to), "a loop between two steps");
-        assert!(before != step.to, "a step that changes nothing");
-        Admission::sound(&step.to).unwrap();
-        before = step.to.clone();
+        assert!(!loops(&before, &step.target), "a loop between two steps");
+        assert!(before != step.target, "a step that changes nothing");
+        Admission::check_structure(&step.target).unwrap();
+        before = step.target.clone();
     }
     assert_eq!(before, *to);
     steps.len()
@@ -51,7 +53,7 @@
     let changed: Vec<_> = from.diff(to).collect();
     let at = |mask: usize| {
         let done = changed.iter().enumerate().filter(|(i, _)| mask >> i & 1 == 1);
-        from.apply(done.map(|(_, d)| (d.node, d.after.clone())))
+        from.with_changes(done.map(|(_, d)| (d.node, d.after.clone())))
     };
     let all = (1usize << changed.len()) - 1;
     let mut reached = BTreeSet::from([0usize]);
@@ -77,7 +79,7 @@
         for to in &all {
             let found = plan(from, to, 0).unwrap();
             let n = check(from, to, &found.steps);
-            assert!(found.fewest);
+            assert!(found.is_minimal);
             assert_eq!(n, fewest(from, to));
             *counts.entry(n).or_insert(0) += 1;
         }
@@ -124,10 +126,11 @@
         (node (name . "e2") (tier . 2) (sources "p1" "p2") (capacity . 900) (demand . 300) (hit . 0.5))"#,
         None,
     );
-    let mut to = from.with(5, Member { capacity, hit: 0.8, since, ..member("p3", 1, &[0]) });
+    let mut to = from
+        .with_node(5, HierarchyNode { capacity, hit_ratio: 0.8, started_at: since, ..member("p3", 1, &[0]) });
     for n in [3, 4] {
         let m = (**to.get(n).unwrap()).clone();
-        to = to.with(n, Member { sources: [1, 2, 5].into(), ..m });
+        to = to.with_node(n, HierarchyNode { sources: [1, 2, 5].into(), ..m });
     }
     (from, to)
 }
@@ -142,11 +145,15 @@
     let found = plan(&from, &to, 1_000 * SEC).unwrap();
     check(&from, &to, &found.steps);
     assert!(found.steps.len() >= 3);
-    let share = |h: &Hierarchy| h.get(5).map_or(0, |m| m.share);
-    assert!(found.steps.iter().any(|s| (1..FULL).contains(&share(&s.to))));
+    let share = |h: &Hierarchy| h.get(5).map_or(0, |m| m.ring_share);
+    assert!(found.steps.iter().any(|s| (1..FULL_SHARE).contains(&share(&s.target))));
     let last = found.steps.last().unwrap();
-    assert!(last.needs.iter().any(|(n, warmth)| *n == 5 && *warmth > 0.8), "{:?}", last.needs);
-    assert!(last.wait >= 10 * SEC, "{}", last.wait);
+    assert!(
+        last.required_warmth.iter().any(|(n, warmth)| *n == 5 && *warmth > 0.8),
+        "{:?}",
+        last.required_warmth
+    );
+    assert!(last.min_delay >= 10 * SEC, "{}", last.min_delay);
     // One that bears its whole slice cold takes it at once; one that is too small for its slice never.
     assert_eq!(
         {
@@ -158,24 +165,25 @@
     let (from, to) = with_new(60.0, 1_000 * SEC);
     assert!(Admission::new(from.clone()).unwrap().admit(&to).is_err());
     let no = plan(&from, &to, 1_000 * SEC).unwrap_err();
-    assert!(matches!(&no, NoPlan::Bears { node, .. } if &**node == "p3"), "{no}");
+    assert!(matches!(&no, PlanError::NodeOverloaded { node, .. } if &**node == "p3"), "{no}");
 }
 
 #[test]
 fn the_origin_stays_below_its_ceiling_or_the_ceiling_is_named() {
     // 300 a second at the parents, 60 of them at the origin; a slice that moves is fetched anew.
     let (from, to) = with_new(400.0, 0);
-    let with = |h: &Hierarchy, ceiling: f64| h.with_rules(Rules { ceiling, ..(*h.rules).clone() }.into());
+    let with =
+        |h: &Hierarchy, ceiling: f64| h.with_rules(HierarchyRules { ceiling, ..(*h.rules).clone() }.into());
     let steps = |ceiling: f64| plan(&with(&from, ceiling), &with(&to, ceiling), 0).map(|p| p.steps);
     assert_eq!(steps(500.0).unwrap().len(), 2);
     let few = steps(125.0).unwrap();
     assert!(few.len() > 2);
     for step in &few {
-        assert!(step.peak <= 100.0 + 1e-6, "{}", step.peak);
+        assert!(step.origin_peak <= 100.0 + 1e-6, "{}", step.origin_peak);
     }
     check(&with(&from, 125.0), &with(&to, 125.0), &few);
     let no = steps(76.0).unwrap_err();
-    assert!(matches!(no, NoPlan::Ceiling { .. }), "{no}");
+    assert!(matches!(no, PlanError::OriginOverloaded { .. }), "{no}");
 }
 
 #[test]
@@ -191,37 +199,40 @@
                 .map(|(id, m)| {
                     let mut left: Vec<NodeId> = m.sources.iter().copied().filter(|s| *s != gone).collect();
                     left.extend(left.is_empty().then_some(0));
-                    (id, Some(Member { sources: left.into(), ..(**m).clone() }.into()))
+                    (id, Some(HierarchyNode { sources: left.into(), ..(**m).clone() }.into()))
                 })
                 .collect();
-            h.apply(fixed).without(gone)
+            h.with_changes(fixed).without_node(gone)
         };
         let (from, to) = (without(&all, 1), without(&all, 2));
         let found = plan(&from, &to, 0).unwrap();
         check(&from, &to, &found.steps);
         let mut before = from.clone();
         for step in &found.steps {
-            let asked: BTreeSet<NodeId> = [&before, &step.to]
+            let asked: BTreeSet<NodeId> = [&before, &step.target]
                 .iter()
                 .flat_map(|h| {
-                    h.iter().flat_map(|(id, _)| h.asked(id).collect::<Vec<_>>()).collect::<Vec<_>>()
+                    h.iter().flat_map(|(id, _)| h.active_sources(id).collect::<Vec<_>>()).collect::<Vec<_>>()
                 })
                 .collect();
             for n in asked.into_iter().filter(|n| *n != 0) {
-                assert!([&before, &step.to].iter().all(|h| h.asked(n).count() > 0), "seed {seed}: node {n}");
+                assert!(
+                    [&before, &step.target].iter().all(|h| h.active_sources(n).count() > 0),
+                    "seed {seed}: node {n}"
+                );
             }
-            before = step.to.clone();
+            before = step.target.clone();
         }
     }
 }
 
 /// What each node is asked for, by walking requests through one mixture.
-fn mixture(u: &Side, v: &Side, pick: &[bool]) -> f64 {
-    let n = u.cells.len() as u32;
+fn mixture(u: &FlowGraph, v: &FlowGraph, pick: &[bool]) -> f64 {
+    let n = u.nodes.len() as u32;
     let mixed: Vec<_> =
-        (0..n).map(|i| if pick[i as usize] { v.cells[i as usize] } else { u.cells[i as usize] }).collect();
+        (0..n).map(|i| if pick[i as usize] { v.nodes[i as usize] } else { u.nodes[i as usize] }).collect();
     // Shares as the asker's version has them: here they are the same in both.
-    Side::new(mixed).unwrap().at_origin()
+    FlowGraph::new(mixed).unwrap().origin_load()
 }
 
 #[test]
@@ -235,12 +246,12 @@
             let n = rng.random_range(1..9);
             let m = (**to.get(n).unwrap()).clone();
             // What moves holds nothing yet, which the mixtures here leave out: no hits, no difference.
-            to = to.with(n, Member { sources: [rng.random_range(0..6)].into(), ..m });
+            to = to.with_node(n, HierarchyNode { sources: [rng.random_range(0..6)].into(), ..m });
         }
         let bare = |h: &Hierarchy| {
-            h.apply(
+            h.with_changes(
                 h.iter()
-                    .map(|(id, m)| (id, Some(Member { hit: 0.0, ..(**m).clone() }.into())))
+                    .map(|(id, m)| (id, Some(HierarchyNode { hit_ratio: 0.0, ..(**m).clone() }.into())))
                     .collect::<Vec<_>>(),
             )
         };
@@ -248,16 +259,16 @@
         if loops(&from, &to) || Admission::new(to.clone()).is_err() {
             continue;
         }
-        let index = Index::of(&[&from, &to]);
-        let (old, new) = (index.cells(&from), index.cells(&to));
-        let u = Side::new(old.iter().map(Option::as_ref).collect()).unwrap();
-        let v = Side::new(new.iter().map(Option::as_ref).collect()).unwrap();
-        let Ok(reckoned) = transition(&u, &v, &rules(), 0) else { continue };
+        let index = NodeIndex::from_versions(&[&from, &to]);
+        let (old, new) = (index.flow_nodes(&from), index.flow_nodes(&to));
+        let u = FlowGraph::new(old.iter().map(Option::as_ref).collect()).unwrap();
+        let v = FlowGraph::new(new.iter().map(Option::as_ref).collect()).unwrap();
+        let Ok(reckoned) = check_transition(&u, &v, &rules(), 0) else { continue };
         let worst = (0..512u32)
             .map(|code| mixture(&u, &v, &(0..9).map(|i| code >> i & 1 == 1).collect::<Vec<_>>()))
             .fold(0.0, f64::max);
-        assert!(worst <= reckoned.peak + 1e-6, "seed {seed}: {worst} > {}", reckoned.peak);
-        near += usize::from((worst - reckoned.peak).abs() < 1e-6);
+        assert!(worst <= reckoned.origin_peak + 1e-6, "seed {seed}: {worst} > {}", reckoned.origin_peak);
+        near += usize::from((worst - reckoned.origin_peak).abs() < 1e-6);
     }
     assert!(near > 30, "{near}");
 }
@@ -276,7 +287,7 @@
         let mut to = from.clone();
         for _ in 0..moved {
             let n = rng.random_range(1..10_000);
-            let next = to.with(n, other.get(n).unwrap().clone());
+            let next = to.with_node(n, other.get(n).unwrap().clone());
             if admission.admit(&next).is_ok() {
                 to = next;
             }
@@ -287,19 +298,19 @@
             // A director and each node holds one of the two; a hundred directors' fills go by these.
             for _director in 0..100 {
                 let late = rng.random::<u64>();
-                let of = |n: NodeId| if (late ^ u64::from(n).wrapping_mul(0x9e37_79b9_7f4a_7c15)) >> 63 == 1 { &before } else { &step.to };
+                let of = |n: NodeId| if (late ^ u64::from(n).wrapping_mul(0x9e37_79b9_7f4a_7c15)) >> 63 == 1 { &before } else { &step.target };
                 let mut at = rng.random_range(1_000..10_000);
                 let mut met = BTreeSet::new();
                 while at != 0 {
                     prop_assert!(met.insert(at), "came to {at} twice");
-                    let asked: Vec<NodeId> = of(at).asked(at).collect();
+                    let asked: Vec<NodeId> = of(at).active_sources(at).collect();
                     at = asked[rng.random_range(0..asked.len())];
                 }
             }
-            let union: Vec<Vec<u32>> = (0..10_000).map(|n| before.asked(n).chain(step.to.asked(n)).collect()).collect();
-            prop_assert!(sorted(&union).is_ok());
-            prop_assert!(step.peak <= to.rules.ceiling * (1.0 - to.rules.margin));
-            before = step.to.clone();
+            let union: Vec<Vec<u32>> = (0..10_000).map(|n| before.active_sources(n).chain(step.target.active_sources(n)).collect()).collect();
+            prop_assert!(topological_sort(&union).is_ok());
+            prop_assert!(step.origin_peak <= to.rules.ceiling * (1.0 - to.rules.margin));
+            before = step.target.clone();
         }
         prop_assert_eq!(before, to);
     }
--- a/crates/hierarchy/tests/stored_format.rs
+++ b/crates/hierarchy/tests/stored_format.rs
@@ -1,7 +1,7 @@
 //! The text of versions in events and settings files, their defaults and errors, and the digest that all holders of a
 //! version have to agree on.
 
-use sablecross_hierarchy::spec::{self, Form, Told};
+use sablecross_hierarchy::spec::{self, HierarchySpec, SpecForm};
 
 /// Every field has a value of its own.
 const SETTINGS: &str = r#"(hierarchy (version . 3) (ceiling . 500) (margin . 0.1) (cold-from . 0.3) (warm-after-ms . 21000)
@@ -20,11 +20,11 @@
 const DEFAULTS: &str = r#"{"head":{"version":1,"ceiling":100.0,"margin":0.2,"cold-from":0.25,"warm-after-ms":20000,"fall-multiple":2.0,"siblings":false,"hold-ms":3000,"settle-ms":5000,"give-up-ms":30000},"nodes":[{"name":"o","tier":0,"sources":[],"capacity":9.0,"demand":0.0,"hit":0.0,"share":256,"since-ms":0}]}"#;
 
 fn event(settings: &str) -> String {
-    let (number, version) = spec::read("test", settings, None).expect("a version");
-    serde_json::to_string(&Told::of(number, &version)).expect("encoded")
+    let (number, version) = spec::parse_settings("test", settings, None).expect("a version");
+    serde_json::to_string(&HierarchySpec::from_hierarchy(number, &version)).expect("encoded")
 }
 
-fn decoded(event: &str) -> Told {
+fn decoded(event: &str) -> HierarchySpec {
     serde_json::from_str(event).expect("decoded")
 }
 
@@ -35,14 +35,14 @@
     assert_eq!(serde_json::to_string(&decoded(LEAST)).expect("encoded"), DEFAULTS);
     // Unknown keys are errors, at each level.
     for (key, odd) in [("\"head\"", "\"odd\""), ("\"version\"", "\"odd\""), ("\"tier\"", "\"odd\"")] {
-        assert!(serde_json::from_str::<Told>(&EVENT.replacen(key, odd, 1)).is_err(), "{key}");
+        assert!(serde_json::from_str::<HierarchySpec>(&EVENT.replacen(key, odd, 1)).is_err(), "{key}");
     }
 }
 
 #[test]
 fn a_version_has_this_text_in_settings_files() {
-    assert_eq!(decoded(EVENT).text(), SETTINGS);
-    assert_eq!(event(&decoded(EVENT).text()), EVENT);
+    assert_eq!(decoded(EVENT).to_settings_text(), SETTINGS);
+    assert_eq!(event(&decoded(EVENT).to_settings_text()), EVENT);
     let least = "(hierarchy (version . 1) (ceiling . 100))(node (name . \"o\") (tier . 0) (capacity . 9))";
     assert_eq!(event(least), DEFAULTS);
 }
@@ -52,7 +52,7 @@
     let head = r#"{"hierarchy":{"version":1,"ceiling":100.0,"margin":0.2,"cold-from":0.25,"warm-after-ms":20000,"fall-multiple":2.0,"siblings":false,"hold-ms":3000,"settle-ms":5000,"give-up-ms":30000}}"#;
     let node = r#"{"node":{"name":"o","tier":0,"sources":["p"],"capacity":9.0,"demand":0.0,"hit":0.0,"share":256,"since-ms":0}}"#;
     for text in [head, node] {
-        let form: Form = serde_json::from_str(text).expect("decoded");
+        let form: SpecForm = serde_json::from_str(text).expect("decoded");
         assert_eq!(serde_json::to_string(&form).expect("encoded"), text);
     }
 }
@@ -60,7 +60,7 @@
 /// Numbers of nodes are each holder's own, so that the digest goes by names.
 #[test]
 fn a_version_has_this_digest() {
-    let digest = |event: &str| decoded(event).hierarchy(None).expect("a version").1.digest();
+    let digest = |event: &str| decoded(event).to_hierarchy(None).expect("a version").1.digest();
     assert_eq!(digest(EVENT), 7_011_968_916_858_173_960);
     assert_eq!(digest(DEFAULTS), 9_500_622_338_283_066_805);
     assert_eq!(digest(LEAST), digest(DEFAULTS));
@@ -131,7 +131,7 @@
         ("(knot)".into(), "f.scm:1:1: unknown variant `knot`, expected `hierarchy` or `node`"),
     ];
     for (text, expected) in cases {
-        let errors = spec::read("f.scm", &text, None).expect_err("faulty");
+        let errors = spec::parse_settings("f.scm", &text, None).expect_err("faulty");
         let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
         assert_eq!(lines.join(" | "), expected, "{text}");
     }
--- a/crates/hierarchy/tests/versions.rs
+++ b/crates/hierarchy/tests/versions.rs
@@ -5,9 +5,11 @@
 use help::{HEAD, member, random, read, rules};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
-use sablecross_hierarchy::order::{Order, sorted};
-use sablecross_hierarchy::way::{Stop, Ways, passes};
-use sablecross_hierarchy::{Admission, FULL, Hierarchy, Holder, Member, Refusal, Taken, spec};
+use sablecross_hierarchy::fill_path::{FillPaths, FillRejection, check_fill_path};
+use sablecross_hierarchy::topological_order::{TopologicalOrder, topological_sort};
+use sablecross_hierarchy::{
+    Admission, AdmissionError, FULL_SHARE, Hierarchy, HierarchyNode, OfferOutcome, VersionHolder, spec,
+};
 
 const SMALL: &str = r#"
 (node (name . "o") (tier . 0) (capacity . 2000))
@@ -53,7 +55,7 @@
         ("(hierarchy (version . 1)\n".into(), "f:1:1: a parenthesis that is never closed"),
     ];
     for (text, what) in cases {
-        let faults = spec::read("f", &text, None).unwrap_err();
+        let faults = spec::parse_settings("f", &text, None).unwrap_err();
         assert!(faults[0].to_string().contains(what), "{text}: {}", faults[0]);
     }
 }
@@ -64,10 +66,10 @@
     for n in 0..100_000 {
         text += &format!("(node (name . \"n{n}\") (tier . 1) (sources \"o\") (capacity . 5))\n");
     }
-    let (number, h) = spec::read("f", &text, None).unwrap();
+    let (number, h) = spec::parse_settings("f", &text, None).unwrap();
     assert_eq!((number, h.len()), (1, 100_001));
-    let again = spec::Told::of(1, &h).text();
-    assert_eq!(spec::read("g", &again, Some(&h)).unwrap().1, h);
+    let again = spec::HierarchySpec::from_hierarchy(1, &h).to_settings_text();
+    assert_eq!(spec::parse_settings("g", &again, Some(&h)).unwrap().1, h);
 }
 
 #[test]
@@ -75,16 +77,16 @@
     let h = read(SMALL, None);
     let moved = SMALL.replace("\"p2\") (tier", "\"p3\") (tier").replace("\"p1\" \"p2\"", "\"p3\" \"p1\"");
     let next = read(&moved, Some(&h));
-    assert_eq!(next.id("p1"), h.id("p1"));
-    assert_eq!((next.id("p2"), next.id("p3")), (None, Some(4)));
-    let names: Vec<_> = h.diff(&next).map(|d| h.name(d.node).to_owned()).collect();
+    assert_eq!(next.node_id("p1"), h.node_id("p1"));
+    assert_eq!((next.node_id("p2"), next.node_id("p3")), (None, Some(4)));
+    let names: Vec<_> = h.diff(&next).map(|d| h.node_name(d.node).to_owned()).collect();
     assert_eq!(names, ["p2", "e", "?"]);
     // Another who reads the same file numbers otherwise and reckons the same digest.
     assert_eq!(read(&moved, None).digest(), next.digest());
     assert_ne!(h.digest(), next.digest());
-    let json = serde_json::to_string(&spec::Told::of(7, &h)).unwrap();
-    let told: spec::Told = serde_json::from_str(&json).unwrap();
-    assert_eq!(told.hierarchy(None).unwrap(), (7, h));
+    let json = serde_json::to_string(&spec::HierarchySpec::from_hierarchy(7, &h)).unwrap();
+    let told: spec::HierarchySpec = serde_json::from_str(&json).unwrap();
+    assert_eq!(told.to_hierarchy(None).unwrap(), (7, h));
 }
 
 #[test]
@@ -93,11 +95,11 @@
     for seed in 0..300 {
         let mut rng = Pcg32::seed_from_u64(seed);
         let nodes = rng.random_range(2..14u32);
-        let (mut order, mut out) = (Order::new(nodes as usize), vec![Vec::new(); nodes as usize]);
+        let (mut order, mut out) = (TopologicalOrder::new(nodes as usize), vec![Vec::new(); nodes as usize]);
         for _ in 0..60 {
             let (a, b) = (rng.random_range(0..nodes), rng.random_range(0..nodes));
             if rng.random::<f64>() < 0.3 {
-                order.remove(a, b);
+                order.remove_edge(a, b);
                 out[a as usize].retain(|&x| x != b);
                 continue;
             }
@@ -105,9 +107,9 @@
             if !tried[a as usize].contains(&b) {
                 tried[a as usize].push(b);
             }
-            let closes = a == b || sorted(&tried).is_err();
+            let closes = a == b || topological_sort(&tried).is_err();
             found[usize::from(closes)] += 1;
-            match order.insert(a, b) {
+            match order.insert_edge(a, b) {
                 Ok(()) => {
                     assert!(!closes, "seed {seed}: {a} > {b}");
                     out = tried;
@@ -122,47 +124,56 @@
                 }
             }
             for (x, sources) in out.iter().enumerate() {
-                assert!(sources.iter().all(|&s| order.place(x as u32) < order.place(s)));
+                assert!(sources.iter().all(|&s| order.position(x as u32) < order.position(s)));
             }
         }
     }
     assert!(found.iter().all(|&n| n > 1_000), "{found:?}");
-    let way = sorted(&[vec![1], vec![2], vec![0], vec![0]]).unwrap_err();
+    let way = topological_sort(&[vec![1], vec![2], vec![0], vec![0]]).unwrap_err();
     assert!(way.len() == 4 && way.first() == way.last());
 }
 
 #[test]
 fn refusals_name_node_and_figure() {
     let base = read(SMALL, None);
-    let (p1, p2) = (base.id("p1").unwrap(), base.id("p2").unwrap());
-    let of = |name: &str| (**base.get(base.id(name).unwrap()).unwrap()).clone();
-    let strict = Hierarchy::new(sablecross_hierarchy::Rules { siblings: false, ..rules() });
+    let (p1, p2) = (base.node_id("p1").unwrap(), base.node_id("p2").unwrap());
+    let of = |name: &str| (**base.get(base.node_id(name).unwrap()).unwrap()).clone();
+    let strict = Hierarchy::new(sablecross_hierarchy::HierarchyRules { allows_siblings: false, ..rules() });
     let cases: Vec<(Hierarchy, &str)> = vec![
-        (base.with(p1, Member { sources: [9].into(), ..of("p1") }), "p1: its source number 9 is in no tier"),
-        (base.without(p2), "e: its source p2 is in no tier"),
         (
-            base.with(p1, Member { sources: [base.id("e").unwrap()].into(), ..of("p1") }),
+            base.with_node(p1, HierarchyNode { sources: [9].into(), ..of("p1") }),
+            "p1: its source number 9 is in no tier",
+        ),
+        (base.without_node(p2), "e: its source p2 is in no tier"),
+        (
+            base.with_node(p1, HierarchyNode { sources: [base.node_id("e").unwrap()].into(), ..of("p1") }),
             "p1 (tier 1): its source e is of tier 2",
         ),
-        (base.with(p1, Member { sources: [].into(), ..of("p1") }), "p1: no way leads"),
+        (base.with_node(p1, HierarchyNode { sources: [].into(), ..of("p1") }), "p1: no way leads"),
         (
-            base.with(p1, Member { sources: [p2].into(), ..of("p1") })
-                .with(p2, Member { sources: [p1].into(), ..of("p2") }),
+            base.with_node(p1, HierarchyNode { sources: [p2].into(), ..of("p1") })
+                .with_node(p2, HierarchyNode { sources: [p1].into(), ..of("p2") }),
             "circle: p",
         ),
-        (base.with(p1, Member { capacity: 10.0, ..of("p1") }), "p1 is asked for 100 a second and bears 10"),
         (
-            base.with(p1, Member { capacity: 50.0, ..of("p1") })
-                .with(p2, Member { capacity: 50.0, ..of("p2") }),
+            base.with_node(p1, HierarchyNode { capacity: 10.0, ..of("p1") }),
+            "p1 is asked for 100 a second and bears 10",
+        ),
+        (
+            base.with_node(p1, HierarchyNode { capacity: 50.0, ..of("p1") })
+                .with_node(p2, HierarchyNode { capacity: 50.0, ..of("p2") }),
             "tier 1 is asked for 200 a second and bears 100",
         ),
         (
-            base.with(4, Member { demand: 3_000.0, hit: 0.4, capacity: 5_000.0, ..member("e2", 2, &[0]) }),
+            base.with_node(
+                4,
+                HierarchyNode { demand: 3_000.0, hit_ratio: 0.4, capacity: 5_000.0, ..member("e2", 2, &[0]) },
+            ),
             "the origin is asked for 1900 a second, of 800",
         ),
-        (base.with(p1, Member { capacity: f64::NAN, ..of("p1") }), "p1: capacity is NaN"),
-        (base.with(p1, Member { share: FULL + 1, ..of("p1") }), "p1: share is 257"),
-        (base.with(0, Member { sources: [p1].into(), ..of("o") }), "o (tier 0): its source p1"),
+        (base.with_node(p1, HierarchyNode { capacity: f64::NAN, ..of("p1") }), "p1: capacity is NaN"),
+        (base.with_node(p1, HierarchyNode { ring_share: FULL_SHARE + 1, ..of("p1") }), "p1: share is 257"),
+        (base.with_node(0, HierarchyNode { sources: [p1].into(), ..of("o") }), "o (tier 0): its source p1"),
         (strict.clone(), "no origin"),
     ];
     let admission = Admission::new(base.clone()).unwrap();
@@ -171,13 +182,17 @@
         let refusal = tried.admit(&aim).unwrap_err();
         assert!(refusal.to_string().contains(what), "{refusal} / {what}");
         // A refusal leaves all as it was: what was admitted before is again.
-        assert_eq!(tried.last(), &base);
-        tried.admit(&base.with(4, member("p3", 1, &[0]))).unwrap();
-        assert!(tried.admit(&base.with(p1, Member { sources: [p1].into(), ..of("p1") })).is_err());
+        assert_eq!(tried.last_admitted(), &base);
+        tried.admit(&base.with_node(4, member("p3", 1, &[0]))).unwrap();
+        assert!(
+            tried.admit(&base.with_node(p1, HierarchyNode { sources: [p1].into(), ..of("p1") })).is_err()
+        );
     }
-    let same_tier =
-        strict.with(0, member("o", 0, &[])).with(1, member("a", 1, &[0])).with(2, member("b", 1, &[1]));
-    assert!(matches!(Admission::new(same_tier), Err(Refusal::Tier { .. })));
+    let same_tier = strict
+        .with_node(0, member("o", 0, &[]))
+        .with_node(1, member("a", 1, &[0]))
+        .with_node(2, member("b", 1, &[1]));
+    assert!(matches!(Admission::new(same_tier), Err(AdmissionError::SourceTier { .. })));
 }
 
 #[test]
@@ -188,11 +203,11 @@
         let mut admission = Admission::new(random(24, 8, 0.7, &mut rng)).unwrap();
         for _ in 0..40 {
             let node = rng.random_range(1..24);
-            let last = admission.last().clone();
+            let last = admission.last_admitted().clone();
             let mut m = (**last.get(node).unwrap()).clone();
             let sources: Vec<u32> = (0..rng.random_range(1..3)).map(|_| rng.random_range(0..24)).collect();
             m.sources = sources.into();
-            let aim = last.with(node, m);
+            let aim = last.with_node(node, m);
             let at_once = Admission::new(aim.clone()).map(drop);
             refused += usize::from(at_once.is_err());
             assert_eq!(admission.admit(&aim).is_ok(), at_once.is_ok(), "seed {seed}: {at_once:?}");
@@ -204,9 +219,16 @@
 #[test]
 fn holders_take_later_versions_alone() {
     let (a, b) = (read(SMALL, None), read(&SMALL.replace("400", "300"), None));
-    let mut holder = Holder::new();
-    let told = [(0, &a, Taken::Older), (3, &a, Taken::New), (3, &a, Taken::Same), (3, &b, Taken::Other)];
-    for (number, version, taken) in told.into_iter().chain([(2, &b, Taken::Older), (9, &b, Taken::New)]) {
+    let mut holder = VersionHolder::new();
+    let told = [
+        (0, &a, OfferOutcome::Older),
+        (3, &a, OfferOutcome::Accepted),
+        (3, &a, OfferOutcome::Unchanged),
+        (3, &b, OfferOutcome::Conflicting),
+    ];
+    for (number, version, taken) in
+        told.into_iter().chain([(2, &b, OfferOutcome::Older), (9, &b, OfferOutcome::Accepted)])
+    {
         assert_eq!(holder.offer(number, version), taken);
     }
     assert_eq!((holder.number(), holder.version()), (9, Some(&b)));
@@ -220,41 +242,41 @@
     let all: Vec<u32> = (1..20).collect();
     for n in 10..20 {
         let m = (**h.get(n).unwrap()).clone();
-        h = h.with(n, Member { tier: 2, sources: (1..10).collect(), ..m });
+        h = h.with_node(n, HierarchyNode { tier: 2, sources: (1..10).collect(), ..m });
     }
     for n in 20..40 {
         let m = (**h.get(n).unwrap()).clone();
-        h = h.with(n, Member { tier: 3, sources: all.clone().into(), ..m });
+        h = h.with_node(n, HierarchyNode { tier: 3, sources: all.clone().into(), ..m });
     }
-    let ways = Ways::of(&h);
+    let ways = FillPaths::from_hierarchy(&h);
     let mut met = std::collections::BTreeSet::new();
     for object in 0..200u64 {
         let place = object.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let first = ways.way(&h, 20, place, |_| true);
+        let first = ways.path(&h, 20, place, |_| true);
         assert_eq!(first.iter().map(|n| h.get(*n).unwrap().tier).collect::<Vec<_>>(), [2, 1, 0]);
-        assert!((21..40).all(|e| ways.way(&h, e, place, |_| true) == first));
+        assert!((21..40).all(|e| ways.path(&h, e, place, |_| true) == first));
         met.insert(first);
         // One that is not fit is passed over, its tier as a whole by the next.
-        let down = ways.way(&h, 20, place, |n| !(10..20).contains(&n));
+        let down = ways.path(&h, 20, place, |n| !(10..20).contains(&n));
         assert_eq!(down.iter().map(|n| h.get(*n).unwrap().tier).collect::<Vec<_>>(), [1, 0]);
     }
     assert!(met.len() > 50);
     // A share of nothing is asked for nothing; a quarter for about a quarter of its slice.
     let of = |share: u16| {
         let m = (**h.get(1).unwrap()).clone();
-        let h = h.with(1, Member { share, ..m });
-        let ways = Ways::of(&h);
+        let h = h.with_node(1, HierarchyNode { ring_share: share, ..m });
+        let ways = FillPaths::from_hierarchy(&h);
         (0..4_000u64)
-            .filter(|o| ways.next(&h, 10, o.wrapping_mul(0x9e37_79b9_7f4a_7c15), |_| true) == Some(1))
+            .filter(|o| ways.next_source(&h, 10, o.wrapping_mul(0x9e37_79b9_7f4a_7c15), |_| true) == Some(1))
             .count()
     };
-    let (none, quarter, full) = (of(0), of(FULL / 4), of(FULL));
+    let (none, quarter, full) = (of(0), of(FULL_SHARE / 4), of(FULL_SHARE));
     assert!(none == 0 && quarter * 6 > full && quarter * 3 < full, "{none} {quarter} {full}");
 }
 
 #[test]
 fn a_fill_that_came_through_is_not_passed_on() {
-    assert_eq!(passes("c", ["a", "b"].into_iter()), Ok(()));
-    assert_eq!(passes("b", ["a", "b"].into_iter()), Err(Stop::Again));
-    assert_eq!(passes("x", std::iter::repeat_n("a", 16)), Err(Stop::Long));
+    assert_eq!(check_fill_path("c", ["a", "b"].into_iter()), Ok(()));
+    assert_eq!(check_fill_path("b", ["a", "b"].into_iter()), Err(FillRejection::Loop));
+    assert_eq!(check_fill_path("x", std::iter::repeat_n("a", 16)), Err(FillRejection::TooLong));
 }
--- a/crates/inhand/src/lib.rs
+++ b/crates/inflight/src/lib.rs
@@ -1,6 +1,6 @@
 //! What every program round the decision module needs: its settings decoded, and lookups kept in hand.
 
-mod hand;
+mod inflight_table;
 pub mod settings;
 
-pub use hand::{Carrier, End, Hand};
+pub use inflight_table::{AttemptResult, InflightTable, Transport};
--- a/crates/inhand/src/settings.rs
+++ b/crates/inflight/src/settings.rs
@@ -3,20 +3,20 @@
 use std::collections::HashMap;
 use std::str::FromStr;
 
-use sablecross::{Effect, Load, ObjectKind, Settings, Within};
+use sablecross::{DeduplicationScope, Effect, LoadReport, RequestClass, Settings};
 
 pub type Result<T> = std::result::Result<T, String>;
 
 /// The settings as pairs of a path and a value.
-pub struct Pairs(HashMap<String, String>);
+pub struct SettingsMap(HashMap<String, String>);
 
-impl FromIterator<(String, String)> for Pairs {
+impl FromIterator<(String, String)> for SettingsMap {
     fn from_iter<I: IntoIterator<Item = (String, String)>>(pairs: I) -> Self {
-        Pairs(pairs.into_iter().collect())
+        SettingsMap(pairs.into_iter().collect())
     }
 }
 
-impl Pairs {
+impl SettingsMap {
     pub fn text(&self, key: &str) -> Result<&str> {
         self.0.get(key).map(String::as_str).ok_or_else(|| format!("setting missing: {key}"))
     }
@@ -33,7 +33,7 @@
     }
 
     /// A time in microseconds. What is longer than a year is a year: sums with the clock stay in range.
-    pub fn ns(&self, key: &str) -> Result<u64> {
+    pub fn nanoseconds(&self, key: &str) -> Result<u64> {
         Ok(nanoseconds(self.get(key)?))
     }
 
@@ -60,12 +60,12 @@
 }
 
 /// The values that are read of a load report, by the names that `report.names` gives them.
-pub fn load<'a>(values: impl Iterator<Item = (&'a str, f64)>) -> Load {
-    let mut load = Load::default();
+pub fn load_report<'a>(values: impl Iterator<Item = (&'a str, f64)>) -> LoadReport {
+    let mut load = LoadReport::default();
     for (name, value) in values.filter(|(_, v)| v.is_finite()) {
         match name {
-            "cpu" => load.busy = Some(value),
-            "x1" => load.link = Some(value),
+            "cpu" => load.cpu_utilization = Some(value),
+            "x1" => load.link_utilization = Some(value),
             _ => {}
         }
     }
@@ -73,7 +73,7 @@
 }
 
 /// Whether a note, by its number, tells of a hit.
-pub fn hit(note: u32) -> Option<bool> {
+pub fn is_cache_hit(note: u32) -> Option<bool> {
     match note {
         1 | 5 => Some(true),
         2..=4 => Some(false),
@@ -81,7 +81,7 @@
     }
 }
 
-pub fn decode(p: &Pairs) -> Result<Settings> {
+pub fn decode(p: &SettingsMap) -> Result<Settings> {
     let fresh: Vec<u64> = p.list("extra.freshForUs")?;
     let grace: Vec<u64> = p.list("extra.usableAfterUs")?;
     let parts: Vec<bool> = p.list("extra.multiPart")?;
@@ -95,25 +95,25 @@
             "at_most_once" => Effect::SideEffecting,
             "deduplicated" => Effect::Deduplicated {
                 within: match p.text(&at("group"))? {
-                    "all" => Within::All,
-                    "zone" => Within::Zone,
-                    "cell" => Within::Cell,
+                    "all" => DeduplicationScope::All,
+                    "zone" => DeduplicationScope::Zone,
+                    "cell" => DeduplicationScope::Cell,
                     other => return Err(format!("bad setting: {}={other}", at("group"))),
                 },
-                memory: p.ns(&at("memorySpanUs"))?,
+                window: p.nanoseconds(&at("memorySpanUs"))?,
             },
             other => return Err(format!("bad setting: {}={other}", at("effect"))),
         };
         let stretch = at("aimStretch");
-        object_kinds.push(ObjectKind {
-            latency_budget: p.ns(&at("aimUs"))?,
-            budget_stretch: p.0.contains_key(&stretch).then(|| p.amount(&stretch)).transpose()?,
-            utility: p.amount(&at("worth"))?,
+        object_kinds.push(RequestClass {
+            latency_objective: p.nanoseconds(&at("aimUs"))?,
+            latency_objective_stretch: p.0.contains_key(&stretch).then(|| p.amount(&stretch)).transpose()?,
+            priority_weight: p.amount(&at("worth"))?,
             effect,
-            fresh: nanoseconds(p.of(&fresh, i, "extra.freshForUs")?),
-            grace: nanoseconds(p.of(&grace, i, "extra.usableAfterUs")?),
-            parts: p.of(&parts, i, "extra.multiPart")?,
-            written: p.of(&written, i, "extra.neverKept")?,
+            fresh_for: nanoseconds(p.of(&fresh, i, "extra.freshForUs")?),
+            stale_for: nanoseconds(p.of(&grace, i, "extra.usableAfterUs")?),
+            is_multipart: p.of(&parts, i, "extra.multiPart")?,
+            is_uncacheable: p.of(&written, i, "extra.neverKept")?,
         });
     }
     if object_kinds.is_empty() {
@@ -126,27 +126,27 @@
     p.of(&directors, zone, "extra.zoneBalancers").map_err(|e| format!("{e}, which az names"))?;
     Ok(Settings {
         zone,
-        number: p.get("index")?,
-        directors,
-        object_kinds,
+        director_index: p.get("index")?,
+        directors_per_zone: directors,
+        request_classes: object_kinds,
         parent_kind: usize::try_from(p.get::<i64>("extra.midKind")?).ok(),
         origin_kind: p.get("extra.masterKind")?,
-        follow_list: p.text("discovery")? == "on_request",
-        cancels: p.get("ceilings.mayCancel")?,
-        second_copies: p.get("ceilings.parallelTries")?,
-        pauses: p.get("ceilings.retryAfter")?,
-        longest_pause: p.ns("ceilings.maxRetryAfterUs")?,
-        most_sends: p.get("ceilings.sendCap")?,
-        cold_from: p.share("guarantees.coldFrom")?,
-        warm_after: p.ns("guarantees.warmAfterUs")?,
-        fall_multiple: p.amount("guarantees.fallMultiple")?,
-        parent_cold_from: p.share("extra.parentStartsAt")?,
-        parent_warm_after: p.ns("extra.parentColdUs")?,
-        parent_fall_multiple: p.amount("extra.upperFallMultiple")?,
+        polls_endpoint_list: p.text("discovery")? == "on_request",
+        may_cancel: p.get("ceilings.mayCancel")?,
+        may_hedge: p.get("ceilings.parallelTries")?,
+        may_send_retry_after: p.get("ceilings.retryAfter")?,
+        max_retry_after: p.nanoseconds("ceilings.maxRetryAfterUs")?,
+        max_attempts: p.get("ceilings.sendCap")?,
+        slow_start_initial_share: p.share("guarantees.coldFrom")?,
+        slow_start_window: p.nanoseconds("guarantees.warmAfterUs")?,
+        collapse_multiple: p.amount("guarantees.fallMultiple")?,
+        parent_slow_start_initial_share: p.share("extra.parentStartsAt")?,
+        parent_slow_start_window: p.nanoseconds("extra.parentColdUs")?,
+        parent_collapse_multiple: p.amount("extra.upperFallMultiple")?,
         stream_kb_per_s: p.amount("extra.streamKbPerS")?,
-        direct: p.get("extra.direct")?,
-        joins: p.get("extra.joins")?,
-        purge_cleared: p.ns("extra.clearedWithinUs")?,
-        tick: p.ns("periodUs")?,
+        may_bypass_cache: p.get("extra.direct")?,
+        may_coalesce: p.get("extra.joins")?,
+        purge_propagation_window: p.nanoseconds("extra.clearedWithinUs")?,
+        tick: p.nanoseconds("periodUs")?,
     })
 }
--- a/crates/inhand/tests/settings_format.rs
+++ b/crates/inflight/tests/settings_format.rs
@@ -1,8 +1,8 @@
 //! The settings of an instance by their paths, as operators write them: every key, every value of an enumeration,
 //! and the line for each one that is missing or faulty. Paths and lines are literals.
 
-use sablecross::{Effect, Load, ObjectKind, Settings, Within};
-use sablecross_inhand::settings::{self, Pairs};
+use sablecross::{DeduplicationScope, Effect, LoadReport, RequestClass, Settings};
+use sablecross_inflight::settings::{self, SettingsMap};
 
 /// Every key that is read, with a value of its own.
 const FULL: [(&str, &str); 54] = [
@@ -66,80 +66,80 @@
 const YEAR_NS: u64 = 31_622_400_000_000_000;
 
 fn decoded() -> Settings {
-    let kind = |latency_budget, budget_stretch, utility, effect| ObjectKind {
-        latency_budget,
-        budget_stretch,
-        utility,
+    let kind = |latency_budget, budget_stretch, utility, effect| RequestClass {
+        latency_objective: latency_budget,
+        latency_objective_stretch: budget_stretch,
+        priority_weight: utility,
         effect,
-        fresh: 0,
-        grace: 0,
-        parts: false,
-        written: false,
+        fresh_for: 0,
+        stale_for: 0,
+        is_multipart: false,
+        is_uncacheable: false,
     };
-    let within = |within, memory| Effect::Deduplicated { within, memory };
+    let within = |within, memory| Effect::Deduplicated { within, window: memory };
     Settings {
         zone: 1,
-        number: 2,
-        directors: vec![3, 4],
-        object_kinds: vec![
-            ObjectKind {
-                fresh: 0,
-                grace: 4_000,
-                parts: true,
+        director_index: 2,
+        directors_per_zone: vec![3, 4],
+        request_classes: vec![
+            RequestClass {
+                fresh_for: 0,
+                stale_for: 4_000,
+                is_multipart: true,
                 ..kind(300_000_000, Some(1.5), 2.0, Effect::Idempotent)
             },
-            ObjectKind {
-                fresh: 20_000_000_000,
-                grace: 5_000,
-                written: true,
+            RequestClass {
+                fresh_for: 20_000_000_000,
+                stale_for: 5_000,
+                is_uncacheable: true,
                 ..kind(200_000_000, None, 1.0, Effect::SideEffecting)
             },
-            ObjectKind {
-                fresh: 1_000,
-                grace: 6_000,
-                ..kind(1_000, None, 0.5, within(Within::All, 5_000_000_000))
+            RequestClass {
+                fresh_for: 1_000,
+                stale_for: 6_000,
+                ..kind(1_000, None, 0.5, within(DeduplicationScope::All, 5_000_000_000))
             },
-            ObjectKind {
-                fresh: 2_000,
-                grace: 7_000,
-                ..kind(2_000, None, 0.25, within(Within::Zone, 6_000_000_000))
+            RequestClass {
+                fresh_for: 2_000,
+                stale_for: 7_000,
+                ..kind(2_000, None, 0.25, within(DeduplicationScope::Zone, 6_000_000_000))
             },
-            ObjectKind {
-                fresh: 3_000,
-                grace: 8_000,
-                ..kind(3_000, None, 0.0, within(Within::Cell, YEAR_NS))
+            RequestClass {
+                fresh_for: 3_000,
+                stale_for: 8_000,
+                ..kind(3_000, None, 0.0, within(DeduplicationScope::Cell, YEAR_NS))
             },
         ],
         parent_kind: Some(1),
         origin_kind: 2,
-        follow_list: true,
-        cancels: true,
-        second_copies: false,
-        pauses: true,
-        longest_pause: 2_000_000_000,
-        most_sends: 6,
-        cold_from: 0.25,
-        warm_after: 18_000_000_000,
-        fall_multiple: 3.0,
-        parent_cold_from: 0.08,
-        parent_warm_after: 20_000_000_000,
-        parent_fall_multiple: 2.0,
+        polls_endpoint_list: true,
+        may_cancel: true,
+        may_hedge: false,
+        may_send_retry_after: true,
+        max_retry_after: 2_000_000_000,
+        max_attempts: 6,
+        slow_start_initial_share: 0.25,
+        slow_start_window: 18_000_000_000,
+        collapse_multiple: 3.0,
+        parent_slow_start_initial_share: 0.08,
+        parent_slow_start_window: 20_000_000_000,
+        parent_collapse_multiple: 2.0,
         stream_kb_per_s: 9_000.5,
-        direct: true,
-        joins: false,
-        purge_cleared: 6_000_000_000,
+        may_bypass_cache: true,
+        may_coalesce: false,
+        purge_propagation_window: 6_000_000_000,
         tick: 1_000_000,
     }
 }
 
 /// All pairs, but for this key; with another value for it, if there is one.
-fn with(key: &str, value: Option<&str>) -> Pairs {
+fn with(key: &str, value: Option<&str>) -> SettingsMap {
     assert!(FULL.iter().any(|(k, _)| *k == key), "{key}");
     let value = |k: &str, v: &str| if k == key { value.map(str::to_owned) } else { Some(v.to_owned()) };
     FULL.iter().filter_map(|(k, v)| Some(((*k).to_owned(), value(k, v)?))).collect()
 }
 
-fn line(pairs: &Pairs) -> Option<String> {
+fn line(pairs: &SettingsMap) -> Option<String> {
     settings::decode(pairs).err().map(|e| e.to_string())
 }
 
@@ -147,8 +147,8 @@
 fn every_key_is_read_under_its_path() {
     assert_eq!(settings::decode(&with("az", Some("1"))).expect("good"), decoded());
     let pairs = with("az", Some("1"));
-    assert_eq!(pairs.ns("ceilings.dialTimeoutUs").expect("good"), 400_000_000);
-    assert_eq!(pairs.ns("ceilings.keepaliveUs").expect("good"), 30_000_000_000);
+    assert_eq!(pairs.nanoseconds("ceilings.dialTimeoutUs").expect("good"), 400_000_000);
+    assert_eq!(pairs.nanoseconds("ceilings.keepaliveUs").expect("good"), 30_000_000_000);
     assert_eq!(pairs.text("discovery").expect("good"), "on_request");
     assert_eq!(pairs.list::<u32>("extra.zoneBalancers").expect("good"), [3, 4]);
     assert_eq!(pairs.get::<f64>("extra.streamKbPerS").expect("good"), 9_000.5);
@@ -161,12 +161,12 @@
     };
     other("extra.midKind", Some("-1"), Settings { parent_kind: None, ..decoded() });
     for discovery in ["pushed", "anything"] {
-        other("discovery", Some(discovery), Settings { follow_list: false, ..decoded() });
+        other("discovery", Some(discovery), Settings { polls_endpoint_list: false, ..decoded() });
     }
     other("periodUs", Some("99999999999999999"), Settings { tick: YEAR_NS, ..decoded() });
     other("unheardOf.a.0", None, decoded());
     let mut unstretched = decoded();
-    unstretched.object_kinds[0].budget_stretch = None;
+    unstretched.request_classes[0].latency_objective_stretch = None;
     other("classes.0.aimStretch", None, unstretched);
     // Without a use for them these may be left out.
     for key in ["ceilings.dialTimeoutUs", "ceilings.keepaliveUs", "guarantees.fallUs"] {
@@ -221,10 +221,12 @@
 #[test]
 fn load_reports_and_notes_by_their_words() {
     let values = [("active", 7.0), ("cpu", 0.61), ("x0", 0.2), ("x1", 0.3)];
-    let Load { busy, link } = settings::load(values.into_iter());
+    let LoadReport { cpu_utilization: busy, link_utilization: link } =
+        settings::load_report(values.into_iter());
     assert_eq!((busy, link), (Some(0.61), Some(0.3)));
-    let Load { busy, link } = settings::load([("cpu", f64::NAN), ("x1", f64::INFINITY)].into_iter());
+    let LoadReport { cpu_utilization: busy, link_utilization: link } =
+        settings::load_report([("cpu", f64::NAN), ("x1", f64::INFINITY)].into_iter());
     assert_eq!((busy, link), (None, None));
-    let hits: Vec<_> = (0..7).map(settings::hit).collect();
+    let hits: Vec<_> = (0..7).map(settings::is_cache_hit).collect();
     assert_eq!(hits, [None, Some(true), Some(false), Some(false), Some(false), Some(true), None]);
 }
--- a/crates/tier/src/bin/tier-relay.rs
+++ b/crates/relay-server/src/bin/tier-relay.rs
@@ -4,10 +4,11 @@
 
 fn main() -> ExitCode {
     let file = std::env::args_os().nth(1).unwrap_or_default();
-    let done = sablecross_tier::Setting::load(std::path::Path::new(&file)).and_then(|setting| {
-        sablecross_tier::life::end_with_parent();
-        sablecross_tier::life::run(setting).map_err(|e| vec![e.to_string()])
-    });
+    let done =
+        sablecross_relay_server::RelayServerConfig::load(std::path::Path::new(&file)).and_then(|setting| {
+            sablecross_relay_server::process::exit_with_parent();
+            sablecross_relay_server::process::run(setting).map_err(|e| vec![e.to_string()])
+        });
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(faults) => {
--- a/crates/tier/src/conn.rs
+++ b/crates/relay-server/src/connection.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use mio::net::TcpStream;
-use sablecross_duty::Ns;
+use sablecross_coordination::Ns;
 
 /// Bytes that are read of one connection before others have their turn.
 const TURN: usize = 256 << 10;
@@ -54,7 +54,7 @@
 }
 
 #[derive(Debug)]
-pub struct Conn {
+pub struct Connection {
     pub stream: TcpStream,
     /// The listener it came in by, and from where.
     pub listener: usize,
@@ -70,10 +70,10 @@
     pub moved: Ns,
 }
 
-impl Conn {
-    pub fn new(stream: TcpStream, listener: usize, from: IpAddr, now: Ns) -> Conn {
+impl Connection {
+    pub fn new(stream: TcpStream, listener: usize, from: IpAddr, now: Ns) -> Connection {
         let (state, came, out) = (State::Calls, Vec::new(), Vec::new());
-        Conn { stream, listener, from, state, came, chatter: 0, out, sent: 0, wide: false, moved: now }
+        Connection { stream, listener, from, state, came, chatter: 0, out, sent: 0, wide: false, moved: now }
     }
 
     /// It belongs to another relay, which is sent much at a time.
--- a/crates/tier/src/lib.rs
+++ b/crates/relay-server/src/lib.rs
@@ -3,15 +3,15 @@
 //! One thread serves all connections and never waits for one. Others wait for it: one for each voter that is called, one
 //! for the upstream, one for words that are passed on, one for signals.
 
-pub mod call;
-mod conn;
+mod connection;
 mod http;
-pub mod life;
-mod lines;
+mod log_rate_limiter;
+pub mod peer_client;
 mod peers;
-pub mod publish;
+pub mod process;
+pub mod publisher;
 mod server;
 pub mod settings;
 
-pub use server::Failed;
-pub use settings::Setting;
+pub use server::ServerError;
+pub use settings::RelayServerConfig;
--- a/crates/tier/src/call.rs
+++ b/crates/relay-server/src/peer_client.rs
@@ -8,22 +8,22 @@
 
 /// Why a call came to nothing.
 #[derive(Debug, Error)]
-pub enum Flaw {
+pub enum CallError {
     #[error(transparent)]
     Io(#[from] io::Error),
     #[error("the answer is not HTTP: {0}")]
     NotHttp(httparse::Error),
     #[error("the answer has no length")]
-    NoLength,
+    MissingLength,
     #[error("the answer has {0} bytes, more than {1}")]
     TooLong(usize, usize),
     #[error("no answer in {0:?}")]
-    Late(Duration),
+    TimedOut(Duration),
 }
 
 /// A connection to one relay, made when it is needed.
 #[derive(Debug)]
-pub struct Line {
+pub struct PeerClient {
     at: SocketAddr,
     /// For a whole call.
     time: Duration,
@@ -33,19 +33,25 @@
 }
 
 /// An answer: its code and its body.
-pub type Answered = (u16, Vec<u8>);
+pub type HttpResponse = (u16, Vec<u8>);
 
-impl Line {
-    pub fn new(at: SocketAddr, time: Duration, most: usize) -> Line {
-        Line { at, time, most, stream: None }
+impl PeerClient {
+    pub fn new(at: SocketAddr, time: Duration, most: usize) -> PeerClient {
+        PeerClient { at, time, most, stream: None }
     }
 
-    pub fn at(&self) -> SocketAddr {
+    pub fn address(&self) -> SocketAddr {
         self.at
     }
 
     /// Asks, and waits for the answer. `headers`: whole lines.
-    pub fn call(&mut self, method: &str, path: &str, headers: &str, body: &[u8]) -> Result<Answered, Flaw> {
+    pub fn request(
+        &mut self,
+        method: &str,
+        path: &str,
+        headers: &str,
+        body: &[u8],
+    ) -> Result<HttpResponse, CallError> {
         let by = Instant::now() + self.time;
         let kept = self.stream.take();
         let fresh = kept.is_none();
@@ -62,7 +68,7 @@
         ask.extend_from_slice(body);
         let (answered, closes) = match self.asked(&mut stream, &ask, by) {
             // A connection that was kept may have ended meanwhile.
-            Err(Flaw::Io(e)) if !fresh && ended(&e) => {
+            Err(CallError::Io(e)) if !fresh && ended(&e) => {
                 stream = self.dial()?;
                 self.asked(&mut stream, &ask, by)?
             }
@@ -80,10 +86,15 @@
         Ok(stream)
     }
 
-    fn asked(&self, stream: &mut TcpStream, ask: &[u8], by: Instant) -> Result<(Answered, bool), Flaw> {
+    fn asked(
+        &self,
+        stream: &mut TcpStream,
+        ask: &[u8],
+        by: Instant,
+    ) -> Result<(HttpResponse, bool), CallError> {
         let left = || {
             let left = by.saturating_duration_since(Instant::now());
-            if left.is_zero() { Err(Flaw::Late(self.time)) } else { Ok(Some(left)) }
+            if left.is_zero() { Err(CallError::TimedOut(self.time)) } else { Ok(Some(left)) }
         };
         stream.set_write_timeout(left()?)?;
         stream.write_all(ask)?;
@@ -101,7 +112,7 @@
                 Ok(n) => came.extend_from_slice(&bytes[..n]),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                    return Err(Flaw::Late(self.time));
+                    return Err(CallError::TimedOut(self.time));
                 }
                 Err(e) => return Err(e.into()),
             }
@@ -109,10 +120,10 @@
     }
 
     /// Code, length of the head, length of the body, whether the connection ends with it.
-    fn head(&self, came: &[u8]) -> Result<Option<(u16, usize, usize, bool)>, Flaw> {
+    fn head(&self, came: &[u8]) -> Result<Option<(u16, usize, usize, bool)>, CallError> {
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut answer = httparse::Response::new(&mut headers);
-        match answer.parse(came).map_err(Flaw::NotHttp)? {
+        match answer.parse(came).map_err(CallError::NotHttp)? {
             httparse::Status::Partial => Ok(None),
             httparse::Status::Complete(head) => {
                 let of = |name: &str| {
@@ -121,10 +132,10 @@
                 };
                 let length = match answer.code {
                     Some(204) => 0,
-                    _ => of("content-length").and_then(|v| v.parse().ok()).ok_or(Flaw::NoLength)?,
+                    _ => of("content-length").and_then(|v| v.parse().ok()).ok_or(CallError::MissingLength)?,
                 };
                 if length > self.most {
-                    return Err(Flaw::TooLong(length, self.most));
+                    return Err(CallError::TooLong(length, self.most));
                 }
                 let closes = of("connection").is_some_and(|v| v.eq_ignore_ascii_case("close"));
                 Ok(Some((answer.code.unwrap_or(0), head, length, closes)))
--- a/crates/tier/src/peers.rs
+++ b/crates/relay-server/src/peers.rs
@@ -8,10 +8,10 @@
 
 use crossbeam_channel::{Receiver, Sender, bounded};
 use mio::Waker;
-use sablecross_feed::{Flaw, Said, Stream};
-use sablecross_relay::{Reply, Request};
+use sablecross_discovery::{EventStreamParser, StreamError, StreamItem};
+use sablecross_relay::{PeerReply, PeerRequest};
 
-use crate::call::Line;
+use crate::peer_client::PeerClient;
 
 /// Calls that wait for one voter; what comes on top is dropped, and told again by what it is part of.
 const WAITING: usize = 16;
@@ -25,34 +25,34 @@
 
 /// What threads tell the loop.
 #[derive(Debug)]
-pub enum In {
-    Answered {
+pub enum ServerEvent {
+    PeerReplied {
         voter: u32,
         number: u64,
-        reply: Box<Reply>,
+        reply: Box<PeerReply>,
     },
     /// Of the call of this number: what the upstream said, or that it is over; an error, if it was broken off.
-    Fed(u64, Vec<Said>),
-    Over(u64, Result<(), String>),
+    UpstreamItems(u64, Vec<StreamItem>),
+    UpstreamEnded(u64, Result<(), String>),
     /// A reader's word was passed on, or not.
-    Passed {
+    ReportForwarded {
         conn: usize,
-        taken: bool,
+        is_accepted: bool,
     },
     Stop,
-    Report,
+    LogStatus,
 }
 
 /// The loop's inbox, as threads have it.
 #[derive(Clone)]
 pub struct Inbox {
-    pub to: Sender<In>,
+    pub to: Sender<ServerEvent>,
     pub waker: Arc<Waker>,
 }
 
 impl Inbox {
     /// False once the loop is gone.
-    pub fn tell(&self, what: In) -> bool {
+    pub fn tell(&self, what: ServerEvent) -> bool {
         // A wake-up that fails is made up for by the loop's next tick.
         self.to.send(what).is_ok() && self.waker.wake().is_ok()
     }
@@ -70,10 +70,10 @@
     time: Duration,
     most: usize,
     inbox: Inbox,
-) -> std::io::Result<Sender<(u64, Request)>> {
-    let (calls, waiting) = bounded::<(u64, Request)>(WAITING);
+) -> std::io::Result<Sender<(u64, PeerRequest)>> {
+    let (calls, waiting) = bounded::<(u64, PeerRequest)>(WAITING);
     spawn(format!("voter-{voter}"), move || {
-        let mut line = Line::new(at, time, most);
+        let mut line = PeerClient::new(at, time, most);
         let mut failing = false;
         for (number, request) in &waiting {
             match ask(&mut line, &request) {
@@ -81,7 +81,7 @@
                     if std::mem::take(&mut failing) {
                         tracing::info!("relay voter up voter={voter} at={at}");
                     }
-                    if !inbox.tell(In::Answered { voter, number, reply: Box::new(reply) }) {
+                    if !inbox.tell(ServerEvent::PeerReplied { voter, number, reply: Box::new(reply) }) {
                         return;
                     }
                 }
@@ -98,9 +98,9 @@
     Ok(calls)
 }
 
-fn ask(line: &mut Line, request: &Request) -> Result<Reply, String> {
+fn ask(line: &mut PeerClient, request: &PeerRequest) -> Result<PeerReply, String> {
     let body = rmp_serde::to_vec(request).map_err(|e| e.to_string())?;
-    let (code, answer) = line.call("POST", "/v1/relay", "", &body).map_err(|e| e.to_string())?;
+    let (code, answer) = line.request("POST", "/v1/relay", "", &body).map_err(|e| e.to_string())?;
     if code != 200 {
         return Err(format!("answer {code}: {}", String::from_utf8_lossy(&answer)));
     }
@@ -160,7 +160,7 @@
             if over.is_err() || (events == 0 && begun.elapsed() < PAUSE) {
                 std::thread::sleep(PAUSE);
             }
-            if !self.inbox.tell(In::Over(order.number, over)) {
+            if !self.inbox.tell(ServerEvent::UpstreamEnded(order.number, over)) {
                 return;
             }
             next = self.orders.recv().ok();
@@ -181,9 +181,9 @@
         stream.set_write_timeout(Some(self.silence))?;
         let in_force = order.in_force.map_or(String::new(), |n| format!("\r\nSablecross-In-Force: {n}"));
         let own = format!("\r\nSablecross-Relay: {}{in_force}\r\n\r\n", self.relay);
-        let ask = sablecross_feed::request(order.at, order.after).replacen("\r\n\r\n", &own, 1);
+        let ask = sablecross_discovery::events_request(order.at, order.after).replacen("\r\n\r\n", &own, 1);
         (&stream).write_all(ask.as_bytes())?;
-        let mut answer = Stream::new(self.most);
+        let mut answer = EventStreamParser::new(self.most);
         let (mut bytes, mut heard) = ([0; 16_384], Instant::now());
         loop {
             if let Ok(later) = self.orders.try_recv() {
@@ -191,18 +191,18 @@
             }
             match (&stream).read(&mut bytes) {
                 Ok(0) => {
-                    return Ok(answer.end().map_or_else(|e| End::Flaw(e.to_string()), |()| End::Clean));
+                    return Ok(answer.finish().map_or_else(|e| End::Flaw(e.to_string()), |()| End::Clean));
                 }
                 Ok(n) => {
                     heard = Instant::now();
-                    answer.take(&bytes[..n]);
+                    answer.push(&bytes[..n]);
                     let (said, flaw) = whole(&mut answer);
                     *count += said.len();
-                    if !said.is_empty() && !self.inbox.tell(In::Fed(order.number, said)) {
+                    if !said.is_empty() && !self.inbox.tell(ServerEvent::UpstreamItems(order.number, said)) {
                         return Ok(End::Gone);
                     }
                     match flaw {
-                        Some(Flaw::Ended) => return Ok(End::Clean),
+                        Some(StreamError::Ended) => return Ok(End::Clean),
                         Some(flaw) => return Ok(End::Flaw(flaw.to_string())),
                         None => {}
                     }
@@ -220,10 +220,10 @@
 }
 
 /// All that has come whole, and what is wrong with what follows.
-fn whole(answer: &mut Stream) -> (Vec<Said>, Option<Flaw>) {
+fn whole(answer: &mut EventStreamParser) -> (Vec<StreamItem>, Option<StreamError>) {
     let mut all = Vec::new();
     loop {
-        match answer.said() {
+        match answer.next_item() {
             Ok(Some(said)) => all.push(said),
             Ok(None) => return (all, None),
             Err(flaw) => return (all, Some(flaw)),
@@ -233,21 +233,22 @@
 
 /// A reader's word on the hierarchy, to be said where the upstream is.
 #[derive(Debug)]
-pub struct Word {
+pub struct AppliedReport {
     pub conn: usize,
     pub at: SocketAddr,
     pub body: Vec<u8>,
 }
 
 /// Passes words on, each once: who said one repeats it until it is taken.
-pub fn passer(time: Duration, inbox: Inbox) -> std::io::Result<Sender<Word>> {
-    let (words, waiting) = bounded::<Word>(WORDS);
+pub fn passer(time: Duration, inbox: Inbox) -> std::io::Result<Sender<AppliedReport>> {
+    let (words, waiting) = bounded::<AppliedReport>(WORDS);
     spawn("words".into(), move || {
-        for Word { conn, at, body } in &waiting {
+        for AppliedReport { conn, at, body } in &waiting {
             let head = "Content-Type: application/json\r\nConnection: close\r\n";
-            let said = Line::new(at, time, 4_096).call("POST", "/v1/hierarchy/in-force", head, &body);
+            let said =
+                PeerClient::new(at, time, 4_096).request("POST", "/v1/hierarchy/in-force", head, &body);
             let taken = said.is_ok_and(|(code, _)| code / 100 == 2);
-            if !inbox.tell(In::Passed { conn, taken }) {
+            if !inbox.tell(ServerEvent::ReportForwarded { conn, is_accepted: taken }) {
                 return;
             }
         }
--- a/crates/tier/src/life.rs
+++ b/crates/relay-server/src/process.rs
@@ -10,9 +10,9 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{Layer, Registry, fmt};
 
-use crate::peers::{In, spawn};
-use crate::server::{Failed, Server};
-use crate::settings::Setting;
+use crate::peers::{ServerEvent, spawn};
+use crate::server::{Server, ServerError};
+use crate::settings::RelayServerConfig;
 
 /// Which parts are heard, and from which level on; `json`: each line is an object. As a director has them.
 const FILTER: &str = "RUST_LOG";
@@ -32,23 +32,23 @@
 }
 
 /// Runs a relay until SIGTERM, and the little while in which it hands over and ends its streams.
-pub fn run(setting: Setting) -> Result<(), Failed> {
+pub fn run(setting: RelayServerConfig) -> Result<(), ServerError> {
     journal();
-    let mut signals = Signals::new([SIGTERM, SIGUSR1]).map_err(|e| Failed::Io("signals", e))?;
+    let mut signals = Signals::new([SIGTERM, SIGUSR1]).map_err(|e| ServerError::Io("signals", e))?;
     let (server, inbox) = Server::new(setting)?;
     let heard = move || {
         for signal in signals.forever() {
-            if !inbox.tell(if signal == SIGTERM { In::Stop } else { In::Report }) {
+            if !inbox.tell(if signal == SIGTERM { ServerEvent::Stop } else { ServerEvent::LogStatus }) {
                 return;
             }
         }
     };
-    spawn("signals".into(), heard).map_err(|e| Failed::Io("a thread", e))?;
+    spawn("signals".into(), heard).map_err(|e| ServerError::Io("a thread", e))?;
     server.serve()
 }
 
 /// Ends this program with the one that started it, however that ends: then the pipe that it reads is closed.
-pub fn end_with_parent() {
+pub fn exit_with_parent() {
     std::thread::spawn(|| {
         let _ = std::io::copy(&mut std::io::stdin(), &mut std::io::sink());
         std::process::exit(0);
--- a/crates/tier/src/server.rs
+++ b/crates/relay-server/src/server.rs
@@ -10,17 +10,20 @@
 use crossbeam_channel::{Receiver, Sender, TrySendError, bounded};
 use mio::net::TcpListener;
 use mio::{Events, Interest, Poll, Token, Waker};
-use sablecross_duty::{Member, Ns, Rules as SeatRules};
-use sablecross_feed::Said;
-use sablecross_relay::{Defences, Do, Horizon, Refusal, Relay, Request, Rules, Settings, Took, Upstream};
+use sablecross_coordination::{LeaseConfig as SeatRules, Member, Ns};
+use sablecross_discovery::StreamItem;
+use sablecross_relay::{
+    Action, ApplyOutcome, GroupConfig, PeerRequest, PublishError, Relay, RelayConfig, RetentionWindow,
+    SafetyChecks, UpstreamSelector,
+};
 use serde_json::json;
 use thiserror::Error;
 
-use crate::conn::{Came, Conn, State, Streaming};
+use crate::connection::{Came, Connection, State, Streaming};
 use crate::http::{self, Want};
-use crate::lines::Lines;
-use crate::peers::{self, Follower, In, Inbox, Order, Word};
-use crate::settings::Setting;
+use crate::log_rate_limiter::LogRateLimiter;
+use crate::peers::{self, AppliedReport, Follower, Inbox, Order, ServerEvent};
+use crate::settings::RelayServerConfig;
 
 const MS: Ns = 1_000_000;
 const INBOX: Token = Token(usize::MAX);
@@ -55,7 +58,7 @@
 const SHARED: usize = 8;
 
 #[derive(Debug, Error)]
-pub enum Failed {
+pub enum ServerError {
     #[error("{0}")]
     Limit(String),
     #[error("listening at {0}: {1}")]
@@ -64,8 +67,8 @@
     Io(&'static str, io::Error),
 }
 
-fn failed(what: &'static str) -> impl FnOnce(io::Error) -> Failed {
-    move |e| Failed::Io(what, e)
+fn failed(what: &'static str) -> impl FnOnce(io::Error) -> ServerError {
+    move |e| ServerError::Io(what, e)
 }
 
 /// Times of this program, and Unix time.
@@ -99,18 +102,18 @@
 }
 
 pub struct Server {
-    set: Setting,
+    set: RelayServerConfig,
     clock: Clock,
     poll: Poll,
-    inbox: Receiver<In>,
+    inbox: Receiver<ServerEvent>,
     relay: Relay,
     listeners: Vec<Listener>,
-    conns: HashMap<usize, Conn>,
+    conns: HashMap<usize, Connection>,
     next_conn: usize,
     /// Connections that had more to read than their turn.
     more: Vec<usize>,
     /// The voters' threads, by their places; none for this one itself.
-    voters: Vec<Option<Sender<(u64, Request)>>>,
+    voters: Vec<Option<Sender<(u64, PeerRequest)>>>,
     upstreams: Vec<SocketAddr>,
     orders: Sender<Order>,
     /// The call of an upstream that is open.
@@ -119,10 +122,10 @@
     /// Those that could not be called last time, and the one that was followed last.
     lost: BTreeSet<SocketAddr>,
     up: Option<SocketAddr>,
-    words: Sender<Word>,
+    words: Sender<AppliedReport>,
     shared: Vec<Batch>,
     scratch: Vec<u8>,
-    lines: Lines,
+    lines: LogRateLimiter,
     stopping: Option<Ns>,
     batch: Ns,
     spread: RandomState,
@@ -141,63 +144,67 @@
     Ok(TcpListener::from_std(socket.into()))
 }
 
-fn settings(set: &Setting) -> Settings {
-    let h = &set.head;
-    Settings {
+fn settings(set: &RelayServerConfig) -> RelayConfig {
+    let h = &set.relay;
+    RelayConfig {
         name: set.name(),
-        horizon: Horizon { cleared: h.cleared_ms * MS, held: h.held_ms * MS, slack: h.slack_ms * MS },
-        most_event: h.event_bytes,
-        most_log: h.log_bytes,
-        missed: h.missed_ms * MS,
-        forgotten: h.forgotten_ms * MS,
-        most_passed: PASSED,
+        retention: RetentionWindow {
+            purge_propagation: h.cleared_ms * MS,
+            hold_time: h.held_ms * MS,
+            clock_tolerance: h.slack_ms * MS,
+        },
+        max_event_bytes: h.event_bytes,
+        max_log_bytes: h.log_bytes,
+        missing_after: h.missed_ms * MS,
+        forget_after: h.forgotten_ms * MS,
+        max_floor_history: PASSED,
     }
 }
 
-fn rules(set: &Setting) -> Rules {
-    let h = &set.head;
-    let names: Vec<String> = set.voters().map(|m| Setting::named(m.number)).collect();
-    Rules {
-        seat: SeatRules {
-            voters: names.len() as u32,
-            lease: h.lease_ms * MS,
-            round: h.round_ms * MS,
-            apart: h.apart_ms * MS,
+fn rules(set: &RelayServerConfig) -> GroupConfig {
+    let h = &set.relay;
+    let names: Vec<String> = set.voters().map(|m| RelayServerConfig::relay_name(m.number)).collect();
+    GroupConfig {
+        lease: SeatRules {
+            voter_count: names.len() as u32,
+            duration: h.lease_ms * MS,
+            round_timeout: h.round_ms * MS,
+            claim_spacing: h.apart_ms * MS,
         },
-        names,
-        patience: 2 * h.lease_ms * MS,
-        beat: (h.lease_ms / 4).min(500) * MS,
-        gather: GATHER,
-        most_call: CALL,
-        anew_after: h.anew_ms * MS,
-        ahead: h.slack_ms / 2 * MS,
-        defences: Defences::default(),
+        voter_names: names,
+        call_timeout: 2 * h.lease_ms * MS,
+        heartbeat_interval: (h.lease_ms / 4).min(500) * MS,
+        batch_interval: GATHER,
+        max_call_bytes: CALL,
+        reset_timeout: h.anew_ms * MS,
+        max_purge_lead: h.slack_ms / 2 * MS,
+        safety_checks: SafetyChecks::default(),
     }
 }
 
 impl Server {
-    pub fn new(set: Setting) -> Result<(Server, Inbox), Failed> {
-        set.fits().map_err(Failed::Limit)?;
+    pub fn new(set: RelayServerConfig) -> Result<(Server, Inbox), ServerError> {
+        set.check_descriptor_limit().map_err(ServerError::Limit)?;
         let poll = Poll::new().map_err(failed("poll"))?;
         let waker = Waker::new(poll.registry(), INBOX).map_err(failed("poll"))?;
         let (to, inbox) = bounded(INBOX_LENGTH);
         let to = Inbox { to, waker: Arc::new(waker) };
         let own = std::iter::once((set.listen, None));
-        let readers = set.readers.iter().map(|r| (r.address, Some(Arc::from(r.name.as_str()))));
+        let readers = set.subscribers.iter().map(|r| (r.address, Some(Arc::from(r.name.as_str()))));
         let mut listeners = Vec::new();
         for (at, reader) in own.chain(readers) {
-            let mut socket = listen(at).map_err(|e| Failed::Listen(at, e))?;
+            let mut socket = listen(at).map_err(|e| ServerError::Listen(at, e))?;
             let token = Token(listeners.len());
             poll.registry().register(&mut socket, token, Interest::READABLE).map_err(failed("poll"))?;
             listeners.push(Listener { socket, reader, again: false });
         }
         let clock = Clock(Instant::now());
-        let (now, h) = (clock.now(), &set.head);
+        let (now, h) = (clock.now(), &set.relay);
         let silence = Duration::from_millis(h.stale_ms);
         let most = h.log_bytes.max(CALL);
         let (mut voters, mut upstreams) = (Vec::new(), set.upstreams.clone());
         let spread = RandomState::new();
-        let mut relay = if set.votes() {
+        let mut relay = if set.is_voter() {
             // Whole logs go in one answer.
             let time = Duration::from_millis(2 * h.lease_ms);
             for (place, m) in (0u32..).zip(set.voters()) {
@@ -206,8 +213,8 @@
                 voters.push(if own { None } else { Some(caller().map_err(failed("a thread"))?) });
             }
             let place = voters.iter().position(Option::is_none).unwrap_or_default() as u32;
-            let me = Member { number: h.number, life: unix() };
-            Relay::voter(settings(&set), me, place, rules(&set), spread.hash_one(me.life), now)
+            let me = Member { number: h.number, incarnation: unix() };
+            Relay::voter(settings(&set), me, place, rules(&set), spread.hash_one(me.incarnation), now)
         } else {
             if upstreams.is_empty() {
                 upstreams = set.voters().map(|m| m.address).collect();
@@ -216,18 +223,18 @@
                 upstreams.rotate_left(first);
             }
             let stale = h.stale_ms * MS;
-            Relay::plain(settings(&set), Upstream::new(upstreams.len(), stale, 2 * stale, HOME, now))
+            Relay::plain(settings(&set), UpstreamSelector::new(upstreams.len(), stale, 2 * stale, HOME, now))
         };
-        set.readers.iter().for_each(|r| relay.expects(now, &r.name));
+        set.subscribers.iter().for_each(|r| relay.expect_subscriber(now, &r.name));
         let (orders, taken) = bounded(4);
         let follower = Follower { relay: h.number, silence, most, orders: taken, inbox: to.clone() };
         if !upstreams.is_empty() {
             peers::spawn("upstream".into(), move || follower.follow()).map_err(failed("a thread"))?;
         }
         let words = peers::passer(silence, to.clone()).map_err(failed("a thread"))?;
-        let role = if set.votes() { "voter" } else { "plain" };
-        tracing::info!(number = h.number, listen = %set.listen, role, readers = set.readers.len(), "relay serves");
-        if h.held_ms * MS < sablecross_relay::horizon::HELD {
+        let role = if set.is_voter() { "voter" } else { "plain" };
+        tracing::info!(number = h.number, listen = %set.listen, role, readers = set.subscribers.len(), "relay serves");
+        if h.held_ms * MS < sablecross_relay::retention::PURGE_HOLD_TIME {
             tracing::warn!(
                 "relay held-ms={} forgets purges that directors are bound by: for trials alone",
                 h.held_ms
@@ -254,7 +261,7 @@
             words,
             shared: Vec::new(),
             scratch: Vec::new(),
-            lines: Lines::default(),
+            lines: LogRateLimiter::default(),
             stopping: None,
             batch,
             spread,
@@ -263,7 +270,7 @@
     }
 
     /// Serves until it has stopped.
-    pub fn serve(mut self) -> Result<(), Failed> {
+    pub fn serve(mut self) -> Result<(), ServerError> {
         let mut events = Events::with_capacity(1_024);
         let mut tick = self.clock.now();
         let mut step = tick;
@@ -274,7 +281,7 @@
             }
             self.carry(now);
             self.follow(now);
-            step = self.relay.next(now);
+            step = self.relay.next_wakeup(now);
             if now >= tick {
                 self.tick(now);
                 tick = if now < tick + self.batch { tick + self.batch } else { now + self.batch };
@@ -286,7 +293,7 @@
             let next = if self.more.is_empty() { tick.min(step) } else { now };
             let wait = Duration::from_nanos(next.saturating_sub(self.clock.now()));
             match self.poll.poll(&mut events, Some(wait)) {
-                Err(e) if e.kind() != ErrorKind::Interrupted => return Err(Failed::Io("poll", e)),
+                Err(e) if e.kind() != ErrorKind::Interrupted => return Err(ServerError::Io("poll", e)),
                 _ => {}
             }
             let now = self.clock.now();
@@ -312,7 +319,7 @@
         loop {
             match listener.socket.accept() {
                 Ok((mut stream, from)) => {
-                    let most = self.set.head.connections;
+                    let most = self.set.relay.connections;
                     if self.conns.len() >= most {
                         // Those that are written whole and only wait for their reader's end make room first.
                         self.conns.retain(|_, conn| !matches!(conn.state, State::Drains));
@@ -331,7 +338,7 @@
                         continue;
                     }
                     self.next_conn += 1;
-                    self.conns.insert(token, Conn::new(stream, at, from.ip(), now));
+                    self.conns.insert(token, Connection::new(stream, at, from.ip(), now));
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
@@ -356,25 +363,31 @@
     }
 
     /// A connection is kept, or over; a stream that is over, or begins to end, was one.
-    fn settled(&mut self, at: usize, conn: Conn, before: Option<Arc<str>>, kept: Result<(), ErrorKind>) {
+    fn settled(
+        &mut self,
+        at: usize,
+        conn: Connection,
+        before: Option<Arc<str>>,
+        kept: Result<(), ErrorKind>,
+    ) {
         let after = self.streaming(&conn);
         match kept {
             Ok(()) => {
                 if let (Some(name), None) = (&before, &after) {
-                    self.relay.went(name);
+                    self.relay.on_subscriber_disconnected(name);
                 }
                 self.conns.insert(at, conn);
             }
             Err(why) => {
                 tracing::debug!("relay connection from={} over: {why}", conn.from);
                 if let Some(name) = before.or(after) {
-                    self.relay.went(&name);
+                    self.relay.on_subscriber_disconnected(&name);
                 }
             }
         }
     }
 
-    fn streaming(&self, conn: &Conn) -> Option<Arc<str>> {
+    fn streaming(&self, conn: &Connection) -> Option<Arc<str>> {
         if let State::Streams(s) = &conn.state { Some(Arc::clone(&s.reader)) } else { None }
     }
 
@@ -382,7 +395,7 @@
     fn moved(
         &mut self,
         at: usize,
-        conn: &mut Conn,
+        conn: &mut Connection,
         now: Ns,
         readable: bool,
         writable: bool,
@@ -410,12 +423,12 @@
     }
 
     fn largest(&self) -> usize {
-        let h = &self.set.head;
-        if self.set.votes() { h.log_bytes + CALL } else { h.event_bytes }
+        let h = &self.set.relay;
+        if self.set.is_voter() { h.log_bytes + CALL } else { h.event_bytes }
     }
 
     /// Answers what was asked whole.
-    fn asked(&mut self, at: usize, conn: &mut Conn, now: Ns) -> Result<(), ErrorKind> {
+    fn asked(&mut self, at: usize, conn: &mut Connection, now: Ns) -> Result<(), ErrorKind> {
         while matches!(conn.state, State::Calls) && !conn.came.is_empty() {
             let request = match http::request(&conn.came) {
                 Ok(Some(request)) => request,
@@ -423,8 +436,8 @@
                 Err(no) => return self.refuse(conn, now, no.code, &no.why),
             };
             let most = match request.want {
-                Want::Publish(_) => self.set.head.event_bytes,
-                Want::Relay if self.set.votes() => self.largest(),
+                Want::Publish(_) => self.set.relay.event_bytes,
+                Want::Relay if self.set.is_voter() => self.largest(),
                 Want::InForce => WORD,
                 _ => 0,
             };
@@ -455,18 +468,19 @@
                         self.relay.publish(now, unix(), at as u64, mark.as_deref(), &body);
                     }
                 }
-                Want::Relay => match rmp_serde::from_slice::<Request>(&body) {
+                Want::Relay => match rmp_serde::from_slice::<PeerRequest>(&body) {
                     Ok(request) => {
                         conn.widen(WIDE);
-                        let reply = self.relay.called(now, unix(), request);
+                        let reply = self.relay.on_peer_request(now, unix(), request);
                         let body = rmp_serde::to_vec(&reply).unwrap_or_default();
                         self.answer(conn, now, 200, "application/msgpack", &body)?;
                     }
                     Err(e) => return self.refuse(conn, now, 400, &format!("not a call of a voter: {e}")),
                 },
                 Want::InForce => {
-                    let to = self.relay.follows(now).and_then(|(place, _)| self.upstreams.get(place));
-                    let word = to.map(|to| Word { conn: at, at: *to, body });
+                    let to =
+                        self.relay.upstream_to_follow(now).and_then(|(place, _)| self.upstreams.get(place));
+                    let word = to.map(|to| AppliedReport { conn: at, at: *to, body });
                     if word.is_none_or(|w| self.words.try_send(w).is_err()) {
                         self.answer(conn, now, 503, "", b"")?;
                     }
@@ -478,7 +492,7 @@
 
     fn answer(
         &mut self,
-        conn: &mut Conn,
+        conn: &mut Connection,
         now: Ns,
         code: u16,
         kind: &str,
@@ -495,7 +509,7 @@
     }
 
     /// A request that can't be served: it is said why, and the connection ends.
-    fn refuse(&mut self, conn: &mut Conn, now: Ns, code: u16, why: &str) -> Result<(), ErrorKind> {
+    fn refuse(&mut self, conn: &mut Connection, now: Ns, code: u16, why: &str) -> Result<(), ErrorKind> {
         if let Some(left_out) = self.lines.next(now) {
             tracing::warn!("relay request refused from={} code={code} left_out={left_out}: {why}", conn.from);
         }
@@ -507,15 +521,15 @@
     /// A stream begins.
     fn begins(
         &mut self,
-        conn: &mut Conn,
+        conn: &mut Connection,
         now: Ns,
         last: u64,
         relay: Option<(u32, Option<u64>)>,
     ) -> Result<(), ErrorKind> {
         let own = self.listeners.get(conn.listener).and_then(|l| l.reader.clone());
         let member = relay.filter(|(n, _)| self.set.members.iter().any(|m| m.number == *n));
-        let ack = self.set.head.ack_ms * MS;
-        let mut batch = self.set.head.batch_bytes;
+        let ack = self.set.relay.ack_ms * MS;
+        let mut batch = self.set.relay.batch_bytes;
         // A relay hears at the beginning of each stream how old it is what this one knows.
         let comment = if member.is_some() { now } else { now + COMMENT };
         let (reader, in_force, ack): (Arc<str>, _, _) = match (member, own) {
@@ -523,12 +537,12 @@
             (Some((number, floor)), _) => {
                 conn.widen(WIDE);
                 batch = batch.max(WIDE);
-                (Arc::from(Setting::named(number)), floor.unwrap_or(last), ack / RELAYS_SOONER)
+                (Arc::from(RelayServerConfig::relay_name(number)), floor.unwrap_or(last), ack / RELAYS_SOONER)
             }
             (None, Some(reader)) => (reader, last, ack),
             (None, None) => (Arc::from(conn.from.to_canonical().to_string()), last, ack),
         };
-        self.relay.comes(now, unix(), &reader, in_force);
+        self.relay.on_subscriber_connected(now, unix(), &reader, in_force);
         // Streams end apart, none later than it should.
         let ends = now + ack - self.spread.hash_one(&reader) % (ack / 4);
         conn.came = Vec::new();
@@ -538,19 +552,19 @@
     }
 
     /// Tells a reader what comes next, if it has taken all that it was told.
-    fn tell(&mut self, conn: &mut Conn, now: Ns) -> Result<(), ErrorKind> {
+    fn tell(&mut self, conn: &mut Connection, now: Ns) -> Result<(), ErrorKind> {
         if conn.out_waits() {
             return Ok(());
         }
         let State::Streams(s) = &mut conn.state else { return Ok(()) };
         let (cursor, most) = (s.cursor, s.batch);
-        let own = most == self.set.head.batch_bytes;
+        let own = most == self.set.relay.batch_bytes;
         if let Some(batch) = self.shared.iter().find(|b| own && b.cursor == cursor) {
             s.cursor = batch.next;
             return conn.say(&batch.bytes, now);
         }
         self.scratch.clear();
-        let next = self.relay.after(cursor, most, &mut self.scratch);
+        let next = self.relay.encode_after(cursor, most, &mut self.scratch);
         s.cursor = next;
         let said = conn.say(&self.scratch, now);
         if own && self.shared.len() < SHARED {
@@ -564,7 +578,7 @@
     /// All readers are told what is new; what is over ends.
     fn tick(&mut self, now: Ns) {
         self.shared.clear();
-        let comment = self.relay.comment(now);
+        let comment = self.relay.staleness_comment(now);
         let mut conns = std::mem::take(&mut self.conns);
         conns.retain(|_, conn| {
             let name = self.streaming(conn);
@@ -572,7 +586,7 @@
             if let Some(name) = name
                 && (kept.is_err() || !matches!(conn.state, State::Streams(_)))
             {
-                self.relay.went(&name);
+                self.relay.on_subscriber_disconnected(&name);
             }
             kept.is_ok()
         });
@@ -586,9 +600,9 @@
     }
 
     /// An error: the connection is over.
-    fn ticks(&mut self, conn: &mut Conn, now: Ns, comment: &str) -> Result<(), ErrorKind> {
+    fn ticks(&mut self, conn: &mut Connection, now: Ns, comment: &str) -> Result<(), ErrorKind> {
         let rests = now.saturating_sub(conn.moved);
-        let stuck = self.set.head.stuck_ms * MS;
+        let stuck = self.set.relay.stuck_ms * MS;
         match &mut conn.state {
             State::Calls if rests > IDLE => conn.end(now),
             State::Calls => Ok(()),
@@ -627,30 +641,30 @@
     fn hears(&mut self, now: Ns) {
         for what in self.inbox.clone().try_iter().take(INBOX_LENGTH) {
             match what {
-                In::Answered { voter, number, reply } => {
-                    self.relay.answered(now, unix(), voter, number, *reply);
+                ServerEvent::PeerReplied { voter, number, reply } => {
+                    self.relay.on_peer_reply(now, unix(), voter, number, *reply);
                 }
-                In::Fed(call, said) => {
+                ServerEvent::UpstreamItems(call, said) => {
                     for one in said {
                         if self.call.is_some_and(|c| c.number == call) {
                             self.fed(now, one);
                         }
                     }
                 }
-                In::Over(call, why) if self.call.is_some_and(|c| c.number == call) => {
+                ServerEvent::UpstreamEnded(call, why) if self.call.is_some_and(|c| c.number == call) => {
                     if let (Err(why), Some(open)) = (why, self.call) {
                         if self.lost.insert(open.at) {
                             tracing::warn!("relay upstream lost at={}: {why}", open.at);
                         }
-                        self.relay.failed(now);
+                        self.relay.on_upstream_failed(now);
                     }
                     self.call = None;
                 }
-                In::Over(..) => {}
-                In::Passed { conn, taken } => {
+                ServerEvent::UpstreamEnded(..) => {}
+                ServerEvent::ReportForwarded { conn, is_accepted: taken } => {
                     self.settles(conn, now, if taken { 204 } else { 503 }, b"");
                 }
-                In::Stop => {
+                ServerEvent::Stop => {
                     if self.stopping.is_none() {
                         tracing::info!("relay stops");
                         self.stopping = Some(now);
@@ -659,7 +673,7 @@
                         self.listeners.clear();
                     }
                 }
-                In::Report => {
+                ServerEvent::LogStatus => {
                     let status = self.relay.status(now, unix());
                     let text = serde_json::to_string(&status).unwrap_or_default();
                     tracing::info!(connections = self.conns.len(), "relay status {text}");
@@ -669,18 +683,20 @@
     }
 
     /// What the upstream says.
-    fn fed(&mut self, now: Ns, said: Said) {
+    fn fed(&mut self, now: Ns, said: StreamItem) {
         match said {
-            Said::Up => {
+            StreamItem::Connected => {
                 let open = self.call.filter(|c| self.lost.remove(&c.at) || self.up != Some(c.at));
                 if let Some(open) = open {
                     self.up = Some(open.at);
                     tracing::info!("relay upstream up at={} after={}", open.at, open.after);
                 }
             }
-            Said::Comment(comment) => self.relay.commented(now, &comment),
-            Said::Event { id, data } => {
-                if let Took::Again(why) = self.relay.told(now, unix(), id, data.as_bytes()) {
+            StreamItem::Comment(comment) => self.relay.on_upstream_comment(now, &comment),
+            StreamItem::Event { id, data } => {
+                if let ApplyOutcome::Resubscribe(why) =
+                    self.relay.on_upstream_event(now, unix(), id, data.as_bytes())
+                {
                     if let Some(left_out) = self.lines.next(now) {
                         tracing::warn!("relay upstream called again left_out={left_out}: {why}");
                     }
@@ -695,7 +711,7 @@
         if self.upstreams.is_empty() || self.stopping.is_some() {
             return;
         }
-        let Some((place, floor)) = self.relay.follows(now) else { return };
+        let Some((place, floor)) = self.relay.upstream_to_follow(now) else { return };
         let Some(&at) = self.upstreams.get(place) else { return };
         if self.call.is_some_and(|c| c.at == at) {
             return;
@@ -704,7 +720,7 @@
         // A relay is told its number in force apart from where it goes on, so that it repeats nothing; an outside feed
         // knows one number alone.
         let outside = !self.set.upstreams.is_empty();
-        let (after, in_force) = if outside { (floor, None) } else { (self.relay.last(), Some(floor)) };
+        let (after, in_force) = if outside { (floor, None) } else { (self.relay.last_number(), Some(floor)) };
         let order = Order { number: self.calls, at, after, in_force };
         match self.orders.try_send(order) {
             Ok(()) => self.call = Some(order),
@@ -716,38 +732,44 @@
     /// Does what the relay says.
     fn carry(&mut self, now: Ns) {
         loop {
-            let acts = self.relay.acts();
+            let acts = self.relay.take_actions();
             if acts.is_empty() {
                 return;
             }
             for act in acts {
                 match act {
-                    Do::Call { voter, number, request } => {
+                    Action::Call { voter, call_id: number, request } => {
                         if let Some(Some(calls)) = self.voters.get(voter as usize) {
                             // One that is full belongs to a voter that hangs: what it is told is told again.
                             let _ = calls.try_send((number, request));
                         }
                     }
-                    Do::Published { ticket, result } => self.published(ticket as usize, now, result),
-                    Do::Begins(token) => tracing::info!(term = token.term, "relay owns the feed"),
-                    Do::Ends(token) => tracing::info!(term = token.term, "relay owns the feed no more"),
-                    Do::Note(line) => tracing::info!("relay: {line}"),
+                    Action::Published { ticket, result } => self.published(ticket as usize, now, result),
+                    Action::LeadershipGained(token) => {
+                        tracing::info!(term = token.term, "relay owns the feed")
+                    }
+                    Action::LeadershipLost(token) => {
+                        tracing::info!(term = token.term, "relay owns the feed no more")
+                    }
+                    Action::Log(line) => tracing::info!("relay: {line}"),
                 }
             }
         }
     }
 
-    fn published(&mut self, at: usize, now: Ns, result: Result<u64, Refusal>) {
+    fn published(&mut self, at: usize, now: Ns, result: Result<u64, PublishError>) {
         let no = match result {
             Ok(n) => return self.settles(at, now, 200, json!({"n": n}).to_string().as_bytes()),
             Err(no) => no,
         };
         let code = match &no {
-            Refusal::NotOwner(_) | Refusal::Ended => 503,
-            Refusal::Fault(sablecross_relay::Fault::TooLarge { .. }) => 413,
-            Refusal::Fault(_) | Refusal::Ahead(..) | Refusal::Mark(_) => 400,
-            Refusal::Full(_) => 507,
-            Refusal::Unlisted => 409,
+            PublishError::NotLeader(_) | PublishError::LeadershipLost => 503,
+            PublishError::InvalidEvent(sablecross_relay::EventError::TooLarge { .. }) => 413,
+            PublishError::InvalidEvent(_) | PublishError::PurgeInFuture(..) | PublishError::KeyTooLong(_) => {
+                400
+            }
+            PublishError::LogFull(_) => 507,
+            PublishError::NoList => 409,
         };
         if code != 503
             && let Some(left_out) = self.lines.next(now)
@@ -755,7 +777,7 @@
             let from: Option<IpAddr> = self.conns.get(&at).map(|c| c.from);
             tracing::warn!("relay event refused from={from:?} left_out={left_out}: {no}");
         }
-        let owner = if let Refusal::NotOwner(Some(owner)) = &no { Some(owner.number) } else { None };
+        let owner = if let PublishError::NotLeader(Some(owner)) = &no { Some(owner.number) } else { None };
         let body = json!({"error": no.to_string(), "owner": owner}).to_string();
         self.settles(at, now, code, body.as_bytes());
     }
--- a/crates/tier/src/settings.rs
+++ b/crates/relay-server/src/settings.rs
@@ -3,22 +3,22 @@
 use std::net::SocketAddr;
 
 use garde::Validate;
-use sablecross_forms::{Fault, Placed};
+use sablecross_sexpr_config::{ConfigError, Located};
 use serde::{Deserialize, Deserializer, Serialize};
 
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 enum Form {
-    Relay(#[garde(dive)] Head),
-    Member(#[garde(dive)] Member),
-    Upstream(#[garde(dive)] Upstream),
-    Reader(#[garde(dive)] Reader),
+    Relay(#[garde(dive)] RelayForm),
+    Member(#[garde(dive)] MemberForm),
+    Upstream(#[garde(dive)] UpstreamForm),
+    Reader(#[garde(dive)] SubscriberForm),
 }
 
 /// What one relay goes by.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct Head {
+pub struct RelayForm {
     /// Its own among the members.
     #[garde(range(max = 1_000_000))]
     pub number: u32,
@@ -95,7 +95,7 @@
 /// A relay of the tier.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, Validate, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct Member {
+pub struct MemberForm {
     #[garde(range(max = 1_000_000))]
     pub number: u32,
     #[garde(skip)]
@@ -108,7 +108,7 @@
 /// A control feed that a plain relay follows, in place of the voters.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, Validate, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct Upstream {
+pub struct UpstreamForm {
     #[garde(skip)]
     pub address: SocketAddr,
 }
@@ -116,7 +116,7 @@
 /// A further listening address, which is that of one reader.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct Reader {
+pub struct SubscriberForm {
     #[garde(length(min = 1, max = 64))]
     pub name: String,
     #[garde(skip)]
@@ -157,7 +157,7 @@
 }
 
 fn held_ms() -> u64 {
-    sablecross_relay::horizon::HELD / 1_000_000
+    sablecross_relay::retention::PURGE_HOLD_TIME / 1_000_000
 }
 
 fn slack_ms() -> u64 {
@@ -198,40 +198,40 @@
 
 /// A whole settings file.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Setting {
-    pub head: Head,
+pub struct RelayServerConfig {
+    pub relay: RelayForm,
     pub listen: SocketAddr,
-    pub members: Vec<Member>,
+    pub members: Vec<MemberForm>,
     pub upstreams: Vec<SocketAddr>,
-    pub readers: Vec<Reader>,
+    pub subscribers: Vec<SubscriberForm>,
 }
 
 /// Descriptors beside those of connections: listeners come on top.
 const DESCRIPTORS: usize = 64;
 
-impl Setting {
-    pub fn load(file: &std::path::Path) -> Result<Setting, Vec<String>> {
+impl RelayServerConfig {
+    pub fn load(file: &std::path::Path) -> Result<RelayServerConfig, Vec<String>> {
         let name = file.display().to_string();
         let text = std::fs::read_to_string(file).map_err(|e| vec![format!("{name}: {e}")])?;
-        Setting::parse(&name, &text).map_err(|f| f.iter().map(ToString::to_string).collect())
+        RelayServerConfig::parse(&name, &text).map_err(|f| f.iter().map(ToString::to_string).collect())
     }
 
-    pub fn parse(file: &str, text: &str) -> Result<Setting, Vec<Fault>> {
-        let forms = sablecross_forms::read::<Form>(file, text)?;
+    pub fn parse(file: &str, text: &str) -> Result<RelayServerConfig, Vec<ConfigError>> {
+        let forms = sablecross_sexpr_config::parse_forms::<Form>(file, text)?;
         let (mut head, mut members, mut upstreams, mut readers) =
-            (None, Vec::<Member>::new(), Vec::new(), Vec::<Reader>::new());
+            (None, Vec::<MemberForm>::new(), Vec::new(), Vec::<SubscriberForm>::new());
         for form in &forms {
             match &form.value {
                 Form::Relay(h) => {
                     if head.is_some() {
-                        return Err(vec![form.fault(file, "relay", "a second one", "keep one")]);
+                        return Err(vec![form.error(file, "relay", "a second one", "keep one")]);
                     }
                     head = Some((form, h.clone()));
                 }
                 Form::Member(m) => {
                     if members.iter().any(|o| o.number == m.number || o.address == m.address) {
                         let what = "its number or address is another member's too";
-                        return Err(vec![form.fault(file, "member", what, "each stands here once")]);
+                        return Err(vec![form.error(file, "member", what, "each stands here once")]);
                     }
                     members.push(*m);
                 }
@@ -239,7 +239,7 @@
                 Form::Reader(r) => {
                     if readers.iter().any(|o| o.name == r.name || o.address == r.address) {
                         let what = "its name or address is another reader's too";
-                        return Err(vec![form.fault(file, "reader", what, "each stands here once")]);
+                        return Err(vec![form.error(file, "reader", what, "each stands here once")]);
                     }
                     readers.push(r.clone());
                 }
@@ -247,26 +247,33 @@
         }
         let Some((form, head)) = head else {
             let (key, what, todo) = ("relay".into(), "no (relay ...) form".into(), "add one".into());
-            return Err(vec![Fault { file: file.into(), line: 1, column: 1, key, what, todo }]);
+            return Err(vec![ConfigError {
+                file: file.into(),
+                line: 1,
+                column: 1,
+                key,
+                problem: what,
+                remedy: todo,
+            }]);
         };
-        let setting = Setting {
+        let setting = RelayServerConfig {
             listen: head.listen.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0))),
-            head,
+            relay: head,
             members,
             upstreams,
-            readers,
+            subscribers: readers,
         };
         setting.checked(file, form)
     }
 
     /// What has to fit across forms.
-    fn checked(mut self, file: &str, form: &Placed<Form>) -> Result<Setting, Vec<Fault>> {
-        let fault = |key: &str, what: &str, todo: &str| Err(vec![form.fault(file, key, what, todo)]);
-        let number = self.head.number;
+    fn checked(mut self, file: &str, form: &Located<Form>) -> Result<RelayServerConfig, Vec<ConfigError>> {
+        let fault = |key: &str, what: &str, todo: &str| Err(vec![form.error(file, key, what, todo)]);
+        let number = self.relay.number;
         let Some(own) = self.members.iter().find(|m| m.number == number).copied() else {
             return fault("relay.number", "no (member ...) form has this number", "add the member");
         };
-        if self.head.listen.is_none() {
+        if self.relay.listen.is_none() {
             self.listen = own.address;
         }
         if self.voters().count() > 15 {
@@ -282,7 +289,7 @@
                 "name an (upstream ...) or members that vote",
             );
         }
-        let h = &self.head;
+        let h = &self.relay;
         if 2 * h.round_ms > h.lease_ms {
             return fault("relay.round-ms", "longer than half of the lease", "an owner has to renew in time");
         }
@@ -296,38 +303,38 @@
         if h.event_bytes > h.log_bytes / 4 {
             return fault("relay.event-bytes", "over a quarter of log-bytes", "the log holds many events");
         }
-        if self.readers.iter().any(|r| r.address == self.listen) {
+        if self.subscribers.iter().any(|r| r.address == self.listen) {
             return fault("relay.listen", "a reader has this address too", "give each its own");
         }
         Ok(self)
     }
 
-    pub fn voters(&self) -> impl Iterator<Item = &Member> {
+    pub fn voters(&self) -> impl Iterator<Item = &MemberForm> {
         self.members.iter().filter(|m| m.votes)
     }
 
-    pub fn votes(&self) -> bool {
-        self.voters().any(|m| m.number == self.head.number)
+    pub fn is_voter(&self) -> bool {
+        self.voters().any(|m| m.number == self.relay.number)
     }
 
     /// By which name others know a relay as a reader.
-    pub fn named(number: u32) -> String {
+    pub fn relay_name(number: u32) -> String {
         format!("relay-{number}")
     }
 
     pub fn name(&self) -> String {
-        Setting::named(self.head.number)
+        RelayServerConfig::relay_name(self.relay.number)
     }
 
     /// Descriptors that it may come to use.
-    pub fn descriptors(&self) -> usize {
-        self.head.connections + self.readers.len() + self.members.len() + DESCRIPTORS
+    pub fn max_descriptors(&self) -> usize {
+        self.relay.connections + self.subscribers.len() + self.members.len() + DESCRIPTORS
     }
 
     /// Nothing of the machine's limits is raised: what would not fit is said.
-    pub fn fits(&self) -> Result<(), String> {
+    pub fn check_descriptor_limit(&self) -> Result<(), String> {
         let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
-        let (needs, has) = (self.descriptors() as u64, limit.unwrap_or(u64::MAX));
+        let (needs, has) = (self.max_descriptors() as u64, limit.unwrap_or(u64::MAX));
         if needs <= has {
             return Ok(());
         }
--- a/crates/tier/tests/http_format.rs
+++ b/crates/relay-server/tests/http_format.rs
@@ -5,9 +5,9 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use sablecross_relay::{Call, Reply, Request};
-use sablecross_tier::publish::Publisher;
-use sablecross_tier::settings::Member;
+use sablecross_relay::{PeerCall, PeerReply, PeerRequest};
+use sablecross_relay_server::publisher::Publisher;
+use sablecross_relay_server::settings::MemberForm;
 use tempfile::TempDir;
 
 const TIMEOUT: Duration = Duration::from_secs(10);
@@ -155,8 +155,8 @@
     assert_eq!(text(head.to_vec()), expected);
     // Its place, 0; the lives of both, its own a Unix time in ms and the other's unknown; what it asks.
     assert_eq!((&body[..4], &body[12..]), (b"\x93\x00\x92\xcf".as_slice(), b"\x00\xa5Learn".as_slice()));
-    let request: Request = rmp_serde::from_slice(body).expect("a request");
-    assert_eq!((request.from, request.call), (0, Call::Learn));
+    let request: PeerRequest = rmp_serde::from_slice(body).expect("a request");
+    assert_eq!((request.sender, request.call), (0, PeerCall::Recover));
 
     // From place 1, which lives for the ninth time; it answers with what it holds, which is nothing.
     let question = b"\x93\x01\x92\x00\x09\xa5Learn";
@@ -174,7 +174,7 @@
         body.len()
     );
     assert_eq!(text(head.to_vec()), expected);
-    let _: Reply = rmp_serde::from_slice(body).expect("a reply");
+    let _: PeerReply = rmp_serde::from_slice(body).expect("a reply");
     let learnt = b"\x81\xa6Learnt\x93\x92\x00\x92\x00\x00\xc2\x95\x00\x92\x00\x92\x00\x92\x00\x00\x00\
         \x97\x00\x00\x92\x00\x92\x00\x00\xc2\x00\x80\xc0\x90";
     assert_eq!(
@@ -299,7 +299,7 @@
     let at = address(5, 1);
     let listener = TcpListener::bind(at).expect("a voter");
     let publish = std::thread::spawn(move || {
-        let voter = Member { number: 0, address: at, votes: true };
+        let voter = MemberForm { number: 0, address: at, votes: true };
         Publisher::new(&[voter]).publish("m-1", b"{}", Duration::from_secs(5))
     });
     let (mut stream, call) = received(&listener);
--- a/crates/tier/tests/processes/common.rs
+++ b/crates/relay-server/tests/processes/common.rs
@@ -10,11 +10,11 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use rustix::process::{Pid, Signal, kill_process};
-use sablecross_feed::{Cursor, Feeds, Said, Stream, Verdict};
-use sablecross_relay::Status;
-use sablecross_tier::call::Line;
-use sablecross_tier::publish::{No, Publisher};
-use sablecross_tier::settings::Member;
+use sablecross_discovery::{EventCursor, EventStreamParser, EventVerdict, FeedSelector, StreamItem};
+use sablecross_relay::RelayStatus;
+use sablecross_relay_server::peer_client::PeerClient;
+use sablecross_relay_server::publisher::{PublishCallError, Publisher};
+use sablecross_relay_server::settings::MemberForm;
 use socket2::{Domain, Socket, Type};
 use tempfile::TempDir;
 
@@ -234,9 +234,9 @@
         child.wait().expect("it ends").code()
     }
 
-    pub fn status(&self, relay: u32) -> Option<Status> {
+    pub fn status(&self, relay: u32) -> Option<RelayStatus> {
         let (code, body) =
-            Line::new(self.at(relay), ms(1_000), 1 << 24).call("GET", "/v1/status", "", b"").ok()?;
+            PeerClient::new(self.at(relay), ms(1_000), 1 << 24).request("GET", "/v1/status", "", b"").ok()?;
         assert_eq!(code, 200);
         Some(serde_json::from_slice(&body).expect("a status"))
     }
@@ -258,7 +258,7 @@
     }
 
     pub fn publisher(&self) -> Publisher {
-        let voter = |n| Member { number: n, address: self.at(n), votes: true };
+        let voter = |n| MemberForm { number: n, address: self.at(n), votes: true };
         Publisher::new(&(0..self.voters).map(voter).collect::<Vec<_>>())
     }
 
@@ -347,7 +347,7 @@
     }
 }
 
-/// Follows feeds, as a director does: by `sablecross_feed`.
+/// Follows feeds, as a director does: by `sablecross_discovery`.
 pub struct Reader {
     pub got: Arc<Mutex<Got>>,
     stop: Arc<AtomicBool>,
@@ -372,7 +372,8 @@
     pub fn start(name: IpAddr, home: SocketAddr, all: &[SocketAddr]) -> Reader {
         let reader = Reader { got: Arc::default(), stop: Arc::default(), away: Arc::default() };
         let (got, stop, away) = (reader.got.clone(), reader.stop.clone(), reader.away.clone());
-        let (mut feeds, mut cursor) = (Feeds::new(&name.to_string(), home, all), Cursor::after(0));
+        let (mut feeds, mut cursor) =
+            (FeedSelector::new(&name.to_string(), home, all), EventCursor::after_number(0));
         spawn(move || {
             let begun = Instant::now();
             while !stop.load(Ordering::Relaxed) {
@@ -380,15 +381,15 @@
                     sleep(ms(10));
                     continue;
                 }
-                let (since, before) = (Instant::now(), cursor.last());
+                let (since, before) = (Instant::now(), cursor.last_number());
                 match follow(name, &mut feeds, &mut cursor, &got, &away, &stop) {
-                    Ok(()) => feeds.ended(begun.elapsed()),
+                    Ok(()) => feeds.on_stream_ended(begun.elapsed()),
                     Err(_) => {
                         got.lock().expect("a lock").failed += 1;
-                        feeds.failed(begun.elapsed());
+                        feeds.on_failed(begun.elapsed());
                     }
                 }
-                if cursor.last() == before && since.elapsed() < ms(100) {
+                if cursor.last_number() == before && since.elapsed() < ms(100) {
                     sleep(ms(100));
                 }
             }
@@ -416,24 +417,26 @@
 
 fn follow(
     name: IpAddr,
-    feeds: &mut Feeds,
-    cursor: &mut Cursor,
+    feeds: &mut FeedSelector,
+    cursor: &mut EventCursor,
     got: &Mutex<Got>,
     away: &AtomicBool,
     stop: &AtomicBool,
 ) -> Result<(), String> {
-    let at = feeds.at();
+    let at = feeds.current();
     let stream = dial(name, at).map_err(|e| e.to_string())?;
     stream.set_read_timeout(Some(ms(20))).map_err(|e| e.to_string())?;
-    (&stream).write_all(sablecross_feed::request(at, cursor.last()).as_bytes()).map_err(|e| e.to_string())?;
+    (&stream)
+        .write_all(sablecross_discovery::events_request(at, cursor.last_number()).as_bytes())
+        .map_err(|e| e.to_string())?;
     got.lock().expect("a lock").calls += 1;
-    let (mut answer, mut bytes, mut heard) = (Stream::new(1 << 22), [0; 8_192], Instant::now());
+    let (mut answer, mut bytes, mut heard) = (EventStreamParser::new(1 << 22), [0; 8_192], Instant::now());
     while !away.load(Ordering::Relaxed) && !stop.load(Ordering::Relaxed) {
         match (&stream).read(&mut bytes) {
-            Ok(0) => return answer.end().map_err(|e| e.to_string()),
+            Ok(0) => return answer.finish().map_err(|e| e.to_string()),
             Ok(n) => {
                 heard = Instant::now();
-                answer.take(&bytes[..n]);
+                answer.push(&bytes[..n]);
             }
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
                 if heard.elapsed() > ms(2_000) {
@@ -442,20 +445,20 @@
             }
             Err(e) => return Err(e.to_string()),
         }
-        while let Some(said) = answer.said().map_err(|e| e.to_string())? {
+        while let Some(said) = answer.next_item().map_err(|e| e.to_string())? {
             match said {
-                Said::Up => feeds.answered(),
-                Said::Comment(_) => {}
-                Said::Event { id, data } => {
+                StreamItem::Connected => feeds.on_connected(),
+                StreamItem::Comment(_) => {}
+                StreamItem::Event { id, data } => {
                     let mut got = got.lock().expect("a lock");
-                    match cursor.event(id, number(&data)) {
-                        Verdict::Take(_) => got.events.push((cursor.last(), data)),
-                        Verdict::Repeat => {}
-                        Verdict::Again(why) => {
+                    match cursor.classify(id, number(&data)) {
+                        EventVerdict::New(_) => got.events.push((cursor.last_number(), data)),
+                        EventVerdict::Duplicate => {}
+                        EventVerdict::Resubscribe(why) => {
                             got.again += 1;
                             return Err(why);
                         }
-                        Verdict::Skip { .. } => got.skipped += 1,
+                        EventVerdict::Skip { .. } => got.skipped += 1,
                     }
                 }
             }
@@ -496,7 +499,7 @@
 
 /// Whether a voter refuses an event as one that is not the source, or not any more.
 pub fn refuses(tier: &Tier, relay: u32, event: &str) -> bool {
-    let member = Member { number: relay, address: tier.at(relay), votes: true };
+    let member = MemberForm { number: relay, address: tier.at(relay), votes: true };
     let said = Publisher::new(&[member]).publish("once", event.as_bytes(), Duration::ZERO);
-    matches!(said, Err(No::Late(..)))
+    matches!(said, Err(PublishCallError::TimedOut(..)))
 }
--- a/crates/tier/tests/processes/faults.rs
+++ b/crates/relay-server/tests/processes/faults.rs
@@ -17,7 +17,7 @@
     let second = tier.owner_but(&[first]);
     tier.begin(first);
     assert!(
-        until(PATIENCE, || tier.status(first).is_some_and(|s| s.learning_ms.is_none())),
+        until(PATIENCE, || tier.status(first).is_some_and(|s| s.recovering_ms.is_none())),
         "{}",
         tier.logs()
     );
@@ -55,7 +55,7 @@
     tier.listed();
     let load = Load::start(tier.publisher(), 1, ms(10));
     // Until somebody owned the feed, all were stale.
-    let fresh = || tier.status(3).and_then(|s| s.fresh_ms);
+    let fresh = || tier.status(3).and_then(|s| s.staleness_ms);
     assert!(until(PATIENCE, || fresh().is_some_and(|ms| ms < 1_000)), "{}", tier.logs());
     let before = tier.log(3).matches("stale").count();
     std::thread::sleep(ms(4_000));
@@ -77,7 +77,7 @@
     assert!(until(PATIENCE, || reader[0].last() > 0));
     holds.from.store(true, std::sync::atomic::Ordering::Relaxed);
     let cut = Instant::now();
-    let at = tier.status(0).expect("a status").last;
+    let at = tier.status(0).expect("a status").last_number;
     assert!(until(PATIENCE, || reader[0].last() > at + 20), "{}", tier.logs());
     let took = cut.elapsed();
     holds.from.store(false, std::sync::atomic::Ordering::Relaxed);
@@ -106,7 +106,7 @@
     }
     tier.begin(owner);
     assert!(
-        until(PATIENCE, || tier.status(owner).is_some_and(|s| s.learning_ms.is_none())),
+        until(PATIENCE, || tier.status(owner).is_some_and(|s| s.recovering_ms.is_none())),
         "{}",
         tier.logs()
     );
@@ -131,10 +131,10 @@
     tier.kill(voter);
     tier.begin(voter);
     let last = *published.0.keys().last().expect("events");
-    let learnt = |n| tier.status(n).is_some_and(|s| s.learning_ms.is_none() && s.last >= last);
+    let learnt = |n| tier.status(n).is_some_and(|s| s.recovering_ms.is_none() && s.last_number >= last);
     assert!(until(ms(5_000), || learnt(voter)), "{}", tier.logs());
     tier.begin(3);
-    assert!(until(ms(5_000), || tier.status(3).is_some_and(|s| s.last >= last)), "{}", tier.logs());
+    assert!(until(ms(5_000), || tier.status(3).is_some_and(|s| s.last_number >= last)), "{}", tier.logs());
     complete(&[tier.reader(1, 3)], &published, &tier);
 }
 
--- a/crates/tier/tests/processes/readers.rs
+++ b/crates/relay-server/tests/processes/readers.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use crate::common::{LIST, Load, PATIENCE, Published, Reader, Tier, complete, dial, large, ms, purge, until};
-use sablecross_relay::{Status, merge};
-use sablecross_tier::call::Line;
+use sablecross_relay::{RelayStatus, merge_statuses};
+use sablecross_relay_server::peer_client::PeerClient;
 
 /// The most memory that a process held, in KB.
 fn most_memory(pid: u32) -> u64 {
@@ -20,7 +20,7 @@
 fn slow(from: std::net::IpAddr, at: SocketAddr) {
     let stream = dial(from, at).expect("a connection");
     socket2::SockRef::from(&stream).set_recv_buffer_size(2_048).expect("a small window");
-    (&stream).write_all(sablecross_feed::request(at, 0).as_bytes()).expect("a call");
+    (&stream).write_all(sablecross_discovery::events_request(at, 0).as_bytes()).expect("a call");
     spawn(move || {
         let mut byte = [0];
         while (&stream).read(&mut byte).is_ok_and(|n| n > 0) {
@@ -51,7 +51,7 @@
     assert!(most < ms(1_500), "a reader in time was told after {most:?}");
 }
 
-fn statuses(tier: &Tier) -> Vec<Status> {
+fn statuses(tier: &Tier) -> Vec<RelayStatus> {
     (0..4).filter_map(|n| tier.status(n)).collect()
 }
 
@@ -62,7 +62,9 @@
     let mut published = tier.listed();
     let mut readers = tier.readers(40);
     let n = published.tell(&mut tier.publisher(), "before", &purge(1));
-    let everywhere = |n: u64| until(PATIENCE, || merge(&statuses(&tier)).in_force(n).since_unix_ms.is_some());
+    let everywhere = |n: u64| {
+        until(PATIENCE, || merge_statuses(&statuses(&tier)).applied_status(n).since_unix_ms.is_some())
+    };
     assert!(everywhere(n), "{}", tier.logs());
     let gone = readers.split_off(28);
     gone.iter().for_each(|r| r.goes(true));
@@ -70,7 +72,7 @@
     let begun = Instant::now();
     assert!(everywhere(n), "{}", tier.logs());
     assert!(begun.elapsed() < ms(7_000), "in force at the others after {:?}", begun.elapsed());
-    let whole = merge(&statuses(&tier)).in_force(n);
+    let whole = merge_statuses(&statuses(&tier)).applied_status(n);
     let mut missing: Vec<String> = whole.missing.iter().map(|m| m.name.clone()).collect();
     missing.sort();
     let mut names: Vec<String> = (29..=40).map(|i| tier.ip(i).to_string()).collect();
@@ -78,7 +80,7 @@
     assert_eq!(missing, names);
     // They come back, and nothing is missing any more.
     gone.iter().for_each(|r| r.goes(false));
-    let back = || merge(&statuses(&tier)).in_force(n).missing.is_empty();
+    let back = || merge_statuses(&statuses(&tier)).applied_status(n).missing.is_empty();
     assert!(until(PATIENCE, back), "{}", tier.logs());
     readers.extend(gone);
     complete(&readers, &published, &tier);
@@ -134,8 +136,9 @@
     let readers = tier.readers(4);
     let at = tier.at(tier.owner());
     let said = |event: &[u8]| {
-        let (code, body) =
-            Line::new(at, PATIENCE, 1 << 20).call("POST", "/v1/events", "", event).expect("an answer");
+        let (code, body) = PeerClient::new(at, PATIENCE, 1 << 20)
+            .request("POST", "/v1/events", "", event)
+            .expect("an answer");
         (code, String::from_utf8_lossy(&body).into_owned())
     };
     let oversized = large(3_000_000, 3);
@@ -214,7 +217,8 @@
     assert!(tier.logs().contains("event 5"), "{}", tier.logs());
     // A word on the hierarchy is passed on to whom the feed is.
     let word = br#"{"party":"n","number":1,"digest":"00"}"#;
-    let said = Line::new(tier.at(0), PATIENCE, 1 << 10).call("POST", "/v1/hierarchy/in-force", "", word);
+    let said =
+        PeerClient::new(tier.at(0), PATIENCE, 1 << 10).request("POST", "/v1/hierarchy/in-force", "", word);
     assert_eq!(said.expect("an answer").0, 204);
 }
 
@@ -229,10 +233,10 @@
     // Both from one IP address.
     let readers = [0, 1].map(|i| Reader::start(tier.ip(1), at[i], &[]));
     let n = published.tell(&mut tier.publisher(), "p", &purge(1));
-    let in_force = || merge(&[tier.status(0).expect("a status")]).in_force(n);
+    let in_force = || merge_statuses(&[tier.status(0).expect("a status")]).applied_status(n);
     assert!(until(PATIENCE, || in_force().since_unix_ms.is_some()), "{}", tier.logs());
     let missing = in_force().missing;
     assert_eq!(missing.iter().map(|m| m.name.as_str()).collect::<Vec<_>>(), ["n7"]);
-    assert_eq!(missing[0].heard_unix_ms, None);
+    assert_eq!(missing[0].last_seen_unix_ms, None);
     complete(&readers, &published, &tier);
 }
--- a/crates/tier/tests/settings.rs
+++ b/crates/relay-server/tests/settings.rs
@@ -1,9 +1,9 @@
 //! Settings files: the sample, and what is wrong with others, where.
 
-use sablecross_tier::Setting;
+use sablecross_relay_server::RelayServerConfig;
 
 fn fault(text: &str) -> String {
-    let faults = Setting::parse("r.scm", text).expect_err("a fault");
+    let faults = RelayServerConfig::parse("r.scm", text).expect_err("a fault");
     faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
 }
 
@@ -12,14 +12,14 @@
 #[test]
 fn the_sample_is_read() {
     let text = include_str!("../../../deploy/relay.scm");
-    let setting = Setting::parse("relay.scm", text).expect("the sample");
+    let setting = RelayServerConfig::parse("relay.scm", text).expect("the sample");
     assert_eq!(setting.voters().count(), 3);
     assert_eq!(setting.listen, "127.0.0.1:7070".parse().expect("an address"));
-    assert!(setting.votes() && setting.upstreams.is_empty());
-    assert_eq!(setting.readers[0].name, "n5");
+    assert!(setting.is_voter() && setting.upstreams.is_empty());
+    assert_eq!(setting.subscribers[0].name, "n5");
     // What the sample says is what is taken by itself.
     let short = format!("(relay (number . 0))\n{MEMBER}");
-    assert_eq!(Setting::parse("short", &short).expect("short").head, setting.head);
+    assert_eq!(RelayServerConfig::parse("short", &short).expect("short").relay, setting.relay);
 }
 
 #[test]
@@ -60,12 +60,12 @@
 #[test]
 fn what_does_not_fit_the_limit_is_said() {
     let text = format!("(relay (number . 0) (connections . 100000))\n{MEMBER}");
-    let setting = Setting::parse("r.scm", &text).expect("settings");
+    let setting = RelayServerConfig::parse("r.scm", &text).expect("settings");
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
-    if limit.is_some_and(|l| l < setting.descriptors() as u64) {
-        let why = setting.fits().expect_err("it does not fit");
+    if limit.is_some_and(|l| l < setting.max_descriptors() as u64) {
+        let why = setting.check_descriptor_limit().expect_err("it does not fit");
         assert!(why.contains("relay.connections") && why.contains("descriptors"), "{why}");
     } else {
-        assert_eq!(setting.fits(), Ok(()));
+        assert_eq!(setting.check_descriptor_limit(), Ok(()));
     }
 }
--- a/crates/tier/tests/settings_format.rs
+++ b/crates/relay-server/tests/settings_format.rs
@@ -1,18 +1,18 @@
 //! The forms of a relay's settings file: every key by its spelling, and what stands for one that is left out.
 
-use sablecross_tier::Setting;
-use sablecross_tier::settings::Head;
+use sablecross_relay_server::RelayServerConfig;
+use sablecross_relay_server::settings::RelayForm;
 
 const MEMBER: &str = "(member (number . 0) (address . \"127.0.0.1:7070\") (votes . #t))\n";
 
-fn parsed(text: &str) -> Setting {
-    Setting::parse("r.scm", text).unwrap_or_else(|faults| panic!("{faults:?}"))
+fn parsed(text: &str) -> RelayServerConfig {
+    RelayServerConfig::parse("r.scm", text).unwrap_or_else(|faults| panic!("{faults:?}"))
 }
 
 #[test]
 fn defaults_of_every_key() {
     let setting = parsed(&format!("(relay (number . 0))\n{MEMBER}"));
-    let expected = Head {
+    let expected = RelayForm {
         number: 0,
         listen: None,
         batch_ms: 100,
@@ -33,9 +33,9 @@
         stale_ms: 3_000,
         connections: 4_000,
     };
-    assert_eq!(setting.head, expected);
+    assert_eq!(setting.relay, expected);
     assert_eq!(setting.listen, "127.0.0.1:7070".parse().expect("an address"));
-    assert!(setting.upstreams.is_empty() && setting.readers.is_empty());
+    assert!(setting.upstreams.is_empty() && setting.subscribers.is_empty());
     let member = &setting.members[0];
     assert_eq!((member.number, member.address, member.votes), (0, setting.listen, true));
     // A member votes only if it says so.
@@ -55,7 +55,7 @@
          (upstream (address . \"127.0.0.1:7099\"))\n\
          (reader (name . \"n5\") (address . \"127.0.0.1:7105\"))\n",
     );
-    let expected = Head {
+    let expected = RelayForm {
         number: 3,
         listen: Some("127.0.0.1:8000".parse().expect("an address")),
         batch_ms: 101,
@@ -76,13 +76,13 @@
         stale_ms: 3_001,
         connections: 4_001,
     };
-    assert_eq!(setting.head, expected);
+    assert_eq!(setting.relay, expected);
     assert_eq!(setting.listen.to_string(), "127.0.0.1:8000");
     assert_eq!(setting.members[0].address.to_string(), "127.0.0.1:7073");
     assert!(!setting.members[0].votes);
     assert_eq!(setting.upstreams, ["127.0.0.1:7099".parse().expect("an address")]);
-    assert_eq!(setting.readers[0].name, "n5");
-    assert_eq!(setting.readers[0].address.to_string(), "127.0.0.1:7105");
+    assert_eq!(setting.subscribers[0].name, "n5");
+    assert_eq!(setting.subscribers[0].address.to_string(), "127.0.0.1:7105");
     assert_eq!(setting.name(), "relay-3");
 }
 
@@ -90,7 +90,7 @@
 #[test]
 fn keys_that_are_missing_or_unknown() {
     for (text, line) in MISTAKES {
-        let faults = Setting::parse("r.scm", text).expect_err("a fault");
+        let faults = RelayServerConfig::parse("r.scm", text).expect_err("a fault");
         assert_eq!(faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "), line, "{text}");
     }
 }
--- a/crates/tier/tests/wire_format.rs
+++ b/crates/relay-server/tests/wire_format.rs
@@ -3,9 +3,9 @@
 
 use std::fmt::Debug;
 
-use sablecross_duty::{Ask, Member, Reply as Said, Token};
-use sablecross_relay::group::Held;
-use sablecross_relay::{Answer, Base, Call, Entry, Reply, Request};
+use sablecross_coordination::{FencingToken, LeaseReply as Said, LeaseRequest, Member};
+use sablecross_relay::group::ReplicaState;
+use sablecross_relay::{LogEntry, PeerAnswer, PeerCall, PeerReply, PeerRequest, Snapshot};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -29,41 +29,47 @@
 }
 
 fn member() -> Member {
-    Member { number: 7, life: 9 }
+    Member { number: 7, incarnation: 9 }
 }
 
-fn token() -> Token {
-    Token { term: 3, owner: member() }
+fn token() -> FencingToken {
+    FencingToken { term: 3, holder: member() }
 }
 
-fn entries() -> Vec<Entry> {
+fn entries() -> Vec<LogEntry> {
     let body = "{\"purge\":{}}".to_owned();
-    let plain = Entry { number: 6, by: token(), body: "{}".into(), mark: None };
-    vec![plain, Entry { number: 300, by: token(), body, mark: Some("m-1".into()) }]
+    let plain = LogEntry { number: 6, token: token(), body: "{}".into(), idempotency_key: None };
+    vec![plain, LogEntry { number: 300, token: token(), body, idempotency_key: Some("m-1".into()) }]
 }
 
-fn base() -> Base {
-    Base {
+fn base() -> Snapshot {
+    Snapshot {
         number: 5,
-        began: 4,
-        by: token(),
-        listed: true,
-        index: 2,
+        epoch_start: 4,
+        token: token(),
+        has_list: true,
+        list_index: 2,
         members: [("n1".to_owned(), "{\"name\":\"n1\"}".to_owned())].into(),
         hierarchy: Some((3, "{\"hierarchy\":{}}".to_owned())),
     }
 }
 
-fn held() -> Held {
-    Held { era: 1_000, last: (300, token()), committed: 6, base: Some(base()), entries: entries() }
+fn held() -> ReplicaState {
+    ReplicaState {
+        epoch: 1_000,
+        last_entry: (300, token()),
+        committed: 6,
+        snapshot: Some(base()),
+        entries: entries(),
+    }
 }
 
-fn request(call: Call) -> Request {
-    Request { from: 1, lives: vec![0, 9], call }
+fn request(call: PeerCall) -> PeerRequest {
+    PeerRequest { sender: 1, incarnations: vec![0, 9], call }
 }
 
-fn reply(answer: Answer) -> Reply {
-    Reply { lives: vec![0, 9], answer }
+fn reply(answer: PeerAnswer) -> PeerReply {
+    PeerReply { incarnations: vec![0, 9], answer }
 }
 
 #[test]
@@ -72,33 +78,37 @@
         holds(entry, expected);
     }
     holds(&base(), BASE);
-    holds(&Base::default(), EMPTY_BASE);
+    holds(&Snapshot::default(), EMPTY_BASE);
     holds(&held(), HELD);
-    holds(&Held::default(), EMPTY_HELD);
+    holds(&ReplicaState::default(), EMPTY_HELD);
 }
 
 #[test]
 fn calls() {
     let calls = [
-        Call::Duty(Ask::Look { round: 2, from: member() }),
-        Call::Duty(Ask::Claim { round: 2, from: member(), term: 3, lease: 1_000_000_000 }),
-        Call::Duty(Ask::Release { from: member(), term: 3, to: None }),
-        Call::Duty(Ask::Release { from: member(), term: 3, to: Some(Member { number: 8, life: 1 }) }),
-        Call::Learn,
-        Call::Read { by: token(), era: 1_000, after: 6 },
-        Call::Keep {
-            by: token(),
-            era: 1_000,
-            previous: (5, token()),
-            base: None,
+        PeerCall::Lease(LeaseRequest::PreVote { round: 2, from: member() }),
+        PeerCall::Lease(LeaseRequest::Acquire { round: 2, from: member(), term: 3, lease: 1_000_000_000 }),
+        PeerCall::Lease(LeaseRequest::Release { from: member(), term: 3, to: None }),
+        PeerCall::Lease(LeaseRequest::Release {
+            from: member(),
+            term: 3,
+            to: Some(Member { number: 8, incarnation: 1 }),
+        }),
+        PeerCall::Recover,
+        PeerCall::Read { token: token(), epoch: 1_000, after_number: 6 },
+        PeerCall::Append {
+            token: token(),
+            epoch: 1_000,
+            previous_entry: (5, token()),
+            snapshot: None,
             entries: entries(),
             committed: 6,
         },
-        Call::Keep {
-            by: token(),
-            era: 1_000,
-            previous: (5, token()),
-            base: Some(base()),
+        PeerCall::Append {
+            token: token(),
+            epoch: 1_000,
+            previous_entry: (5, token()),
+            snapshot: Some(base()),
             entries: Vec::new(),
             committed: 5,
         },
@@ -112,24 +122,28 @@
 #[test]
 fn answers() {
     let answers = [
-        Answer::Nothing,
-        Answer::Duty(Said::Seen { round: 2, highest: 3, held: None }),
-        Answer::Duty(Said::Seen { round: 2, highest: 3, held: Some((member(), 500)) }),
-        Answer::Duty(Said::Granted { round: 2, term: 3 }),
-        Answer::Duty(Said::Refused { round: 2, highest: 3, held: None }),
-        Answer::Duty(Said::Refused { round: 2, highest: 3, held: Some((member(), 500)) }),
-        Answer::Learnt { promised: token(), sure: true, held: held() },
-        Answer::Held { by: token(), sure: false, held: Held { base: None, ..held() } },
-        Answer::Kept { by: token(), era: 1_000, upto: 300, floor: 6 },
-        Answer::Unsure { by: token() },
-        Answer::Has { by: token(), era: 1_000, committed: 6 },
-        Answer::Old(token()),
+        PeerAnswer::NotReady,
+        PeerAnswer::Lease(Said::PreVoteResult { round: 2, highest_term: 3, holder: None }),
+        PeerAnswer::Lease(Said::PreVoteResult { round: 2, highest_term: 3, holder: Some((member(), 500)) }),
+        PeerAnswer::Lease(Said::Granted { round: 2, term: 3 }),
+        PeerAnswer::Lease(Said::Rejected { round: 2, highest_term: 3, holder: None }),
+        PeerAnswer::Lease(Said::Rejected { round: 2, highest_term: 3, holder: Some((member(), 500)) }),
+        PeerAnswer::Recovered { highest_token: token(), is_complete: true, state: held() },
+        PeerAnswer::State {
+            token: token(),
+            is_complete: false,
+            state: ReplicaState { snapshot: None, ..held() },
+        },
+        PeerAnswer::Appended { token: token(), epoch: 1_000, last_number: 300, applied_number: 6 },
+        PeerAnswer::NeedsReset { token: token() },
+        PeerAnswer::Mismatch { token: token(), epoch: 1_000, committed: 6 },
+        PeerAnswer::StaleToken(token()),
     ];
     assert_eq!(answers.len(), ANSWERS.len());
     for (answer, expected) in answers.into_iter().zip(ANSWERS) {
         holds(&reply(answer), expected);
     }
-    holds(&Reply::default(), EMPTY_REPLY);
+    holds(&PeerReply::default(), EMPTY_REPLY);
 }
 
 const ENTRIES: [&str; 2] = ["94069203920709a27b7dc0", "94cd012c9203920709ac7b227075726765223a7b7d7da36d2d31"];
