--- a/crates/relay/src/event.rs
+++ b/crates/relay/src/event.rs
@@ -4,47 +4,47 @@
 use std::net::SocketAddr;
 
 use sablecross_hierarchy::Admission;
-use sablecross_hierarchy::spec::Told as Spec;
+use sablecross_hierarchy::spec::HierarchySpec as Spec;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use thiserror::Error;
 
 /// Numbers stay below this: past it no JSON number is exact.
-pub const MOST_NUMBER: u64 = 1 << 53;
+pub const MAX_EVENT_NUMBER: u64 = 1 << 53;
 
 /// An event that is refused: what is wrong with it, and where.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Fault {
+pub enum EventError {
     #[error("the event has {bytes} bytes, more than {most}")]
     TooLarge { bytes: usize, most: usize },
     #[error("the event is no JSON as the feed has it: {0}")]
-    Json(String),
+    InvalidJson(String),
     #[error("the event's number {0} is past what JSON holds exactly")]
-    Number(u64),
+    NumberTooLarge(u64),
     #[error("the event has no members, purge or hierarchy")]
     Empty,
     #[error("the event has more than one of members, purge and hierarchy")]
-    Several,
+    MultipleKinds,
     #[error("members: {0}")]
-    Members(String),
+    InvalidMembers(String),
     #[error("members: endpoint {place} ({name}): {why}")]
-    Endpoint { place: usize, name: String, why: String },
+    InvalidEndpoint { place: usize, name: String, why: String },
     #[error("purge: {0}")]
-    Purge(String),
+    InvalidPurge(String),
     #[error("hierarchy: {0}")]
-    Hierarchy(String),
+    InvalidHierarchy(String),
 }
 
 /// What an event is about, as far as a relay has to know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum EventKind {
     /// The whole list, or what has changed of it.
     Members {
-        whole: bool,
+        is_snapshot: bool,
     },
     /// Made at this Unix millisecond.
     Purge {
-        at: u64,
+        created_unix_ms: u64,
     },
     Hierarchy,
 }
@@ -52,7 +52,7 @@
 /// One that was checked. Its bytes are those it came as, on one line and without its number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    kind: Kind,
+    kind: EventKind,
     body: String,
 }
 
@@ -113,66 +113,68 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Endpoint {
     pub name: String,
-    pub gone: bool,
-    pub raw: String,
+    pub is_gone: bool,
+    pub json: String,
 }
 
 fn why(e: serde_json::Error) -> String {
     e.to_string()
 }
 
-fn endpoints(members: &str) -> Result<(bool, Vec<Endpoint>), Fault> {
-    let list: Members = serde_json::from_str(members).map_err(|e| Fault::Members(why(e)))?;
+fn endpoints(members: &str) -> Result<(bool, Vec<Endpoint>), EventError> {
+    let list: Members = serde_json::from_str(members).map_err(|e| EventError::InvalidMembers(why(e)))?;
     let one = |(place, raw): (usize, &RawValue)| {
         let line: Line = serde_json::from_str(raw.get()).map_err(|e| {
             let name = serde_json::from_str::<Name>(raw.get()).map(|n| n.name).unwrap_or_default();
-            Fault::Endpoint { place, name, why: why(e) }
+            EventError::InvalidEndpoint { place, name, why: why(e) }
         })?;
-        Ok(Endpoint { name: line.name, gone: line.status == Status::Gone, raw: raw.get().to_owned() })
+        Ok(Endpoint { name: line.name, is_gone: line.status == Status::Gone, json: raw.get().to_owned() })
     };
-    let all = list.endpoints.into_iter().enumerate().map(one).collect::<Result<Vec<_>, Fault>>()?;
+    let all = list.endpoints.into_iter().enumerate().map(one).collect::<Result<Vec<_>, EventError>>()?;
     Ok((list.snapshot, all))
 }
 
-fn purge(text: &str) -> Result<Kind, Fault> {
-    let p: Purge = serde_json::from_str(text).map_err(|e| Fault::Purge(why(e)))?;
+fn purge(text: &str) -> Result<EventKind, EventError> {
+    let p: Purge = serde_json::from_str(text).map_err(|e| EventError::InvalidPurge(why(e)))?;
     match (&p.key, p.group) {
-        (None, None) => return Err(Fault::Purge("it names neither a key nor a group".into())),
+        (None, None) => return Err(EventError::InvalidPurge("it names neither a key nor a group".into())),
         (Some(key), _) if u64::from_str_radix(key, 16).is_err() => {
-            return Err(Fault::Purge(format!("key {key:?} is no object")));
+            return Err(EventError::InvalidPurge(format!("key {key:?} is no object")));
         }
         _ => {}
     }
-    Ok(Kind::Purge { at: p.at })
+    Ok(EventKind::Purge { created_unix_ms: p.at })
 }
 
-fn hierarchy(text: &str) -> Result<Kind, Fault> {
-    let spec: Spec = serde_json::from_str(text).map_err(|e| Fault::Hierarchy(why(e)))?;
-    let (_, version) = spec.hierarchy(None).map_err(Fault::Hierarchy)?;
+fn hierarchy(text: &str) -> Result<EventKind, EventError> {
+    let spec: Spec = serde_json::from_str(text).map_err(|e| EventError::InvalidHierarchy(why(e)))?;
+    let (_, version) = spec.to_hierarchy(None).map_err(EventError::InvalidHierarchy)?;
     // As directors check it: one that they would pass over is not told.
-    Admission::sound(&version).map_err(|e| Fault::Hierarchy(e.to_string()))?;
-    Ok(Kind::Hierarchy)
+    Admission::check_structure(&version).map_err(|e| EventError::InvalidHierarchy(e.to_string()))?;
+    Ok(EventKind::Hierarchy)
 }
 
 impl Event {
     /// Reads an event, with its number if it has one. It may have `most` bytes.
-    pub fn read(text: &[u8], most: usize) -> Result<(Option<u64>, Event), Fault> {
+    pub fn parse(text: &[u8], most: usize) -> Result<(Option<u64>, Event), EventError> {
         if text.len() > most {
-            return Err(Fault::TooLarge { bytes: text.len(), most });
+            return Err(EventError::TooLarge { bytes: text.len(), most });
         }
-        let text = std::str::from_utf8(text).map_err(|e| Fault::Json(e.to_string()))?;
-        let raw: Raw = serde_json::from_str(text).map_err(|e| Fault::Json(why(e)))?;
-        if let Some(n) = raw.n.filter(|n| *n >= MOST_NUMBER) {
-            return Err(Fault::Number(n));
+        let text = std::str::from_utf8(text).map_err(|e| EventError::InvalidJson(e.to_string()))?;
+        let raw: Raw = serde_json::from_str(text).map_err(|e| EventError::InvalidJson(why(e)))?;
+        if let Some(n) = raw.n.filter(|n| *n >= MAX_EVENT_NUMBER) {
+            return Err(EventError::NumberTooLarge(n));
         }
         let (name, value, kind) = match (raw.members, raw.purge, raw.hierarchy) {
-            (Some(m), None, None) => {
-                ("members", m, endpoints(m.get()).map(|(whole, _)| Kind::Members { whole })?)
-            }
+            (Some(m), None, None) => (
+                "members",
+                m,
+                endpoints(m.get()).map(|(whole, _)| EventKind::Members { is_snapshot: whole })?,
+            ),
             (None, Some(p), None) => ("purge", p, purge(p.get())?),
             (None, None, Some(h)) => ("hierarchy", h, hierarchy(h.get())?),
-            (None, None, None) => return Err(Fault::Empty),
-            _ => return Err(Fault::Several),
+            (None, None, None) => return Err(EventError::Empty),
+            _ => return Err(EventError::MultipleKinds),
         };
         // Ends of lines stand between values alone: within strings JSON has none.
         let body = format!("{{\"{name}\":{}}}", value.get().replace(['\n', '\r'], " "));
@@ -181,19 +183,19 @@
 
     /// A list event that changes nothing: the first of an owner, and what stands for one that nobody can
     /// read.
-    pub fn nothing() -> Event {
+    pub fn empty_update() -> Event {
         let body = r#"{"members":{"index":0,"snapshot":false,"endpoints":[]}}"#.to_owned();
-        Event { kind: Kind::Members { whole: false }, body }
+        Event { kind: EventKind::Members { is_snapshot: false }, body }
     }
 
     /// A whole list of these endpoints.
-    pub fn whole<'a>(index: u64, raw: impl Iterator<Item = &'a str>) -> Event {
+    pub fn snapshot<'a>(index: u64, raw: impl Iterator<Item = &'a str>) -> Event {
         let list = raw.collect::<Vec<_>>().join(",");
         let body = format!(r#"{{"members":{{"index":{index},"snapshot":true,"endpoints":[{list}]}}}}"#);
-        Event { kind: Kind::Members { whole: true }, body }
+        Event { kind: EventKind::Members { is_snapshot: true }, body }
     }
 
-    pub fn kind(&self) -> Kind {
+    pub fn kind(&self) -> EventKind {
         self.kind
     }
 
@@ -219,7 +221,7 @@
     }
 
     /// As it is on the wire.
-    pub fn frame(&self, number: u64) -> Vec<u8> {
+    pub fn to_frame(&self, number: u64) -> Vec<u8> {
         format!("id: {number}\ndata: {{\"n\":{number},{}\n\n", &self.body[1..]).into_bytes()
     }
 }
--- a/crates/relay/src/group.rs
+++ b/crates/relay/src/group.rs
@@ -1,7 +1,7 @@
 //! The group of voters: one of them at a time takes events in and numbers them; what a majority keeps is
 //! told.
 //!
-//! Owners come and go by `sablecross_duty`; the log is kept as Raft keeps its own (Ongaro, Ousterhout 2014),
+//! Owners come and go by `sablecross_coordination`; the log is kept as Raft keeps its own (Ongaro, Ousterhout 2014),
 //! with tokens for terms: a new owner shuts out older ones at a majority, goes on from the furthest log
 //! there, and tells nothing before an entry of its own is kept by a majority.
 //!
@@ -13,187 +13,190 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use sablecross_duty::{Act, Ask, Gate, Member, Ns, Reply as Said, Rules as SeatRules, Seat, Token, Voter};
+use sablecross_coordination::{
+    CandidateAction, FencingGuard, FencingToken, LeaseCandidate, LeaseConfig as SeatRules,
+    LeaseReply as Said, LeaseRequest, Member, Ns, Voter,
+};
 use serde::{Deserialize, Serialize};
 
-use crate::event::{Event, Fault, Kind, MOST_NUMBER};
-use crate::log::{Base, Entry, LONGEST_MARK, Log};
-use crate::relay::{Do, Refusal, Status};
-use crate::upstream::Freshness;
+use crate::event::{Event, EventError, EventKind, MAX_EVENT_NUMBER};
+use crate::log::{LONGEST_MARK, Log, LogEntry, Snapshot};
+use crate::relay::{Action, PublishError, RelayStatus};
+use crate::upstream::Staleness;
 
 /// The same at all voters.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rules {
+pub struct GroupConfig {
     /// The names of the voters' relays, by their places.
-    pub names: Vec<String>,
-    pub seat: SeatRules,
+    pub voter_names: Vec<String>,
+    pub lease: SeatRules,
     /// A call to a voter without an answer is over after this.
-    pub patience: Ns,
+    pub call_timeout: Ns,
     /// The owner speaks to each voter at least this often.
-    pub beat: Ns,
+    pub heartbeat_interval: Ns,
     /// And at most so often, so that events gather: 0 is at once.
-    pub gather: Ns,
+    pub batch_interval: Ns,
     /// Most bytes of entries in one call.
-    pub most_call: usize,
+    pub max_call_bytes: usize,
     /// Voters that all, or most, began anew go on with what is left once all have spoken, or a majority after
     /// this time.
-    pub anew_after: Ns,
+    pub reset_timeout: Ns,
     /// A purge may be made so far ahead of the owner's clock.
-    pub ahead: Ns,
-    pub defences: Defences,
+    pub max_purge_lead: Ns,
+    pub safety_checks: SafetyChecks,
 }
 
 /// What may be left out, to see that the trials find it. All true, but in trials.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Defences {
+pub struct SafetyChecks {
     /// Voters refuse older tokens.
-    pub gate: bool,
+    pub fencing: bool,
     /// Entries are kept only behind the one that the owner had before them.
-    pub previous: bool,
+    pub previous_entry: bool,
     /// Only what a majority keeps is told.
-    pub majority: bool,
+    pub quorum: bool,
     /// A voter that began anew asks others before it speaks.
-    pub learning: bool,
+    pub recovery: bool,
     /// Answers of a voter's earlier life do not count beside those that know of a later one.
-    pub lives: bool,
+    pub incarnations: bool,
 }
 
-impl Default for Defences {
-    fn default() -> Defences {
-        Defences { gate: true, previous: true, majority: true, learning: true, lives: true }
+impl Default for SafetyChecks {
+    fn default() -> SafetyChecks {
+        SafetyChecks { fencing: true, previous_entry: true, quorum: true, recovery: true, incarnations: true }
     }
 }
 
 /// What a voter holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct ReplicaState {
     /// When the log began anew, Unix ms: what was numbered before that is another log.
     #[serde(rename = "era")]
-    pub era: u64,
+    pub epoch: u64,
     /// Its last entry, with its owner's token, and the last that may be told.
     #[serde(rename = "last")]
-    pub last: (u64, Token),
+    pub last_entry: (u64, FencingToken),
     pub committed: u64,
     /// Where what was asked for begins before the entries that are left.
     #[serde(rename = "base")]
-    pub base: Option<Base>,
-    pub entries: Vec<Entry>,
+    pub snapshot: Option<Snapshot>,
+    pub entries: Vec<LogEntry>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Call {
+pub enum PeerCall {
     /// Of the duty of feeding.
     #[serde(rename = "Duty")]
-    Duty(Ask),
+    Lease(LeaseRequest),
     /// By a voter that begins anew: what do you hold?
     #[serde(rename = "Learn")]
-    Learn,
+    Recover,
     /// By a new owner: older ones are shut out from here on; what do you hold after this number of this era?
     Read {
         #[serde(rename = "by")]
-        by: Token,
+        token: FencingToken,
         #[serde(rename = "era")]
-        era: u64,
+        epoch: u64,
         #[serde(rename = "after")]
-        after: u64,
+        after_number: u64,
     },
     /// By the owner: keep these behind the previous one, and tell up to `committed`.
     #[serde(rename = "Keep")]
-    Keep {
+    Append {
         #[serde(rename = "by")]
-        by: Token,
+        token: FencingToken,
         #[serde(rename = "era")]
-        era: u64,
+        epoch: u64,
         #[serde(rename = "previous")]
-        previous: (u64, Token),
+        previous_entry: (u64, FencingToken),
         #[serde(rename = "base")]
-        base: Option<Base>,
-        entries: Vec<Entry>,
+        snapshot: Option<Snapshot>,
+        entries: Vec<LogEntry>,
         committed: u64,
     },
 }
 
 /// The body of a call between voters.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Request {
+pub struct PeerRequest {
     /// The place of the caller, and the latest lives of all that it knows of.
     #[serde(rename = "from")]
-    pub from: u32,
+    pub sender: u32,
     #[serde(rename = "lives")]
-    pub lives: Vec<u64>,
-    pub call: Call,
+    pub incarnations: Vec<u64>,
+    pub call: PeerCall,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reply {
+pub struct PeerReply {
     #[serde(rename = "lives")]
-    pub lives: Vec<u64>,
-    pub answer: Answer,
+    pub incarnations: Vec<u64>,
+    pub answer: PeerAnswer,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum PeerAnswer {
     /// It says nothing yet.
     #[default]
     #[serde(rename = "Nothing")]
-    Nothing,
+    NotReady,
     #[serde(rename = "Duty")]
-    Duty(Said),
+    Lease(Said),
     /// To one that begins anew: the newest token met, and whether all that was kept is known here.
     #[serde(rename = "Learnt")]
-    Learnt {
+    Recovered {
         #[serde(rename = "promised")]
-        promised: Token,
+        highest_token: FencingToken,
         #[serde(rename = "sure")]
-        sure: bool,
+        is_complete: bool,
         #[serde(rename = "held")]
-        held: Held,
+        state: ReplicaState,
     },
     /// To a new owner.
     #[serde(rename = "Held")]
-    Held {
+    State {
         #[serde(rename = "by")]
-        by: Token,
+        token: FencingToken,
         #[serde(rename = "sure")]
-        sure: bool,
+        is_complete: bool,
         #[serde(rename = "held")]
-        held: Held,
+        state: ReplicaState,
     },
     /// Kept up to this number; all that count here have the floor in force.
     #[serde(rename = "Kept")]
-    Kept {
+    Appended {
         #[serde(rename = "by")]
-        by: Token,
+        token: FencingToken,
         #[serde(rename = "era")]
-        era: u64,
+        epoch: u64,
         #[serde(rename = "upto")]
-        upto: u64,
+        last_number: u64,
         #[serde(rename = "floor")]
-        floor: u64,
+        applied_number: u64,
     },
     /// It began anew when too few remembered, and keeps nothing but a log that begins anew as well.
     #[serde(rename = "Unsure")]
-    Unsure {
+    NeedsReset {
         #[serde(rename = "by")]
-        by: Token,
+        token: FencingToken,
     },
     /// What is before that is not as the owner has it: what it has in common ends here at the latest.
     #[serde(rename = "Has")]
-    Has {
+    Mismatch {
         #[serde(rename = "by")]
-        by: Token,
+        token: FencingToken,
         #[serde(rename = "era")]
-        era: u64,
+        epoch: u64,
         committed: u64,
     },
     /// A newer owner was met.
     #[serde(rename = "Old")]
-    Old(Token),
+    StaleToken(FencingToken),
 }
 
 /// What a voter that begins anew has heard: of which life, the newest token, whether that one is sure, what
 /// it holds.
-type Heard = BTreeMap<u32, (u64, Token, bool, Held)>;
+type Heard = BTreeMap<u32, (u64, FencingToken, bool, ReplicaState)>;
 
 /// One that is unsure asks so much more seldom: answers are whole logs.
 const UNSURE: Ns = 8;
@@ -229,7 +232,7 @@
 /// The owner's part.
 #[derive(Debug)]
 struct Post {
-    token: Token,
+    token: FencingToken,
     phase: Phase,
     progress: Vec<Progress>,
     /// Publishers that wait for a number to be kept.
@@ -239,18 +242,18 @@
 
 #[derive(Debug)]
 struct Uncommitted {
-    by: Token,
+    by: FencingToken,
     event: Event,
     mark: Option<String>,
 }
 
 #[derive(Debug)]
-pub struct Group {
+pub struct ReplicaGroup {
     place: u32,
-    rules: Rules,
+    rules: GroupConfig,
     voter: Voter,
-    seat: Seat,
-    gate: Gate,
+    seat: LeaseCandidate,
+    gate: FencingGuard,
     /// What may be told.
     log: Log,
     /// What is kept after that, and may be cut still.
@@ -258,43 +261,43 @@
     tail_bytes: usize,
     era: u64,
     /// By whom this era was confirmed last.
-    era_by: Token,
+    era_by: FencingToken,
     sure: bool,
     learning: Option<Learning>,
     /// The latest life of each that is known.
     lives: Vec<u64>,
-    fresh: Freshness,
+    fresh: Staleness,
     post: Option<Post>,
     next_call: u64,
     /// The highest number that a reader here called with.
     highest: u64,
-    acts: Vec<Do>,
+    acts: Vec<Action>,
 }
 
-impl Group {
-    pub fn new(me: Member, place: u32, rules: Rules, log: Log, chance: u64, now: Ns) -> Group {
-        let voters = rules.names.len();
+impl ReplicaGroup {
+    pub fn new(me: Member, place: u32, rules: GroupConfig, log: Log, chance: u64, now: Ns) -> ReplicaGroup {
+        let voters = rules.voter_names.len();
         let mut lives = vec![0; voters];
         if let Some(own) = lives.get_mut(place as usize) {
-            *own = me.life;
+            *own = me.incarnation;
         }
         let alone = voters <= 1;
-        let learns = !alone && rules.defences.learning;
+        let learns = !alone && rules.safety_checks.recovery;
         let learning = learns.then(|| Learning { since: now, next: now, heard: Heard::new(), unsure: false });
-        Group {
+        ReplicaGroup {
             place,
-            voter: Voter::begin(now, rules.seat.lease),
-            seat: Seat::new(me, place, rules.seat, chance, now),
-            gate: Gate::default(),
+            voter: Voter::without_memory(now, rules.lease.duration),
+            seat: LeaseCandidate::new(me, place, rules.lease, chance, now),
+            gate: FencingGuard::default(),
             log,
             tail: VecDeque::new(),
             tail_bytes: 0,
             era: 0,
-            era_by: Token::default(),
-            sure: !alone && !rules.defences.learning,
+            era_by: FencingToken::default(),
+            sure: !alone && !rules.safety_checks.recovery,
             learning,
             lives,
-            fresh: Freshness::never(),
+            fresh: Staleness::unknown(),
             post: None,
             next_call: 0,
             highest: 0,
@@ -308,52 +311,56 @@
     }
 
     /// As `Log::after`, of what may be told.
-    pub fn after(&mut self, cursor: u64, most: usize, out: &mut Vec<u8>) -> u64 {
-        if self.log.last() <= self.log.base().began { cursor } else { self.log.after(cursor, most, out) }
+    pub fn encode_after(&mut self, cursor: u64, most: usize, out: &mut Vec<u8>) -> u64 {
+        if self.log.last_number() <= self.log.snapshot().epoch_start {
+            cursor
+        } else {
+            self.log.encode_after(cursor, most, out)
+        }
     }
 
     /// A reader called with this number.
-    pub fn heard_of(&mut self, number: u64) {
-        if number < MOST_NUMBER {
+    pub fn observe_number(&mut self, number: u64) {
+        if number < MAX_EVENT_NUMBER {
             self.highest = self.highest.max(number);
         }
     }
 
     /// The token under which it is the source now.
-    pub fn token(&self, now: Ns) -> Option<Token> {
+    pub fn leader_token(&self, now: Ns) -> Option<FencingToken> {
         let feeds = self.post.as_ref().is_some_and(|p| matches!(p.phase, Phase::Feeds));
         self.seat.token(now).filter(|_| feeds)
     }
 
     /// The same, or who is the source. One that owns the duty and reads still is none either.
-    pub fn sources(&self, now: Ns) -> Result<Token, Refusal> {
-        let other = self.owner(now).filter(|_| self.seat.token(now).is_none());
-        self.token(now).ok_or(Refusal::NotOwner(other))
+    pub fn require_leader(&self, now: Ns) -> Result<FencingToken, PublishError> {
+        let other = self.leader(now).filter(|_| self.seat.token(now).is_none());
+        self.leader_token(now).ok_or(PublishError::NotLeader(other))
     }
 
     /// The names of all voters.
-    pub fn names(&self) -> &[String] {
-        &self.rules.names
+    pub fn voter_names(&self) -> &[String] {
+        &self.rules.voter_names
     }
 
     /// The owner that was heard of last.
-    pub fn owner(&self, now: Ns) -> Option<Member> {
-        let own = self.seat.token(now).map(|t| t.owner);
-        own.or_else(|| self.voter.owner(now).map(|(m, _)| m))
+    pub fn leader(&self, now: Ns) -> Option<Member> {
+        let own = self.seat.token(now).map(|t| t.holder);
+        own.or_else(|| self.voter.holder(now).map(|(m, _)| m))
     }
 
-    pub fn fresh(&self, now: Ns) -> Freshness {
+    pub fn staleness(&self, now: Ns) -> Staleness {
         let mut fresh = self.fresh;
-        if let Some(token) = self.token(now) {
-            fresh.heard(now, 0, Some(token));
+        if let Some(token) = self.leader_token(now) {
+            fresh.record(now, 0, Some(token));
         }
         fresh
     }
 
     /// The last number that is kept here, told or not, and the token of its owner.
-    fn last(&self) -> (u64, Token) {
-        let by = self.tail.back().map_or(self.log.by(), |u| u.by);
-        (self.log.last() + self.tail.len() as u64, by)
+    fn last(&self) -> (u64, FencingToken) {
+        let by = self.tail.back().map_or(self.log.last_token(), |u| u.by);
+        (self.log.last_number() + self.tail.len() as u64, by)
     }
 
     /// It has not heard enough yet to speak of the log.
@@ -362,7 +369,7 @@
     }
 
     fn voters(&self) -> u32 {
-        self.rules.names.len() as u32
+        self.rules.voter_names.len() as u32
     }
 
     fn others(&self) -> impl Iterator<Item = u32> + use<> {
@@ -371,7 +378,7 @@
     }
 
     fn majority(&self, of: usize) -> bool {
-        of * 2 > self.rules.names.len()
+        of * 2 > self.rules.voter_names.len()
     }
 
     fn life(&self, voter: u32) -> u64 {
@@ -380,17 +387,17 @@
 
     /// Whether what was said in this life counts beside all else that is known.
     fn counts(&self, voter: u32, life: u64) -> bool {
-        !self.rules.defences.lives || life == self.life(voter)
+        !self.rules.safety_checks.incarnations || life == self.life(voter)
     }
 
     fn note(&mut self, line: String) {
-        self.acts.push(Do::Note(line));
+        self.acts.push(Action::Log(line));
     }
 
-    fn call(&mut self, voter: u32, call: Call) -> u64 {
+    fn call(&mut self, voter: u32, call: PeerCall) -> u64 {
         self.next_call += 1;
-        let request = Request { from: self.place, lives: self.lives.clone(), call };
-        self.acts.push(Do::Call { voter, number: self.next_call, request });
+        let request = PeerRequest { sender: self.place, incarnations: self.lives.clone(), call };
+        self.acts.push(Action::Call { voter, call_id: self.next_call, request });
         self.next_call
     }
 
@@ -412,60 +419,60 @@
 
     // Time.
 
-    pub fn next(&self) -> Ns {
+    pub fn next_deadline(&self) -> Ns {
         let learning = self.learning.as_ref().map_or(Ns::MAX, |l| l.next);
         let post = match &self.post {
             None => Ns::MAX,
             Some(Post { phase: Phase::Reads { next, .. }, .. }) => *next,
             Some(p) => self.others().map(|v| self.due(&p.progress[v as usize])).min().unwrap_or(Ns::MAX),
         };
-        self.seat.next().min(learning).min(post)
+        self.seat.next_wakeup().min(learning).min(post)
     }
 
     /// When the owner speaks to a voter next.
     fn due(&self, p: &Progress) -> Ns {
         let Some(spoken) = p.spoken else { return 0 };
-        let news = p.next.is_none_or(|n| n <= self.last().0) || p.told < self.log.last();
+        let news = p.next.is_none_or(|n| n <= self.last().0) || p.told < self.log.last_number();
         match (p.out.is_some(), news) {
-            (true, _) => spoken + self.rules.patience,
-            (false, true) => spoken + self.rules.gather,
-            (false, false) => spoken + self.rules.beat,
+            (true, _) => spoken + self.rules.call_timeout,
+            (false, true) => spoken + self.rules.batch_interval,
+            (false, false) => spoken + self.rules.heartbeat_interval,
         }
     }
 
-    pub fn step(&mut self, now: Ns, unix: u64) -> Vec<Do> {
+    pub fn step(&mut self, now: Ns, unix: u64) -> Vec<Action> {
         let acts = self.seat.step(now);
         self.seated(now, acts);
         self.learn(now, unix);
         self.read(now, unix);
         self.feed(now);
-        self.log.trim(unix);
+        self.log.compact(unix);
         std::mem::take(&mut self.acts)
     }
 
-    fn seated(&mut self, now: Ns, acts: Vec<Act>) {
+    fn seated(&mut self, now: Ns, acts: Vec<CandidateAction>) {
         let mut acts = VecDeque::from(acts);
         while let Some(act) = acts.pop_front() {
             match act {
-                Act::Tell(voter, ask) if voter == self.place => {
-                    if let Some(said) = self.voter.hear(now, ask) {
-                        acts.extend(self.seat.hear(now, voter, said));
+                CandidateAction::Send(voter, ask) if voter == self.place => {
+                    if let Some(said) = self.voter.on_request(now, ask) {
+                        acts.extend(self.seat.on_reply(now, voter, said));
                     }
                 }
-                Act::Tell(voter, ask) => {
-                    self.call(voter, Call::Duty(ask));
+                CandidateAction::Send(voter, ask) => {
+                    self.call(voter, PeerCall::Lease(ask));
                 }
-                Act::Begins(token) => {
+                CandidateAction::Acquired(token) => {
                     if let Err(old) = self.pass(token) {
-                        acts.extend(self.seat.refused(now, old.term));
+                        acts.extend(self.seat.on_rejected(now, old.term));
                         continue;
                     }
                     let phase = Phase::Reads { since: now, next: now, heard: Heard::new() };
-                    let progress = vec![Progress::default(); self.rules.names.len()];
+                    let progress = vec![Progress::default(); self.rules.voter_names.len()];
                     let tickets = BTreeMap::new();
                     self.post = Some(Post { token, phase, progress, tickets, begun: false });
                 }
-                Act::Ends { .. } => self.ends(),
+                CandidateAction::Ended { .. } => self.ends(),
             }
         }
     }
@@ -473,35 +480,35 @@
     fn ends(&mut self) {
         let Some(post) = self.post.take() else { return };
         for ticket in post.tickets.into_values().flatten() {
-            self.acts.push(Do::Published { ticket, result: Err(Refusal::Ended) });
+            self.acts.push(Action::Published { ticket, result: Err(PublishError::LeadershipLost) });
         }
         if post.begun {
-            self.acts.push(Do::Ends(post.token));
+            self.acts.push(Action::LeadershipLost(post.token));
         }
     }
 
     /// Another owner is newer.
-    fn refused(&mut self, now: Ns, newer: Token) {
-        self.voter.learn(newer.term);
-        let acts = self.seat.refused(now, newer.term);
+    fn refused(&mut self, now: Ns, newer: FencingToken) {
+        self.voter.observe_term(newer.term);
+        let acts = self.seat.on_rejected(now, newer.term);
         self.seated(now, acts);
         self.ends();
     }
 
-    fn pass(&mut self, token: Token) -> Result<(), Token> {
-        let passed = self.gate.pass(token).map_err(|old| old.highest);
-        self.voter.learn(self.gate.highest().term);
-        if self.rules.defences.gate { passed } else { Ok(()) }
+    fn pass(&mut self, token: FencingToken) -> Result<(), FencingToken> {
+        let passed = self.gate.admit(token).map_err(|old| old.highest);
+        self.voter.observe_term(self.gate.highest().term);
+        if self.rules.safety_checks.fencing { passed } else { Ok(()) }
     }
 
     // Beginning anew.
 
     fn learn(&mut self, now: Ns, unix: u64) {
-        let patience = self.rules.patience;
+        let patience = self.rules.call_timeout;
         let Some(l) = self.learning.as_mut().filter(|l| now >= l.next) else { return };
         l.next = now + if l.unsure { UNSURE * patience } else { patience };
         for voter in self.others() {
-            self.call(voter, Call::Learn);
+            self.call(voter, PeerCall::Recover);
         }
         self.learnt(now, unix);
     }
@@ -511,46 +518,48 @@
         let Some(l) = &self.learning else { return };
         let heard: Vec<_> = l.heard.iter().filter(|(v, (life, ..))| self.counts(**v, *life)).collect();
         let sure = self.majority(heard.iter().filter(|(_, h)| h.2).count());
-        let all = heard.len() + 1 == self.rules.names.len();
-        let waited = now.saturating_sub(l.since) >= self.rules.anew_after;
+        let all = heard.len() + 1 == self.rules.voter_names.len();
+        let waited = now.saturating_sub(l.since) >= self.rules.reset_timeout;
         let some = !l.unsure && (all || waited && self.majority(heard.len() + 1));
         if !sure && !some {
             return;
         }
         let promised = heard.iter().map(|(_, h)| h.1).max().unwrap_or_default();
-        let heard: Vec<Held> = heard.into_iter().map(|(_, h)| h.3.clone()).collect();
+        let heard: Vec<ReplicaState> = heard.into_iter().map(|(_, h)| h.3.clone()).collect();
         self.sure = sure;
         match &mut self.learning {
             Some(l) if !sure => l.unsure = true,
             _ => self.learning = None,
         }
         if promised > self.gate.highest() {
-            self.gate = Gate::with(promised);
-            self.voter.learn(promised.term);
+            self.gate = FencingGuard::with_highest(promised);
+            self.voter.observe_term(promised.term);
         }
         self.adopt(unix, heard);
-        let (kept, told) = (self.last().0, self.log.last());
+        let (kept, told) = (self.last().0, self.log.last_number());
         let how = if sure { "from most" } else { "from what is left, as too few remember" };
         self.note(format!("begun anew: learnt {how}: {told} told, {kept} kept"));
     }
 
     /// The furthest of these logs and its own.
-    fn adopt(&mut self, unix: u64, all: Vec<Held>) {
-        let rank = |h: &Held| (h.era, h.last.1, h.last.0);
+    fn adopt(&mut self, unix: u64, all: Vec<ReplicaState>) {
+        let rank = |h: &ReplicaState| (h.epoch, h.last_entry.1, h.last_entry.0);
         let own = (self.era, self.last().1, self.last().0);
         let best = all.iter().max_by_key(|h| rank(h)).cloned().filter(|h| rank(h) > own);
-        let era = best.as_ref().map_or(self.era, |b| b.era);
-        let committed = all.iter().filter(|h| h.era == era).map(|h| h.committed).max().unwrap_or(0);
+        let era = best.as_ref().map_or(self.era, |b| b.epoch);
+        let committed = all.iter().filter(|h| h.epoch == era).map(|h| h.committed).max().unwrap_or(0);
         if let Some(held) = best {
-            if let Some(base) = held.base.filter(|b| held.era != self.era || b.number > self.log.last()) {
-                self.log = Log::with(self.log.horizon(), base);
+            if let Some(base) =
+                held.snapshot.filter(|b| held.epoch != self.era || b.number > self.log.last_number())
+            {
+                self.log = Log::from_snapshot(self.log.retention(), base);
             }
-            if held.era != self.era {
+            if held.epoch != self.era {
                 // Calls of the same owner from before that are late.
-                (self.era, self.era_by) = (held.era, self.era_by.max(self.gate.highest()));
+                (self.era, self.era_by) = (held.epoch, self.era_by.max(self.gate.highest()));
             }
             self.cut(0);
-            let told = self.log.last();
+            let told = self.log.last_number();
             for entry in held.entries.iter().filter(|e| e.number > told) {
                 if let Err(e) = self.append(entry) {
                     self.note(format!("entry {} that was read is refused: {e}", entry.number));
@@ -570,99 +579,136 @@
         }
     }
 
-    fn append(&mut self, entry: &Entry) -> Result<(), Fault> {
-        let (_, event) = Event::read(entry.body.as_bytes(), usize::MAX)?;
+    fn append(&mut self, entry: &LogEntry) -> Result<(), EventError> {
+        let (_, event) = Event::parse(entry.body.as_bytes(), usize::MAX)?;
         self.tail_bytes += event.body().len();
-        self.tail.push_back(Uncommitted { by: entry.by, event, mark: entry.mark.clone() });
+        self.tail.push_back(Uncommitted { by: entry.token, event, mark: entry.idempotency_key.clone() });
         Ok(())
     }
 
     /// What is kept up to this number may be told from here on.
     fn commit(&mut self, unix: u64, upto: u64) {
-        while self.log.last() < upto {
+        while self.log.last_number() < upto {
             let Some(u) = self.tail.pop_front() else { break };
             self.tail_bytes -= u.event.body().len();
-            let number = self.log.push(&u.event, u.by, u.mark.as_deref(), unix);
+            let number = self.log.append(&u.event, u.by, u.mark.as_deref(), unix);
             let waiting = self.post.as_mut().and_then(|p| p.tickets.remove(&number));
             for ticket in waiting.unwrap_or_default() {
-                self.acts.push(Do::Published { ticket, result: Ok(number) });
+                self.acts.push(Action::Published { ticket, result: Ok(number) });
             }
         }
     }
 
-    fn entries(&self, after: u64, most: usize) -> Vec<Entry> {
-        let mut entries = self.log.entries(after, most);
+    fn entries(&self, after: u64, most: usize) -> Vec<LogEntry> {
+        let mut entries = self.log.entries_after(after, most);
         let mut bytes: usize = entries.iter().map(|e| e.body.len()).sum();
-        if entries.last().map_or(after.max(self.log.base().number), |e| e.number) < self.log.last() {
+        if entries.last().map_or(after.max(self.log.snapshot().number), |e| e.number) < self.log.last_number()
+        {
             return entries;
         }
-        let first = self.log.last() + 1;
+        let first = self.log.last_number() + 1;
         for (i, u) in self.tail.iter().enumerate().filter(|(i, _)| first + *i as u64 > after) {
             bytes += u.event.body().len();
             if bytes > most && !entries.is_empty() {
                 break;
             }
             let (number, body) = (first + i as u64, u.event.body().to_owned());
-            entries.push(Entry { number, by: u.by, body, mark: u.mark.clone() });
+            entries.push(LogEntry { number, token: u.by, body, idempotency_key: u.mark.clone() });
         }
         entries
     }
 
     /// What it holds after this number of this era; of another one, all.
-    fn held(&self, after: Option<(u64, u64)>) -> Held {
-        let from = after.filter(|(era, n)| *era == self.era && *n >= self.log.base().number);
-        let base = from.is_none().then(|| self.log.base().clone());
+    fn held(&self, after: Option<(u64, u64)>) -> ReplicaState {
+        let from = after.filter(|(era, n)| *era == self.era && *n >= self.log.snapshot().number);
+        let base = from.is_none().then(|| self.log.snapshot().clone());
         let entries = self.entries(from.map_or(0, |(_, n)| n), usize::MAX);
-        Held { era: self.era, last: self.last(), committed: self.log.last(), base, entries }
+        ReplicaState {
+            epoch: self.era,
+            last_entry: self.last(),
+            committed: self.log.last_number(),
+            snapshot: base,
+            entries,
+        }
     }
 
     /// The token of a number that is kept.
-    fn by(&self, number: u64) -> Option<Token> {
-        let in_tail = number.checked_sub(self.log.last() + 1);
+    fn by(&self, number: u64) -> Option<FencingToken> {
+        let in_tail = number.checked_sub(self.log.last_number() + 1);
         match in_tail {
             Some(i) => self.tail.get(usize::try_from(i).ok()?).map(|u| u.by),
-            None => self.log.by_of(number),
+            None => self.log.token_at(number),
         }
     }
 
     // Calls.
 
     /// What it answers another voter. `floor`: what all that read here have in force.
-    pub fn called(&mut self, now: Ns, unix: u64, request: Request, floor: u64) -> (Reply, Vec<Do>) {
-        if request.from >= self.voters() || request.from == self.place {
-            return (Reply::default(), Vec::new());
+    pub fn on_request(
+        &mut self,
+        now: Ns,
+        unix: u64,
+        request: PeerRequest,
+        floor: u64,
+    ) -> (PeerReply, Vec<Action>) {
+        if request.sender >= self.voters() || request.sender == self.place {
+            return (PeerReply::default(), Vec::new());
         }
-        self.lives(now, &request.lives);
+        self.lives(now, &request.incarnations);
         let answer = self.answer(now, unix, request.call, floor);
-        (Reply { lives: self.lives.clone(), answer }, std::mem::take(&mut self.acts))
+        (PeerReply { incarnations: self.lives.clone(), answer }, std::mem::take(&mut self.acts))
     }
 
-    fn answer(&mut self, now: Ns, unix: u64, call: Call, floor: u64) -> Answer {
+    fn answer(&mut self, now: Ns, unix: u64, call: PeerCall, floor: u64) -> PeerAnswer {
         match call {
-            Call::Duty(ask) => self.voter.hear(now, ask).map_or(Answer::Nothing, Answer::Duty),
-            Call::Learn => {
-                Answer::Learnt { promised: self.gate.highest(), sure: self.sure, held: self.held(None) }
+            PeerCall::Lease(ask) => {
+                self.voter.on_request(now, ask).map_or(PeerAnswer::NotReady, PeerAnswer::Lease)
             }
-            _ if self.silent() => Answer::Nothing,
-            Call::Read { by, era, after } => match self.let_in(now, by) {
-                Err(newer) => Answer::Old(newer),
-                Ok(()) => Answer::Held { by, sure: self.sure, held: self.held(Some((era, after))) },
+            PeerCall::Recover => PeerAnswer::Recovered {
+                highest_token: self.gate.highest(),
+                is_complete: self.sure,
+                state: self.held(None),
             },
-            Call::Keep { by, .. } if self.let_in(now, by).is_err() => Answer::Old(self.gate.highest()),
-            Call::Keep { by, era, previous, base, entries, committed } => {
+            _ if self.silent() => PeerAnswer::NotReady,
+            PeerCall::Read { token: by, epoch: era, after_number: after } => match self.let_in(now, by) {
+                Err(newer) => PeerAnswer::StaleToken(newer),
+                Ok(()) => PeerAnswer::State {
+                    token: by,
+                    is_complete: self.sure,
+                    state: self.held(Some((era, after))),
+                },
+            },
+            PeerCall::Append { token: by, .. } if self.let_in(now, by).is_err() => {
+                PeerAnswer::StaleToken(self.gate.highest())
+            }
+            PeerCall::Append {
+                token: by,
+                epoch: era,
+                previous_entry: previous,
+                snapshot: base,
+                entries,
+                committed,
+            } => {
                 if !self.install(by, era, base) {
                     return if self.sure {
-                        Answer::Has { by, era: self.era, committed: self.log.last() }
+                        PeerAnswer::Mismatch { token: by, epoch: self.era, committed: self.log.last_number() }
                     } else {
-                        Answer::Unsure { by }
+                        PeerAnswer::NeedsReset { token: by }
                     };
                 }
-                self.fresh.heard(now, 0, Some(by));
+                self.fresh.record(now, 0, Some(by));
                 match self.keep(by, previous, &entries) {
-                    None => Answer::Has { by, era: self.era, committed: self.log.last() },
+                    None => {
+                        PeerAnswer::Mismatch { token: by, epoch: self.era, committed: self.log.last_number() }
+                    }
                     Some(upto) => {
                         self.commit(unix, committed.min(upto));
-                        Answer::Kept { by, era, upto, floor: floor.min(self.log.last()) }
+                        PeerAnswer::Appended {
+                            token: by,
+                            epoch: era,
+                            last_number: upto,
+                            applied_number: floor.min(self.log.last_number()),
+                        }
                     }
                 }
             }
@@ -670,31 +716,34 @@
     }
 
     /// An owner's token at the gate; if it is newer than its own, its own is over.
-    fn let_in(&mut self, now: Ns, by: Token) -> Result<(), Token> {
+    fn let_in(&mut self, now: Ns, by: FencingToken) -> Result<(), FencingToken> {
         self.pass(by)?;
-        if self.rules.defences.gate && self.post.as_ref().is_some_and(|p| p.token != by) {
+        if self.rules.safety_checks.fencing && self.post.as_ref().is_some_and(|p| p.token != by) {
             self.refused(now, by);
         }
         Ok(())
     }
 
     /// Whether its log is of the owner's era, after it took the base if that is one or further on.
-    fn install(&mut self, by: Token, era: u64, base: Option<Base>) -> bool {
-        let base = base.filter(|b| b.number < MOST_NUMBER);
+    fn install(&mut self, by: FencingToken, era: u64, base: Option<Snapshot>) -> bool {
+        let base = base.filter(|b| b.number < MAX_EVENT_NUMBER);
         if era != self.era {
             // A late call of the same owner from before it began anew changes nothing.
             let later = (by, era) > (self.era_by, self.era);
             let Some(base) = base.filter(|_| later) else { return false };
             self.cut(0);
-            self.log = Log::with(self.log.horizon(), base);
+            self.log = Log::from_snapshot(self.log.retention(), base);
             (self.sure, self.learning) = (true, None);
-            self.note(format!("the log begins anew, era {era}: {} is the first number", self.log.last()));
+            self.note(format!(
+                "the log begins anew, era {era}: {} is the first number",
+                self.log.last_number()
+            ));
         } else if !self.sure {
             return false;
-        } else if let Some(base) = base.filter(|b| b.number > self.log.last()) {
+        } else if let Some(base) = base.filter(|b| b.number > self.log.last_number()) {
             // What it kept behind the base stays, if it is the same log: it may have been counted.
-            let same = self.by(base.number) == Some(base.by);
-            let drop = usize::try_from(base.number - self.log.last()).unwrap_or(usize::MAX);
+            let same = self.by(base.number) == Some(base.token);
+            let drop = usize::try_from(base.number - self.log.last_number()).unwrap_or(usize::MAX);
             if same {
                 for u in self.tail.drain(..drop.min(self.tail.len())) {
                     self.tail_bytes -= u.event.body().len();
@@ -702,7 +751,7 @@
             } else {
                 self.cut(0);
             }
-            self.log = Log::with(self.log.horizon(), base);
+            self.log = Log::from_snapshot(self.log.retention(), base);
         }
         (self.era, self.era_by) = (era, by.max(self.era_by));
         true
@@ -710,19 +759,19 @@
 
     /// Keeps entries behind the previous one. Up to which number its log is now the owner's; none: the
     /// previous is another.
-    fn keep(&mut self, by: Token, previous: (u64, Token), entries: &[Entry]) -> Option<u64> {
-        let told = self.log.last();
+    fn keep(&mut self, by: FencingToken, previous: (u64, FencingToken), entries: &[LogEntry]) -> Option<u64> {
+        let told = self.log.last_number();
         let matches = previous.0 <= told || self.by(previous.0) == Some(previous.1);
-        if !matches && self.rules.defences.previous {
+        if !matches && self.rules.safety_checks.previous_entry {
             return None;
         }
         let mut upto = previous.0;
         for entry in entries {
-            if entry.number.checked_sub(1) != Some(upto) || entry.number >= MOST_NUMBER {
+            if entry.number.checked_sub(1) != Some(upto) || entry.number >= MAX_EVENT_NUMBER {
                 break;
             }
             upto = entry.number;
-            if entry.number <= told || self.by(entry.number) == Some(entry.by) {
+            if entry.number <= told || self.by(entry.number) == Some(entry.token) {
                 continue;
             }
             // Another owner's, which no majority kept.
@@ -736,52 +785,54 @@
     }
 
     /// What came back of a call; the name and the floor of the voter, where it said so.
-    pub fn answered(
+    pub fn on_reply(
         &mut self,
         now: Ns,
         unix: u64,
         voter: u32,
         number: u64,
-        reply: Reply,
-    ) -> (Option<(String, u64)>, Vec<Do>) {
+        reply: PeerReply,
+    ) -> (Option<(String, u64)>, Vec<Action>) {
         if voter >= self.voters() || voter == self.place {
             return (None, Vec::new());
         }
-        self.lives(now, &reply.lives);
-        let life = reply.lives.get(voter as usize).copied().unwrap_or(0);
+        self.lives(now, &reply.incarnations);
+        let life = reply.incarnations.get(voter as usize).copied().unwrap_or(0);
         if let Some(p) = self.post.as_mut().and_then(|p| p.progress.get_mut(voter as usize))
             && p.out == Some(number)
         {
             p.out = None;
         }
         let floor = self.heard(now, unix, voter, life, reply.answer);
-        let name = self.rules.names.get(voter as usize).cloned();
+        let name = self.rules.voter_names.get(voter as usize).cloned();
         (name.zip(floor), std::mem::take(&mut self.acts))
     }
 
-    fn heard(&mut self, now: Ns, unix: u64, voter: u32, life: u64, answer: Answer) -> Option<u64> {
+    fn heard(&mut self, now: Ns, unix: u64, voter: u32, life: u64, answer: PeerAnswer) -> Option<u64> {
         let token = self.post.as_ref().map(|p| p.token);
         match answer {
-            Answer::Nothing => {}
-            Answer::Duty(said) => {
-                let acts = self.seat.hear(now, voter, said);
+            PeerAnswer::NotReady => {}
+            PeerAnswer::Lease(said) => {
+                let acts = self.seat.on_reply(now, voter, said);
                 self.seated(now, acts);
                 self.read(now, unix);
             }
-            Answer::Learnt { promised, sure, held } => {
+            PeerAnswer::Recovered { highest_token: promised, is_complete: sure, state: held } => {
                 if let Some(l) = &mut self.learning {
                     l.heard.insert(voter, (life, promised, sure, held));
                     self.learnt(now, unix);
                     self.read(now, unix);
                 }
             }
-            Answer::Held { by, sure, held } if token == Some(by) => {
+            PeerAnswer::State { token: by, is_complete: sure, state: held } if token == Some(by) => {
                 if let Some(Post { phase: Phase::Reads { heard, .. }, .. }) = &mut self.post {
                     heard.insert(voter, (life, by, sure, held));
                     self.enough(now, unix);
                 }
             }
-            Answer::Kept { by, era, upto, floor } if token == Some(by) && era == self.era => {
+            PeerAnswer::Appended { token: by, epoch: era, last_number: upto, applied_number: floor }
+                if token == Some(by) && era == self.era =>
+            {
                 if !self.counts(voter, life) {
                     return None;
                 }
@@ -796,14 +847,14 @@
                 self.feed(now);
                 return Some(floor);
             }
-            Answer::Has { by, era, committed } if token == Some(by) => {
-                let same = era == self.era && committed >= self.log.base().number;
+            PeerAnswer::Mismatch { token: by, epoch: era, committed } if token == Some(by) => {
+                let same = era == self.era && committed >= self.log.snapshot().number;
                 let p = self.post.as_mut()?.progress.get_mut(voter as usize)?;
                 p.next = same.then_some(committed + 1);
                 self.feed(now);
             }
-            Answer::Unsure { by } if token == Some(by) => self.unsure(now, voter),
-            Answer::Old(newer) if token.is_some_and(|t| t != newer && newer.term >= t.term) => {
+            PeerAnswer::NeedsReset { token: by } if token == Some(by) => self.unsure(now, voter),
+            PeerAnswer::StaleToken(newer) if token.is_some_and(|t| t != newer && newer.term >= t.term) => {
                 self.refused(now, newer);
             }
             _ => {}
@@ -828,8 +879,8 @@
 
     /// Asks those whom it has not heard, or not in the life that they live now.
     fn read(&mut self, now: Ns, unix: u64) {
-        let patience = self.rules.patience;
-        let (era, after) = (self.era, self.log.last());
+        let patience = self.rules.call_timeout;
+        let (era, after) = (self.era, self.log.last_number());
         let Some(Post { token, phase: Phase::Reads { next, heard, .. }, .. }) = &mut self.post else {
             return;
         };
@@ -840,7 +891,7 @@
         let (by, heard) = (*token, heard.iter().map(|(v, h)| (*v, h.0)).collect::<Vec<_>>());
         let heard: Vec<u32> = heard.into_iter().filter(|(v, l)| self.counts(*v, *l)).map(|h| h.0).collect();
         for voter in self.others().filter(|v| !heard.contains(v)) {
-            self.call(voter, Call::Read { by, era, after });
+            self.call(voter, PeerCall::Read { token: by, epoch: era, after_number: after });
         }
         self.enough(now, unix);
     }
@@ -854,15 +905,15 @@
         }
         let token = *token;
         let own = (self.life(self.place), token, self.sure, self.held(None));
-        let waited = now.saturating_sub(*since) >= self.rules.anew_after;
+        let waited = now.saturating_sub(*since) >= self.rules.reset_timeout;
         let mut heard: Vec<_> = heard.iter().filter(|(v, h)| self.counts(**v, h.0)).map(|(_, h)| h).collect();
         heard.push(&own);
         let sure = self.majority(heard.iter().filter(|h| h.2).count());
-        let all = heard.len() == self.rules.names.len();
+        let all = heard.len() == self.rules.voter_names.len();
         if !(sure || all || waited && self.majority(heard.len())) {
             return;
         }
-        let heard: Vec<Held> = heard.into_iter().map(|h| h.3.clone()).collect();
+        let heard: Vec<ReplicaState> = heard.into_iter().map(|h| h.3.clone()).collect();
         self.adopt(unix, heard);
         self.era_by = token;
         if !sure {
@@ -870,7 +921,7 @@
         } else {
             // It knows by now what it may have forgotten.
             (self.sure, self.learning) = (true, None);
-            let event = Event::nothing();
+            let event = Event::empty_update();
             self.tail_bytes += event.body().len();
             self.tail.push_back(Uncommitted { by: token, event, mark: None });
         }
@@ -882,7 +933,7 @@
         }
         if !post.begun {
             post.begun = true;
-            self.acts.push(Do::Begins(token));
+            self.acts.push(Action::LeadershipGained(token));
         }
         self.most_keep(unix);
         self.feed(now);
@@ -890,28 +941,29 @@
 
     /// The log begins anew: the list and the purges that bind as far as they are left, under numbers that
     /// nobody was told yet.
-    fn anew(&mut self, unix: u64, by: Token) {
+    fn anew(&mut self, unix: u64, by: FencingToken) {
         let waiting = self.post.as_mut().map(|p| std::mem::take(&mut p.tickets)).unwrap_or_default();
         for ticket in waiting.into_values().flatten() {
-            self.acts.push(Do::Published { ticket, result: Err(Refusal::Ended) });
+            self.acts.push(Action::Published { ticket, result: Err(PublishError::LeadershipLost) });
         }
         let last = self.last().0;
         self.commit(unix, last);
-        let purges = self.log.binding(unix);
+        let purges = self.log.active_purges(unix);
         // Its hierarchy gets this number, and the number before is free for the list (`Base`).
         let number = (last + 2).max(unix).max(self.highest + 2);
-        let mut base = Base { by, began: number, ..self.log.folded(number) };
+        let mut base = Snapshot { token: by, epoch_start: number, ..self.log.snapshot_at(number) };
         base.hierarchy = base.hierarchy.map(|(_, body)| (number, body));
-        let listed = base.listed;
-        self.log = Log::with(self.log.horizon(), base);
+        let listed = base.has_list;
+        self.log = Log::from_snapshot(self.log.retention(), base);
         self.era = unix.max(self.era + 1);
         (self.sure, self.learning) = (true, None);
         self.cut(0);
-        let opening = Entry { body: Event::nothing().body().to_owned(), ..Entry::default() };
+        let opening = LogEntry { body: Event::empty_update().body().to_owned(), ..LogEntry::default() };
         let purges = purges.into_iter().filter(|_| listed);
-        let entries = purges.map(|(body, mark)| Entry { body, mark, ..Entry::default() });
+        let entries =
+            purges.map(|(body, mark)| LogEntry { body, idempotency_key: mark, ..LogEntry::default() });
         for entry in [opening].into_iter().chain(entries) {
-            if let Err(e) = self.append(&Entry { by, ..entry }) {
+            if let Err(e) = self.append(&LogEntry { token: by, ..entry }) {
                 self.note(format!("an entry that was left is refused: {e}"));
             }
         }
@@ -936,11 +988,11 @@
         });
         let mut kept: Vec<u64> = others.chain([last]).collect();
         kept.sort_unstable_by(|a, b| b.cmp(a));
-        let most = kept.get(self.rules.names.len() / 2).copied().unwrap_or(0).min(last);
-        let most = if self.rules.defences.majority { most } else { last };
+        let most = kept.get(self.rules.voter_names.len() / 2).copied().unwrap_or(0).min(last);
+        let most = if self.rules.safety_checks.quorum { most } else { last };
         let token = post.token;
-        if most > self.log.last()
-            && (self.by(most) == Some(token) || by == token && !self.rules.defences.majority)
+        if most > self.log.last_number()
+            && (self.by(most) == Some(token) || by == token && !self.rules.safety_checks.quorum)
         {
             self.commit(unix, most);
         }
@@ -959,14 +1011,24 @@
             .collect();
         for voter in due {
             let next = self.post.as_ref().and_then(|p| p.progress.get(voter as usize)).and_then(|p| p.next);
-            let next = next.filter(|n| *n > self.log.base().number && self.by(n - 1).is_some());
-            let base = next.is_none().then(|| self.log.base().clone());
-            let after = next.map_or(self.log.base().number, |n| n - 1);
+            let next = next.filter(|n| *n > self.log.snapshot().number && self.by(n - 1).is_some());
+            let base = next.is_none().then(|| self.log.snapshot().clone());
+            let after = next.map_or(self.log.snapshot().number, |n| n - 1);
             let previous = (after, self.by(after).unwrap_or_default());
-            let entries = self.entries(after, self.rules.most_call);
+            let entries = self.entries(after, self.rules.max_call_bytes);
             let upto = after + entries.len() as u64;
-            let (era, committed) = (self.era, self.log.last());
-            let number = self.call(voter, Call::Keep { by: token, era, previous, base, entries, committed });
+            let (era, committed) = (self.era, self.log.last_number());
+            let number = self.call(
+                voter,
+                PeerCall::Append {
+                    token,
+                    epoch: era,
+                    previous_entry: previous,
+                    snapshot: base,
+                    entries,
+                    committed,
+                },
+            );
             if let Some(p) = self.post.as_mut().and_then(|p| p.progress.get_mut(voter as usize)) {
                 p.out = Some(number);
                 p.spoken = Some(now);
@@ -985,17 +1047,17 @@
         mark: Option<&str>,
         event: Event,
         most_log: usize,
-    ) -> Result<Vec<Do>, Refusal> {
-        let token = self.sources(now)?;
+    ) -> Result<Vec<Action>, PublishError> {
+        let token = self.require_leader(now)?;
         if let Some(long) = mark.map(str::len).filter(|l| *l > LONGEST_MARK) {
-            return Err(Refusal::Mark(long));
+            return Err(PublishError::KeyTooLong(long));
         }
-        if let Some(number) = mark.and_then(|m| self.log.marked(m)) {
-            return Ok(vec![Do::Published { ticket, result: Ok(number) }]);
+        if let Some(number) = mark.and_then(|m| self.log.number_of_key(m)) {
+            return Ok(vec![Action::Published { ticket, result: Ok(number) }]);
         }
         let waits = self.tail.iter().position(|u| u.mark.is_some() && u.mark.as_deref() == mark);
         let number = match waits {
-            Some(i) => self.log.last() + 1 + i as u64,
+            Some(i) => self.log.last_number() + 1 + i as u64,
             None => {
                 self.may_take(unix, &event, most_log)?;
                 self.tail_bytes += event.body().len();
@@ -1011,41 +1073,41 @@
         Ok(std::mem::take(&mut self.acts))
     }
 
-    fn may_take(&self, unix: u64, event: &Event, most_log: usize) -> Result<(), Refusal> {
-        let whole = |u: &Uncommitted| u.event.kind() == Kind::Members { whole: true };
-        let listed = self.log.listed() || self.tail.iter().any(whole);
+    fn may_take(&self, unix: u64, event: &Event, most_log: usize) -> Result<(), PublishError> {
+        let whole = |u: &Uncommitted| u.event.kind() == EventKind::Members { is_snapshot: true };
+        let listed = self.log.has_list() || self.tail.iter().any(whole);
         match event.kind() {
-            Kind::Members { whole: true } => {}
-            _ if !listed => return Err(Refusal::Unlisted),
-            Kind::Purge { at } => {
-                let ahead = self.rules.ahead / 1_000_000;
+            EventKind::Members { is_snapshot: true } => {}
+            _ if !listed => return Err(PublishError::NoList),
+            EventKind::Purge { created_unix_ms: at } => {
+                let ahead = self.rules.max_purge_lead / 1_000_000;
                 let by = at.saturating_sub(unix);
                 if by > ahead {
-                    return Err(Refusal::Ahead(by, ahead));
+                    return Err(PublishError::PurgeInFuture(by, ahead));
                 }
             }
             _ => {}
         }
         // Its head on the wire comes to it.
-        Ok(self.log.room(self.tail_bytes + event.body().len() + 64, most_log)?)
+        Ok(self.log.check_capacity(self.tail_bytes + event.body().len() + 64, most_log)?)
     }
 
-    pub fn hand_over(&mut self, now: Ns) -> Vec<Do> {
+    pub fn hand_over(&mut self, now: Ns) -> Vec<Action> {
         let acts = self.seat.hand_over(now, None);
         self.seated(now, acts);
         std::mem::take(&mut self.acts)
     }
 
-    pub fn shows(&self, now: Ns, status: &mut Status) {
-        let owns = self.token(now);
+    pub fn fill_status(&self, now: Ns, status: &mut RelayStatus) {
+        let owns = self.leader_token(now);
         status.role = if owns.is_some() { "owner" } else { "voter" }.into();
-        if let Some(owner) = self.owner(now) {
-            status.owner = Some(owner.number);
+        if let Some(owner) = self.leader(now) {
+            status.leader = Some(owner.number);
         }
         status.term = owns.map_or(self.gate.highest().term, |t| t.term);
-        status.kept = self.last().0;
-        status.learning_ms = self.learning.as_ref().map(|l| now.saturating_sub(l.since) / 1_000_000);
-        status.anew_unix_ms = self.era;
-        status.refused = self.gate.refused();
+        status.last_stored = self.last().0;
+        status.recovering_ms = self.learning.as_ref().map(|l| now.saturating_sub(l.since) / 1_000_000);
+        status.reset_unix_ms = self.era;
+        status.rejected_tokens = self.gate.rejected_count();
     }
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -10,17 +10,17 @@
 
 pub mod event;
 pub mod group;
-pub mod horizon;
 pub mod log;
-pub mod readers;
 mod relay;
+pub mod retention;
+pub mod subscribers;
 pub mod upstream;
 
-pub use event::{Event, Fault};
-pub use group::{Answer, Call, Defences, Group, Reply, Request, Rules};
-pub use horizon::Horizon;
-pub use log::{Base, Entry, Log};
-pub use readers::{Readers, View, Whole, merge};
-pub use relay::{Do, Refusal, Relay, Settings, Status, Took};
-pub use sablecross_duty::{Member, Ns, Token};
-pub use upstream::{Freshness, Upstream};
+pub use event::{Event, EventError};
+pub use group::{GroupConfig, PeerAnswer, PeerCall, PeerReply, PeerRequest, ReplicaGroup, SafetyChecks};
+pub use log::{Log, LogEntry, Snapshot};
+pub use relay::{Action, ApplyOutcome, PublishError, Relay, RelayConfig, RelayStatus};
+pub use retention::RetentionWindow;
+pub use sablecross_coordination::{FencingToken, Member, Ns};
+pub use subscribers::{FleetView, SubscriberStatus, Subscribers, merge_statuses};
+pub use upstream::{Staleness, UpstreamSelector};
--- a/crates/relay/src/log.rs
+++ b/crates/relay/src/log.rs
@@ -2,69 +2,69 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use sablecross_duty::Token;
+use sablecross_coordination::FencingToken;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::event::{Event, Kind};
-use crate::horizon::Horizon;
+use crate::event::{Event, EventKind};
+use crate::retention::RetentionWindow;
 
 /// Text by which a publisher knows its event again; longer ones are refused.
 pub const LONGEST_MARK: usize = 128;
 
 /// An event with its number and the token of the owner that made it, as voters hand it on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct LogEntry {
     pub number: u64,
     #[serde(rename = "by")]
-    pub by: Token,
+    pub token: FencingToken,
     /// Without its number.
     pub body: String,
     #[serde(rename = "mark")]
-    pub mark: Option<String>,
+    pub idempotency_key: Option<String>,
 }
 
 /// All that was told up to a number, as far as it counts still.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Base {
+pub struct Snapshot {
     pub number: u64,
     /// The number that its era began with: nothing of that is told before a majority keeps what follows
     /// (`Group`).
     #[serde(rename = "began")]
-    pub began: u64,
+    pub epoch_start: u64,
     /// The token of the entry with this number.
     #[serde(rename = "by")]
-    pub by: Token,
+    pub token: FencingToken,
     /// A whole list is known. Until then nothing can be told to those who are behind.
     #[serde(rename = "listed")]
-    pub listed: bool,
+    pub has_list: bool,
     /// The latest index of the list, as its publisher counts.
     #[serde(rename = "index")]
-    pub index: u64,
+    pub list_index: u64,
     /// The endpoints' JSON by their names.
     pub members: BTreeMap<String, String>,
     /// The latest hierarchy: the number of its event, and its body.
     pub hierarchy: Option<(u64, String)>,
 }
 
-impl Base {
-    fn fold(&mut self, number: u64, by: Token, event: &Event) {
-        (self.number, self.by) = (number, by);
+impl Snapshot {
+    fn fold(&mut self, number: u64, by: FencingToken, event: &Event) {
+        (self.number, self.token) = (number, by);
         match event.kind() {
-            Kind::Purge { .. } => {}
-            Kind::Hierarchy => self.hierarchy = Some((number, event.body().to_owned())),
-            Kind::Members { .. } => {
+            EventKind::Purge { .. } => {}
+            EventKind::Hierarchy => self.hierarchy = Some((number, event.body().to_owned())),
+            EventKind::Members { .. } => {
                 let Some((whole, endpoints)) = event.endpoints() else { return };
                 if whole {
                     self.members.clear();
-                    self.listed = true;
+                    self.has_list = true;
                 }
-                self.index = self.index.max(event.index().unwrap_or(0));
+                self.list_index = self.list_index.max(event.index().unwrap_or(0));
                 for e in endpoints {
-                    if e.gone {
+                    if e.is_gone {
                         self.members.remove(&e.name);
                     } else {
-                        self.members.insert(e.name, e.raw);
+                        self.members.insert(e.name, e.json);
                     }
                 }
             }
@@ -77,7 +77,7 @@
     }
 
     fn list(&self) -> Event {
-        Event::whole(self.index, self.members.values().map(String::as_str))
+        Event::snapshot(self.list_index, self.members.values().map(String::as_str))
     }
 
     /// What one is told that has this number, which is lower. A stream may break after each event and the
@@ -90,7 +90,7 @@
         let (mut out, mut cursor) = (Vec::new(), cursor);
         if let Some((number, body)) = self.hierarchy.as_ref().filter(|(number, _)| *number > cursor) {
             if cursor + 1 < *number {
-                out.extend_from_slice(&list.frame(number - 1));
+                out.extend_from_slice(&list.to_frame(number - 1));
             }
             out.extend_from_slice(
                 format!("id: {number}\ndata: {{\"n\":{number},{}\n\n", &body[1..]).as_bytes(),
@@ -98,7 +98,7 @@
             cursor = *number;
         }
         if cursor < self.number {
-            out.extend_from_slice(&list.frame(self.number));
+            out.extend_from_slice(&list.to_frame(self.number));
         }
         out
     }
@@ -106,8 +106,8 @@
 
 #[derive(Clone, Debug)]
 struct Kept {
-    kind: Kind,
-    by: Token,
+    kind: EventKind,
+    by: FencingToken,
     mark: Option<String>,
     /// When it came here, Unix ms.
     taken: u64,
@@ -129,7 +129,7 @@
 /// Why the log takes no more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the log holds {bytes} bytes of {most}: it binds still, so no more is taken until that is over")]
-pub struct Full {
+pub struct LogFull {
     pub bytes: usize,
     pub most: usize,
 }
@@ -137,10 +137,10 @@
 /// What is told: consecutive numbers, never cut. Events that may be cut still are kept by `Group`.
 #[derive(Clone, Debug)]
 pub struct Log {
-    base: Base,
+    base: Snapshot,
     events: VecDeque<Kept>,
     marks: BTreeMap<String, u64>,
-    horizon: Horizon,
+    horizon: RetentionWindow,
     bytes: usize,
     base_bytes: usize,
     listed: bool,
@@ -151,82 +151,82 @@
 }
 
 impl Log {
-    pub fn new(horizon: Horizon) -> Log {
-        Log::with(horizon, Base::default())
+    pub fn new(horizon: RetentionWindow) -> Log {
+        Log::from_snapshot(horizon, Snapshot::default())
     }
 
-    pub fn with(horizon: Horizon, base: Base) -> Log {
-        let (base_bytes, listed) = (base.bytes(), base.listed);
+    pub fn from_snapshot(horizon: RetentionWindow, base: Snapshot) -> Log {
+        let (base_bytes, listed) = (base.bytes(), base.has_list);
         let (events, marks) = (VecDeque::new(), BTreeMap::new());
         let names = base.members.keys().cloned().collect();
         Log { base, events, marks, horizon, bytes: 0, base_bytes, listed, names, told: None }
     }
 
-    pub fn horizon(&self) -> Horizon {
+    pub fn retention(&self) -> RetentionWindow {
         self.horizon
     }
 
-    pub fn base(&self) -> &Base {
+    pub fn snapshot(&self) -> &Snapshot {
         &self.base
     }
 
     /// The number of its last event, 0 before the first.
-    pub fn last(&self) -> u64 {
+    pub fn last_number(&self) -> u64 {
         self.base.number + self.events.len() as u64
     }
 
     /// The token of its last event.
-    pub fn by(&self) -> Token {
-        self.events.back().map_or(self.base.by, |e| e.by)
+    pub fn last_token(&self) -> FencingToken {
+        self.events.back().map_or(self.base.token, |e| e.by)
     }
 
     /// The token of a number that it holds.
-    pub fn by_of(&self, number: u64) -> Option<Token> {
+    pub fn token_at(&self, number: u64) -> Option<FencingToken> {
         match number.checked_sub(self.base.number + 1) {
             Some(i) => self.events.get(usize::try_from(i).ok()?).map(|e| e.by),
-            None => (number == self.base.number).then_some(self.base.by),
+            None => (number == self.base.number).then_some(self.base.token),
         }
     }
 
     /// A whole list was told.
-    pub fn listed(&self) -> bool {
+    pub fn has_list(&self) -> bool {
         self.listed
     }
 
     /// How many endpoints the list has; none: no whole list was told.
-    pub fn endpoints(&self) -> Option<usize> {
+    pub fn endpoint_count(&self) -> Option<usize> {
         self.listed.then_some(self.names.len())
     }
 
     /// Bytes of the base and all events.
-    pub fn bytes(&self) -> usize {
+    pub fn size_bytes(&self) -> usize {
         self.bytes + self.base_bytes
     }
 
     /// Whether so many bytes more are taken within `most`.
-    pub fn room(&self, more: usize, most: usize) -> Result<(), Full> {
-        let bytes = self.bytes();
-        if bytes + more > most { Err(Full { bytes, most }) } else { Ok(()) }
+    pub fn check_capacity(&self, more: usize, most: usize) -> Result<(), LogFull> {
+        let bytes = self.size_bytes();
+        if bytes + more > most { Err(LogFull { bytes, most }) } else { Ok(()) }
     }
 
     /// The number under which this mark was published, as far as the log reaches.
-    pub fn marked(&self, mark: &str) -> Option<u64> {
+    pub fn number_of_key(&self, mark: &str) -> Option<u64> {
         self.marks.get(mark).copied()
     }
 
     /// Takes the next event, at this Unix ms, under the number that it gets.
-    pub fn push(&mut self, event: &Event, by: Token, mark: Option<&str>, unix: u64) -> u64 {
-        let number = self.last() + 1;
-        let frame = event.frame(number).into_boxed_slice();
+    pub fn append(&mut self, event: &Event, by: FencingToken, mark: Option<&str>, unix: u64) -> u64 {
+        let number = self.last_number() + 1;
+        let frame = event.to_frame(number).into_boxed_slice();
         self.bytes += frame.len();
-        if matches!(event.kind(), Kind::Members { .. }) {
+        if matches!(event.kind(), EventKind::Members { .. }) {
             let (whole, endpoints) = event.endpoints().unwrap_or_default();
             if whole {
                 self.names.clear();
                 self.listed = true;
             }
             for e in endpoints {
-                if e.gone {
+                if e.is_gone {
                     self.names.remove(&e.name)
                 } else {
                     self.names.insert(e.name)
@@ -243,16 +243,18 @@
 
     /// Folds what binds nobody any more into the base, at this Unix ms: all of it, once the first has been
     /// over for a step.
-    pub fn trim(&mut self, unix: u64) {
+    pub fn compact(&mut self, unix: u64) {
         let over = |log: &Log, e: &Kept, unix: u64| match e.kind {
             // Nobody has the list, so nobody follows from here yet.
-            Kind::Members { whole: false } if !log.base.listed && log.base.number > 0 => true,
+            EventKind::Members { is_snapshot: false } if !log.base.has_list && log.base.number > 0 => true,
             // One that was old as it came stays a little, for readers in step.
-            Kind::Purge { at } => log.horizon.over(at, unix) && unix >= e.taken + log.horizon.step(),
-            _ => log.horizon.over(e.taken, unix),
+            EventKind::Purge { created_unix_ms: at } => {
+                log.horizon.is_expired(at, unix) && unix >= e.taken + log.horizon.compaction_step_ms()
+            }
+            _ => log.horizon.is_expired(e.taken, unix),
         };
         // A base that moves with each event would be told over and over to one that is behind it.
-        let step = self.horizon.step();
+        let step = self.horizon.compaction_step_ms();
         let first = self.events.front();
         if first.is_none_or(|e| !over(self, e, unix.saturating_sub(step))) {
             return;
@@ -263,9 +265,9 @@
             if let Some(mark) = e.mark.as_ref().filter(|m| self.marks.get(*m) == Some(&number)) {
                 self.marks.remove(mark);
             }
-            (self.base.number, self.base.by) = (number, e.by);
-            if !matches!(e.kind, Kind::Purge { .. })
-                && let Ok((_, event)) = Event::read(e.body(number).as_bytes(), usize::MAX)
+            (self.base.number, self.base.token) = (number, e.by);
+            if !matches!(e.kind, EventKind::Purge { .. })
+                && let Ok((_, event)) = Event::parse(e.body(number).as_bytes(), usize::MAX)
             {
                 self.base.fold(number, e.by, &event);
                 self.base_bytes = self.base.bytes();
@@ -280,12 +282,12 @@
     ///
     /// One that is behind the base gets that, as one whole whose bytes do not count, and at least one event
     /// more.
-    pub fn after(&mut self, cursor: u64, most: usize, out: &mut Vec<u8>) -> u64 {
+    pub fn encode_after(&mut self, cursor: u64, most: usize, out: &mut Vec<u8>) -> u64 {
         let mut cursor = cursor;
         let start = out.len();
-        if cursor < self.base.number && !self.base.listed {
+        if cursor < self.base.number && !self.base.has_list {
             // The first list that is told is a base by itself.
-            if self.events.front().is_none_or(|e| e.kind != Kind::Members { whole: true }) {
+            if self.events.front().is_none_or(|e| e.kind != EventKind::Members { is_snapshot: true }) {
                 return cursor;
             }
             cursor = self.base.number;
@@ -315,7 +317,7 @@
     }
 
     /// Entries after this number, none before the base, up to so many bytes and at least one.
-    pub fn entries(&self, after: u64, most: usize) -> Vec<Entry> {
+    pub fn entries_after(&self, after: u64, most: usize) -> Vec<LogEntry> {
         let first = after.max(self.base.number);
         let skip = usize::try_from(first - self.base.number).unwrap_or(usize::MAX);
         let mut bytes = 0;
@@ -326,26 +328,33 @@
                 break;
             }
             let number = self.base.number + 1 + i as u64;
-            entries.push(Entry { number, by: e.by, body: e.body(number), mark: e.mark.clone() });
+            entries.push(LogEntry {
+                number,
+                token: e.by,
+                body: e.body(number),
+                idempotency_key: e.mark.clone(),
+            });
         }
         entries
     }
 
     /// The list with all that was told, as a base at this number; none of its purges.
-    pub fn folded(&self, number: u64) -> Base {
+    pub fn snapshot_at(&self, number: u64) -> Snapshot {
         let mut base = self.base.clone();
-        for (i, e) in self.events.iter().enumerate().filter(|(_, e)| !matches!(e.kind, Kind::Purge { .. })) {
+        for (i, e) in
+            self.events.iter().enumerate().filter(|(_, e)| !matches!(e.kind, EventKind::Purge { .. }))
+        {
             let of = self.base.number + 1 + i as u64;
-            if let Ok((_, event)) = Event::read(e.body(of).as_bytes(), usize::MAX) {
+            if let Ok((_, event)) = Event::parse(e.body(of).as_bytes(), usize::MAX) {
                 base.fold(of, e.by, &event);
             }
         }
-        Base { number, by: Token::default(), ..base }
+        Snapshot { number, token: FencingToken::default(), ..base }
     }
 
     /// Purges that may bind still at this Unix ms, as bodies with their marks, in their order.
-    pub fn binding(&self, unix: u64) -> Vec<(String, Option<String>)> {
-        let binds = |e: &Kept| matches!(e.kind, Kind::Purge { at: made } if !self.horizon.over(made, unix));
+    pub fn active_purges(&self, unix: u64) -> Vec<(String, Option<String>)> {
+        let binds = |e: &Kept| matches!(e.kind, EventKind::Purge { created_unix_ms: made } if !self.horizon.is_expired(made, unix));
         let numbered = (self.base.number + 1..).zip(&self.events);
         numbered.filter(|(_, e)| binds(e)).map(|(n, e)| (e.body(n), e.mark.clone())).collect()
     }
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -5,51 +5,51 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::event::{Event, Fault, Kind, MOST_NUMBER};
-use crate::group::{Group, Reply, Request, Rules};
-use crate::horizon::Horizon;
-use crate::log::{Base, Full, LONGEST_MARK, Log};
-use crate::readers::{Readers, View};
-use crate::upstream::{Freshness, Upstream};
-use sablecross_duty::{Member, Ns, Token};
+use crate::event::{Event, EventError, EventKind, MAX_EVENT_NUMBER};
+use crate::group::{GroupConfig, PeerReply, PeerRequest, ReplicaGroup};
+use crate::log::{LONGEST_MARK, Log, LogFull, Snapshot};
+use crate::retention::RetentionWindow;
+use crate::subscribers::{SubscriberStatus, Subscribers};
+use crate::upstream::{Staleness, UpstreamSelector};
+use sablecross_coordination::{FencingToken, Member, Ns};
 
 /// The same kind of settings for voters and plain relays.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Settings {
+pub struct RelayConfig {
     /// Of this relay, as others know it as a reader.
     pub name: String,
-    pub horizon: Horizon,
+    pub retention: RetentionWindow,
     /// The largest event in bytes.
-    pub most_event: usize,
+    pub max_event_bytes: usize,
     /// Past so many bytes of log nothing more is taken from publishers.
-    pub most_log: usize,
+    pub max_log_bytes: usize,
     /// A reader that said no word (called) for longer holds no number back.
-    pub missed: Ns,
+    pub missing_after: Ns,
     /// And after so long it is not known any more.
-    pub forgotten: Ns,
+    pub forget_after: Ns,
     /// So many moments are kept of when a number was in force everywhere.
-    pub most_passed: usize,
+    pub max_floor_history: usize,
 }
 
 /// Why an event is not taken from its publisher. It was not told to anybody, but for `Ended`.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Refusal {
+pub enum PublishError {
     #[error("not the source: {}", whose(.0))]
-    NotOwner(Option<Member>),
+    NotLeader(Option<Member>),
     #[error(
         "no longer the source: whether it will be told is not known; publish it again with the same mark"
     )]
-    Ended,
+    LeadershipLost,
     #[error(transparent)]
-    Fault(#[from] Fault),
+    InvalidEvent(#[from] EventError),
     #[error(transparent)]
-    Full(#[from] Full),
+    LogFull(#[from] LogFull),
     #[error("no whole list was published since the log began anew: publish that first")]
-    Unlisted,
+    NoList,
     #[error("the purge was made {0} ms ahead of this clock, more than {1}")]
-    Ahead(u64, u64),
+    PurgeInFuture(u64, u64),
     #[error("the mark has {0} bytes, more than {LONGEST_MARK}")]
-    Mark(usize),
+    KeyTooLong(usize),
 }
 
 fn whose(owner: &Option<Member>) -> String {
@@ -58,134 +58,141 @@
 
 /// What the process is to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Do {
+pub enum Action {
     /// A call to a voter, by its place among them; what comes back goes to `answered` with this number.
     Call {
         voter: u32,
-        number: u64,
-        request: Request,
+        call_id: u64,
+        request: PeerRequest,
     },
     /// To the publisher with this ticket: the number that its event was told under, or why not.
     Published {
         ticket: u64,
-        result: Result<u64, Refusal>,
+        result: Result<u64, PublishError>,
     },
     /// From here on it is the source, and from here on it is none.
-    Begins(Token),
-    Ends(Token),
+    LeadershipGained(FencingToken),
+    LeadershipLost(FencingToken),
     /// A line for the log.
-    Note(String),
+    Log(String),
 }
 
 /// What became of an event of the upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Took {
-    New,
+pub enum ApplyOutcome {
+    Applied,
     /// It was told before.
-    Passed,
+    Duplicate,
     /// Events are missing or can't be read: the call is to be ended and made anew with the number of
     /// `follows`.
-    Again(String),
+    Resubscribe(String),
 }
 
 /// What operators see of a relay, as JSON.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Status {
+pub struct RelayStatus {
     pub name: String,
     pub unix_ms: u64,
     /// `owner`, `voter` or `plain`.
     pub role: String,
     /// The owner that was heard of last: number and term.
     #[serde(rename = "owner")]
-    pub owner: Option<u32>,
+    pub leader: Option<u32>,
     pub term: u64,
     /// Since the owner's last word came, along the chain.
     #[serde(rename = "fresh_ms")]
-    pub fresh_ms: Option<u64>,
+    pub staleness_ms: Option<u64>,
     /// The number of the base, the last that may be told, the last that is kept.
     #[serde(rename = "base")]
-    pub base: u64,
+    pub snapshot_number: u64,
     #[serde(rename = "last")]
-    pub last: u64,
+    pub last_number: u64,
     #[serde(rename = "kept")]
-    pub kept: u64,
+    pub last_stored: u64,
     pub log_bytes: usize,
     /// Endpoints of the list; none: no whole list is known.
     pub endpoints: Option<usize>,
     pub floor: u64,
     /// At the owner: numbers and since when they are in force everywhere, Unix ms.
     #[serde(rename = "passed")]
-    pub passed: Vec<(u64, u64)>,
+    pub floor_history: Vec<(u64, u64)>,
     #[serde(rename = "readers")]
-    pub readers: Vec<View>,
+    pub subscribers: Vec<SubscriberStatus>,
     /// A voter that has not learned yet what it kept before its start, and how long it waits.
     #[serde(rename = "learning_ms")]
-    pub learning_ms: Option<u64>,
+    pub recovering_ms: Option<u64>,
     /// When the log began anew with what was left, Unix ms; 0: never. Publish the list and the purges that
     /// bind once more.
     #[serde(rename = "anew_unix_ms")]
-    pub anew_unix_ms: u64,
+    pub reset_unix_ms: u64,
     /// Words of old owners that were refused here.
     #[serde(rename = "refused")]
-    pub refused: u64,
+    pub rejected_tokens: u64,
 }
 
 #[derive(Debug)]
 enum Part {
-    Voter(Box<Group>),
+    Voter(Box<ReplicaGroup>),
     Plain(Box<Plain>),
 }
 
 #[derive(Debug)]
 struct Plain {
     log: Log,
-    upstream: Upstream,
-    fresh: Freshness,
+    upstream: UpstreamSelector,
+    fresh: Staleness,
     /// The number after which events were missing or unreadable once already.
     gap: Option<u64>,
 }
 
 #[derive(Debug)]
 pub struct Relay {
-    set: Settings,
+    set: RelayConfig,
     part: Part,
-    readers: Readers,
-    acts: Vec<Do>,
+    readers: Subscribers,
+    acts: Vec<Action>,
 }
 
 impl Relay {
     /// A voter at this place among all of them, beginning without memory. `life`: a number of this start,
     /// later than of any start before (Unix ms will do). `chance`: any number, another at each.
-    pub fn voter(set: Settings, me: Member, place: u32, rules: Rules, chance: u64, now: Ns) -> Relay {
-        let log = Log::new(set.horizon);
-        let group = Group::new(me, place, rules, log, chance, now);
+    pub fn voter(
+        set: RelayConfig,
+        me: Member,
+        place: u32,
+        rules: GroupConfig,
+        chance: u64,
+        now: Ns,
+    ) -> Relay {
+        let log = Log::new(set.retention);
+        let group = ReplicaGroup::new(me, place, rules, log, chance, now);
         Relay::with(set, Part::Voter(Box::new(group)))
     }
 
     /// A plain relay that follows one of so many upstreams, beginning without memory.
-    pub fn plain(set: Settings, upstream: Upstream) -> Relay {
-        let (log, fresh) = (Log::new(set.horizon), Freshness::never());
+    pub fn plain(set: RelayConfig, upstream: UpstreamSelector) -> Relay {
+        let (log, fresh) = (Log::new(set.retention), Staleness::unknown());
         Relay::with(set, Part::Plain(Box::new(Plain { log, upstream, fresh, gap: None })))
     }
 
-    fn with(set: Settings, part: Part) -> Relay {
-        let readers = Readers::new(set.missed, set.forgotten, set.most_passed);
+    fn with(set: RelayConfig, part: Part) -> Relay {
+        let readers = Subscribers::new(set.missing_after, set.forget_after, set.max_floor_history);
         Relay { set, part, readers, acts: Vec::new() }
     }
 
-    pub fn settings(&self) -> &Settings {
+    pub fn config(&self) -> &RelayConfig {
         &self.set
     }
 
     /// What is to be done since it was asked last.
-    pub fn acts(&mut self) -> Vec<Do> {
+    pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.acts)
     }
 
     /// A reader that is to come, as the settings name it: it counts as one with nothing until it does, and is
     /// missing after a while. Without that a relay that begins anew knows of no readers until they call.
-    pub fn expects(&mut self, now: Ns, name: &str) {
-        self.readers.expects(now, name);
+    pub fn expect_subscriber(&mut self, now: Ns, name: &str) {
+        self.readers.expect(now, name);
     }
 
     /// What may be told.
@@ -197,14 +204,14 @@
     }
 
     /// The last number that may be told.
-    pub fn last(&self) -> u64 {
-        self.log().last()
+    pub fn last_number(&self) -> u64 {
+        self.log().last_number()
     }
 
     /// When `step` is to be called next, at the latest a second from now.
-    pub fn next(&self, now: Ns) -> Ns {
+    pub fn next_wakeup(&self, now: Ns) -> Ns {
         let own = match &self.part {
-            Part::Voter(g) => g.next(),
+            Part::Voter(g) => g.next_deadline(),
             Part::Plain(_) => Ns::MAX,
         };
         own.min(now + 1_000_000_000)
@@ -219,34 +226,34 @@
             }
             Part::Plain(p) => {
                 let age = p.fresh.age(now);
-                if p.upstream.step(now, age) {
+                if p.upstream.check(now, age) {
                     p.gap = None;
-                    let at = p.upstream.at().unwrap_or_default();
-                    self.acts.push(Do::Note(format!("upstream {at} is followed: the last one was stale")));
+                    let at = p.upstream.current().unwrap_or_default();
+                    self.acts.push(Action::Log(format!("upstream {at} is followed: the last one was stale")));
                 }
-                p.log.trim(unix);
+                p.log.compact(unix);
             }
         }
         self.count(now, unix);
     }
 
     fn count(&mut self, now: Ns, unix: u64) {
-        self.readers.floor(now, self.last());
+        self.readers.floor(now, self.last_number());
         if let Part::Voter(g) = &self.part
-            && g.token(now).is_some()
+            && g.leader_token(now).is_some()
         {
-            self.readers.everywhere(unix);
+            self.readers.record_floor(unix);
         }
     }
 
     /// What the group did. A new owner waits for the word of all voters.
-    fn done(&mut self, now: Ns, acts: Vec<Do>) {
+    fn done(&mut self, now: Ns, acts: Vec<Action>) {
         if let Part::Voter(g) = &self.part
-            && acts.iter().any(|a| matches!(a, Do::Begins(_)))
+            && acts.iter().any(|a| matches!(a, Action::LeadershipGained(_)))
         {
-            self.readers.begins();
-            for name in g.names().iter().filter(|n| **n != self.set.name) {
-                self.readers.expects(now, name);
+            self.readers.reset_floor();
+            for name in g.voter_names().iter().filter(|n| **n != self.set.name) {
+                self.readers.expect(now, name);
             }
         }
         self.acts.extend(acts);
@@ -255,25 +262,25 @@
     // Voters.
 
     /// A call of another voter, and what it is to be answered.
-    pub fn called(&mut self, now: Ns, unix: u64, request: Request) -> Reply {
-        let floor = self.readers.floor(now, self.last());
+    pub fn on_peer_request(&mut self, now: Ns, unix: u64, request: PeerRequest) -> PeerReply {
+        let floor = self.readers.floor(now, self.last_number());
         match &mut self.part {
             Part::Voter(g) => {
-                let (reply, acts) = g.called(now, unix, request, floor);
+                let (reply, acts) = g.on_request(now, unix, request, floor);
                 self.acts.extend(acts);
                 reply
             }
-            Part::Plain(_) => Reply::default(),
+            Part::Plain(_) => PeerReply::default(),
         }
     }
 
     /// What came back of a call.
-    pub fn answered(&mut self, now: Ns, unix: u64, voter: u32, number: u64, reply: Reply) {
+    pub fn on_peer_reply(&mut self, now: Ns, unix: u64, voter: u32, number: u64, reply: PeerReply) {
         let Part::Voter(g) = &mut self.part else { return };
-        let (floor, acts) = g.answered(now, unix, voter, number, reply);
+        let (floor, acts) = g.on_reply(now, unix, voter, number, reply);
         self.done(now, acts);
         if let Some((name, floor)) = floor {
-            self.readers.says(now, &name, floor);
+            self.readers.reported(now, &name, floor);
             self.count(now, unix);
         }
     }
@@ -281,22 +288,22 @@
     /// An event's JSON to be told, at best with a mark by which it is known again. The verdict comes as
     /// `Do::Published`.
     pub fn publish(&mut self, now: Ns, unix: u64, ticket: u64, mark: Option<&str>, text: &[u8]) {
-        let refused = |result| Do::Published { ticket, result: Err(result) };
+        let refused = |result| Action::Published { ticket, result: Err(result) };
         let Part::Voter(g) = &mut self.part else {
-            self.acts.push(refused(Refusal::NotOwner(None)));
+            self.acts.push(refused(PublishError::NotLeader(None)));
             return;
         };
-        let most = self.set.most_event;
-        let read = g.sources(now).and_then(|_| Ok(Event::read(text, most)?));
-        match read.and_then(|(_, event)| g.publish(now, unix, ticket, mark, event, self.set.most_log)) {
+        let most = self.set.max_event_bytes;
+        let read = g.require_leader(now).and_then(|_| Ok(Event::parse(text, most)?));
+        match read.and_then(|(_, event)| g.publish(now, unix, ticket, mark, event, self.set.max_log_bytes)) {
             Ok(acts) => self.acts.extend(acts),
             Err(e) => self.acts.push(refused(e)),
         }
     }
 
     /// The token under which it is the source now.
-    pub fn source(&self, now: Ns) -> Option<Token> {
-        if let Part::Voter(g) = &self.part { g.token(now) } else { None }
+    pub fn leader_token(&self, now: Ns) -> Option<FencingToken> {
+        if let Part::Voter(g) = &self.part { g.leader_token(now) } else { None }
     }
 
     /// Gives the source up, as at a planned stop.
@@ -311,37 +318,37 @@
     /// The upstream to follow now by its place, and the number to call it with: what is in force here and at
     /// all that count here. To be asked before each call, and whether it is still the same one while a stream
     /// is open.
-    pub fn follows(&mut self, now: Ns) -> Option<(usize, u64)> {
-        let floor = self.readers.floor(now, self.last());
+    pub fn upstream_to_follow(&mut self, now: Ns) -> Option<(usize, u64)> {
+        let floor = self.readers.floor(now, self.last_number());
         let Part::Plain(p) = &self.part else { return None };
-        let at = p.upstream.at()?;
-        Some((at, floor.min(p.log.last())))
+        let at = p.upstream.current()?;
+        Some((at, floor.min(p.log.last_number())))
     }
 
     /// The call failed, or its stream was broken off. A clean end is none.
-    pub fn failed(&mut self, now: Ns) {
+    pub fn on_upstream_failed(&mut self, now: Ns) {
         if let Part::Plain(p) = &mut self.part {
-            p.upstream.failed(now);
+            p.upstream.on_failed(now);
         }
     }
 
     /// A comment of the upstream, without its ends of lines.
-    pub fn commented(&mut self, now: Ns, comment: &str) {
+    pub fn on_upstream_comment(&mut self, now: Ns, comment: &str) {
         let Part::Plain(p) = &mut self.part else { return };
-        match Freshness::read(comment) {
-            Some((age, owner)) => p.fresh.heard(now, age, owner),
+        match Staleness::parse_comment(comment) {
+            Some((age, owner)) => p.fresh.record(now, age, owner),
             // Not a relay's: it is the source itself.
-            None => p.fresh.heard(now, 0, None),
+            None => p.fresh.record(now, 0, None),
         }
     }
 
     /// An event of the upstream: its data, and the number in its `id` if it has one.
-    pub fn told(&mut self, now: Ns, unix: u64, id: Option<u64>, data: &[u8]) -> Took {
-        let most = self.set.most_event.max(self.set.most_log);
-        let Part::Plain(p) = &mut self.part else { return Took::Passed };
+    pub fn on_upstream_event(&mut self, now: Ns, unix: u64, id: Option<u64>, data: &[u8]) -> ApplyOutcome {
+        let most = self.set.max_event_bytes.max(self.set.max_log_bytes);
+        let Part::Plain(p) = &mut self.part else { return ApplyOutcome::Duplicate };
         let took = p.told(unix, id, data, most, &mut self.acts);
-        if took == Took::New {
-            p.log.trim(unix);
+        if took == ApplyOutcome::Applied {
+            p.log.compact(unix);
             self.count(now, unix);
         }
         took
@@ -350,118 +357,130 @@
     // Readers.
 
     /// A reader calls with this number: its stream begins with what `after` gives for it.
-    pub fn comes(&mut self, now: Ns, unix: u64, name: &str, number: u64) {
-        self.readers.comes(now, name, number);
+    pub fn on_subscriber_connected(&mut self, now: Ns, unix: u64, name: &str, number: u64) {
+        self.readers.connected(now, name, number);
         if let Part::Voter(g) = &mut self.part {
-            g.heard_of(number);
+            g.observe_number(number);
         }
         self.count(now, unix);
     }
 
     /// A stream of a reader is over.
-    pub fn went(&mut self, name: &str) {
-        self.readers.went(name);
+    pub fn on_subscriber_disconnected(&mut self, name: &str) {
+        self.readers.disconnected(name);
     }
 
     /// As `Log::after`: what follows the cursor, appended to `out`; returns the new cursor.
-    pub fn after(&mut self, cursor: u64, most: usize, out: &mut Vec<u8>) -> u64 {
+    pub fn encode_after(&mut self, cursor: u64, most: usize, out: &mut Vec<u8>) -> u64 {
         match &mut self.part {
-            Part::Voter(g) => g.after(cursor, most, out),
-            Part::Plain(p) => p.log.after(cursor, most, out),
+            Part::Voter(g) => g.encode_after(cursor, most, out),
+            Part::Plain(p) => p.log.encode_after(cursor, most, out),
         }
     }
 
     /// The comment for readers, with its empty line.
-    pub fn comment(&self, now: Ns) -> String {
-        self.fresh(now).comment(now)
+    pub fn staleness_comment(&self, now: Ns) -> String {
+        self.fresh(now).to_comment(now)
     }
 
-    fn fresh(&self, now: Ns) -> Freshness {
+    fn fresh(&self, now: Ns) -> Staleness {
         match &self.part {
-            Part::Voter(g) => g.fresh(now),
+            Part::Voter(g) => g.staleness(now),
             Part::Plain(p) => p.fresh,
         }
     }
 
-    pub fn status(&mut self, now: Ns, unix: u64) -> Status {
-        let floor = self.readers.floor(now, self.last());
+    pub fn status(&mut self, now: Ns, unix: u64) -> RelayStatus {
+        let floor = self.readers.floor(now, self.last_number());
         let fresh = self.fresh(now);
         let age = fresh.age(now);
-        let base = self.log().base();
-        let mut status = Status {
+        let base = self.log().snapshot();
+        let mut status = RelayStatus {
             name: self.set.name.clone(),
             unix_ms: unix,
             role: "plain".into(),
-            owner: fresh.owner.map(|t| t.owner.number),
-            term: fresh.owner.map_or(0, |t| t.term),
-            fresh_ms: (age < Ns::MAX).then_some(age / 1_000_000),
-            base: base.number,
-            last: self.last(),
-            kept: self.last(),
-            log_bytes: self.log().bytes(),
-            endpoints: self.log().endpoints(),
+            leader: fresh.leader.map(|t| t.holder.number),
+            term: fresh.leader.map_or(0, |t| t.term),
+            staleness_ms: (age < Ns::MAX).then_some(age / 1_000_000),
+            snapshot_number: base.number,
+            last_number: self.last_number(),
+            last_stored: self.last_number(),
+            log_bytes: self.log().size_bytes(),
+            endpoints: self.log().endpoint_count(),
             floor,
-            passed: self.readers.passed(),
-            readers: self.readers.views(now),
-            ..Status::default()
+            floor_history: self.readers.floor_history(),
+            subscribers: self.readers.statuses(now),
+            ..RelayStatus::default()
         };
         if let Part::Voter(g) = &self.part {
-            g.shows(now, &mut status);
+            g.fill_status(now, &mut status);
         }
         status
     }
 }
 
 impl Plain {
-    fn told(&mut self, unix: u64, id: Option<u64>, data: &[u8], most: usize, acts: &mut Vec<Do>) -> Took {
-        let last = self.log.last();
+    fn told(
+        &mut self,
+        unix: u64,
+        id: Option<u64>,
+        data: &[u8],
+        most: usize,
+        acts: &mut Vec<Action>,
+    ) -> ApplyOutcome {
+        let last = self.log.last_number();
         if id.is_some_and(|n| n <= last) {
-            return Took::Passed;
+            return ApplyOutcome::Duplicate;
         }
-        let read = Event::read(data, most);
+        let read = Event::parse(data, most);
         let n = id.or(read.as_ref().ok().and_then(|(n, _)| *n));
-        let Some(n) = n else { return Took::Again("an event has no number".into()) };
+        let Some(n) = n else { return ApplyOutcome::Resubscribe("an event has no number".into()) };
         if n <= last {
-            return Took::Passed;
+            return ApplyOutcome::Duplicate;
         }
-        if n >= MOST_NUMBER {
-            return Took::Again(Fault::Number(n).to_string());
+        if n >= MAX_EVENT_NUMBER {
+            return ApplyOutcome::Resubscribe(EventError::NumberTooLarge(n).to_string());
         }
         let fault = read.as_ref().err().map(ToString::to_string);
         if n == last + 1 && fault.is_none() {
             if let Ok((_, event)) = read {
-                self.log.push(&event, Token::default(), None, unix);
+                self.log.append(&event, FencingToken::default(), None, unix);
             }
             self.gap = None;
-            return Took::New;
+            return ApplyOutcome::Applied;
         }
         if self.gap != Some(last) {
             // Lost or cut on the way, most likely: it is asked for once more.
             self.gap = Some(last);
             let why = fault.unwrap_or_else(|| format!("event {n} follows {last}"));
-            return Took::Again(why);
+            return ApplyOutcome::Resubscribe(why);
         }
         match read {
             Err(e) if n == last + 1 => {
                 // Nobody can read it; the numbers stay the same everywhere.
-                acts.push(Do::Note(format!("event {n} of the upstream is passed on as an empty one: {e}")));
-                self.log.push(&Event::nothing(), Token::default(), None, unix);
+                acts.push(Action::Log(format!(
+                    "event {n} of the upstream is passed on as an empty one: {e}"
+                )));
+                self.log.append(&Event::empty_update(), FencingToken::default(), None, unix);
                 self.gap = None;
-                Took::New
+                ApplyOutcome::Applied
             }
-            Err(e) => Took::Again(e.to_string()),
-            Ok((_, event)) if event.kind() == (Kind::Members { whole: true }) => {
-                let mut base = Base { members: BTreeMap::new(), ..self.log.folded(n) };
-                (base.listed, base.index) = (true, event.index().unwrap_or(0));
+            Err(e) => ApplyOutcome::Resubscribe(e.to_string()),
+            Ok((_, event)) if event.kind() == (EventKind::Members { is_snapshot: true }) => {
+                let mut base = Snapshot { members: BTreeMap::new(), ..self.log.snapshot_at(n) };
+                (base.has_list, base.list_index) = (true, event.index().unwrap_or(0));
                 let endpoints = event.endpoints().map(|(_, all)| all).unwrap_or_default();
-                let here = endpoints.into_iter().filter(|e| !e.gone);
-                base.members = here.map(|e| (e.name, e.raw)).collect();
-                acts.push(Do::Note(format!("events {} to {n} are over: the whole list is taken", last + 1)));
-                self.log = Log::with(self.log.horizon(), base);
+                let here = endpoints.into_iter().filter(|e| !e.is_gone);
+                base.members = here.map(|e| (e.name, e.json)).collect();
+                acts.push(Action::Log(format!(
+                    "events {} to {n} are over: the whole list is taken",
+                    last + 1
+                )));
+                self.log = Log::from_snapshot(self.log.retention(), base);
                 self.gap = None;
-                Took::New
+                ApplyOutcome::Applied
             }
-            Ok(_) => Took::Again(format!("event {n} follows {last}, and is no whole list")),
+            Ok(_) => ApplyOutcome::Resubscribe(format!("event {n} follows {last}, and is no whole list")),
         }
     }
 }
--- a/crates/relay/src/upstream.rs
+++ b/crates/relay/src/upstream.rs
@@ -1,32 +1,32 @@
 //! Whom a plain relay follows: the next of those named once the one it follows is silent, or has itself heard
 //! nothing of the owner for too long.
 
-use sablecross_duty::{Ns, Token};
+use sablecross_coordination::{FencingToken, Ns};
 
 /// How old what a relay knows of the owner is. It adds up along the chain, and nobody sets it back but the
 /// owner: relays that follow one another in a circle grow old together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Freshness {
+pub struct Staleness {
     /// When the owner said it, by this program's clock; none: never heard of.
     since: Option<Ns>,
     /// Who it was.
-    pub owner: Option<Token>,
+    pub leader: Option<FencingToken>,
 }
 
-impl Freshness {
-    pub fn never() -> Freshness {
-        Freshness { since: None, owner: None }
+impl Staleness {
+    pub fn unknown() -> Staleness {
+        Staleness { since: None, leader: None }
     }
 
     /// The owner's word, so old already. One that is older than the last changes nothing.
-    pub fn heard(&mut self, now: Ns, age: Ns, owner: Option<Token>) {
+    pub fn record(&mut self, now: Ns, age: Ns, owner: Option<FencingToken>) {
         if age == Ns::MAX {
             return;
         }
         let since = now.saturating_sub(age);
         if self.since.is_none_or(|s| since >= s) {
             self.since = Some(since);
-            self.owner = owner.or(self.owner);
+            self.leader = owner.or(self.leader);
         }
     }
 
@@ -36,16 +36,16 @@
     }
 
     /// The comment that tells it: `: fresh AGE_MS owner NUMBER term T`, with `-` for what is unknown.
-    pub fn comment(&self, now: Ns) -> String {
+    pub fn to_comment(&self, now: Ns) -> String {
         let age = self.since.map_or("-".into(), |_| self.age(now).div_ceil(1_000_000).to_string());
-        let owner = self.owner.map_or("-".into(), |t| t.owner.number.to_string());
-        let term = self.owner.map_or("-".into(), |t| t.term.to_string());
+        let owner = self.leader.map_or("-".into(), |t| t.holder.number.to_string());
+        let term = self.leader.map_or("-".into(), |t| t.term.to_string());
         format!(": fresh {age} owner {owner} term {term}\n\n")
     }
 
     /// What such a comment says: the age in nanoseconds, and the owner. None if it is another comment, as an
     /// outside feed's.
-    pub fn read(comment: &str) -> Option<(Ns, Option<Token>)> {
+    pub fn parse_comment(comment: &str) -> Option<(Ns, Option<FencingToken>)> {
         let mut words = comment.trim().trim_start_matches(':').split_whitespace();
         if words.next() != Some("fresh") {
             return None;
@@ -55,16 +55,17 @@
         let mut after = |name: &str| words.next().filter(|w| *w == name).and_then(|_| words.next());
         let owner = after("owner").and_then(|w| w.parse().ok());
         let term = after("term").and_then(|w| w.parse().ok());
-        let token = owner
-            .zip(term)
-            .map(|(number, term)| Token { term, owner: sablecross_duty::Member { number, life: 0 } });
+        let token = owner.zip(term).map(|(number, term)| FencingToken {
+            term,
+            holder: sablecross_coordination::Member { number, incarnation: 0 },
+        });
         Some((age, token))
     }
 }
 
 /// The upstreams of a relay, by their place in its settings, the first one preferred.
 #[derive(Clone, Debug)]
-pub struct Upstream {
+pub struct UpstreamSelector {
     many: usize,
     at: usize,
     /// An age past this, and the next one is followed.
@@ -76,13 +77,13 @@
     since: Ns,
 }
 
-impl Upstream {
-    pub fn new(many: usize, stale: Ns, patience: Ns, home: Ns, now: Ns) -> Upstream {
-        Upstream { many, at: 0, stale, patience, home, since: now }
+impl UpstreamSelector {
+    pub fn new(many: usize, stale: Ns, patience: Ns, home: Ns, now: Ns) -> UpstreamSelector {
+        UpstreamSelector { many, at: 0, stale, patience, home, since: now }
     }
 
     /// The place of the one to follow now; none are named: none.
-    pub fn at(&self) -> Option<usize> {
+    pub fn current(&self) -> Option<usize> {
         (self.many > 0).then_some(self.at)
     }
 
@@ -91,20 +92,20 @@
     }
 
     /// The call failed, or the stream ended in an error: the next one.
-    pub fn failed(&mut self, now: Ns) {
+    pub fn on_failed(&mut self, now: Ns) {
         if self.many > 0 {
             self.turn(now, (self.at + 1) % self.many);
         }
     }
 
     /// Looks at how old it is what this one tells. True: another one is to be followed from here on.
-    pub fn step(&mut self, now: Ns, age: Ns) -> bool {
+    pub fn check(&mut self, now: Ns, age: Ns) -> bool {
         if self.many < 2 {
             return false;
         }
         let followed = now.saturating_sub(self.since);
         if age > self.stale && followed > self.patience {
-            self.failed(now);
+            self.on_failed(now);
             return true;
         }
         if self.at != 0 && age <= self.stale && followed > self.home {
--- a/crates/relay/tests/cases.rs
+++ b/crates/relay/tests/cases.rs
@@ -5,24 +5,28 @@
 use std::collections::BTreeMap;
 
 use help::*;
-use sablecross_relay::log::Full;
+use sablecross_relay::log::LogFull;
 use sablecross_relay::*;
 
-const HORIZON: Horizon = Horizon { cleared: 6 * SEC, held: horizon::HELD, slack: 4 * SEC };
+const HORIZON: RetentionWindow = RetentionWindow {
+    purge_propagation: 6 * SEC,
+    hold_time: retention::PURGE_HOLD_TIME,
+    clock_tolerance: 4 * SEC,
+};
 /// Past the horizon, in ms.
 const OVER: u64 = 130_000;
 const STEP: u64 = 10_000;
 
 fn push(log: &mut Log, event: &Event, unix: u64) -> u64 {
-    log.push(event, Token::default(), None, unix)
+    log.append(event, FencingToken::default(), None, unix)
 }
 
 /// The numbers and bodies that a reader with this number is told in one go.
 fn told(log: &mut Log, cursor: u64, most: usize) -> (u64, Vec<(u64, String)>) {
     let mut out = Vec::new();
-    let upto = log.after(cursor, most, &mut out);
+    let upto = log.encode_after(cursor, most, &mut out);
     let read = |(n, data): (u64, String)| {
-        let (number, event) = Event::read(data.as_bytes(), 1 << 20).expect("an event");
+        let (number, event) = Event::parse(data.as_bytes(), 1 << 20).expect("an event");
         assert_eq!(number, Some(n));
         (n, event.body().to_owned())
     };
@@ -47,36 +51,36 @@
     let mut log = Log::new(HORIZON);
     push(&mut log, &event("{\"purge\" : {\"group\":17,\n \"at\":5}}"), UNIX);
     let mut out = b"before".to_vec();
-    assert_eq!(log.after(0, 0, &mut out), 1);
+    assert_eq!(log.encode_after(0, 0, &mut out), 1);
     assert_eq!(
         String::from_utf8_lossy(&out),
         "beforeid: 1\ndata: {\"n\":1,\"purge\":{\"group\":17,  \"at\":5}}\n\n"
     );
-    assert_eq!(log.after(1, 0, &mut out), 1, "nothing to tell");
-    assert_eq!(log.after(9, 0, &mut out), 9, "a reader that is ahead waits");
+    assert_eq!(log.encode_after(1, 0, &mut out), 1, "nothing to tell");
+    assert_eq!(log.encode_after(9, 0, &mut out), 9, "a reader that is ahead waits");
 }
 
 #[test]
 fn the_base_moves_past_what_is_over() {
     let mut log = aged();
-    log.trim(UNIX + OVER - 1);
-    assert_eq!((log.base().number, log.endpoints()), (0, Some(2)), "all binds still");
-    log.trim(UNIX + OVER + STEP - 1);
-    assert_eq!(log.base().number, 0, "it moves in steps");
-    log.trim(UNIX + OVER + STEP);
+    log.compact(UNIX + OVER - 1);
+    assert_eq!((log.snapshot().number, log.endpoint_count()), (0, Some(2)), "all binds still");
+    log.compact(UNIX + OVER + STEP - 1);
+    assert_eq!(log.snapshot().number, 0, "it moves in steps");
+    log.compact(UNIX + OVER + STEP);
     // 6 binds for 50 s more.
-    assert_eq!((log.base().number, log.last()), (5, 7));
-    log.trim(UNIX + OVER + 50_000 + STEP);
-    assert_eq!((log.base().number, log.last()), (7, 7));
-    let members: Vec<&String> = log.base().members.keys().collect();
+    assert_eq!((log.snapshot().number, log.last_number()), (5, 7));
+    log.compact(UNIX + OVER + 50_000 + STEP);
+    assert_eq!((log.snapshot().number, log.last_number()), (7, 7));
+    let members: Vec<&String> = log.snapshot().members.keys().collect();
     assert_eq!(members, ["a", "c"], "b has gone");
-    assert_eq!(log.base().members["a"], line("a", "draining"), "its JSON as it came");
+    assert_eq!(log.snapshot().members["a"], line("a", "draining"), "its JSON as it came");
 }
 
 #[test]
 fn one_that_is_behind_the_base_gets_list_and_hierarchy_and_what_binds() {
     let mut log = aged();
-    log.trim(UNIX + OVER + 50_000 + STEP);
+    log.compact(UNIX + OVER + 50_000 + STEP);
     push(&mut log, &purge(4, UNIX + OVER), UNIX + OVER + 50_000);
     let whole = list(3, true, &[line("a", "draining"), line("c", "ready")]).body().to_owned();
     let at = |n: u64| match n {
@@ -113,10 +117,10 @@
         };
         members.retain(|_, _| !whole);
         for e in all {
-            if e.gone {
+            if e.is_gone {
                 members.remove(&e.name)
             } else {
-                members.insert(e.name, e.raw)
+                members.insert(e.name, e.json)
             };
         }
     }
@@ -128,8 +132,8 @@
     let mut behind = aged();
     push(&mut behind, &list(4, false, &[line("d", "ready"), line("a", "gone")]), UNIX);
     let mut ahead = behind.clone();
-    ahead.trim(UNIX + OVER + 50_000 + STEP);
-    assert_eq!((behind.base().number, ahead.base().number), (0, 8));
+    ahead.compact(UNIX + OVER + 50_000 + STEP);
+    assert_eq!((behind.snapshot().number, ahead.snapshot().number), (0, 8));
     let all = told(&mut behind, 0, 1 << 20).1;
     for has in 0..all.len() {
         let base = told(&mut ahead, has as u64, 1 << 20).1;
@@ -151,11 +155,11 @@
     let mut log = Log::new(HORIZON);
     push(&mut log, &list(1, true, &[]), UNIX - 3_600_000);
     (0..3_600).for_each(|i| assert!(push(&mut log, &purge(i, UNIX - 3_600_000 + i * 1_000), UNIX) > 1));
-    log.trim(UNIX);
-    log.trim(UNIX + 2 * STEP - 1);
-    assert_eq!(log.base().number, 1, "readers in step are told");
-    log.trim(UNIX + 2 * STEP);
-    assert_eq!(log.last() - log.base().number, 109, "what binds");
+    log.compact(UNIX);
+    log.compact(UNIX + 2 * STEP - 1);
+    assert_eq!(log.snapshot().number, 1, "readers in step are told");
+    log.compact(UNIX + 2 * STEP);
+    assert_eq!(log.last_number() - log.snapshot().number, 109, "what binds");
 }
 
 #[test]
@@ -168,7 +172,7 @@
     for tick in 0..2_000 {
         let unix = UNIX + tick * 100;
         (0..3 + tick % 2).for_each(|i| assert!(push(&mut log, &purge(tick * 9 + i, unix), unix) > 1));
-        log.trim(unix);
+        log.compact(unix);
         if tick < 1_600 || caught_up.is_some() {
             continue;
         }
@@ -176,7 +180,7 @@
         cursor = upto;
         bases += events.iter().filter(|(_, b)| b.starts_with("{\"members")).count();
         bytes += events.iter().map(|(_, b)| b.len()).sum::<usize>();
-        caught_up = (cursor == log.last()).then_some(tick - 1_600);
+        caught_up = (cursor == log.last_number()).then_some(tick - 1_600);
     }
     assert!(bases <= 2 && caught_up.is_some_and(|t| t < 40), "{bases} bases, {bytes} bytes, {caught_up:?}");
 }
@@ -194,7 +198,7 @@
     // In step all get the same bytes, whoever is behind gets them later.
     let (mut slow, mut fast, mut all) = (1, 1, Vec::new());
     let mut largest = 0;
-    while fast < log.last() {
+    while fast < log.last_number() {
         let (upto, events) = told(&mut log, fast, 16_384);
         let bytes: usize = events.iter().map(|(_, b)| b.len()).sum();
         assert!(bytes <= 16_384 || events.len() == 1, "{} of {bytes} bytes", events.len());
@@ -205,25 +209,28 @@
     assert!(largest > 30_000, "the large one goes alone: {largest}");
     assert_eq!(all.iter().map(|e| e.0).collect::<Vec<_>>(), (2..=1_003).collect::<Vec<_>>());
     let mut theirs = Vec::new();
-    while slow < log.last() {
+    while slow < log.last_number() {
         let (upto, events) = told(&mut log, slow, 1);
         assert_eq!(events.len(), 1);
         slow = upto;
         theirs.extend(events);
     }
     assert_eq!(theirs, all);
-    assert_eq!(log.room(1, log.bytes()), Err(Full { bytes: log.bytes(), most: log.bytes() }));
-    assert_eq!(log.room(1, log.bytes() + 1), Ok(()));
+    assert_eq!(
+        log.check_capacity(1, log.size_bytes()),
+        Err(LogFull { bytes: log.size_bytes(), most: log.size_bytes() })
+    );
+    assert_eq!(log.check_capacity(1, log.size_bytes() + 1), Ok(()));
 }
 
 #[test]
 fn a_mark_is_known_as_long_as_its_event_is_kept() {
     let mut log = Log::new(HORIZON);
     push(&mut log, &list(1, true, &[]), UNIX);
-    assert_eq!(log.push(&purge(1, UNIX), Token::default(), Some("m"), UNIX), 2);
-    assert_eq!(log.marked("m"), Some(2));
-    log.trim(UNIX + OVER + STEP);
-    assert_eq!(log.marked("m"), None);
+    assert_eq!(log.append(&purge(1, UNIX), FencingToken::default(), Some("m"), UNIX), 2);
+    assert_eq!(log.number_of_key("m"), Some(2));
+    log.compact(UNIX + OVER + STEP);
+    assert_eq!(log.number_of_key("m"), None);
 }
 
 #[test]
@@ -248,66 +255,66 @@
     ];
     for (text, why) in cases {
         let most = if text.len() == 229 { 200 } else { 1 << 16 };
-        let fault = Event::read(text.as_bytes(), most).expect_err(&text).to_string();
+        let fault = Event::parse(text.as_bytes(), most).expect_err(&text).to_string();
         assert!(fault.contains(why), "{text}: {fault}");
     }
-    assert!(matches!(Event::read(b"{\"purge\":{\"key\":\"\xff\"}}", 100), Err(Fault::Json(_))));
+    assert!(matches!(Event::parse(b"{\"purge\":{\"key\":\"\xff\"}}", 100), Err(EventError::InvalidJson(_))));
 }
 
 #[test]
 fn the_floor_waits_for_all_that_speak_and_never_falls() {
-    let mut r = Readers::new(10 * SEC, 3_600 * SEC, 3);
-    r.expects(0, "c");
-    r.comes(0, "a", 5);
-    r.comes(0, "b", 7);
+    let mut r = Subscribers::new(10 * SEC, 3_600 * SEC, 3);
+    r.expect(0, "c");
+    r.connected(0, "a", 5);
+    r.connected(0, "b", 7);
     assert_eq!(r.floor(SEC, 9), 0, "c is expected");
-    r.comes(SEC, "c", 8);
+    r.connected(SEC, "c", 8);
     assert_eq!(r.floor(SEC + 49 * MS, 9), 0, "worked out now and then");
     assert_eq!(r.floor(SEC + 50 * MS, 9), 5);
     // a is silent with its stream open: it holds the floor for so long, and is named.
     for s in 2..=10 {
-        r.comes(s * SEC, "b", 9);
-        r.comes(s * SEC, "c", 9);
+        r.connected(s * SEC, "b", 9);
+        r.connected(s * SEC, "c", 9);
         assert_eq!(r.floor(s * SEC, 9), 5);
     }
     assert_eq!(r.floor(10 * SEC + 50 * MS, 9), 9);
-    let missing: Vec<View> = r.views(11 * SEC).into_iter().filter(|v| v.missing).collect();
+    let missing: Vec<SubscriberStatus> = r.statuses(11 * SEC).into_iter().filter(|v| v.missing).collect();
     assert_eq!(
-        (missing[0].name.as_str(), missing[0].number, missing[0].heard_ms_ago),
+        (missing[0].name.as_str(), missing[0].number, missing[0].last_seen_age_ms),
         ("a", 5, Some(11_000))
     );
     // One that comes anew lowers nothing, and is waited for before the floor rises.
-    r.comes(11 * SEC, "d", 0);
+    r.connected(11 * SEC, "d", 0);
     assert_eq!(r.floor(11 * SEC, 12), 9);
-    r.comes(12 * SEC, "d", 12);
-    r.comes(12 * SEC, "b", 12);
-    r.comes(12 * SEC, "c", 12);
+    r.connected(12 * SEC, "d", 12);
+    r.connected(12 * SEC, "b", 12);
+    r.connected(12 * SEC, "c", 12);
     assert_eq!(r.floor(12 * SEC, 12), 12);
     for name in ["a", "b", "c", "d"] {
-        (0..20).for_each(|_| r.went(name));
+        (0..20).for_each(|_| r.disconnected(name));
     }
     r.floor(4_000 * SEC, 12);
-    assert!(r.views(4_000 * SEC).is_empty(), "forgotten");
+    assert!(r.statuses(4_000 * SEC).is_empty(), "forgotten");
 }
 
 #[test]
 fn a_reader_that_moves_counts_where_it_was_heard_last() {
-    let view = |name: &str, number, ago| View {
+    let view = |name: &str, number, ago| SubscriberStatus {
         name: name.into(),
         number,
-        heard_ms_ago: ago,
+        last_seen_age_ms: ago,
         connected: false,
         missing: false,
     };
-    let status = |name: &str, last, passed: &[(u64, u64)], readers| Status {
+    let status = |name: &str, last, passed: &[(u64, u64)], readers| RelayStatus {
         name: name.into(),
         unix_ms: UNIX,
-        last,
-        passed: passed.to_vec(),
-        readers,
-        ..Status::default()
+        last_number: last,
+        floor_history: passed.to_vec(),
+        subscribers: readers,
+        ..RelayStatus::default()
     };
-    let whole = merge(&[
+    let whole = merge_statuses(&[
         status(
             "r0",
             20,
@@ -322,40 +329,40 @@
         ),
     ]);
     let names: Vec<(&str, u64, &str)> =
-        whole.readers.iter().map(|r| (r.name.as_str(), r.number, r.relay.as_str())).collect();
+        whole.subscribers.iter().map(|r| (r.name.as_str(), r.number, r.relay.as_str())).collect();
     assert_eq!(
         names,
         [("d1", 20, "r1"), ("d2", 20, "r1"), ("d3", 4, "r1"), ("r0", 20, "r0"), ("r1", 20, "r1")]
     );
-    assert_eq!(whole.in_force(4).missing, []);
-    assert_eq!(whole.in_force(11).since_unix_ms, Some(90));
-    let late = whole.in_force(20);
+    assert_eq!(whole.applied_status(4).missing, []);
+    assert_eq!(whole.applied_status(11).since_unix_ms, Some(90));
+    let late = whole.applied_status(20);
     assert_eq!((late.since_unix_ms, late.missing.len()), (Some(200), 1));
-    assert_eq!(late.missing[0].heard_unix_ms, Some(UNIX - 9_000));
-    assert_eq!(whole.in_force(21).since_unix_ms, None);
+    assert_eq!(late.missing[0].last_seen_unix_ms, Some(UNIX - 9_000));
+    assert_eq!(whole.applied_status(21).since_unix_ms, None);
 }
 
 #[test]
 fn relays_that_follow_one_another_in_a_circle_grow_old_together() {
-    let mut ages = [Freshness::never(); 3];
-    ages[0].heard(SEC, 0, Some(Token { term: 4, owner: Member { number: 2, life: 9 } }));
+    let mut ages = [Staleness::unknown(); 3];
+    ages[0].record(SEC, 0, Some(FencingToken { term: 4, holder: Member { number: 2, incarnation: 9 } }));
     for s in 2..60 {
         for i in 0..3 {
-            let told = ages[(i + 2) % 3].comment(s * SEC);
-            let (age, owner) = Freshness::read(&told).expect("a comment of a relay");
-            ages[i].heard(s * SEC + 20 * MS, age, owner);
+            let told = ages[(i + 2) % 3].to_comment(s * SEC);
+            let (age, owner) = Staleness::parse_comment(&told).expect("a comment of a relay");
+            ages[i].record(s * SEC + 20 * MS, age, owner);
         }
     }
     for age in ages {
-        assert!(age.age(60 * SEC) > 50 * SEC, "{}", age.comment(60 * SEC));
-        assert_eq!(age.owner.map(|t| (t.term, t.owner.number)), Some((4, 2)));
+        assert!(age.age(60 * SEC) > 50 * SEC, "{}", age.to_comment(60 * SEC));
+        assert_eq!(age.leader.map(|t| (t.term, t.holder.number)), Some((4, 2)));
     }
-    assert_eq!(Freshness::read(": still here"), None);
-    assert_eq!(Freshness::never().comment(5), ": fresh - owner - term -\n\n");
+    assert_eq!(Staleness::parse_comment(": still here"), None);
+    assert_eq!(Staleness::unknown().to_comment(5), ": fresh - owner - term -\n\n");
 }
 
 fn plain(many: usize) -> Relay {
-    Relay::plain(settings("p", HORIZON, 1 << 20), Upstream::new(many, 3 * SEC, 5 * SEC, 60 * SEC, 0))
+    Relay::plain(settings("p", HORIZON, 1 << 20), UpstreamSelector::new(many, 3 * SEC, 5 * SEC, 60 * SEC, 0))
 }
 
 #[test]
@@ -363,19 +370,19 @@
     let mut r = plain(3);
     let at = |r: &mut Relay, s: u64| {
         r.step(s * SEC, UNIX);
-        r.follows(s * SEC).map(|(at, _)| at)
+        r.upstream_to_follow(s * SEC).map(|(at, _)| at)
     };
     assert_eq!(at(&mut r, 4), Some(0), "it is given time");
     assert_eq!(at(&mut r, 6), Some(1), "it never said that it is fresh");
-    r.commented(7 * SEC, ": fresh 100 owner 1 term 3");
+    r.on_upstream_comment(7 * SEC, ": fresh 100 owner 1 term 3");
     assert_eq!(at(&mut r, 10), Some(1));
-    r.commented(11 * SEC, ": fresh 4000 owner 1 term 3");
+    r.on_upstream_comment(11 * SEC, ": fresh 4000 owner 1 term 3");
     assert_eq!(at(&mut r, 12), Some(2), "its word is old");
-    r.failed(13 * SEC);
+    r.on_upstream_failed(13 * SEC);
     assert_eq!(at(&mut r, 13), Some(0));
-    r.failed(13 * SEC);
+    r.on_upstream_failed(13 * SEC);
     for s in 14..=74 {
-        r.commented(s * SEC, ": a word of an outside feed");
+        r.on_upstream_comment(s * SEC, ": a word of an outside feed");
         assert_eq!(at(&mut r, s), Some(if s <= 73 { 1 } else { 0 }), "at {s} s");
     }
 }
@@ -384,34 +391,43 @@
 fn a_plain_relay_takes_a_gap_the_second_time_and_keeps_numbers_past_what_it_cannot_read() {
     let mut r = plain(1);
     let tell = |r: &mut Relay, n: u64, e: &Event| {
-        let frame = String::from_utf8(e.frame(n)).expect("text");
+        let frame = String::from_utf8(e.to_frame(n)).expect("text");
         let data = frame.split_once("data: ").expect("data").1.trim_end().to_owned();
-        r.told(SEC, UNIX, Some(n), data.as_bytes())
+        r.on_upstream_event(SEC, UNIX, Some(n), data.as_bytes())
     };
     let whole = list(9, true, &[line("a", "ready")]);
-    assert!(matches!(tell(&mut r, 4, &whole), Took::Again(_)));
-    assert_eq!(tell(&mut r, 4, &whole), Took::New);
-    assert_eq!(tell(&mut r, 5, &hierarchy(3)), Took::New);
-    assert!(matches!(tell(&mut r, 9, &whole), Took::Again(_)));
-    assert_eq!(tell(&mut r, 9, &whole), Took::New);
-    assert_eq!(r.log().base().hierarchy.as_ref().map(|(n, _)| *n), Some(5));
-    assert_eq!(tell(&mut r, 9, &whole), Took::Passed);
-    assert_eq!(tell(&mut r, 10, &purge(1, UNIX)), Took::New);
-    assert!(matches!(tell(&mut r, 12, &purge(3, UNIX)), Took::Again(_)));
-    assert!(matches!(tell(&mut r, 12, &purge(3, UNIX)), Took::Again(_)), "no whole list: never past a purge");
-    assert_eq!(tell(&mut r, 11, &purge(2, UNIX)), Took::New);
-    assert!(matches!(r.told(SEC, UNIX, Some(12), b"{\"n\":12,\"pur"), Took::Again(_)));
-    assert_eq!(r.told(SEC, UNIX, Some(12), b"{\"n\":12,\"pur"), Took::New);
-    assert!(r.acts().iter().any(|a| matches!(a, Do::Note(n) if n.contains("event 12"))), "a line says so");
+    assert!(matches!(tell(&mut r, 4, &whole), ApplyOutcome::Resubscribe(_)));
+    assert_eq!(tell(&mut r, 4, &whole), ApplyOutcome::Applied);
+    assert_eq!(tell(&mut r, 5, &hierarchy(3)), ApplyOutcome::Applied);
+    assert!(matches!(tell(&mut r, 9, &whole), ApplyOutcome::Resubscribe(_)));
+    assert_eq!(tell(&mut r, 9, &whole), ApplyOutcome::Applied);
+    assert_eq!(r.log().snapshot().hierarchy.as_ref().map(|(n, _)| *n), Some(5));
+    assert_eq!(tell(&mut r, 9, &whole), ApplyOutcome::Duplicate);
+    assert_eq!(tell(&mut r, 10, &purge(1, UNIX)), ApplyOutcome::Applied);
+    assert!(matches!(tell(&mut r, 12, &purge(3, UNIX)), ApplyOutcome::Resubscribe(_)));
+    assert!(
+        matches!(tell(&mut r, 12, &purge(3, UNIX)), ApplyOutcome::Resubscribe(_)),
+        "no whole list: never past a purge"
+    );
+    assert_eq!(tell(&mut r, 11, &purge(2, UNIX)), ApplyOutcome::Applied);
+    assert!(matches!(
+        r.on_upstream_event(SEC, UNIX, Some(12), b"{\"n\":12,\"pur"),
+        ApplyOutcome::Resubscribe(_)
+    ));
+    assert_eq!(r.on_upstream_event(SEC, UNIX, Some(12), b"{\"n\":12,\"pur"), ApplyOutcome::Applied);
+    assert!(
+        r.take_actions().iter().any(|a| matches!(a, Action::Log(n) if n.contains("event 12"))),
+        "a line says so"
+    );
     let mut out = Vec::new();
-    assert_eq!(r.after(9, 1 << 20, &mut out), 12);
-    let nothing = String::from_utf8(Event::nothing().frame(12)).expect("text");
+    assert_eq!(r.encode_after(9, 1 << 20, &mut out), 12);
+    let nothing = String::from_utf8(Event::empty_update().to_frame(12)).expect("text");
     assert!(String::from_utf8_lossy(&out).ends_with(&nothing));
     // It calls with what its readers have, and passes over what it is told again.
-    r.comes(2 * SEC, UNIX, "d", 12);
-    assert_eq!(tell(&mut r, 13, &purge(4, UNIX)), Took::New);
-    assert_eq!(r.follows(2 * SEC), Some((0, 12)));
-    assert_eq!(tell(&mut r, 13, &purge(4, UNIX)), Took::Passed);
-    r.comes(3 * SEC, UNIX, "d", 13);
-    assert_eq!(r.follows(3 * SEC), Some((0, 13)));
+    r.on_subscriber_connected(2 * SEC, UNIX, "d", 12);
+    assert_eq!(tell(&mut r, 13, &purge(4, UNIX)), ApplyOutcome::Applied);
+    assert_eq!(r.upstream_to_follow(2 * SEC), Some((0, 12)));
+    assert_eq!(tell(&mut r, 13, &purge(4, UNIX)), ApplyOutcome::Duplicate);
+    r.on_subscriber_connected(3 * SEC, UNIX, "d", 13);
+    assert_eq!(r.upstream_to_follow(3 * SEC), Some((0, 13)));
 }
--- a/crates/relay/tests/help/mod.rs
+++ b/crates/relay/tests/help/mod.rs
@@ -7,37 +7,41 @@
 pub const SEC: Ns = 1_000 * MS;
 pub const UNIX: u64 = 1_700_000_000_000;
 
-pub fn settings(name: &str, horizon: Horizon, most_log: usize) -> Settings {
+pub fn settings(name: &str, horizon: RetentionWindow, most_log: usize) -> RelayConfig {
     let (missed, forgotten) = (SEC, 3_600 * SEC);
-    Settings {
+    RelayConfig {
         name: name.into(),
-        horizon,
-        most_event: 1 << 16,
-        most_log,
-        missed,
-        forgotten,
-        most_passed: 4_096,
+        retention: horizon,
+        max_event_bytes: 1 << 16,
+        max_log_bytes: most_log,
+        missing_after: missed,
+        forget_after: forgotten,
+        max_floor_history: 4_096,
     }
 }
 
-pub fn rules(voters: usize, defences: Defences) -> Rules {
-    let seat =
-        sablecross_duty::Rules { voters: voters as u32, lease: 400 * MS, round: 100 * MS, apart: 40 * MS };
-    Rules {
-        names: (0..voters).map(|v| format!("r{v}")).collect(),
-        seat,
-        patience: 120 * MS,
-        beat: 150 * MS,
-        gather: 0,
-        most_call: 1 << 16,
-        anew_after: Ns::MAX,
-        ahead: 60 * SEC,
-        defences,
+pub fn rules(voters: usize, defences: SafetyChecks) -> GroupConfig {
+    let seat = sablecross_coordination::LeaseConfig {
+        voter_count: voters as u32,
+        duration: 400 * MS,
+        round_timeout: 100 * MS,
+        claim_spacing: 40 * MS,
+    };
+    GroupConfig {
+        voter_names: (0..voters).map(|v| format!("r{v}")).collect(),
+        lease: seat,
+        call_timeout: 120 * MS,
+        heartbeat_interval: 150 * MS,
+        batch_interval: 0,
+        max_call_bytes: 1 << 16,
+        reset_timeout: Ns::MAX,
+        max_purge_lead: 60 * SEC,
+        safety_checks: defences,
     }
 }
 
 pub fn event(body: &str) -> Event {
-    Event::read(body.as_bytes(), 1 << 20).expect(body).1
+    Event::parse(body.as_bytes(), 1 << 20).expect(body).1
 }
 
 pub fn purge(key: u64, at: u64) -> Event {
--- a/crates/relay/tests/horizon.rs
+++ b/crates/relay/tests/horizon.rs
@@ -9,21 +9,22 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use sablecross::*;
-use sablecross_relay::Horizon;
-use sablecross_relay::horizon::HELD;
+use sablecross_relay::RetentionWindow;
+use sablecross_relay::retention::PURGE_HOLD_TIME;
 
 fn with(cleared: Ns, fresh_time: Ns, grace_time: Ns) -> Settings {
-    let kinds = vec![ObjectKind { fresh: fresh_time, grace: grace_time, ..kind(Effect::Idempotent) }];
-    Settings { purge_cleared: cleared, object_kinds: kinds, ..settings() }
+    let kinds =
+        vec![RequestClass { fresh_for: fresh_time, stale_for: grace_time, ..kind(Effect::Idempotent) }];
+    Settings { purge_propagation_window: cleared, request_classes: kinds, ..settings() }
 }
 
 /// What a director decides from `from` on for a few objects of two groups, as it was told or not told of a
 /// purge.
-fn decides(set: &Settings, told: Option<(Option<u64>, Ns)>, from: Ns, seed: u64) -> Vec<Route> {
-    let mut c = Choice::new(set.clone(), seed, START);
-    c.listed(START, &list(4, 2), true);
+fn decides(set: &Settings, told: Option<(Option<u64>, Ns)>, from: Ns, seed: u64) -> Vec<RouteDecision> {
+    let mut c = Router::new(set.clone(), seed, START);
+    c.update_endpoints(START, &list(4, 2), true);
     if let Some((object, at)) = told {
-        c.purged(at, object, 3, 0);
+        c.record_purge(at, object, 3, 0);
     }
     let mut rng = Pcg32::seed_from_u64(seed);
     let mut routes = Vec::new();
@@ -32,11 +33,11 @@
         let mut lk = lookup(rng.random_range(0..4), now);
         lk.group = if rng.random_bool(0.7) { 3 } else { 4 };
         let route = go(&mut c, now, &mut lk);
-        if let Route::Send(_) = route {
+        if let RouteDecision::Attempt(_) = route {
             let outcomes =
-                [Outcome::Satisfied, Outcome::Satisfied, Outcome::Full, Outcome::Miss, Outcome::TimedOut];
+                [Outcome::Success, Outcome::Success, Outcome::Overloaded, Outcome::Miss, Outcome::TimedOut];
             let outcome = outcomes[rng.random_range(0..outcomes.len())];
-            if end(&mut c, now + 10 * MS, &mut lk, outcome) == Next::Again {
+            if end(&mut c, now + 10 * MS, &mut lk, outcome) == NextStep::Retry {
                 routes.push(go(&mut c, now + 12 * MS, &mut lk));
             }
         }
@@ -47,14 +48,18 @@
 
 /// For purges of an object and of a group, kinds that are good until purged, that age, and that age with a
 /// grace.
-fn differ(before: Ns, of: impl Fn(&Horizon) -> Ns) -> (usize, usize) {
+fn differ(before: Ns, of: impl Fn(&RetentionWindow) -> Ns) -> (usize, usize) {
     let at = START + SEC;
     let (mut same, mut other) = (0, 0);
     for cleared in [0, 6 * SEC, 90 * SEC] {
         for (fresh, grace) in [(0, 0), (3_600 * SEC, 0), (3_600 * SEC, 600 * SEC)] {
             for (object, seed) in (0..40).map(|s| ((s % 2 == 0).then_some(s % 4), s)) {
                 let set = with(cleared, fresh, grace);
-                let horizon = Horizon { cleared, held: HELD, slack: 0 };
+                let horizon = RetentionWindow {
+                    purge_propagation: cleared,
+                    hold_time: PURGE_HOLD_TIME,
+                    clock_tolerance: 0,
+                };
                 let from = at + of(&horizon) - before;
                 let told = decides(&set, Some((object, at)), from, seed);
                 let untold = decides(&set, None, from, seed);
@@ -67,11 +72,15 @@
 
 #[test]
 fn a_purge_past_the_horizon_changes_no_decision_and_one_before_it_does() {
-    assert_eq!(differ(0, Horizon::binds), (360, 0), "at the horizon");
-    let (same, other) = differ(50 * MS, Horizon::binds);
+    assert_eq!(differ(0, RetentionWindow::purge_lifetime), (360, 0), "at the horizon");
+    let (same, other) = differ(50 * MS, RetentionWindow::purge_lifetime);
     assert!(other > 250, "50 ms before it: {other} of {} differ", same + other);
     // Of the log's own rule in Unix milliseconds, which rounds up.
-    let horizon = Horizon { cleared: 6 * SEC + 1, held: HELD, slack: 2 * SEC };
-    assert_eq!(horizon.keeps(), 128 * SEC + 1);
-    assert!(!horizon.over(1_000, 129_000) && horizon.over(1_000, 129_001));
+    let horizon = RetentionWindow {
+        purge_propagation: 6 * SEC + 1,
+        hold_time: PURGE_HOLD_TIME,
+        clock_tolerance: 2 * SEC,
+    };
+    assert_eq!(horizon.retention_time(), 128 * SEC + 1);
+    assert!(!horizon.is_expired(1_000, 129_000) && horizon.is_expired(1_000, 129_001));
 }
--- a/crates/relay/tests/schedules.rs
+++ b/crates/relay/tests/schedules.rs
@@ -15,7 +15,8 @@
 /// The Unix clock runs so much faster, so that horizons are short.
 const FAST: u64 = 20;
 /// Some 1.2 simulated seconds.
-const HORIZON: Horizon = Horizon { cleared: 0, held: 24 * SEC, slack: 0 };
+const HORIZON: RetentionWindow =
+    RetentionWindow { purge_propagation: 0, hold_time: 24 * SEC, clock_tolerance: 0 };
 const TICK: Ns = 5 * MS;
 const FAULTS_END: Ns = 4_000 * MS;
 /// Whatever happened, all is well again by then.
@@ -23,8 +24,8 @@
 
 #[derive(Clone, Debug)]
 enum Message {
-    Request(Request),
-    Reply(Reply),
+    Request(PeerRequest),
+    Reply(PeerReply),
 }
 
 struct Letter {
@@ -67,7 +68,7 @@
     rng: Pcg32,
     now: Ns,
     voters: usize,
-    rules: Rules,
+    rules: GroupConfig,
     all: Vec<Process>,
     letters: BTreeMap<(Ns, u64), Letter>,
     sent: u64,
@@ -97,7 +98,7 @@
         list.clear();
     }
     for e in all {
-        if e.gone {
+        if e.is_gone {
             list.remove(&e.name)
         } else {
             list.insert(e.name)
@@ -106,14 +107,14 @@
 }
 
 impl World {
-    fn new(seed: u64, defences: Defences, forgetful: bool) -> World {
+    fn new(seed: u64, defences: SafetyChecks, forgetful: bool) -> World {
         let mut rng = Pcg32::seed_from_u64(seed);
         let voters = rng.random_range(3..=5usize);
         let plain = rng.random_range(1..=2usize);
-        let rules = Rules {
-            gather: rng.random_range(0..=20) * MS,
-            most_call: if rng.random_bool(0.5) { 300 } else { 1 << 16 },
-            anew_after: if forgetful { 2 * SEC } else { Ns::MAX },
+        let rules = GroupConfig {
+            batch_interval: rng.random_range(0..=20) * MS,
+            max_call_bytes: if rng.random_bool(0.5) { 300 } else { 1 << 16 },
+            reset_timeout: if forgetful { 2 * SEC } else { Ns::MAX },
             ..rules(voters, defences)
         };
         let (loss, double, late) =
@@ -152,10 +153,10 @@
         let now = self.now + offset;
         let set = settings(&format!("r{place}"), HORIZON, 1 << 20);
         let relay = if place < self.voters {
-            let me = Member { number: place as u32, life };
+            let me = Member { number: place as u32, incarnation: life };
             Relay::voter(set, me, place as u32, self.rules.clone(), self.rng.random(), now)
         } else {
-            let upstream = Upstream::new(self.voters, 600 * MS, 500 * MS, 5_000 * MS, now);
+            let upstream = UpstreamSelector::new(self.voters, 600 * MS, 500 * MS, 5_000 * MS, now);
             Relay::plain(set, upstream)
         };
         Process { relay, life, offset, stopped: 0, stream: None, told: 0 }
@@ -189,14 +190,14 @@
     }
 
     fn acts(&mut self, of: usize) {
-        for act in self.all[of].relay.acts() {
+        for act in self.all[of].relay.take_actions() {
             match act {
-                Do::Call { voter, number, request } => {
+                Action::Call { voter, call_id: number, request } => {
                     let (life, to) = (self.all[of].life, voter as usize);
                     let message = Message::Request(request);
                     self.send(Letter { from: of, to, life, number, message });
                 }
-                Do::Published { ticket, result: Ok(n) } => {
+                Action::Published { ticket, result: Ok(n) } => {
                     let order = &mut self.orders[ticket as usize];
                     let before = order.number.replace(n);
                     let body = order.body.clone();
@@ -206,14 +207,14 @@
                         self.wrong(format!("{body} has the numbers {before:?} and {n}"));
                     }
                 }
-                Do::Published { ticket, result: Err(e) } => {
+                Action::Published { ticket, result: Err(e) } => {
                     self.orders[ticket as usize].asked = None;
-                    if e == Refusal::Unlisted {
+                    if e == PublishError::NoList {
                         self.orders[0].number = None;
                         self.orders[0].asked = None;
                     }
                 }
-                Do::Begins(_) | Do::Ends(_) | Do::Note(_) => {}
+                Action::LeadershipGained(_) | Action::LeadershipLost(_) | Action::Log(_) => {}
             }
         }
     }
@@ -224,7 +225,7 @@
             return;
         }
         let p = &mut self.all[of];
-        let (from, last) = (p.told, p.relay.last());
+        let (from, last) = (p.told, p.relay.last_number());
         p.told = last;
         if last < from {
             self.wrong(format!("voter {of} goes back from {from} to {last}"));
@@ -233,15 +234,15 @@
             return;
         }
         // A log that began anew has a base that nobody published.
-        let base = self.all[of].relay.log().base();
+        let base = self.all[of].relay.log().snapshot();
         if base.number > 0 && last > base.number && !self.truth.contains_key(&base.number) {
-            let whole = || Event::whole(base.index, base.members.values().map(String::as_str));
-            let event = if base.listed { whole() } else { Event::nothing() };
+            let whole = || Event::snapshot(base.list_index, base.members.values().map(String::as_str));
+            let event = if base.has_list { whole() } else { Event::empty_update() };
             self.truth.insert(base.number - 1, event.body().to_owned());
             let hierarchy = base.hierarchy.as_ref().map(|(_, body)| body.clone());
             self.truth.insert(base.number, hierarchy.unwrap_or(event.body().to_owned()));
         }
-        for e in self.all[of].relay.log().entries(from, usize::MAX) {
+        for e in self.all[of].relay.log().entries_after(from, usize::MAX) {
             let known = self.truth.entry(e.number).or_insert(e.body.clone());
             if *known != e.body {
                 let what = format!("voter {of}: {} is {} and was {known}", e.number, e.body);
@@ -256,13 +257,13 @@
         let now = self.now + self.all[to].offset;
         match message {
             Message::Request(request) => {
-                let reply = self.all[to].relay.called(now, unix, request);
+                let reply = self.all[to].relay.on_peer_request(now, unix, request);
                 self.committed(to);
                 self.acts(to);
                 self.send(Letter { from: to, to: from, life, number, message: Message::Reply(reply) });
             }
             Message::Reply(reply) if self.all[to].life == life => {
-                self.all[to].relay.answered(now, unix, from as u32, number, reply);
+                self.all[to].relay.on_peer_reply(now, unix, from as u32, number, reply);
                 self.committed(to);
                 self.acts(to);
             }
@@ -288,7 +289,7 @@
         }
         for of in 0..self.all.len() {
             let now = self.now + self.all[of].offset;
-            if self.stands(of) && (of >= self.voters || now >= self.all[of].relay.next(now)) {
+            if self.stands(of) && (of >= self.voters || now >= self.all[of].relay.next_wakeup(now)) {
                 let unix = self.unix();
                 self.all[of].relay.step(now, unix);
                 self.committed(of);
@@ -301,44 +302,46 @@
 
     fn pull(&mut self, from: usize, cursor: u64, most: usize) -> (u64, Vec<(u64, String)>) {
         let mut out = Vec::new();
-        if self.all[from].relay.last() <= cursor {
+        if self.all[from].relay.last_number() <= cursor {
             return (cursor, Vec::new());
         }
-        let upto = self.all[from].relay.after(cursor, most, &mut out);
+        let upto = self.all[from].relay.encode_after(cursor, most, &mut out);
         (upto, blocks(out))
     }
 
     fn plain(&mut self, of: usize) {
         let (now, unix) = (self.now + self.all[of].offset, self.unix());
-        let Some((at, number)) = self.all[of].relay.follows(now) else { return };
+        let Some((at, number)) = self.all[of].relay.upstream_to_follow(now) else { return };
         let name = format!("r{of}");
         if let Some((old, _, since)) = self.all[of].stream
             && (old != at || self.now > since + 300 * MS || !self.stands(old))
         {
-            self.all[old].relay.went(&name);
+            self.all[old].relay.on_subscriber_disconnected(&name);
             self.all[of].stream = None;
             if !self.stands(old) {
-                self.all[of].relay.failed(now);
+                self.all[of].relay.on_upstream_failed(now);
                 return;
             }
         }
         if !self.stands(at) || self.cut.get(&(at, of)).is_some_and(|until| self.now < *until) {
-            self.all[of].relay.failed(now);
+            self.all[of].relay.on_upstream_failed(now);
             return;
         }
         let theirs = self.now + self.all[at].offset;
         if self.all[of].stream.is_none() {
-            self.all[at].relay.comes(theirs, unix, &name, number);
+            self.all[at].relay.on_subscriber_connected(theirs, unix, &name, number);
             self.all[of].stream = Some((at, number, self.now));
         }
         let Some((_, cursor, since)) = self.all[of].stream else { return };
         let (upto, blocks) = self.pull(at, cursor, 4_000);
         self.all[of].stream = Some((at, upto, since));
-        let comment = self.all[at].relay.comment(theirs);
-        self.all[of].relay.commented(now, &comment);
+        let comment = self.all[at].relay.staleness_comment(theirs);
+        self.all[of].relay.on_upstream_comment(now, &comment);
         for (n, data) in blocks {
-            if let Took::Again(_) = self.all[of].relay.told(now, unix, Some(n), data.as_bytes()) {
-                self.all[at].relay.went(&name);
+            if let ApplyOutcome::Resubscribe(_) =
+                self.all[of].relay.on_upstream_event(now, unix, Some(n), data.as_bytes())
+            {
+                self.all[at].relay.on_subscriber_disconnected(&name);
                 self.all[of].stream = None;
                 return;
             }
@@ -353,7 +356,7 @@
             let silent = !self.stands(at) && self.now > self.directors[d].heard + 400 * MS;
             let breaks = self.harm && self.rng.random_bool(0.01);
             if silent || breaks || self.now > since + 300 * MS {
-                self.all[at].relay.went(&name);
+                self.all[at].relay.on_subscriber_disconnected(&name);
                 self.directors[d].at = None;
                 if !silent && !breaks && self.stands(at) {
                     self.call(d, at);
@@ -377,13 +380,13 @@
             }
             if self.harm && self.rng.random_bool(0.02) {
                 // The stream breaks in the middle.
-                self.all[at].relay.went(&name);
+                self.all[at].relay.on_subscriber_disconnected(&name);
                 self.directors[d].at = None;
                 return;
             }
             if n > last + 1 && self.directors[d].gap != Some(last) {
                 self.directors[d].gap = Some(last);
-                self.all[at].relay.went(&name);
+                self.all[at].relay.on_subscriber_disconnected(&name);
                 self.directors[d].at = None;
                 return;
             }
@@ -395,7 +398,7 @@
         if self.stands(at) {
             let (theirs, unix) = (self.now + self.all[at].offset, self.unix());
             let last = self.directors[d].last;
-            self.all[at].relay.comes(theirs, unix, &format!("d{d}"), last);
+            self.all[at].relay.on_subscriber_connected(theirs, unix, &format!("d{d}"), last);
             self.directors[d].at = Some((at, last, self.now));
             self.directors[d].heard = self.now;
         }
@@ -408,7 +411,7 @@
             (self.directors[d].last, self.directors[d].gap) = (n, None);
             return;
         }
-        let (number, event) = Event::read(data.as_bytes(), usize::MAX).expect("an event");
+        let (number, event) = Event::parse(data.as_bytes(), usize::MAX).expect("an event");
         let body = event.body();
         if number != Some(n) {
             self.wrong(format!("director {d}: {number:?} under {n}"));
@@ -424,8 +427,8 @@
             }
         }
         if n > last + 1 && !self.forgetful {
-            let over = |b: &str| match Event::read(b.as_bytes(), usize::MAX).map(|(_, e)| e.kind()) {
-                Ok(event::Kind::Purge { at }) => unix >= at + HORIZON.held / MS,
+            let over = |b: &str| match Event::parse(b.as_bytes(), usize::MAX).map(|(_, e)| e.kind()) {
+                Ok(event::EventKind::Purge { created_unix_ms: at }) => unix >= at + HORIZON.hold_time / MS,
                 _ => true,
             };
             let missed =
@@ -433,7 +436,7 @@
             if let Some(missed) = missed {
                 self.wrong(format!("director {d} goes from {last} to {n} past {missed}, which binds"));
             }
-            if as_told && event.kind() != (event::Kind::Members { whole: true }) {
+            if as_told && event.kind() != (event::EventKind::Members { is_snapshot: true }) {
                 self.wrong(format!("director {d} goes from {last} to {n} with no whole list"));
             }
         }
@@ -475,7 +478,7 @@
             // Whoever says that it is the source; else any.
             let owner = (0..self.voters).find(|v| {
                 let theirs = now + self.all[*v].offset;
-                self.stands(*v) && self.all[*v].relay.source(theirs).is_some()
+                self.stands(*v) && self.all[*v].relay.leader_token(theirs).is_some()
             });
             let at = owner.unwrap_or_else(|| self.rng.random_range(0..self.voters));
             if !self.stands(at) {
@@ -512,7 +515,7 @@
             _ => {
                 let now = self.now + self.all[one].offset;
                 // The owner, most of all, is stopped and wakes late.
-                if self.all[one].relay.source(now).is_some() {
+                if self.all[one].relay.leader_token(now).is_some() {
                     self.all[one].stopped = until;
                 } else if self.stands(one) {
                     self.all[one].relay.hand_over(now);
@@ -528,7 +531,7 @@
             let (now, unix) = (self.now, self.unix());
             let unsure = (0..self.voters).filter(|v| *v != one).filter(|v| {
                 let theirs = now + self.all[*v].offset;
-                self.all[*v].relay.status(theirs, unix).learning_ms.is_some()
+                self.all[*v].relay.status(theirs, unix).recovering_ms.is_some()
             });
             if (self.voters - 1 - unsure.count()) * 2 <= self.voters || now < 2_000 * MS {
                 return;
@@ -544,22 +547,22 @@
     /// What is said to be in force everywhere is so at each reader that any relay knows.
     fn claims(&mut self) {
         let (now, unix) = (self.now, self.unix());
-        let statuses: Vec<Status> =
+        let statuses: Vec<RelayStatus> =
             self.all.iter_mut().map(|p| p.relay.status(now + p.offset, unix)).collect();
-        let whole = merge(&statuses);
-        for r in &whole.readers {
+        let whole = merge_statuses(&statuses);
+        for r in &whole.subscribers {
             if let Some(d) = r.name.strip_prefix('d').and_then(|d| d.parse::<usize>().ok())
                 && r.number > self.directors[d].last
             {
                 self.wrong(format!("{r:?} is said to have more than {}", self.directors[d].last));
             }
         }
-        for (n, _) in whole.passed.iter().rev().take(3) {
-            let known: BTreeSet<&str> = whole.readers.iter().map(|r| r.name.as_str()).collect();
+        for (n, _) in whole.floor_history.iter().rev().take(3) {
+            let known: BTreeSet<&str> = whole.subscribers.iter().map(|r| r.name.as_str()).collect();
             let behind = (0..self.directors.len())
                 .find(|d| known.contains(format!("d{d}").as_str()) && self.directors[*d].last < *n);
             if let Some(d) = behind
-                && whole.in_force(*n).missing.is_empty()
+                && whole.applied_status(*n).missing.is_empty()
             {
                 let last = self.directors[d].last;
                 self.wrong(format!("{n} is said to be in force everywhere, director {d} has {last}"));
@@ -606,16 +609,16 @@
         !self.harm
             && self.now.is_multiple_of(20 * TICK)
             && self.orders.iter().all(|o| o.number.is_some())
-            && self.all.iter().all(|p| p.relay.last() == last)
+            && self.all.iter().all(|p| p.relay.last_number() == last)
             && self.directors.iter().all(|d| d.last == last)
     }
 
     fn ends(&mut self) {
         let last = self.truth.last_key_value().map_or(0, |(n, _)| *n);
         let (list, hierarchy) = self.stood(last);
-        let behind = (0..self.all.len()).find(|p| self.all[*p].relay.last() != last);
+        let behind = (0..self.all.len()).find(|p| self.all[*p].relay.last_number() != last);
         if let Some(p) = behind {
-            self.wrong(format!("relay {p} ends at {}, not at {last}", self.all[p].relay.last()));
+            self.wrong(format!("relay {p} ends at {}, not at {last}", self.all[p].relay.last_number()));
         }
         for d in 0..self.directors.len() {
             let Director { last: ends, list: theirs, hierarchy: known, .. } = &self.directors[d];
@@ -646,7 +649,7 @@
 /// The faults found in these seeds, the first of them with its seed.
 fn found(
     seeds: std::ops::Range<u64>,
-    defences: Defences,
+    defences: SafetyChecks,
     forgetful: bool,
 ) -> (u64, Option<(u64, String)>, u64) {
     const THREADS: u64 = 4;
@@ -672,7 +675,7 @@
 
 #[test]
 fn nothing_told_is_lost_doubled_reordered_or_changed() {
-    let (wrong, first, told) = found(0..many(), Defences::default(), false);
+    let (wrong, first, told) = found(0..many(), SafetyChecks::default(), false);
     println!("{} schedules, {told} events told", many());
     assert_eq!(first, None, "{wrong} in all");
     assert!(told > 10 * many(), "{told} events");
@@ -680,20 +683,20 @@
 
 #[test]
 fn when_no_majority_remembers_numbers_go_on_and_all_readers_follow() {
-    let (wrong, first, told) = found(0..many() / 10, Defences::default(), true);
+    let (wrong, first, told) = found(0..many() / 10, SafetyChecks::default(), true);
     println!("{} schedules, {told} events told", many() / 10);
     assert_eq!(first, None, "{wrong} in all");
 }
 
 #[test]
 fn each_defence_that_is_left_out_is_found() {
-    let all = Defences::default();
+    let all = SafetyChecks::default();
     // The gate seldom shows: what is told already is not touched by late calls, whoever made them.
     let left_out = [
-        ("gate", 800, Defences { gate: false, ..all }),
-        ("previous", 100, Defences { previous: false, ..all }),
-        ("majority", 100, Defences { majority: false, ..all }),
-        ("learning", 100, Defences { learning: false, ..all }),
+        ("gate", 800, SafetyChecks { fencing: false, ..all }),
+        ("previous", 100, SafetyChecks { previous_entry: false, ..all }),
+        ("majority", 100, SafetyChecks { quorum: false, ..all }),
+        ("learning", 100, SafetyChecks { recovery: false, ..all }),
     ];
     for (name, seeds, defences) in left_out {
         let (wrong, first, _) = found(0..seeds, defences, false);
--- a/crates/relay/tests/status_format.rs
+++ b/crates/relay/tests/status_format.rs
@@ -2,8 +2,8 @@
 
 use std::fmt::Debug;
 
-use sablecross_relay::readers::{InForce, Merged};
-use sablecross_relay::{Event, Freshness, Member, Status, Token, View, Whole};
+use sablecross_relay::subscribers::{AppliedStatus, MergedSubscriber};
+use sablecross_relay::{Event, FencingToken, FleetView, Member, RelayStatus, Staleness, SubscriberStatus};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -12,8 +12,14 @@
     assert_eq!(&serde_json::from_str::<T>(text).expect("decoded"), value);
 }
 
-fn seen() -> View {
-    View { name: "n5".into(), number: 41, heard_ms_ago: Some(120), connected: true, missing: false }
+fn seen() -> SubscriberStatus {
+    SubscriberStatus {
+        name: "n5".into(),
+        number: 41,
+        last_seen_age_ms: Some(120),
+        connected: true,
+        missing: false,
+    }
 }
 
 const SEEN: &str = r#"{"name":"n5","number":41,"heard_ms_ago":120,"connected":true,"missing":false}"#;
@@ -21,27 +27,33 @@
 
 #[test]
 fn status_of_a_relay() {
-    let never = View { name: "n6".into(), number: 0, heard_ms_ago: None, connected: false, missing: true };
+    let never = SubscriberStatus {
+        name: "n6".into(),
+        number: 0,
+        last_seen_age_ms: None,
+        connected: false,
+        missing: true,
+    };
     holds(&seen(), SEEN);
     holds(&never, NEVER_SEEN);
-    let status = Status {
+    let status = RelayStatus {
         name: "relay-0".into(),
         unix_ms: 1_700_000_000_000,
         role: "owner".into(),
-        owner: Some(0),
+        leader: Some(0),
         term: 3,
-        fresh_ms: Some(2),
-        base: 10,
-        last: 42,
-        kept: 43,
+        staleness_ms: Some(2),
+        snapshot_number: 10,
+        last_number: 42,
+        last_stored: 43,
         log_bytes: 1_234,
         endpoints: Some(5),
         floor: 41,
-        passed: vec![(40, 1_699_999_999_000), (41, 1_699_999_999_500)],
-        readers: vec![seen(), never],
-        learning_ms: Some(7),
-        anew_unix_ms: 1_699_000_000_000,
-        refused: 1,
+        floor_history: vec![(40, 1_699_999_999_000), (41, 1_699_999_999_500)],
+        subscribers: vec![seen(), never],
+        recovering_ms: Some(7),
+        reset_unix_ms: 1_699_000_000_000,
+        rejected_tokens: 1,
     };
     let text = format!(
         "{{\"name\":\"relay-0\",\"unix_ms\":1700000000000,\"role\":\"owner\",\"owner\":0,\"term\":3,\"fresh_ms\":2,\
@@ -51,7 +63,7 @@
     );
     holds(&status, &text);
     holds(
-        &Status::default(),
+        &RelayStatus::default(),
         "{\"name\":\"\",\"unix_ms\":0,\"role\":\"\",\"owner\":null,\"term\":0,\"fresh_ms\":null,\
          \"base\":0,\"last\":0,\"kept\":0,\"log_bytes\":0,\"endpoints\":null,\"floor\":0,\
          \"passed\":[],\"readers\":[],\"learning_ms\":null,\"anew_unix_ms\":0,\"refused\":0}",
@@ -65,53 +77,57 @@
 
 #[test]
 fn several_relays_together() {
-    let merged = |name: &str, number, heard_unix_ms: Option<u64>| Merged {
+    let merged = |name: &str, number, heard_unix_ms: Option<u64>| MergedSubscriber {
         name: name.into(),
         number,
-        heard_unix_ms,
+        last_seen_unix_ms: heard_unix_ms,
         connected: heard_unix_ms.is_some(),
         relay: "relay-0".into(),
     };
     let (seen, never) = (merged("n5", 41, Some(1_699_999_999_880)), merged("n6", 0, None));
     holds(&seen, MERGED);
     holds(&never, NEVER_MERGED);
-    let whole = Whole { readers: vec![seen, never.clone()], passed: vec![(41, 1_699_999_999_500)], last: 42 };
+    let whole = FleetView {
+        subscribers: vec![seen, never.clone()],
+        floor_history: vec![(41, 1_699_999_999_500)],
+        last_number: 42,
+    };
     let text =
         format!("{{\"readers\":[{MERGED},{NEVER_MERGED}],\"passed\":[[41,1699999999500]],\"last\":42}}");
     holds(&whole, &text);
-    let since = InForce { number: 41, since_unix_ms: Some(1_699_999_999_500), missing: vec![never] };
+    let since = AppliedStatus { number: 41, since_unix_ms: Some(1_699_999_999_500), missing: vec![never] };
     let text = format!("{{\"number\":41,\"since_unix_ms\":1699999999500,\"missing\":[{NEVER_MERGED}]}}");
     holds(&since, &text);
-    let not_yet = InForce { number: 42, since_unix_ms: None, missing: Vec::new() };
+    let not_yet = AppliedStatus { number: 42, since_unix_ms: None, missing: Vec::new() };
     holds(&not_yet, r#"{"number":42,"since_unix_ms":null,"missing":[]}"#);
 }
 
 #[test]
 fn frames_and_comments_of_the_stream() {
     let body = r#"{"purge":{"key":"00000000000000ff","at":1700000000000}}"#;
-    let (number, event) = Event::read(body.as_bytes(), 1_000).expect("a purge");
+    let (number, event) = Event::parse(body.as_bytes(), 1_000).expect("a purge");
     assert_eq!((number, event.body()), (None, body));
     let frame = "id: 42\ndata: {\"n\":42,\"purge\":{\"key\":\"00000000000000ff\",\"at\":1700000000000}}\n\n"
         .as_bytes();
-    assert_eq!(event.frame(42), frame);
+    assert_eq!(event.to_frame(42), frame);
     let numbered = br#"{"n":7,"members":{"index":3,"snapshot":true,"endpoints":[]}}"#;
-    let (number, event) = Event::read(numbered, 1_000).expect("a list");
+    let (number, event) = Event::parse(numbered, 1_000).expect("a list");
     let body = r#"{"members":{"index":3,"snapshot":true,"endpoints":[]}}"#;
     assert_eq!((number, event.body()), (Some(7), body));
-    assert_eq!(Event::nothing().body(), r#"{"members":{"index":0,"snapshot":false,"endpoints":[]}}"#);
-    assert_eq!(Event::whole(3, [].into_iter()).body(), body);
+    assert_eq!(Event::empty_update().body(), r#"{"members":{"index":0,"snapshot":false,"endpoints":[]}}"#);
+    assert_eq!(Event::snapshot(3, [].into_iter()).body(), body);
 
     const MS: u64 = 1_000_000;
-    let mut known = Freshness::never();
-    assert_eq!(known.comment(5 * MS), ": fresh - owner - term -\n\n");
-    known.heard(10 * MS, 0, None);
-    assert_eq!(known.comment(12 * MS), ": fresh 2 owner - term -\n\n");
-    let token = Token { term: 3, owner: Member { number: 7, life: 0 } };
-    known.heard(12 * MS, 0, Some(token));
-    assert_eq!(known.comment(14 * MS), ": fresh 2 owner 7 term 3\n\n");
-    assert_eq!(Freshness::read(" fresh 2 owner 7 term 3"), Some((2 * MS, Some(token))));
-    assert_eq!(Freshness::read("fresh - owner - term -"), Some((u64::MAX, None)));
-    assert_eq!(Freshness::read(" tick"), None);
+    let mut known = Staleness::unknown();
+    assert_eq!(known.to_comment(5 * MS), ": fresh - owner - term -\n\n");
+    known.record(10 * MS, 0, None);
+    assert_eq!(known.to_comment(12 * MS), ": fresh 2 owner - term -\n\n");
+    let token = FencingToken { term: 3, holder: Member { number: 7, incarnation: 0 } };
+    known.record(12 * MS, 0, Some(token));
+    assert_eq!(known.to_comment(14 * MS), ": fresh 2 owner 7 term 3\n\n");
+    assert_eq!(Staleness::parse_comment(" fresh 2 owner 7 term 3"), Some((2 * MS, Some(token))));
+    assert_eq!(Staleness::parse_comment("fresh - owner - term -"), Some((u64::MAX, None)));
+    assert_eq!(Staleness::parse_comment(" tick"), None);
 }
 
 const ENDPOINT: [(&str, &str); 7] = [
@@ -135,12 +151,12 @@
 fn keys_of_an_endpoint() {
     for status in ["\"ready\"", "\"draining\"", "\"gone\""] {
         let text = list(ENDPOINT.into_iter().map(|(k, v)| (k, if k == "status" { status } else { v })));
-        let (_, event) = Event::read(text.as_bytes(), 1_000).expect("a list");
+        let (_, event) = Event::parse(text.as_bytes(), 1_000).expect("a list");
         assert_eq!(event.body(), text);
     }
     for (missing, _) in ENDPOINT {
         let text = list(ENDPOINT.into_iter().filter(|(key, _)| *key != missing));
-        let fault = Event::read(text.as_bytes(), 1_000).expect_err("a fault").to_string();
+        let fault = Event::parse(text.as_bytes(), 1_000).expect_err("a fault").to_string();
         let name = if missing == "name" { "" } else { "n1" };
         let expected = format!("members: endpoint 0 ({name}): missing field `{missing}` at line 1 column ");
         assert!(fault.starts_with(&expected), "{fault}");
--- a/crates/forms/src/lib.rs
+++ b/crates/sexpr-config/src/lib.rs
@@ -16,52 +16,58 @@
 use serde_path_to_error::Segment;
 
 /// Bytes of a whole file, and of one form.
-pub const LARGEST_FILE: usize = 64 << 20;
-pub const LARGEST_FORM: usize = 16 << 10;
+pub const MAX_FILE_BYTES: usize = 64 << 20;
+pub const MAX_FORM_BYTES: usize = 16 << 10;
 
 /// What is wrong with a settings file, where, and what to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ConfigError {
     pub file: String,
     /// Both from 1.
     pub line: usize,
     pub column: usize,
     /// The key at fault, with the forms round it; empty where the text itself is.
     pub key: String,
-    pub what: String,
-    pub todo: String,
+    pub problem: String,
+    pub remedy: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{}:{}:{}: ", self.file, self.line, self.column)?;
         if !self.key.is_empty() {
             write!(f, "{}: ", self.key)?;
         }
-        write!(f, "{}", self.what)?;
-        if self.todo.is_empty() { Ok(()) } else { write!(f, " ({})", self.todo) }
+        write!(f, "{}", self.problem)?;
+        if self.remedy.is_empty() { Ok(()) } else { write!(f, " ({})", self.remedy) }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ConfigError {}
 
 /// One form of a file: its value and where it begins, so that a check across forms can name it too.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Placed<T> {
+pub struct Located<T> {
     pub line: usize,
     pub value: T,
 }
 
-impl<T> Placed<T> {
+impl<T> Located<T> {
     /// A fault of this form as a whole, or of one of its keys.
-    pub fn fault(&self, file: &str, key: &str, what: impl Into<String>, todo: impl Into<String>) -> Fault {
-        Fault {
+    pub fn error(
+        &self,
+        file: &str,
+        key: &str,
+        what: impl Into<String>,
+        todo: impl Into<String>,
+    ) -> ConfigError {
+        ConfigError {
             file: file.into(),
             line: self.line,
             column: 1,
             key: key.into(),
-            what: what.into(),
-            todo: todo.into(),
+            problem: what.into(),
+            remedy: todo.into(),
         }
     }
 }
@@ -91,29 +97,30 @@
 }
 
 /// Reads all forms of a file; every fault found is told, up to a few.
-pub fn read<T>(file: &str, text: &str) -> Result<Vec<Placed<T>>, Vec<Fault>>
+pub fn parse_forms<T>(file: &str, text: &str) -> Result<Vec<Located<T>>, Vec<ConfigError>>
 where
     T: DeserializeOwned + Validate<Context = ()>,
 {
-    let fault = |line, column, key: String, what: String, todo: &str| Fault {
+    let fault = |line, column, key: String, what: String, todo: &str| ConfigError {
         file: file.into(),
         line,
         column,
         key,
-        what,
-        todo: todo.into(),
+        problem: what,
+        remedy: todo.into(),
     };
-    if text.len() > LARGEST_FILE {
-        let what = format!("{} bytes, of {LARGEST_FILE} at most", text.len());
+    if text.len() > MAX_FILE_BYTES {
+        let what = format!("{} bytes, of {MAX_FILE_BYTES} at most", text.len());
         return Err(vec![fault(1, 1, String::new(), what, "split it")]);
     }
-    let pieces = scan::forms(text)
-        .map_err(|flaw| vec![fault(flaw.line, flaw.column, String::new(), flaw.what.into(), flaw.todo)])?;
+    let pieces = scan::split_forms(text).map_err(|flaw| {
+        vec![fault(flaw.line, flaw.column, String::new(), flaw.problem.into(), flaw.remedy)]
+    })?;
     let mut forms = Vec::with_capacity(pieces.len());
     let mut faults = Vec::new();
     for piece in pieces {
         match one::<T>(&text[piece.from..piece.to]) {
-            Ok(value) => forms.push(Placed { line: piece.line, value }),
+            Ok(value) => forms.push(Located { line: piece.line, value }),
             Err(found) => faults.extend(found.into_iter().map(|f| {
                 let column = if f.line == 0 { piece.column + f.column } else { f.column + 1 };
                 fault(piece.line + f.line, column, f.key, f.what, f.todo)
--- a/crates/forms/src/scan.rs
+++ b/crates/sexpr-config/src/scan.rs
@@ -1,13 +1,13 @@
 //! Cuts a text into its forms and finds parentheses that don't match.
 
-use super::LARGEST_FORM;
+use super::MAX_FORM_BYTES;
 
 /// How deep parentheses may lie in one another.
 const DEEPEST: usize = 64;
 
 /// A form by its bytes, and where it begins, from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Piece {
+pub struct FormSpan {
     pub from: usize,
     pub to: usize,
     pub line: usize,
@@ -15,21 +15,21 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Flaw {
+pub struct ScanError {
     pub line: usize,
     pub column: usize,
-    pub what: &'static str,
-    pub todo: &'static str,
+    pub problem: &'static str,
+    pub remedy: &'static str,
 }
 
-pub fn forms(text: &str) -> Result<Vec<Piece>, Flaw> {
+pub fn split_forms(text: &str) -> Result<Vec<FormSpan>, ScanError> {
     let mut pieces = Vec::new();
-    let mut open: Vec<Piece> = Vec::new();
+    let mut open: Vec<FormSpan> = Vec::new();
     let (mut line, mut begins) = (1, 0);
     let mut chars = text.char_indices().peekable();
     while let Some((at, c)) = chars.next() {
         let column = at - begins + 1;
-        let flaw = |what, todo| Err(Flaw { line, column, what, todo });
+        let flaw = |what, todo| Err(ScanError { line, column, problem: what, remedy: todo });
         match c {
             '\n' => (line, begins) = (line + 1, at + 1),
             ';' => while chars.next_if(|&(_, c)| c != '\n').is_some() {},
@@ -47,11 +47,11 @@
                     masked = c == '\\' && !masked;
                 }
                 if !ended {
-                    return Err(Flaw {
+                    return Err(ScanError {
                         line,
                         column,
-                        what: "a string that never ends",
-                        todo: "close it with \"",
+                        problem: "a string that never ends",
+                        remedy: "close it with \"",
                     });
                 }
             }
@@ -63,21 +63,21 @@
                 if open.len() == DEEPEST {
                     return flaw("parentheses lie too deep in one another", "write (word (key . value) ...)");
                 }
-                open.push(Piece { from: at, to: at, line, column });
+                open.push(FormSpan { from: at, to: at, line, column });
             }
             ')' | ']' => {
                 let Some(piece) = open.pop() else {
                     return flaw("a parenthesis that closes nothing", "remove it, or open one before");
                 };
                 if open.is_empty() {
-                    let piece = Piece { to: at + 1, ..piece };
-                    if piece.to - piece.from > LARGEST_FORM {
+                    let piece = FormSpan { to: at + 1, ..piece };
+                    if piece.to - piece.from > MAX_FORM_BYTES {
                         let todo = "split it: a form has 16 KiB at most";
-                        return Err(Flaw {
+                        return Err(ScanError {
                             line: piece.line,
                             column: piece.column,
-                            what: "a form too long",
-                            todo,
+                            problem: "a form too long",
+                            remedy: todo,
                         });
                     }
                     pieces.push(piece);
@@ -91,11 +91,11 @@
     }
     match open.first() {
         None => Ok(pieces),
-        Some(p) => Err(Flaw {
+        Some(p) => Err(ScanError {
             line: p.line,
             column: p.column,
-            what: "a parenthesis that is never closed",
-            todo: "close the form that begins here",
+            problem: "a parenthesis that is never closed",
+            remedy: "close the form that begins here",
         }),
     }
 }
--- a/crates/forms/tests/forms.rs
+++ b/crates/sexpr-config/tests/forms.rs
@@ -1,7 +1,7 @@
 //! Faults are named by line and key; long and broken texts end in an error, never in a crash.
 
 use garde::Validate;
-use sablecross_forms::{Placed, read};
+use sablecross_sexpr_config::{Located, parse_forms};
 use serde::Deserialize;
 
 #[derive(Debug, Deserialize, Validate, PartialEq)]
@@ -23,17 +23,17 @@
 }
 
 fn said(text: &str) -> Vec<String> {
-    read::<Form>("f", text).unwrap_err().iter().map(ToString::to_string).collect()
+    parse_forms::<Form>("f", text).unwrap_err().iter().map(ToString::to_string).collect()
 }
 
 #[test]
 fn forms_are_read_in_order_with_their_lines() {
     let text = "; a comment with (\n(node (name . \"a\") (tier . 0))\n\n  (node (name . \"b)\") (tier . 1)\n (sources \"a\" \"c\") (hit-part . 0.5))";
-    let forms = read::<Form>("f", text).unwrap();
+    let forms = parse_forms::<Form>("f", text).unwrap();
     assert_eq!(forms.iter().map(|f| f.line).collect::<Vec<_>>(), [2, 4]);
     let b = Form::Node { name: "b)".into(), tier: 1, sources: vec!["a".into(), "c".into()], hit_part: 0.5 };
-    assert_eq!(forms[1], Placed { line: 4, value: b });
-    assert_eq!(read::<Form>("f", " ; nothing\n").unwrap(), []);
+    assert_eq!(forms[1], Located { line: 4, value: b });
+    assert_eq!(parse_forms::<Form>("f", " ; nothing\n").unwrap(), []);
 }
 
 #[test]
@@ -77,11 +77,11 @@
     let long = format!("(node (name . \"a\") (tier . 1) (sources {}))", "\"a\" ".repeat(100_000));
     assert!(said(&long)[0].contains("too long"));
     let many = "(node (name . \"a\") (tier . 1))\n".repeat(100_000);
-    assert_eq!(read::<Form>("f", &many).unwrap().len(), 100_000);
+    assert_eq!(parse_forms::<Form>("f", &many).unwrap().len(), 100_000);
     let faulty = "(node (tier . 1))\n".repeat(100_000);
     assert_eq!(said(&faulty).len(), 20);
     let cut = "(node (name . \"ä\") (tier . 1))";
     for end in cut.char_indices().map(|(i, _)| i) {
-        assert_eq!(read::<Form>("f", &cut[..end]).is_ok(), end == 0, "{}", &cut[..end]);
+        assert_eq!(parse_forms::<Form>("f", &cut[..end]).is_ok(), end == 0, "{}", &cut[..end]);
     }
 }
--- a/crates/forms/tests/settings_format.rs
+++ b/crates/sexpr-config/tests/settings_format.rs
@@ -1,7 +1,7 @@
 //! The line that an error is printed as, and the form of a settings file: both are what operators see.
 
 use garde::Validate;
-use sablecross_forms::{Fault, Placed, read};
+use sablecross_sexpr_config::{ConfigError, Located, parse_forms};
 use serde::{Deserialize, Serialize};
 
 #[derive(Debug, Deserialize, Serialize, Validate, PartialEq)]
@@ -39,11 +39,11 @@
     ];
     for ((file, line, column, key, what, todo), expected) in cases {
         let (file, key, what, todo) = (file.into(), key.into(), what.into(), todo.into());
-        let error = Fault { file, line, column, key, what, todo };
+        let error = ConfigError { file, line, column, key, problem: what, remedy: todo };
         assert_eq!(error.to_string(), expected);
     }
-    let form = Placed { line: 4, value: () };
-    assert_eq!(form.fault("f", "node", "twice", "keep one").to_string(), "f:4:1: node: twice (keep one)");
+    let form = Located { line: 4, value: () };
+    assert_eq!(form.error("f", "node", "twice", "keep one").to_string(), "f:4:1: node: twice (keep one)");
 }
 
 #[test]
@@ -54,8 +54,8 @@
     };
     let text = "; a comment\n(node (name . \"a\"))\n(node (name . \"b\") (sources \"a\" \"c\")\n  (hit-part . 0.5) (checked . #t))\n";
     let expected = [(2, node("a", &[], 0.0, false)), (3, node("b", &["a", "c"], 0.5, true))];
-    let expected = expected.map(|(line, value)| Placed { line, value });
-    assert_eq!(read::<Form>("f", text).expect("forms"), expected);
+    let expected = expected.map(|(line, value)| Located { line, value });
+    assert_eq!(parse_forms::<Form>("f", text).expect("forms"), expected);
 }
 
 #[test]
@@ -96,7 +96,7 @@
         (&long, "f:1:1: a form too long (split it: a form has 16 KiB at most)"),
     ];
     for (text, expected) in cases {
-        let errors = read::<Form>("f", text).expect_err("faulty");
+        let errors = parse_forms::<Form>("f", text).expect_err("faulty");
         let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
         assert_eq!(lines.join(" | "), expected, "{text}");
     }
--- a/crates/wirehost/src/codec.rs
+++ b/crates/sim-adapter/src/codec.rs
@@ -63,15 +63,21 @@
         self.bytes.extend(director.to_be_bytes());
     }
 
-    pub fn read_through(&mut self, director: u32, txn: u32, send: &sablecross::Send, to: [Address; 2]) {
+    pub fn read_through(
+        &mut self,
+        director: u32,
+        txn: u32,
+        send: &sablecross::AttemptSpec,
+        to: [Address; 2],
+    ) {
         self.record(68, director);
         self.bytes.extend(txn.to_be_bytes());
-        self.bytes.extend(micros(send.oldest.map_or(0, |a| a.max(1_000))).to_be_bytes());
-        self.bytes.push(u8::from(send.join) | u8::from(send.renew) << 3);
+        self.bytes.extend(micros(send.max_age.map_or(0, |a| a.max(1_000))).to_be_bytes());
+        self.bytes.push(u8::from(send.coalesce) | u8::from(send.refresh) << 3);
         self.bytes.extend(to[0]);
         self.bytes.extend(to[1]);
-        self.bytes.extend(micros(send.time_out.max(1_000)).to_be_bytes());
-        self.bytes.push(send.keep);
+        self.bytes.extend(micros(send.timeout.max(1_000)).to_be_bytes());
+        self.bytes.push(send.retention_rank);
     }
 
     pub fn nack(&mut self, director: u32, txn: u32, pause: u64) {
--- a/crates/wirehost/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -2,13 +2,13 @@
 
 use std::collections::HashMap;
 
-use sablecross::{Choice, Listed, Load, Lookup, Ns, Outcome, Send, State};
-use sablecross_inhand::{Carrier, End, Hand, settings};
+use sablecross::{AttemptSpec, EndpointState, EndpointUpdate, LoadReport, Ns, Outcome, Request, Router};
+use sablecross_inflight::{AttemptResult, InflightTable, Transport, settings};
 
 use crate::codec::{Address, Reader, Reply, Result};
 
 struct Instance {
-    hand: Hand,
+    hand: InflightTable,
     /// The names of the values in a load report.
     report: Vec<String>,
     nodes: HashMap<Address, usize>,
@@ -22,13 +22,13 @@
     reply: &'a mut Reply,
 }
 
-impl Carrier for Actions<'_> {
-    fn send(&mut self, id: u64, _: usize, send: &Send) {
+impl Transport for Actions<'_> {
+    fn send(&mut self, id: u64, _: usize, send: &AttemptSpec) {
         let to = [send.node, send.source.unwrap_or(send.node)].map(|n| self.addresses[n]);
         self.reply.read_through(self.director, id as u32, send, to);
     }
 
-    fn nack(&mut self, id: u64, pause: Ns) {
+    fn reject(&mut self, id: u64, pause: Ns) {
         self.reply.nack(self.director, id as u32, pause);
     }
 
@@ -36,22 +36,22 @@
         self.reply.fail(self.director, id as u32);
     }
 
-    fn call_off(&mut self, id: u64, shot: usize) {
+    fn cancel(&mut self, id: u64, shot: usize) {
         self.reply.call_off(self.director, id as u32, shot as u16);
     }
 
-    fn ask_again(&mut self, id: u64, turn: u32, wait: Ns) {
+    fn schedule_check(&mut self, id: u64, turn: u32, wait: Ns) {
         self.reply.timer(self.director, wait, u64::from(turn) << 32 | id);
     }
 
-    fn dropped(&mut self, _: u64) {}
+    fn release(&mut self, _: u64) {}
 }
 
 #[derive(Clone, Copy)]
 struct Entry {
     cell: u16,
     zone: u16,
-    state: State,
+    state: EndpointState,
     started: Ns,
     machine: u16,
     address: Address,
@@ -75,12 +75,12 @@
     }
 
     /// The load report of a record, where one came along.
-    fn load(&self, r: &mut Reader) -> Result<Option<Load>> {
+    fn load(&self, r: &mut Reader) -> Result<Option<LoadReport>> {
         let n = r.u8()?;
         let (values, _) = r.take(4 * usize::from(n))?.as_chunks();
         let values = values.iter().map(|v| f64::from(f32::from_be_bytes(*v)));
         let named = self.report.iter().map(String::as_str).zip(values);
-        Ok((n > 0).then(|| settings::load(named)))
+        Ok((n > 0).then(|| settings::load_report(named)))
     }
 
     fn returned(
@@ -94,28 +94,34 @@
         let shot = usize::from(r.u16()?);
         let address = r.array()?;
         let outcome = match r.u8()? {
-            0 => Outcome::Satisfied,
+            0 => Outcome::Success,
             5 => Outcome::Error,
-            11 => Outcome::Full,
+            11 => Outcome::Overloaded,
             110 => Outcome::TimedOut,
-            111 => Outcome::Unconnected,
-            104 => Outcome::Broken,
+            111 => Outcome::ConnectFailed,
+            104 => Outcome::ConnectionLost,
             125 => Outcome::Cancelled,
-            114 => Outcome::NeverSent,
+            114 => Outcome::NotSent,
             2 => Outcome::Miss,
             other => return Err(format!("unknown outcome {other}")),
         };
         let took = Ns::from(r.u32()?) * 1_000;
         let over = r.u8()? != 0;
-        let hit = settings::hit(r.u32()?);
+        let hit = settings::is_cache_hit(r.u32()?);
         r.u32()?;
         if let Some(load) = self.load(r)?
             && let Some(&node) = self.nodes.get(&address)
         {
-            self.hand.choice.reported(now, node, load);
+            self.hand.router.record_load(now, node, load);
         }
         let mut to = Actions { director, addresses: &self.addresses, reply };
-        self.hand.ended(u64::from(txn), shot, End { outcome, took, hit, over }, now, &mut to);
+        self.hand.on_attempt_result(
+            u64::from(txn),
+            shot,
+            AttemptResult { outcome, elapsed: took, is_cache_hit: hit, is_final: over },
+            now,
+            &mut to,
+        );
         Ok(())
     }
 }
@@ -160,7 +166,7 @@
                 let object = r.u64()?;
                 let ago = Ns::from(r.u32()?) * 1_000;
                 let group = u32::from(r.u16()?);
-                inst.hand.choice.purged(now, (object != 0).then_some(object), group, ago);
+                inst.hand.router.record_purge(now, (object != 0).then_some(object), group, ago);
             }
             4 => {
                 r.take(16)?;
@@ -172,25 +178,25 @@
                 if scope > 3 {
                     return Err(format!("unknown list scope {scope}"));
                 }
-                if scope == 3 && inst.hand.choice.asks_for_list() {
+                if scope == 3 && inst.hand.router.polls_endpoint_list() {
                     reply.follow_list(director);
                 }
                 if scope < 3 {
                     let entries = self.sheets.get(&slot).ok_or("list names no sheet")?;
-                    let lines: Vec<Listed> = entries
+                    let lines: Vec<EndpointUpdate> = entries
                         .iter()
-                        .map(|e| Listed {
+                        .map(|e| EndpointUpdate {
                             node: inst.index(e.address),
                             rank: e.address.iter().fold(0, |a, &b| a << 8 | u64::from(b)),
                             zone: usize::from(e.zone),
-                            machine: usize::from(e.machine),
+                            machine_kind: usize::from(e.machine),
                             cell: usize::from(e.cell),
-                            started: e.started,
+                            started_at: e.started,
                             state: e.state,
-                            withheld: 0,
+                            withheld_virtual_nodes: 0,
                         })
                         .collect();
-                    inst.hand.choice.listed(now, &lines, scope != 0);
+                    inst.hand.router.update_endpoints(now, &lines, scope != 0);
                 }
             }
             6 => {
@@ -203,23 +209,23 @@
                 let size_kb = f64::from(r.f32()?);
                 let deadline = r.u64()?.saturating_mul(1_000);
                 let attrs = r.u16()?;
-                if !inst.hand.choice.knows_kind(kind) || !size_kb.is_finite() {
+                if !inst.hand.router.has_class(kind) || !size_kb.is_finite() {
                     return Err(format!("lookup of unknown kind {kind} or size {size_kb}"));
                 }
-                let lookup = Lookup {
+                let lookup = Request {
                     object,
                     part,
                     group,
-                    kind,
+                    class: kind,
                     size_kb,
-                    arrived: now,
+                    arrived_at: now,
                     deadline,
-                    repeat: attrs & 2 != 0,
-                    write: attrs & 4 != 0,
-                    sends: Vec::new(),
+                    is_client_retry: attrs & 2 != 0,
+                    is_write: attrs & 4 != 0,
+                    attempts: Vec::new(),
                 };
                 let mut to = Actions { director, addresses: &inst.addresses, reply };
-                inst.hand.take(u64::from(txn), lookup, now, &mut to);
+                inst.hand.admit(u64::from(txn), lookup, now, &mut to);
             }
             7 => {
                 r.u16()?;
@@ -239,11 +245,11 @@
                 let handle = r.u64()?;
                 let (turn, id) = ((handle >> 32) as u32, handle & u64::from(u32::MAX));
                 let mut to = Actions { director, addresses: &inst.addresses, reply };
-                inst.hand.ask(id, turn, now, &mut to);
+                inst.hand.check(id, turn, now, &mut to);
             }
             other => return Err(format!("unknown record code {other}")),
         }
-        for line in inst.hand.choice.notes() {
+        for line in inst.hand.router.take_log_lines() {
             reply.print(director, &line);
         }
         Ok(())
@@ -258,9 +264,9 @@
             r.f32()?;
             let zone = r.u16()?;
             let state = match r.u8()? {
-                1 => State::Ready,
-                2 => State::Gone,
-                3 => State::Draining,
+                1 => EndpointState::Ready,
+                2 => EndpointState::Gone,
+                3 => EndpointState::Draining,
                 other => return Err(format!("unknown node state {other}")),
             };
             let started = r.u64()?.saturating_mul(1_000);
@@ -277,13 +283,14 @@
         let n = r.u32()? as usize;
         let text = std::str::from_utf8(r.take(n)?).map_err(|_| "settings are not text")?;
         let owned = |(path, value): (&str, &str)| (path.to_owned(), value.to_owned());
-        let pairs: settings::Pairs = text.lines().filter_map(|l| l.split_once('=')).map(owned).collect();
-        let choice = Choice::new(settings::decode(&pairs)?, seed, now);
-        if choice.asks_for_list() {
+        let pairs: settings::SettingsMap =
+            text.lines().filter_map(|l| l.split_once('=')).map(owned).collect();
+        let choice = Router::new(settings::decode(&pairs)?, seed, now);
+        if choice.polls_endpoint_list() {
             self.reply.follow_list(director);
         }
         let report = pairs.list("report.names").unwrap_or_default();
-        let hand = Hand::new(choice);
+        let hand = InflightTable::new(choice);
         let inst = Instance { hand, report, nodes: HashMap::new(), addresses: Vec::new() };
         self.instances.insert(director, inst);
         Ok(())
--- a/crates/wirehost/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -38,7 +38,7 @@
     match serve(stdin().lock(), stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("sablecross-wirehost: {e}");
+            eprintln!("sablecross-sim-adapter: {e}");
             ExitCode::FAILURE
         }
     }
--- a/crates/wirehost/tests/settings_format.rs
+++ b/crates/sim-adapter/tests/settings_format.rs
@@ -1,7 +1,7 @@
 //! The settings of the simulator's wire: every key that is read, in every form that its value may take.
 
-use sablecross::{Effect, ObjectKind, Settings, Within};
-use sablecross_inhand::settings;
+use sablecross::{DeduplicationScope, Effect, RequestClass, Settings};
+use sablecross_inflight::settings;
 
 const SETTINGS: &str = include_str!("data/settings.txt");
 
@@ -16,54 +16,59 @@
 
 /// What the text of `data/settings.txt` says.
 fn expected() -> Settings {
-    let idempotent = ObjectKind {
-        latency_budget: 250_000_000,
-        budget_stretch: None,
-        utility: 1.0,
+    let idempotent = RequestClass {
+        latency_objective: 250_000_000,
+        latency_objective_stretch: None,
+        priority_weight: 1.0,
         effect: Effect::Idempotent,
-        fresh: 0,
-        grace: 0,
-        parts: false,
-        written: false,
+        fresh_for: 0,
+        stale_for: 0,
+        is_multipart: false,
+        is_uncacheable: false,
     };
     Settings {
         zone: 2,
-        number: 0,
-        directors: vec![0, 0, 1],
-        object_kinds: vec![
+        director_index: 0,
+        directors_per_zone: vec![0, 0, 1],
+        request_classes: vec![
             idempotent.clone(),
-            ObjectKind {
-                effect: Effect::Deduplicated { within: Within::All, memory: 5_000_000_000 },
+            RequestClass {
+                effect: Effect::Deduplicated { within: DeduplicationScope::All, window: 5_000_000_000 },
                 ..idempotent.clone()
             },
-            ObjectKind { utility: 2.0, effect: Effect::SideEffecting, written: true, ..idempotent.clone() },
-            ObjectKind {
-                latency_budget: 400_000_000,
-                budget_stretch: Some(1.6),
-                fresh: 20_000_000_000,
-                grace: 30_000_000_000,
-                parts: true,
+            RequestClass {
+                priority_weight: 2.0,
+                effect: Effect::SideEffecting,
+                is_uncacheable: true,
+                ..idempotent.clone()
+            },
+            RequestClass {
+                latency_objective: 400_000_000,
+                latency_objective_stretch: Some(1.6),
+                fresh_for: 20_000_000_000,
+                stale_for: 30_000_000_000,
+                is_multipart: true,
                 ..idempotent
             },
         ],
         parent_kind: Some(1),
         origin_kind: 2,
-        follow_list: true,
-        cancels: true,
-        second_copies: true,
-        pauses: true,
-        longest_pause: 2_000_000_000,
-        most_sends: 6,
-        cold_from: 0.23,
-        warm_after: 18_000_000_000,
-        fall_multiple: 3.0,
-        parent_cold_from: 0.078,
-        parent_warm_after: 20_000_000_000,
-        parent_fall_multiple: 2.0,
+        polls_endpoint_list: true,
+        may_cancel: true,
+        may_hedge: true,
+        may_send_retry_after: true,
+        max_retry_after: 2_000_000_000,
+        max_attempts: 6,
+        slow_start_initial_share: 0.23,
+        slow_start_window: 18_000_000_000,
+        collapse_multiple: 3.0,
+        parent_slow_start_initial_share: 0.078,
+        parent_slow_start_window: 20_000_000_000,
+        parent_collapse_multiple: 2.0,
         stream_kb_per_s: 2_700.0,
-        direct: true,
-        joins: true,
-        purge_cleared: 6_000_000_000,
+        may_bypass_cache: true,
+        may_coalesce: true,
+        purge_propagation_window: 6_000_000_000,
         tick: 2_000_000,
     }
 }
@@ -73,28 +78,30 @@
     assert_eq!(decode(SETTINGS), Ok(expected()));
     let changed: [Change; 16] = [
         ("az=2", "az=1", |s| s.zone = 1),
-        ("index=0", "index=4", |s| s.number = 4),
-        ("zoneBalancers=0,0,1", "zoneBalancers=3,0,1", |s| s.directors = vec![3, 0, 1]),
+        ("index=0", "index=4", |s| s.director_index = 4),
+        ("zoneBalancers=0,0,1", "zoneBalancers=3,0,1", |s| s.directors_per_zone = vec![3, 0, 1]),
         ("midKind=1", "midKind=-1", |s| s.parent_kind = None),
         ("masterKind=2", "masterKind=0", |s| s.origin_kind = 0),
-        ("discovery=on_request", "discovery=pushed", |s| s.follow_list = false),
-        ("mayCancel=true", "mayCancel=false", |s| s.cancels = false),
-        ("parallelTries=true", "parallelTries=false", |s| s.second_copies = false),
-        ("retryAfter=true", "retryAfter=false", |s| s.pauses = false),
-        ("direct=true", "direct=false", |s| s.direct = false),
-        ("joins=true", "joins=false", |s| s.joins = false),
+        ("discovery=on_request", "discovery=pushed", |s| s.polls_endpoint_list = false),
+        ("mayCancel=true", "mayCancel=false", |s| s.may_cancel = false),
+        ("parallelTries=true", "parallelTries=false", |s| s.may_hedge = false),
+        ("retryAfter=true", "retryAfter=false", |s| s.may_send_retry_after = false),
+        ("direct=true", "direct=false", |s| s.may_bypass_cache = false),
+        ("joins=true", "joins=false", |s| s.may_coalesce = false),
         ("periodUs=2000", "periodUs=5000", |s| s.tick = 5_000_000),
         // What is longer than a year is a year.
         ("clearedWithinUs=6000000", "clearedWithinUs=99999999999999", |s| {
-            s.purge_cleared = 366 * 86_400 * 1_000_000_000;
+            s.purge_propagation_window = 366 * 86_400 * 1_000_000_000;
         }),
         ("group=all", "group=zone", |s| {
-            s.object_kinds[1].effect = Effect::Deduplicated { within: Within::Zone, memory: 5_000_000_000 };
+            s.request_classes[1].effect =
+                Effect::Deduplicated { within: DeduplicationScope::Zone, window: 5_000_000_000 };
         }),
         ("group=all", "group=cell", |s| {
-            s.object_kinds[1].effect = Effect::Deduplicated { within: Within::Cell, memory: 5_000_000_000 };
+            s.request_classes[1].effect =
+                Effect::Deduplicated { within: DeduplicationScope::Cell, window: 5_000_000_000 };
         }),
-        ("aimStretch=1.6", "aimStretch=0", |s| s.object_kinds[3].budget_stretch = Some(0.0)),
+        ("aimStretch=1.6", "aimStretch=0", |s| s.request_classes[3].latency_objective_stretch = Some(0.0)),
     ];
     for (from, to, change) in changed {
         let mut settings = expected();
@@ -143,12 +150,12 @@
 #[test]
 fn load_reports_and_notes_have_their_names_and_numbers() {
     let report = [("active", 3.0), ("cpu", 0.5), ("x0", 0.1), ("x1", 0.75)];
-    let load = settings::load(report.into_iter());
-    assert_eq!((load.busy, load.link), (Some(0.5), Some(0.75)));
-    let load = settings::load([("cpu", f64::NAN), ("rps", 7.0)].into_iter());
-    assert_eq!((load.busy, load.link), (None, None));
+    let load = settings::load_report(report.into_iter());
+    assert_eq!((load.cpu_utilization, load.link_utilization), (Some(0.5), Some(0.75)));
+    let load = settings::load_report([("cpu", f64::NAN), ("rps", 7.0)].into_iter());
+    assert_eq!((load.cpu_utilization, load.link_utilization), (None, None));
     let hits = [None, Some(true), Some(false), Some(false), Some(false), Some(true), None, None];
     for (note, hit) in hits.into_iter().enumerate() {
-        assert_eq!(settings::hit(note as u32), hit, "{note}");
+        assert_eq!(settings::is_cache_hit(note as u32), hit, "{note}");
     }
 }
--- a/crates/wirehost/tests/wire.rs
+++ b/crates/sim-adapter/tests/wire.rs
@@ -66,7 +66,7 @@
 }
 
 fn run(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_sablecross-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_sablecross-sim-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/wirehost/tests/wire_format.rs
+++ b/crates/sim-adapter/tests/wire_format.rs
@@ -71,7 +71,7 @@
 fn each_message_has_its_bytes() {
     let batches = batches();
     let input: Vec<u8> = batches.iter().enumerate().flat_map(|(n, batch)| request_frame(n, batch)).collect();
-    let mut child = Command::new(env!("CARGO_BIN_EXE_sablecross-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_sablecross-sim-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
--- a/crates/lab/src/bin/lab-director.rs
+++ b/crates/testbed/src/bin/lab-director.rs
@@ -3,6 +3,6 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    sablecross_lab::end_with_parent();
-    sablecross_director::life::start()
+    sablecross_testbed::exit_with_parent();
+    sablecross_director::process::run()
 }
