--- a/crates/lab/src/fleet/node.rs
+++ b/crates/testbed/src/fleet/node.rs
@@ -9,8 +9,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use sablecross_director::duty::Tag;
-use sablecross_duty::{Gate, Token as Duty};
+use sablecross_coordination::{FencingGuard, FencingToken as Duty};
+use sablecross_director::coordination::HealthCheckTag;
 
 use crate::node::{lock, spawn, unix_ms};
 
@@ -67,9 +67,9 @@
     links: Vec<Arc<TcpStream>>,
     falls: u64,
     strays: u64,
-    gate: Gate,
+    gate: FencingGuard,
     /// The same for warming; what was fetched so, and refused.
-    warm_gate: Gate,
+    warm_gate: FencingGuard,
     warmed: u64,
     warm_refused: u64,
     /// Requests of directors since it began anew: when, and whether a copy was there.
@@ -233,7 +233,7 @@
             let field = |name: &str| {
                 fields.split(',').filter_map(|f| f.split_once('=')).find(|f| f.0 == name).map(|f| f.1)
             };
-            let warms = field("duty").and_then(|tag| tag.parse::<Tag>().ok());
+            let warms = field("duty").and_then(|tag| tag.parse::<HealthCheckTag>().ok());
             let object = field("key").and_then(|k| u64::from_str_radix(k, 16).ok()).unwrap_or(0);
             let director = id.get(..8).and_then(|d| u64::from_str_radix(d, 16).ok()).unwrap_or(0) as usize;
             // A stopped program reads on when it is continued.
@@ -241,7 +241,7 @@
             if stopped > 0.0 {
                 std::thread::sleep(Duration::from_secs_f64(stopped));
             }
-            let director = warms.map_or(director, |tag| tag.token.owner.number as usize);
+            let director = warms.map_or(director, |tag| tag.token.holder.number as usize);
             let refused = warms.and_then(|tag| self.warms(tag));
             let done = match refused {
                 Some(_) => Done::Silence,
@@ -252,7 +252,7 @@
             };
             let (at, word, said, body) = match done {
                 _ if refused.is_some() => {
-                    let newest = refused.unwrap_or(Tag { token: Duty::default(), number: 0 });
+                    let newest = refused.unwrap_or(HealthCheckTag { token: Duty::default(), sequence: 0 });
                     (self.now(), "STALE", format!("newest={newest}"), String::new())
                 }
                 Done::Copy(at, issued, held) => {
@@ -279,8 +279,8 @@
 
     /// A probe. The check of its token and what it does, which is to count here, are one step.
     fn metered(&self, text: &str) -> Option<String> {
-        let tag: Tag = text.parse().ok()?;
-        let member = tag.token.owner.number as usize;
+        let tag: HealthCheckTag = text.parse().ok()?;
+        let member = tag.token.holder.number as usize;
         let wait = |inner: &Inner| {
             let held = inner.held.get(&member).copied().unwrap_or(0.0);
             held.max(inner.stopped_until) - self.now()
@@ -294,14 +294,17 @@
         if now < inner.down_until || inner.cuts.get(&member) == Some(&Cut::To) {
             return None;
         }
-        let refused = inner.gate.pass(tag.token).err().filter(|_| self.gated);
+        let refused = inner.gate.admit(tag.token).err().filter(|_| self.gated);
         inner.probes.push(Probe { at: now, token: tag.token, passed: refused.is_none() });
         let cut = inner.cuts.contains_key(&member);
         let busy = ((inner.free_at - now) / LONGEST_LINE).clamp(0.0, 1.0);
         drop(inner);
         let said = match refused {
             Some(old) => {
-                format!("{text} STALE newest={} 0\r\n\r\n", Tag { token: old.highest, number: 0 })
+                format!(
+                    "{text} STALE newest={} 0\r\n\r\n",
+                    HealthCheckTag { token: old.highest, sequence: 0 }
+                )
             }
             None => format!("{text} READY stats=cpu:{busy:.3} 0\r\n\r\n"),
         };
@@ -309,12 +312,12 @@
     }
 
     /// A request of whoever warms caches: by which token a newer owner does, if one does.
-    fn warms(&self, tag: Tag) -> Option<Tag> {
+    fn warms(&self, tag: HealthCheckTag) -> Option<HealthCheckTag> {
         let mut inner = lock(&self.inner);
-        match inner.warm_gate.pass(tag.token) {
+        match inner.warm_gate.admit(tag.token) {
             Err(old) if self.gated => {
                 inner.warm_refused += 1;
-                Some(Tag { token: old.highest, number: 0 })
+                Some(HealthCheckTag { token: old.highest, sequence: 0 })
             }
             _ => {
                 inner.warmed += 1;
@@ -462,7 +465,7 @@
     pub fn begins_cold(&self) -> u64 {
         let mut inner = lock(&self.inner);
         inner.copies = Copies::default();
-        (inner.gate, inner.warm_gate) = (Gate::default(), Gate::default());
+        (inner.gate, inner.warm_gate) = (FencingGuard::default(), FencingGuard::default());
         inner.fresh.clear();
         (inner.since, inner.down_until, inner.gone_from) = (Some(self.now()), 0.0, None);
         unix_ms()
--- a/crates/lab/src/fleet/run.rs
+++ b/crates/testbed/src/fleet/run.rs
@@ -12,8 +12,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use rustix::process::Signal;
-use sablecross_director::duty::settings::DRIVING;
-use sablecross_duty::word::DEALING;
+use sablecross_coordination::messages::ASSIGNMENT_ROLE;
+use sablecross_director::coordination::settings::HIERARCHY_ROLE;
 use serde_json::Value;
 
 use super::load::{Clients, Wants};
@@ -334,7 +334,7 @@
                 }
                 Act::Wish(n) => {
                     let Some(s) = &shared else { continue };
-                    match watch::owner(&s.voters, DRIVING) {
+                    match watch::owner(&s.voters, HIERARCHY_ROLE) {
                         Some(driver) if watch::wish(s.voters[driver], &shape(t, n)) => wished += 1,
                         // Nobody drives in this moment: the wish is made a little later.
                         _ => acts.push((now + 0.5, Act::Wish(n))),
@@ -383,8 +383,8 @@
         w.bytes = s.ways.bytes(|_| true).iter().sum::<u64>() as f64 / seconds / t.directors as f64;
         w.cpu = cpu_used / seconds / t.directors as f64;
         w.wished = wished;
-        w.refused_by_voters = views.iter().map(|v| v.refused).sum();
-        w.passed_over = views.iter().map(|v| v.passed_over).sum();
+        w.refused_by_voters = views.iter().map(|v| v.rejected_here).sum();
+        w.passed_over = views.iter().map(|v| v.stale_assignments_ignored).sum();
         for n in &counted {
             (w.warmed, w.warm_refused) =
                 (w.warmed + n.counted.warmed, w.warm_refused + n.counted.warm_refused);
@@ -439,8 +439,8 @@
         Kind::StopVoters | Kind::KillVoters => one.directors = some(rng, voters, fault.of),
         Kind::StopOwner | Kind::KillOwner | Kind::StopDriver | Kind::KillDriver => {
             let duty = match fault.kind {
-                Kind::StopOwner | Kind::KillOwner => DEALING,
-                _ => DRIVING,
+                Kind::StopOwner | Kind::KillOwner => ASSIGNMENT_ROLE,
+                _ => HIERARCHY_ROLE,
             };
             if let Some(s) = shared.as_mut()
                 && let Some(member) = watch::owner(&s.voters, duty)
--- a/crates/lab/src/fleet/settings.rs
+++ b/crates/testbed/src/fleet/settings.rs
@@ -1,7 +1,7 @@
 //! A trial of a fleet, from its settings file.
 
 use garde::Validate;
-use sablecross_forms::Fault as Flaw;
+use sablecross_sexpr_config::ConfigError as Flaw;
 use serde::{Deserialize, Serialize};
 
 use crate::settings::only;
@@ -270,7 +270,7 @@
     };
     match wrong {
         Some((key, what)) => {
-            Err(vec![first.fault(file, key, what, "leave time after it, and name whom it strikes")])
+            Err(vec![first.error(file, key, what, "leave time after it, and name whom it strikes")])
         }
         None => Ok(trial.clone()),
     }
--- a/crates/lab/src/fleet/watch.rs
+++ b/crates/testbed/src/fleet/watch.rs
@@ -7,10 +7,10 @@
 use std::path::Path;
 use std::time::Duration;
 
-use sablecross_director::duty::ask;
-use sablecross_director::duty::settings::DRIVING;
-use sablecross_duty::Member;
-use sablecross_duty::word::{Answer, Duty, Request, Shown, Word};
+use sablecross_coordination::Member;
+use sablecross_coordination::messages::{MemberStatus, Message, Reply, Request, RoleId};
+use sablecross_director::coordination::call_member;
+use sablecross_director::coordination::settings::HIERARCHY_ROLE;
 use serde::{Deserialize, Serialize};
 
 use super::node::{At, Probe};
@@ -21,7 +21,7 @@
 pub struct Blow {
     pub at: At,
     pub member: usize,
-    pub duty: Duty,
+    pub duty: RoleId,
 }
 
 /// One that began to deal, by its log.
@@ -29,7 +29,7 @@
 pub struct Begun {
     pub at: At,
     pub member: usize,
-    pub duty: Duty,
+    pub duty: RoleId,
     pub term: u64,
 }
 
@@ -80,25 +80,26 @@
 }
 
 /// What a director says of its duties; none: it does not answer.
-pub fn shown(at: SocketAddr) -> Option<Shown> {
-    let request = Request { from: Member { number: u32::MAX, life: 0 }, words: vec![Word::Show] };
-    let said = ask(at, &request, Duration::from_millis(300)).ok()?;
-    said.into_iter().find_map(|a| if let Answer::Shown(shown) = a { Some(shown) } else { None })
+pub fn shown(at: SocketAddr) -> Option<MemberStatus> {
+    let request =
+        Request { from: Member { number: u32::MAX, incarnation: 0 }, messages: vec![Message::ShowStatus] };
+    let said = call_member(at, &request, Duration::from_millis(300)).ok()?;
+    said.into_iter().find_map(|a| if let Reply::Status(shown) = a { Some(shown) } else { None })
 }
 
 /// Who owns a duty now, of these voters.
-pub fn owner(voters: &[SocketAddr], duty: Duty) -> Option<usize> {
-    voters
-        .iter()
-        .position(|at| shown(*at).is_some_and(|s| s.duties.iter().any(|d| d.duty == duty && d.own.is_some())))
+pub fn owner(voters: &[SocketAddr], duty: RoleId) -> Option<usize> {
+    voters.iter().position(|at| {
+        shown(*at).is_some_and(|s| s.roles.iter().any(|d| d.role == duty && d.own_lease.is_some()))
+    })
 }
 
 /// Hands a version of the hierarchy to whoever drives; whether it was heard.
 pub fn wish(driver: SocketAddr, text: &str) -> bool {
-    let words = vec![Word::Wish(DRIVING, text.as_bytes().to_vec())];
-    let request = Request { from: Member { number: u32::MAX, life: 0 }, words };
-    let said = ask(driver, &request, Duration::from_millis(500));
-    said.is_ok_and(|said| said.contains(&Answer::Wished(DRIVING, Ok(()))))
+    let words = vec![Message::Propose(HIERARCHY_ROLE, text.as_bytes().to_vec())];
+    let request = Request { from: Member { number: u32::MAX, incarnation: 0 }, messages: words };
+    let said = call_member(driver, &request, Duration::from_millis(500));
+    said.is_ok_and(|said| said.contains(&Reply::ProposalResult(HIERARCHY_ROLE, Ok(()))))
 }
 
 const DAY_MS: u64 = 86_400_000;
@@ -122,7 +123,7 @@
         // Directors' own times are of no wall clock: the log's are, of one day.
         let at = (at_ms(line)? + DAY_MS - zero % DAY_MS) % DAY_MS;
         let at = at as f64 / 1e3;
-        Some(Begun { at, member, duty: field("duty")? as Duty, term: field("term")? })
+        Some(Begun { at, member, duty: field("duty")? as RoleId, term: field("term")? })
     };
     text.lines().filter_map(one).collect()
 }
@@ -151,7 +152,7 @@
                 }
                 w.disorder += u64::from(p.token.term < newest);
                 newest = newest.max(p.token.term);
-                owners.entry(p.token.term).or_default().insert(p.token.owner);
+                owners.entry(p.token.term).or_default().insert(p.token.holder);
             }
             w.twins += owners.values().filter(|o| o.len() > 1).count() as u64;
             let out = |from: At, to: At| {
@@ -176,7 +177,7 @@
         }
         w.burst_times = f64::from(w.burst) / usual;
         w.rate = w.probes as f64 / boxes.len().max(1) as f64 / seconds.max(1.0);
-        let mut terms: BTreeMap<(Duty, u64), BTreeSet<usize>> = BTreeMap::new();
+        let mut terms: BTreeMap<(RoleId, u64), BTreeSet<usize>> = BTreeMap::new();
         for b in begun {
             terms.entry((b.duty, b.term)).or_default().insert(b.member);
         }
--- a/crates/lab/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -20,5 +20,5 @@
 pub use process::Failed;
 pub use report::Report;
 pub use run::run;
-pub use sablecross_tier::life::end_with_parent;
+pub use sablecross_relay_server::process::exit_with_parent;
 pub use settings::Experiment;
--- a/crates/lab/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -10,7 +10,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use rmp::{decode, encode};
-use sablecross::fill_place;
+use sablecross::parent_position;
 
 use crate::node::{Common, lock, unix_ms};
 
@@ -124,7 +124,7 @@
     let name = format!("{name:016x}");
     let budget = BUDGET_MS.to_string();
     // Sizes of 4 to 16 KB: what lookups bring for their sending time differs, and so does what they stand for.
-    let size = (4 + fill_place(object) % 13).to_string();
+    let size = (4 + parent_position(object) % 13).to_string();
     let object = format!("{object:016x}");
     let fields = [
         ("rid", &*name),
--- a/crates/lab/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -8,9 +8,9 @@
 use std::sync::{Arc, Mutex, MutexGuard, RwLock};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use sablecross::fill_place;
-use sablecross_hierarchy::way::{Ways, passes};
-use sablecross_hierarchy::{Hierarchy, Holder};
+use sablecross::parent_position;
+use sablecross_hierarchy::fill_path::{FillPaths, check_fill_path};
+use sablecross_hierarchy::{Hierarchy, VersionHolder};
 
 pub fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
     of.lock().unwrap_or_else(|e| e.into_inner())
@@ -101,7 +101,7 @@
     /// Whether it passes on the way that the director named.
     follow: bool,
     copies: Mutex<Copies>,
-    held: Mutex<(Holder, Arc<Ways>)>,
+    held: Mutex<(VersionHolder, Arc<FillPaths>)>,
     links: Mutex<HashMap<String, Vec<TcpStream>>>,
     /// Unix milliseconds of a cold start; 0: long ago.
     since: AtomicU64,
@@ -174,8 +174,8 @@
     /// Takes a version; the number and digest in force then.
     pub fn offer(&self, number: u64, version: &Hierarchy) -> (u64, u64) {
         let mut held = lock(&self.held);
-        if held.0.offer(number, version) == sablecross_hierarchy::Taken::New {
-            held.1 = Arc::new(Ways::of(version));
+        if held.0.offer(number, version) == sablecross_hierarchy::OfferOutcome::Accepted {
+            held.1 = Arc::new(FillPaths::from_hierarchy(version));
         }
         (held.0.number(), held.0.version().map_or(0, Hierarchy::digest))
     }
@@ -249,7 +249,7 @@
             std::thread::sleep(Duration::from_millis(4));
             return Answer::Copy { issued: unix_ms(), hit: false };
         }
-        if passes(&self.name, pull.came.iter().map(String::as_str)).is_err() {
+        if check_fill_path(&self.name, pull.came.iter().map(String::as_str)).is_err() {
             self.common.count(|s| s.loops += 1);
             return Answer::Error;
         }
@@ -291,13 +291,14 @@
         let bears = {
             let held = lock(&self.held);
             let Some(h) = held.0.version().filter(|_| since > 0) else { return false };
-            let Some(m) = h.id(&self.name).and_then(|id| h.get(id)) else { return false };
-            let age = (now - since) as f64 * 1e6 / h.rules.warm_after.max(1) as f64;
-            let warmth = (h.rules.cold_from + (1.0 - h.rules.cold_from) * age).min(1.0);
+            let Some(m) = h.node_id(&self.name).and_then(|id| h.get(id)) else { return false };
+            let age = (now - since) as f64 * 1e6 / h.rules.slow_start_window.max(1) as f64;
+            let warmth =
+                (h.rules.slow_start_initial_share + (1.0 - h.rules.slow_start_initial_share) * age).min(1.0);
             if warmth >= 1.0 {
                 return false;
             }
-            m.capacity * warmth * h.rules.fall_multiple
+            m.capacity * warmth * h.rules.collapse_multiple
         };
         if (pace.1 as f64) < bears {
             return false;
@@ -317,8 +318,8 @@
         }
         let held = lock(&self.held);
         let h = held.0.version()?;
-        let next = held.1.next(h, h.id(&self.name)?, fill_place(pull.object), |_| true)?;
-        Some(h.name(next).to_owned())
+        let next = held.1.next_source(h, h.node_id(&self.name)?, parent_position(pull.object), |_| true)?;
+        Some(h.node_name(next).to_owned())
     }
 
     fn keep(&self, object: u64, issued: u64) {
--- a/crates/lab/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -5,7 +5,7 @@
 use std::process::{Child, Command, Stdio};
 
 use rustix::process::{Pid, Signal, kill_process};
-use sablecross_hierarchy::change::No;
+use sablecross_hierarchy::rollout::RolloutError;
 use thiserror::Error;
 
 #[derive(Debug, Error)]
@@ -13,9 +13,9 @@
     #[error("{what}: {why}")]
     Io { what: String, why: io::Error },
     #[error("the log of the driver: {0}")]
-    Log(#[from] sablecross_store::Error),
+    Log(#[from] sablecross_controller_log::ControllerLogError),
     #[error("the hierarchy of the experiment: {0}")]
-    Hierarchy(#[from] No),
+    Hierarchy(#[from] RolloutError),
     #[error("{name} did not serve within {within} s: see {log}")]
     NotServing { name: String, within: u64, log: String },
     #[error("does not fit: {0}")]
--- a/crates/lab/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -10,10 +10,13 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
-use sablecross_hierarchy::change::Party;
-use sablecross_hierarchy::spec::Told;
-use sablecross_hierarchy::{Act, Admission, Driver, FULL, Hierarchy, Input, Member, NodeId, Record, Rules};
-use sablecross_store::{Error as LogError, Log};
+use sablecross_controller_log::{ControllerLog, ControllerLogError as LogError};
+use sablecross_hierarchy::rollout::Participant;
+use sablecross_hierarchy::spec::HierarchySpec;
+use sablecross_hierarchy::{
+    Admission, FULL_SHARE, Hierarchy, HierarchyNode, HierarchyRules, NodeId, Rollout, RolloutAction,
+    RolloutInput, RolloutRecord,
+};
 
 use crate::directors::{Like, Ports, configuration, endpoint, members, serving, spawn_director};
 use crate::feed::{Feed, Said};
@@ -39,32 +42,32 @@
 }
 
 impl Shape<'_> {
-    fn rules(&self) -> Rules {
-        Rules {
+    fn rules(&self) -> HierarchyRules {
+        HierarchyRules {
             ceiling: self.e.ceiling,
             margin: 0.1,
-            cold_from: 0.25,
-            warm_after: WARM_AFTER,
-            fall_multiple: 2.0,
-            siblings: true,
-            hold: (BUDGET_MS + 100) * 1_000_000,
-            settle: SETTLE,
-            give_up: GIVE_UP,
+            slow_start_initial_share: 0.25,
+            slow_start_window: WARM_AFTER,
+            collapse_multiple: 2.0,
+            allows_siblings: true,
+            drain_window: (BUDGET_MS + 100) * 1_000_000,
+            fill_window: SETTLE,
+            step_timeout: GIVE_UP,
         }
     }
 
-    fn member(&self, name: &str, tier: u8, sources: &[NodeId]) -> Member {
+    fn member(&self, name: &str, tier: u8, sources: &[NodeId]) -> HierarchyNode {
         let rate = self.e.rate as f64;
         let edge = tier == 3;
-        Member {
+        HierarchyNode {
             name: name.into(),
             tier,
             sources: sources.into(),
             capacity: if tier == 0 { 10.0 * rate } else { rate },
             demand: if edge { rate / self.e.caches as f64 } else { 0.0 },
-            hit: if tier == 0 { 0.0 } else { self.e.hit },
-            share: FULL,
-            since: 0,
+            hit_ratio: if tier == 0 { 0.0 } else { self.e.hit },
+            ring_share: FULL_SHARE,
+            started_at: 0,
         }
     }
 
@@ -72,11 +75,11 @@
     fn first(&mut self) -> Hierarchy {
         let uppers = self.e.uppers as NodeId;
         let near = uppers.div_ceil(2);
-        let mut h = Hierarchy::new(self.rules()).with(0, self.member("origin", 0, &[]));
+        let mut h = Hierarchy::new(self.rules()).with_node(0, self.member("origin", 0, &[]));
         let far: Vec<NodeId> = (near + 1..=uppers).collect();
         for n in 1..=uppers {
             let (tier, sources) = if n <= near && !far.is_empty() { (2, far.clone()) } else { (1, vec![0]) };
-            h = h.with(n, self.member(&format!("upper-{n}"), tier, &sources));
+            h = h.with_node(n, self.member(&format!("upper-{n}"), tier, &sources));
         }
         self.edged(h)
     }
@@ -91,7 +94,7 @@
         for c in 0..self.e.caches as NodeId {
             let m = self.member(&format!("cache-{c}"), 3, &near);
             if h.get(uppers + 1 + c).is_none_or(|old| **old != m) {
-                h = h.with(uppers + 1 + c, m);
+                h = h.with_node(uppers + 1 + c, m);
             }
         }
         h
@@ -118,11 +121,11 @@
                     sources.dedup();
                 }
                 if next.get(n).is_some() && self.rng.random::<f64>() < 0.2 {
-                    next = next.without(n);
+                    next = next.without_node(n);
                 } else {
                     let since = if next.get(n).is_none() { cold(n) } else { 0 };
                     let m = self.member(&format!("upper-{n}"), tier, &sources);
-                    next = next.with(n, Member { since, ..m });
+                    next = next.with_node(n, HierarchyNode { started_at: since, ..m });
                 }
             }
             // Two that take each other's place, one of which fills from the other: a jump makes a circle of it.
@@ -143,20 +146,20 @@
                         n
                     }
                 };
-                let swapped: Vec<(NodeId, Option<Arc<Member>>)> = (1..=uppers)
+                let swapped: Vec<(NodeId, Option<Arc<HierarchyNode>>)> = (1..=uppers)
                     .filter_map(|n| {
                         let (own, of) = (next.get(n)?, next.get(other(n))?);
                         let mut sources: Vec<NodeId> = of.sources.iter().map(|s| other(*s)).collect();
                         sources.sort_unstable();
-                        let m = Member { tier: of.tier, sources: sources.into(), ..(**own).clone() };
+                        let m = HierarchyNode { tier: of.tier, sources: sources.into(), ..(**own).clone() };
                         Some((n, Some(Arc::new(m))))
                     })
                     .collect();
-                next = next.apply(swapped);
+                next = next.with_changes(swapped);
             }
             // Nobody keeps a source that went.
             let gone = |s: &NodeId| next.get(*s).is_none();
-            let fixed: Vec<(NodeId, Option<Arc<Member>>)> = next
+            let fixed: Vec<(NodeId, Option<Arc<HierarchyNode>>)> = next
                 .iter()
                 .filter(|(id, m)| *id <= uppers && m.sources.iter().any(gone))
                 .map(|(id, m)| {
@@ -164,10 +167,10 @@
                     if left.is_empty() {
                         left.push(0);
                     }
-                    (id, Some(Arc::new(Member { sources: left.into(), ..(**m).clone() })))
+                    (id, Some(Arc::new(HierarchyNode { sources: left.into(), ..(**m).clone() })))
                 })
                 .collect();
-            let next = self.edged(next.apply(fixed));
+            let next = self.edged(next.with_changes(fixed));
             let moved = next.diff(h).count() > 0;
             if moved && next.len() > self.e.caches + 2 && Admission::new(next.clone()).is_ok() {
                 return Some(next);
@@ -189,12 +192,12 @@
 struct Control<'a> {
     e: &'a Experiment,
     rng: Pcg32,
-    driver: Driver,
-    log: Log,
+    driver: Rollout,
+    log: ControllerLog,
     file: PathBuf,
     feed: Feed,
     uppers: Vec<Arc<Node>>,
-    parties: Vec<Party>,
+    parties: Vec<Participant>,
     late: Vec<Late>,
     common: Arc<Common>,
     kills: u64,
@@ -212,7 +215,7 @@
     }
 
     fn tell(&mut self, number: u64, version: &Hierarchy) {
-        let told = Told::of(number, version);
+        let told = HierarchySpec::from_hierarchy(number, version);
         if let Ok(text) = serde_json::to_string(&told) {
             self.feed.tell(&format!("\"hierarchy\":{text}"));
         }
@@ -232,19 +235,19 @@
 
     fn acts(&mut self) -> Result<(), Failed> {
         loop {
-            let acts = self.driver.acts();
+            let acts = self.driver.take_actions();
             if acts.is_empty() {
                 return Ok(());
             }
             for act in acts {
-                if self.e.faults && self.driver.running().is_some() && self.rng.random::<f64>() < 0.04 {
+                if self.e.faults && self.driver.progress().is_some() && self.rng.random::<f64>() < 0.04 {
                     self.restart()?;
                     break;
                 }
                 match act {
-                    Act::Write(record) => write_at_last(&mut self.log, &record)?,
-                    Act::Note(line) => self.notes.push(line),
-                    Act::Publish { number, version } => {
+                    RolloutAction::Persist(record) => write_at_last(&mut self.log, &record)?,
+                    RolloutAction::Log(line) => self.notes.push(line),
+                    RolloutAction::Publish { number, version } => {
                         self.common.count(|s| s.version = number);
                         self.tell(number, &version);
                     }
@@ -258,17 +261,17 @@
         self.kills += 1;
         let (file, folder) = (self.file.clone(), tempfile::tempdir().map_err(io_error("folder"))?);
         // The old one lets go of its file first.
-        let spare = Log::open(&folder.path().join("spare"))?.0;
+        let spare = ControllerLog::open(&folder.path().join("spare"))?.0;
         drop(std::mem::replace(&mut self.log, spare));
-        let (log, records) = Log::open(&file)?;
+        let (log, records) = ControllerLog::open(&file)?;
         self.log = log;
-        self.driver = Driver::recover(&records, self.parties.clone(), Self::now())?;
+        self.driver = Rollout::recover(&records, self.parties.clone(), Self::now())?;
         Ok(())
     }
 
-    fn hear(&mut self, input: Input) -> Result<(), Failed> {
+    fn hear(&mut self, input: RolloutInput) -> Result<(), Failed> {
         // A refusal stands in the notes; the experiment goes on.
-        if let Err(no) = self.driver.hear(input, Self::now()) {
+        if let Err(no) = self.driver.handle(input, Self::now()) {
             self.notes.push(format!("refused: {no}"));
         }
         self.acts()
@@ -282,7 +285,7 @@
         for Late { to, number, version, .. } in due {
             let (number, digest) = self.uppers[to].offer(number, &version);
             let party = self.uppers[to].name.as_str().into();
-            self.hear(Input::InForce { party, number, digest })?;
+            self.hear(RolloutInput::VersionApplied { participant: party, number, digest })?;
         }
         self.purges.retain(|(at, node, object, made)| {
             if *at <= now {
@@ -292,37 +295,41 @@
         });
         for said in heard.try_iter() {
             let digest = u64::from_str_radix(&said.digest, 16).unwrap_or(0);
-            self.hear(Input::InForce { party: said.party.as_str().into(), number: said.number, digest })?;
+            self.hear(RolloutInput::VersionApplied {
+                participant: said.party.as_str().into(),
+                number: said.number,
+                digest,
+            })?;
         }
         if now >= self.again {
             self.again = now + Duration::from_millis(500);
-            if !self.driver.missing().is_empty() {
-                let (number, version) = (self.driver.told().0, self.driver.told().1.clone());
+            if !self.driver.missing_participants().is_empty() {
+                let (number, version) = (self.driver.published().0, self.driver.published().1.clone());
                 self.tell(number, &version);
             }
             let origin = lock(&self.common.seconds).iter().rev().nth(1).map_or(0, |s| s.origin);
-            let (down, told) = (self.uppers.iter().filter(|u| u.is_down()), self.driver.told().1);
-            let down: Vec<NodeId> = down.filter_map(|u| told.id(&u.name)).collect();
-            self.hear(Input::Evidence { origin: origin as f64, down })?;
+            let (down, told) = (self.uppers.iter().filter(|u| u.is_down()), self.driver.published().1);
+            let down: Vec<NodeId> = down.filter_map(|u| told.node_id(&u.name)).collect();
+            self.hear(RolloutInput::HealthReport { origin: origin as f64, down_nodes: down })?;
         }
         // An upper cache dies in the middle of a change now and then, for a second.
-        if self.e.faults && self.driver.running().is_some() && self.rng.random::<f64>() < 0.000_5 {
+        if self.e.faults && self.driver.progress().is_some() && self.rng.random::<f64>() < 0.000_5 {
             let n = self.rng.random_range(0..self.uppers.len());
             self.uppers[n].fails(1_000);
             self.notes.push(format!("fault: {} fails for a second", self.uppers[n].name));
         }
-        let (number, held) = self.driver.in_force();
-        if number != self.left || self.driver.told().0 != number {
+        let (number, held) = self.driver.committed();
+        if number != self.left || self.driver.published().0 != number {
             let over = unix_ms() + BUDGET_MS + 100 + STRAY_GRACE;
-            let told = self.driver.told().1;
+            let told = self.driver.published().1;
             for upper in &self.uppers {
-                let here = [held, told].iter().any(|h| h.id(&upper.name).is_some());
+                let here = [held, told].iter().any(|h| h.node_id(&upper.name).is_some());
                 upper.leaves((!here).then_some(over));
             }
             self.left = number;
         }
-        if self.driver.wake().is_some_and(|w| w <= Self::now()) {
-            self.hear(Input::Tick)?;
+        if self.driver.next_wakeup().is_some_and(|w| w <= Self::now()) {
+            self.hear(RolloutInput::Tick)?;
         }
         Ok(())
     }
@@ -359,7 +366,7 @@
     let endpoints: Vec<_> =
         nodes.values().map(|(n, at)| endpoint(&n.name, *at, n.role.kind(), "ready", 0)).collect();
     feed.tell(&members(&endpoints, true));
-    let told = serde_json::to_string(&Told::of(1, &first)).unwrap_or_default();
+    let told = serde_json::to_string(&HierarchySpec::from_hierarchy(1, &first)).unwrap_or_default();
     feed.tell(&format!("\"hierarchy\":{told}"));
 
     let mut fleet = Vec::new();
@@ -384,15 +391,15 @@
     for upper in &uppers {
         upper.offer(1, &first);
     }
-    let mut parties: Vec<Party> = (0..e.directors).map(|n| format!("director-{n}").into()).collect();
-    parties.extend(uppers.iter().map(|u| Party::from(u.name.as_str())));
+    let mut parties: Vec<Participant> = (0..e.directors).map(|n| format!("director-{n}").into()).collect();
+    parties.extend(uppers.iter().map(|u| Participant::from(u.name.as_str())));
     let file = folder.join("driver.redb");
     let _ = std::fs::remove_file(&file);
     let mut control = Control {
         e,
         rng: Pcg32::seed_from_u64(e.seed + 1),
-        driver: Driver::new(1, first.clone(), parties.clone())?,
-        log: Log::open(&file)?.0,
+        driver: Rollout::new(1, first.clone(), parties.clone())?,
+        log: ControllerLog::open(&file)?.0,
         file,
         feed,
         uppers,
@@ -432,20 +439,21 @@
     while start.elapsed() < Duration::from_secs(e.seconds) {
         std::thread::sleep(Duration::from_millis(10));
         control.step(&heard)?;
-        let second_due = second && control.driver.running().is_some();
-        let idle = control.driver.running().is_none();
+        let second_due = second && control.driver.progress().is_some();
+        let idle = control.driver.progress().is_none();
         if asked < e.rewirings && Instant::now() >= next_change && (idle || second_due) {
             second = false; // The driver numbers nodes anew when it begins anew; here they keep their first numbers.
-            let told = Told::of(1, control.driver.told().1).hierarchy(Some(&first));
+            let told =
+                HierarchySpec::from_hierarchy(1, control.driver.published().1).to_hierarchy(Some(&first));
             let from = told.map_or_else(|_| first.clone(), |(_, h)| h);
             let cold = |n: NodeId| nodes.get(&n).map_or(0, |(node, _)| node.begin_cold() * 1_000_000);
             if let Some(aim) = shape.other(&from, cold) {
                 let fresh: Vec<_> = aim
                     .iter()
-                    .filter(|(id, m)| m.since > 0 && from.get(*id).is_none())
+                    .filter(|(id, m)| m.started_at > 0 && from.get(*id).is_none())
                     .filter_map(|(id, m)| {
                         nodes.get(&id).map(|(n, at)| {
-                            endpoint(&n.name, *at, n.role.kind(), "ready", m.since / 1_000_000)
+                            endpoint(&n.name, *at, n.role.kind(), "ready", m.started_at / 1_000_000)
                         })
                     })
                     .collect();
@@ -454,7 +462,7 @@
                 }
                 asked += 1;
                 if e.plan {
-                    control.hear(Input::Propose { aim })?;
+                    control.hear(RolloutInput::Propose { target: aim })?;
                     // Another follows closely now and then.
                     second = e.faults && idle && shape.rng.random::<f64>() < 0.3;
                     let pause = if second { 50 } else { 300 };
@@ -504,13 +512,17 @@
 impl Control<'_> {
     /// All at once, without a plan: for comparison.
     fn jump(&mut self, aim: Hierarchy) -> Result<(), Failed> {
-        let number = self.driver.told().0 + 1;
+        let number = self.driver.published().0 + 1;
         self.common.count(|s| s.version = number);
         self.tell(number, &aim);
         // The driver begins anew with it, so that what comes next starts from there.
-        self.log.write(&Record::Start { number, next_change: 1, version: Told::of(number, &aim) })?;
-        self.driver = Driver::new(number, aim, self.parties.clone())?;
-        self.driver.acts();
+        self.log.append(&RolloutRecord::Checkpoint {
+            number,
+            next_change: 1,
+            version: HierarchySpec::from_hierarchy(number, &aim),
+        })?;
+        self.driver = Rollout::new(number, aim, self.parties.clone())?;
+        self.driver.take_actions();
         Ok(())
     }
 
@@ -530,10 +542,10 @@
 const DISK_PAUSE: Duration = Duration::from_millis(100);
 
 /// Keeps an entry, for which a disk that is full or fails for a while is waited for: nothing may follow before.
-fn write_at_last(log: &mut Log, record: &Record) -> Result<(), LogError> {
+fn write_at_last(log: &mut ControllerLog, record: &RolloutRecord) -> Result<(), LogError> {
     let start = Instant::now();
     loop {
-        match log.write(record) {
+        match log.append(record) {
             Err(LogError::Write(_) | LogError::Open { .. }) if start.elapsed() < DISK_PATIENCE => {
                 std::thread::sleep(DISK_PAUSE);
             }
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -1,5 +1,5 @@
 //! One hollow director: the product's own code for control, no clients. The rules on the feed are those of
-//! `sablecross-feed`, events are read by the director's own code, and the module is told of them.
+//! `sablecross-discovery`, events are read by the director's own code, and the module is told of them.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
@@ -8,13 +8,15 @@
 
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
-use sablecross::{Choice, Ns};
-use sablecross_director::life::config::Config;
-use sablecross_director::plain::clock::Clock;
-use sablecross_director::plain::facts::{Fact, Numbered};
-use sablecross_director::plain::roster::Roster;
-use sablecross_director::upper::Upper;
-use sablecross_feed::{Cursor, Feeds, Said, Stream, Verdict, request};
+use sablecross::{Ns, Router};
+use sablecross_director::clock::Clock;
+use sablecross_director::discovery_event::{DiscoveryEvent, NumberedEvent};
+use sablecross_director::node_registry::NodeRegistry;
+use sablecross_director::parent_hierarchy::ParentHierarchy;
+use sablecross_director::process::config::Config;
+use sablecross_discovery::{
+    EventCursor, EventStreamParser, EventVerdict, FeedSelector, StreamItem, events_request,
+};
 use serde_json::Value;
 
 use crate::fleet::ways::dial_from;
@@ -55,17 +57,17 @@
 
 struct Open {
     socket: TcpStream,
-    stream: Stream,
+    stream: EventStreamParser,
     heard: Instant,
 }
 
 /// What a director holds in one life.
 struct Life {
-    choice: Choice,
-    roster: Roster,
-    upper: Upper,
-    cursor: Cursor,
-    feeds: Feeds,
+    choice: Router,
+    roster: NodeRegistry,
+    upper: ParentHierarchy,
+    cursor: EventCursor,
+    feeds: FeedSelector,
     began: Instant,
     /// The most that was in force elsewhere when it began: up to there it catches up.
     behind: u64,
@@ -110,14 +112,14 @@
     fn begin(own: &Own, shared: &Shared, behind: u64) -> Life {
         let Config { settings, known, .. } = &shared.config;
         let mut settings = settings.clone();
-        settings.number = own.number;
+        settings.director_index = own.number;
         let (home, others) = own.feeds.split_first().expect("a hollow director has a feed");
         let mut life = Life {
-            choice: Choice::new(settings, own.number as u64, shared.clock.now()),
-            roster: Roster::default(),
-            upper: Upper::new(shared.config.settings.parent_kind),
-            cursor: Cursor::after(known.last),
-            feeds: Feeds::new(&format!("hollow-{}", own.number), *home, others),
+            choice: Router::new(settings, own.number as u64, shared.clock.now()),
+            roster: NodeRegistry::default(),
+            upper: ParentHierarchy::new(shared.config.settings.parent_kind),
+            cursor: EventCursor::after_number(known.last),
+            feeds: FeedSelector::new(&format!("hollow-{}", own.number), *home, others),
             began: Instant::now(),
             behind,
             caught_up: behind == 0,
@@ -129,33 +131,34 @@
             list: Vec::new(),
         };
         for event in &known.events {
-            life.take(&event.fact, shared);
+            life.take(&event.event, shared);
         }
         life
     }
 
     /// As the desk does it.
-    fn take(&mut self, fact: &Fact, shared: &Shared) {
+    fn take(&mut self, fact: &DiscoveryEvent, shared: &Shared) {
         let now: Ns = shared.clock.now();
         match fact {
-            Fact::Members { members, whole } => {
+            DiscoveryEvent::Endpoints { endpoints: members, is_snapshot: whole } => {
                 let Life { roster, upper, .. } = self;
-                roster.release(u64::MAX, |_| true);
+                roster.release_unused(u64::MAX, |_| true);
                 let names = &shared.config.names;
-                roster.observe(members, now);
-                let mut lines: Vec<_> = members.iter().filter_map(|m| roster.line(names, m, now)).collect();
-                roster.settle(&lines, *whole, 0);
-                upper.list(&mut lines, *whole, |node| roster.name(node).to_owned());
-                self.choice.listed(now, &lines, *whole);
+                roster.observe_starts(members, now);
+                let mut lines: Vec<_> =
+                    members.iter().filter_map(|m| roster.endpoint_update(names, m, now)).collect();
+                roster.mark_gone(&lines, *whole, 0);
+                upper.update_parents(&mut lines, *whole, |node| roster.name(node).to_owned());
+                self.choice.update_endpoints(now, &lines, *whole);
                 // Nobody writes its notes to a log.
-                self.choice.notes();
+                self.choice.take_log_lines();
             }
-            Fact::Purge { object, group } => {
-                self.choice.purged(now, *object, *group, 0);
+            DiscoveryEvent::Purge { object, group } => {
+                self.choice.record_purge(now, *object, *group, 0);
             }
-            Fact::Hierarchy(told) => {
-                if let Some((lines, _)) = self.upper.take(told) {
-                    self.choice.listed(now, &lines, false);
+            DiscoveryEvent::Hierarchy(told) => {
+                if let Some((lines, _)) = self.upper.adopt(told) {
+                    self.choice.update_endpoints(now, &lines, false);
                 }
             }
         }
@@ -244,7 +247,7 @@
     }
 
     pub fn last(&self) -> u64 {
-        self.life.cursor.last()
+        self.life.cursor.last_number()
     }
 
     /// It forgets all that it knew.
@@ -264,7 +267,7 @@
     }
 
     fn drop_link(&mut self, link: Link, shared: &mut Shared) {
-        let address = self.life.feeds.at();
+        let address = self.life.feeds.current();
         let socket = match link {
             Link::Open(open) => open.socket,
             Link::Dials(Some(socket), _) => socket,
@@ -283,9 +286,9 @@
             Link::Off => return,
             Link::Waits(until) if Instant::now() < *until => return,
             Link::Waits(_) => return self.call(shared, registry),
-            Link::Dials(_, since) if since.elapsed() < Duration::from_nanos(limits.dial) => return,
+            Link::Dials(_, since) if since.elapsed() < Duration::from_nanos(limits.connect_timeout) => return,
             Link::Dials(..) => Err(Over::Failed),
-            Link::Open(open) if open.heard.elapsed() >= limits.feed_silence => Err(Over::Failed),
+            Link::Open(open) if open.heard.elapsed() >= limits.feed_silence_timeout => Err(Over::Failed),
             Link::Open(_) if self.slow => self.read(shared, 1),
             Link::Open(_) => return,
         };
@@ -295,7 +298,7 @@
     fn call(&mut self, shared: &mut Shared, registry: &Registry) {
         shared.tick.calls += 1;
         (self.called, self.before) = (Instant::now(), self.last());
-        let at = self.life.feeds.at();
+        let at = self.life.feeds.current();
         if self.cut.contains(&at) {
             self.link = Link::Dials(None, self.called);
             return;
@@ -319,7 +322,7 @@
     }
 
     fn on_ready(&mut self, shared: &mut Shared) -> Result<(), Over> {
-        let at = self.life.feeds.at();
+        let at = self.life.feeds.current();
         if self.cut.contains(&at) {
             return Ok(());
         }
@@ -334,10 +337,10 @@
                 Err(e) => return Err(e.into()),
             }
             // So few bytes always fit into a new connection.
-            let asks = request(at, self.life.cursor.last());
+            let asks = events_request(at, self.life.cursor.last_number());
             open.write_all(asks.as_bytes())?;
             shared.tick.bytes_out += asks.len() as u64;
-            let stream = Stream::new(shared.config.limits.feed_event);
+            let stream = EventStreamParser::new(shared.config.limits.max_feed_event_bytes);
             let Some(socket) = socket.take() else { return Ok(()) };
             self.link = Link::Open(Box::new(Open { socket, stream, heard: Instant::now() }));
         }
@@ -349,22 +352,22 @@
         loop {
             let Link::Open(open) = &mut self.link else { return Ok(()) };
             match open.socket.read(&mut bytes[..most]) {
-                Ok(0) => return Err(open.stream.end().map_or(Over::Failed, |()| Over::Ended)),
+                Ok(0) => return Err(open.stream.finish().map_or(Over::Failed, |()| Over::Ended)),
                 Ok(n) => {
                     shared.tick.reads += 1;
                     shared.tick.bytes_in += n as u64;
                     open.heard = Instant::now();
-                    open.stream.take(&bytes[..n]);
+                    open.stream.push(&bytes[..n]);
                     while let Link::Open(open) = &mut self.link
-                        && let Some(said) = open.stream.said().map_err(|_| Over::Failed)?
+                        && let Some(said) = open.stream.next_item().map_err(|_| Over::Failed)?
                     {
                         match said {
-                            Said::Up => {
-                                self.life.feeds.answered();
+                            StreamItem::Connected => {
+                                self.life.feeds.on_connected();
                                 self.life.up = true;
                             }
-                            Said::Event { id, data } => self.event(id, &data, shared)?,
-                            Said::Comment(_) => {}
+                            StreamItem::Event { id, data } => self.event(id, &data, shared)?,
+                            StreamItem::Comment(_) => {}
                         }
                     }
                     if most == 1 {
@@ -380,9 +383,9 @@
 
     fn event(&mut self, id: Option<u64>, data: &str, shared: &mut Shared) -> Result<(), Over> {
         let value: Result<Value, String> = serde_json::from_str(data).map_err(|e| e.to_string());
-        let parsed = value.as_ref().map_err(String::clone).and_then(Numbered::of);
-        match self.life.cursor.event(id, parsed.map(|e| (e.n, e.fact))) {
-            Verdict::Take(fact) => {
+        let parsed = value.as_ref().map_err(String::clone).and_then(NumberedEvent::from_json);
+        match self.life.cursor.classify(id, parsed.map(|e| (e.number, e.event))) {
+            EventVerdict::New(fact) => {
                 shared.tick.taken += 1;
                 self.life.take(&fact, shared);
                 let number = self.last();
@@ -393,12 +396,12 @@
                     shared.found.catch_up.push(self.life.began.elapsed().as_millis() as u64);
                 }
             }
-            Verdict::Repeat => {}
-            Verdict::Again(_) => {
+            EventVerdict::Duplicate => {}
+            EventVerdict::Resubscribe(_) => {
                 shared.tick.gaps += 1;
                 return Err(Over::Again);
             }
-            Verdict::Skip { .. } => shared.tick.skipped += 1,
+            EventVerdict::Skip { .. } => shared.tick.skipped += 1,
         }
         Ok(())
     }
@@ -409,11 +412,11 @@
         let link = std::mem::replace(&mut self.link, Link::Off);
         self.drop_link(link, shared);
         match over {
-            Over::Failed => self.life.feeds.failed(shared.began.elapsed()),
-            Over::Ended => self.life.feeds.ended(shared.began.elapsed()),
+            Over::Failed => self.life.feeds.on_failed(shared.began.elapsed()),
+            Over::Ended => self.life.feeds.on_stream_ended(shared.began.elapsed()),
             Over::Again => {}
         }
-        let pause = shared.config.limits.feed_pause;
+        let pause = shared.config.limits.feed_retry_delay;
         let early = self.last() == self.before && self.called.elapsed() < pause;
         self.link = Link::Waits(Instant::now() + if early { pause } else { Duration::ZERO });
     }
--- a/crates/lab/src/scale/pool.rs
+++ b/crates/testbed/src/scale/pool.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use mio::{Events, Poll, Token, Waker};
-use sablecross_director::life::config::Config;
-use sablecross_director::plain::clock::Clock;
+use sablecross_director::clock::Clock;
+use sablecross_director::process::config::Config;
 
 use super::hollow::{Hollow, Shared};
 use super::words::{Finished, Order, Tick, Word, shared_ns};
--- a/crates/lab/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -1,8 +1,8 @@
 //! A scale trial, from its settings file.
 
 use garde::Validate;
-use sablecross_forms::Fault as Flaw;
-use sablecross_relay::horizon::HELD;
+use sablecross_relay::retention::PURGE_HOLD_TIME;
+use sablecross_sexpr_config::ConfigError as Flaw;
 use serde::{Deserialize, Serialize};
 
 use crate::settings::only;
@@ -185,7 +185,7 @@
 }
 
 fn held_ms() -> u64 {
-    HELD / 1_000_000
+    PURGE_HOLD_TIME / 1_000_000
 }
 
 fn purge_within() -> f64 {
@@ -258,7 +258,7 @@
     let first = only(file, text, "scale")?;
     let Form::Scale(scale) = &first.value;
     match scale.wrong() {
-        Some((key, what)) => Err(vec![first.fault(file, key, what, "see docs/scale-operators.md")]),
+        Some((key, what)) => Err(vec![first.error(file, key, what, "see docs/scale-operators.md")]),
         None => Ok(scale.clone()),
     }
 }
--- a/crates/lab/src/scale/source.rs
+++ b/crates/testbed/src/scale/source.rs
@@ -9,9 +9,9 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
-use sablecross_tier::call::Line;
-use sablecross_tier::publish;
-use sablecross_tier::settings::Member;
+use sablecross_relay_server::peer_client::PeerClient;
+use sablecross_relay_server::publisher;
+use sablecross_relay_server::settings::MemberForm;
 use serde_json::{Value, json};
 
 use super::settings::Scale;
@@ -31,12 +31,13 @@
 pub enum Outlet {
     Star(Feed),
     /// The voters: the owner moves among them.
-    Relays(Vec<Member>),
+    Relays(Vec<MemberForm>),
 }
 
 /// What a relay says of itself.
 pub fn status(at: SocketAddr) -> Option<Value> {
-    let said = Line::new(at, PATIENCE, LONGEST).call("GET", "/v1/status", "Connection: close\r\n", b"");
+    let said =
+        PeerClient::new(at, PATIENCE, LONGEST).request("GET", "/v1/status", "Connection: close\r\n", b"");
     let (code, body) = said.ok()?;
     serde_json::from_slice(&body).ok().filter(|_| code == 200)
 }
@@ -49,7 +50,7 @@
 /// One that publishes, one event after the other.
 enum Publisher {
     Star(Feed),
-    Relays { to: publish::Publisher, again: Arc<AtomicUsize>, given_up: Arc<AtomicBool> },
+    Relays { to: publisher::Publisher, again: Arc<AtomicUsize>, given_up: Arc<AtomicBool> },
 }
 
 impl Publisher {
@@ -220,7 +221,7 @@
         match &self.outlet {
             Outlet::Star(feed) => Publisher::Star(feed.clone()),
             Outlet::Relays(voters) => Publisher::Relays {
-                to: publish::Publisher::new(voters),
+                to: publisher::Publisher::new(voters),
                 again: Arc::clone(&self.again),
                 given_up: Arc::clone(&self.given_up),
             },
--- a/crates/lab/src/scale/tier.rs
+++ b/crates/testbed/src/scale/tier.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use rustix::process::Signal;
-use sablecross_tier::settings::Member;
+use sablecross_relay_server::settings::MemberForm;
 
 use super::settings::Scale;
 use super::source::owner;
@@ -178,9 +178,9 @@
     }
 
     /// Those that vote, as publishers know them.
-    pub fn voting(&self) -> Vec<Member> {
+    pub fn voting(&self) -> Vec<MemberForm> {
         let all = (0..).zip(&self.feeds).take(self.voters);
-        all.map(|(number, at)| Member { number, address: *at, votes: true }).collect()
+        all.map(|(number, at)| MemberForm { number, address: *at, votes: true }).collect()
     }
 
     /// Feeds of a director: those of its own region first, turn by turn, then others.
--- a/crates/lab/src/settings.rs
+++ b/crates/testbed/src/settings.rs
@@ -1,7 +1,7 @@
 //! An experiment, from its settings file.
 
 use garde::Validate;
-use sablecross_forms::{Fault, Placed};
+use sablecross_sexpr_config::{ConfigError, Located};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
@@ -84,26 +84,33 @@
 }
 
 /// The only form of a file, under this word.
-pub(crate) fn only<T>(file: &str, text: &str, word: &str) -> Result<Placed<T>, Vec<Fault>>
+pub(crate) fn only<T>(file: &str, text: &str, word: &str) -> Result<Located<T>, Vec<ConfigError>>
 where
     T: DeserializeOwned + Validate<Context = ()>,
 {
-    let mut forms = sablecross_forms::read::<T>(file, text)?;
+    let mut forms = sablecross_sexpr_config::parse_forms::<T>(file, text)?;
     let Some(first) = forms.pop() else {
         let (key, what) = (word.into(), format!("no ({word} ...) form"));
-        return Err(vec![Fault { file: file.into(), line: 1, column: 1, key, what, todo: String::new() }]);
+        return Err(vec![ConfigError {
+            file: file.into(),
+            line: 1,
+            column: 1,
+            key,
+            problem: what,
+            remedy: String::new(),
+        }]);
     };
     if !forms.is_empty() {
-        return Err(vec![first.fault(file, word, format!("a second {word}"), "keep one a file")]);
+        return Err(vec![first.error(file, word, format!("a second {word}"), "keep one a file")]);
     }
     Ok(first)
 }
 
-pub fn read(file: &str, text: &str) -> Result<Experiment, Vec<Fault>> {
+pub fn read(file: &str, text: &str) -> Result<Experiment, Vec<ConfigError>> {
     let first = only(file, text, "experiment")?;
     let Form::Experiment(e) = &first.value;
     if e.warm_up >= e.seconds {
-        return Err(vec![first.fault(
+        return Err(vec![first.error(
             file,
             "experiment.warm-up",
             "longer than the whole",
--- a/crates/lab/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -2,8 +2,8 @@
 
 use std::process::Command;
 
-use sablecross_lab::Outcome;
-use sablecross_lab::fleet::{run, settings};
+use sablecross_testbed::Outcome;
+use sablecross_testbed::fleet::{run, settings};
 
 #[test]
 fn faults_between_processes_lose_no_lookup_and_push_over_no_cold_cache() {
--- a/crates/lab/tests/settings_format.rs
+++ b/crates/testbed/tests/settings_format.rs
@@ -1,6 +1,6 @@
 //! The settings forms of trials: every key as it is spelled in files, and the values that keys which are left out get.
 
-use sablecross_lab::{fleet, scale, settings};
+use sablecross_testbed::{fleet, scale, settings};
 
 /// What a file's form comes to, with the names of its keys.
 fn json(value: &impl serde::Serialize) -> String {
--- a/crates/lab/tests/small.rs
+++ b/crates/testbed/tests/small.rs
@@ -2,7 +2,7 @@
 
 use std::process::Command;
 
-use sablecross_lab::{Experiment, Outcome, run, settings};
+use sablecross_testbed::{Experiment, Outcome, run, settings};
 
 fn experiment(more: &str) -> Experiment {
     let text = format!(
--- a/crates/keys/src/generation.rs
+++ b/crates/tls-keys/src/generation.rs
@@ -27,68 +27,72 @@
 /// What is wrong with certificates or keys, in which file, and what to do. Never holds what a key file says.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("{file}: {what} ({todo})")]
-pub struct Fault {
+pub struct KeyError {
     pub file: String,
     pub what: String,
     pub todo: &'static str,
 }
 
-fn fault(file: &str, what: impl fmt::Display, todo: &'static str) -> Fault {
-    Fault { file: file.into(), what: what.to_string(), todo }
+fn fault(file: &str, what: impl fmt::Display, todo: &'static str) -> KeyError {
+    KeyError { file: file.into(), what: what.to_string(), todo }
 }
 
 /// The files of a generation.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Files {
+pub struct KeyFiles {
     /// Certificates of authorities that are trusted.
-    pub trusted: PathBuf,
+    pub trusted_roots: PathBuf,
     /// The own chain, the own certificate first, and its key.
-    pub own: Option<(PathBuf, PathBuf)>,
-    pub revoked: Vec<PathBuf>,
+    pub identity: Option<(PathBuf, PathBuf)>,
+    pub revocation_lists: Vec<PathBuf>,
     /// Whether a key that others may read is taken all the same.
-    pub readable: bool,
+    pub allow_world_readable_key: bool,
 }
 
 /// A text with the name of its file.
-pub struct Named {
+pub struct PemFile {
     pub file: String,
     pub bytes: Zeroizing<Vec<u8>>,
 }
 
 /// What the files say; wiped when it is dropped.
-pub struct Texts {
-    pub trusted: Named,
-    pub own: Option<(Named, Named)>,
-    pub revoked: Vec<Named>,
+pub struct KeyMaterial {
+    pub trusted_roots: PemFile,
+    pub identity: Option<(PemFile, PemFile)>,
+    pub revocation_lists: Vec<PemFile>,
 }
 
-impl fmt::Debug for Texts {
+impl fmt::Debug for KeyMaterial {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "Texts({}, {} revoked lists)", self.trusted.file, self.revoked.len())
+        write!(f, "Texts({}, {} revoked lists)", self.trusted_roots.file, self.revocation_lists.len())
     }
 }
 
-impl Files {
-    pub fn read(&self) -> Result<Texts, Fault> {
-        let own = match &self.own {
+impl KeyFiles {
+    pub fn read(&self) -> Result<KeyMaterial, KeyError> {
+        let own = match &self.identity {
             None => None,
             Some((chain, key)) => {
                 self.private(key)?;
                 Some((read(chain)?, read(key)?))
             }
         };
-        let revoked = self.revoked.iter().map(|f| read(f)).collect::<Result<_, _>>()?;
-        Ok(Texts { trusted: read(&self.trusted)?, own, revoked })
+        let revoked = self.revocation_lists.iter().map(|f| read(f)).collect::<Result<_, _>>()?;
+        Ok(KeyMaterial {
+            trusted_roots: read(&self.trusted_roots)?,
+            identity: own,
+            revocation_lists: revoked,
+        })
     }
 
     /// A key that others may read is no secret.
     #[cfg(unix)]
-    fn private(&self, key: &Path) -> Result<(), Fault> {
+    fn private(&self, key: &Path) -> Result<(), KeyError> {
         use std::os::unix::fs::PermissionsExt;
         let name = key.display().to_string();
         let meta = std::fs::metadata(key).map_err(|e| fault(&name, e, "name a file that can be read"))?;
         let mode = meta.permissions().mode() & 0o077;
-        if mode != 0 && !self.readable {
+        if mode != 0 && !self.allow_world_readable_key {
             return Err(fault(
                 &name,
                 format_args!("others may read this key (mode {mode:03o})"),
@@ -99,12 +103,12 @@
     }
 
     #[cfg(not(unix))]
-    fn private(&self, _key: &Path) -> Result<(), Fault> {
+    fn private(&self, _key: &Path) -> Result<(), KeyError> {
         Ok(())
     }
 }
 
-fn read(file: &Path) -> Result<Named, Fault> {
+fn read(file: &Path) -> Result<PemFile, KeyError> {
     let name = file.display().to_string();
     let unread = |e: std::io::Error| fault(&name, e, "name a file that can be read");
     let length = std::fs::metadata(file).map_err(unread)?.len();
@@ -112,25 +116,25 @@
         return Err(fault(&name, format_args!("{length} bytes"), "4 MiB are the most"));
     }
     let bytes = Zeroizing::new(std::fs::read(file).map_err(unread)?);
-    Ok(Named { file: name, bytes })
+    Ok(PemFile { file: name, bytes })
 }
 
 /// A certificate's name and the span in which it holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Span {
+pub struct CertificateValidity {
     pub file: String,
     pub subject: String,
-    pub from: Ns,
-    pub until: Ns,
+    pub not_before: Ns,
+    pub not_after: Ns,
 }
 
 /// All that handshakes need, as it was taken at one moment.
 pub struct Generation {
     pub number: u64,
-    pub trusted: Arc<RootCertStore>,
-    pub own: Option<Arc<CertifiedKey>>,
-    pub revoked: Vec<CertificateRevocationListDer<'static>>,
-    pub spans: Vec<Span>,
+    pub trusted_roots: Arc<RootCertStore>,
+    pub identity: Option<Arc<CertifiedKey>>,
+    pub revocation_lists: Vec<CertificateRevocationListDer<'static>>,
+    pub validities: Vec<CertificateValidity>,
     /// Of all certificates and lists, to tell whether anything is new; keys follow their certificates.
     marks: BTreeSet<Vec<u8>>,
 }
@@ -139,15 +143,15 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.debug_struct("Generation")
             .field("number", &self.number)
-            .field("trusted", &self.trusted.len())
-            .field("own", &self.own.is_some())
-            .field("revoked", &self.revoked.len())
-            .field("spans", &self.spans)
+            .field("trusted", &self.trusted_roots.len())
+            .field("own", &self.identity.is_some())
+            .field("revoked", &self.revocation_lists.len())
+            .field("spans", &self.validities)
             .finish_non_exhaustive()
     }
 }
 
-fn certificates(text: &Named) -> Result<Vec<CertificateDer<'static>>, Fault> {
+fn certificates(text: &PemFile) -> Result<Vec<CertificateDer<'static>>, KeyError> {
     let all: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(&text.bytes).collect();
     let all = all.map_err(|e| fault(&text.file, e, "write PEM certificates whole"))?;
     if all.is_empty() {
@@ -157,38 +161,42 @@
 }
 
 /// The span of a certificate, its subject and its issuer.
-fn looked(file: &str, der: &CertificateDer) -> Result<(Span, Vec<u8>, Vec<u8>), Fault> {
+fn looked(file: &str, der: &CertificateDer) -> Result<(CertificateValidity, Vec<u8>, Vec<u8>), KeyError> {
     let (_, c) = X509Certificate::from_der(der).map_err(|e| fault(file, e, "write an X.509 certificate"))?;
     let ns = |seconds: i64| u64::try_from(seconds).unwrap_or(0).saturating_mul(SEC);
-    let span = Span {
+    let span = CertificateValidity {
         file: file.into(),
         subject: c.subject().to_string(),
-        from: ns(c.validity().not_before.timestamp()),
-        until: ns(c.validity().not_after.timestamp()),
+        not_before: ns(c.validity().not_before.timestamp()),
+        not_after: ns(c.validity().not_after.timestamp()),
     };
     Ok((span, c.subject().as_raw().to_vec(), c.issuer().as_raw().to_vec()))
 }
 
 impl Generation {
     /// Checks all that can be checked before a handshake. Times are those of the system's clock.
-    pub fn of(number: u64, texts: &Texts, now: Ns) -> Result<Generation, Fault> {
+    pub fn from_material(number: u64, texts: &KeyMaterial, now: Ns) -> Result<Generation, KeyError> {
         let mut trusted = RootCertStore::empty();
         let (mut spans, mut marks) = (Vec::new(), BTreeSet::new());
         let mut live = 0;
-        for der in certificates(&texts.trusted)? {
-            let (span, ..) = looked(&texts.trusted.file, &der)?;
+        for der in certificates(&texts.trusted_roots)? {
+            let (span, ..) = looked(&texts.trusted_roots.file, &der)?;
             // One authority that has ended beside others that have not is a roll-over, not a fault.
-            live += usize::from((span.from..span.until).contains(&now));
+            live += usize::from((span.not_before..span.not_after).contains(&now));
             marks.insert(der.to_vec());
             trusted
                 .add(der)
-                .map_err(|e| fault(&texts.trusted.file, e, "write certificates of authorities"))?;
+                .map_err(|e| fault(&texts.trusted_roots.file, e, "write certificates of authorities"))?;
             spans.push(span);
         }
         if live == 0 {
-            return Err(fault(&texts.trusted.file, "no authority is valid now", "add one; check the clock"));
+            return Err(fault(
+                &texts.trusted_roots.file,
+                "no authority is valid now",
+                "add one; check the clock",
+            ));
         }
-        let own = match &texts.own {
+        let own = match &texts.identity {
             None => None,
             Some((chain, key)) => {
                 let own = Self::identity(chain, key, now, &mut spans)?;
@@ -197,7 +205,7 @@
             }
         };
         let mut revoked = Vec::new();
-        for text in &texts.revoked {
+        for text in &texts.revocation_lists {
             let lists: Result<Vec<_>, _> =
                 CertificateRevocationListDer::pem_slice_iter(&text.bytes).collect();
             let lists = lists.map_err(|e| fault(&text.file, e, "write PEM revocation lists whole"))?;
@@ -207,10 +215,22 @@
             marks.extend(lists.iter().map(|l| l.as_ref().to_vec()));
             revoked.extend(lists);
         }
-        Ok(Generation { number, trusted: Arc::new(trusted), own, revoked, spans, marks })
+        Ok(Generation {
+            number,
+            trusted_roots: Arc::new(trusted),
+            identity: own,
+            revocation_lists: revoked,
+            validities: spans,
+            marks,
+        })
     }
 
-    fn identity(chain: &Named, key: &Named, now: Ns, spans: &mut Vec<Span>) -> Result<CertifiedKey, Fault> {
+    fn identity(
+        chain: &PemFile,
+        key: &PemFile,
+        now: Ns,
+        spans: &mut Vec<CertificateValidity>,
+    ) -> Result<CertifiedKey, KeyError> {
         let certificates = certificates(chain)?;
         let mut issuer: Option<Vec<u8>> = None;
         for der in &certificates {
@@ -219,14 +239,14 @@
                 let what = format!("{} does not follow the one that it issued", span.subject);
                 return Err(fault(&chain.file, what, "put the own certificate first, each issuer after it"));
             }
-            if now < span.from {
+            if now < span.not_before {
                 return Err(fault(
                     &chain.file,
                     format_args!("{}: not yet valid", span.subject),
                     "check the clock",
                 ));
             }
-            if now >= span.until {
+            if now >= span.not_after {
                 return Err(fault(&chain.file, format_args!("{}: expired", span.subject), "renew it"));
             }
             issuer = Some(by);
@@ -247,37 +267,37 @@
         Ok(own)
     }
 
-    pub fn ends(&self) -> Option<&Span> {
-        self.spans.iter().min_by_key(|s| s.until)
+    pub fn earliest_expiry(&self) -> Option<&CertificateValidity> {
+        self.validities.iter().min_by_key(|s| s.not_after)
     }
 }
 
 /// What became of files that were read again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum ReloadOutcome {
     /// In force from now on, under this number.
-    New(u64),
+    Installed(u64),
     /// Nothing in them is new.
-    Same,
+    Unchanged,
 }
 
 /// An end that comes near.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Notice {
-    pub span: Span,
+pub struct ExpiryNotice {
+    pub validity: CertificateValidity,
     /// Whole days that are left; 0: it has ended or ends today.
-    pub days: u64,
+    pub days_left: u64,
 }
 
 /// The generation in force; those who read it never wait for who changes it.
 #[derive(Debug)]
-pub struct Keys {
+pub struct KeyStore {
     current: ArcSwap<Generation>,
 }
 
-impl Keys {
-    pub fn new(texts: &Texts, now: Ns) -> Result<Keys, Fault> {
-        Ok(Keys { current: ArcSwap::from_pointee(Generation::of(1, texts, now)?) })
+impl KeyStore {
+    pub fn new(texts: &KeyMaterial, now: Ns) -> Result<KeyStore, KeyError> {
+        Ok(KeyStore { current: ArcSwap::from_pointee(Generation::from_material(1, texts, now)?) })
     }
 
     /// Kept by whatever begins now, as long as that lasts.
@@ -286,39 +306,40 @@
     }
 
     /// Takes what the files say now, whole; a fault leaves the old generation in force. To be called by one thread.
-    pub fn offer(&self, texts: &Texts, now: Ns) -> Result<Taken, Fault> {
+    pub fn reload(&self, texts: &KeyMaterial, now: Ns) -> Result<ReloadOutcome, KeyError> {
         let before = self.current();
-        let next = Generation::of(before.number + 1, texts, now)?;
+        let next = Generation::from_material(before.number + 1, texts, now)?;
         if next.marks == before.marks {
-            return Ok(Taken::Same);
+            return Ok(ReloadOutcome::Unchanged);
         }
         let number = next.number;
         self.current.store(Arc::new(next));
-        Ok(Taken::New(number))
+        Ok(ReloadOutcome::Installed(number))
     }
 }
 
 /// Tells of ends that come near, each once at 30, 7 and 1 days ahead and once when it has come.
 #[derive(Debug, Default)]
-pub struct Watch {
+pub struct ExpiryWatch {
     said: BTreeSet<(String, Ns, u64)>,
 }
 
-impl Watch {
-    pub fn look(&mut self, generation: &Generation, now: Ns) -> Vec<Notice> {
-        let live =
-            |s: &(String, Ns, u64)| generation.spans.iter().any(|g| (&g.subject, g.until) == (&s.0, s.1));
+impl ExpiryWatch {
+    pub fn check(&mut self, generation: &Generation, now: Ns) -> Vec<ExpiryNotice> {
+        let live = |s: &(String, Ns, u64)| {
+            generation.validities.iter().any(|g| (&g.subject, g.not_after) == (&s.0, s.1))
+        };
         self.said.retain(live);
         let mut notices = Vec::new();
-        for span in &generation.spans {
-            let left = span.until.saturating_sub(now);
+        for span in &generation.validities {
+            let left = span.not_after.saturating_sub(now);
             // The nearest mark that has been passed; those before it need no word any more.
             let passed = AHEAD.iter().copied().filter(|d| left <= d * DAY).min();
             let mark = if left == 0 { Some(0) } else { passed };
             if let Some(mark) = mark
-                && self.said.insert((span.subject.clone(), span.until, mark))
+                && self.said.insert((span.subject.clone(), span.not_after, mark))
             {
-                notices.push(Notice { span: span.clone(), days: left / DAY });
+                notices.push(ExpiryNotice { validity: span.clone(), days_left: left / DAY });
             }
         }
         notices
--- a/crates/keys/src/lib.rs
+++ b/crates/tls-keys/src/lib.rs
@@ -3,12 +3,12 @@
 //! certificate is left alone. No sockets here; see `docs/tls.md`.
 
 pub mod generation;
+pub mod handshake_limiter;
 pub mod policy;
-pub mod shakes;
 
-pub use generation::{Fault, Files, Generation, Keys, Notice, Taken, Texts};
-pub use policy::{Matches, Policy, Rule};
-pub use shakes::{Bounds, Shakes};
+pub use generation::{ExpiryNotice, Generation, KeyError, KeyFiles, KeyMaterial, KeyStore, ReloadOutcome};
+pub use handshake_limiter::{HandshakeLimiter, HandshakeLimits};
+pub use policy::{NodeMatcher, TransportPolicy, TransportSecurity};
 
 /// Whole nanoseconds, of Unix time where a moment is meant.
 pub type Ns = u64;
--- a/crates/keys/tests/keys.rs
+++ b/crates/tls-keys/tests/keys.rs
@@ -5,10 +5,13 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use rcgen::{BasicConstraints, CertificateParams, DnType, IsCa, Issuer, KeyPair, date_time_ymd};
-use sablecross_keys::generation::Watch;
-use sablecross_keys::policy::Wanted;
-use sablecross_keys::shakes::Not;
-use sablecross_keys::{Bounds, Files, Generation, Keys, Matches, Policy, Rule, Shakes, Taken};
+use sablecross_tls_keys::generation::ExpiryWatch;
+use sablecross_tls_keys::handshake_limiter::HandshakeDenied;
+use sablecross_tls_keys::policy::RequiredSecurity;
+use sablecross_tls_keys::{
+    Generation, HandshakeLimiter, HandshakeLimits, KeyFiles, KeyStore, NodeMatcher, ReloadOutcome,
+    TransportPolicy, TransportSecurity,
+};
 
 const SEC: u64 = 1_000_000_000;
 const DAY: u64 = 86_400 * SEC;
@@ -46,7 +49,7 @@
     }
 
     /// An authority, and an own certificate by it, for these years.
-    fn pair(&self, years: (i32, i32)) -> Files {
+    fn pair(&self, years: (i32, i32)) -> KeyFiles {
         let ca_key = KeyPair::generate().unwrap();
         let ca = params("authority", LONG, true).self_signed(&ca_key).unwrap();
         let issuer = Issuer::new(params("authority", LONG, true), ca_key);
@@ -54,11 +57,11 @@
         let own = params("director", years, false).signed_by(&key, &issuer).unwrap();
         let chain = self.file("chain.pem", &(own.pem() + &ca.pem()));
         let key = self.file("key.pem", &key.serialize_pem());
-        Files {
-            trusted: self.file("ca.pem", &ca.pem()),
-            own: Some((chain, key)),
-            revoked: vec![],
-            readable: false,
+        KeyFiles {
+            trusted_roots: self.file("ca.pem", &ca.pem()),
+            identity: Some((chain, key)),
+            revocation_lists: vec![],
+            allow_world_readable_key: false,
         }
     }
 }
@@ -71,9 +74,9 @@
 fn a_pair_is_taken_whole_or_refused_by_file_and_reason() {
     let made = Made::new();
     let files = made.pair(LONG);
-    let (chain, key) = files.own.clone().unwrap();
-    let keys = Keys::new(&files.read().unwrap(), now()).unwrap();
-    assert!(keys.current().own.is_some());
+    let (chain, key) = files.identity.clone().unwrap();
+    let keys = KeyStore::new(&files.read().unwrap(), now()).unwrap();
+    assert!(keys.current().identity.is_some());
     let (good_chain, good_key) = (text(&chain), text(&key));
     let other = KeyPair::generate().unwrap().serialize_pem();
     let reversed = {
@@ -88,27 +91,27 @@
         (&chain, "", "chain.pem: holds no certificate"),
         (&chain, &reversed, "does not follow the one that it issued"),
         (&chain, cut, "chain.pem: "),
-        (&files.trusted, "", "ca.pem: holds no certificate"),
-        (&files.trusted, "-----BEGIN CERTIFICATE-----\nAAAA\n-----END CERTIFICATE-----\n", "ca.pem: "),
+        (&files.trusted_roots, "", "ca.pem: holds no certificate"),
+        (&files.trusted_roots, "-----BEGIN CERTIFICATE-----\nAAAA\n-----END CERTIFICATE-----\n", "ca.pem: "),
     ];
     for (file, bad, why) in cases {
         let good = text(file);
         std::fs::write(file, bad).unwrap();
-        let said = keys.offer(&files.read().unwrap(), now()).unwrap_err().to_string();
+        let said = keys.reload(&files.read().unwrap(), now()).unwrap_err().to_string();
         assert!(said.contains(why), "{said} / {why}");
         assert_eq!(keys.current().number, 1);
         std::fs::write(file, good).unwrap();
     }
-    assert_eq!(keys.offer(&files.read().unwrap(), now()), Ok(Taken::Same));
+    assert_eq!(keys.reload(&files.read().unwrap(), now()), Ok(ReloadOutcome::Unchanged));
     // A new pair is a new generation; who began with the old one has it still.
     let old = keys.current();
     let next = made.pair(LONG);
-    assert_eq!(keys.offer(&next.read().unwrap(), now()), Ok(Taken::New(2)));
+    assert_eq!(keys.reload(&next.read().unwrap(), now()), Ok(ReloadOutcome::Installed(2)));
     assert_eq!((old.number, keys.current().number), (1, 2));
     std::fs::set_permissions(&key, std::fs::Permissions::from_mode(0o644)).unwrap();
     let said = files.read().unwrap_err().to_string();
     assert!(said.contains("others may read this key (mode 044)"), "{said}");
-    assert!(Files { readable: true, ..files.clone() }.read().is_ok());
+    assert!(KeyFiles { allow_world_readable_key: true, ..files.clone() }.read().is_ok());
     std::fs::remove_file(&key).unwrap();
     assert!(files.read().unwrap_err().to_string().contains("key.pem: No such file"));
 }
@@ -118,14 +121,14 @@
     let made = Made::new();
     let files = made.pair(LONG);
     let ended = params("before", (2020, 2021), true).self_signed(&KeyPair::generate().unwrap()).unwrap();
-    let (old, new) = (ended.pem(), text(&files.trusted));
-    let keys = Keys::new(&files.read().unwrap(), now()).unwrap();
-    std::fs::write(&files.trusted, format!("{old}{new}")).unwrap();
-    assert_eq!(keys.offer(&files.read().unwrap(), now()), Ok(Taken::New(2)));
-    assert_eq!(keys.current().trusted.len(), 2);
-    std::fs::write(&files.trusted, old).unwrap();
+    let (old, new) = (ended.pem(), text(&files.trusted_roots));
+    let keys = KeyStore::new(&files.read().unwrap(), now()).unwrap();
+    std::fs::write(&files.trusted_roots, format!("{old}{new}")).unwrap();
+    assert_eq!(keys.reload(&files.read().unwrap(), now()), Ok(ReloadOutcome::Installed(2)));
+    assert_eq!(keys.current().trusted_roots.len(), 2);
+    std::fs::write(&files.trusted_roots, old).unwrap();
     assert!(
-        keys.offer(&files.read().unwrap(), now())
+        keys.reload(&files.read().unwrap(), now())
             .unwrap_err()
             .to_string()
             .contains("no authority is valid now")
@@ -137,43 +140,49 @@
 fn spans_count_by_the_clock() {
     let made = Made::new();
     for (years, why) in [((2020, 2021), "expired"), ((2058, 2059), "not yet valid")] {
-        let said = Generation::of(1, &made.pair(years).read().unwrap(), now()).unwrap_err().to_string();
+        let said =
+            Generation::from_material(1, &made.pair(years).read().unwrap(), now()).unwrap_err().to_string();
         assert!(said.contains(why) && said.contains("CN=director"), "{said}");
     }
     // A clock that is off by decades finds no authority.
     let texts = made.pair(LONG).read().unwrap();
-    assert!(Generation::of(1, &texts, DAY).unwrap_err().to_string().contains("no authority is valid now"));
+    assert!(
+        Generation::from_material(1, &texts, DAY)
+            .unwrap_err()
+            .to_string()
+            .contains("no authority is valid now")
+    );
 }
 
 #[test]
 fn ends_are_told_once_at_each_mark() {
     let made = Made::new();
-    let generation = Generation::of(1, &made.pair(LONG).read().unwrap(), now()).unwrap();
-    let until = generation.ends().unwrap().until;
-    let mut watch = Watch::default();
+    let generation = Generation::from_material(1, &made.pair(LONG).read().unwrap(), now()).unwrap();
+    let until = generation.earliest_expiry().unwrap().not_after;
+    let mut watch = ExpiryWatch::default();
     // Three certificates end then: the authority, and both of the chain, one of which is the authority again.
     let told: Vec<(u64, usize)> = [40, 30, 29, 8, 7, 3, 1, 0]
         .into_iter()
-        .map(|days| (days, watch.look(&generation, until - days * DAY).len()))
+        .map(|days| (days, watch.check(&generation, until - days * DAY).len()))
         .collect();
     assert_eq!(told, [(40, 0), (30, 2), (29, 0), (8, 0), (7, 2), (3, 0), (1, 2), (0, 2)]);
-    assert_eq!(Watch::default().look(&generation, until - 3 * DAY)[0].days, 3);
+    assert_eq!(ExpiryWatch::default().check(&generation, until - 3 * DAY)[0].days_left, 3);
 }
 
 #[test]
 fn no_word_of_a_key_is_ever_said() {
     let made = Made::new();
     let files = made.pair(LONG);
-    let (chain, key) = files.own.clone().unwrap();
+    let (chain, key) = files.identity.clone().unwrap();
     let secret: Vec<String> = text(&key).lines().filter(|l| !l.starts_with('-')).map(str::to_owned).collect();
     let texts = files.read().unwrap();
-    let keys = Keys::new(&texts, now()).unwrap();
+    let keys = KeyStore::new(&texts, now()).unwrap();
     std::fs::write(&chain, text(&key)).unwrap();
-    let swapped = Files { own: Some((key.clone(), chain.clone())), ..files.clone() };
+    let swapped = KeyFiles { identity: Some((key.clone(), chain.clone())), ..files.clone() };
     let said = [
         format!("{texts:?} {keys:?} {:?}", keys.current()),
-        format!("{:?}", keys.offer(&swapped.read().unwrap(), now()).unwrap_err()),
-        format!("{:?}", keys.offer(&files.read().unwrap(), now()).unwrap_err()),
+        format!("{:?}", keys.reload(&swapped.read().unwrap(), now()).unwrap_err()),
+        format!("{:?}", keys.reload(&files.read().unwrap(), now()).unwrap_err()),
     ];
     for said in said {
         assert!(secret.iter().all(|line| !said.contains(&**line)), "{said}");
@@ -183,39 +192,49 @@
 
 #[test]
 fn the_first_line_that_fits_decides_and_none_is_not_plain() {
-    let tls = |identity: Option<&str>| Wanted::Tls { identity: identity.map(str::to_owned), resume: true };
-    let of = |name: Option<&str>, zone: Option<&str>, tier| Matches {
+    let tls = |identity: Option<&str>| RequiredSecurity::Tls {
+        identity: identity.map(str::to_owned),
+        may_resume_sessions: true,
+    };
+    let of = |name: Option<&str>, zone: Option<&str>, tier| NodeMatcher {
         name: name.map(str::to_owned),
         zone: zone.map(str::to_owned),
         tier,
     };
-    let policy = Policy {
-        lines: vec![
+    let policy = TransportPolicy {
+        rules: vec![
             (of(Some("upper-a"), None, None), tls(Some("spiffe://office/{}"))),
             (of(None, Some("far"), Some(1)), tls(None)),
-            (of(None, Some("near"), None), Wanted::Plain),
+            (of(None, Some("near"), None), RequiredSecurity::Plaintext),
         ],
     };
-    let named = |identity: &str| Some(Rule::Tls { identity: identity.into(), resume: true });
-    assert_eq!(policy.rule("upper-a", "near", 1), named("spiffe://office/upper-a"));
-    assert_eq!(policy.rule("upper-b", "far", 1), named("upper-b"));
-    assert_eq!(policy.rule("upper-b", "near", 1), Some(Rule::Plain));
-    assert_eq!(policy.rule("upper-b", "far", 2), None);
+    let named = |identity: &str| {
+        Some(TransportSecurity::Tls { identity: identity.into(), may_resume_sessions: true })
+    };
+    assert_eq!(policy.security_for("upper-a", "near", 1), named("spiffe://office/upper-a"));
+    assert_eq!(policy.security_for("upper-b", "far", 1), named("upper-b"));
+    assert_eq!(policy.security_for("upper-b", "near", 1), Some(TransportSecurity::Plaintext));
+    assert_eq!(policy.security_for("upper-b", "far", 2), None);
 }
 
 #[test]
 fn handshakes_keep_within_their_bounds() {
-    let bounds = Bounds { at_once: 3, a_second: 10.0, first_rest: SEC, longest_rest: 8 * SEC };
-    let mut s = Shakes::new(bounds, 0);
-    assert_eq!([0, 1, 2].map(|n| s.begin(n, 1, 0)), [Ok(()); 3]);
-    assert_eq!(s.begin(3, 1, 0), Err(Not::Crowded));
+    let bounds = HandshakeLimits {
+        max_concurrent: 3,
+        max_per_second: 10.0,
+        initial_backoff: SEC,
+        max_backoff: 8 * SEC,
+    };
+    let mut s = HandshakeLimiter::new(bounds, 0);
+    assert_eq!([0, 1, 2].map(|n| s.try_begin(n, 1, 0)), [Ok(()); 3]);
+    assert_eq!(s.try_begin(3, 1, 0), Err(HandshakeDenied::TooManyConcurrent));
     // A storm of a thousand nodes at once: no second has more than its ten, and the ten saved up.
     let mut begun = vec![0; 11];
-    (0..3).for_each(|n| s.ended(n, true));
+    (0..3).for_each(|n| s.on_finished(n, true));
     for at in 0..10_000u64 {
-        if s.begin(at as usize % 1_000, 1, at * SEC / 1_000).is_ok() {
+        if s.try_begin(at as usize % 1_000, 1, at * SEC / 1_000).is_ok() {
             begun[at as usize / 1_000] += 1;
-            s.ended(at as usize % 1_000, true);
+            s.on_finished(at as usize % 1_000, true);
         }
     }
     assert!(
@@ -225,14 +244,14 @@
     // A bad certificate rests twice as long each time, up to a bound; a new generation tries at once.
     let mut at = 20 * SEC;
     for rest in [1, 2, 4, 8, 8] {
-        assert_eq!(s.begin(7, 1, at), Ok(()));
-        assert_eq!(s.refused(7, 1, at), rest * SEC);
-        assert_eq!(s.begin(7, 1, at + rest * SEC - 1), Err(Not::Resting(1)));
+        assert_eq!(s.try_begin(7, 1, at), Ok(()));
+        assert_eq!(s.on_rejected(7, 1, at), rest * SEC);
+        assert_eq!(s.try_begin(7, 1, at + rest * SEC - 1), Err(HandshakeDenied::BackingOff(1)));
         at += rest * SEC;
     }
-    s.begin(7, 1, at).unwrap();
-    s.refused(7, 1, at);
-    assert_eq!(s.begin(7, 2, at), Ok(()));
-    s.ended(7, true);
-    assert_eq!((s.begin(7, 1, at + 1), s.under_way()), (Ok(()), 1));
+    s.try_begin(7, 1, at).unwrap();
+    s.on_rejected(7, 1, at);
+    assert_eq!(s.try_begin(7, 2, at), Ok(()));
+    s.on_finished(7, true);
+    assert_eq!((s.try_begin(7, 1, at + 1), s.in_progress()), (Ok(()), 1));
 }
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -124,7 +124,7 @@
 /// All that is known of one node.
 #[derive(Clone, Debug, Default)]
 struct Node {
-    line: Listed,
+    line: EndpointUpdate,
     role: Role,
     /// Root of the number of directors that share it: the demand of one varies by it, and so do its bounds.
     sharing: f64,
@@ -208,12 +208,12 @@
     work: f64,
 }
 
-pub struct Choice {
+pub struct Router {
     set: Settings,
     rng: Pcg32,
     nodes: Vec<Option<Node>>,
-    caches: Pie,
-    parents: Pie,
+    caches: HashRing,
+    parents: HashRing,
     origin: Option<usize>,
     /// Mean sending time by object kind.
     work: Vec<f64>,
@@ -253,16 +253,16 @@
 }
 
 /// The place of a part of an object in the pie of the caches.
-pub fn copy_place(object: u64, part: u32) -> u64 {
+pub fn cache_position(object: u64, part: u32) -> u64 {
     mix(object ^ mix(u64::from(part)))
 }
 
-fn copy_of(lk: &Lookup) -> u64 {
-    copy_place(lk.object, lk.part)
+fn copy_of(lk: &Request) -> u64 {
+    cache_position(lk.object, lk.part)
 }
 
 /// An object's place in the pies of its fills.
-pub fn fill_place(object: u64) -> u64 {
+pub fn parent_position(object: u64) -> u64 {
     mix(!object)
 }
 
@@ -270,28 +270,28 @@
 /// the member that stands nearest, so a slice whose member is lost halves to its two neighbours, whether
 /// that one is down, cold or gone from the list: a loss moves a position once, not again at each step.
 #[derive(Clone, Debug, Default)]
-pub struct Pie {
+pub struct HashRing {
     members: Vec<usize>,
     places: Vec<(u64, usize)>,
-    dealt: Vec<Stand>,
+    dealt: Vec<RingMember>,
 }
 
 /// A member of a pie: its rank, its index, and the part of its places that it does not take, of 256.
-pub type Stand = (u64, usize, u16);
+pub type RingMember = (u64, usize, u16);
 
-impl Pie {
+impl HashRing {
     /// A pure function of the members: directors and restarts agree.
-    pub fn deal(dealt: Vec<Stand>) -> Pie {
-        let stands = |&(rank, i, withheld): &Stand| {
+    pub fn build(dealt: Vec<RingMember>) -> HashRing {
+        let stands = |&(rank, i, withheld): &RingMember| {
             (0..SLICES.saturating_sub(withheld.into())).map(move |k| (mix(mix(rank) ^ k), i))
         };
         let mut places: Vec<(u64, usize)> = dealt.iter().flat_map(stands).collect();
         places.sort_unstable();
-        Pie { members: dealt.iter().map(|d| d.1).collect(), places, dealt }
+        HashRing { members: dealt.iter().map(|d| d.1).collect(), places, dealt }
     }
 
     /// The members as they stand round a position, the nearest first.
-    pub fn around(&self, pos: u64) -> impl Iterator<Item = usize> {
+    pub fn walk_from(&self, pos: u64) -> impl Iterator<Item = usize> {
         let n = self.places.len();
         let mut right = self.places.partition_point(|p| p.0 < pos);
         let mut left = right + n;
@@ -309,12 +309,12 @@
     }
 
     fn home(&self, pos: u64) -> Option<usize> {
-        self.around(pos).next()
+        self.walk_from(pos).next()
     }
 
     /// The owner of a position among the members that are fit.
     pub fn owner(&self, pos: u64, fit: impl Fn(usize) -> bool) -> Option<usize> {
-        self.members.iter().any(|&m| fit(m)).then(|| self.around(pos).find(|&m| fit(m)))?
+        self.members.iter().any(|&m| fit(m)).then(|| self.walk_from(pos).find(|&m| fit(m)))?
     }
 }
 
@@ -325,23 +325,26 @@
 
 /// How many directors send to such a member: those of its location, or all.
 fn sharers(set: &Settings, role: Role) -> f64 {
-    let own = set.directors.get(set.zone).copied().unwrap_or(1);
-    let all = set.directors.iter().sum();
+    let own = set.directors_per_zone.get(set.zone).copied().unwrap_or(1);
+    let all = set.directors_per_zone.iter().sum();
     if role == Role::Cache { own } else { all }.max(1) as f64
 }
 
-fn ran(sent: &Sent) -> bool {
-    !matches!(sent.result, Some(Outcome::Full | Outcome::Unconnected | Outcome::NeverSent | Outcome::Miss))
+fn ran(sent: &Attempt) -> bool {
+    !matches!(
+        sent.outcome,
+        Some(Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Miss)
+    )
 }
 
-impl Choice {
+impl Router {
     pub fn new(set: Settings, seed: u64, now: Ns) -> Self {
-        let work: Vec<f64> = set.object_kinds.iter().map(|k| k.latency_budget as f64 / 2.0).collect();
-        Choice {
+        let work: Vec<f64> = set.request_classes.iter().map(|k| k.latency_objective as f64 / 2.0).collect();
+        Router {
             rng: Pcg32::seed_from_u64(seed),
             nodes: Vec::new(),
-            caches: Pie::default(),
-            parents: Pie::default(),
+            caches: HashRing::default(),
+            parents: HashRing::default(),
             origin: None,
             work,
             asked_work: 0.0,
@@ -369,35 +372,35 @@
     }
 
     /// Whether the list is to be followed by asking for its changes, at the start and after each failure.
-    pub fn asks_for_list(&self) -> bool {
-        self.set.follow_list
+    pub fn polls_endpoint_list(&self) -> bool {
+        self.set.polls_endpoint_list
     }
 
     /// The effects of all object kinds, by their numbers.
     pub fn effects(&self) -> Vec<Effect> {
-        self.set.object_kinds.iter().map(|kind| kind.effect).collect()
+        self.set.request_classes.iter().map(|kind| kind.effect).collect()
     }
 
-    pub fn knows_kind(&self, kind: usize) -> bool {
-        kind < self.set.object_kinds.len()
+    pub fn has_class(&self, kind: usize) -> bool {
+        kind < self.set.request_classes.len()
     }
 
-    pub fn notes(&mut self) -> Vec<String> {
+    pub fn take_log_lines(&mut self) -> Vec<String> {
         std::mem::take(&mut self.lines)
     }
 
     /// News of the list; a whole list drops whom it does not name.
-    pub fn listed(&mut self, now: Ns, lines: &[Listed], whole: bool) {
+    pub fn update_endpoints(&mut self, now: Ns, lines: &[EndpointUpdate], whole: bool) {
         if whole {
             for node in self.nodes.iter_mut().flatten() {
-                node.line.state = State::Gone;
+                node.line.state = EndpointState::Gone;
             }
         }
         for l in lines {
             if self.nodes.len() <= l.node {
                 self.nodes.resize(l.node + 1, None);
             }
-            let role = match l.machine {
+            let role = match l.machine_kind {
                 m if m == self.set.origin_kind => Role::Origin,
                 m if Some(m) == self.set.parent_kind => Role::Parent,
                 _ => Role::Cache,
@@ -412,61 +415,66 @@
                 price: LEAST_PRICE,
                 lasting: LEAST_PRICE,
                 // Directors take turns at a fresh node by their number.
-                credit: -(self.set.number as f64 % sharers / sharers) * self.largest_work(),
+                credit: -(self.set.director_index as f64 % sharers / sharers) * self.largest_work(),
                 ..Node::default()
             };
             let slot = &mut self.nodes[l.node];
             match slot {
-                Some(node) if (node.line.started, node.line.rank) == (l.started, l.rank) => node.line = *l,
+                Some(node) if (node.line.started_at, node.line.rank) == (l.started_at, l.rank) => {
+                    node.line = *l
+                }
                 Some(node) => *node = Node { out: node.out, straight: node.straight, ..fresh },
                 None => *slot = Some(fresh),
             }
         }
-        let on = |role: Role, zone: Option<usize>| -> Vec<Stand> {
-            let mut pie: Vec<Stand> = self
+        let on = |role: Role, zone: Option<usize>| -> Vec<RingMember> {
+            let mut pie: Vec<RingMember> = self
                 .nodes
                 .iter()
                 .enumerate()
                 .filter_map(|(i, n)| Some((i, n.as_ref()?)))
-                .filter(|(_, n)| n.role == role && n.line.state != State::Gone)
+                .filter(|(_, n)| n.role == role && n.line.state != EndpointState::Gone)
                 .filter(|(_, n)| zone.is_none_or(|z| z == n.line.zone))
-                .map(|(i, n)| (n.line.rank, i, n.line.withheld))
+                .map(|(i, n)| (n.line.rank, i, n.line.withheld_virtual_nodes))
                 .collect();
             pie.sort_unstable();
             pie
         };
         let (caches, parents) = (on(Role::Cache, Some(self.set.zone)), on(Role::Parent, None));
         self.usual = self.usual.max(parents.len());
-        let ready = |&(_, i, _): &Stand| self.nodes[i].as_ref().is_some_and(|n| n.line.state == State::Ready);
+        let ready = |&(_, i, _): &RingMember| {
+            self.nodes[i].as_ref().is_some_and(|n| n.line.state == EndpointState::Ready)
+        };
         self.origin = on(Role::Origin, None).into_iter().find(ready).map(|(_, i, _)| i);
         for (pie, dealt) in [(&mut self.caches, caches), (&mut self.parents, parents)] {
             if dealt != pie.dealt {
                 if !pie.members.is_empty() {
                     self.lines.push(format!("list members={} before={}", dealt.len(), pie.members.len()));
                 }
-                *pie = Pie::deal(dealt);
+                *pie = HashRing::build(dealt);
             }
         }
         self.turn(now);
     }
 
     /// A node's load report. One with room to spare is not to blame for what was slow.
-    pub fn reported(&mut self, now: Ns, node: usize, load: Load) {
-        let spare = load.busy.is_some_and(|b| b < BUSY) && load.link.is_none_or(|l| l < BUSY);
+    pub fn record_load(&mut self, now: Ns, node: usize, load: LoadReport) {
+        let spare =
+            load.cpu_utilization.is_some_and(|b| b < BUSY) && load.link_utilization.is_none_or(|l| l < BUSY);
         if let Some(n) = self.node_mut(node) {
             n.spare_until = if spare { now + SEC } else { 0 };
         }
     }
 
     /// An object, or with none a whole group, was purged so long ago.
-    pub fn purged(&mut self, now: Ns, object: Option<u64>, group: u32, ago: Ns) {
+    pub fn record_purge(&mut self, now: Ns, object: Option<u64>, group: u32, ago: Ns) {
         let made = now.saturating_sub(ago);
         let known = self.purges.entry((object, if object.is_some() { 0 } else { group })).or_default();
         // News may overtake each other: the latest purge binds.
         *known = made.max(*known);
         if now >= self.purges_due {
             self.purges_due = now + SEC;
-            let gone = now.saturating_sub(self.set.purge_cleared + HELD);
+            let gone = now.saturating_sub(self.set.purge_propagation_window + HELD);
             self.purges.retain(|_, made| *made > gone);
         }
     }
@@ -509,53 +517,53 @@
 
     // ---- what a lookup weighs ----
 
-    fn known(&self, lk: &Lookup) -> Option<Seen> {
+    fn known(&self, lk: &Request) -> Option<Seen> {
         let c = copy_of(lk);
         self.seen.get(&c).or_else(|| self.seen_before.get(&c)).copied()
     }
 
     /// Not wanted here before of late: surely a miss.
-    fn unseen(&self, lk: &Lookup) -> bool {
+    fn unseen(&self, lk: &Request) -> bool {
         self.known(lk).is_none_or(|s| s.times < 2)
     }
 
     /// Predicted sending time, by size where it is told, else as seen before.
-    fn predicted(&self, lk: &Lookup) -> f64 {
+    fn predicted(&self, lk: &Request) -> f64 {
         if lk.size_kb > 0.0 && self.set.stream_kb_per_s > 0.0 {
             return lk.size_kb / self.set.stream_kb_per_s * SEC as f64;
         }
         match self.known(lk) {
             Some(s) if s.work > 0.0 => s.work,
-            _ => self.work[lk.kind],
+            _ => self.work[lk.class],
         }
     }
 
     /// When its latency budget ends.
-    fn budget_end(&self, lk: &Lookup) -> Ns {
-        let kind = &self.set.object_kinds[lk.kind];
-        let stretch = (kind.budget_stretch.unwrap_or(0.0) * self.predicted(lk)) as Ns;
-        lk.arrived.saturating_add(kind.latency_budget.saturating_add(stretch))
+    fn budget_end(&self, lk: &Request) -> Ns {
+        let kind = &self.set.request_classes[lk.class];
+        let stretch = (kind.latency_objective_stretch.unwrap_or(0.0) * self.predicted(lk)) as Ns;
+        lk.arrived_at.saturating_add(kind.latency_objective.saturating_add(stretch))
     }
 
     // ---- who may be sent to ----
 
     fn warmth(&self, node: &Node, now: Ns) -> f64 {
         let (from, after) = match node.role {
-            Role::Parent => (self.set.parent_cold_from, self.set.parent_warm_after),
-            _ => (self.set.cold_from, self.set.warm_after),
+            Role::Parent => (self.set.parent_slow_start_initial_share, self.set.parent_slow_start_window),
+            _ => (self.set.slow_start_initial_share, self.set.slow_start_window),
         };
-        if node.line.started == 0 || node.role == Role::Origin || after == 0 {
+        if node.line.started_at == 0 || node.role == Role::Origin || after == 0 {
             return 1.0;
         }
-        let age = now.saturating_sub(node.line.started) as f64 / after as f64;
+        let age = now.saturating_sub(node.line.started_at) as f64 / after as f64;
         (from + (1.0 - from) * age).min(1.0)
     }
 
     /// The part of its slice that a cold member is given: safe against its fall-over whatever the load.
     fn cold_part(&self, node: &Node, now: Ns) -> f64 {
         let multiple = match node.role {
-            Role::Parent => self.set.parent_fall_multiple,
-            _ => self.set.fall_multiple,
+            Role::Parent => self.set.parent_collapse_multiple,
+            _ => self.set.collapse_multiple,
         };
         (COLD_PART * multiple * self.warmth(node, now)).min(1.0)
     }
@@ -604,17 +612,17 @@
         self.asked_work = 0.0;
     }
 
-    fn has_room(&self, m: usize, lk: &Lookup, now: Ns) -> bool {
-        self.node(m).is_some_and(|n| self.warmth(n, now) >= 1.0 || n.credit >= self.work[lk.kind])
+    fn has_room(&self, m: usize, lk: &Request, now: Ns) -> bool {
+        self.node(m).is_some_and(|n| self.warmth(n, now) >= 1.0 || n.credit >= self.work[lk.class])
     }
 
     fn up(&self, m: usize) -> bool {
-        self.node(m).is_some_and(|n| n.line.state == State::Ready && n.down.is_none())
+        self.node(m).is_some_and(|n| n.line.state == EndpointState::Ready && n.down.is_none())
     }
 
     fn trial_due(&self, m: usize, now: Ns) -> bool {
         self.node(m).is_some_and(|n| {
-            n.line.state == State::Ready
+            n.line.state == EndpointState::Ready
                 && match &n.down {
                     Some(d) => now >= d.next_trial,
                     None => n.role == Role::Parent && n.suspect > SUSPECT_AT && now >= n.next_look,
@@ -623,19 +631,19 @@
     }
 
     /// Whether the effect rules allow one more send of this lookup to this node.
-    fn effect_allows(&self, lk: &Lookup, to: usize, now: Ns) -> bool {
-        if !self.set.second_copies && lk.sends.iter().any(|s| s.result.is_none()) {
+    fn effect_allows(&self, lk: &Request, to: usize, now: Ns) -> bool {
+        if !self.set.may_hedge && lk.attempts.iter().any(|s| s.outcome.is_none()) {
             return false;
         }
-        let mut maybe = lk.sends.iter().filter(|s| ran(s));
-        match self.set.object_kinds[lk.kind].effect {
+        let mut maybe = lk.attempts.iter().filter(|s| ran(s));
+        match self.set.request_classes[lk.class].effect {
             Effect::Idempotent => true,
             Effect::SideEffecting => maybe.next().is_none(),
             Effect::Deduplicated { within, .. } => {
-                let near = |s: &Sent| match (within, self.node(s.node), self.node(to)) {
-                    (Within::All, _, _) => true,
-                    (Within::Zone, Some(a), Some(b)) => a.line.zone == b.line.zone,
-                    (Within::Cell, Some(a), Some(b)) => {
+                let near = |s: &Attempt| match (within, self.node(s.node), self.node(to)) {
+                    (DeduplicationScope::All, _, _) => true,
+                    (DeduplicationScope::Zone, Some(a), Some(b)) => a.line.zone == b.line.zone,
+                    (DeduplicationScope::Cell, Some(a), Some(b)) => {
                         (a.line.zone, a.line.cell) == (b.line.zone, b.line.cell)
                     }
                     _ => false,
@@ -646,68 +654,69 @@
     }
 
     /// Until when nodes know a repeat of this lookup: past it a repeat runs again, whoever makes it.
-    fn repeat_by(&self, lk: &Lookup) -> Ns {
-        let Effect::Deduplicated { memory, .. } = self.set.object_kinds[lk.kind].effect else {
+    fn repeat_by(&self, lk: &Request) -> Ns {
+        let Effect::Deduplicated { window: memory, .. } = self.set.request_classes[lk.class].effect else {
             return Ns::MAX;
         };
-        let first = lk.sends.iter().filter(|s| ran(s)).map(|s| s.at.saturating_add(memory)).min();
+        let first = lk.attempts.iter().filter(|s| ran(s)).map(|s| s.sent_at.saturating_add(memory)).min();
         first.unwrap_or(Ns::MAX)
     }
 
     /// Nothing more to send: wait for what is out, or give the lookup up at once. A client that repeats soon
     /// finds the same trouble and adds to it: it is asked to stay away as long as clients do.
-    fn hold(&mut self, now: Ns, lk: &Lookup) -> Route {
-        if lk.sends.iter().any(|s| s.result.is_none()) {
-            return Route::NotYet;
+    fn hold(&mut self, now: Ns, lk: &Request) -> RouteDecision {
+        if lk.attempts.iter().any(|s| s.outcome.is_none()) {
+            return RouteDecision::Wait;
         }
         // The client's repeat has to come, as this lookup's would, while the nodes still know it for one.
         let left = self.repeat_by(lk).saturating_sub(now).saturating_sub(BASE);
-        let free = match self.set.object_kinds[lk.kind].effect {
-            Effect::Deduplicated { within: Within::All, .. } => left > 0,
+        let free = match self.set.request_classes[lk.class].effect {
+            Effect::Deduplicated { within: DeduplicationScope::All, .. } => left > 0,
             effect => effect == Effect::Idempotent,
         };
-        if !free && lk.sends.iter().any(ran) {
-            return Route::Fail;
+        if !free && lk.attempts.iter().any(ran) {
+            return RouteDecision::Fail;
         }
         let part = 0.75 + 0.25 * self.rng.random::<f64>();
-        let pause = if self.set.pauses { self.set.longest_pause as f64 * part } else { 0.0 };
-        Route::Nack { pause: left.min(pause as Ns) }
+        let pause = if self.set.may_send_retry_after { self.set.max_retry_after as f64 * part } else { 0.0 };
+        RouteDecision::Reject { retry_after: left.min(pause as Ns) }
     }
 
     /// How the utility for its sending time stands among those of other lookups, in standard deviations.
-    fn standing(&self, lk: &Lookup) -> f64 {
+    fn standing(&self, lk: &Request) -> f64 {
         (self.brings(lk) - self.worth) / self.worth_spread.sqrt().max(0.1)
     }
 
-    fn brings(&self, lk: &Lookup) -> f64 {
-        (self.set.object_kinds[lk.kind].utility * SEC as f64 / (self.predicted(lk) + BASE as f64)).ln()
+    fn brings(&self, lk: &Request) -> f64 {
+        (self.set.request_classes[lk.class].priority_weight * SEC as f64 / (self.predicted(lk) + BASE as f64))
+            .ln()
     }
 
     // ---- the three calls ----
 
     /// Where to send this lookup now.
-    pub fn route(&mut self, now: Ns, lk: &Lookup) -> Route {
+    pub fn route(&mut self, now: Ns, lk: &Request) -> RouteDecision {
         self.turn(now);
-        let out = lk.sends.iter().filter(|s| s.result.is_none()).count();
+        let out = lk.attempts.iter().filter(|s| s.outcome.is_none()).count();
         if now + 2 * self.set.tick >= lk.deadline {
             return self.hold(now, lk);
         }
-        let first = lk.sends.is_empty();
+        let first = lk.attempts.is_empty();
         let hopeless = (lk.deadline - now) as f64 <= HOPELESS * self.predicted(lk);
         if first {
             self.arrived(now, lk);
         }
         // What never left asked nothing of anyone: the next is no further send.
-        let free = lk.sends.iter().all(|s| s.result == Some(Outcome::NeverSent));
-        let spent = lk.sends.len() >= self.set.most_sends || !free && self.tokens < 1.0 || out > 1;
+        let free = lk.attempts.iter().all(|s| s.outcome == Some(Outcome::NotSent));
+        let spent = lk.attempts.len() >= self.set.max_attempts || !free && self.tokens < 1.0 || out > 1;
         if hopeless || !first && spent {
             return self.hold(now, lk);
         }
         if out > 0 && self.jammed {
-            return Route::NotYet;
+            return RouteDecision::Wait;
         }
         let standing = self.standing(lk);
-        let allowed = |s: &Send| self.effect_allows(lk, s.node, now);
+        let allowed = |s: &AttemptSpec| self.effect_allows(lk, s.node, now);
         let Some(mut send) = self.pick(now, lk, standing).filter(allowed) else {
             return self.hold(now, lk);
         };
@@ -721,47 +730,54 @@
             }
             self.tokens -= f64::from(u8::from(!free));
         }
-        send.time_out = lk.deadline - now - 2 * self.set.tick;
+        send.timeout = lk.deadline - now - 2 * self.set.tick;
         if first && send.source.is_none() {
             // A look is over soon, or the member is not well.
-            send.time_out = send.time_out.min((3.0 * self.predicted(lk)) as Ns + 8 * BASE);
+            send.timeout = send.timeout.min((3.0 * self.predicted(lk)) as Ns + 8 * BASE);
         }
         self.sent(lk, &send, now);
-        Route::Send(send)
+        RouteDecision::Attempt(send)
     }
 
     /// What next, after the outcome of a send; `hit` where it is told.
-    pub fn after(&mut self, now: Ns, lk: &Lookup, shot: usize, took: Ns, hit: Option<bool>) -> Next {
-        let Some(sent) = lk.sends.get(shot).copied() else { return Next::Wait };
-        let Some(mut outcome) = sent.result else { return Next::Wait };
-        let given = lk.deadline.saturating_sub(lk.arrived) as f64;
+    pub fn on_outcome(
+        &mut self,
+        now: Ns,
+        lk: &Request,
+        shot: usize,
+        took: Ns,
+        hit: Option<bool>,
+    ) -> NextStep {
+        let Some(sent) = lk.attempts.get(shot).copied() else { return NextStep::Wait };
+        let Some(mut outcome) = sent.outcome else { return NextStep::Wait };
+        let given = lk.deadline.saturating_sub(lk.arrived_at) as f64;
         if outcome == Outcome::TimedOut && given < ON_PACE * (self.predicted(lk) + 2.0 * BASE as f64) {
             // Its client gave less than a send takes: the member that was busy with it did nothing wrong.
             outcome = Outcome::Cancelled;
         }
-        let cost = self.work[lk.kind];
+        let cost = self.work[lk.class];
         for m in self.asked(sent.node, sent.source) {
             if let Some(n) = self.node_mut(m) {
                 n.out = n.out.saturating_sub(1);
-                n.served += if outcome == Outcome::Satisfied { cost } else { 0.0 };
+                n.served += if outcome == Outcome::Success { cost } else { 0.0 };
             }
         }
         if let Some(n) = self.node_mut(sent.node) {
             n.straight = n.straight.saturating_sub(1);
             n.quickest = n.quickest.min(took);
-            let unheard = matches!(outcome, Outcome::TimedOut | Outcome::Unconnected | Outcome::Cancelled);
+            let unheard = matches!(outcome, Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Cancelled);
             n.heard = if unheard { n.heard } else { now };
         }
         self.judge(now, lk, &sent, outcome, took, hit);
         let within = now <= self.budget_end(lk);
         let step = match outcome {
-            Outcome::Satisfied if hit == Some(true) => 0.0,
-            Outcome::Satisfied if within => -CHEAPER * if hit.is_none() { FILLS } else { 1.0 },
-            Outcome::Satisfied | Outcome::TimedOut | Outcome::Full => DEARER,
+            Outcome::Success if hit == Some(true) => 0.0,
+            Outcome::Success if within => -CHEAPER * if hit.is_none() { FILLS } else { 1.0 },
+            Outcome::Success | Outcome::TimedOut | Outcome::Overloaded => DEARER,
             _ => 0.0,
         };
         if step != 0.0 && sent.source.is_some_and(|s| self.node(s).is_some_and(|n| n.role == Role::Parent)) {
-            let home = self.parents.owner(fill_place(lk.object), |m| self.up(m));
+            let home = self.parents.owner(parent_position(lk.object), |m| self.up(m));
             if sent.source != home {
                 let more = if step < 0.0 { PASS_MORE } else { -PASS_LESS };
                 self.passed = (self.passed + more).clamp(LEAST_PASSED, 1.0);
@@ -775,22 +791,22 @@
                 n.price = (n.price + part * step).clamp(LEAST_PRICE, MOST_PRICE);
             }
         }
-        let out = lk.sends.iter().any(|s| s.result.is_none());
-        if outcome == Outcome::Satisfied {
+        let out = lk.attempts.iter().any(|s| s.outcome.is_none());
+        if outcome == Outcome::Success {
             self.tokens = (self.tokens + TOKEN).min(MOST_TOKENS);
-            return Next::Done { call_off: out && self.set.cancels };
+            return NextStep::Done { cancel_outstanding: out && self.set.may_cancel };
         }
-        if out { Next::Wait } else { Next::Again }
+        if out { NextStep::Wait } else { NextStep::Retry }
     }
 
     /// How long until `route` is to be asked again, if nothing has come by then.
-    pub fn patience(&self, now: Ns, lk: &Lookup) -> Option<Ns> {
-        let last = lk.sends.last()?;
-        if !self.set.second_copies || lk.sends.len() >= 3.min(self.set.most_sends) {
+    pub fn next_check(&self, now: Ns, lk: &Request) -> Option<Ns> {
+        let last = lk.attempts.last()?;
+        if !self.set.may_hedge || lk.attempts.len() >= 3.min(self.set.max_attempts) {
             return None;
         }
         let work = self.predicted(lk);
-        let least = last.at as f64 + 1.4 * work + BASE as f64 * 2.0;
+        let least = last.sent_at as f64 + 1.4 * work + BASE as f64 * 2.0;
         let latest = self.budget_end(lk) as f64 - 1.3 * work - BASE as f64 * 1.5;
         let at = latest.max(least) as Ns;
         (at > now && at < lk.deadline).then(|| at - now)
@@ -798,21 +814,21 @@
 
     // ---- the ordinary path and its overflow ----
 
-    fn arrived(&mut self, now: Ns, lk: &Lookup) {
+    fn arrived(&mut self, now: Ns, lk: &Request) {
         if lk.size_kb > 0.0 {
             let work = self.predicted(lk);
-            self.work[lk.kind] += 0.02 * (work - self.work[lk.kind]);
+            self.work[lk.class] += 0.02 * (work - self.work[lk.class]);
         }
         let off = self.brings(lk) - self.worth;
         self.worth += if self.worth == 0.0 { off } else { 0.05 * off };
         self.worth_spread += 0.05 * (off * off - self.worth_spread);
         let before = self.known(lk).unwrap_or_default();
-        let seen = Seen { times: before.times + u32::from(!lk.repeat), ..before };
+        let seen = Seen { times: before.times + u32::from(!lk.is_client_retry), ..before };
         self.seen.insert(copy_of(lk), seen);
-        self.asked_work += self.work[lk.kind];
+        self.asked_work += self.work[lk.class];
         self.earn(now);
         // Bursts: a run of parts counts once, and a client's repeat not at all.
-        if lk.repeat || (self.set.object_kinds[lk.kind].parts && lk.part > 0) {
+        if lk.is_client_retry || (self.set.request_classes[lk.class].is_multipart && lk.part > 0) {
             return;
         }
         let weight = if lk.size_kb > 0.0 { lk.size_kb } else { 1.0 };
@@ -832,18 +848,18 @@
         }
     }
 
-    fn pick(&self, now: Ns, lk: &Lookup, standing: f64) -> Option<Send> {
-        use Outcome::{Broken, Error, Full, TimedOut};
-        let tried = |m: usize| lk.sends.iter().any(|s| s.node == m);
-        let failed = |s: &Sent| matches!(s.result, Some(Error | Broken | TimedOut | Full));
-        let blamed = |m: usize| lk.sends.iter().any(|s| s.source == Some(m) && failed(s));
-        let pos = fill_place(lk.object);
-        let first = lk.sends.is_empty();
+    fn pick(&self, now: Ns, lk: &Request, standing: f64) -> Option<AttemptSpec> {
+        use Outcome::{ConnectionLost, Error, Overloaded, TimedOut};
+        let tried = |m: usize| lk.attempts.iter().any(|s| s.node == m);
+        let failed = |s: &Attempt| matches!(s.outcome, Some(Error | ConnectionLost | TimedOut | Overloaded));
+        let blamed = |m: usize| lk.attempts.iter().any(|s| s.source == Some(m) && failed(s));
+        let pos = parent_position(lk.object);
+        let first = lk.attempts.is_empty();
         let fit = |m: usize| self.up(m) && self.has_room(m, lk, now);
         let due = |m: usize| first && self.trial_due(m, now) && self.has_room(m, lk, now);
         let parent =
             self.parents.owner(pos, |m| fit(m) && !blamed(m)).or_else(|| self.parents.owner(pos, fit));
-        if let Some(p) = self.parents.home(pos).filter(|&p| self.set.direct && due(p)) {
+        if let Some(p) = self.parents.home(pos).filter(|&p| self.set.may_bypass_cache && due(p)) {
             return Some(self.order(lk, now, p, None));
         }
         let parent = parent.map(|p| self.lighter(p, pos, standing, now, fit));
@@ -865,17 +881,16 @@
             self.node(m).is_some_and(|n| f64::from(n.straight) < (part * n.bound + chance).floor())
         };
         // A copy that broke off lies at its home still: as long as that is up, it is asked once more.
-        let broke =
-            |m| matches!(lk.sends[..], [s] if s.node == m && matches!(s.result, Some(Error | Broken)));
+        let broke = |m| matches!(lk.attempts[..], [s] if s.node == m && matches!(s.outcome, Some(Error | ConnectionLost)));
         let may = |m: usize| (!tried(m) || broke(m)) && self.effect_allows(lk, m, now);
         let mut cache = self.caches.owner(pos, |m| fit(m) && may(m) && room(m));
         if let (true, Some(c)) = (first && cache == home, cache) {
             cache = Some(self.widened(lk, c, now));
         }
-        if let Some(c) = cache.filter(|_| lk.sends.len() < 2) {
+        if let Some(c) = cache.filter(|_| lk.attempts.len() < 2) {
             return Some(self.order(lk, now, c, source));
         }
-        let direct = parent.filter(|&p| self.set.direct && !tried(p) && room(p));
+        let direct = parent.filter(|&p| self.set.may_bypass_cache && !tried(p) && room(p));
         let overflow = direct.map(|p| self.order(lk, now, p, self.origin));
         overflow.or_else(|| cache.map(|c| self.order(lk, now, c, source)))
     }
@@ -891,7 +906,7 @@
             return home;
         }
         let mut met = Vec::with_capacity(NEAR);
-        for m in self.parents.around(pos) {
+        for m in self.parents.walk_from(pos) {
             if met.contains(&m) {
                 continue;
             }
@@ -907,16 +922,16 @@
         home
     }
 
-    fn burst(&self, lk: &Lookup) -> Option<&Heat> {
+    fn burst(&self, lk: &Request) -> Option<&Heat> {
         self.heat.get(&lk.object).filter(|h| h.burst.is_some())
     }
 
     /// An object in burst rotates over its home and up to two neighbours.
-    fn widened(&self, lk: &Lookup, home: usize, now: Ns) -> usize {
+    fn widened(&self, lk: &Request, home: usize, now: Ns) -> usize {
         let Some(h) = self.burst(lk) else { return home };
         let pos = copy_of(lk);
-        let next = self.caches.around(pos).find(|&m| m != home);
-        let other = self.caches.around(pos).find(|&m| m != home && Some(m) != next);
+        let next = self.caches.walk_from(pos).find(|&m| m != home);
+        let other = self.caches.walk_from(pos).find(|&m| m != home && Some(m) != next);
         let turn = (h.turn + lk.part as usize) % 3;
         let m = [Some(home), next, other][turn].or(next).unwrap_or(home);
         if self.up(m) && self.has_room(m, lk, now) { m } else { home }
@@ -928,37 +943,37 @@
         self.origin.filter(|&o| self.node(o).is_some_and(room))
     }
 
-    fn order(&self, lk: &Lookup, now: Ns, node: usize, source: Option<usize>) -> Send {
-        let kind = &self.set.object_kinds[lk.kind];
+    fn order(&self, lk: &Request, now: Ns, node: usize, source: Option<usize>) -> AttemptSpec {
+        let kind = &self.set.request_classes[lk.class];
         let straight = self.node(node).is_some_and(|n| n.role != Role::Cache);
         // A crowded home keeps its slice: what spills passes through, so that neighbours lose nothing.
         let home = self.caches.home(copy_of(lk)).filter(|&h| h != node && self.up(h));
         let spilt = self.burst(lk).is_none() && home.is_some();
-        let unkept = spilt || straight || kind.written || lk.write;
-        Send {
+        let unkept = spilt || straight || kind.is_uncacheable || lk.is_write;
+        AttemptSpec {
             node,
             source: source.filter(|&s| s != node),
-            time_out: 0,
+            timeout: 0,
             begin_by: self.repeat_by(lk),
-            oldest: self.oldest(lk, now, source.is_some()),
-            join: self.set.joins,
-            renew: kind.fresh > 0,
-            keep: if unkept { 0 } else { 1 + u8::from(!self.unseen(lk)) },
+            max_age: self.oldest(lk, now, source.is_some()),
+            coalesce: self.set.may_coalesce,
+            refresh: kind.fresh_for > 0,
+            retention_rank: if unkept { 0 } else { 1 + u8::from(!self.unseen(lk)) },
         }
     }
 
     /// The oldest copy that will do: within the fresh time, or the grace after it where a fill is unlikely
     /// to come within the latency budget, and never from before a known purge.
-    fn oldest(&self, lk: &Lookup, now: Ns, filled: bool) -> Option<Ns> {
-        let kind = &self.set.object_kinds[lk.kind];
-        let refused = lk.sends.iter().any(|s| s.result.is_some());
-        let ageing = kind.fresh > 0 && kind.grace > 0 && (!filled || refused);
-        let most = ageing.then_some(kind.fresh + kind.grace);
+    fn oldest(&self, lk: &Request, now: Ns, filled: bool) -> Option<Ns> {
+        let kind = &self.set.request_classes[lk.class];
+        let refused = lk.attempts.iter().any(|s| s.outcome.is_some());
+        let ageing = kind.fresh_for > 0 && kind.stale_for > 0 && (!filled || refused);
+        let most = ageing.then_some(kind.fresh_for + kind.stale_for);
         let made = [(Some(lk.object), 0), (None, lk.group)].into_iter().filter_map(|k| self.purges.get(&k));
-        let bind = made.filter(|&&made| now < made + self.set.purge_cleared + HELD);
+        let bind = made.filter(|&&made| now < made + self.set.purge_propagation_window + HELD);
         match (bind.max().map(|&made| now.saturating_sub(made).max(1)), most) {
             (Some(age), Some(most)) => Some(age.min(most)),
-            (Some(age), None) => (kind.fresh == 0 || age < kind.fresh).then_some(age),
+            (Some(age), None) => (kind.fresh_for == 0 || age < kind.fresh_for).then_some(age),
             (None, most) => most,
         }
     }
@@ -969,8 +984,8 @@
         [Some(node), source.filter(|_| cache)].into_iter().flatten()
     }
 
-    fn sent(&mut self, lk: &Lookup, send: &Send, now: Ns) {
-        let cost = self.work[lk.kind];
+    fn sent(&mut self, lk: &Request, send: &AttemptSpec, now: Ns) {
+        let cost = self.work[lk.class];
         if let Some(n) = self.node_mut(send.node) {
             n.straight += 1;
             n.next_look = now + TRIAL_GAP;
@@ -988,14 +1003,22 @@
 
     // ---- health ----
 
-    fn judge(&mut self, now: Ns, lk: &Lookup, sent: &Sent, outcome: Outcome, took: Ns, hit: Option<bool>) {
+    fn judge(
+        &mut self,
+        now: Ns,
+        lk: &Request,
+        sent: &Attempt,
+        outcome: Outcome,
+        took: Ns,
+        hit: Option<bool>,
+    ) {
         let work = self.predicted(lk);
         let at_origin = self.asked(sent.node, sent.source).any(|m| Some(m) == self.origin);
         match outcome {
-            Outcome::Satisfied => {
+            Outcome::Success => {
                 let known = lk.size_kb > 0.0 || self.known(lk).is_some_and(|s| s.work > 0.0);
                 if lk.size_kb <= 0.0 {
-                    self.work[lk.kind] += 0.02 * (took as f64 - self.work[lk.kind]);
+                    self.work[lk.class] += 0.02 * (took as f64 - self.work[lk.class]);
                     if let Some(s) = self.seen.get_mut(&copy_of(lk)) {
                         s.work = if s.work > 0.0 { s.work.min(took as f64) } else { took as f64 };
                     }
@@ -1027,8 +1050,8 @@
                 }
             }
             Outcome::Miss => self.mark(now, sent.node, false, 1),
-            Outcome::Unconnected => self.mark(now, sent.node, true, 2),
-            Outcome::Error | Outcome::Broken | Outcome::TimedOut | Outcome::Full => {
+            Outcome::ConnectFailed => self.mark(now, sent.node, true, 2),
+            Outcome::Error | Outcome::ConnectionLost | Outcome::TimedOut | Outcome::Overloaded => {
                 if outcome == Outcome::TimedOut {
                     self.paced(true, work);
                 }
@@ -1037,7 +1060,7 @@
                 }
                 let failing = self.node(sent.node).map_or(0.0, |n| n.failing);
                 let suspect = sent.source.and_then(|s| self.node(s)).map_or(0.0, |n| n.suspect);
-                if outcome == Outcome::Full {
+                if outcome == Outcome::Overloaded {
                     let quick = sent.source.is_none()
                         || self.node(sent.node).is_some_and(|n| took <= 2 * n.quickest + self.set.tick);
                     if quick {
@@ -1056,13 +1079,13 @@
                 // What fails behind a parent may be the origin's fault: only a look without a fill judges it.
                 let parent = self.node(sent.node).is_some_and(|n| n.role == Role::Parent);
                 // A slow member answers others meanwhile; one not heard of since the send is likely dead.
-                let heard = self.node(sent.node).is_some_and(|n| n.heard >= sent.at);
+                let heard = self.node(sent.node).is_some_and(|n| n.heard >= sent.sent_at);
                 let times = if heard || outcome != Outcome::TimedOut { 1 } else { SILENT };
                 if sent.source.is_none() || !parent && (times > 1 || failing > suspect - 0.1) {
                     self.mark(now, sent.node, true, times);
                 }
             }
-            Outcome::Cancelled | Outcome::NeverSent => {}
+            Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -7,64 +7,64 @@
 pub struct Settings {
     pub zone: usize,
     /// This director's number among all of them.
-    pub number: usize,
+    pub director_index: usize,
     /// Directors by zone.
-    pub directors: Vec<usize>,
-    pub object_kinds: Vec<ObjectKind>,
+    pub directors_per_zone: Vec<usize>,
+    pub request_classes: Vec<RequestClass>,
     pub parent_kind: Option<usize>,
     pub origin_kind: usize,
-    pub follow_list: bool,
-    pub cancels: bool,
-    pub second_copies: bool,
-    pub pauses: bool,
-    pub longest_pause: Ns,
-    pub most_sends: usize,
-    pub cold_from: f64,
-    pub warm_after: Ns,
-    pub fall_multiple: f64,
-    pub parent_cold_from: f64,
-    pub parent_warm_after: Ns,
-    pub parent_fall_multiple: f64,
+    pub polls_endpoint_list: bool,
+    pub may_cancel: bool,
+    pub may_hedge: bool,
+    pub may_send_retry_after: bool,
+    pub max_retry_after: Ns,
+    pub max_attempts: usize,
+    pub slow_start_initial_share: f64,
+    pub slow_start_window: Ns,
+    pub collapse_multiple: f64,
+    pub parent_slow_start_initial_share: f64,
+    pub parent_slow_start_window: Ns,
+    pub parent_collapse_multiple: f64,
     pub stream_kb_per_s: f64,
-    pub direct: bool,
-    pub joins: bool,
-    pub purge_cleared: Ns,
+    pub may_bypass_cache: bool,
+    pub may_coalesce: bool,
+    pub purge_propagation_window: Ns,
     pub tick: Ns,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct ObjectKind {
-    pub latency_budget: Ns,
+pub struct RequestClass {
+    pub latency_objective: Ns,
     /// The budget grows by this multiple of the sending time.
-    pub budget_stretch: Option<f64>,
-    pub utility: f64,
+    pub latency_objective_stretch: Option<f64>,
+    pub priority_weight: f64,
     pub effect: Effect,
     /// 0: good until purged.
-    pub fresh: Ns,
+    pub fresh_for: Ns,
     /// How long past its fresh time a copy may serve.
-    pub grace: Ns,
-    pub parts: bool,
+    pub stale_for: Ns,
+    pub is_multipart: bool,
     /// Never kept; runs at the origin.
-    pub written: bool,
+    pub is_uncacheable: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
     Idempotent,
-    Deduplicated { within: Within, memory: Ns },
+    Deduplicated { within: DeduplicationScope, window: Ns },
     SideEffecting,
 }
 
 /// The nodes that drop each other's repeats.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Within {
+pub enum DeduplicationScope {
     All,
     Zone,
     Cell,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum State {
+pub enum EndpointState {
     #[default]
     Ready,
     Draining,
@@ -73,93 +73,93 @@
 
 /// One line of the list of nodes.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Listed {
+pub struct EndpointUpdate {
     pub node: usize,
     /// The order in which all directors sort the nodes.
     pub rank: u64,
     pub zone: usize,
-    pub machine: usize,
+    pub machine_kind: usize,
     pub cell: usize,
-    pub started: Ns,
-    pub state: State,
+    pub started_at: Ns,
+    pub state: EndpointState,
     /// The part of its places in the pie that it does not take, of 256: its slice while a hierarchy moves.
-    pub withheld: u16,
+    pub withheld_virtual_nodes: u16,
 }
 
 #[derive(Clone, Debug)]
-pub struct Lookup {
+pub struct Request {
     pub object: u64,
     pub part: u32,
     pub group: u32,
-    pub kind: usize,
+    pub class: usize,
     /// 0: not told.
     pub size_kb: f64,
-    pub arrived: Ns,
+    pub arrived_at: Ns,
     pub deadline: Ns,
-    pub repeat: bool,
-    pub write: bool,
-    pub sends: Vec<Sent>,
+    pub is_client_retry: bool,
+    pub is_write: bool,
+    pub attempts: Vec<Attempt>,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Sent {
+pub struct Attempt {
     pub node: usize,
     pub source: Option<usize>,
-    pub at: Ns,
-    pub result: Option<Outcome>,
+    pub sent_at: Ns,
+    pub outcome: Option<Outcome>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    Satisfied,
+    Success,
     Error,
-    Full,
+    Overloaded,
     TimedOut,
-    Unconnected,
-    Broken,
+    ConnectFailed,
+    ConnectionLost,
     Cancelled,
-    NeverSent,
+    NotSent,
     Miss,
 }
 
 /// A load report, as far as it says so: how busy the node is, and how full its location's link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
-    pub busy: Option<f64>,
-    pub link: Option<f64>,
+pub struct LoadReport {
+    pub cpu_utilization: Option<f64>,
+    pub link_utilization: Option<f64>,
 }
 
 /// What one send asks for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Send {
+pub struct AttemptSpec {
     pub node: usize,
     /// Where a miss is filled from; none: no fill.
     pub source: Option<usize>,
-    pub time_out: Ns,
+    pub timeout: Ns,
     /// Its first byte is not to leave at this time or later, however long it waits for a connection.
     pub begin_by: Ns,
     /// The oldest copy that will do; none: the kind's fresh time.
-    pub oldest: Option<Ns>,
-    pub join: bool,
-    pub renew: bool,
+    pub max_age: Option<Ns>,
+    pub coalesce: bool,
+    pub refresh: bool,
     /// 0: pass through; 1 to 3: the rank at which the copy is kept.
-    pub keep: u8,
+    pub retention_rank: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Route {
-    Send(Send),
-    NotYet,
-    Nack { pause: Ns },
+pub enum RouteDecision {
+    Attempt(AttemptSpec),
+    Wait,
+    Reject { retry_after: Ns },
     Fail,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Next {
+pub enum NextStep {
     /// Satisfied: call off what is still out where that is allowed.
-    Done { call_off: bool },
+    Done { cancel_outstanding: bool },
     /// Ask again where to send it.
-    Again,
+    Retry,
     /// Another send is still out.
     Wait,
 }
--- a/src/rules.rs
+++ b/src/invariants.rs
@@ -4,51 +4,51 @@
 //! repeats or answers something, or closes a connection, asks here at the moment of doing it. A choice that breaks a
 //! rule is not carried out and is counted as a violation: there should be none.
 
-use crate::interface::{Effect, Ns, Outcome, State};
+use crate::interface::{Effect, EndpointState, Ns, Outcome};
 
 /// An attempt is begun only if its client was known to be there so shortly before: a process that stood still has to
 /// look first who has gone meanwhile. Longer than the pause between two looks while it runs.
-pub const CONFIRMED_WITHIN: Ns = 80_000_000;
+pub const CLIENT_CHECK_MAX_AGE: Ns = 80_000_000;
 
 /// An attempt that waits to be written to its node.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Waiting {
+pub struct PendingAttempt {
     /// Its first byte must leave before.
     pub begin_by: Ns,
     /// Its answer must come before.
     pub answer_by: Ns,
     /// The desk has given it up, or news have come against it: a drain, a purge.
-    pub retracted: bool,
+    pub is_withdrawn: bool,
     /// Its client has closed or cancelled.
-    pub client_gone: bool,
+    pub is_client_gone: bool,
     /// When all that clients had said, or that they had gone, was heard last.
-    pub clients_heard_at: Ns,
+    pub clients_checked_at: Ns,
 }
 
 /// Why an attempt is not begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Hold {
+pub enum BeginDenied {
     Expired,
-    Retracted,
+    Withdrawn,
     ClientGone,
     /// Whether its client has gone is to be looked at first: the attempt stays.
     Unconfirmed,
 }
 
-impl Waiting {
+impl PendingAttempt {
     /// Whether its first byte may leave now; the time that its client has left then.
-    pub fn may_begin(&self, now: Ns) -> Result<Ns, Hold> {
-        if self.client_gone {
-            return Err(Hold::ClientGone);
+    pub fn may_begin(&self, now: Ns) -> Result<Ns, BeginDenied> {
+        if self.is_client_gone {
+            return Err(BeginDenied::ClientGone);
         }
-        if self.retracted {
-            return Err(Hold::Retracted);
+        if self.is_withdrawn {
+            return Err(BeginDenied::Withdrawn);
         }
         if now >= self.begin_by || now >= self.answer_by {
-            return Err(Hold::Expired);
+            return Err(BeginDenied::Expired);
         }
-        if now.saturating_sub(self.clients_heard_at) > CONFIRMED_WITHIN {
-            return Err(Hold::Unconfirmed);
+        if now.saturating_sub(self.clients_checked_at) > CLIENT_CHECK_MAX_AGE {
+            return Err(BeginDenied::Unconfirmed);
         }
         Ok(self.answer_by - now)
     }
@@ -56,29 +56,29 @@
 
 /// What is under way on a client's connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Connection {
+pub struct ClientConnectionState {
     pub open_requests: usize,
-    pub unwritten_answers: usize,
+    pub unwritten_responses: usize,
     /// The first bytes of a request have come.
-    pub partial_request: bool,
+    pub has_partial_request: bool,
 }
 
 /// What a connection that may not be closed still owes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Owed {
-    Answer,
+pub enum CloseDenied {
+    ResponsePending,
     /// The rest of a request: once it is whole, it is owed an answer.
-    Request,
+    RequestIncomplete,
 }
 
-impl Connection {
+impl ClientConnectionState {
     /// Whether the director may close it of its own accord.
-    pub fn may_close(&self) -> Result<(), Owed> {
-        if self.open_requests > 0 || self.unwritten_answers > 0 {
-            return Err(Owed::Answer);
+    pub fn may_close(&self) -> Result<(), CloseDenied> {
+        if self.open_requests > 0 || self.unwritten_responses > 0 {
+            return Err(CloseDenied::ResponsePending);
         }
-        if self.partial_request {
-            return Err(Owed::Request);
+        if self.has_partial_request {
+            return Err(CloseDenied::RequestIncomplete);
         }
         Ok(())
     }
@@ -86,28 +86,28 @@
 
 /// An earlier attempt of the same request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Earlier {
-    pub at: Ns,
+pub struct PriorAttempt {
+    pub sent_at: Ns,
     pub outcome: Option<Outcome>,
 }
 
-impl Earlier {
+impl PriorAttempt {
     fn may_have_run(&self) -> bool {
-        let never = [Outcome::Full, Outcome::Unconnected, Outcome::NeverSent, Outcome::Miss];
+        let never = [Outcome::Overloaded, Outcome::ConnectFailed, Outcome::NotSent, Outcome::Miss];
         self.outcome.is_none_or(|outcome| !never.contains(&outcome))
     }
 }
 
 /// An attempt that was chosen, with all that the rules ask of it.
 #[derive(Clone, Copy, Debug)]
-pub struct Chosen<'a> {
+pub struct ProposedAttempt<'a> {
     pub effect: Effect,
-    pub answered: bool,
-    pub client_gone: bool,
+    pub is_answered: bool,
+    pub is_client_gone: bool,
     pub deadline: Ns,
-    pub node: State,
-    pub source: Option<State>,
-    pub earlier: &'a [Earlier],
+    pub node_state: EndpointState,
+    pub source_state: Option<EndpointState>,
+    pub prior_attempts: &'a [PriorAttempt],
 }
 
 /// A rule that an attempt or an answer would have broken.
@@ -122,22 +122,22 @@
     EffectRepeated,
 }
 
-impl Chosen<'_> {
+impl ProposedAttempt<'_> {
     /// Whether it may be handed to a connection.
     pub fn check(&self, now: Ns) -> Result<(), Violation> {
-        if self.answered {
+        if self.is_answered {
             return Err(Violation::AttemptAfterAnswer);
         }
-        if self.client_gone {
+        if self.is_client_gone {
             return Err(Violation::AttemptForGoneClient);
         }
         if now >= self.deadline {
             return Err(Violation::AttemptAfterDeadline);
         }
-        if self.node != State::Ready {
+        if self.node_state != EndpointState::Ready {
             return Err(Violation::NodeNotReady);
         }
-        if self.source.is_some_and(|source| source != State::Ready) {
+        if self.source_state.is_some_and(|source| source != EndpointState::Ready) {
             return Err(Violation::SourceNotReady);
         }
         if self.repeats_effect(now) {
@@ -147,12 +147,12 @@
     }
 
     fn repeats_effect(&self, now: Ns) -> bool {
-        let mut ran = self.earlier.iter().filter(|e| e.may_have_run());
+        let mut ran = self.prior_attempts.iter().filter(|e| e.may_have_run());
         match self.effect {
             Effect::Idempotent => false,
             Effect::SideEffecting => ran.next().is_some(),
-            Effect::Deduplicated { memory, .. } => {
-                ran.map(|e| e.at).min().is_some_and(|first| now >= first.saturating_add(memory))
+            Effect::Deduplicated { window: memory, .. } => {
+                ran.map(|e| e.sent_at).min().is_some_and(|first| now >= first.saturating_add(memory))
             }
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,7 +2,7 @@
 
 mod choice;
 mod interface;
-pub mod rules;
+pub mod invariants;
 
-pub use choice::{Choice, Pie, Stand, copy_place, fill_place, mix};
+pub use choice::{HashRing, RingMember, Router, cache_position, mix, parent_position};
 pub use interface::*;
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -8,8 +8,8 @@
 use sablecross::*;
 
 /// Where each of many objects goes: the cache and the source.
-fn homes(c: &mut Choice, objects: u64) -> Vec<(usize, Option<usize>)> {
-    let mut go = |o| look(c, START, o, 10 * MS, Outcome::Satisfied).map(|s| (s.node, s.source));
+fn homes(c: &mut Router, objects: u64) -> Vec<(usize, Option<usize>)> {
+    let mut go = |o| look(c, START, o, 10 * MS, Outcome::Success).map(|s| (s.node, s.source));
     (0..objects).map(|o| go(o).expect("sent")).collect()
 }
 
@@ -18,11 +18,11 @@
     let mut turned = list(5, 3);
     turned.reverse();
     let first = homes(&mut director(settings(), &list(5, 3)), 400);
-    let other = Settings { number: 3, ..settings() };
+    let other = Settings { director_index: 3, ..settings() };
     assert_eq!(first, homes(&mut director(other, &turned), 400));
     let elsewhere = Settings { zone: 3, ..settings() };
-    let mut theirs: Vec<Listed> = list(0, 3);
-    theirs.extend((10..14).map(|n| Listed { zone: 3, ..line(n, 0) }));
+    let mut theirs: Vec<EndpointUpdate> = list(0, 3);
+    theirs.extend((10..14).map(|n| EndpointUpdate { zone: 3, ..line(n, 0) }));
     let far = homes(&mut director(elsewhere, &theirs), 400);
     assert!(first.iter().zip(&far).all(|(a, b)| a.1 == b.1), "fills of an object meet at one parent");
     for (n, share) in (0..5).map(|n| (n, first.iter().filter(|h| h.0 == n).count())) {
@@ -37,7 +37,7 @@
     let before = homes(&mut director(settings(), &list(5, 2)), 600);
     for (lost, parts) in cases {
         let mut lines = list(5, 2);
-        lines.iter_mut().filter(|l| lost.contains(&l.node)).for_each(|l| l.state = State::Draining);
+        lines.iter_mut().filter(|l| lost.contains(&l.node)).for_each(|l| l.state = EndpointState::Draining);
         let after = homes(&mut director(settings(), &lines), 600);
         let mut taken: BTreeMap<usize, usize> = BTreeMap::new();
         for (b, a) in before.iter().zip(&after) {
@@ -54,7 +54,7 @@
         lines.retain(|l| !lost.contains(&l.node));
         assert_eq!(after, homes(&mut director(settings(), &lines), 600), "gone");
         let mut back = list(5, 2);
-        back.iter_mut().filter(|l| lost.contains(&l.node)).for_each(|l| l.started = START);
+        back.iter_mut().filter(|l| lost.contains(&l.node)).for_each(|l| l.started_at = START);
         let mut c = director(settings(), &back);
         let cold = homes(&mut c, 60);
         assert_eq!(after[..60].iter().filter(|s| cold.contains(s)).count(), 60);
@@ -70,9 +70,9 @@
     assert!((60..150).contains(&moved.count()));
     let mut c = director(settings(), &list(5, 2));
     assert_eq!(mode_lines(&mut c, "list"), 0, "no line for the first list");
-    c.listed(START, &list(5, 2), true);
+    c.update_endpoints(START, &list(5, 2), true);
     assert_eq!(mode_lines(&mut c, "list"), 0, "no line without a change");
-    c.listed(START, &list(6, 2), true);
+    c.update_endpoints(START, &list(6, 2), true);
     assert_eq!(mode_lines(&mut c, "list members=6 before=5"), 1);
 }
 
@@ -91,15 +91,15 @@
         lines.retain(|l| origin || l.node != ORIGIN);
         let mut c = director(settings(), &lines);
         match (c.route(START, &lookup(5, START)), want) {
-            (Route::Send(s), Some((cache, source))) => {
+            (RouteDecision::Attempt(s), Some((cache, source))) => {
                 assert_eq!((s.node < 50, s.source), (cache, source));
             }
-            (Route::Nack { pause }, None) => assert!(pause > 0),
+            (RouteDecision::Reject { retry_after: pause }, None) => assert!(pause > 0),
             (got, want) => panic!("{caches} {parents} {origin}: {got:?}, not {want:?}"),
         }
     }
-    let mut unlisted = Choice::new(settings(), 1, START);
-    assert!(matches!(unlisted.route(START, &lookup(5, START)), Route::Nack { .. }));
+    let mut unlisted = Router::new(settings(), 1, START);
+    assert!(matches!(unlisted.route(START, &lookup(5, START)), RouteDecision::Reject { .. }));
 }
 
 #[test]
@@ -107,75 +107,80 @@
     // The sending time is 100 ms: with less than most of that left it is given up at once.
     for left in [0, MS, 4 * MS, 60 * MS, 80 * MS, 400 * MS] {
         let mut c = director(settings(), &list(3, 2));
-        let mut lk = Lookup { deadline: START + left, ..lookup(1, START) };
+        let mut lk = Request { deadline: START + left, ..lookup(1, START) };
         match go(&mut c, START, &mut lk) {
-            Route::Send(s) => {
-                assert!(s.time_out < left, "the last time-out leaves time to answer");
-                let now = START + s.time_out;
-                assert_eq!(end(&mut c, now, &mut lk, Outcome::TimedOut), Next::Again);
-                assert!(matches!(c.route(now, &lk), Route::Nack { .. }));
+            RouteDecision::Attempt(s) => {
+                assert!(s.timeout < left, "the last time-out leaves time to answer");
+                let now = START + s.timeout;
+                assert_eq!(end(&mut c, now, &mut lk, Outcome::TimedOut), NextStep::Retry);
+                assert!(matches!(c.route(now, &lk), RouteDecision::Reject { .. }));
+            }
+            route => {
+                assert!(left <= 60 * MS && matches!(route, RouteDecision::Reject { .. }), "{left} {route:?}")
             }
-            route => assert!(left <= 60 * MS && matches!(route, Route::Nack { .. }), "{left} {route:?}"),
         }
     }
     // Satisfied ends it, and what is still out is called off.
     let mut c = director(settings(), &list(3, 2));
     let mut lk = lookup(1, START);
     go(&mut c, START, &mut lk);
-    let wait = c.patience(START, &lk).expect("a second copy is possible");
-    assert!(matches!(go(&mut c, START + wait, &mut lk), Route::Send(_)));
-    assert_ne!(lk.sends[0].node, lk.sends[1].node);
-    assert_eq!(end(&mut c, START + wait + MS, &mut lk, Outcome::Satisfied), Next::Done { call_off: true });
+    let wait = c.next_check(START, &lk).expect("a second copy is possible");
+    assert!(matches!(go(&mut c, START + wait, &mut lk), RouteDecision::Attempt(_)));
+    assert_ne!(lk.attempts[0].node, lk.attempts[1].node);
+    assert_eq!(
+        end(&mut c, START + wait + MS, &mut lk, Outcome::Success),
+        NextStep::Done { cancel_outstanding: true }
+    );
 }
 
 #[test]
 fn effects_do_not_happen_twice() {
     use Outcome::*;
-    let dedup = |within| Effect::Deduplicated { within, memory: SEC };
+    let dedup = |within| Effect::Deduplicated { within, window: SEC };
     // (effect, outcome of the first send, when, another send, nack allowed once given up at the deadline, by
     // when the nodes have forgotten the mark: the client's repeat would run again)
     let cases = [
         (Effect::Idempotent, Error, MS, true, true),
         (Effect::SideEffecting, Error, MS, false, false),
         (Effect::SideEffecting, TimedOut, MS, false, false),
-        (Effect::SideEffecting, Broken, MS, false, false),
+        (Effect::SideEffecting, ConnectionLost, MS, false, false),
         (Effect::SideEffecting, Cancelled, MS, false, false),
-        (Effect::SideEffecting, Full, MS, true, true),
-        (Effect::SideEffecting, Unconnected, MS, true, true),
+        (Effect::SideEffecting, Overloaded, MS, true, true),
+        (Effect::SideEffecting, ConnectFailed, MS, true, true),
         (Effect::SideEffecting, Miss, MS, true, true),
-        (Effect::SideEffecting, NeverSent, MS, true, true),
-        (dedup(Within::All), Error, MS, true, false),
-        (dedup(Within::All), Error, 2 * SEC, false, false),
-        (dedup(Within::All), Full, 2 * SEC, true, true),
-        (dedup(Within::Zone), Error, MS, true, false),
-        (dedup(Within::Zone), Error, 2 * SEC, false, false),
-        (dedup(Within::Cell), Error, 2 * SEC, false, false),
-        (dedup(Within::Cell), Full, MS, true, true),
+        (Effect::SideEffecting, NotSent, MS, true, true),
+        (dedup(DeduplicationScope::All), Error, MS, true, false),
+        (dedup(DeduplicationScope::All), Error, 2 * SEC, false, false),
+        (dedup(DeduplicationScope::All), Overloaded, 2 * SEC, true, true),
+        (dedup(DeduplicationScope::Zone), Error, MS, true, false),
+        (dedup(DeduplicationScope::Zone), Error, 2 * SEC, false, false),
+        (dedup(DeduplicationScope::Cell), Error, 2 * SEC, false, false),
+        (dedup(DeduplicationScope::Cell), Overloaded, MS, true, true),
     ];
     for (effect, outcome, after, again, nack) in cases {
-        let set = Settings { object_kinds: vec![kind(effect)], ..settings() };
+        let set = Settings { request_classes: vec![kind(effect)], ..settings() };
         let mut c = director(set, &list(4, 2));
         let mut lk = lookup(8, START);
         go(&mut c, START, &mut lk);
         if effect == Effect::SideEffecting {
-            assert_eq!(c.route(START + SEC, &lk), Route::NotYet, "no second copy");
+            assert_eq!(c.route(START + SEC, &lk), RouteDecision::Wait, "no second copy");
         }
-        assert_eq!(end(&mut c, START + after, &mut lk, outcome), Next::Again);
+        assert_eq!(end(&mut c, START + after, &mut lk, outcome), NextStep::Retry);
         let route = c.route(START + after, &lk);
-        assert_eq!(matches!(route, Route::Send(_)), again, "{effect:?} {outcome:?} {route:?}");
+        assert_eq!(matches!(route, RouteDecision::Attempt(_)), again, "{effect:?} {outcome:?} {route:?}");
         let route = c.route(lk.deadline, &lk);
-        assert_eq!(matches!(route, Route::Nack { .. }), nack, "{effect:?} {outcome:?}");
-        assert_eq!(route == Route::Fail, !nack);
+        assert_eq!(matches!(route, RouteDecision::Reject { .. }), nack, "{effect:?} {outcome:?}");
+        assert_eq!(route == RouteDecision::Fail, !nack);
     }
     // A cell's repeats stay in the cell.
     for object in 0..50 {
-        let set = Settings { object_kinds: vec![kind(dedup(Within::Cell))], ..settings() };
+        let set = Settings { request_classes: vec![kind(dedup(DeduplicationScope::Cell))], ..settings() };
         let mut c = director(set, &list(4, 2));
         let mut lk = lookup(object, START);
         go(&mut c, START, &mut lk);
         end(&mut c, START + MS, &mut lk, Outcome::Error);
-        if let Route::Send(s) = c.route(START + MS, &lk) {
-            assert_eq!(s.node / 2, lk.sends[0].node / 2);
+        if let RouteDecision::Attempt(s) = c.route(START + MS, &lk) {
+            assert_eq!(s.node / 2, lk.attempts[0].node / 2);
         }
     }
 }
@@ -186,62 +191,67 @@
     for object in 0..40 {
         let mut lk = lookup(object, START);
         go(&mut c, START, &mut lk);
-        end(&mut c, START, &mut lk, Outcome::NeverSent);
-        assert!(matches!(go(&mut c, START, &mut lk), Route::Send(_)), "{object}");
-        end(&mut c, START + MS, &mut lk, Outcome::Satisfied);
+        end(&mut c, START, &mut lk, Outcome::NotSent);
+        assert!(matches!(go(&mut c, START, &mut lk), RouteDecision::Attempt(_)), "{object}");
+        end(&mut c, START + MS, &mut lk, Outcome::Success);
     }
 }
 
 #[test]
 fn a_repeat_comes_while_nodes_know_it_or_not_at_all() {
-    let effect = Effect::Deduplicated { within: Within::All, memory: SEC };
+    let effect = Effect::Deduplicated { within: DeduplicationScope::All, window: SEC };
     // (given up so long after the first send, outcome of that, nack)
     let cases = [
         (100 * MS, Outcome::Error, true),
         (600 * MS, Outcome::TimedOut, true),
-        (970 * MS, Outcome::Broken, false),
+        (970 * MS, Outcome::ConnectionLost, false),
         (2 * SEC, Outcome::Error, false),
-        (2 * SEC, Outcome::Full, true),
+        (2 * SEC, Outcome::Overloaded, true),
     ];
     for (after, outcome, nack) in cases {
         for pauses in [true, false] {
-            let set = Settings { object_kinds: vec![kind(effect)], pauses, most_sends: 2, ..settings() };
+            let set = Settings {
+                request_classes: vec![kind(effect)],
+                may_send_retry_after: pauses,
+                max_attempts: 2,
+                ..settings()
+            };
             let mut c = director(set, &list(4, 2));
             let mut lk = lookup(8, START);
-            let Route::Send(first) = go(&mut c, START, &mut lk) else { panic!("sent") };
+            let RouteDecision::Attempt(first) = go(&mut c, START, &mut lk) else { panic!("sent") };
             assert_eq!(first.begin_by, Ns::MAX);
             end(&mut c, START + after, &mut lk, outcome);
-            if nack && outcome != Outcome::Full {
+            if nack && outcome != Outcome::Overloaded {
                 // A further send may wait for its connection: no longer than the nodes know it.
-                let Route::Send(next) = c.route(START + after, &lk) else { panic!("sent again") };
+                let RouteDecision::Attempt(next) = c.route(START + after, &lk) else { panic!("sent again") };
                 assert_eq!(next.begin_by, START + SEC);
             }
             lk.deadline = START + after;
-            let Route::Nack { pause } = c.route(START + after, &lk) else {
+            let RouteDecision::Reject { retry_after: pause } = c.route(START + after, &lk) else {
                 assert!(!nack, "{after} {outcome:?}");
-                assert_eq!(c.route(START + after, &lk), Route::Fail);
+                assert_eq!(c.route(START + after, &lk), RouteDecision::Fail);
                 continue;
             };
             assert!(nack && (pause > 0) == pauses, "{after} {outcome:?}");
-            assert!(outcome == Outcome::Full || after + pause < SEC, "{after} {pause}");
+            assert!(outcome == Outcome::Overloaded || after + pause < SEC, "{after} {pause}");
         }
     }
 }
 
 #[test]
 fn nothing_goes_to_a_drained_or_gone_node() {
-    for state in [State::Draining, State::Gone] {
+    for state in [EndpointState::Draining, EndpointState::Gone] {
         for whole in [false, true] {
             let mut c = director(settings(), &list(4, 3));
             let lost = |n: usize| n == 1 || n == 51;
             let mut lines = list(4, 3);
-            lines.retain(
-                |l| if whole && state == State::Gone { !lost(l.node) } else { whole || lost(l.node) },
-            );
+            lines.retain(|l| {
+                if whole && state == EndpointState::Gone { !lost(l.node) } else { whole || lost(l.node) }
+            });
             lines.iter_mut().filter(|l| lost(l.node)).for_each(|l| l.state = state);
-            c.listed(START, &lines, whole);
+            c.update_endpoints(START, &lines, whole);
             for o in 0..300 {
-                let s = look(&mut c, START + o * 20 * MS, o, 10 * MS, Outcome::Satisfied).expect("sent");
+                let s = look(&mut c, START + o * 20 * MS, o, 10 * MS, Outcome::Success).expect("sent");
                 assert!(!lost(s.node) && !s.source.is_some_and(lost), "{state:?} {s:?}");
             }
         }
@@ -254,14 +264,14 @@
     let cases =
         [(1, 0, 0.3, 0.95), (1, 10, 0.7, 1.05), (1, 20, 0.9, 1.1), (51, 0, 0.02, 0.7), (51, 20, 0.9, 1.1)];
     for (cold, age, least, most) in cases {
-        let names = |s: &Send| s.node == cold || s.source == Some(cold);
+        let names = |s: &AttemptSpec| s.node == cold || s.source == Some(cold);
         let mut counts = [0.0; 2];
         for (i, started) in [0, START - age * SEC].into_iter().enumerate() {
             let mut lines = list(4, 2);
-            lines.iter_mut().filter(|l| l.node == cold).for_each(|l| l.started = started);
+            lines.iter_mut().filter(|l| l.node == cold).for_each(|l| l.started_at = started);
             let mut c = director(settings(), &lines);
             for o in 0..1_000 {
-                let s = look(&mut c, START + o * 10 * MS, o, 5 * MS, Outcome::Satisfied).expect("sent");
+                let s = look(&mut c, START + o * 10 * MS, o, 5 * MS, Outcome::Success).expect("sent");
                 counts[i] += f64::from(u8::from(names(&s)));
             }
         }
@@ -273,13 +283,13 @@
 #[test]
 fn all_directors_together_stay_under_a_cold_nodes_fall() {
     let mut lines = list(3, 2);
-    lines.iter_mut().for_each(|l| l.started = if l.node == ORIGIN { 0 } else { START });
+    lines.iter_mut().for_each(|l| l.started_at = if l.node == ORIGIN { 0 } else { START });
     let mut team = team(3, &lines);
     let mut work = [0.0; 3];
     for o in 0..1_500_u64 {
         let now = START + o * 2 * MS;
         let d = (o % 3) as usize;
-        let send = look(&mut team[d], now, o, 5 * MS, Outcome::Satisfied);
+        let send = look(&mut team[d], now, o, 5 * MS, Outcome::Success);
         if let Some(s) = send.filter(|s| s.node < 3) {
             work[s.node] += 100.0 * MS as f64;
         }
@@ -299,18 +309,18 @@
     {
         let mut team = team(4, &list(7, 2));
         for o in 0..8_000 {
-            look(&mut team[o as usize % 4], START + o * SEC / 800, o, 50 * MS, Outcome::Satisfied);
+            look(&mut team[o as usize % 4], START + o * SEC / 800, o, 50 * MS, Outcome::Success);
         }
         let then = START + 10 * SEC;
         let mut lines = list(caches, parents);
-        lines.iter_mut().filter(|l| l.node == fresh).for_each(|l| l.started = then);
-        team.iter_mut().for_each(|c| c.listed(then, &lines, true));
+        lines.iter_mut().filter(|l| l.node == fresh).for_each(|l| l.started_at = then);
+        team.iter_mut().for_each(|c| c.update_endpoints(then, &lines, true));
         let mut pushed = 0;
         for o in 0..9_600 {
             let now = then + o * SEC / 3_200;
-            let outcome = if o % served == 0 { Outcome::Satisfied } else { Outcome::Full };
+            let outcome = if o % served == 0 { Outcome::Success } else { Outcome::Overloaded };
             let sent = look(&mut team[o as usize % 4], now, o / 4, 50 * MS, outcome);
-            let names = |s: &Send| s.node == fresh || s.source == Some(fresh);
+            let names = |s: &AttemptSpec| s.node == fresh || s.source == Some(fresh);
             pushed += usize::from(sent.as_ref().is_some_and(names));
         }
         assert!((5..3 * most).contains(&pushed), "{fresh}: {pushed} in three seconds");
@@ -325,17 +335,17 @@
     for (size, fresh, quiet) in cases {
         let mut team = team(size, &list(7, 3));
         for o in 0..16_000 {
-            look(&mut team[o as usize % size], START + o * SEC / 800, o, 50 * MS, Outcome::Satisfied);
+            look(&mut team[o as usize % size], START + o * SEC / 800, o, 50 * MS, Outcome::Success);
         }
         let then = START + 20 * SEC;
         let mut lines = list(7, 3);
-        lines.iter_mut().filter(|l| l.node == fresh).for_each(|l| l.started = then);
-        team.iter_mut().for_each(|c| c.listed(then, &lines, true));
+        lines.iter_mut().filter(|l| l.node == fresh).for_each(|l| l.started_at = then);
+        team.iter_mut().for_each(|c| c.update_endpoints(then, &lines, true));
         let surge = then + quiet * SEC;
         let mut calls = Vec::new();
         for o in 0..16_000 {
             let now = surge + o * SEC / 3_200;
-            let outcome = if o % 4 == 0 { Outcome::Satisfied } else { Outcome::Full };
+            let outcome = if o % 4 == 0 { Outcome::Success } else { Outcome::Overloaded };
             let sent = look(&mut team[o as usize % size], now, 20_000 + o / 4, 50 * MS, outcome);
             if sent.is_some_and(|s| s.node == fresh || s.source == Some(fresh)) {
                 calls.push(now);
@@ -359,14 +369,14 @@
     let mut team = team(4, &list(7, 3));
     let then = START + 10 * SEC;
     let mut lines = list(7, 2);
-    lines.iter_mut().filter(|l| l.node == 51).for_each(|l| l.started = then);
+    lines.iter_mut().filter(|l| l.node == 51).for_each(|l| l.started_at = then);
     let mut asked = 0;
     for o in 0..20 * 800 {
         let now = START + o * SEC / 800;
         if now == then {
-            team.iter_mut().for_each(|c| c.listed(then, &lines, true));
+            team.iter_mut().for_each(|c| c.update_endpoints(then, &lines, true));
         }
-        let sent = look(&mut team[o as usize % 4], now, o, 50 * MS, Outcome::Satisfied);
+        let sent = look(&mut team[o as usize % 4], now, o, 50 * MS, Outcome::Success);
         asked += usize::from(now >= START + 18 * SEC && sent.is_some_and(|s| s.source == Some(51)));
     }
     // Three parents bore 267 lookups a second each. A fresh one, in its ninth and tenth second at half its
@@ -376,8 +386,8 @@
 
 #[test]
 fn no_answer_is_older_than_a_known_purge() {
-    let fresh = ObjectKind { fresh: 20 * SEC, grace: 30 * SEC, ..kind(Effect::Idempotent) };
-    let set = Settings { object_kinds: vec![fresh], ..settings() };
+    let fresh = RequestClass { fresh_for: 20 * SEC, stale_for: 30 * SEC, ..kind(Effect::Idempotent) };
+    let set = Settings { request_classes: vec![fresh], ..settings() };
     // (object purged, group purged, made how long ago, asked how long after, oldest copy)
     let cases = [
         (Some(5), 9, SEC, 0, Some(SEC)),
@@ -392,17 +402,17 @@
     ];
     for (object, group, ago, later, oldest) in cases {
         let mut c = director(set.clone(), &list(3, 2));
-        c.purged(START, object, group, ago);
-        c.purged(START, object, group, ago + 3 * SEC);
+        c.record_purge(START, object, group, ago);
+        c.record_purge(START, object, group, ago + 3 * SEC);
         let now = START + later;
         let mut lk = lookup(5, now);
-        let Route::Send(s) = go(&mut c, now, &mut lk) else { panic!("sent") };
-        assert_eq!(s.oldest, oldest, "{object:?} {group} {ago} {later}");
+        let RouteDecision::Attempt(s) = go(&mut c, now, &mut lk) else { panic!("sent") };
+        assert_eq!(s.max_age, oldest, "{object:?} {group} {ago} {later}");
         // A further send after a failed fill takes a grace copy, but none from before the purge.
-        end(&mut c, now + 10 * MS, &mut lk, Outcome::Full);
-        let Route::Send(s) = go(&mut c, now + 10 * MS, &mut lk) else { panic!("sent again") };
+        end(&mut c, now + 10 * MS, &mut lk, Outcome::Overloaded);
+        let RouteDecision::Attempt(s) = go(&mut c, now + 10 * MS, &mut lk) else { panic!("sent again") };
         assert_eq!(
-            s.oldest,
+            s.max_age,
             oldest
                 .map(|a| (a + 10 * MS).max(10 * MS))
                 .or(Some(50 * SEC))
@@ -421,45 +431,45 @@
         let mut now = START + MS;
         for &count in windows {
             for i in 0..count * 4 {
-                look(&mut c, now + i, 10_000 + i, MS, Outcome::Satisfied);
+                look(&mut c, now + i, 10_000 + i, MS, Outcome::Success);
             }
             now += 2 * SEC + 3 * MS;
         }
-        c.notes();
+        c.take_log_lines();
         let mut nodes = BTreeSet::new();
         for i in 0..400 {
-            if let Some(s) = look(&mut c, now + i * MS, 3, MS, Outcome::Satisfied) {
+            if let Some(s) = look(&mut c, now + i * MS, 3, MS, Outcome::Success) {
                 nodes.insert(s.node);
             }
         }
         assert_eq!(mode_lines(&mut c, "burst object=3"), usize::from(burst), "{windows:?}");
         assert_eq!(nodes.len(), if burst { 3 } else { 1 });
         now += 5 * SEC;
-        look(&mut c, now, 3, MS, Outcome::Satisfied);
-        look(&mut c, now + 3 * SEC, 3, MS, Outcome::Satisfied);
+        look(&mut c, now, 3, MS, Outcome::Success);
+        look(&mut c, now + 3 * SEC, 3, MS, Outcome::Success);
         assert_eq!(mode_lines(&mut c, "burst over"), usize::from(burst), "{windows:?}");
     }
 }
 
 #[test]
 fn a_failing_cache_gets_only_trials_until_it_is_well() {
-    for outcome in [Outcome::Error, Outcome::Broken, Outcome::Unconnected] {
+    for outcome in [Outcome::Error, Outcome::ConnectionLost, Outcome::ConnectFailed] {
         let mut c = director(settings(), &list(4, 2));
         let mut now = START;
         let mut hits = 0;
         for o in 0..2_000_u64 {
             now += 5 * MS;
             let mut lk = lookup(o, now);
-            let Route::Send(s) = go(&mut c, now, &mut lk) else { continue };
+            let RouteDecision::Attempt(s) = go(&mut c, now, &mut lk) else { continue };
             let ill = s.node == 2;
             hits += u32::from(ill && o > 400);
-            end(&mut c, now + 2 * MS, &mut lk, if ill { outcome } else { Outcome::Satisfied });
+            end(&mut c, now + 2 * MS, &mut lk, if ill { outcome } else { Outcome::Success });
         }
         assert_eq!(mode_lines(&mut c, "down node=2"), 1, "{outcome:?}");
         assert!(hits < 10, "{hits} sends to a failing cache");
         for o in 0..2_000 {
             now += 5 * MS;
-            look(&mut c, now, o, 2 * MS, Outcome::Satisfied);
+            look(&mut c, now, o, 2 * MS, Outcome::Success);
         }
         assert_eq!(mode_lines(&mut c, "up node=2"), 1);
     }
@@ -475,23 +485,23 @@
         for o in 0..3_000_u64 {
             let now = START + o * 10 * MS;
             let mut lk = lookup(o, now);
-            let Route::Send(s) = go(&mut c, now, &mut lk) else { continue };
+            let RouteDecision::Attempt(s) = go(&mut c, now, &mut lk) else { continue };
             let at_parent = s.node >= 50;
             looks += u32::from(at_parent && s.source.is_none());
             let outcome = match (at_parent, s.source) {
                 (true, _) if ill => Outcome::Error,
                 (true, _) => Outcome::Miss,
                 (false, Some(p)) if cut.contains(&p) => Outcome::Error,
-                _ => Outcome::Satisfied,
+                _ => Outcome::Success,
             };
-            if end(&mut c, now + 60 * MS, &mut lk, outcome) == Next::Again
-                && let Route::Send(again) = go(&mut c, now + 60 * MS, &mut lk)
+            if end(&mut c, now + 60 * MS, &mut lk, outcome) == NextStep::Retry
+                && let RouteDecision::Attempt(again) = go(&mut c, now + 60 * MS, &mut lk)
                 && cut == [51]
                 && s.source == Some(51)
             {
                 assert_ne!(again.source, Some(51), "a failed fill is asked of the other parent");
             }
-            lines.extend(c.notes().into_iter().filter(|l| l.starts_with("down")));
+            lines.extend(c.take_log_lines().into_iter().filter(|l| l.starts_with("down")));
         }
         assert!(looks > 0);
         assert_eq!(lines.iter().any(|l| l.contains("node=51")), ill, "{lines:?}");
@@ -502,14 +512,14 @@
 fn a_crowded_parent_fills_only_what_pays_and_recovers() {
     // (directors, most answers past the budget until large copies get no fill): of many each sees little.
     for (directors, most) in [(1, 20), (4, 14), (300, 4)] {
-        let set = Settings { directors: vec![0, 0, directors], ..settings() };
+        let set = Settings { directors_per_zone: vec![0, 0, directors], ..settings() };
         let mut c = director(set, &list(1, 1));
         let mut ask = |i: u64, took: Ns| {
             let now = START + i * 250 * MS;
             let size_kb = if i.is_multiple_of(5) { 800.0 } else { 40.0 };
-            let mut lk = Lookup { size_kb, deadline: now + 9 * SEC, ..lookup(i, now) };
-            let Route::Send(s) = go(&mut c, now, &mut lk) else { return (size_kb, false) };
-            end(&mut c, now + took, &mut lk, Outcome::Satisfied);
+            let mut lk = Request { size_kb, deadline: now + 9 * SEC, ..lookup(i, now) };
+            let RouteDecision::Attempt(s) = go(&mut c, now, &mut lk) else { return (size_kb, false) };
+            end(&mut c, now + took, &mut lk, Outcome::Success);
             (size_kb, s.source.is_some())
         };
         assert!((0..40).all(|i| ask(i, 60 * MS).1), "all are filled while answers come in time");
@@ -523,18 +533,18 @@
 #[test]
 fn a_crowded_home_spills_unkept_and_then_nacks() {
     let mut c = director(settings(), &list(3, 2));
-    let home = look(&mut c, START, 1, MS, Outcome::Satisfied).expect("sent").node;
+    let home = look(&mut c, START, 1, MS, Outcome::Success).expect("sent").node;
     let (mut at_home, mut spilt, mut straight, mut nacked) = (0, 0, 0, 0);
     for _ in 0..200 {
-        let mut lk = Lookup { size_kb: 3_000.0, ..lookup(1, START + MS) };
+        let mut lk = Request { size_kb: 3_000.0, ..lookup(1, START + MS) };
         match go(&mut c, START + MS, &mut lk) {
-            Route::Send(s) if s.node == home => at_home += 1,
-            Route::Send(s) if s.node < 50 => {
-                assert_eq!(s.keep, 0);
+            RouteDecision::Attempt(s) if s.node == home => at_home += 1,
+            RouteDecision::Attempt(s) if s.node < 50 => {
+                assert_eq!(s.retention_rank, 0);
                 spilt += 1;
             }
-            Route::Send(_) => straight += 1,
-            Route::Nack { pause } => {
+            RouteDecision::Attempt(_) => straight += 1,
+            RouteDecision::Reject { retry_after: pause } => {
                 assert!(pause > 0);
                 nacked += 1;
             }
@@ -551,17 +561,20 @@
 fn unknown_sizes_and_reports_are_no_hindrance() {
     let mut c = director(settings(), &list(4, 2));
     for i in 0..300 {
-        let mut lk = Lookup { size_kb: 0.0, ..lookup(i % 20, START + i * 30 * MS) };
-        let now = lk.arrived;
-        assert!(matches!(go(&mut c, now, &mut lk), Route::Send(_)));
-        assert!(c.patience(now, &lk).is_some_and(|w| w < 4 * SEC));
-        end(&mut c, now + 50 * MS, &mut lk, Outcome::Satisfied);
+        let mut lk = Request { size_kb: 0.0, ..lookup(i % 20, START + i * 30 * MS) };
+        let now = lk.arrived_at;
+        assert!(matches!(go(&mut c, now, &mut lk), RouteDecision::Attempt(_)));
+        assert!(c.next_check(now, &lk).is_some_and(|w| w < 4 * SEC));
+        end(&mut c, now + 50 * MS, &mut lk, Outcome::Success);
     }
 }
 
 #[test]
 fn slow_answers_shrink_a_bound_only_where_the_cache_may_be_to_blame() {
-    let (idle, full) = (Load { busy: Some(0.4), link: Some(0.2) }, Load { busy: Some(1.0), link: None });
+    let (idle, full) = (
+        LoadReport { cpu_utilization: Some(0.4), link_utilization: Some(0.2) },
+        LoadReport { cpu_utilization: Some(1.0), link_utilization: None },
+    );
     // (report, told hit, whether its bound shrinks)
     let cases = [
         (None, None, true),
@@ -569,24 +582,24 @@
         (None, Some(false), false),
         (Some(idle), None, false),
         (Some(full), None, true),
-        (Some(Load::default()), None, true),
-        (Some(Load { link: Some(3.0), ..idle }), None, true),
+        (Some(LoadReport::default()), None, true),
+        (Some(LoadReport { link_utilization: Some(3.0), ..idle }), None, true),
     ];
     for (load, hit, shrinks) in cases {
         let mut c = director(settings(), &list(1, 0));
         for o in 0..40 {
             let now = START + o * 20 * MS;
-            let mut lk = Lookup { deadline: now + 9 * SEC, ..lookup(o, now) };
-            let Route::Send(s) = go(&mut c, now, &mut lk) else { continue };
+            let mut lk = Request { deadline: now + 9 * SEC, ..lookup(o, now) };
+            let RouteDecision::Attempt(s) = go(&mut c, now, &mut lk) else { continue };
             if let Some(load) = load {
-                c.reported(now + SEC, s.node, load);
+                c.record_load(now + SEC, s.node, load);
             }
-            lk.sends[0].result = Some(Outcome::Satisfied);
-            c.after(now + SEC, &lk, 0, SEC, hit);
+            lk.attempts[0].outcome = Some(Outcome::Success);
+            c.on_outcome(now + SEC, &lk, 0, SEC, hit);
         }
         let mut taken = 0;
         let later = START + 2 * SEC;
-        while let Route::Send(_) = go(&mut c, later, &mut lookup(1_000 + taken, later)) {
+        while let RouteDecision::Attempt(_) = go(&mut c, later, &mut lookup(1_000 + taken, later)) {
             taken += 1;
         }
         assert_eq!(taken < 10, shrinks, "{load:?} {hit:?}: {taken}");
@@ -601,12 +614,12 @@
         [(START, 120 * MS, true), (START + 40 * SEC, 3 * SEC, false), (START + 90 * SEC, 120 * MS, true)];
     for (start, took, copies) in phases {
         for o in 0..200 {
-            look(&mut c, start + o * 40 * MS, o, took, Outcome::Satisfied);
+            look(&mut c, start + o * 40 * MS, o, took, Outcome::Success);
         }
         let mut lk = lookup(3, start + 38 * SEC);
         go(&mut c, start + 38 * SEC, &mut lk);
         let route = c.route(start + 39 * SEC, &lk);
-        assert_eq!(matches!(route, Route::Send(_)), copies, "{took}");
+        assert_eq!(matches!(route, RouteDecision::Attempt(_)), copies, "{took}");
         jams.push(mode_lines(&mut c, "jam"));
     }
     assert_eq!(jams, [0, 1, 1], "one line as it begins, one as it ends");
@@ -616,7 +629,7 @@
 fn fetches_at_the_origin_stay_bounded_and_back_off() {
     // (directors, caches, most out at once of one director): hundreds share the one origin.
     for (directors, caches, most) in [(1, 4, 5), (4, 4, 3), (300, 4, 1), (300, 1, 1)] {
-        let set = Settings { directors: vec![0, 0, directors], ..settings() };
+        let set = Settings { directors_per_zone: vec![0, 0, directors], ..settings() };
         let mut c = director(set, &list(caches, 0));
         let mut out_at_once = Vec::new();
         for round in 0..2 {
@@ -625,8 +638,10 @@
                 let now = START + round * SEC + o * MS;
                 let mut lk = lookup(o, now);
                 match go(&mut c, now, &mut lk) {
-                    Route::Send(s) if s.source == Some(ORIGIN) => held.push(lk),
-                    Route::Send(_) => assert_eq!(end(&mut c, now, &mut lk, Outcome::Miss), Next::Again),
+                    RouteDecision::Attempt(s) if s.source == Some(ORIGIN) => held.push(lk),
+                    RouteDecision::Attempt(_) => {
+                        assert_eq!(end(&mut c, now, &mut lk, Outcome::Miss), NextStep::Retry)
+                    }
                     _ => {}
                 }
             }
@@ -652,10 +667,10 @@
             go(&mut c, now, &mut lk);
             go(&mut c, now, &mut other);
             if answers {
-                end(&mut c, now + SEC, &mut other, Outcome::Satisfied);
+                end(&mut c, now + SEC, &mut other, Outcome::Success);
             }
-            lk.sends[0].result = Some(Outcome::TimedOut);
-            c.after(now + 3 * SEC, &lk, 0, 3 * SEC, None);
+            lk.attempts[0].outcome = Some(Outcome::TimedOut);
+            c.on_outcome(now + 3 * SEC, &lk, 0, 3 * SEC, None);
             times += 1;
         }
         assert!((least..=most).contains(&times), "{answers}: {times}");
@@ -666,19 +681,19 @@
 #[test]
 fn clients_that_give_too_little_time_take_no_member_down() {
     let run = |given: Ns| {
-        let set = Settings { directors: vec![0, 0, 8], ..settings() };
+        let set = Settings { directors_per_zone: vec![0, 0, 8], ..settings() };
         let mut c = director(set, &list(4, 2));
         for n in 0..200 {
             let now = START + n * 50 * MS;
-            let mut lk = Lookup { deadline: now + given, ..lookup(n % 7, now) };
-            if let Route::Send(_) = go(&mut c, now, &mut lk) {
+            let mut lk = Request { deadline: now + given, ..lookup(n % 7, now) };
+            if let RouteDecision::Attempt(_) = go(&mut c, now, &mut lk) {
                 end(&mut c, now + given - 4 * MS, &mut lk, Outcome::TimedOut);
             }
         }
         let now = START + 11 * SEC;
         let mut sent = 0;
         for n in 0..20 {
-            sent += usize::from(matches!(go(&mut c, now, &mut lookup(n, now)), Route::Send(_)));
+            sent += usize::from(matches!(go(&mut c, now, &mut lookup(n, now)), RouteDecision::Attempt(_)));
         }
         (mode_lines(&mut c, "down "), sent)
     };
@@ -692,20 +707,22 @@
 fn a_broken_answer_is_asked_of_its_home_once_more() {
     // (outcome of the first send, whether the second goes to the same cache)
     let cases = [
-        (Outcome::Broken, true),
+        (Outcome::ConnectionLost, true),
         (Outcome::Error, true),
-        (Outcome::Full, false),
-        (Outcome::Unconnected, false),
+        (Outcome::Overloaded, false),
+        (Outcome::ConnectFailed, false),
     ];
     for (outcome, same) in cases {
         let mut c = director(settings(), &list(4, 2));
         let mut lk = lookup(5, START);
         for _ in 0..2 {
-            assert!(matches!(go(&mut c, START + MS, &mut lk), Route::Send(_)));
+            assert!(matches!(go(&mut c, START + MS, &mut lk), RouteDecision::Attempt(_)));
             end(&mut c, START + 2 * MS, &mut lk, outcome);
         }
-        assert_eq!(lk.sends[0].node == lk.sends[1].node, same, "{outcome:?}");
-        assert!(!matches!(c.route(START + 3 * MS, &lk), Route::Send(s) if s.node == lk.sends[0].node));
+        assert_eq!(lk.attempts[0].node == lk.attempts[1].node, same, "{outcome:?}");
+        assert!(
+            !matches!(c.route(START + 3 * MS, &lk), RouteDecision::Attempt(s) if s.node == lk.attempts[0].node)
+        );
     }
 }
 
@@ -716,20 +733,20 @@
         let mut counts = [0.0; 2];
         for (i, started) in [0, START].into_iter().enumerate() {
             let mut lines = list(4, 2);
-            lines[1].started = started;
+            lines[1].started_at = started;
             let mut c = director(settings(), &lines);
             for o in 0..900_u64 {
                 let now = START + o * 3 * MS;
                 let mut lk = lookup(o / tries, now);
-                lk.repeat = marked && o % tries > 0;
-                if let Route::Send(s) = go(&mut c, now, &mut lk) {
+                lk.is_client_retry = marked && o % tries > 0;
+                if let RouteDecision::Attempt(s) = go(&mut c, now, &mut lk) {
                     counts[i] += f64::from(u8::from(s.node == 1));
                     // Slow, and given up in the end: no proof that the fleet is on pace.
                     end(
                         &mut c,
                         now + MS,
                         &mut lk,
-                        if tries > 1 { Outcome::Full } else { Outcome::Satisfied },
+                        if tries > 1 { Outcome::Overloaded } else { Outcome::Success },
                     );
                     c.route(lk.deadline - MS, &lk);
                 }
@@ -742,13 +759,15 @@
 
 #[test]
 fn odd_lists_and_numbers_find_their_way_or_are_nacked() {
-    let other = |n: usize, zone| Listed { zone, ..line(n, 0) };
-    let hundreds: Vec<Listed> = list(5, 8).into_iter().chain((100..400).map(|n| other(n, 3))).collect();
-    let twice: Vec<Listed> = list(3, 2).into_iter().chain(list(3, 2)).collect();
-    let same_rank: Vec<Listed> = list(3, 2).into_iter().map(|l| Listed { rank: 7, ..l }).collect();
-    let state = |state| move |l: Listed| Listed { state, ..l };
-    let drained: Vec<Listed> = list(1, 0).into_iter().map(state(State::Draining)).collect();
-    let gone: Vec<Listed> = list(1, 0).into_iter().map(state(State::Gone)).collect();
+    let other = |n: usize, zone| EndpointUpdate { zone, ..line(n, 0) };
+    let hundreds: Vec<EndpointUpdate> =
+        list(5, 8).into_iter().chain((100..400).map(|n| other(n, 3))).collect();
+    let twice: Vec<EndpointUpdate> = list(3, 2).into_iter().chain(list(3, 2)).collect();
+    let same_rank: Vec<EndpointUpdate> =
+        list(3, 2).into_iter().map(|l| EndpointUpdate { rank: 7, ..l }).collect();
+    let state = |state| move |l: EndpointUpdate| EndpointUpdate { state, ..l };
+    let drained: Vec<EndpointUpdate> = list(1, 0).into_iter().map(state(EndpointState::Draining)).collect();
+    let gone: Vec<EndpointUpdate> = list(1, 0).into_iter().map(state(EndpointState::Gone)).collect();
     // (lists in turn, whole or changes, the director's number, whether a lookup is sent)
     let cases = [
         ("hundreds of members", vec![(hundreds.clone(), true)], 0, true),
@@ -761,19 +780,23 @@
         ("caches of other locations only", vec![(vec![other(1, 3), line(ORIGIN, 2)], true)], 0, false),
     ];
     for (what, lists, number, sends) in cases {
-        let fresh = |l: &Listed| Listed { started: START, ..*l };
+        let fresh = |l: &EndpointUpdate| EndpointUpdate { started_at: START, ..*l };
         for cold in [false, true] {
-            let set = Settings { number, directors: vec![0, 0, 9], ..settings() };
-            let mut c = Choice::new(set, 1, START);
+            let set = Settings { director_index: number, directors_per_zone: vec![0, 0, 9], ..settings() };
+            let mut c = Router::new(set, 1, START);
             for (lines, whole) in &lists {
-                let lines: Vec<Listed> = lines.iter().map(|l| if cold { fresh(l) } else { *l }).collect();
-                c.listed(START, &lines, *whole);
+                let lines: Vec<EndpointUpdate> =
+                    lines.iter().map(|l| if cold { fresh(l) } else { *l }).collect();
+                c.update_endpoints(START, &lines, *whole);
             }
-            c.purged(START, Some(77), 9_999, u64::MAX);
-            c.reported(START, 5_000, Load::default());
+            c.record_purge(START, Some(77), 9_999, u64::MAX);
+            c.record_load(START, 5_000, LoadReport::default());
             let route = c.route(START + MS, &lookup(1, START + MS));
-            assert!(cold || matches!(route, Route::Send(_)) == sends, "{what}: {route:?}");
-            assert!(matches!(route, Route::Send(_) | Route::Nack { .. }), "{what}: {route:?}");
+            assert!(cold || matches!(route, RouteDecision::Attempt(_)) == sends, "{what}: {route:?}");
+            assert!(
+                matches!(route, RouteDecision::Attempt(_) | RouteDecision::Reject { .. }),
+                "{what}: {route:?}"
+            );
         }
     }
 }
@@ -782,10 +805,10 @@
 fn a_parent_that_withholds_places_gets_that_part_of_its_slice() {
     let fills = |withheld: u16| {
         let mut lines = list(4, 2);
-        lines.iter_mut().find(|l| l.node == 50).unwrap().withheld = withheld;
+        lines.iter_mut().find(|l| l.node == 50).unwrap().withheld_virtual_nodes = withheld;
         let mut c = director(settings(), &lines);
         let sources =
-            (0..400).filter_map(|o| look(&mut c, START + o * 20 * MS, o, 10 * MS, Outcome::Satisfied));
+            (0..400).filter_map(|o| look(&mut c, START + o * 20 * MS, o, 10 * MS, Outcome::Success));
         sources.filter(|s| s.source == Some(50)).count()
     };
     let [full, quarter, none] = [0, 192, 256].map(fills);
@@ -793,16 +816,16 @@
     // Told again, the pie is dealt anew; all withheld, the origin fills.
     let mut lines = list(4, 1);
     let mut c = director(settings(), &lines);
-    assert_eq!(look(&mut c, START, 1, 10 * MS, Outcome::Satisfied).unwrap().source, Some(50));
-    lines[4].withheld = 256;
-    c.listed(START + SEC, &lines[4..5], false);
+    assert_eq!(look(&mut c, START, 1, 10 * MS, Outcome::Success).unwrap().source, Some(50));
+    lines[4].withheld_virtual_nodes = 256;
+    c.update_endpoints(START + SEC, &lines[4..5], false);
     assert_eq!(mode_lines(&mut c, "list members=1 before=1"), 1);
-    assert_eq!(look(&mut c, START + SEC, 1, 10 * MS, Outcome::Satisfied).unwrap().source, Some(ORIGIN));
+    assert_eq!(look(&mut c, START + SEC, 1, 10 * MS, Outcome::Success).unwrap().source, Some(ORIGIN));
 }
 
 /// What becomes of the fills of one parent's slice over so many seconds, ten a second, if the parents in `late` answer
 /// past the budget: the parts that kept their home, went elsewhere, got none, in the last seconds.
-fn slice(c: &mut Choice, from: Ns, secs: u64, last: u64, late: &[usize]) -> [usize; 3] {
+fn slice(c: &mut Router, from: Ns, secs: u64, last: u64, late: &[usize]) -> [usize; 3] {
     let fills = homes(&mut director(settings(), &list(3, 5)), 3_000);
     let mine: Vec<u64> = (0..3_000).filter(|o| fills[*o as usize].1 == Some(50)).collect();
     let mut came = [0; 3];
@@ -810,9 +833,9 @@
         let object = mine[k as usize % mine.len()];
         let now = from + k * 100 * MS;
         let mut lk = lookup(object, now);
-        let Route::Send(s) = go(c, now, &mut lk) else { continue };
+        let RouteDecision::Attempt(s) = go(c, now, &mut lk) else { continue };
         let over = s.source.is_some_and(|p| late.contains(&p));
-        let outcome = if s.source.is_some() { Outcome::Satisfied } else { Outcome::Miss };
+        let outcome = if s.source.is_some() { Outcome::Success } else { Outcome::Miss };
         end(c, now + if over { 900 * MS } else { 90 * MS }, &mut lk, outcome);
         if k >= 10 * (secs - last) {
             came[if s.source == Some(50) { 0 } else { 1 + usize::from(s.source.is_none()) }] += 1;
@@ -845,9 +868,9 @@
         let mut best = std::time::Duration::MAX;
         for _ in 0..3 {
             let mut c = director(settings(), &list(3, 2));
-            (0..known).for_each(|object| c.purged(START, Some(object), 0, 0));
+            (0..known).for_each(|object| c.record_purge(START, Some(object), 0, 0));
             let start = std::time::Instant::now();
-            (0..2_000).for_each(|n| c.purged(START + n * 100_000, Some(n % known), 0, 0));
+            (0..2_000).for_each(|n| c.record_purge(START + n * 100_000, Some(n % known), 0, 0));
             best = best.min(start.elapsed());
         }
         best
--- a/tests/stable_values.rs
+++ b/tests/stable_values.rs
@@ -5,7 +5,7 @@
 mod help;
 
 use help::*;
-use sablecross::rules::Violation;
+use sablecross::invariants::Violation;
 use sablecross::*;
 
 #[test]
@@ -39,11 +39,11 @@
         (1 << 52, 9, 0xab24_c5d7_fe01_f1ff),
     ];
     for (object, part, position) in copies {
-        assert_eq!(copy_place(object, part), position, "{object} {part}");
+        assert_eq!(cache_position(object, part), position, "{object} {part}");
     }
     let fills = [(0, 0xe4d9_7177_1b65_2c20), (77, 0x1dbe_7211_92d4_100d), (1 << 52, 0x71a9_9a03_6bf2_4b40)];
     for (object, position) in fills {
-        assert_eq!(fill_place(object), position, "{object}");
+        assert_eq!(parent_position(object), position, "{object}");
     }
 }
 
@@ -55,28 +55,28 @@
         (rank("edge-3"), 2, 64),
         (rank("edge-4"), 3, 256),
     ];
-    let ring = Pie::deal(members);
+    let ring = HashRing::build(members);
     let owners = |fit: &dyn Fn(usize) -> bool| -> Vec<usize> {
-        (0..24).map(|object| ring.owner(copy_place(object, 0), fit).expect("one is fit")).collect()
+        (0..24).map(|object| ring.owner(cache_position(object, 0), fit).expect("one is fit")).collect()
     };
     assert_eq!(owners(&|_| true), [1, 0, 2, 2, 0, 0, 1, 0, 0, 0, 0, 0, 2, 2, 0, 2, 1, 1, 1, 2, 2, 1, 2, 0]);
     assert_eq!(
         owners(&|member| member != 1),
         [0, 0, 2, 2, 0, 0, 0, 0, 0, 0, 0, 0, 2, 2, 0, 2, 0, 2, 2, 2, 2, 0, 2, 0]
     );
-    let nearest: Vec<usize> = ring.around(copy_place(77, 0)).take(24).collect();
+    let nearest: Vec<usize> = ring.walk_from(cache_position(77, 0)).take(24).collect();
     assert_eq!(nearest, [0, 1, 1, 1, 1, 1, 0, 1, 1, 0, 2, 1, 1, 0, 0, 0, 1, 1, 1, 0, 1, 0, 1, 1]);
     // 256 virtual nodes for each full member, fewer for one that withholds some.
-    assert_eq!(ring.around(0).count(), 256 + 256 + 192);
+    assert_eq!(ring.walk_from(0).count(), 256 + 256 + 192);
     assert_eq!(ring.owner(3, |_| false), None);
 }
 
 #[test]
 fn a_change_of_the_list_has_its_line() {
     let mut c = director(settings(), &list(4, 2));
-    assert_eq!(c.notes(), [""; 0]);
-    c.listed(START, &list(5, 1), true);
-    assert_eq!(c.notes(), ["list members=5 before=4", "list members=1 before=2"]);
+    assert_eq!(c.take_log_lines(), [""; 0]);
+    c.update_endpoints(START, &list(5, 1), true);
+    assert_eq!(c.take_log_lines(), ["list members=5 before=4", "list members=1 before=2"]);
 }
 
 #[test]
@@ -85,13 +85,13 @@
     for object in 0..400 {
         let now = START + object * 40 * MS;
         let mut request = lookup(object, now);
-        if let Route::Send(send) = go(&mut c, now, &mut request) {
+        if let RouteDecision::Attempt(send) = go(&mut c, now, &mut request) {
             let fails = send.node == 2 && object < 80;
-            let outcome = if fails { Outcome::Error } else { Outcome::Satisfied };
+            let outcome = if fails { Outcome::Error } else { Outcome::Success };
             end(&mut c, now + 10 * MS, &mut request, outcome);
         }
     }
-    assert_eq!(c.notes(), ["down node=2 failing=0.40", "up node=2 failing=0.32"]);
+    assert_eq!(c.take_log_lines(), ["down node=2 failing=0.40", "up node=2 failing=0.32"]);
 }
 
 #[test]
@@ -99,10 +99,10 @@
     let mut c = director(settings(), &list(4, 2));
     for (start, took) in [(0, 120 * MS), (40 * SEC, 3 * SEC), (90 * SEC, 120 * MS)] {
         for object in 0..200 {
-            look(&mut c, START + start + object * 40 * MS, object, took, Outcome::Satisfied);
+            look(&mut c, START + start + object * 40 * MS, object, took, Outcome::Success);
         }
     }
-    assert_eq!(c.notes(), ["jam late=0.19", "jam over late=0.13"]);
+    assert_eq!(c.take_log_lines(), ["jam late=0.19", "jam over late=0.13"]);
 }
 
 #[test]
@@ -111,16 +111,16 @@
     let mut now = START + MS;
     for count in [40, 60, 50, 45, 55, 50, 62, 41, 50, 47, 53, 50] {
         for i in 0..count * 4 {
-            look(&mut c, now + i, 10_000 + i, MS, Outcome::Satisfied);
+            look(&mut c, now + i, 10_000 + i, MS, Outcome::Success);
         }
         now += 2 * SEC + 3 * MS;
     }
     for i in 0..400 {
-        look(&mut c, now + i * MS, 3, MS, Outcome::Satisfied);
+        look(&mut c, now + i * MS, 3, MS, Outcome::Success);
     }
-    look(&mut c, now + 5 * SEC, 3, MS, Outcome::Satisfied);
-    look(&mut c, now + 8 * SEC, 3, MS, Outcome::Satisfied);
-    assert_eq!(c.notes(), ["burst object=3 rate=8700 over=8649", "burst over objects=1"]);
+    look(&mut c, now + 5 * SEC, 3, MS, Outcome::Success);
+    look(&mut c, now + 8 * SEC, 3, MS, Outcome::Success);
+    assert_eq!(c.take_log_lines(), ["burst object=3 rate=8700 over=8649", "burst over objects=1"]);
 }
 
 /// The director's log line `violation request=R rule=W` gives the rule by these words.
