--- a/crates/testbed/src/settings.rs
+++ b/crates/testbed/src/settings.rs
@@ -30,6 +30,7 @@
     #[garde(range(min = 1, max = 64))]
     pub caches: usize,
     #[garde(range(min = 1, max = 32))]
+    #[serde(rename = "uppers")]
     pub uppers: usize,
     /// Lookups a second of all clients together, and objects that they ask for.
     #[garde(range(min = 1, max = 20_000))]
@@ -38,6 +39,7 @@
     pub objects: u64,
     /// Copies that a cache, and an upper cache, keeps.
     #[garde(range(min = 1, max = 1_000_000))]
+    #[serde(rename = "kept")]
     pub kept: usize,
     #[garde(range(min = 1.0, max = 1e6))]
     pub ceiling: f64,
@@ -48,10 +50,12 @@
     /// Changes of the hierarchy, one after another; 0: none.
     #[garde(range(max = 1_000))]
     #[serde(default)]
+    #[serde(rename = "rewirings")]
     pub rewirings: usize,
     /// Whether upper caches of the tier at the origin may fill from one another, which makes ways longer.
     #[garde(skip)]
     #[serde(default = "yes")]
+    #[serde(rename = "chains")]
     pub chains: bool,
     /// Whether they are carried out by a plan, or each in one jump.
     #[garde(skip)]
@@ -64,6 +68,7 @@
     /// Whether upper caches follow the way that directors name, or each its own version.
     #[garde(skip)]
     #[serde(default)]
+    #[serde(rename = "ways")]
     pub ways: bool,
     /// Purges of an object a second.
     #[garde(range(max = 100))]
