--- a/crates/director/src/coordination/agent.rs
+++ b/crates/director/src/coordination/agent.rs
@@ -10,7 +10,7 @@
 use crossbeam_channel::{Receiver, TryRecvError};
 use mio::{Events, Poll, Token, Waker};
 use sablecross::{
-    EndpointState as Listed, HashRing, LoadReport, Ns, Outcome, Settings, cache_position, mix,
+    EndpointState as Listed, HashRing, LoadReport, Ns, Outcome, RingMember, Settings, cache_position, mix,
     parent_position, rank,
 };
 use sablecross_coordination::messages::{HealthObservation, HealthState, Message, Request};
@@ -374,8 +374,10 @@
         let of = |m: &discovery_event::Endpoint| kind(self.common.names.node_kinds.get(&m.kind).copied());
         let all = self.list.iter().filter(|(_, m)| of(m) && zone.is_none_or(|z| z == m.zone));
         let members: Vec<u64> = all.map(|(chore, _)| *chore).collect();
-        let stands = members.iter().enumerate().map(|(i, rank)| (*rank, i, 0)).collect();
-        (HashRing::build(stands), members)
+        let ring_member =
+            |(node, rank): (usize, &u64)| RingMember { rank: *rank, node, withheld_virtual_nodes: 0 };
+        let ring_members = members.iter().enumerate().map(ring_member).collect();
+        (HashRing::build(ring_members), members)
     }
 
     /// Warms fresh caches, while that duty is owned; says what is asked for most here.
--- a/crates/hierarchy/src/fill_path.rs
+++ b/crates/hierarchy/src/fill_path.rs
@@ -29,8 +29,9 @@
     pub fn from_hierarchy(version: &Hierarchy) -> FillPaths {
         let mut stands: BTreeMap<u8, Vec<RingMember>> = BTreeMap::new();
         for (id, m) in version.iter() {
-            let stand = (rank(&m.name), id as usize, FULL_SHARE - m.ring_share.min(FULL_SHARE));
-            stands.entry(m.tier).or_default().push(stand);
+            let withheld_virtual_nodes = FULL_SHARE - m.ring_share.min(FULL_SHARE);
+            let member = RingMember { rank: rank(&m.name), node: id as usize, withheld_virtual_nodes };
+            stands.entry(m.tier).or_default().push(member);
         }
         let deal = |(tier, mut stands): (u8, Vec<RingMember>)| {
             stands.sort_unstable();
--- /dev/null
+++ b/src/effects.rs
@@ -0,0 +1,72 @@
+//! Which further attempts keep the promise that no request takes effect twice.
+//!
+//! The decision module only proposes what these rules allow; [`invariants`](crate::invariants) checks again at the moment
+//! of sending.
+
+use crate::endpoint::EndpointTable;
+use crate::invariants::may_have_run;
+use crate::types::{Attempt, DeduplicationScope, Effect, Ns, Request, Settings};
+
+/// The attempts that may have been executed.
+fn possibly_run(request: &Request) -> impl Iterator<Item = &Attempt> {
+    request.attempts.iter().filter(|attempt| may_have_run(attempt.outcome))
+}
+
+/// Whether any attempt may have been executed.
+pub(crate) fn any_may_have_run(request: &Request) -> bool {
+    possibly_run(request).next().is_some()
+}
+
+/// The time from which nodes no longer recognise a repeat of the request, whoever makes it.
+pub(crate) fn recognised_until(effect: Effect, request: &Request) -> Ns {
+    let Effect::Deduplicated { window, .. } = effect else { return Ns::MAX };
+    let ends = possibly_run(request).map(|attempt| attempt.sent_at.saturating_add(window));
+    ends.min().unwrap_or(Ns::MAX)
+}
+
+/// Whether the request may have one more attempt, at this node.
+pub(crate) fn allow_attempt(
+    settings: &Settings,
+    endpoints: &EndpointTable,
+    request: &Request,
+    node: usize,
+    now: Ns,
+) -> bool {
+    let has_outstanding = request.attempts.iter().any(|attempt| attempt.outcome.is_none());
+    if has_outstanding && !settings.may_hedge {
+        return false;
+    }
+    let effect = settings.request_classes[request.class].effect;
+    match effect {
+        Effect::Idempotent => true,
+        Effect::SideEffecting => !any_may_have_run(request),
+        Effect::Deduplicated { within, .. } => {
+            now < recognised_until(effect, request)
+                && possibly_run(request).all(|attempt| share_scope(endpoints, within, attempt.node, node))
+        }
+    }
+}
+
+/// Whether two nodes recognise repeats of each other's requests.
+fn share_scope(endpoints: &EndpointTable, within: DeduplicationScope, a: usize, b: usize) -> bool {
+    if within == DeduplicationScope::All {
+        return true;
+    }
+    let (Some(a), Some(b)) = (endpoints.get(a), endpoints.get(b)) else { return false };
+    let same_zone = a.listing.zone == b.listing.zone;
+    match within {
+        DeduplicationScope::All | DeduplicationScope::Zone => same_zone,
+        DeduplicationScope::Cell => same_zone && a.listing.cell == b.listing.cell,
+    }
+}
+
+/// Whether a rejection now cannot lead to a second execution: the client's own retry, made after it, has to come while
+/// nodes still recognise it.
+pub(crate) fn allow_rejection(effect: Effect, request: &Request, time_to_retry: Ns) -> bool {
+    let is_retry_safe = match effect {
+        Effect::Idempotent => true,
+        Effect::Deduplicated { within: DeduplicationScope::All, .. } => time_to_retry > 0,
+        Effect::Deduplicated { .. } | Effect::SideEffecting => false,
+    };
+    is_retry_safe || !any_may_have_run(request)
+}
--- a/src/invariants.rs
+++ b/src/invariants.rs
@@ -1,42 +1,44 @@
-//! What may be begun, answered or closed now.
+//! The rules that a director must never break, whatever it decides.
 //!
-//! The one place that holds the rules a director must never break, apart from how it chooses: every path that begins,
-//! repeats or answers something, or closes a connection, asks here at the moment of doing it. A choice that breaks a
-//! rule is not carried out and is counted as a violation: there should be none.
+//! Every path that begins, repeats or answers something, or closes a connection, asks here at the moment of doing it. A
+//! decision that breaks a rule is not carried out and is counted as a violation; there should be none.
 
-use crate::interface::{Effect, EndpointState, Ns, Outcome};
+use crate::types::{Effect, EndpointState, Ns, Outcome};
 
-/// An attempt is begun only if its client was known to be there so shortly before: a process that stood still has to
-/// look first who has gone meanwhile. Longer than the pause between two looks while it runs.
+/// An attempt begins only if its client was known to be connected so shortly before: a process that was suspended has to
+/// check first which clients have gone meanwhile. Longer than the time between two checks while it runs.
 pub const CLIENT_CHECK_MAX_AGE: Ns = 80_000_000;
 
 /// An attempt that waits to be written to its node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PendingAttempt {
-    /// Its first byte must leave before.
+    /// The time by which its first byte must have left.
     pub begin_by: Ns,
-    /// Its answer must come before.
+    /// The time by which its answer must have come.
     pub answer_by: Ns,
-    /// The desk has given it up, or news have come against it: a drain, a purge.
+    /// Whether the dispatcher has abandoned it, or a drain or a purge has come since it was chosen.
     pub is_withdrawn: bool,
-    /// Its client has closed or cancelled.
+    /// Whether its client has closed the connection or cancelled the request.
     pub is_client_gone: bool,
-    /// When all that clients had said, or that they had gone, was heard last.
+    /// When all clients' connections were last read, so that one that had closed would be known.
     pub clients_checked_at: Ns,
 }
 
-/// Why an attempt is not begun.
+/// Why an attempt does not begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BeginDenied {
+    /// Its time has passed.
     Expired,
+    /// It was withdrawn.
     Withdrawn,
+    /// Its client has gone.
     ClientGone,
-    /// Whether its client has gone is to be looked at first: the attempt stays.
+    /// Whether its client has gone has to be checked first: the attempt stays pending.
     Unconfirmed,
 }
 
 impl PendingAttempt {
-    /// Whether its first byte may leave now; the time that its client has left then.
+    /// Whether its first byte may leave now; returns the time that its client has left then.
     pub fn may_begin(&self, now: Ns) -> Result<Ns, BeginDenied> {
         if self.is_client_gone {
             return Err(BeginDenied::ClientGone);
@@ -57,22 +59,25 @@
 /// What is under way on a client's connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClientConnectionState {
+    /// Requests without a final answer.
     pub open_requests: usize,
+    /// Responses that are not written, or not to their end.
     pub unwritten_responses: usize,
-    /// The first bytes of a request have come.
+    /// Whether the first bytes of a request have come, but not its last.
     pub has_partial_request: bool,
 }
 
-/// What a connection that may not be closed still owes.
+/// Why a connection must not be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseDenied {
+    /// A response is owed.
     ResponsePending,
-    /// The rest of a request: once it is whole, it is owed an answer.
+    /// A request is being read; once it is complete, a response is owed.
     RequestIncomplete,
 }
 
 impl ClientConnectionState {
-    /// Whether the director may close it of its own accord.
+    /// Whether the director may close the connection of its own accord.
     pub fn may_close(&self) -> Result<(), CloseDenied> {
         if self.open_requests > 0 || self.unwritten_responses > 0 {
             return Err(CloseDenied::ResponsePending);
@@ -84,41 +89,56 @@
     }
 }
 
+/// Whether an attempt with this outcome, or with none yet, may have been executed.
+pub fn may_have_run(outcome: Option<Outcome>) -> bool {
+    use Outcome::{ConnectFailed, Miss, NotSent, Overloaded};
+    !matches!(outcome, Some(Overloaded | ConnectFailed | NotSent | Miss))
+}
+
 /// An earlier attempt of the same request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PriorAttempt {
+    /// When it was made.
     pub sent_at: Ns,
+    /// How it ended; none while it is outstanding.
     pub outcome: Option<Outcome>,
 }
 
-impl PriorAttempt {
-    fn may_have_run(&self) -> bool {
-        let never = [Outcome::Overloaded, Outcome::ConnectFailed, Outcome::NotSent, Outcome::Miss];
-        self.outcome.is_none_or(|outcome| !never.contains(&outcome))
-    }
-}
-
-/// An attempt that was chosen, with all that the rules ask of it.
+/// An attempt that was chosen, with all that the rules depend on.
 #[derive(Clone, Copy, Debug)]
 pub struct ProposedAttempt<'a> {
+    /// What a repeat of the request would do.
     pub effect: Effect,
+    /// Whether the request has its final answer.
     pub is_answered: bool,
+    /// Whether the client has gone.
     pub is_client_gone: bool,
+    /// When the client gives up.
     pub deadline: Ns,
+    /// The state of the node that it goes to.
     pub node_state: EndpointState,
+    /// The state of the node that a miss is filled from, if there is one.
     pub source_state: Option<EndpointState>,
+    /// All earlier attempts of the request.
     pub prior_attempts: &'a [PriorAttempt],
 }
 
-/// A rule that an attempt or an answer would have broken.
+/// The rule that an attempt or an answer would have broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
+    /// A request has one final answer.
     AnsweredTwice,
+    /// After its answer a request has no attempts.
     AttemptAfterAnswer,
+    /// After its deadline a request has no attempts.
     AttemptAfterDeadline,
+    /// Without its client a request has no attempts.
     AttemptForGoneClient,
+    /// A node that is draining or gone gets no attempts.
     NodeNotReady,
+    /// A node that is draining or gone fills no misses.
     SourceNotReady,
+    /// A request takes effect once.
     EffectRepeated,
 }
 
@@ -147,18 +167,19 @@
     }
 
     fn repeats_effect(&self, now: Ns) -> bool {
-        let mut ran = self.prior_attempts.iter().filter(|e| e.may_have_run());
+        let mut possibly_run = self.prior_attempts.iter().filter(|prior| may_have_run(prior.outcome));
         match self.effect {
             Effect::Idempotent => false,
-            Effect::SideEffecting => ran.next().is_some(),
-            Effect::Deduplicated { window: memory, .. } => {
-                ran.map(|e| e.sent_at).min().is_some_and(|first| now >= first.saturating_add(memory))
+            Effect::SideEffecting => possibly_run.next().is_some(),
+            Effect::Deduplicated { window, .. } => {
+                let first = possibly_run.map(|prior| prior.sent_at).min();
+                first.is_some_and(|sent_at| now >= sent_at.saturating_add(window))
             }
         }
     }
 }
 
 /// Whether a request may be given an answer.
-pub fn check_answer(answered: bool) -> Result<(), Violation> {
-    if answered { Err(Violation::AnsweredTwice) } else { Ok(()) }
+pub fn check_answer(is_answered: bool) -> Result<(), Violation> {
+    if is_answered { Err(Violation::AnsweredTwice) } else { Ok(()) }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,23 @@
-//! sablecross decides where objects are served, kept and filled from.
+//! sablecross decides where objects of a content delivery network are served, cached and filled from.
 
-mod choice;
-mod interface;
+mod burst;
+mod cache_policy;
+mod effects;
+mod endpoint;
+mod fill_price;
+mod hash_ring;
 pub mod invariants;
+mod load_shedding;
+mod mode_change;
+mod origin_limit;
+mod outlier_ejection;
+mod priority;
+mod retry_budget;
+mod router;
+mod slow_start;
+mod transfer_time;
+mod types;
 
-pub use choice::{HashRing, RingMember, Router, cache_position, mix, parent_position};
-pub use interface::*;
+pub use hash_ring::{HashRing, RingMember, VIRTUAL_NODES, cache_position, mix, parent_position, rank};
+pub use router::Router;
+pub use types::*;
--- /dev/null
+++ b/src/origin_limit.rs
@@ -0,0 +1,45 @@
+//! The limit on the fetches that this director has outstanding at the origin. It grows by answers in time and backs off
+//! when they fail or come late.
+//!
+//! Guards the origin against collapse while no parent can be named. Its cost: after trouble fetches come back slowly.
+
+/// The first limit and its growth by an answer in time, of all directors together.
+const INITIAL_LIMIT: f64 = 4.0;
+const GROWTH: f64 = 0.2;
+/// What a late answer, and a failure, leave of the limit.
+const LEFT_AFTER_LATE: f64 = 0.85;
+const LEFT_AFTER_FAILURE: f64 = 0.7;
+/// The least limit after a failure: the chance of one fetch at a time.
+const MIN_LIMIT: f64 = 0.1;
+
+/// The limit of one director.
+#[derive(Clone, Debug)]
+pub(crate) struct OriginLimit {
+    limit: f64,
+    growth: f64,
+}
+
+impl OriginLimit {
+    /// `sharing` is the square root of the number of directors: the demand of one of them varies by that.
+    pub(crate) fn new(sharing: f64) -> Self {
+        OriginLimit { limit: INITIAL_LIMIT / sharing, growth: GROWTH / sharing }
+    }
+
+    /// Whether another fetch fits. The fraction of a limit is the chance of one more, which `dither`, from 0 up to 1,
+    /// decides.
+    pub(crate) fn admits(&self, outstanding: u32, dither: f64) -> bool {
+        f64::from(outstanding) + dither < self.limit
+    }
+
+    pub(crate) fn on_timely(&mut self) {
+        self.limit += self.growth;
+    }
+
+    pub(crate) fn on_late(&mut self) {
+        self.limit *= LEFT_AFTER_LATE;
+    }
+
+    pub(crate) fn on_failure(&mut self) {
+        self.limit = (self.limit * LEFT_AFTER_FAILURE).max(MIN_LIMIT);
+    }
+}
--- /dev/null
+++ b/src/router.rs
@@ -0,0 +1,339 @@
+//! The router: one director's decisions about its requests.
+//!
+//! The caller keeps each [`Request`] with its attempts and drives it by three calls: [`Router::route`] says what to do
+//! now, [`Router::on_outcome`] what to do after the outcome of an attempt, and [`Router::next_check`] when to ask `route`
+//! again if nothing comes by then. News of the fleet come by [`Router::update_endpoints`], [`Router::record_purge`] and
+//! [`Router::record_load`]. [`Router::take_log_lines`] hands out one line for each change of mode.
+//!
+//! A decision goes through these steps, in this order:
+//! 1. nothing more is tried past the deadline, without enough time left, or without retry budget (`retry_budget`);
+//! 2. the ring of parents names the source of a fill, that of the caches of the own zone names the node (`hash_ring`),
+//!    among those that are up (`outlier_ejection`), are warm or have credit (`slow_start`) and have room
+//!    (`load_shedding`); a trial may go first;
+//! 3. an object in burst rotates over several caches (`burst`);
+//! 4. without a parent the origin is the source, within a limit (`origin_limit`);
+//! 5. a source that is too dear for the request's priority is left out (`fill_price`);
+//! 6. the copy's age and retention rank are set (`cache_policy`).
+//!
+//! The parts hold state and rules of their own; this module and its two submodules hold the order of the steps.
+
+mod outcome;
+mod selection;
+
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg32;
+
+use crate::burst::{BurstDetector, BurstStatus, REMEMBERED_WINDOWS, WINDOW};
+use crate::cache_policy::{PurgeLog, ReuseHistory};
+use crate::effects;
+use crate::endpoint::{EndpointRole, EndpointTable, directors_sharing};
+use crate::fill_price::FillOffload;
+use crate::hash_ring::cache_position;
+use crate::load_shedding::OverloadDetector;
+use crate::mode_change::ModeChange;
+use crate::origin_limit::OriginLimit;
+use crate::priority::PriorityScale;
+use crate::retry_budget::RetryBudget;
+use crate::slow_start::SlowStart;
+use crate::transfer_time::{BASE_LATENCY, TransferTimes};
+use crate::types::{
+    AttemptSpec, Effect, EndpointUpdate, LoadReport, Ns, Outcome, Request, RequestClass, RouteDecision,
+    SECOND, Settings,
+};
+
+use selection::Selection;
+
+/// How many ticks before its deadline a request is decided: one for the timer, one for the way of the answer.
+const DEADLINE_MARGIN_TICKS: Ns = 2;
+/// A request with less than this part of its predicted transfer time left is given up at once.
+const MIN_TIME_LEFT: f64 = 0.7;
+/// A request has at most so many attempts outstanding.
+const MAX_OUTSTANDING: usize = 2;
+/// The random part of the delay that a rejection names, so that clients do not come back all at once.
+const RETRY_AFTER_JITTER: f64 = 0.25;
+/// Beyond so many attempts a request is not hedged.
+const MAX_HEDGED_ATTEMPTS: usize = 3;
+/// A hedge goes out no sooner than this after the last attempt, in predicted transfer times and base latencies...
+const HEDGE_DELAY_TRANSFERS: f64 = 1.4;
+const HEDGE_DELAY_LATENCIES: f64 = 2.0;
+/// ...and else as late as leaves it this much time within the latency objective.
+const HEDGE_RESERVE_TRANSFERS: f64 = 1.3;
+const HEDGE_RESERVE_LATENCIES: f64 = 1.5;
+
+/// The decisions of one director, and all that it has measured.
+pub struct Router {
+    settings: Settings,
+    rng: Pcg32,
+    endpoints: EndpointTable,
+    transfer_times: TransferTimes,
+    priorities: PriorityScale,
+    history: ReuseHistory,
+    purges: PurgeLog,
+    bursts: BurstDetector,
+    slow_start: SlowStart,
+    overload: OverloadDetector,
+    fill_offload: FillOffload,
+    retry_budget: RetryBudget,
+    origin_limit: OriginLimit,
+    /// When the open window of measurements ends.
+    window_ends_at: Ns,
+    mode_changes: Vec<ModeChange>,
+}
+
+impl Router {
+    /// A director that starts now and knows no endpoints. The seed makes its random choices repeatable.
+    pub fn new(settings: Settings, seed: u64, now: Ns) -> Self {
+        let sharing = directors_sharing(&settings, EndpointRole::Origin).sqrt();
+        Router {
+            rng: Pcg32::seed_from_u64(seed),
+            endpoints: EndpointTable::default(),
+            transfer_times: TransferTimes::new(&settings),
+            priorities: PriorityScale::new(),
+            history: ReuseHistory::new(now),
+            purges: PurgeLog::new(settings.purge_propagation_window),
+            bursts: BurstDetector::default(),
+            slow_start: SlowStart::new(now),
+            overload: OverloadDetector::new(),
+            fill_offload: FillOffload::new(),
+            retry_budget: RetryBudget::new(),
+            origin_limit: OriginLimit::new(sharing),
+            window_ends_at: now + WINDOW,
+            mode_changes: Vec::new(),
+            settings,
+        }
+    }
+
+    /// Whether the endpoint list has to be asked for, at the start and after each failure of its subscription.
+    pub fn polls_endpoint_list(&self) -> bool {
+        self.settings.polls_endpoint_list
+    }
+
+    /// The effects of all request classes, by index.
+    pub fn effects(&self) -> Vec<Effect> {
+        self.settings.request_classes.iter().map(|class| class.effect).collect()
+    }
+
+    /// Whether a request class has this index. Requests of other classes must not be routed.
+    pub fn has_class(&self, class: usize) -> bool {
+        class < self.settings.request_classes.len()
+    }
+
+    /// The lines of the log since the last call, one for each change of mode.
+    pub fn take_log_lines(&mut self) -> Vec<String> {
+        self.mode_changes.drain(..).map(|change| change.to_string()).collect()
+    }
+
+    /// Takes entries of the endpoint list. A snapshot removes the endpoints that it does not name.
+    pub fn update_endpoints(&mut self, now: Ns, updates: &[EndpointUpdate], is_snapshot: bool) {
+        let largest_transfer = self.transfer_times.largest_mean();
+        let changes = self.endpoints.update(&self.settings, updates, is_snapshot, largest_transfer);
+        self.mode_changes.extend(changes);
+        self.slow_start.record_parents(self.endpoints.parents().members().len());
+        self.close_windows(now);
+    }
+
+    /// Takes a node's load report. A node with room to spare is not to blame for late answers.
+    pub fn record_load(&mut self, now: Ns, node: usize, load: LoadReport) {
+        if let Some(endpoint) = self.endpoints.get_mut(node) {
+            endpoint.concurrency.record_load(now, load);
+        }
+    }
+
+    /// Takes a purge of an object or, without one, of a whole group, that was made `age` ago.
+    pub fn record_purge(&mut self, now: Ns, object: Option<u64>, group: u32, age: Ns) {
+        self.purges.record(now, object, group, now.saturating_sub(age));
+    }
+
+    /// What to do with a request now. An attempt that is returned counts as made.
+    pub fn route(&mut self, now: Ns, request: &Request) -> RouteDecision {
+        self.close_windows(now);
+        if now + self.deadline_margin() >= request.deadline {
+            return self.wait_or_reject(now, request);
+        }
+        let is_hopeless =
+            (request.deadline - now) as f64 <= MIN_TIME_LEFT * self.predicted_transfer_time(request);
+        let is_first = request.attempts.is_empty();
+        if is_first {
+            self.record_arrival(now, request);
+        }
+        if is_hopeless || !is_first && !self.may_attempt_again(request) {
+            return self.wait_or_reject(now, request);
+        }
+        if outstanding(request) > 0 && self.overload.is_overloaded() {
+            return RouteDecision::Wait;
+        }
+        let Some(spec) = Selection::new(self, now, request).attempt() else {
+            return self.wait_or_reject(now, request);
+        };
+        if !is_first && !is_never_sent(request) {
+            self.retry_budget.spend();
+        }
+        self.record_attempt(now, request, &spec);
+        RouteDecision::Attempt(spec)
+    }
+
+    /// How long until `route` is to be asked again, if nothing has come by then: the time of a hedge.
+    pub fn next_check(&self, now: Ns, request: &Request) -> Option<Ns> {
+        let last = request.attempts.last()?;
+        let max_attempts = MAX_HEDGED_ATTEMPTS.min(self.settings.max_attempts);
+        if !self.settings.may_hedge || request.attempts.len() >= max_attempts {
+            return None;
+        }
+        let transfer = self.predicted_transfer_time(request);
+        let latency = BASE_LATENCY as f64;
+        let earliest =
+            last.sent_at as f64 + HEDGE_DELAY_TRANSFERS * transfer + latency * HEDGE_DELAY_LATENCIES;
+        let latest = self.objective_end(request) as f64
+            - HEDGE_RESERVE_TRANSFERS * transfer
+            - latency * HEDGE_RESERVE_LATENCIES;
+        let at = latest.max(earliest) as Ns;
+        (at > now && at < request.deadline).then(|| at - now)
+    }
+
+    fn deadline_margin(&self) -> Ns {
+        DEADLINE_MARGIN_TICKS * self.settings.tick
+    }
+
+    fn class(&self, request: &Request) -> &RequestClass {
+        &self.settings.request_classes[request.class]
+    }
+
+    fn predicted_transfer_time(&self, request: &Request) -> f64 {
+        let by_size = self.transfer_times.by_size(request);
+        by_size
+            .or_else(|| self.history.transfer_time(request))
+            .unwrap_or_else(|| self.transfer_times.mean(request.class))
+    }
+
+    /// When the latency objective of a request ends.
+    fn objective_end(&self, request: &Request) -> Ns {
+        let class = self.class(request);
+        let stretch = class.latency_objective_stretch.unwrap_or(0.0);
+        let stretch = (stretch * self.predicted_transfer_time(request)) as Ns;
+        request.arrived_at.saturating_add(class.latency_objective.saturating_add(stretch))
+    }
+
+    /// The logarithm of what an answer is worth for its time.
+    fn log_value(&self, request: &Request) -> f64 {
+        let time = self.predicted_transfer_time(request) + BASE_LATENCY as f64;
+        (self.class(request).priority_weight * SECOND as f64 / time).ln()
+    }
+
+    /// Whether a request that was tried before may be tried once more.
+    fn may_attempt_again(&self, request: &Request) -> bool {
+        let has_budget = is_never_sent(request) || !self.retry_budget.is_exhausted();
+        request.attempts.len() < self.settings.max_attempts
+            && has_budget
+            && outstanding(request) < MAX_OUTSTANDING
+    }
+
+    /// Makes no attempt: waits for what is outstanding, or gives the request up at once. A client that retries soon would
+    /// find the same trouble and add to it, so that it is asked to stay away as long as clients do.
+    fn wait_or_reject(&mut self, now: Ns, request: &Request) -> RouteDecision {
+        if outstanding(request) > 0 {
+            return RouteDecision::Wait;
+        }
+        let effect = self.class(request).effect;
+        let recognised_until = effects::recognised_until(effect, request);
+        let time_to_retry = recognised_until.saturating_sub(now).saturating_sub(BASE_LATENCY);
+        if !effects::allow_rejection(effect, request, time_to_retry) {
+            return RouteDecision::Fail;
+        }
+        let part = (1.0 - RETRY_AFTER_JITTER) + RETRY_AFTER_JITTER * self.rng.random::<f64>();
+        let retry_after = if self.settings.may_send_retry_after {
+            self.settings.max_retry_after as f64 * part
+        } else {
+            0.0
+        };
+        RouteDecision::Reject { retry_after: time_to_retry.min(retry_after as Ns) }
+    }
+
+    /// Counts a request that has just arrived.
+    fn record_arrival(&mut self, now: Ns, request: &Request) {
+        if request.size_kb > 0.0 {
+            let transfer_time = self.predicted_transfer_time(request);
+            self.transfer_times.record(request.class, transfer_time);
+        }
+        let log_value = self.log_value(request);
+        self.priorities.record(log_value);
+        self.history.record_request(request);
+        self.slow_start.record_request(self.transfer_times.mean(request.class));
+        let largest_transfer = self.transfer_times.largest_mean();
+        self.slow_start.earn(&self.settings, &mut self.endpoints, largest_transfer, now);
+        self.record_traffic(request);
+    }
+
+    /// Counts a request for burst detection: a run of parts once, by its first part, and a client's retry not at all.
+    fn record_traffic(&mut self, request: &Request) {
+        let is_later_part = self.class(request).is_multipart && request.part > 0;
+        if request.is_client_retry || is_later_part {
+            return;
+        }
+        let weight = if request.size_kb > 0.0 { request.size_kb } else { 1.0 };
+        let position = cache_position(request.object, request.part);
+        let Some(primary) = self.endpoints.caches().primary(position) else { return };
+        let endpoint = self.endpoints.get_mut(primary);
+        let threshold = endpoint.as_ref().and_then(|endpoint| endpoint.traffic.burst_threshold());
+        match self.bursts.record(request.object, weight, threshold) {
+            BurstStatus::Begins { rate, threshold } => {
+                let change = ModeChange::BurstBegins { object: request.object, rate, threshold };
+                self.mode_changes.push(change);
+            }
+            BurstStatus::Continues => {}
+            BurstStatus::Ordinary => {
+                if let Some(endpoint) = endpoint {
+                    endpoint.traffic.record(weight);
+                }
+            }
+        }
+    }
+
+    /// Accounts for an attempt that is about to be made.
+    fn record_attempt(&mut self, now: Ns, request: &Request, spec: &AttemptSpec) {
+        let cost = self.transfer_times.mean(request.class);
+        if let Some(endpoint) = self.endpoints.get_mut(spec.node) {
+            endpoint.outstanding_direct += 1;
+            endpoint.health.on_direct_attempt(now);
+        }
+        for node in self.involved(spec.node, spec.source) {
+            if let Some(endpoint) = self.endpoints.get_mut(node) {
+                endpoint.outstanding += 1;
+                endpoint.credit -= cost;
+                endpoint.health.on_attempt(now);
+            }
+        }
+    }
+
+    /// The nodes that an attempt may put to work: what a parent asks of its source is the parent's own.
+    fn involved(&self, node: usize, source: Option<usize>) -> impl Iterator<Item = usize> + use<> {
+        let is_cache = self.endpoints.role(node) == Some(EndpointRole::Cache);
+        [Some(node), source.filter(|_| is_cache)].into_iter().flatten()
+    }
+
+    /// Closes the windows of measurements that have ended. After a long quiet time those that would be forgotten anyway
+    /// are skipped.
+    fn close_windows(&mut self, now: Ns) {
+        let ended = now.saturating_sub(self.window_ends_at) / WINDOW;
+        self.window_ends_at += ended.saturating_sub(REMEMBERED_WINDOWS as Ns) * WINDOW;
+        while now >= self.window_ends_at {
+            self.window_ends_at += WINDOW;
+            self.slow_start.close_window(&self.settings, &self.endpoints, now);
+            self.endpoints.close_window();
+            let objects = self.bursts.close_window();
+            if objects > 0 {
+                self.mode_changes.push(ModeChange::BurstsEnd { objects });
+            }
+        }
+        self.history.advance(now);
+    }
+}
+
+/// How many attempts of a request have no outcome yet.
+fn outstanding(request: &Request) -> usize {
+    request.attempts.iter().filter(|attempt| attempt.outcome.is_none()).count()
+}
+
+/// Whether no attempt ever left this director, so that nothing was asked of anyone.
+fn is_never_sent(request: &Request) -> bool {
+    request.attempts.iter().all(|attempt| attempt.outcome == Some(Outcome::NotSent))
+}
--- a/tests/stable_values.rs
+++ b/tests/stable_values.rs
@@ -49,12 +49,10 @@
 
 #[test]
 fn the_ring_keeps_its_members() {
-    let members = vec![
-        (rank("edge-1"), 0, 0),
-        (rank("edge-2"), 1, 0),
-        (rank("edge-3"), 2, 64),
-        (rank("edge-4"), 3, 256),
-    ];
+    let member =
+        |(node, name, withheld_virtual_nodes)| RingMember { rank: rank(name), node, withheld_virtual_nodes };
+    let members =
+        [(0, "edge-1", 0), (1, "edge-2", 0), (2, "edge-3", 64), (3, "edge-4", 256)].map(member).to_vec();
     let ring = HashRing::build(members);
     let owners = |fit: &dyn Fn(usize) -> bool| -> Vec<usize> {
         (0..24).map(|object| ring.owner(cache_position(object, 0), fit).expect("one is fit")).collect()
