--- a/crates/relay/tests/horizon.rs
+++ b/crates/relay/tests/horizon.rs
@@ -2,19 +2,22 @@
 //! one does.
 
 #[allow(dead_code)]
-#[path = "../../../tests/help/mod.rs"]
-mod help;
+#[path = "../../../tests/support/mod.rs"]
+mod support;
 
-use help::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use sablecross::*;
 use sablecross_relay::RetentionWindow;
 use sablecross_relay::retention::PURGE_HOLD_TIME;
+use support::*;
 
 fn with(cleared: Ns, fresh_time: Ns, grace_time: Ns) -> Settings {
-    let kinds =
-        vec![RequestClass { fresh_for: fresh_time, stale_for: grace_time, ..kind(Effect::Idempotent) }];
+    let kinds = vec![RequestClass {
+        fresh_for: fresh_time,
+        stale_for: grace_time,
+        ..class_with_effect(Effect::Idempotent)
+    }];
     Settings { purge_propagation_window: cleared, request_classes: kinds, ..settings() }
 }
 
@@ -22,7 +25,7 @@
 /// purge.
 fn decides(set: &Settings, told: Option<(Option<u64>, Ns)>, from: Ns, seed: u64) -> Vec<RouteDecision> {
     let mut c = Router::new(set.clone(), seed, START);
-    c.update_endpoints(START, &list(4, 2), true);
+    c.update_endpoints(START, &endpoint_list(4, 2), true);
     if let Some((object, at)) = told {
         c.record_purge(at, object, 3, 0);
     }
@@ -30,15 +33,15 @@
     let mut routes = Vec::new();
     for i in 0..60 {
         let now = from + i * 20 * MS;
-        let mut lk = lookup(rng.random_range(0..4), now);
+        let mut lk = new_request(rng.random_range(0..4), now);
         lk.group = if rng.random_bool(0.7) { 3 } else { 4 };
-        let route = go(&mut c, now, &mut lk);
+        let route = route_and_record(&mut c, now, &mut lk);
         if let RouteDecision::Attempt(_) = route {
             let outcomes =
                 [Outcome::Success, Outcome::Success, Outcome::Overloaded, Outcome::Miss, Outcome::TimedOut];
             let outcome = outcomes[rng.random_range(0..outcomes.len())];
-            if end(&mut c, now + 10 * MS, &mut lk, outcome) == NextStep::Retry {
-                routes.push(go(&mut c, now + 12 * MS, &mut lk));
+            if finish_last(&mut c, now + 10 * MS, &mut lk, outcome) == NextStep::Retry {
+                routes.push(route_and_record(&mut c, now + 12 * MS, &mut lk));
             }
         }
         routes.push(route);
--- a/tests/choice.rs
+++ b/tests/router.rs
@@ -1,29 +1,30 @@
 //! Tables of cases for the decision module, without the bench.
 
-mod help;
+mod support;
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use help::*;
 use sablecross::*;
+use support::*;
 
 /// Where each of many objects goes: the cache and the source.
-fn homes(c: &mut Router, objects: u64) -> Vec<(usize, Option<usize>)> {
-    let mut go = |o| look(c, START, o, 10 * MS, Outcome::Success).map(|s| (s.node, s.source));
+fn homes(router: &mut Router, objects: u64) -> Vec<(usize, Option<usize>)> {
+    let mut go =
+        |o| route_and_finish(router, START, o, 10 * MS, Outcome::Success).map(|s| (s.node, s.source));
     (0..objects).map(|o| go(o).expect("sent")).collect()
 }
 
 #[test]
 fn directors_and_restarts_agree_on_the_layout() {
-    let mut turned = list(5, 3);
+    let mut turned = endpoint_list(5, 3);
     turned.reverse();
-    let first = homes(&mut director(settings(), &list(5, 3)), 400);
+    let first = homes(&mut router_with(settings(), &endpoint_list(5, 3)), 400);
     let other = Settings { director_index: 3, ..settings() };
-    assert_eq!(first, homes(&mut director(other, &turned), 400));
+    assert_eq!(first, homes(&mut router_with(other, &turned), 400));
     let elsewhere = Settings { zone: 3, ..settings() };
-    let mut theirs: Vec<EndpointUpdate> = list(0, 3);
-    theirs.extend((10..14).map(|n| EndpointUpdate { zone: 3, ..line(n, 0) }));
-    let far = homes(&mut director(elsewhere, &theirs), 400);
+    let mut theirs: Vec<EndpointUpdate> = endpoint_list(0, 3);
+    theirs.extend((10..14).map(|n| EndpointUpdate { zone: 3, ..endpoint(n, 0) }));
+    let far = homes(&mut router_with(elsewhere, &theirs), 400);
     assert!(first.iter().zip(&far).all(|(a, b)| a.1 == b.1), "fills of an object meet at one parent");
     for (n, share) in (0..5).map(|n| (n, first.iter().filter(|h| h.0 == n).count())) {
         assert!((40..130).contains(&share), "cache {n} has {share} of 400");
@@ -34,11 +35,11 @@
 fn a_lost_members_slices_halve_to_their_neighbours() {
     // (lost of five caches, least of four heirs' shares of it): its small slices lie among all others.
     let cases: [(&[usize], usize); 4] = [(&[2], 7), (&[0], 7), (&[2, 3], 5), (&[1, 2, 3, 4], 1)];
-    let before = homes(&mut director(settings(), &list(5, 2)), 600);
+    let before = homes(&mut router_with(settings(), &endpoint_list(5, 2)), 600);
     for (lost, parts) in cases {
-        let mut lines = list(5, 2);
+        let mut lines = endpoint_list(5, 2);
         lines.iter_mut().filter(|l| lost.contains(&l.node)).for_each(|l| l.state = EndpointState::Draining);
-        let after = homes(&mut director(settings(), &lines), 600);
+        let after = homes(&mut router_with(settings(), &lines), 600);
         let mut taken: BTreeMap<usize, usize> = BTreeMap::new();
         for (b, a) in before.iter().zip(&after) {
             if lost.contains(&b.0) {
@@ -52,28 +53,28 @@
         assert!(taken.values().all(|&t| parts * t >= total), "spread: {taken:?}");
         // Found once: a member that is gone from the list, or back and still cold, leaves them their owners.
         lines.retain(|l| !lost.contains(&l.node));
-        assert_eq!(after, homes(&mut director(settings(), &lines), 600), "gone");
-        let mut back = list(5, 2);
+        assert_eq!(after, homes(&mut router_with(settings(), &lines), 600), "gone");
+        let mut back = endpoint_list(5, 2);
         back.iter_mut().filter(|l| lost.contains(&l.node)).for_each(|l| l.started_at = START);
-        let mut c = director(settings(), &back);
-        let cold = homes(&mut c, 60);
+        let mut router = router_with(settings(), &back);
+        let cold = homes(&mut router, 60);
         assert_eq!(after[..60].iter().filter(|s| cold.contains(s)).count(), 60);
     }
 }
 
 #[test]
 fn a_change_of_the_list_moves_one_members_share() {
-    let before = homes(&mut director(settings(), &list(5, 2)), 600);
-    let after = homes(&mut director(settings(), &list(6, 2)), 600);
+    let before = homes(&mut router_with(settings(), &endpoint_list(5, 2)), 600);
+    let after = homes(&mut router_with(settings(), &endpoint_list(6, 2)), 600);
     let moved = before.iter().zip(&after).filter(|(b, a)| b.0 != a.0);
     assert!(moved.clone().all(|(_, a)| a.0 == 5));
     assert!((60..150).contains(&moved.count()));
-    let mut c = director(settings(), &list(5, 2));
-    assert_eq!(mode_lines(&mut c, "list"), 0, "no line for the first list");
-    c.update_endpoints(START, &list(5, 2), true);
-    assert_eq!(mode_lines(&mut c, "list"), 0, "no line without a change");
-    c.update_endpoints(START, &list(6, 2), true);
-    assert_eq!(mode_lines(&mut c, "list members=6 before=5"), 1);
+    let mut router = router_with(settings(), &endpoint_list(5, 2));
+    assert_eq!(count_log_lines(&mut router, "list"), 0, "no line for the first list");
+    router.update_endpoints(START, &endpoint_list(5, 2), true);
+    assert_eq!(count_log_lines(&mut router, "list"), 0, "no line without a change");
+    router.update_endpoints(START, &endpoint_list(6, 2), true);
+    assert_eq!(count_log_lines(&mut router, "list members=6 before=5"), 1);
 }
 
 #[test]
@@ -87,10 +88,10 @@
         (2, 0, false, Some((true, None))),
     ];
     for (caches, parents, origin, want) in cases {
-        let mut lines = list(caches, parents);
+        let mut lines = endpoint_list(caches, parents);
         lines.retain(|l| origin || l.node != ORIGIN);
-        let mut c = director(settings(), &lines);
-        match (c.route(START, &lookup(5, START)), want) {
+        let mut router = router_with(settings(), &lines);
+        match (router.route(START, &new_request(5, START)), want) {
             (RouteDecision::Attempt(s), Some((cache, source))) => {
                 assert_eq!((s.node < 50, s.source), (cache, source));
             }
@@ -99,21 +100,21 @@
         }
     }
     let mut unlisted = Router::new(settings(), 1, START);
-    assert!(matches!(unlisted.route(START, &lookup(5, START)), RouteDecision::Reject { .. }));
+    assert!(matches!(unlisted.route(START, &new_request(5, START)), RouteDecision::Reject { .. }));
 }
 
 #[test]
 fn every_lookup_has_its_answer_before_the_deadline() {
     // The sending time is 100 ms: with less than most of that left it is given up at once.
     for left in [0, MS, 4 * MS, 60 * MS, 80 * MS, 400 * MS] {
-        let mut c = director(settings(), &list(3, 2));
-        let mut lk = Request { deadline: START + left, ..lookup(1, START) };
-        match go(&mut c, START, &mut lk) {
+        let mut router = router_with(settings(), &endpoint_list(3, 2));
+        let mut request = Request { deadline: START + left, ..new_request(1, START) };
+        match route_and_record(&mut router, START, &mut request) {
             RouteDecision::Attempt(s) => {
                 assert!(s.timeout < left, "the last time-out leaves time to answer");
                 let now = START + s.timeout;
-                assert_eq!(end(&mut c, now, &mut lk, Outcome::TimedOut), NextStep::Retry);
-                assert!(matches!(c.route(now, &lk), RouteDecision::Reject { .. }));
+                assert_eq!(finish_last(&mut router, now, &mut request, Outcome::TimedOut), NextStep::Retry);
+                assert!(matches!(router.route(now, &request), RouteDecision::Reject { .. }));
             }
             route => {
                 assert!(left <= 60 * MS && matches!(route, RouteDecision::Reject { .. }), "{left} {route:?}")
@@ -121,14 +122,14 @@
         }
     }
     // Satisfied ends it, and what is still out is called off.
-    let mut c = director(settings(), &list(3, 2));
-    let mut lk = lookup(1, START);
-    go(&mut c, START, &mut lk);
-    let wait = c.next_check(START, &lk).expect("a second copy is possible");
-    assert!(matches!(go(&mut c, START + wait, &mut lk), RouteDecision::Attempt(_)));
-    assert_ne!(lk.attempts[0].node, lk.attempts[1].node);
+    let mut router = router_with(settings(), &endpoint_list(3, 2));
+    let mut request = new_request(1, START);
+    route_and_record(&mut router, START, &mut request);
+    let wait = router.next_check(START, &request).expect("a second copy is possible");
+    assert!(matches!(route_and_record(&mut router, START + wait, &mut request), RouteDecision::Attempt(_)));
+    assert_ne!(request.attempts[0].node, request.attempts[1].node);
     assert_eq!(
-        end(&mut c, START + wait + MS, &mut lk, Outcome::Success),
+        finish_last(&mut router, START + wait + MS, &mut request, Outcome::Success),
         NextStep::Done { cancel_outstanding: true }
     );
 }
@@ -158,42 +159,48 @@
         (dedup(DeduplicationScope::Cell), Overloaded, MS, true, true),
     ];
     for (effect, outcome, after, again, nack) in cases {
-        let set = Settings { request_classes: vec![kind(effect)], ..settings() };
-        let mut c = director(set, &list(4, 2));
-        let mut lk = lookup(8, START);
-        go(&mut c, START, &mut lk);
+        let set = Settings { request_classes: vec![class_with_effect(effect)], ..settings() };
+        let mut router = router_with(set, &endpoint_list(4, 2));
+        let mut request = new_request(8, START);
+        route_and_record(&mut router, START, &mut request);
         if effect == Effect::SideEffecting {
-            assert_eq!(c.route(START + SEC, &lk), RouteDecision::Wait, "no second copy");
+            assert_eq!(router.route(START + SEC, &request), RouteDecision::Wait, "no second copy");
         }
-        assert_eq!(end(&mut c, START + after, &mut lk, outcome), NextStep::Retry);
-        let route = c.route(START + after, &lk);
+        assert_eq!(finish_last(&mut router, START + after, &mut request, outcome), NextStep::Retry);
+        let route = router.route(START + after, &request);
         assert_eq!(matches!(route, RouteDecision::Attempt(_)), again, "{effect:?} {outcome:?} {route:?}");
-        let route = c.route(lk.deadline, &lk);
+        let route = router.route(request.deadline, &request);
         assert_eq!(matches!(route, RouteDecision::Reject { .. }), nack, "{effect:?} {outcome:?}");
         assert_eq!(route == RouteDecision::Fail, !nack);
     }
     // A cell's repeats stay in the cell.
     for object in 0..50 {
-        let set = Settings { request_classes: vec![kind(dedup(DeduplicationScope::Cell))], ..settings() };
-        let mut c = director(set, &list(4, 2));
-        let mut lk = lookup(object, START);
-        go(&mut c, START, &mut lk);
-        end(&mut c, START + MS, &mut lk, Outcome::Error);
-        if let RouteDecision::Attempt(s) = c.route(START + MS, &lk) {
-            assert_eq!(s.node / 2, lk.attempts[0].node / 2);
+        let set = Settings {
+            request_classes: vec![class_with_effect(dedup(DeduplicationScope::Cell))],
+            ..settings()
+        };
+        let mut router = router_with(set, &endpoint_list(4, 2));
+        let mut request = new_request(object, START);
+        route_and_record(&mut router, START, &mut request);
+        finish_last(&mut router, START + MS, &mut request, Outcome::Error);
+        if let RouteDecision::Attempt(s) = router.route(START + MS, &request) {
+            assert_eq!(s.node / 2, request.attempts[0].node / 2);
         }
     }
 }
 
 #[test]
 fn what_never_left_spends_no_further_send() {
-    let mut c = director(settings(), &list(4, 2));
+    let mut router = router_with(settings(), &endpoint_list(4, 2));
     for object in 0..40 {
-        let mut lk = lookup(object, START);
-        go(&mut c, START, &mut lk);
-        end(&mut c, START, &mut lk, Outcome::NotSent);
-        assert!(matches!(go(&mut c, START, &mut lk), RouteDecision::Attempt(_)), "{object}");
-        end(&mut c, START + MS, &mut lk, Outcome::Success);
+        let mut request = new_request(object, START);
+        route_and_record(&mut router, START, &mut request);
+        finish_last(&mut router, START, &mut request, Outcome::NotSent);
+        assert!(
+            matches!(route_and_record(&mut router, START, &mut request), RouteDecision::Attempt(_)),
+            "{object}"
+        );
+        finish_last(&mut router, START + MS, &mut request, Outcome::Success);
     }
 }
 
@@ -211,25 +218,29 @@
     for (after, outcome, nack) in cases {
         for pauses in [true, false] {
             let set = Settings {
-                request_classes: vec![kind(effect)],
+                request_classes: vec![class_with_effect(effect)],
                 may_send_retry_after: pauses,
                 max_attempts: 2,
                 ..settings()
             };
-            let mut c = director(set, &list(4, 2));
-            let mut lk = lookup(8, START);
-            let RouteDecision::Attempt(first) = go(&mut c, START, &mut lk) else { panic!("sent") };
+            let mut router = router_with(set, &endpoint_list(4, 2));
+            let mut request = new_request(8, START);
+            let RouteDecision::Attempt(first) = route_and_record(&mut router, START, &mut request) else {
+                panic!("sent")
+            };
             assert_eq!(first.begin_by, Ns::MAX);
-            end(&mut c, START + after, &mut lk, outcome);
+            finish_last(&mut router, START + after, &mut request, outcome);
             if nack && outcome != Outcome::Overloaded {
                 // A further send may wait for its connection: no longer than the nodes know it.
-                let RouteDecision::Attempt(next) = c.route(START + after, &lk) else { panic!("sent again") };
+                let RouteDecision::Attempt(next) = router.route(START + after, &request) else {
+                    panic!("sent again")
+                };
                 assert_eq!(next.begin_by, START + SEC);
             }
-            lk.deadline = START + after;
-            let RouteDecision::Reject { retry_after: pause } = c.route(START + after, &lk) else {
+            request.deadline = START + after;
+            let RouteDecision::Reject { retry_after: pause } = router.route(START + after, &request) else {
                 assert!(!nack, "{after} {outcome:?}");
-                assert_eq!(c.route(START + after, &lk), RouteDecision::Fail);
+                assert_eq!(router.route(START + after, &request), RouteDecision::Fail);
                 continue;
             };
             assert!(nack && (pause > 0) == pauses, "{after} {outcome:?}");
@@ -242,16 +253,17 @@
 fn nothing_goes_to_a_drained_or_gone_node() {
     for state in [EndpointState::Draining, EndpointState::Gone] {
         for whole in [false, true] {
-            let mut c = director(settings(), &list(4, 3));
+            let mut router = router_with(settings(), &endpoint_list(4, 3));
             let lost = |n: usize| n == 1 || n == 51;
-            let mut lines = list(4, 3);
+            let mut lines = endpoint_list(4, 3);
             lines.retain(|l| {
                 if whole && state == EndpointState::Gone { !lost(l.node) } else { whole || lost(l.node) }
             });
             lines.iter_mut().filter(|l| lost(l.node)).for_each(|l| l.state = state);
-            c.update_endpoints(START, &lines, whole);
+            router.update_endpoints(START, &lines, whole);
             for o in 0..300 {
-                let s = look(&mut c, START + o * 20 * MS, o, 10 * MS, Outcome::Success).expect("sent");
+                let s = route_and_finish(&mut router, START + o * 20 * MS, o, 10 * MS, Outcome::Success)
+                    .expect("sent");
                 assert!(!lost(s.node) && !s.source.is_some_and(lost), "{state:?} {s:?}");
             }
         }
@@ -267,11 +279,12 @@
         let names = |s: &AttemptSpec| s.node == cold || s.source == Some(cold);
         let mut counts = [0.0; 2];
         for (i, started) in [0, START - age * SEC].into_iter().enumerate() {
-            let mut lines = list(4, 2);
+            let mut lines = endpoint_list(4, 2);
             lines.iter_mut().filter(|l| l.node == cold).for_each(|l| l.started_at = started);
-            let mut c = director(settings(), &lines);
+            let mut router = router_with(settings(), &lines);
             for o in 0..1_000 {
-                let s = look(&mut c, START + o * 10 * MS, o, 5 * MS, Outcome::Success).expect("sent");
+                let s = route_and_finish(&mut router, START + o * 10 * MS, o, 5 * MS, Outcome::Success)
+                    .expect("sent");
                 counts[i] += f64::from(u8::from(names(&s)));
             }
         }
@@ -282,14 +295,14 @@
 
 #[test]
 fn all_directors_together_stay_under_a_cold_nodes_fall() {
-    let mut lines = list(3, 2);
+    let mut lines = endpoint_list(3, 2);
     lines.iter_mut().for_each(|l| l.started_at = if l.node == ORIGIN { 0 } else { START });
-    let mut team = team(3, &lines);
+    let mut team = routers_sharing_zone(3, &lines);
     let mut work = [0.0; 3];
     for o in 0..1_500_u64 {
         let now = START + o * 2 * MS;
         let d = (o % 3) as usize;
-        let send = look(&mut team[d], now, o, 5 * MS, Outcome::Success);
+        let send = route_and_finish(&mut team[d], now, o, 5 * MS, Outcome::Success);
         if let Some(s) = send.filter(|s| s.node < 3) {
             work[s.node] += 100.0 * MS as f64;
         }
@@ -307,19 +320,19 @@
     // seconds a cache falls at three times 0.26 of that, a parent at twice 0.17. Clients repeat unmarked.
     for (caches, parents, fresh, served, most) in [(2, 2, 1, 28, 89), (7, 1, 50, 1, 134), (7, 2, 50, 1, 134)]
     {
-        let mut team = team(4, &list(7, 2));
+        let mut team = routers_sharing_zone(4, &endpoint_list(7, 2));
         for o in 0..8_000 {
-            look(&mut team[o as usize % 4], START + o * SEC / 800, o, 50 * MS, Outcome::Success);
+            route_and_finish(&mut team[o as usize % 4], START + o * SEC / 800, o, 50 * MS, Outcome::Success);
         }
         let then = START + 10 * SEC;
-        let mut lines = list(caches, parents);
+        let mut lines = endpoint_list(caches, parents);
         lines.iter_mut().filter(|l| l.node == fresh).for_each(|l| l.started_at = then);
-        team.iter_mut().for_each(|c| c.update_endpoints(then, &lines, true));
+        team.iter_mut().for_each(|router| router.update_endpoints(then, &lines, true));
         let mut pushed = 0;
         for o in 0..9_600 {
             let now = then + o * SEC / 3_200;
             let outcome = if o % served == 0 { Outcome::Success } else { Outcome::Overloaded };
-            let sent = look(&mut team[o as usize % 4], now, o / 4, 50 * MS, outcome);
+            let sent = route_and_finish(&mut team[o as usize % 4], now, o / 4, 50 * MS, outcome);
             let names = |s: &AttemptSpec| s.node == fresh || s.source == Some(fresh);
             pushed += usize::from(sent.as_ref().is_some_and(names));
         }
@@ -333,20 +346,26 @@
     // (directors, the fresh member, seconds of quiet before a surge of four times the load begins)
     let cases = [4, 20, 30].into_iter().flat_map(|n| [1, 50].map(|m| [(n, m, 0), (n, m, 5)])).flatten();
     for (size, fresh, quiet) in cases {
-        let mut team = team(size, &list(7, 3));
+        let mut team = routers_sharing_zone(size, &endpoint_list(7, 3));
         for o in 0..16_000 {
-            look(&mut team[o as usize % size], START + o * SEC / 800, o, 50 * MS, Outcome::Success);
+            route_and_finish(
+                &mut team[o as usize % size],
+                START + o * SEC / 800,
+                o,
+                50 * MS,
+                Outcome::Success,
+            );
         }
         let then = START + 20 * SEC;
-        let mut lines = list(7, 3);
+        let mut lines = endpoint_list(7, 3);
         lines.iter_mut().filter(|l| l.node == fresh).for_each(|l| l.started_at = then);
-        team.iter_mut().for_each(|c| c.update_endpoints(then, &lines, true));
+        team.iter_mut().for_each(|router| router.update_endpoints(then, &lines, true));
         let surge = then + quiet * SEC;
         let mut calls = Vec::new();
         for o in 0..16_000 {
             let now = surge + o * SEC / 3_200;
             let outcome = if o % 4 == 0 { Outcome::Success } else { Outcome::Overloaded };
-            let sent = look(&mut team[o as usize % size], now, 20_000 + o / 4, 50 * MS, outcome);
+            let sent = route_and_finish(&mut team[o as usize % size], now, 20_000 + o / 4, 50 * MS, outcome);
             if sent.is_some_and(|s| s.node == fresh || s.source == Some(fresh)) {
                 calls.push(now);
             }
@@ -366,17 +385,17 @@
 
 #[test]
 fn the_parent_that_serves_all_is_no_measure_for_a_fresh_one() {
-    let mut team = team(4, &list(7, 3));
+    let mut team = routers_sharing_zone(4, &endpoint_list(7, 3));
     let then = START + 10 * SEC;
-    let mut lines = list(7, 2);
+    let mut lines = endpoint_list(7, 2);
     lines.iter_mut().filter(|l| l.node == 51).for_each(|l| l.started_at = then);
     let mut asked = 0;
     for o in 0..20 * 800 {
         let now = START + o * SEC / 800;
         if now == then {
-            team.iter_mut().for_each(|c| c.update_endpoints(then, &lines, true));
+            team.iter_mut().for_each(|router| router.update_endpoints(then, &lines, true));
         }
-        let sent = look(&mut team[o as usize % 4], now, o, 50 * MS, Outcome::Success);
+        let sent = route_and_finish(&mut team[o as usize % 4], now, o, 50 * MS, Outcome::Success);
         asked += usize::from(now >= START + 18 * SEC && sent.is_some_and(|s| s.source == Some(51)));
     }
     // Three parents bore 267 lookups a second each. A fresh one, in its ninth and tenth second at half its
@@ -386,7 +405,8 @@
 
 #[test]
 fn no_answer_is_older_than_a_known_purge() {
-    let fresh = RequestClass { fresh_for: 20 * SEC, stale_for: 30 * SEC, ..kind(Effect::Idempotent) };
+    let fresh =
+        RequestClass { fresh_for: 20 * SEC, stale_for: 30 * SEC, ..class_with_effect(Effect::Idempotent) };
     let set = Settings { request_classes: vec![fresh], ..settings() };
     // (object purged, group purged, made how long ago, asked how long after, oldest copy)
     let cases = [
@@ -401,16 +421,20 @@
         (None, 4, SEC, 0, None),
     ];
     for (object, group, ago, later, oldest) in cases {
-        let mut c = director(set.clone(), &list(3, 2));
-        c.record_purge(START, object, group, ago);
-        c.record_purge(START, object, group, ago + 3 * SEC);
+        let mut router = router_with(set.clone(), &endpoint_list(3, 2));
+        router.record_purge(START, object, group, ago);
+        router.record_purge(START, object, group, ago + 3 * SEC);
         let now = START + later;
-        let mut lk = lookup(5, now);
-        let RouteDecision::Attempt(s) = go(&mut c, now, &mut lk) else { panic!("sent") };
+        let mut request = new_request(5, now);
+        let RouteDecision::Attempt(s) = route_and_record(&mut router, now, &mut request) else {
+            panic!("sent")
+        };
         assert_eq!(s.max_age, oldest, "{object:?} {group} {ago} {later}");
         // A further send after a failed fill takes a grace copy, but none from before the purge.
-        end(&mut c, now + 10 * MS, &mut lk, Outcome::Overloaded);
-        let RouteDecision::Attempt(s) = go(&mut c, now + 10 * MS, &mut lk) else { panic!("sent again") };
+        finish_last(&mut router, now + 10 * MS, &mut request, Outcome::Overloaded);
+        let RouteDecision::Attempt(s) = route_and_record(&mut router, now + 10 * MS, &mut request) else {
+            panic!("sent again")
+        };
         assert_eq!(
             s.max_age,
             oldest
@@ -427,51 +451,58 @@
     let varied = [40, 60, 50, 45, 55, 50, 62, 41, 50, 47, 53, 50];
     let cases: [(&[u64], bool); 3] = [(&varied, true), (&[50; 12], false), (&varied[..2], false)];
     for (windows, burst) in cases {
-        let mut c = director(settings(), &list(4, 2));
+        let mut router = router_with(settings(), &endpoint_list(4, 2));
         let mut now = START + MS;
         for &count in windows {
             for i in 0..count * 4 {
-                look(&mut c, now + i, 10_000 + i, MS, Outcome::Success);
+                route_and_finish(&mut router, now + i, 10_000 + i, MS, Outcome::Success);
             }
             now += 2 * SEC + 3 * MS;
         }
-        c.take_log_lines();
+        router.take_log_lines();
         let mut nodes = BTreeSet::new();
         for i in 0..400 {
-            if let Some(s) = look(&mut c, now + i * MS, 3, MS, Outcome::Success) {
+            if let Some(s) = route_and_finish(&mut router, now + i * MS, 3, MS, Outcome::Success) {
                 nodes.insert(s.node);
             }
         }
-        assert_eq!(mode_lines(&mut c, "burst object=3"), usize::from(burst), "{windows:?}");
+        assert_eq!(count_log_lines(&mut router, "burst object=3"), usize::from(burst), "{windows:?}");
         assert_eq!(nodes.len(), if burst { 3 } else { 1 });
         now += 5 * SEC;
-        look(&mut c, now, 3, MS, Outcome::Success);
-        look(&mut c, now + 3 * SEC, 3, MS, Outcome::Success);
-        assert_eq!(mode_lines(&mut c, "burst over"), usize::from(burst), "{windows:?}");
+        route_and_finish(&mut router, now, 3, MS, Outcome::Success);
+        route_and_finish(&mut router, now + 3 * SEC, 3, MS, Outcome::Success);
+        assert_eq!(count_log_lines(&mut router, "burst over"), usize::from(burst), "{windows:?}");
     }
 }
 
 #[test]
 fn a_failing_cache_gets_only_trials_until_it_is_well() {
     for outcome in [Outcome::Error, Outcome::ConnectionLost, Outcome::ConnectFailed] {
-        let mut c = director(settings(), &list(4, 2));
+        let mut router = router_with(settings(), &endpoint_list(4, 2));
         let mut now = START;
         let mut hits = 0;
         for o in 0..2_000_u64 {
             now += 5 * MS;
-            let mut lk = lookup(o, now);
-            let RouteDecision::Attempt(s) = go(&mut c, now, &mut lk) else { continue };
+            let mut request = new_request(o, now);
+            let RouteDecision::Attempt(s) = route_and_record(&mut router, now, &mut request) else {
+                continue;
+            };
             let ill = s.node == 2;
             hits += u32::from(ill && o > 400);
-            end(&mut c, now + 2 * MS, &mut lk, if ill { outcome } else { Outcome::Success });
+            finish_last(
+                &mut router,
+                now + 2 * MS,
+                &mut request,
+                if ill { outcome } else { Outcome::Success },
+            );
         }
-        assert_eq!(mode_lines(&mut c, "down node=2"), 1, "{outcome:?}");
+        assert_eq!(count_log_lines(&mut router, "down node=2"), 1, "{outcome:?}");
         assert!(hits < 10, "{hits} sends to a failing cache");
         for o in 0..2_000 {
             now += 5 * MS;
-            look(&mut c, now, o, 2 * MS, Outcome::Success);
+            route_and_finish(&mut router, now, o, 2 * MS, Outcome::Success);
         }
-        assert_eq!(mode_lines(&mut c, "up node=2"), 1);
+        assert_eq!(count_log_lines(&mut router, "up node=2"), 1);
     }
 }
 
@@ -480,12 +511,14 @@
     // (whether the parent itself fails, whose fills fail): only looks at the parent judge it down.
     let cases: [(bool, &[usize]); 3] = [(true, &[51]), (false, &[51]), (false, &[50, 51])];
     for (ill, cut) in cases {
-        let mut c = director(settings(), &list(4, 2));
+        let mut router = router_with(settings(), &endpoint_list(4, 2));
         let (mut looks, mut lines) = (0, Vec::new());
         for o in 0..3_000_u64 {
             let now = START + o * 10 * MS;
-            let mut lk = lookup(o, now);
-            let RouteDecision::Attempt(s) = go(&mut c, now, &mut lk) else { continue };
+            let mut request = new_request(o, now);
+            let RouteDecision::Attempt(s) = route_and_record(&mut router, now, &mut request) else {
+                continue;
+            };
             let at_parent = s.node >= 50;
             looks += u32::from(at_parent && s.source.is_none());
             let outcome = match (at_parent, s.source) {
@@ -494,14 +527,15 @@
                 (false, Some(p)) if cut.contains(&p) => Outcome::Error,
                 _ => Outcome::Success,
             };
-            if end(&mut c, now + 60 * MS, &mut lk, outcome) == NextStep::Retry
-                && let RouteDecision::Attempt(again) = go(&mut c, now + 60 * MS, &mut lk)
+            if finish_last(&mut router, now + 60 * MS, &mut request, outcome) == NextStep::Retry
+                && let RouteDecision::Attempt(again) =
+                    route_and_record(&mut router, now + 60 * MS, &mut request)
                 && cut == [51]
                 && s.source == Some(51)
             {
                 assert_ne!(again.source, Some(51), "a failed fill is asked of the other parent");
             }
-            lines.extend(c.take_log_lines().into_iter().filter(|l| l.starts_with("down")));
+            lines.extend(router.take_log_lines().into_iter().filter(|l| l.starts_with("down")));
         }
         assert!(looks > 0);
         assert_eq!(lines.iter().any(|l| l.contains("node=51")), ill, "{lines:?}");
@@ -513,13 +547,15 @@
     // (directors, most answers past the budget until large copies get no fill): of many each sees little.
     for (directors, most) in [(1, 20), (4, 14), (300, 4)] {
         let set = Settings { directors_per_zone: vec![0, 0, directors], ..settings() };
-        let mut c = director(set, &list(1, 1));
+        let mut router = router_with(set, &endpoint_list(1, 1));
         let mut ask = |i: u64, took: Ns| {
             let now = START + i * 250 * MS;
             let size_kb = if i.is_multiple_of(5) { 800.0 } else { 40.0 };
-            let mut lk = Request { size_kb, deadline: now + 9 * SEC, ..lookup(i, now) };
-            let RouteDecision::Attempt(s) = go(&mut c, now, &mut lk) else { return (size_kb, false) };
-            end(&mut c, now + took, &mut lk, Outcome::Success);
+            let mut request = Request { size_kb, deadline: now + 9 * SEC, ..new_request(i, now) };
+            let RouteDecision::Attempt(s) = route_and_record(&mut router, now, &mut request) else {
+                return (size_kb, false);
+            };
+            finish_last(&mut router, now + took, &mut request, Outcome::Success);
             (size_kb, s.source.is_some())
         };
         assert!((0..40).all(|i| ask(i, 60 * MS).1), "all are filled while answers come in time");
@@ -532,12 +568,12 @@
 
 #[test]
 fn a_crowded_home_spills_unkept_and_then_nacks() {
-    let mut c = director(settings(), &list(3, 2));
-    let home = look(&mut c, START, 1, MS, Outcome::Success).expect("sent").node;
+    let mut router = router_with(settings(), &endpoint_list(3, 2));
+    let home = route_and_finish(&mut router, START, 1, MS, Outcome::Success).expect("sent").node;
     let (mut at_home, mut spilt, mut straight, mut nacked) = (0, 0, 0, 0);
     for _ in 0..200 {
-        let mut lk = Request { size_kb: 3_000.0, ..lookup(1, START + MS) };
-        match go(&mut c, START + MS, &mut lk) {
+        let mut request = Request { size_kb: 3_000.0, ..new_request(1, START + MS) };
+        match route_and_record(&mut router, START + MS, &mut request) {
             RouteDecision::Attempt(s) if s.node == home => at_home += 1,
             RouteDecision::Attempt(s) if s.node < 50 => {
                 assert_eq!(s.retention_rank, 0);
@@ -559,13 +595,13 @@
 
 #[test]
 fn unknown_sizes_and_reports_are_no_hindrance() {
-    let mut c = director(settings(), &list(4, 2));
+    let mut router = router_with(settings(), &endpoint_list(4, 2));
     for i in 0..300 {
-        let mut lk = Request { size_kb: 0.0, ..lookup(i % 20, START + i * 30 * MS) };
-        let now = lk.arrived_at;
-        assert!(matches!(go(&mut c, now, &mut lk), RouteDecision::Attempt(_)));
-        assert!(c.next_check(now, &lk).is_some_and(|w| w < 4 * SEC));
-        end(&mut c, now + 50 * MS, &mut lk, Outcome::Success);
+        let mut request = Request { size_kb: 0.0, ..new_request(i % 20, START + i * 30 * MS) };
+        let now = request.arrived_at;
+        assert!(matches!(route_and_record(&mut router, now, &mut request), RouteDecision::Attempt(_)));
+        assert!(router.next_check(now, &request).is_some_and(|w| w < 4 * SEC));
+        finish_last(&mut router, now + 50 * MS, &mut request, Outcome::Success);
     }
 }
 
@@ -586,20 +622,24 @@
         (Some(LoadReport { link_utilization: Some(3.0), ..idle }), None, true),
     ];
     for (load, hit, shrinks) in cases {
-        let mut c = director(settings(), &list(1, 0));
+        let mut router = router_with(settings(), &endpoint_list(1, 0));
         for o in 0..40 {
             let now = START + o * 20 * MS;
-            let mut lk = Request { deadline: now + 9 * SEC, ..lookup(o, now) };
-            let RouteDecision::Attempt(s) = go(&mut c, now, &mut lk) else { continue };
+            let mut request = Request { deadline: now + 9 * SEC, ..new_request(o, now) };
+            let RouteDecision::Attempt(s) = route_and_record(&mut router, now, &mut request) else {
+                continue;
+            };
             if let Some(load) = load {
-                c.record_load(now + SEC, s.node, load);
+                router.record_load(now + SEC, s.node, load);
             }
-            lk.attempts[0].outcome = Some(Outcome::Success);
-            c.on_outcome(now + SEC, &lk, 0, SEC, hit);
+            request.attempts[0].outcome = Some(Outcome::Success);
+            router.on_outcome(now + SEC, &request, 0, SEC, hit);
         }
         let mut taken = 0;
         let later = START + 2 * SEC;
-        while let RouteDecision::Attempt(_) = go(&mut c, later, &mut lookup(1_000 + taken, later)) {
+        while let RouteDecision::Attempt(_) =
+            route_and_record(&mut router, later, &mut new_request(1_000 + taken, later))
+        {
             taken += 1;
         }
         assert_eq!(taken < 10, shrinks, "{load:?} {hit:?}: {taken}");
@@ -608,19 +648,19 @@
 
 #[test]
 fn second_copies_stop_while_all_are_slow() {
-    let mut c = director(settings(), &list(4, 2));
+    let mut router = router_with(settings(), &endpoint_list(4, 2));
     let mut jams = Vec::new();
     let phases =
         [(START, 120 * MS, true), (START + 40 * SEC, 3 * SEC, false), (START + 90 * SEC, 120 * MS, true)];
     for (start, took, copies) in phases {
         for o in 0..200 {
-            look(&mut c, start + o * 40 * MS, o, took, Outcome::Success);
+            route_and_finish(&mut router, start + o * 40 * MS, o, took, Outcome::Success);
         }
-        let mut lk = lookup(3, start + 38 * SEC);
-        go(&mut c, start + 38 * SEC, &mut lk);
-        let route = c.route(start + 39 * SEC, &lk);
+        let mut request = new_request(3, start + 38 * SEC);
+        route_and_record(&mut router, start + 38 * SEC, &mut request);
+        let route = router.route(start + 39 * SEC, &request);
         assert_eq!(matches!(route, RouteDecision::Attempt(_)), copies, "{took}");
-        jams.push(mode_lines(&mut c, "jam"));
+        jams.push(count_log_lines(&mut router, "jam"));
     }
     assert_eq!(jams, [0, 1, 1], "one line as it begins, one as it ends");
 }
@@ -630,24 +670,27 @@
     // (directors, caches, most out at once of one director): hundreds share the one origin.
     for (directors, caches, most) in [(1, 4, 5), (4, 4, 3), (300, 4, 1), (300, 1, 1)] {
         let set = Settings { directors_per_zone: vec![0, 0, directors], ..settings() };
-        let mut c = director(set, &list(caches, 0));
+        let mut router = router_with(set, &endpoint_list(caches, 0));
         let mut out_at_once = Vec::new();
         for round in 0..2 {
             let mut held = Vec::new();
             for o in 0..200 {
                 let now = START + round * SEC + o * MS;
-                let mut lk = lookup(o, now);
-                match go(&mut c, now, &mut lk) {
-                    RouteDecision::Attempt(s) if s.source == Some(ORIGIN) => held.push(lk),
+                let mut request = new_request(o, now);
+                match route_and_record(&mut router, now, &mut request) {
+                    RouteDecision::Attempt(s) if s.source == Some(ORIGIN) => held.push(request),
                     RouteDecision::Attempt(_) => {
-                        assert_eq!(end(&mut c, now, &mut lk, Outcome::Miss), NextStep::Retry)
+                        assert_eq!(
+                            finish_last(&mut router, now, &mut request, Outcome::Miss),
+                            NextStep::Retry
+                        )
                     }
                     _ => {}
                 }
             }
             out_at_once.push(held.len());
-            for mut lk in held {
-                end(&mut c, START + (round + 1) * SEC, &mut lk, Outcome::Error);
+            for mut request in held {
+                finish_last(&mut router, START + (round + 1) * SEC, &mut request, Outcome::Error);
             }
         }
         assert!((1..=most).contains(&out_at_once[0]), "{directors}: {out_at_once:?}");
@@ -659,18 +702,18 @@
 fn a_silent_cache_is_found_sooner_than_a_slow_one() {
     // (whether the cache answers other lookups meanwhile, most time-outs until it is down)
     for (answers, least, most) in [(false, 2, 2), (true, 4, 20)] {
-        let mut c = director(settings(), &list(1, 2));
+        let mut router = router_with(settings(), &endpoint_list(1, 2));
         let mut times = 0;
-        while mode_lines(&mut c, "down node=0") == 0 && times < 30 {
+        while count_log_lines(&mut router, "down node=0") == 0 && times < 30 {
             let now = START + times * 10 * SEC;
-            let (mut lk, mut other) = (lookup(times, now), lookup(900 + times, now));
-            go(&mut c, now, &mut lk);
-            go(&mut c, now, &mut other);
+            let (mut request, mut other) = (new_request(times, now), new_request(900 + times, now));
+            route_and_record(&mut router, now, &mut request);
+            route_and_record(&mut router, now, &mut other);
             if answers {
-                end(&mut c, now + SEC, &mut other, Outcome::Success);
+                finish_last(&mut router, now + SEC, &mut other, Outcome::Success);
             }
-            lk.attempts[0].outcome = Some(Outcome::TimedOut);
-            c.on_outcome(now + 3 * SEC, &lk, 0, 3 * SEC, None);
+            request.attempts[0].outcome = Some(Outcome::TimedOut);
+            router.on_outcome(now + 3 * SEC, &request, 0, 3 * SEC, None);
             times += 1;
         }
         assert!((least..=most).contains(&times), "{answers}: {times}");
@@ -682,20 +725,23 @@
 fn clients_that_give_too_little_time_take_no_member_down() {
     let run = |given: Ns| {
         let set = Settings { directors_per_zone: vec![0, 0, 8], ..settings() };
-        let mut c = director(set, &list(4, 2));
+        let mut router = router_with(set, &endpoint_list(4, 2));
         for n in 0..200 {
             let now = START + n * 50 * MS;
-            let mut lk = Request { deadline: now + given, ..lookup(n % 7, now) };
-            if let RouteDecision::Attempt(_) = go(&mut c, now, &mut lk) {
-                end(&mut c, now + given - 4 * MS, &mut lk, Outcome::TimedOut);
+            let mut request = Request { deadline: now + given, ..new_request(n % 7, now) };
+            if let RouteDecision::Attempt(_) = route_and_record(&mut router, now, &mut request) {
+                finish_last(&mut router, now + given - 4 * MS, &mut request, Outcome::TimedOut);
             }
         }
         let now = START + 11 * SEC;
         let mut sent = 0;
         for n in 0..20 {
-            sent += usize::from(matches!(go(&mut c, now, &mut lookup(n, now)), RouteDecision::Attempt(_)));
+            sent += usize::from(matches!(
+                route_and_record(&mut router, now, &mut new_request(n, now)),
+                RouteDecision::Attempt(_)
+            ));
         }
-        (mode_lines(&mut c, "down "), sent)
+        (count_log_lines(&mut router, "down "), sent)
     };
     // A transfer of 100 ms in 90 or 150 ms; in four seconds a time-out is a node's own.
     assert_eq!(run(90 * MS), (0, 20));
@@ -713,15 +759,18 @@
         (Outcome::ConnectFailed, false),
     ];
     for (outcome, same) in cases {
-        let mut c = director(settings(), &list(4, 2));
-        let mut lk = lookup(5, START);
+        let mut router = router_with(settings(), &endpoint_list(4, 2));
+        let mut request = new_request(5, START);
         for _ in 0..2 {
-            assert!(matches!(go(&mut c, START + MS, &mut lk), RouteDecision::Attempt(_)));
-            end(&mut c, START + 2 * MS, &mut lk, outcome);
+            assert!(matches!(
+                route_and_record(&mut router, START + MS, &mut request),
+                RouteDecision::Attempt(_)
+            ));
+            finish_last(&mut router, START + 2 * MS, &mut request, outcome);
         }
-        assert_eq!(lk.attempts[0].node == lk.attempts[1].node, same, "{outcome:?}");
+        assert_eq!(request.attempts[0].node == request.attempts[1].node, same, "{outcome:?}");
         assert!(
-            !matches!(c.route(START + 3 * MS, &lk), RouteDecision::Attempt(s) if s.node == lk.attempts[0].node)
+            !matches!(router.route(START + 3 * MS, &request), RouteDecision::Attempt(s) if s.node == request.attempts[0].node)
         );
     }
 }
@@ -732,23 +781,23 @@
     for (tries, marked, most) in [(1, true, 0.75), (3, true, 0.3), (3, false, 0.3)] {
         let mut counts = [0.0; 2];
         for (i, started) in [0, START].into_iter().enumerate() {
-            let mut lines = list(4, 2);
+            let mut lines = endpoint_list(4, 2);
             lines[1].started_at = started;
-            let mut c = director(settings(), &lines);
+            let mut router = router_with(settings(), &lines);
             for o in 0..900_u64 {
                 let now = START + o * 3 * MS;
-                let mut lk = lookup(o / tries, now);
-                lk.is_client_retry = marked && o % tries > 0;
-                if let RouteDecision::Attempt(s) = go(&mut c, now, &mut lk) {
+                let mut request = new_request(o / tries, now);
+                request.is_client_retry = marked && o % tries > 0;
+                if let RouteDecision::Attempt(s) = route_and_record(&mut router, now, &mut request) {
                     counts[i] += f64::from(u8::from(s.node == 1));
                     // Slow, and given up in the end: no proof that the fleet is on pace.
-                    end(
-                        &mut c,
+                    finish_last(
+                        &mut router,
                         now + MS,
-                        &mut lk,
+                        &mut request,
                         if tries > 1 { Outcome::Overloaded } else { Outcome::Success },
                     );
-                    c.route(lk.deadline - MS, &lk);
+                    router.route(request.deadline - MS, &request);
                 }
             }
         }
@@ -759,15 +808,16 @@
 
 #[test]
 fn odd_lists_and_numbers_find_their_way_or_are_nacked() {
-    let other = |n: usize, zone| EndpointUpdate { zone, ..line(n, 0) };
+    let other = |n: usize, zone| EndpointUpdate { zone, ..endpoint(n, 0) };
     let hundreds: Vec<EndpointUpdate> =
-        list(5, 8).into_iter().chain((100..400).map(|n| other(n, 3))).collect();
-    let twice: Vec<EndpointUpdate> = list(3, 2).into_iter().chain(list(3, 2)).collect();
+        endpoint_list(5, 8).into_iter().chain((100..400).map(|n| other(n, 3))).collect();
+    let twice: Vec<EndpointUpdate> = endpoint_list(3, 2).into_iter().chain(endpoint_list(3, 2)).collect();
     let same_rank: Vec<EndpointUpdate> =
-        list(3, 2).into_iter().map(|l| EndpointUpdate { rank: 7, ..l }).collect();
+        endpoint_list(3, 2).into_iter().map(|l| EndpointUpdate { rank: 7, ..l }).collect();
     let state = |state| move |l: EndpointUpdate| EndpointUpdate { state, ..l };
-    let drained: Vec<EndpointUpdate> = list(1, 0).into_iter().map(state(EndpointState::Draining)).collect();
-    let gone: Vec<EndpointUpdate> = list(1, 0).into_iter().map(state(EndpointState::Gone)).collect();
+    let drained: Vec<EndpointUpdate> =
+        endpoint_list(1, 0).into_iter().map(state(EndpointState::Draining)).collect();
+    let gone: Vec<EndpointUpdate> = endpoint_list(1, 0).into_iter().map(state(EndpointState::Gone)).collect();
     // (lists in turn, whole or changes, the director's number, whether a lookup is sent)
     let cases = [
         ("hundreds of members", vec![(hundreds.clone(), true)], 0, true),
@@ -775,23 +825,23 @@
         ("each member twice", vec![(twice, true)], 0, true),
         ("members of one rank", vec![(same_rank, true)], 0, true),
         ("drains and is gone in one message", vec![([drained, gone.clone()].concat(), true)], 0, false),
-        ("unknown nodes are gone", vec![(list(2, 1), true), (gone, false)], 0, true),
-        ("all vanish", vec![(list(2, 1), true), (vec![], true)], 0, false),
-        ("caches of other locations only", vec![(vec![other(1, 3), line(ORIGIN, 2)], true)], 0, false),
+        ("unknown nodes are gone", vec![(endpoint_list(2, 1), true), (gone, false)], 0, true),
+        ("all vanish", vec![(endpoint_list(2, 1), true), (vec![], true)], 0, false),
+        ("caches of other locations only", vec![(vec![other(1, 3), endpoint(ORIGIN, 2)], true)], 0, false),
     ];
     for (what, lists, number, sends) in cases {
         let fresh = |l: &EndpointUpdate| EndpointUpdate { started_at: START, ..*l };
         for cold in [false, true] {
             let set = Settings { director_index: number, directors_per_zone: vec![0, 0, 9], ..settings() };
-            let mut c = Router::new(set, 1, START);
+            let mut router = Router::new(set, 1, START);
             for (lines, whole) in &lists {
                 let lines: Vec<EndpointUpdate> =
                     lines.iter().map(|l| if cold { fresh(l) } else { *l }).collect();
-                c.update_endpoints(START, &lines, *whole);
+                router.update_endpoints(START, &lines, *whole);
             }
-            c.record_purge(START, Some(77), 9_999, u64::MAX);
-            c.record_load(START, 5_000, LoadReport::default());
-            let route = c.route(START + MS, &lookup(1, START + MS));
+            router.record_purge(START, Some(77), 9_999, u64::MAX);
+            router.record_load(START, 5_000, LoadReport::default());
+            let route = router.route(START + MS, &new_request(1, START + MS));
             assert!(cold || matches!(route, RouteDecision::Attempt(_)) == sends, "{what}: {route:?}");
             assert!(
                 matches!(route, RouteDecision::Attempt(_) | RouteDecision::Reject { .. }),
@@ -804,39 +854,42 @@
 #[test]
 fn a_parent_that_withholds_places_gets_that_part_of_its_slice() {
     let fills = |withheld: u16| {
-        let mut lines = list(4, 2);
+        let mut lines = endpoint_list(4, 2);
         lines.iter_mut().find(|l| l.node == 50).unwrap().withheld_virtual_nodes = withheld;
-        let mut c = director(settings(), &lines);
-        let sources =
-            (0..400).filter_map(|o| look(&mut c, START + o * 20 * MS, o, 10 * MS, Outcome::Success));
+        let mut router = router_with(settings(), &lines);
+        let sources = (0..400)
+            .filter_map(|o| route_and_finish(&mut router, START + o * 20 * MS, o, 10 * MS, Outcome::Success));
         sources.filter(|s| s.source == Some(50)).count()
     };
     let [full, quarter, none] = [0, 192, 256].map(fills);
     assert!(none == 0 && quarter > 20 && quarter * 2 < full && full > 120, "{full} {quarter} {none}");
     // Told again, the pie is dealt anew; all withheld, the origin fills.
-    let mut lines = list(4, 1);
-    let mut c = director(settings(), &lines);
-    assert_eq!(look(&mut c, START, 1, 10 * MS, Outcome::Success).unwrap().source, Some(50));
+    let mut lines = endpoint_list(4, 1);
+    let mut router = router_with(settings(), &lines);
+    assert_eq!(route_and_finish(&mut router, START, 1, 10 * MS, Outcome::Success).unwrap().source, Some(50));
     lines[4].withheld_virtual_nodes = 256;
-    c.update_endpoints(START + SEC, &lines[4..5], false);
-    assert_eq!(mode_lines(&mut c, "list members=1 before=1"), 1);
-    assert_eq!(look(&mut c, START + SEC, 1, 10 * MS, Outcome::Success).unwrap().source, Some(ORIGIN));
+    router.update_endpoints(START + SEC, &lines[4..5], false);
+    assert_eq!(count_log_lines(&mut router, "list members=1 before=1"), 1);
+    assert_eq!(
+        route_and_finish(&mut router, START + SEC, 1, 10 * MS, Outcome::Success).unwrap().source,
+        Some(ORIGIN)
+    );
 }
 
 /// What becomes of the fills of one parent's slice over so many seconds, ten a second, if the parents in `late` answer
 /// past the budget: the parts that kept their home, went elsewhere, got none, in the last seconds.
-fn slice(c: &mut Router, from: Ns, secs: u64, last: u64, late: &[usize]) -> [usize; 3] {
-    let fills = homes(&mut director(settings(), &list(3, 5)), 3_000);
+fn slice(router: &mut Router, from: Ns, secs: u64, last: u64, late: &[usize]) -> [usize; 3] {
+    let fills = homes(&mut router_with(settings(), &endpoint_list(3, 5)), 3_000);
     let mine: Vec<u64> = (0..3_000).filter(|o| fills[*o as usize].1 == Some(50)).collect();
     let mut came = [0; 3];
     for k in 0..10 * secs {
         let object = mine[k as usize % mine.len()];
         let now = from + k * 100 * MS;
-        let mut lk = lookup(object, now);
-        let RouteDecision::Attempt(s) = go(c, now, &mut lk) else { continue };
+        let mut request = new_request(object, now);
+        let RouteDecision::Attempt(s) = route_and_record(router, now, &mut request) else { continue };
         let over = s.source.is_some_and(|p| late.contains(&p));
         let outcome = if s.source.is_some() { Outcome::Success } else { Outcome::Miss };
-        end(c, now + if over { 900 * MS } else { 90 * MS }, &mut lk, outcome);
+        finish_last(router, now + if over { 900 * MS } else { 90 * MS }, &mut request, outcome);
         if k >= 10 * (secs - last) {
             came[if s.source == Some(50) { 0 } else { 1 + usize::from(s.source.is_none()) }] += 1;
         }
@@ -846,18 +899,18 @@
 
 #[test]
 fn a_crowded_slice_passes_on_to_cheaper_parents_and_comes_back() {
-    let mut c = director(settings(), &list(3, 5));
-    let [_, elsewhere, none] = slice(&mut c, START, 14, 6, &[50]);
+    let mut router = router_with(settings(), &endpoint_list(3, 5));
+    let [_, elsewhere, none] = slice(&mut router, START, 14, 6, &[50]);
     assert!(elsewhere >= 25 && none <= 10, "a hot slice: {elsewhere} elsewhere, {none} without a fill");
     // Its parent is well again: what it is asked for shows that.
-    let [home, elsewhere, _] = slice(&mut c, START + 14 * SEC, 20, 4, &[]);
+    let [home, elsewhere, _] = slice(&mut router, START + 14 * SEC, 20, 4, &[]);
     assert!(home >= 30, "back home: {home}, {elsewhere} elsewhere");
 }
 
 #[test]
 fn nothing_passes_on_where_all_parents_are_crowded_alike() {
-    let mut c = director(settings(), &list(3, 5));
-    let [home, elsewhere, none] = slice(&mut c, START, 30, 20, &[50, 51, 52, 53, 54]);
+    let mut router = router_with(settings(), &endpoint_list(3, 5));
+    let [home, elsewhere, none] = slice(&mut router, START, 30, 20, &[50, 51, 52, 53, 54]);
     assert!(elsewhere <= 20, "{home} at home, {elsewhere} elsewhere, {none} without a fill");
 }
 
@@ -867,10 +920,10 @@
     let time = |known: u64| {
         let mut best = std::time::Duration::MAX;
         for _ in 0..3 {
-            let mut c = director(settings(), &list(3, 2));
-            (0..known).for_each(|object| c.record_purge(START, Some(object), 0, 0));
+            let mut router = router_with(settings(), &endpoint_list(3, 2));
+            (0..known).for_each(|object| router.record_purge(START, Some(object), 0, 0));
             let start = std::time::Instant::now();
-            (0..2_000).for_each(|n| c.record_purge(START + n * 100_000, Some(n % known), 0, 0));
+            (0..2_000).for_each(|n| router.record_purge(START + n * 100_000, Some(n % known), 0, 0));
             best = best.min(start.elapsed());
         }
         best
--- a/tests/stable_values.rs
+++ b/tests/stable_values.rs
@@ -2,11 +2,11 @@
 //! ring), and the lines of the log, as operators read them.
 
 #[allow(dead_code)]
-mod help;
+mod support;
 
-use help::*;
 use sablecross::invariants::Violation;
 use sablecross::*;
+use support::*;
 
 #[test]
 fn nodes_keep_their_order() {
@@ -71,54 +71,54 @@
 
 #[test]
 fn a_change_of_the_list_has_its_line() {
-    let mut c = director(settings(), &list(4, 2));
-    assert_eq!(c.take_log_lines(), [""; 0]);
-    c.update_endpoints(START, &list(5, 1), true);
-    assert_eq!(c.take_log_lines(), ["list members=5 before=4", "list members=1 before=2"]);
+    let mut router = router_with(settings(), &endpoint_list(4, 2));
+    assert_eq!(router.take_log_lines(), [""; 0]);
+    router.update_endpoints(START, &endpoint_list(5, 1), true);
+    assert_eq!(router.take_log_lines(), ["list members=5 before=4", "list members=1 before=2"]);
 }
 
 #[test]
 fn a_member_that_fails_and_comes_back_has_its_lines() {
-    let mut c = director(settings(), &list(4, 2));
+    let mut router = router_with(settings(), &endpoint_list(4, 2));
     for object in 0..400 {
         let now = START + object * 40 * MS;
-        let mut request = lookup(object, now);
-        if let RouteDecision::Attempt(send) = go(&mut c, now, &mut request) {
+        let mut request = new_request(object, now);
+        if let RouteDecision::Attempt(send) = route_and_record(&mut router, now, &mut request) {
             let fails = send.node == 2 && object < 80;
             let outcome = if fails { Outcome::Error } else { Outcome::Success };
-            end(&mut c, now + 10 * MS, &mut request, outcome);
+            finish_last(&mut router, now + 10 * MS, &mut request, outcome);
         }
     }
-    assert_eq!(c.take_log_lines(), ["down node=2 failing=0.40", "up node=2 failing=0.32"]);
+    assert_eq!(router.take_log_lines(), ["down node=2 failing=0.40", "up node=2 failing=0.32"]);
 }
 
 #[test]
 fn slow_attempts_everywhere_have_their_lines() {
-    let mut c = director(settings(), &list(4, 2));
+    let mut router = router_with(settings(), &endpoint_list(4, 2));
     for (start, took) in [(0, 120 * MS), (40 * SEC, 3 * SEC), (90 * SEC, 120 * MS)] {
         for object in 0..200 {
-            look(&mut c, START + start + object * 40 * MS, object, took, Outcome::Success);
+            route_and_finish(&mut router, START + start + object * 40 * MS, object, took, Outcome::Success);
         }
     }
-    assert_eq!(c.take_log_lines(), ["jam late=0.19", "jam over late=0.13"]);
+    assert_eq!(router.take_log_lines(), ["jam late=0.19", "jam over late=0.13"]);
 }
 
 #[test]
 fn a_burst_has_its_lines() {
-    let mut c = director(settings(), &list(4, 2));
+    let mut router = router_with(settings(), &endpoint_list(4, 2));
     let mut now = START + MS;
     for count in [40, 60, 50, 45, 55, 50, 62, 41, 50, 47, 53, 50] {
         for i in 0..count * 4 {
-            look(&mut c, now + i, 10_000 + i, MS, Outcome::Success);
+            route_and_finish(&mut router, now + i, 10_000 + i, MS, Outcome::Success);
         }
         now += 2 * SEC + 3 * MS;
     }
     for i in 0..400 {
-        look(&mut c, now + i * MS, 3, MS, Outcome::Success);
+        route_and_finish(&mut router, now + i * MS, 3, MS, Outcome::Success);
     }
-    look(&mut c, now + 5 * SEC, 3, MS, Outcome::Success);
-    look(&mut c, now + 8 * SEC, 3, MS, Outcome::Success);
-    assert_eq!(c.take_log_lines(), ["burst object=3 rate=8700 over=8649", "burst over objects=1"]);
+    route_and_finish(&mut router, now + 5 * SEC, 3, MS, Outcome::Success);
+    route_and_finish(&mut router, now + 8 * SEC, 3, MS, Outcome::Success);
+    assert_eq!(router.take_log_lines(), ["burst object=3 rate=8700 over=8649", "burst over objects=1"]);
 }
 
 /// The director's log line `violation request=R rule=W` gives the rule by these words.
--- a/tests/help/mod.rs
+++ b/tests/support/mod.rs
@@ -2,12 +2,12 @@
 
 use sablecross::*;
 
-pub const MS: Ns = 1_000_000;
-pub const SEC: Ns = 1_000 * MS;
-pub const START: Ns = 1_000 * SEC;
-pub const ORIGIN: usize = 90;
+pub(crate) const MS: Ns = 1_000_000;
+pub(crate) const SEC: Ns = 1_000 * MS;
+pub(crate) const START: Ns = 1_000 * SEC;
+pub(crate) const ORIGIN: usize = 90;
 
-pub fn kind(effect: Effect) -> RequestClass {
+pub(crate) fn class_with_effect(effect: Effect) -> RequestClass {
     RequestClass {
         latency_objective: 400 * MS,
         latency_objective_stretch: Some(1.5),
@@ -20,12 +20,12 @@
     }
 }
 
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     Settings {
         zone: 2,
         director_index: 0,
         directors_per_zone: vec![0, 0, 1, 1],
-        request_classes: vec![kind(Effect::Idempotent)],
+        request_classes: vec![class_with_effect(Effect::Idempotent)],
         parent_kind: Some(1),
         origin_kind: 2,
         polls_endpoint_list: false,
@@ -48,7 +48,7 @@
     }
 }
 
-pub fn line(node: usize, machine: usize) -> EndpointUpdate {
+pub(crate) fn endpoint(node: usize, machine: usize) -> EndpointUpdate {
     let zone = if machine == 0 { 2 } else { machine - 1 };
     let rank = 1_000 + node as u64 * 37;
     EndpointUpdate {
@@ -64,24 +64,24 @@
 }
 
 /// Caches 0.., parents 50.., and the origin.
-pub fn list(caches: usize, parents: usize) -> Vec<EndpointUpdate> {
-    let caches = (0..caches).map(|n| line(n, 0));
-    caches.chain((50..50 + parents).map(|n| line(n, 1))).chain([line(ORIGIN, 2)]).collect()
+pub(crate) fn endpoint_list(caches: usize, parents: usize) -> Vec<EndpointUpdate> {
+    let caches = (0..caches).map(|n| endpoint(n, 0));
+    caches.chain((50..50 + parents).map(|n| endpoint(n, 1))).chain([endpoint(ORIGIN, 2)]).collect()
 }
 
-pub fn director(set: Settings, list: &[EndpointUpdate]) -> Router {
-    let mut c = Router::new(set, 7, START);
-    c.update_endpoints(START, list, true);
-    c
+pub(crate) fn router_with(set: Settings, list: &[EndpointUpdate]) -> Router {
+    let mut router = Router::new(set, 7, START);
+    router.update_endpoints(START, list, true);
+    router
 }
 
 /// Directors that share one location.
-pub fn team(size: usize, list: &[EndpointUpdate]) -> Vec<Router> {
+pub(crate) fn routers_sharing_zone(size: usize, list: &[EndpointUpdate]) -> Vec<Router> {
     let of = |number| Settings { director_index: number, directors_per_zone: vec![0, 0, size], ..settings() };
-    (0..size).map(|number| director(of(number), list)).collect()
+    (0..size).map(|number| router_with(of(number), list)).collect()
 }
 
-pub fn lookup(object: u64, now: Ns) -> Request {
+pub(crate) fn new_request(object: u64, now: Ns) -> Request {
     Request {
         object,
         part: 0,
@@ -96,34 +96,40 @@
     }
 }
 
-pub fn sent(send: &AttemptSpec, at: Ns) -> Attempt {
+pub(crate) fn new_attempt(send: &AttemptSpec, at: Ns) -> Attempt {
     Attempt { node: send.node, source: send.source, sent_at: at, outcome: None }
 }
 
 /// Routes a lookup and notes the send, if there is one.
-pub fn go(c: &mut Router, now: Ns, lk: &mut Request) -> RouteDecision {
-    let route = c.route(now, lk);
+pub(crate) fn route_and_record(router: &mut Router, now: Ns, request: &mut Request) -> RouteDecision {
+    let route = router.route(now, request);
     if let RouteDecision::Attempt(s) = &route {
-        lk.attempts.push(sent(s, now));
+        request.attempts.push(new_attempt(s, now));
     }
     route
 }
 
 /// The outcome of the last send.
-pub fn end(c: &mut Router, now: Ns, lk: &mut Request, outcome: Outcome) -> NextStep {
-    let shot = lk.attempts.len() - 1;
-    lk.attempts[shot].outcome = Some(outcome);
-    c.on_outcome(now, lk, shot, now - lk.attempts[shot].sent_at, None)
+pub(crate) fn finish_last(router: &mut Router, now: Ns, request: &mut Request, outcome: Outcome) -> NextStep {
+    let shot = request.attempts.len() - 1;
+    request.attempts[shot].outcome = Some(outcome);
+    router.on_outcome(now, request, shot, now - request.attempts[shot].sent_at, None)
 }
 
 /// Looks an object up and ends its first send.
-pub fn look(c: &mut Router, now: Ns, object: u64, took: Ns, outcome: Outcome) -> Option<AttemptSpec> {
-    let mut lk = lookup(object, now);
-    let RouteDecision::Attempt(s) = go(c, now, &mut lk) else { return None };
-    end(c, now + took, &mut lk, outcome);
+pub(crate) fn route_and_finish(
+    router: &mut Router,
+    now: Ns,
+    object: u64,
+    took: Ns,
+    outcome: Outcome,
+) -> Option<AttemptSpec> {
+    let mut request = new_request(object, now);
+    let RouteDecision::Attempt(s) = route_and_record(router, now, &mut request) else { return None };
+    finish_last(router, now + took, &mut request, outcome);
     Some(s)
 }
 
-pub fn mode_lines(c: &mut Router, word: &str) -> usize {
-    c.take_log_lines().iter().filter(|l| l.starts_with(word)).count()
+pub(crate) fn count_log_lines(router: &mut Router, word: &str) -> usize {
+    router.take_log_lines().iter().filter(|l| l.starts_with(word)).count()
 }
