--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -69,16 +69,17 @@
     caches.chain((50..50 + parents).map(|n| endpoint(n, 1))).chain([endpoint(ORIGIN, 2)]).collect()
 }
 
-pub(crate) fn router_with(set: Settings, list: &[EndpointUpdate]) -> Router {
-    let mut router = Router::new(set, 7, START);
+pub(crate) fn router_with(settings: Settings, list: &[EndpointUpdate]) -> Router {
+    let mut router = Router::new(settings, 7, START);
     router.update_endpoints(START, list, true);
     router
 }
 
 /// Directors that share one location.
 pub(crate) fn routers_sharing_zone(size: usize, list: &[EndpointUpdate]) -> Vec<Router> {
-    let of = |number| Settings { director_index: number, directors_per_zone: vec![0, 0, size], ..settings() };
-    (0..size).map(|number| router_with(of(number), list)).collect()
+    let settings_of =
+        |index| Settings { director_index: index, directors_per_zone: vec![0, 0, size], ..settings() };
+    (0..size).map(|index| router_with(settings_of(index), list)).collect()
 }
 
 pub(crate) fn new_request(object: u64, now: Ns) -> Request {
@@ -96,40 +97,40 @@
     }
 }
 
-pub(crate) fn new_attempt(send: &AttemptSpec, at: Ns) -> Attempt {
-    Attempt { node: send.node, source: send.source, sent_at: at, outcome: None }
+pub(crate) fn new_attempt(spec: &AttemptSpec, sent_at: Ns) -> Attempt {
+    Attempt { node: spec.node, source: spec.source, sent_at, outcome: None }
 }
 
-/// Routes a lookup and notes the send, if there is one.
+/// Routes a request and records the attempt, if there is one.
 pub(crate) fn route_and_record(router: &mut Router, now: Ns, request: &mut Request) -> RouteDecision {
     let route = router.route(now, request);
-    if let RouteDecision::Attempt(s) = &route {
-        request.attempts.push(new_attempt(s, now));
+    if let RouteDecision::Attempt(spec) = &route {
+        request.attempts.push(new_attempt(spec, now));
     }
     route
 }
 
-/// The outcome of the last send.
+/// Ends the last attempt.
 pub(crate) fn finish_last(router: &mut Router, now: Ns, request: &mut Request, outcome: Outcome) -> NextStep {
-    let shot = request.attempts.len() - 1;
-    request.attempts[shot].outcome = Some(outcome);
-    router.on_outcome(now, request, shot, now - request.attempts[shot].sent_at, None)
+    let index = request.attempts.len() - 1;
+    request.attempts[index].outcome = Some(outcome);
+    router.on_outcome(now, request, index, now - request.attempts[index].sent_at, None)
 }
 
-/// Looks an object up and ends its first send.
+/// Routes a request for an object and ends its first attempt.
 pub(crate) fn route_and_finish(
     router: &mut Router,
     now: Ns,
     object: u64,
-    took: Ns,
+    elapsed: Ns,
     outcome: Outcome,
 ) -> Option<AttemptSpec> {
     let mut request = new_request(object, now);
-    let RouteDecision::Attempt(s) = route_and_record(router, now, &mut request) else { return None };
-    finish_last(router, now + took, &mut request, outcome);
-    Some(s)
+    let RouteDecision::Attempt(spec) = route_and_record(router, now, &mut request) else { return None };
+    finish_last(router, now + elapsed, &mut request, outcome);
+    Some(spec)
 }
 
-pub(crate) fn count_log_lines(router: &mut Router, word: &str) -> usize {
-    router.take_log_lines().iter().filter(|l| l.starts_with(word)).count()
+pub(crate) fn count_log_lines(router: &mut Router, start: &str) -> usize {
+    router.take_log_lines().iter().filter(|l| l.starts_with(start)).count()
 }
