--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -1,45 +1,71 @@
-//! Hosts instances of the decision module on the simulator's wire: standard input to standard output.
+//! Runs instances of the decision module for the operators' simulator: batches of events come on standard input, and for
+//! each a reply goes to standard output.
 
-mod codec;
+mod error;
+mod event;
 mod host;
+mod instance;
+mod record_reader;
+mod reply;
 
 use std::io::{Read, Write, stdin, stdout};
 use std::process::ExitCode;
 
-use codec::{Reader, Result};
+use error::{AdapterError, Result};
+use host::Host;
+use record_reader::RecordReader;
 
-fn serve(mut input: impl Read, mut output: impl Write) -> Result<()> {
-    let mut host = host::Host::default();
-    let mut header = [0; 20];
-    loop {
-        let mut filled = 0;
-        while filled < header.len() {
-            match input.read(&mut header[filled..]).map_err(|e| e.to_string())? {
-                0 if filled == 0 => return Ok(()),
-                0 => return Err("truncated batch header".into()),
-                n => filled += n,
-            }
-        }
-        let mut r = Reader::new(&header);
-        let (number, size, clock, count) = (r.u32()?, r.u32()?, r.u64()?, r.u32()?);
-        let size = size.checked_sub(12).ok_or("batch length too small")?;
-        let mut body = Vec::new();
-        let got = input.by_ref().take(u64::from(size)).read_to_end(&mut body);
-        if got.map_err(|e| e.to_string())? != size as usize {
-            return Err("truncated batch".into());
-        }
-        let now = clock.checked_mul(1_000).ok_or("impossible clock")?;
-        let frame = host.batch(number, now, count, &body)?;
-        output.write_all(&frame).and_then(|()| output.flush()).map_err(|e| e.to_string())?;
-    }
-}
+/// Bytes of a batch's header: its number, its length, the clock and the number of records.
+const HEADER_BYTES: usize = 20;
+/// Bytes of the header that the length counts.
+const COUNTED_HEADER_BYTES: u32 = 12;
 
 fn main() -> ExitCode {
     match serve(stdin().lock(), stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("sablecross-sim-adapter: {e}");
+        Err(error) => {
+            eprintln!("{}: {error}", env!("CARGO_BIN_NAME"));
             ExitCode::FAILURE
         }
     }
 }
+
+/// Answers batch by batch until the input ends.
+fn serve(mut input: impl Read, mut output: impl Write) -> Result<()> {
+    let mut host = Host::default();
+    while let Some(header) = read_header(&mut input)? {
+        let mut reader = RecordReader::new(&header);
+        let (number, length) = (reader.u32()?, reader.u32()?);
+        let (clock, count) = (reader.u64()?, reader.u32()?);
+        let length = length.checked_sub(COUNTED_HEADER_BYTES).ok_or(AdapterError::BatchTooShort)?;
+        let body = read_body(&mut input, length)?;
+        let now = clock.checked_mul(1_000).ok_or(AdapterError::ClockOutOfRange)?;
+        let frame = host.batch(number, now, count, &body)?;
+        output.write_all(&frame)?;
+        output.flush()?;
+    }
+    Ok(())
+}
+
+/// The header of the next batch; none at the end of the input.
+fn read_header(input: &mut impl Read) -> Result<Option<[u8; HEADER_BYTES]>> {
+    let mut header = [0; HEADER_BYTES];
+    let mut filled = 0;
+    while filled < header.len() {
+        match input.read(&mut header[filled..])? {
+            0 if filled == 0 => return Ok(None),
+            0 => return Err(AdapterError::TruncatedHeader),
+            count => filled += count,
+        }
+    }
+    Ok(Some(header))
+}
+
+fn read_body(input: &mut impl Read, length: u32) -> Result<Vec<u8>> {
+    let mut body = Vec::new();
+    let count = input.by_ref().take(u64::from(length)).read_to_end(&mut body)?;
+    if count != length as usize {
+        return Err(AdapterError::TruncatedBatch);
+    }
+    Ok(body)
+}
--- a/crates/sim-adapter/tests/wire.rs
+++ b/crates/sim-adapter/tests/wire.rs
@@ -128,7 +128,7 @@
 fn the_wire_answers_each_batch_in_turn() {
     let mut input = frame(0, 1, &[]);
     input.extend(begin(vec![order(5, 0)]));
-    // An outcome, a timer and an abort for lookups that are not held.
+    // An outcome, a timer and an abort for requests that are not in flight.
     let timer = record(11, &[&3_u32.to_be_bytes(), &99_u64.to_be_bytes()]);
     let aborted = record(1, &[&3_u32.to_be_bytes(), &98_u32.to_be_bytes()]);
     input.extend(frame(2, 5_002_000, &[returned(97, 0), timer, aborted, returned(5, 0)]));
