--- a/crates/tls-keys/src/handshake_limiter.rs
+++ b/crates/tls-keys/src/handshake_limiter.rs
@@ -1,102 +1,133 @@
-//! How many handshakes may be under way and begun a second, and how long a node with a bad certificate is left alone.
-//! Guards against a restart of many nodes that takes the core from lookups, and against a bad node that is tried at
-//! each lookup. Harm: the first lookups after a restart go to fewer nodes.
+//! How many handshakes may be in progress and begin each second, and how long a node with a bad certificate is left
+//! alone.
+//!
+//! Guards against a restart of many nodes, whose handshakes would take the processor from requests, and against a bad node
+//! that is tried with each request. Its cost: the first requests after a restart go to fewer nodes.
 
 use std::collections::BTreeMap;
 
-use crate::Ns;
+use crate::{Ns, SECOND};
 
-const SEC: Ns = 1_000_000_000;
+/// The least number of handshakes that may be saved up, so that one can begin at all.
+const MIN_SAVED: f64 = 1.0;
+/// The longest time that a handshake is put off where hardly any are allowed, in nanoseconds.
+const MAX_WAIT: f64 = 1e18;
 
+/// The limits on handshakes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HandshakeLimits {
+    /// The most in progress at once.
     pub max_concurrent: usize,
+    /// The most that begin each second; those of one second may be saved up.
     pub max_per_second: f64,
-    /// How long a node with a bad certificate is left alone at first, and at most; each time twice as long.
+    /// How long a node with a bad certificate is left alone at first; each time twice as long.
     pub initial_backoff: Ns,
+    /// How long it is left alone at most.
     pub max_backoff: Ns,
 }
 
 /// Why a handshake does not begin now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandshakeDenied {
-    /// Too many are under way: when one ends.
+    /// Too many are in progress: when one finishes.
     TooManyConcurrent,
-    /// Too many have begun of late: after so long.
+    /// Too many have begun of late: after this time.
     RateLimited(Ns),
-    /// Its certificate was bad: after so long, or with a new generation of keys.
+    /// The node's certificate was bad: after this time, or with a new generation of keys.
     BackingOff(Ns),
 }
 
+/// A node whose certificate was bad.
 #[derive(Clone, Copy, Debug)]
-struct Rest {
+struct Backoff {
     until: Ns,
-    last: Ns,
-    /// The generation of keys that refused it: another may know its authority.
+    duration: Ns,
+    /// The generation of keys that rejected it: another may know its authority.
     generation: u64,
 }
 
-/// Nodes are known by small numbers, as the director has them.
+/// Applies the limits. Nodes are known by the caller's indices.
 #[derive(Debug)]
 pub struct HandshakeLimiter {
-    bounds: HandshakeLimits,
-    under_way: usize,
+    limits: HandshakeLimits,
+    in_progress: usize,
+    /// How many may begin now.
     tokens: f64,
-    counted: Ns,
-    resting: BTreeMap<usize, Rest>,
+    tokens_counted_at: Ns,
+    backoffs: BTreeMap<usize, Backoff>,
 }
 
 impl HandshakeLimiter {
-    pub fn new(bounds: HandshakeLimits, now: Ns) -> HandshakeLimiter {
-        let tokens = bounds.max_per_second.max(1.0);
-        HandshakeLimiter { bounds, under_way: 0, tokens, counted: now, resting: BTreeMap::new() }
+    /// Starts with one second's handshakes saved up.
+    pub fn new(limits: HandshakeLimits, now: Ns) -> HandshakeLimiter {
+        HandshakeLimiter {
+            limits,
+            in_progress: 0,
+            tokens: limits.max_per_second.max(MIN_SAVED),
+            tokens_counted_at: now,
+            backoffs: BTreeMap::new(),
+        }
     }
 
+    /// How many handshakes are in progress.
     pub fn in_progress(&self) -> usize {
-        self.under_way
+        self.in_progress
     }
 
-    /// Begins one, or says why not. Each that began has to end by `ended` or `refused`.
+    /// Begins a handshake or says why not. Each that began has to end by [`HandshakeLimiter::on_finished`] or
+    /// [`HandshakeLimiter::on_rejected`].
     pub fn try_begin(&mut self, node: usize, generation: u64, now: Ns) -> Result<(), HandshakeDenied> {
-        if let Some(rest) = self.resting.get(&node).filter(|r| now < r.until && r.generation == generation) {
-            return Err(HandshakeDenied::BackingOff(rest.until - now));
+        if let Some(backoff) = self.backoffs.get(&node)
+            && now < backoff.until
+            && backoff.generation == generation
+        {
+            return Err(HandshakeDenied::BackingOff(backoff.until - now));
         }
-        if self.under_way >= self.bounds.max_concurrent {
+        if self.in_progress >= self.limits.max_concurrent {
             return Err(HandshakeDenied::TooManyConcurrent);
         }
-        let since = now.saturating_sub(self.counted) as f64 / SEC as f64;
-        self.counted = self.counted.max(now);
-        self.tokens =
-            (self.tokens + since * self.bounds.max_per_second).min(self.bounds.max_per_second.max(1.0));
+        self.add_tokens(now);
         if self.tokens < 1.0 {
-            let wait = (1.0 - self.tokens) / self.bounds.max_per_second.max(f64::MIN_POSITIVE) * SEC as f64;
-            return Err(HandshakeDenied::RateLimited((wait.min(1e18) as Ns).max(1)));
+            return Err(HandshakeDenied::RateLimited(self.time_to_next_token()));
         }
         self.tokens -= 1.0;
-        self.under_way += 1;
+        self.in_progress += 1;
         Ok(())
     }
 
-    /// One came up, or broke off for no fault of a certificate.
-    pub fn on_finished(&mut self, node: usize, well: bool) {
-        self.under_way = self.under_way.saturating_sub(1);
-        if well {
-            self.resting.remove(&node);
+    /// A handshake succeeded, or failed for another reason than the node's certificate.
+    pub fn on_finished(&mut self, node: usize, succeeded: bool) {
+        self.in_progress = self.in_progress.saturating_sub(1);
+        if succeeded {
+            self.backoffs.remove(&node);
         }
     }
 
-    /// One ended as the node's certificate was bad; how long it is left alone.
+    /// A handshake failed by the node's certificate. Returns how long the node is left alone.
     pub fn on_rejected(&mut self, node: usize, generation: u64, now: Ns) -> Ns {
-        self.under_way = self.under_way.saturating_sub(1);
-        let before = self.resting.get(&node).filter(|r| r.generation == generation).map(|r| r.last);
-        let rest =
-            before.map_or(self.bounds.initial_backoff, |l| l.saturating_mul(2)).min(self.bounds.max_backoff);
-        self.resting.insert(node, Rest { until: now.saturating_add(rest), last: rest, generation });
-        rest
+        self.in_progress = self.in_progress.saturating_sub(1);
+        let last = self.backoffs.get(&node).filter(|backoff| backoff.generation == generation);
+        let duration = last.map_or(self.limits.initial_backoff, |last| last.duration.saturating_mul(2));
+        let duration = duration.min(self.limits.max_backoff);
+        self.backoffs.insert(node, Backoff { until: now.saturating_add(duration), duration, generation });
+        duration
     }
 
-    /// A node is gone; its number may be another's.
+    /// Forgets a node that is gone; its index may become another's.
     pub fn remove(&mut self, node: usize) {
-        self.resting.remove(&node);
+        self.backoffs.remove(&node);
+    }
+
+    fn add_tokens(&mut self, now: Ns) {
+        let elapsed = now.saturating_sub(self.tokens_counted_at) as f64 / SECOND as f64;
+        self.tokens_counted_at = self.tokens_counted_at.max(now);
+        let rate = self.limits.max_per_second;
+        self.tokens = (self.tokens + elapsed * rate).min(rate.max(MIN_SAVED));
+    }
+
+    fn time_to_next_token(&self) -> Ns {
+        let rate = self.limits.max_per_second.max(f64::MIN_POSITIVE);
+        let wait = (1.0 - self.tokens) / rate * SECOND as f64;
+        (wait.min(MAX_WAIT) as Ns).max(1)
     }
 }
--- a/crates/tls-keys/src/lib.rs
+++ b/crates/tls-keys/src/lib.rs
@@ -1,14 +1,27 @@
-//! Certificates and keys as state: loaded, checked at the door, swapped as a whole, watched for their end; and what is
-//! decided by them: who is spoken to in which way, how many handshakes may be under way, how long a node with a bad
-//! certificate is left alone. No sockets here; see `docs/tls.md`.
+//! Certificates and keys for TLS towards servers, without any sockets: they are read and checked before they are used,
+//! swapped as a whole, and watched for their expiry; a policy says how each node is spoken to, and a limiter how many
+//! handshakes may be in progress. See `docs/tls.md`.
 
-pub mod generation;
-pub mod handshake_limiter;
-pub mod policy;
+mod error;
+mod expiry;
+mod generation;
+mod handshake_limiter;
+mod key_files;
+mod key_store;
+mod transport_policy;
 
-pub use generation::{ExpiryNotice, Generation, KeyError, KeyFiles, KeyMaterial, KeyStore, ReloadOutcome};
-pub use handshake_limiter::{HandshakeLimiter, HandshakeLimits};
-pub use policy::{NodeMatcher, TransportPolicy, TransportSecurity};
+pub use error::{KeyError, KeyProblem};
+pub use expiry::{ExpiryNotice, ExpiryWatch};
+pub use generation::{CertificateValidity, Generation};
+pub use handshake_limiter::{HandshakeDenied, HandshakeLimiter, HandshakeLimits};
+pub use key_files::{KeyFiles, KeyMaterial, PemFile};
+pub use key_store::{KeyStore, ReloadOutcome};
+pub use transport_policy::{
+    NodeMatcher, RequiredSecurity, TransportPolicy, TransportRule, TransportSecurity,
+};
 
-/// Whole nanoseconds, of Unix time where a moment is meant.
+/// A time or a duration in whole nanoseconds; a point in time counts from the Unix epoch.
 pub type Ns = u64;
+
+pub(crate) const SECOND: Ns = 1_000_000_000;
+pub(crate) const DAY: Ns = 86_400 * SECOND;
--- a/crates/tls-keys/tests/keys.rs
+++ b/crates/tls-keys/tests/tls_keys.rs
@@ -1,16 +1,13 @@
-//! Certificates at the door, generations, ends, handshakes in bounds.
+//! Certificates that are checked before use, generations, expiry, handshakes within their limits.
 
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use rcgen::{BasicConstraints, CertificateParams, DnType, IsCa, Issuer, KeyPair, date_time_ymd};
-use sablecross_tls_keys::generation::ExpiryWatch;
-use sablecross_tls_keys::handshake_limiter::HandshakeDenied;
-use sablecross_tls_keys::policy::RequiredSecurity;
 use sablecross_tls_keys::{
-    Generation, HandshakeLimiter, HandshakeLimits, KeyFiles, KeyStore, NodeMatcher, ReloadOutcome,
-    TransportPolicy, TransportSecurity,
+    ExpiryWatch, Generation, HandshakeDenied, HandshakeLimiter, HandshakeLimits, KeyFiles, KeyStore,
+    NodeMatcher, ReloadOutcome, RequiredSecurity, TransportPolicy, TransportRule, TransportSecurity,
 };
 
 const SEC: u64 = 1_000_000_000;
@@ -20,7 +17,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_nanos() as u64
 }
 
-struct Made {
+struct TestFiles {
     folder: tempfile::TempDir,
 }
 
@@ -36,9 +33,9 @@
 
 const LONG: (i32, i32) = (2020, 2060);
 
-impl Made {
-    fn new() -> Made {
-        Made { folder: tempfile::tempdir().unwrap() }
+impl TestFiles {
+    fn new() -> TestFiles {
+        TestFiles { folder: tempfile::tempdir().unwrap() }
     }
 
     fn file(&self, name: &str, text: &str) -> PathBuf {
@@ -71,12 +68,12 @@
 }
 
 #[test]
-fn a_pair_is_taken_whole_or_refused_by_file_and_reason() {
-    let made = Made::new();
-    let files = made.pair(LONG);
+fn a_pair_is_installed_completely_or_rejected_by_file_and_reason() {
+    let test_files = TestFiles::new();
+    let files = test_files.pair(LONG);
     let (chain, key) = files.identity.clone().unwrap();
-    let keys = KeyStore::new(&files.read().unwrap(), now()).unwrap();
-    assert!(keys.current().identity.is_some());
+    let store = KeyStore::new(&files.read().unwrap(), now()).unwrap();
+    assert!(store.current().identity.is_some());
     let (good_chain, good_key) = (text(&chain), text(&key));
     let other = KeyPair::generate().unwrap().serialize_pem();
     let reversed = {
@@ -94,60 +91,62 @@
         (&files.trusted_roots, "", "ca.pem: holds no certificate"),
         (&files.trusted_roots, "-----BEGIN CERTIFICATE-----\nAAAA\n-----END CERTIFICATE-----\n", "ca.pem: "),
     ];
-    for (file, bad, why) in cases {
+    for (file, bad, reason) in cases {
         let good = text(file);
         std::fs::write(file, bad).unwrap();
-        let said = keys.reload(&files.read().unwrap(), now()).unwrap_err().to_string();
-        assert!(said.contains(why), "{said} / {why}");
-        assert_eq!(keys.current().number, 1);
+        let output = store.reload(&files.read().unwrap(), now()).unwrap_err().to_string();
+        assert!(output.contains(reason), "{output} / {reason}");
+        assert_eq!(store.current().number, 1);
         std::fs::write(file, good).unwrap();
     }
-    assert_eq!(keys.reload(&files.read().unwrap(), now()), Ok(ReloadOutcome::Unchanged));
-    // A new pair is a new generation; who began with the old one has it still.
-    let old = keys.current();
-    let next = made.pair(LONG);
-    assert_eq!(keys.reload(&next.read().unwrap(), now()), Ok(ReloadOutcome::Installed(2)));
-    assert_eq!((old.number, keys.current().number), (1, 2));
+    assert_eq!(store.reload(&files.read().unwrap(), now()), Ok(ReloadOutcome::Unchanged));
+    // A new pair is a new generation; what began with the old one has it still.
+    let old = store.current();
+    let next = test_files.pair(LONG);
+    assert_eq!(store.reload(&next.read().unwrap(), now()), Ok(ReloadOutcome::Installed(2)));
+    assert_eq!((old.number, store.current().number), (1, 2));
     std::fs::set_permissions(&key, std::fs::Permissions::from_mode(0o644)).unwrap();
-    let said = files.read().unwrap_err().to_string();
-    assert!(said.contains("others may read this key (mode 044)"), "{said}");
+    let output = files.read().unwrap_err().to_string();
+    assert!(output.contains("others may read this key (mode 044)"), "{output}");
     assert!(KeyFiles { allow_world_readable_key: true, ..files.clone() }.read().is_ok());
     std::fs::remove_file(&key).unwrap();
     assert!(files.read().unwrap_err().to_string().contains("key.pem: No such file"));
 }
 
 #[test]
-fn an_authority_that_has_ended_beside_one_that_has_not_is_a_roll_over() {
-    let made = Made::new();
-    let files = made.pair(LONG);
+fn an_expired_authority_beside_a_valid_one_is_a_roll_over() {
+    let test_files = TestFiles::new();
+    let files = test_files.pair(LONG);
     let ended = params("before", (2020, 2021), true).self_signed(&KeyPair::generate().unwrap()).unwrap();
     let (old, new) = (ended.pem(), text(&files.trusted_roots));
-    let keys = KeyStore::new(&files.read().unwrap(), now()).unwrap();
+    let store = KeyStore::new(&files.read().unwrap(), now()).unwrap();
     std::fs::write(&files.trusted_roots, format!("{old}{new}")).unwrap();
-    assert_eq!(keys.reload(&files.read().unwrap(), now()), Ok(ReloadOutcome::Installed(2)));
-    assert_eq!(keys.current().trusted_roots.len(), 2);
+    assert_eq!(store.reload(&files.read().unwrap(), now()), Ok(ReloadOutcome::Installed(2)));
+    assert_eq!(store.current().trusted_roots.len(), 2);
     std::fs::write(&files.trusted_roots, old).unwrap();
     assert!(
-        keys.reload(&files.read().unwrap(), now())
+        store
+            .reload(&files.read().unwrap(), now())
             .unwrap_err()
             .to_string()
             .contains("no authority is valid now")
     );
-    assert_eq!(keys.current().number, 2);
+    assert_eq!(store.current().number, 2);
 }
 
 #[test]
-fn spans_count_by_the_clock() {
-    let made = Made::new();
-    for (years, why) in [((2020, 2021), "expired"), ((2058, 2059), "not yet valid")] {
-        let said =
-            Generation::from_material(1, &made.pair(years).read().unwrap(), now()).unwrap_err().to_string();
-        assert!(said.contains(why) && said.contains("CN=director"), "{said}");
+fn validity_counts_by_the_clock() {
+    let test_files = TestFiles::new();
+    for (years, reason) in [((2020, 2021), "expired"), ((2058, 2059), "not yet valid")] {
+        let output = Generation::from_material(1, &test_files.pair(years).read().unwrap(), now())
+            .unwrap_err()
+            .to_string();
+        assert!(output.contains(reason) && output.contains("CN=director"), "{output}");
     }
     // A clock that is off by decades finds no authority.
-    let texts = made.pair(LONG).read().unwrap();
+    let material = test_files.pair(LONG).read().unwrap();
     assert!(
-        Generation::from_material(1, &texts, DAY)
+        Generation::from_material(1, &material, DAY)
             .unwrap_err()
             .to_string()
             .contains("no authority is valid now")
@@ -155,43 +154,43 @@
 }
 
 #[test]
-fn ends_are_told_once_at_each_mark() {
-    let made = Made::new();
-    let generation = Generation::from_material(1, &made.pair(LONG).read().unwrap(), now()).unwrap();
+fn each_notice_of_an_expiry_is_given_once() {
+    let test_files = TestFiles::new();
+    let generation = Generation::from_material(1, &test_files.pair(LONG).read().unwrap(), now()).unwrap();
     let until = generation.earliest_expiry().unwrap().not_after;
     let mut watch = ExpiryWatch::default();
-    // Three certificates end then: the authority, and both of the chain, one of which is the authority again.
-    let told: Vec<(u64, usize)> = [40, 30, 29, 8, 7, 3, 1, 0]
+    // Three certificates expire then: the authority, and both of the chain, one of which is the authority again.
+    let given: Vec<(u64, usize)> = [40, 30, 29, 8, 7, 3, 1, 0]
         .into_iter()
         .map(|days| (days, watch.check(&generation, until - days * DAY).len()))
         .collect();
-    assert_eq!(told, [(40, 0), (30, 2), (29, 0), (8, 0), (7, 2), (3, 0), (1, 2), (0, 2)]);
+    assert_eq!(given, [(40, 0), (30, 2), (29, 0), (8, 0), (7, 2), (3, 0), (1, 2), (0, 2)]);
     assert_eq!(ExpiryWatch::default().check(&generation, until - 3 * DAY)[0].days_left, 3);
 }
 
 #[test]
-fn no_word_of_a_key_is_ever_said() {
-    let made = Made::new();
-    let files = made.pair(LONG);
+fn no_error_or_debug_output_quotes_a_key() {
+    let test_files = TestFiles::new();
+    let files = test_files.pair(LONG);
     let (chain, key) = files.identity.clone().unwrap();
     let secret: Vec<String> = text(&key).lines().filter(|l| !l.starts_with('-')).map(str::to_owned).collect();
-    let texts = files.read().unwrap();
-    let keys = KeyStore::new(&texts, now()).unwrap();
+    let material = files.read().unwrap();
+    let store = KeyStore::new(&material, now()).unwrap();
     std::fs::write(&chain, text(&key)).unwrap();
     let swapped = KeyFiles { identity: Some((key.clone(), chain.clone())), ..files.clone() };
-    let said = [
-        format!("{texts:?} {keys:?} {:?}", keys.current()),
-        format!("{:?}", keys.reload(&swapped.read().unwrap(), now()).unwrap_err()),
-        format!("{:?}", keys.reload(&files.read().unwrap(), now()).unwrap_err()),
+    let outputs = [
+        format!("{material:?} {store:?} {:?}", store.current()),
+        format!("{:?}", store.reload(&swapped.read().unwrap(), now()).unwrap_err()),
+        format!("{:?}", store.reload(&files.read().unwrap(), now()).unwrap_err()),
     ];
-    for said in said {
-        assert!(secret.iter().all(|line| !said.contains(&**line)), "{said}");
-        assert!(!said.contains(&format!("{:?}", &text(&key).as_bytes()[40..48])), "{said}");
+    for output in outputs {
+        assert!(secret.iter().all(|line| !output.contains(&**line)), "{output}");
+        assert!(!output.contains(&format!("{:?}", &text(&key).as_bytes()[40..48])), "{output}");
     }
 }
 
 #[test]
-fn the_first_line_that_fits_decides_and_none_is_not_plain() {
+fn the_first_rule_that_matches_decides_and_none_is_not_plaintext() {
     let tls = |identity: Option<&str>| RequiredSecurity::Tls {
         identity: identity.map(str::to_owned),
         may_resume_sessions: true,
@@ -201,11 +200,12 @@
         zone: zone.map(str::to_owned),
         tier,
     };
+    let rule = |matcher, required| TransportRule { matcher, required };
     let policy = TransportPolicy {
         rules: vec![
-            (of(Some("upper-a"), None, None), tls(Some("spiffe://office/{}"))),
-            (of(None, Some("far"), Some(1)), tls(None)),
-            (of(None, Some("near"), None), RequiredSecurity::Plaintext),
+            rule(of(Some("upper-a"), None, None), tls(Some("spiffe://office/{}"))),
+            rule(of(None, Some("far"), Some(1)), tls(None)),
+            rule(of(None, Some("near"), None), RequiredSecurity::Plaintext),
         ],
     };
     let named = |identity: &str| {
@@ -218,40 +218,40 @@
 }
 
 #[test]
-fn handshakes_keep_within_their_bounds() {
-    let bounds = HandshakeLimits {
+fn handshakes_keep_within_their_limits() {
+    let limits = HandshakeLimits {
         max_concurrent: 3,
         max_per_second: 10.0,
         initial_backoff: SEC,
         max_backoff: 8 * SEC,
     };
-    let mut s = HandshakeLimiter::new(bounds, 0);
-    assert_eq!([0, 1, 2].map(|n| s.try_begin(n, 1, 0)), [Ok(()); 3]);
-    assert_eq!(s.try_begin(3, 1, 0), Err(HandshakeDenied::TooManyConcurrent));
+    let mut limiter = HandshakeLimiter::new(limits, 0);
+    assert_eq!([0, 1, 2].map(|n| limiter.try_begin(n, 1, 0)), [Ok(()); 3]);
+    assert_eq!(limiter.try_begin(3, 1, 0), Err(HandshakeDenied::TooManyConcurrent));
     // A storm of a thousand nodes at once: no second has more than its ten, and the ten saved up.
     let mut begun = vec![0; 11];
-    (0..3).for_each(|n| s.on_finished(n, true));
+    (0..3).for_each(|n| limiter.on_finished(n, true));
     for at in 0..10_000u64 {
-        if s.try_begin(at as usize % 1_000, 1, at * SEC / 1_000).is_ok() {
+        if limiter.try_begin(at as usize % 1_000, 1, at * SEC / 1_000).is_ok() {
             begun[at as usize / 1_000] += 1;
-            s.on_finished(at as usize % 1_000, true);
+            limiter.on_finished(at as usize % 1_000, true);
         }
     }
     assert!(
         begun[0] <= 17 && begun[1..].iter().all(|&n| n <= 11) && begun.iter().sum::<i32>() >= 95,
         "{begun:?}"
     );
-    // A bad certificate rests twice as long each time, up to a bound; a new generation tries at once.
+    // A node with a bad certificate is left alone twice as long each time, up to a limit; a new generation tries at once.
     let mut at = 20 * SEC;
-    for rest in [1, 2, 4, 8, 8] {
-        assert_eq!(s.try_begin(7, 1, at), Ok(()));
-        assert_eq!(s.on_rejected(7, 1, at), rest * SEC);
-        assert_eq!(s.try_begin(7, 1, at + rest * SEC - 1), Err(HandshakeDenied::BackingOff(1)));
-        at += rest * SEC;
+    for backoff in [1, 2, 4, 8, 8] {
+        assert_eq!(limiter.try_begin(7, 1, at), Ok(()));
+        assert_eq!(limiter.on_rejected(7, 1, at), backoff * SEC);
+        assert_eq!(limiter.try_begin(7, 1, at + backoff * SEC - 1), Err(HandshakeDenied::BackingOff(1)));
+        at += backoff * SEC;
     }
-    s.try_begin(7, 1, at).unwrap();
-    s.on_rejected(7, 1, at);
-    assert_eq!(s.try_begin(7, 2, at), Ok(()));
-    s.on_finished(7, true);
-    assert_eq!((s.try_begin(7, 1, at + 1), s.in_progress()), (Ok(()), 1));
+    limiter.try_begin(7, 1, at).unwrap();
+    limiter.on_rejected(7, 1, at);
+    assert_eq!(limiter.try_begin(7, 2, at), Ok(()));
+    limiter.on_finished(7, true);
+    assert_eq!((limiter.try_begin(7, 1, at + 1), limiter.in_progress()), (Ok(()), 1));
 }
