--- a/src/burst.rs
+++ b/src/burst.rs
@@ -10,13 +10,13 @@
 
 /// The length of one window of measurements: short enough to react to a rush, long enough to count something.
 pub(crate) const WINDOW: Ns = 2 * SECOND;
-/// How many earlier windows a prediction is the median of.
+/// How many earlier windows a prediction is the median of; the design sets it.
 const PREDICTION_SAMPLES: usize = 3;
-/// How many windows apart these lie.
+/// How many windows apart these lie, so that an object that rises over some seconds does not lift all of them.
 const PREDICTION_SPACING: usize = 3;
-/// How many windows a prediction needs to be remembered.
+/// How many closed windows are remembered: those that a prediction reaches back to.
 pub(crate) const REMEMBERED_WINDOWS: usize = PREDICTION_SAMPLES * PREDICTION_SPACING;
-/// By how many standard deviations a burst exceeds the prediction.
+/// By how many standard deviations a burst exceeds the prediction; the design sets it.
 const BURST_SIGMAS: f64 = 3.0;
 
 /// The ordinary traffic of one cache, without objects in burst: kilobytes a window, or requests where sizes are unknown.
--- a/src/cache_policy.rs
+++ b/src/cache_policy.rs
@@ -8,7 +8,7 @@
 use crate::hash_ring::cache_position;
 use crate::types::{Ns, Request, RequestClass, SECOND};
 
-/// Requests of one copy are remembered for one to two of these.
+/// Requests of one copy are remembered for one to two of these, which bounds the memory that one-timers take.
 const HISTORY_GENERATION: Ns = 20 * SECOND;
 /// From so many requests within the history a copy counts as reused; one that is not is surely a miss.
 const REUSED_FROM: u32 = 2;
@@ -19,9 +19,11 @@
 /// How often purges that no longer bind are dropped; at each purge, the cost would be the square of their rate.
 const PURGE_SWEEP_INTERVAL: Ns = SECOND;
 
-/// The ranks at which an answer is cached; nodes know a third, which is not used.
+/// The rank of an answer that is passed through; nodes' protocol has it so, as the others.
 const RANK_UNCACHED: u8 = 0;
+/// The rank of a copy that may be requested only once, so that it is evicted first.
 const RANK_FIRST_SEEN: u8 = 1;
+/// The rank of a copy that is requested again. A third rank for the often requested gained nothing.
 const RANK_REUSED: u8 = 2;
 
 /// The rank at which an answer is cached.
--- a/src/fill_price.rs
+++ b/src/fill_price.rs
@@ -5,28 +5,33 @@
 
 use crate::types::Outcome;
 
-/// The range of a price. At the least all requests are filled; at the most, still those well above the average.
+/// The least price, far below what nearly all requests are worth: all are filled.
 const MIN_PRICE: f64 = -3.0;
+/// The greatest price, so that what is worth well more than the average is filled however busy a parent is.
 const MAX_PRICE: f64 = 0.5;
-/// By how much an outcome past the latency objective makes a parent dearer, and one within it cheaper, times the cube
-/// root of the number of directors: of many, each sees little of a parent.
+/// By how much an outcome past the latency objective makes a parent dearer, times the cube root of the number of
+/// directors: of many, each sees little of a parent.
 const PRICE_RISE: f64 = 0.24;
+/// By how much an outcome within the objective makes it cheaper, times the same. Far less than the rise: most outcomes of
+/// a parent at its capacity have to be in time.
 const PRICE_FALL: f64 = 0.05;
-/// The part of each step by which the prices of all other parents move.
+/// The part of each step by which the prices of all other parents move: they share the origin and the links.
 const OTHER_PARENTS_PART: f64 = 0.2;
 /// The part of answers, where caches do not tell hits from fills, that are taken for fills.
 const ASSUMED_FILL_PART: f64 = 0.35;
-/// By how much a price falls with each window.
+/// By how much a price falls with each window, so that a parent without fills is tried again.
 const DECAY: f64 = 0.2;
-/// The weight of the newest window in the smoothed price.
+/// The weight of the newest window in the smoothed price, by which parents are compared: a single outcome moves nothing.
 const SMOOTHING: f64 = 0.8;
 
-/// How many parents are looked at for one that is cheaper, the primary one included.
+/// How many parents are looked at for one that is cheaper, the primary one included; this bounds the work of a decision.
 pub(crate) const OFFLOAD_CANDIDATES: usize = 16;
-/// By how much the smoothed price of another parent has to lie below that of the primary one.
+/// By how much the smoothed price of another parent has to lie below that of the primary one: it has to fetch what the
+/// primary one may hold, so that small differences are not worth it.
 const MIN_PRICE_GAP: f64 = 0.4;
-/// How the offloaded part grows by an offloaded fill in time, and shrinks by one that was late or failed.
+/// The growth of the offloaded part by an offloaded fill in time.
 const OFFLOAD_GROWTH: f64 = 0.05;
+/// What one that was late or failed takes away: more, so that others are not made busy too.
 const OFFLOAD_SHRINK: f64 = 0.1;
 /// The least offloaded part: some fills have to show whether the others have room again.
 const MIN_OFFLOADED_PART: f64 = 0.05;
--- a/src/hash_ring.rs
+++ b/src/hash_ring.rs
@@ -6,7 +6,7 @@
 /// so that the loss of one burdens all alike and a new one takes its share from all.
 pub const VIRTUAL_NODES: u16 = 256;
 
-/// The steps in which [`unit_fraction`] counts.
+/// The steps in which [`unit_fraction`] counts; all versions have to agree on it.
 const FRACTION_STEPS: u64 = 1024;
 
 /// The sort key of a node, a hash of its name alone (FNV-1a), which is the same in all directors.
--- a/src/invariants.rs
+++ b/src/invariants.rs
@@ -90,7 +90,7 @@
 }
 
 /// Whether an attempt with this outcome, or with none yet, may have been executed.
-pub fn may_have_run(outcome: Option<Outcome>) -> bool {
+pub(crate) fn may_have_run(outcome: Option<Outcome>) -> bool {
     use Outcome::{ConnectFailed, Miss, NotSent, Overloaded};
     !matches!(outcome, Some(Overloaded | ConnectFailed | NotSent | Miss))
 }
--- a/src/load_shedding.rs
+++ b/src/load_shedding.rs
@@ -7,39 +7,44 @@
 use crate::transfer_time::BASE_LATENCY;
 use crate::types::{LoadReport, Ns, SECOND};
 
-/// The first limit on the attempts that all directors together have outstanding at a node.
+/// The first limit at a node, before its division among directors: enough to learn from, too few to overload one.
 const INITIAL_LIMIT: f64 = 16.0;
 /// The least limit: a node has to get something to show that it has recovered.
 const MIN_LIMIT: f64 = 2.0;
-/// The growth of a limit by an answer in time while the limit is in use.
+/// The growth of a limit by an answer in time while the limit is in use. Slower growth (0.3) made no difference.
 const LIMIT_GROWTH: f64 = 0.5;
-/// The part of a limit that one late answer takes away.
+/// The part of a limit that one late answer takes away: limits fall by parts and grow by steps, which divides a node
+/// fairly among directors.
 const LIMIT_SHRINK: f64 = 0.06;
 /// A limit is in use from this part of it on; otherwise an answer in time says nothing of how much more would do.
 const LIMIT_IN_USE: f64 = 0.6;
-/// The utilization from which a node or its link has no room to spare.
+/// The utilization from which a node or its link has no room to spare; reports are noisy, so less than 1.
 const BUSY_UTILIZATION: f64 = 0.95;
-/// How long a load report is believed.
+/// How long a load report is believed: load changes within seconds.
 const LOAD_REPORT_LIFETIME: Ns = SECOND;
 /// How many late answers a quick rejection is worth: the node said itself that it was too much.
 pub(crate) const REJECTION_SHRINK_STEPS: f64 = 2.0;
 
-/// An answer is late if it takes longer than this multiple of its transfer time and so many base latencies.
+/// An answer is late if it takes longer than this multiple of what is predicted: its transfer time...
 const LATE_MULTIPLE: f64 = 1.5;
+/// ...and so many base latencies.
 const LATE_LATENCIES: f64 = 2.0;
 
-/// The part of its limit that a cache gives to requests of others' share of the ring.
+/// The part of its limit that a cache gives to requests of others' share of the ring: its own go first.
 const SPILL_SHARE: f64 = 0.4;
-/// The part of its limit that a cache gives to requests of its own share of the ring, at average priority.
+/// The part of its limit that a cache gives to requests of its own share of the ring, at average priority: a little over
+/// the limit, so that it is in use and can grow.
 const PRIMARY_SHARE: f64 = 1.05;
-/// By how much that part grows with each standard deviation of priority.
+/// By how much that part grows with each standard deviation of priority. A steeper slope lost where it
+/// was tried (`docs/design.md`).
 const PRIMARY_SHARE_SLOPE: f64 = 0.35;
 
-/// The share of late attempts above which the location is overloaded, and below which it no longer is. Then all are slow,
-/// and any further transfer makes them slower.
+/// The share of late attempts above which the location is overloaded: then all are slow, and any further transfer makes
+/// them slower.
 const OVERLOAD_ENTER_SHARE: f64 = 0.18;
+/// The share below which it no longer is; lower, so that the mode does not flap.
 const OVERLOAD_EXIT_SHARE: f64 = 0.13;
-/// The weight of a long attempt in that share.
+/// The weight of a long attempt in that share, which so follows some twenty attempts.
 const LATE_GAIN: f64 = 0.05;
 /// An attempt has half that weight if its transfer takes this multiple of the base latency. A short one says little about
 /// the links: most of its time may be that of a fill.
--- a/src/origin_limit.rs
+++ b/src/origin_limit.rs
@@ -3,11 +3,13 @@
 //!
 //! Guards the origin against collapse while no parent can be named. Its cost: after trouble fetches come back slowly.
 
-/// The first limit and its growth by an answer in time, of all directors together.
+/// The first limit, before its division among directors: few, as nobody knows what the origin bears.
 const INITIAL_LIMIT: f64 = 4.0;
+/// The growth by an answer in time, divided likewise: slow, as the origin stands behind all locations.
 const GROWTH: f64 = 0.2;
-/// What a late answer, and a failure, leave of the limit.
+/// What a late answer leaves of the limit.
 const LEFT_AFTER_LATE: f64 = 0.85;
+/// What a failure leaves of it: less, as it says more.
 const LEFT_AFTER_FAILURE: f64 = 0.7;
 /// The least limit after a failure: the chance of one fetch at a time.
 const MIN_LIMIT: f64 = 0.1;
--- a/src/outlier_ejection.rs
+++ b/src/outlier_ejection.rs
@@ -6,26 +6,29 @@
 use crate::endpoint::EndpointRole;
 use crate::types::{Ns, SECOND};
 
-/// The weight of one outcome in the failure rate of a cache, and in the fill failure rate of a source.
+/// The weight of one outcome in the failure rate of a cache, and in the fill failure rate of a source: some failures in a
+/// row eject a node, a single one never does.
 pub(crate) const OUTCOME_WEIGHT: f64 = 0.12;
 /// The weight of one outcome of an attempt straight at a parent or the origin. Only few go there, so each counts more.
 const DIRECT_OUTCOME_WEIGHT: f64 = 0.35;
-/// The failure rate above which a node is ejected.
+/// The failure rate above which a node is ejected. Half made no difference.
 const EJECTION_FAILURE_RATE: f64 = 0.4;
-/// The time from an ejection to the first trial, and between checks of a suspected parent.
+/// The time from an ejection to the first trial, and between checks of a suspected parent: near nothing else goes there.
 const FIRST_TRIAL_INTERVAL: Ns = SECOND;
-/// Each failed trial makes the interval longer by half, up to this.
+/// Each failed trial makes the interval longer by half, up to this, so that a node that works again is found in seconds.
 const MAX_TRIAL_INTERVAL: Ns = 5 * SECOND;
-/// How many trials in a row have to succeed before a node is restored.
+/// How many trials in a row have to succeed before a node is restored; one may be luck.
 const TRIALS_TO_RESTORE: u32 = 3;
-/// A connection that cannot be made says more than a failed answer.
+/// A connection that cannot be made says more than a failed answer, and counts as so many.
 pub(crate) const CONNECT_FAILURE_COUNT: i32 = 2;
-/// A timeout of a node that has not answered anything since the attempt was sent counts as so many failures.
+/// A timeout of a node that has not answered anything since the attempt was sent counts as so many failures: it is likely
+/// dead, not slow.
 pub(crate) const SILENT_TIMEOUT_COUNT: i32 = 3;
 /// The fill failure rate above which a parent is checked by requests straight at it, without a fill: a miss proves that
 /// it lives, and that its failures are those of the origin behind it.
 const SUSPECT_FILL_FAILURE_RATE: f64 = 0.25;
-/// A node and the source behind it are both blamed for a failure unless one fails more often by this much.
+/// A node and the source behind it are both blamed for a failure unless one fails more often by this much; less may be
+/// chance.
 const BLAME_MARGIN: f64 = 0.1;
 
 /// A node that gets nothing but trials.
--- a/src/priority.rs
+++ b/src/priority.rs
@@ -1,6 +1,6 @@
 //! The priority of a request: what its answer is worth for the time that it takes to send, compared with other requests.
 
-/// The weight of one request in the mean and the variance.
+/// The weight of one request in the mean and the variance, which so follow the mix of some twenty requests.
 const GAIN: f64 = 0.05;
 /// Where all requests are alike, this stands in for the standard deviation.
 const MIN_DEVIATION: f64 = 0.1;
--- a/src/retry_budget.rs
+++ b/src/retry_budget.rs
@@ -1,11 +1,11 @@
 //! The retry budget: attempts beyond a request's first are paid for by successes, so that retries and hedges cannot
 //! multiply the load of a fleet that fails.
 
-/// What one success earns: one further attempt for ten successes.
+/// What one success earns: one further attempt for ten successes, a tenth more load at most.
 const TOKENS_PER_SUCCESS: f64 = 0.1;
 /// The most that is saved up, for failures that come in a rush.
 const MAX_TOKENS: f64 = 3.0;
-/// What one further attempt costs.
+/// What one further attempt costs, the unit of all tokens.
 const ATTEMPT_COST: f64 = 1.0;
 
 /// The tokens of one director.
--- a/src/router.rs
+++ b/src/router.rs
@@ -43,21 +43,24 @@
 
 use selection::Selection;
 
-/// How many ticks before its deadline a request is decided: one for the timer, one for the way of the answer.
+/// How many ticks before its deadline a request gets its answer, so that one decided a tick late is still in time.
 const DEADLINE_MARGIN_TICKS: Ns = 2;
-/// A request with less than this part of its predicted transfer time left is given up at once.
+/// A request with less than this part of its predicted transfer time left is given up at once. Less than 1, as the
+/// prediction may be too long.
 const MIN_TIME_LEFT: f64 = 0.7;
-/// A request has at most so many attempts outstanding.
+/// A request has at most so many attempts outstanding: the first and one hedge.
 const MAX_OUTSTANDING: usize = 2;
 /// The random part of the delay that a rejection names, so that clients do not come back all at once.
 const RETRY_AFTER_JITTER: f64 = 0.25;
-/// Beyond so many attempts a request is not hedged.
+/// Beyond so many attempts a request is not hedged: what is slow everywhere is not sent again in vain.
 const MAX_HEDGED_ATTEMPTS: usize = 3;
-/// A hedge goes out no sooner than this after the last attempt, in predicted transfer times and base latencies...
+/// A hedge goes out no sooner after the last attempt than that should take: so many predicted transfer times...
 const HEDGE_DELAY_TRANSFERS: f64 = 1.4;
+/// ...and base latencies.
 const HEDGE_DELAY_LATENCIES: f64 = 2.0;
-/// ...and else as late as leaves it this much time within the latency objective.
+/// Else it goes out as late as it can still end within the latency objective: so many predicted transfer times...
 const HEDGE_RESERVE_TRANSFERS: f64 = 1.3;
+/// ...and base latencies before the end of that.
 const HEDGE_RESERVE_LATENCIES: f64 = 1.5;
 
 /// The decisions of one director, and all that it has measured.
--- a/src/router/selection.rs
+++ b/src/router/selection.rs
@@ -11,13 +11,14 @@
 use crate::transfer_time::BASE_LATENCY;
 use crate::types::{Attempt, AttemptSpec, Ns, Outcome, Request};
 
-/// From so many attempts on a parent that can be asked directly goes before another cache.
+/// From so many attempts on a parent that can be asked directly goes before another cache: caches have had their try.
 const ATTEMPTS_BEFORE_BYPASS: usize = 2;
-/// How long an attempt without a fill may take, in predicted transfer times and base latencies: a copy is served soon,
-/// or the node is not well.
+/// How long an attempt without a fill may take: a copy is served soon, or the node is not well. So many predicted
+/// transfer times...
 const UNFILLED_TIMEOUT_TRANSFERS: f64 = 3.0;
+/// ...and base latencies.
 const UNFILLED_TIMEOUT_LATENCIES: Ns = 8;
-/// An object in burst rotates over its primary cache and the two next ones.
+/// An object in burst rotates over its primary cache and the two next ones; the design sets it.
 const BURST_CACHES: usize = 3;
 
 /// Where an attempt goes and where a miss is filled from.
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -8,18 +8,19 @@
 use crate::endpoint::{Endpoint, EndpointRole, EndpointTable};
 use crate::types::{Ns, SECOND, Settings};
 
-/// The part of the load at which a cold node would collapse that it is given.
+/// The part of the load at which a cold node would collapse that it is given. With 0.55 hunts came up to 81% of the rule.
 const SAFE_PART: f64 = 0.5;
-/// The part of the demand that stands in for the load of a warm node while none has been seen.
+/// The part of the demand that stands in for the load of a warm node while none has been seen: demand may be far above
+/// what nodes bear.
 const UNPROVEN_PART: f64 = 0.25;
 /// Credit is earned for at most so long at once, so that a quiet time does not save up for a rush.
 const MAX_EARNING_TIME: Ns = SECOND;
-/// How fast the estimate of a warm node's load follows a higher and a lower load. A loss of nodes must not look like what
-/// one of them bears, so that it falls slowly.
+/// How fast the estimate of a warm node's load follows a higher load.
 const LOAD_RISE_GAIN: f64 = 0.3;
+/// How fast it follows a lower one: slowly, as a quiet time is no sign that nodes bear less.
 const LOAD_FALL_GAIN: f64 = 0.05;
-/// The credit that a single director may save, in transfers: one, and so many more divided by the square root of the
-/// directors that share the node.
+/// The credit that a director may save, in transfers: one, and so many more divided by the square root of the directors
+/// that share the node. Together they must not save up what makes a cold node collapse.
 const SAVED_TRANSFERS_SHARED: f64 = 2.0;
 
 /// The slow-start settings of one role.
--- a/src/transfer_time.rs
+++ b/src/transfer_time.rs
@@ -2,11 +2,12 @@
 
 use crate::types::{MILLISECOND, Ns, Request, SECOND, Settings};
 
-/// What an attempt takes beside its transfer.
+/// What an attempt takes beside its transfer, by and large.
 pub(crate) const BASE_LATENCY: Ns = 40 * MILLISECOND;
-/// The weight of one request in the mean of its class.
+/// The weight of one request in the mean of its class, which so follows some fifty requests.
 const MEAN_GAIN: f64 = 0.02;
-/// Before anything is seen, the mean of a class is its latency objective divided by this.
+/// Before anything is seen, the mean of a class is its latency objective divided by this: answers are to be well
+/// within it.
 const OBJECTIVE_TO_MEAN: f64 = 2.0;
 
 /// The transfer times of all request classes, in nanoseconds.
--- a/src/types.rs
+++ b/src/types.rs
@@ -242,7 +242,7 @@
     Wait,
     /// Reject it, which proves to the client that it had no effect.
     Reject {
-        /// How long the client is asked to wait before it tries again; 0: not told.
+        /// How long the client is asked to wait before it tries again; 0: it is not asked to.
         retry_after: Ns,
     },
     /// Answer with a failure: it may have had its effect.
