--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -98,6 +98,15 @@
     }
 }
 
+/// The rings that this director chooses from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Ring {
+    /// The caches of the own zone, which pick the node of a request.
+    Caches,
+    /// All listed parents, which pick the source of a fill.
+    Parents,
+}
+
 /// All nodes by index, and the rings of those that this director chooses from.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EndpointTable {
@@ -139,30 +148,25 @@
         self.origin
     }
 
-    /// The ring that nodes of this role stand on; the origin stands on none, and gets that of the parents.
-    pub(crate) fn ring(&self, role: EndpointRole) -> &HashRing {
-        match role {
-            EndpointRole::Cache => &self.caches,
-            EndpointRole::Parent | EndpointRole::Origin => &self.parents,
+    pub(crate) fn ring(&self, ring: Ring) -> &HashRing {
+        match ring {
+            Ring::Caches => &self.caches,
+            Ring::Parents => &self.parents,
         }
     }
 
     /// The members of a ring.
-    pub(crate) fn members(&self, role: EndpointRole) -> impl Iterator<Item = &Endpoint> {
-        self.ring(role).nodes().filter_map(|node| self.get(node))
+    pub(crate) fn members(&self, ring: Ring) -> impl Iterator<Item = &Endpoint> {
+        self.ring(ring).nodes().filter_map(|node| self.get(node))
     }
 
     /// Calls a function on each member of a ring.
-    pub(crate) fn for_each_member(
-        &mut self,
-        role: EndpointRole,
-        mut change: impl FnMut(usize, &mut Endpoint),
-    ) {
-        let ring = match role {
-            EndpointRole::Cache => &self.caches,
-            EndpointRole::Parent | EndpointRole::Origin => &self.parents,
+    pub(crate) fn for_each_member(&mut self, ring: Ring, mut change: impl FnMut(usize, &mut Endpoint)) {
+        let members = match ring {
+            Ring::Caches => &self.caches,
+            Ring::Parents => &self.parents,
         };
-        for node in ring.nodes() {
+        for node in members.nodes() {
             if let Some(endpoint) = self.endpoints.get_mut(node).and_then(Option::as_mut) {
                 change(node, endpoint);
             }
--- a/src/router/outcome.rs
+++ b/src/router/outcome.rs
@@ -1,7 +1,7 @@
 //! What the outcome of an attempt changes: health, limits, prices and budgets.
 
 use super::{Router, outstanding};
-use crate::endpoint::{EndpointRole, directors_sharing};
+use crate::endpoint::{EndpointRole, Ring, directors_sharing};
 use crate::fill_price::price_step;
 use crate::hash_ring::parent_position;
 use crate::load_shedding::{REJECTION_SHRINK_STEPS, late_after};
@@ -225,7 +225,7 @@
             }
         }
         let step = step * directors_sharing(&self.settings, EndpointRole::Parent).cbrt();
-        self.endpoints.for_each_member(EndpointRole::Parent, |node, endpoint| {
+        self.endpoints.for_each_member(Ring::Parents, |node, endpoint| {
             endpoint.fill_price.adjust(step, node == source);
         });
     }
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -5,7 +5,7 @@
 //! no warm node left a part of the demand has to be the measure.
 
 use crate::burst::WINDOW;
-use crate::endpoint::{Endpoint, EndpointRole, EndpointTable};
+use crate::endpoint::{Endpoint, EndpointRole, EndpointTable, Ring};
 use crate::types::{Ns, SECOND, Settings};
 
 /// The part of the load at which a cold node would collapse that it is given. With 0.55 hunts came up to 81% of the rule.
@@ -119,10 +119,9 @@
     ) {
         let elapsed = now.saturating_sub(self.earned_until).min(MAX_EARNING_TIME) as f64;
         self.earned_until = now;
-        let loads =
-            [(EndpointRole::Cache, self.warm_cache_load), (EndpointRole::Parent, self.warm_parent_load)];
-        for (role, load) in loads {
-            endpoints.for_each_member(role, |_, endpoint| {
+        for ring in [Ring::Caches, Ring::Parents] {
+            let load = *self.warm_load(ring);
+            endpoints.for_each_member(ring, |_, endpoint| {
                 if is_warm(settings, endpoint, now) {
                     return;
                 }
@@ -136,35 +135,38 @@
     /// Follows what warm nodes served in the window that closes. A loss of nodes leaves the estimates: those that are
     /// left must not be pushed for it.
     pub(crate) fn close_window(&mut self, settings: &Settings, endpoints: &EndpointTable, now: Ns) {
-        let caches = warm_served(settings, endpoints, EndpointRole::Cache, now);
-        self.warm_cache_load = next_load(
-            self.warm_cache_load,
-            &caches,
-            caches.len(),
-            self.unproven_load(endpoints, EndpointRole::Cache),
-        );
-        // Few parents serve all, so that the loss of some must not raise the estimate for a fresh one.
-        let parents = warm_served(settings, endpoints, EndpointRole::Parent, now);
-        self.warm_parent_load = next_load(
-            self.warm_parent_load,
-            &parents,
-            self.max_parents,
-            self.unproven_load(endpoints, EndpointRole::Parent),
-        );
+        for ring in [Ring::Caches, Ring::Parents] {
+            let served = warm_served(settings, endpoints, ring, now);
+            let shared_among = match ring {
+                Ring::Caches => served.len(),
+                // Few parents serve all, so that the loss of some must not raise the estimate for a fresh one.
+                Ring::Parents => self.max_parents,
+            };
+            let unproven = self.unproven_load(endpoints, ring);
+            let load = self.warm_load(ring);
+            *load = next_load(*load, &served, shared_among, unproven);
+        }
         self.requested = 0.0;
     }
 
+    fn warm_load(&mut self, ring: Ring) -> &mut f64 {
+        match ring {
+            Ring::Caches => &mut self.warm_cache_load,
+            Ring::Parents => &mut self.warm_parent_load,
+        }
+    }
+
     /// What stands in for the load of a warm node while none has been seen.
-    fn unproven_load(&self, endpoints: &EndpointTable, role: EndpointRole) -> f64 {
-        let members = endpoints.ring(role).members().len().max(1);
+    fn unproven_load(&self, endpoints: &EndpointTable, ring: Ring) -> f64 {
+        let members = endpoints.ring(ring).members().len().max(1);
         UNPROVEN_PART * self.requested / members as f64 / WINDOW as f64
     }
 }
 
 /// What each warm member that is up served in the open window, in nanoseconds of transfer time.
-fn warm_served(settings: &Settings, endpoints: &EndpointTable, role: EndpointRole, now: Ns) -> Vec<f64> {
+fn warm_served(settings: &Settings, endpoints: &EndpointTable, ring: Ring, now: Ns) -> Vec<f64> {
     endpoints
-        .members(role)
+        .members(ring)
         .filter(|endpoint| endpoint.is_up() && is_warm(settings, endpoint, now))
         .map(|endpoint| endpoint.served)
         .collect()
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -8,7 +8,7 @@
 
 const NOW: u64 = 10_000_000_000;
 
-const WAITING: PendingAttempt = PendingAttempt {
+const PENDING: PendingAttempt = PendingAttempt {
     begin_by: u64::MAX,
     answer_by: NOW + 5,
     is_withdrawn: false,
@@ -19,21 +19,21 @@
 #[test]
 fn an_attempt_begins_only_in_its_time_and_for_a_client_that_is_there() {
     let cases = [
-        (WAITING, Ok(5)),
-        (PendingAttempt { answer_by: NOW, ..WAITING }, Err(BeginDenied::Expired)),
-        (PendingAttempt { begin_by: NOW, ..WAITING }, Err(BeginDenied::Expired)),
-        (PendingAttempt { begin_by: NOW + 1, ..WAITING }, Ok(5)),
-        (PendingAttempt { is_withdrawn: true, ..WAITING }, Err(BeginDenied::Withdrawn)),
+        (PENDING, Ok(5)),
+        (PendingAttempt { answer_by: NOW, ..PENDING }, Err(BeginDenied::Expired)),
+        (PendingAttempt { begin_by: NOW, ..PENDING }, Err(BeginDenied::Expired)),
+        (PendingAttempt { begin_by: NOW + 1, ..PENDING }, Ok(5)),
+        (PendingAttempt { is_withdrawn: true, ..PENDING }, Err(BeginDenied::Withdrawn)),
         (
-            PendingAttempt { is_client_gone: true, is_withdrawn: true, ..WAITING },
+            PendingAttempt { is_client_gone: true, is_withdrawn: true, ..PENDING },
             Err(BeginDenied::ClientGone),
         ),
-        (PendingAttempt { clients_checked_at: NOW - CLIENT_CHECK_MAX_AGE, ..WAITING }, Ok(5)),
+        (PendingAttempt { clients_checked_at: NOW - CLIENT_CHECK_MAX_AGE, ..PENDING }, Ok(5)),
         (
-            PendingAttempt { clients_checked_at: NOW - CLIENT_CHECK_MAX_AGE - 1, ..WAITING },
+            PendingAttempt { clients_checked_at: NOW - CLIENT_CHECK_MAX_AGE - 1, ..PENDING },
             Err(BeginDenied::Unconfirmed),
         ),
-        (PendingAttempt { clients_checked_at: NOW + 1, ..WAITING }, Ok(5)),
+        (PendingAttempt { clients_checked_at: NOW + 1, ..PENDING }, Ok(5)),
     ];
     for (waiting, expected) in cases {
         assert_eq!(waiting.may_begin(NOW), expected, "{waiting:?}");
@@ -61,8 +61,8 @@
 
 #[test]
 fn what_is_chosen_is_held_against_each_rule() {
-    let memory = 1_000;
-    let deduplicated = Effect::Deduplicated { within: DeduplicationScope::All, window: memory };
+    let window = 1_000;
+    let deduplicated = Effect::Deduplicated { within: DeduplicationScope::All, window };
     let never = [Outcome::Overloaded, Outcome::ConnectFailed, Outcome::NotSent, Outcome::Miss];
     let never = never.map(|outcome| PriorAttempt { sent_at: NOW - 5_000, outcome: Some(outcome) });
     let maybe = |at, outcome| [PriorAttempt { sent_at: at, outcome }];
