--- a/src/burst.rs
+++ b/src/burst.rs
@@ -25,10 +25,12 @@
     /// The traffic of the closed windows, the newest last.
     closed_windows: Vec<f64>,
     open_window: f64,
+    /// The variance of what windows had over their predictions.
     residual_variance: f64,
 }
 
 impl TrafficBaseline {
+    /// Counts a request of an object that is not in burst.
     pub(crate) fn record(&mut self, weight: f64) {
         self.open_window += weight;
     }
@@ -39,6 +41,7 @@
         if sigma > 0.0 { Some(self.prediction()? + BURST_SIGMAS * sigma) } else { None }
     }
 
+    /// Compares the open window with its prediction and begins another.
     pub(crate) fn close_window(&mut self) {
         if let Some(prediction) = self.prediction() {
             let predicted_windows = self.closed_windows.len() - PREDICTION_SPACING + 1;
@@ -79,12 +82,11 @@
 /// What one more request of an object showed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum BurstStatus {
+    /// It is not in burst.
     Ordinary,
     /// Its burst begins with this request.
-    Begins {
-        rate: f64,
-        threshold: f64,
-    },
+    Begins { rate: f64, threshold: f64 },
+    /// Its burst has begun before.
     Continues,
 }
 
--- a/src/cache_policy.rs
+++ b/src/cache_policy.rs
@@ -38,6 +38,7 @@
 /// What is known of one copy: one part of one object.
 #[derive(Clone, Copy, Debug, Default)]
 struct CopyHistory {
+    /// Requests so far, clients' own retries not counted.
     requests: u32,
     /// The shortest time of an answer; none until one of unknown size was timed.
     transfer_time: Option<f64>,
@@ -59,6 +60,7 @@
 }
 
 impl ReuseHistory {
+    /// An empty history, whose first generation begins now.
     pub(crate) fn new(now: Ns) -> Self {
         ReuseHistory {
             current: HashMap::new(),
@@ -106,6 +108,7 @@
     }
 }
 
+/// The key of the requested copy: its position on the ring, which is a hash of object and part.
 fn copy_key(request: &Request) -> u64 {
     cache_position(request.object, request.part)
 }
@@ -128,6 +131,7 @@
 }
 
 impl PurgeLog {
+    /// An empty log, for copies from before a purge that may exist for this long after it.
     pub(crate) fn new(purge_propagation_window: Ns) -> Self {
         PurgeLog {
             made_at: HashMap::new(),
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -43,7 +43,9 @@
 /// One node.
 #[derive(Clone, Debug)]
 pub(crate) struct Endpoint {
+    /// Its latest entry of the endpoint list.
     pub(crate) listing: EndpointUpdate,
+    /// Its role when it was first listed.
     pub(crate) role: EndpointRole,
     /// Square root of the number of directors that share it: the demand of one varies by that, and so do its limits.
     pub(crate) sharing: f64,
@@ -51,17 +53,23 @@
     pub(crate) outstanding: u32,
     /// Those of them that were sent straight to it.
     pub(crate) outstanding_direct: u32,
+    /// What outcomes say about it.
     pub(crate) health: EndpointHealth,
+    /// How many attempts may be outstanding straight at it.
     pub(crate) concurrency: ConcurrencyLimit,
     /// Slow-start credit, in nanoseconds of transfer time.
     pub(crate) credit: f64,
     /// Transfer time of what it served, or filled, in the open window, in nanoseconds.
     pub(crate) served: f64,
+    /// Of a parent: what a request has to be worth to be filled from it.
     pub(crate) fill_price: FillPrice,
+    /// Of a cache: the ordinary traffic of the objects that it is primary for.
     pub(crate) traffic: TrafficBaseline,
 }
 
 impl Endpoint {
+    /// A node that was just listed, of which nothing is known. `largest_transfer` is the mean transfer time of the class
+    /// with the longest.
     fn new(settings: &Settings, listing: EndpointUpdate, largest_transfer: f64) -> Self {
         let role = EndpointRole::of(settings, listing.machine_kind);
         let sharers = directors_sharing(settings, role);
@@ -91,6 +99,11 @@
         self.listing.state == EndpointState::Ready && self.health.is_trial_due(now, self.role)
     }
 
+    /// Whether an entry of the list is about the process that is known here, not about another one that took its place.
+    fn is_same_process(&self, update: &EndpointUpdate) -> bool {
+        (self.listing.started_at, self.listing.rank) == (update.started_at, update.rank)
+    }
+
     fn close_window(&mut self) {
         self.traffic.close_window();
         self.served = 0.0;
@@ -135,10 +148,12 @@
         self.get(node).is_some_and(Endpoint::is_up)
     }
 
+    /// The ring of the caches of the own zone.
     pub(crate) fn caches(&self) -> &HashRing {
         &self.caches
     }
 
+    /// The ring of all listed parents.
     pub(crate) fn parents(&self) -> &HashRing {
         &self.parents
     }
@@ -173,6 +188,7 @@
         }
     }
 
+    /// Closes the window of measurements of all nodes.
     pub(crate) fn close_window(&mut self) {
         self.endpoints.iter_mut().flatten().for_each(Endpoint::close_window);
     }
@@ -196,6 +212,7 @@
         self.rebuild_rings(settings)
     }
 
+    /// Takes one entry of the list.
     fn apply(&mut self, settings: &Settings, update: EndpointUpdate, largest_transfer: f64) {
         if self.endpoints.len() <= update.node {
             self.endpoints.resize(update.node + 1, None);
@@ -216,6 +233,7 @@
         }
     }
 
+    /// Finds the origin and builds the rings whose members have changed.
     fn rebuild_rings(&mut self, settings: &Settings) -> Vec<ModeChange> {
         let caches = self.listed_members(EndpointRole::Cache, Some(settings.zone));
         let parents = self.listed_members(EndpointRole::Parent, None);
@@ -248,13 +266,7 @@
     }
 }
 
-impl Endpoint {
-    fn is_same_process(&self, update: &EndpointUpdate) -> bool {
-        (self.listing.started_at, self.listing.rank) == (update.started_at, update.rank)
-    }
-}
-
-/// Builds a ring anew if its members have changed. The first members are no change.
+/// Builds a ring again if its members have changed. The first members are no change of mode.
 fn replace_ring(ring: &mut HashRing, members: Vec<RingMember>) -> Option<ModeChange> {
     if members == ring.members() {
         return None;
--- a/src/fill_price.rs
+++ b/src/fill_price.rs
@@ -39,6 +39,7 @@
 /// The price of a fill from one parent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FillPrice {
+    /// The price now.
     current: f64,
     /// The price over the last windows.
     smoothed: f64,
@@ -67,6 +68,7 @@
         self.current = (self.current + part * step).clamp(MIN_PRICE, MAX_PRICE);
     }
 
+    /// Takes the price into the smoothed one and lets it decay.
     pub(crate) fn close_window(&mut self) {
         self.smoothed += SMOOTHING * (self.current - self.smoothed);
         self.current = (self.current - DECAY).max(MIN_PRICE);
@@ -90,6 +92,7 @@
 /// so that the part shrinks while such fills come late.
 #[derive(Clone, Debug)]
 pub(crate) struct FillOffload {
+    /// From [`MIN_OFFLOADED_PART`] to 1.
     part: f64,
 }
 
--- a/src/load_shedding.rs
+++ b/src/load_shedding.rs
@@ -62,6 +62,7 @@
 }
 
 impl ConcurrencyLimit {
+    /// The first limit of a node. `sharing` is the square root of the number of directors that share it.
     pub(crate) fn new(sharing: f64) -> Self {
         ConcurrencyLimit { limit: INITIAL_LIMIT / sharing, sharing, has_headroom_until: 0 }
     }
@@ -72,6 +73,7 @@
         f64::from(outstanding) < (share * self.limit + dither).floor()
     }
 
+    /// Takes a load report of the node.
     pub(crate) fn record_load(&mut self, now: Ns, load: LoadReport) {
         let has_headroom = load.cpu_utilization.is_some_and(|cpu| cpu < BUSY_UTILIZATION)
             && load.link_utilization.is_none_or(|link| link < BUSY_UTILIZATION);
--- a/src/origin_limit.rs
+++ b/src/origin_limit.rs
@@ -33,14 +33,17 @@
         f64::from(outstanding) + dither < self.limit
     }
 
+    /// An answer came within the latency objective.
     pub(crate) fn on_timely(&mut self) {
         self.limit += self.growth;
     }
 
+    /// An answer came after it.
     pub(crate) fn on_late(&mut self) {
         self.limit *= LEFT_AFTER_LATE;
     }
 
+    /// A fetch failed or was rejected.
     pub(crate) fn on_failure(&mut self) {
         self.limit = (self.limit * LEFT_AFTER_FAILURE).max(MIN_LIMIT);
     }
--- a/src/outlier_ejection.rs
+++ b/src/outlier_ejection.rs
@@ -154,6 +154,7 @@
         }
     }
 
+    /// Ejects the node if its failure rate has become too high.
     fn eject_if_failing(&mut self, now: Ns, role: EndpointRole) -> Option<HealthChange> {
         // Nothing stands in for the origin.
         if role == EndpointRole::Origin || self.failure_rate <= EJECTION_FAILURE_RATE {
@@ -167,6 +168,7 @@
         Some(HealthChange::Ejected { failure_rate: self.failure_rate })
     }
 
+    /// Takes the node back into service, with a clean record.
     fn restore(&mut self) -> HealthChange {
         let failure_rate = self.failure_rate;
         self.ejection = None;
@@ -177,13 +179,14 @@
 }
 
 impl Ejection {
+    /// The trials begin again, further apart.
     fn on_trial_failure(&mut self, now: Ns) {
         self.successes = 0;
         self.trial_interval = (self.trial_interval * 3 / 2).min(MAX_TRIAL_INTERVAL);
         self.next_trial = now + self.trial_interval;
     }
 
-    /// Whether that was the last trial needed. The next one is due at once.
+    /// Returns whether that was the last trial needed. If not, the next one is due at once.
     fn on_trial_success(&mut self, now: Ns) -> bool {
         if self.successes + 1 >= TRIALS_TO_RESTORE {
             return true;
--- a/src/retry_budget.rs
+++ b/src/retry_budget.rs
@@ -15,18 +15,22 @@
 }
 
 impl RetryBudget {
+    /// Half of the most, so that a director that starts amid trouble can retry a little.
     pub(crate) fn new() -> Self {
         RetryBudget { tokens: MAX_TOKENS / 2.0 }
     }
 
+    /// Whether no further attempt can be paid for.
     pub(crate) fn is_exhausted(&self) -> bool {
         self.tokens < ATTEMPT_COST
     }
 
+    /// Pays for a further attempt.
     pub(crate) fn spend(&mut self) {
         self.tokens -= ATTEMPT_COST;
     }
 
+    /// Earns a part of a further attempt.
     pub(crate) fn on_success(&mut self) {
         self.tokens = (self.tokens + TOKENS_PER_SUCCESS).min(MAX_TOKENS);
     }
--- a/src/router/outcome.rs
+++ b/src/router/outcome.rs
@@ -92,6 +92,7 @@
         }
     }
 
+    /// Judges the node by its pace, the source by the fill, and the origin by the latency objective.
     fn judge_success(&mut self, now: Ns, ended: &EndedAttempt) {
         let request = ended.request;
         let is_size_known = request.size_kb > 0.0;
@@ -159,6 +160,7 @@
         }
     }
 
+    /// Judges whose fault a failure was.
     fn judge_failure(&mut self, now: Ns, ended: &EndedAttempt) {
         if ended.outcome == Outcome::TimedOut {
             self.record_pace(true, ended.predicted);
@@ -183,6 +185,7 @@
         }
     }
 
+    /// Whom a failure of this node with this source is blamed on.
     fn blame(&self, node: usize, source: Option<usize>) -> Blame {
         let node = self.endpoints.get(node);
         let source = source.and_then(|source| self.endpoints.get(source));
@@ -192,18 +195,21 @@
         )
     }
 
+    /// Records an outcome of an attempt straight at a node, which counts `count` times.
     fn record_direct(&mut self, now: Ns, node: usize, failed: bool, count: i32) {
         let Some(endpoint) = self.endpoints.get_mut(node) else { return };
         let change = endpoint.health.record_direct(now, endpoint.role, failed, count);
         self.mode_changes.extend(change.map(|change| ModeChange::Health { node, change }));
     }
 
+    /// Records an outcome of a fill from a source.
     fn record_fill(&mut self, source: usize, failed: bool, weight: f64) {
         if let Some(endpoint) = self.endpoints.get_mut(source) {
             endpoint.health.record_fill(failed, weight);
         }
     }
 
+    /// Counts an attempt for the detection of overload.
     fn record_pace(&mut self, is_late: bool, transfer_time: f64) {
         let change = self.overload.record(is_late, transfer_time);
         self.mode_changes.extend(change.map(ModeChange::Overload));
--- a/src/router/selection.rs
+++ b/src/router/selection.rs
@@ -40,6 +40,7 @@
 }
 
 impl<'a> Selection<'a> {
+    /// The decision about a request, by what is known now.
     pub(super) fn new(router: &'a Router, now: Ns, request: &'a Request) -> Self {
         Selection {
             router,
@@ -72,6 +73,7 @@
         })
     }
 
+    /// A trial goes first; else a cache, and past that, where it is allowed, a parent itself.
     fn target(&self) -> Option<Target> {
         let endpoints = &self.router.endpoints;
         if let Some(parent) = endpoints.parents().primary(self.parent_position)
@@ -101,6 +103,7 @@
         self.router.endpoints.get(node).is_some_and(|endpoint| endpoint.is_up() && self.has_credit(endpoint))
     }
 
+    /// Whether slow start allows the request: the node is warm or has earned enough credit.
     fn has_credit(&self, endpoint: &Endpoint) -> bool {
         slow_start::is_warm(&self.router.settings, endpoint, self.now)
             || endpoint.credit >= self.router.transfer_times.mean(self.request.class)
@@ -113,6 +116,7 @@
             && endpoint.is_some_and(|endpoint| endpoint.is_trial_due(self.now) && self.has_credit(endpoint))
     }
 
+    /// Whether an attempt at the node cannot repeat the request's effect.
     fn is_effect_safe(&self, node: usize) -> bool {
         effects::allow_attempt(&self.router.settings, &self.router.endpoints, self.request, node, self.now)
     }
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -62,6 +62,7 @@
     (initial_share + (1.0 - initial_share) * age).min(1.0)
 }
 
+/// Whether a node has its full capacity by now.
 pub(crate) fn is_warm(settings: &Settings, endpoint: &Endpoint, now: Ns) -> bool {
     warmth(settings, endpoint, now) >= 1.0
 }
@@ -82,6 +83,7 @@
     requested: f64,
     /// The most parents that were listed.
     max_parents: usize,
+    /// Until when cold nodes have earned their credit.
     earned_until: Ns,
 }
 
@@ -101,10 +103,12 @@
         -(settings.director_index as f64 % sharers / sharers) * largest_transfer
     }
 
+    /// Notes how many parents are listed.
     pub(crate) fn record_parents(&mut self, listed: usize) {
         self.max_parents = self.max_parents.max(listed);
     }
 
+    /// Counts the demand of a request, in nanoseconds of transfer time.
     pub(crate) fn record_request(&mut self, transfer_time: f64) {
         self.requested += transfer_time;
     }
