--- a/crates/capacity/src/module.rs
+++ b/crates/capacity/src/module.rs
@@ -83,28 +83,28 @@
     (0..nodes).map(line).collect()
 }
 
-pub fn choice(nodes: usize) -> Router {
-    let mut choice = Router::new(settings(nodes), 7, START);
-    choice.update_endpoints(START, &list(nodes), true);
-    choice
+pub fn router(nodes: usize) -> Router {
+    let mut router = Router::new(settings(nodes), 7, START);
+    router.update_endpoints(START, &list(nodes), true);
+    router
 }
 
 fn with_purges(known: usize) -> Router {
-    let mut choice = Router::new(settings(10), 7, START);
-    (0..known as u64).for_each(|n| choice.record_purge(START, Some(mix(n)), 0, 0));
-    choice
+    let mut router = Router::new(settings(10), 7, START);
+    (0..known as u64).for_each(|n| router.record_purge(START, Some(mix(n)), 0, 0));
+    router
 }
 
 /// Purges of objects of which one is known, so that their number stays, 35 a second: over a second, so that
 /// what is done once a second is in it.
 pub fn purge_known() -> Cost {
     struct At {
-        choice: Router,
+        router: Router,
         known: u64,
         next: u64,
     }
     let begin = |&known: &usize| {
-        let at = At { choice: with_purges(known), known: known as u64, next: 0 };
+        let at = At { router: with_purges(known), known: known as u64, next: 0 };
         (known as f64, at)
     };
     let mut sizes: Vec<(f64, At)> = KNOWN.iter().map(begin).collect();
@@ -112,7 +112,7 @@
         let (took, ()) = micros(|| {
             for _ in 0..35 {
                 let now = START + SEC + at.next * SEC / 35;
-                at.choice.record_purge(now, Some(mix(at.next % at.known)), 0, 0);
+                at.router.record_purge(now, Some(mix(at.next % at.known)), 0, 0);
                 at.next += 1;
             }
         });
@@ -131,19 +131,19 @@
 /// Purges at a steady rate, once as many are known as bind.
 pub fn purge_rate() -> Cost {
     struct At {
-        choice: Router,
+        router: Router,
         rate: u64,
         next: u64,
     }
     impl At {
         fn purge(&mut self) {
             let now = START + self.next * SEC / self.rate;
-            self.choice.record_purge(now, Some(mix(self.next)), 0, 0);
+            self.router.record_purge(now, Some(mix(self.next)), 0, 0);
             self.next += 1;
         }
     }
     let begin = |rate| {
-        let mut at = At { choice: Router::new(settings(10), 7, START), rate, next: 0 };
+        let mut at = At { router: Router::new(settings(10), 7, START), rate, next: 0 };
         (0..rate * (BINDS + 4)).for_each(|_| at.purge());
         (rate as f64, at)
     };
@@ -174,22 +174,22 @@
     let begin = |&nodes: &usize| {
         let lines = list(nodes);
         let moved: Vec<EndpointUpdate> = which(nodes).into_iter().map(|n| lines[n]).collect();
-        (nodes as f64, (choice(nodes), moved, false))
+        (nodes as f64, (router(nodes), moved, false))
     };
     let mut sizes: Vec<_> = NODES[1..].iter().map(begin).collect();
-    let points = in_turns(&mut sizes, 4 * ROUNDS, |(choice, moved, gone)| {
+    let points = in_turns(&mut sizes, 4 * ROUNDS, |(router, moved, gone)| {
         *gone = !*gone;
         moved
             .iter_mut()
             .for_each(|l| l.state = if *gone { EndpointState::Gone } else { EndpointState::Ready });
         let (took, ()) = micros(|| {
             if at_once {
-                choice.update_endpoints(START, moved, false);
+                router.update_endpoints(START, moved, false);
             } else {
-                moved.iter().for_each(|l| choice.update_endpoints(START, std::slice::from_ref(l), false));
+                moved.iter().for_each(|l| router.update_endpoints(START, std::slice::from_ref(l), false));
             }
         });
-        choice.take_log_lines();
+        router.take_log_lines();
         took
     });
     Cost { name, what, over: "nodes", unit: "us", how: How::Timed, points }
@@ -215,9 +215,9 @@
     ]
 }
 
-/// The ordinary path of lookups: each routed, asked for its patience, ended as satisfied.
+/// The ordinary path of requests: each routed, asked for its next check, ended as successful.
 struct Path {
-    choice: Router,
+    router: Router,
     now: Ns,
     next: u64,
     /// Nanoseconds of the three calls over the last round, and how many were sent.
@@ -233,7 +233,7 @@
         for _ in 0..LOOKUPS {
             self.now += 2 * MS;
             self.next = mix(self.next);
-            let mut lookup = Request {
+            let mut request = Request {
                 object: self.next % 20_000,
                 part: 0,
                 group: 3,
@@ -246,32 +246,32 @@
                 attempts: Vec::with_capacity(1),
             };
             let begun = Instant::now();
-            let route = self.choice.route(self.now, &lookup);
+            let route = self.router.route(self.now, &request);
             self.took[0] += begun.elapsed().as_nanos() as f64 - clock;
             let RouteDecision::Attempt(send) = route else { continue };
             self.sent += 1;
-            lookup.attempts.push(Attempt {
+            request.attempts.push(Attempt {
                 node: send.node,
                 source: send.source,
                 sent_at: self.now,
                 outcome: None,
             });
             let begun = Instant::now();
-            black_box(self.choice.next_check(self.now, &lookup));
+            black_box(self.router.next_check(self.now, &request));
             self.took[2] += begun.elapsed().as_nanos() as f64 - clock;
-            lookup.attempts[0].outcome = Some(Outcome::Success);
+            request.attempts[0].outcome = Some(Outcome::Success);
             let begun = Instant::now();
-            black_box(self.choice.on_outcome(self.now + 30 * MS, &lookup, 0, 30 * MS, None));
+            black_box(self.router.on_outcome(self.now + 30 * MS, &request, 0, 30 * MS, None));
             self.took[1] += begun.elapsed().as_nanos() as f64 - clock;
         }
-        self.choice.take_log_lines();
+        self.router.take_log_lines();
     }
 }
 
 pub fn calls() -> Vec<Cost> {
     let clock = median((0..2_001).map(|_| Instant::now().elapsed().as_nanos() as f64).collect());
     let begin = |&nodes: &usize| {
-        let mut path = Path { choice: choice(nodes), now: START, next: 1, took: [0.0; 3], sent: 0 };
+        let mut path = Path { router: router(nodes), now: START, next: 1, took: [0.0; 3], sent: 0 };
         (0..20).for_each(|_| path.round(clock));
         path
     };
@@ -287,7 +287,7 @@
         }
     }
     let whats = [
-        ("module-route", "where to send a lookup"),
+        ("module-route", "where to send a request"),
         ("module-after", "what next, after its outcome"),
         ("module-patience", "how long until it is asked again"),
     ];
@@ -303,7 +303,7 @@
 
 /// Bytes of one module, taken in a process of its own.
 pub fn memory(nodes: usize) -> f64 {
-    grown(20_000 / nodes, |_| choice(nodes))
+    grown(20_000 / nodes, |_| router(nodes))
 }
 
 pub fn purge_memory(known: usize) -> f64 {
--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -265,12 +265,12 @@
             ]
         };
         let mut cache = vec![
-            sums("directors that send to it", zone, "", "target").on("pies by zone"),
-            sums("lookups", lookups, SECOND, quarters).on("pies by zone"),
+            sums("directors that send to it", zone, "", "target").on("rings by zone"),
+            sums("lookups", lookups, SECOND, quarters).on("rings by zone"),
         ];
         cache.extend(connections(zone));
         let mut parent =
-            vec![sums("directors that may send to it", t.directors, "", "target").on("one pie of all")];
+            vec![sums("directors that may send to it", t.directors, "", "target").on("one ring of all")];
         parent.extend(connections(t.directors));
         let line = vec![
             sums("relays asked by `relay show`", t.machines, "", "target").on(FEED),
@@ -331,20 +331,20 @@
         }
         let purge = self.at("module-purge-known", self.binding());
         let memory = self.slope("module-purge-memory") * self.binding();
-        let places = "places in the pie of parents, a quarter of the nodes";
+        let places = "virtual nodes on the ring of parents, a quarter of the nodes";
         rows.extend([
-            seen("a change of a parent: its pie dealt anew", t.nodes, "us", "module-change-parent"),
+            seen("a change of a parent: its ring built again", t.nodes, "us", "module-change-parent"),
             seen("a change of a cache of another zone", t.nodes, "us", "module-change-cache"),
             seen("a zone's loss, 8 changes by 8 events", t.nodes, "us", "module-zone-loss"),
             seen("a zone's loss, 8 changes by one event", t.nodes, "us", "module-zone-loss-at-once"),
             sums("a purge, with as many known as bind", purge, "us", "module-purge-known"),
             seen("all purges", t.purges, CORE, "module-purge-rate"),
             seen("ten times the purges", 10.0 * t.purges, CORE, "module-purge-rate"),
-            sums(places, 256.0 * 0.25 * t.nodes, "", "target, `SLICES`"),
-            seen("memory, list and pies", t.nodes, "B", "module-memory"),
+            sums(places, 256.0 * 0.25 * t.nodes, "", "target, `VIRTUAL_NODES`"),
+            seen("memory, endpoint list and rings", t.nodes, "B", "module-memory"),
             sums("memory of the purges that bind", memory, "B", "module-purge-memory"),
         ]);
-        vec![("module", rows.into_iter().map(|row| row.on("`src/choice.rs`")).collect())]
+        vec![("module", rows.into_iter().map(|row| row.on("`src/`")).collect())]
     }
 
     fn starts(&self) -> Vec<Part> {
