--- a/crates/tls-keys/src/generation.rs
+++ b/crates/tls-keys/src/generation.rs
@@ -85,8 +85,8 @@
             content: BTreeSet::new(),
         };
         generation.add_roots(&material.trusted_roots, now)?;
-        if let Some((chain, key)) = &material.identity {
-            generation.add_identity(chain, key, now)?;
+        if let Some(identity) = &material.identity {
+            generation.add_identity(&identity.chain, &identity.key, now)?;
         }
         for file in &material.revocation_lists {
             generation.add_revocation_lists(file)?;
--- a/crates/tls-keys/src/key_files.rs
+++ b/crates/tls-keys/src/key_files.rs
@@ -13,13 +13,22 @@
 #[cfg(unix)]
 const OTHERS_PERMISSIONS: u32 = 0o077;
 
+/// The files of the own identity.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct IdentityFiles {
+    /// The chain, the own certificate first.
+    pub chain: PathBuf,
+    /// The private key of the own certificate.
+    pub key: PathBuf,
+}
+
 /// The files of a generation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyFiles {
     /// Certificates of the authorities that are trusted.
     pub trusted_roots: PathBuf,
-    /// The own chain, the own certificate first, and its private key.
-    pub identity: Option<(PathBuf, PathBuf)>,
+    /// The own identity, where there is one.
+    pub identity: Option<IdentityFiles>,
     /// Lists of revoked certificates.
     pub revocation_lists: Vec<PathBuf>,
     /// Whether a private key that others may read is accepted.
@@ -34,12 +43,20 @@
     pub bytes: Zeroizing<Vec<u8>>,
 }
 
+/// The content of the files of the own identity.
+pub struct IdentityMaterial {
+    /// The chain, the own certificate first.
+    pub chain: PemFile,
+    /// The private key of the own certificate.
+    pub key: PemFile,
+}
+
 /// The content of all files of a generation, wiped when it is dropped.
 pub struct KeyMaterial {
     /// Certificates of the authorities that are trusted.
     pub trusted_roots: PemFile,
-    /// The own chain and its private key.
-    pub identity: Option<(PemFile, PemFile)>,
+    /// The own identity, where there is one.
+    pub identity: Option<IdentityMaterial>,
     /// Lists of revoked certificates.
     pub revocation_lists: Vec<PemFile>,
 }
@@ -56,9 +73,9 @@
     pub fn read(&self) -> Result<KeyMaterial, KeyError> {
         let identity = match &self.identity {
             None => None,
-            Some((chain, key)) => {
+            Some(IdentityFiles { chain, key }) => {
                 self.check_private(key)?;
-                Some((read_file(chain)?, read_file(key)?))
+                Some(IdentityMaterial { chain: read_file(chain)?, key: read_file(key)? })
             }
         };
         let revocation_lists =
--- a/crates/tls-keys/src/lib.rs
+++ b/crates/tls-keys/src/lib.rs
@@ -14,7 +14,7 @@
 pub use expiry::{ExpiryNotice, ExpiryWatch};
 pub use generation::{CertificateValidity, Generation};
 pub use handshake_limiter::{HandshakeDenied, HandshakeLimiter, HandshakeLimits};
-pub use key_files::{KeyFiles, KeyMaterial, PemFile};
+pub use key_files::{IdentityFiles, IdentityMaterial, KeyFiles, KeyMaterial, PemFile};
 pub use key_store::{KeyStore, ReloadOutcome};
 pub use transport_policy::{
     NodeMatcher, RequiredSecurity, TransportPolicy, TransportRule, TransportSecurity,
--- a/crates/tls-keys/tests/tls_keys.rs
+++ b/crates/tls-keys/tests/tls_keys.rs
@@ -6,8 +6,9 @@
 
 use rcgen::{BasicConstraints, CertificateParams, DnType, IsCa, Issuer, KeyPair, date_time_ymd};
 use sablecross_tls_keys::{
-    ExpiryWatch, Generation, HandshakeDenied, HandshakeLimiter, HandshakeLimits, KeyFiles, KeyStore,
-    NodeMatcher, ReloadOutcome, RequiredSecurity, TransportPolicy, TransportRule, TransportSecurity,
+    ExpiryWatch, Generation, HandshakeDenied, HandshakeLimiter, HandshakeLimits, IdentityFiles, KeyFiles,
+    KeyStore, NodeMatcher, ReloadOutcome, RequiredSecurity, TransportPolicy, TransportRule,
+    TransportSecurity,
 };
 
 const SEC: u64 = 1_000_000_000;
@@ -56,7 +57,7 @@
         let key = self.file("key.pem", &key.serialize_pem());
         KeyFiles {
             trusted_roots: self.file("ca.pem", &ca.pem()),
-            identity: Some((chain, key)),
+            identity: Some(IdentityFiles { chain, key }),
             revocation_lists: vec![],
             allow_world_readable_key: false,
         }
@@ -71,7 +72,7 @@
 fn a_pair_is_installed_completely_or_rejected_by_file_and_reason() {
     let test_files = TestFiles::new();
     let files = test_files.pair(LONG);
-    let (chain, key) = files.identity.clone().unwrap();
+    let IdentityFiles { chain, key } = files.identity.clone().unwrap();
     let store = KeyStore::new(&files.read().unwrap(), now()).unwrap();
     assert!(store.current().identity.is_some());
     let (good_chain, good_key) = (text(&chain), text(&key));
@@ -172,12 +173,15 @@
 fn no_error_or_debug_output_quotes_a_key() {
     let test_files = TestFiles::new();
     let files = test_files.pair(LONG);
-    let (chain, key) = files.identity.clone().unwrap();
+    let IdentityFiles { chain, key } = files.identity.clone().unwrap();
     let secret: Vec<String> = text(&key).lines().filter(|l| !l.starts_with('-')).map(str::to_owned).collect();
     let material = files.read().unwrap();
     let store = KeyStore::new(&material, now()).unwrap();
     std::fs::write(&chain, text(&key)).unwrap();
-    let swapped = KeyFiles { identity: Some((key.clone(), chain.clone())), ..files.clone() };
+    let swapped = KeyFiles {
+        identity: Some(IdentityFiles { chain: key.clone(), key: chain.clone() }),
+        ..files.clone()
+    };
     let outputs = [
         format!("{material:?} {store:?} {:?}", store.current()),
         format!("{:?}", store.reload(&swapped.read().unwrap(), now()).unwrap_err()),
