--- a/crates/capacity/src/real.rs
+++ b/crates/capacity/src/real.rs
@@ -18,7 +18,7 @@
 use sablecross_director::limits::Limits;
 use sablecross_director::name_table::PEER_CALL_METHOD;
 use sablecross_director::wire::rpc;
-use sablecross_testbed::load::{Answer, any_answer, lookup};
+use sablecross_testbed::client_load::{Response, encode_request, read_any_response};
 use serde_json::{Value, json};
 
 use crate::cost::{Cost, How, median, resident_of};
@@ -410,8 +410,8 @@
             let mut answers = BufReader::new(link.try_clone()?);
             let (satisfied, others) = (Arc::clone(&clients.satisfied), Arc::clone(&clients.others));
             thread::spawn(move || {
-                while let Ok((_, answer)) = any_answer(&mut answers) {
-                    let which = if matches!(answer, Answer::Satisfied(_)) { &satisfied } else { &others };
+                while let Ok((_, answer)) = read_any_response(&mut answers) {
+                    let which = if matches!(answer, Response::Success(_)) { &satisfied } else { &others };
                     which.fetch_add(1, Ordering::Relaxed);
                 }
             });
@@ -422,7 +422,7 @@
                     while (asked as f64) < begun.elapsed().as_secs_f64() * rate / CLIENTS as f64 {
                         asked += 1;
                         let drawn = mix(client << 40 | asked);
-                        link.write_all(&lookup(drawn, asked as u32, drawn % 20_000)?)?;
+                        link.write_all(&encode_request(drawn, asked as u32, drawn % 20_000)?)?;
                     }
                     thread::sleep(Duration::from_millis(1));
                 }
--- a/crates/cli/src/capacity.rs
+++ b/crates/cli/src/capacity.rs
@@ -5,7 +5,7 @@
 use clap::Args;
 use sablecross_capacity::{page, sheet};
 
-use crate::Verdict;
+use crate::CommandOutcome;
 
 #[derive(Args)]
 pub struct Arguments {
@@ -17,7 +17,7 @@
     write: Option<PathBuf>,
 }
 
-pub fn run(a: &Arguments) -> Result<Verdict, Vec<String>> {
+pub fn run(a: &Arguments) -> Result<CommandOutcome, Vec<String>> {
     let name = a.file.display().to_string();
     let text = std::fs::read_to_string(&a.file).map_err(|e| vec![format!("{name}: {e}")])?;
     let sheet = sheet::read(&name, &text)
@@ -25,7 +25,7 @@
     let tables = sheet.tables();
     let Some(path) = &a.write else {
         print!("{tables}");
-        return Ok(Verdict::Well);
+        return Ok(CommandOutcome::Success);
     };
     let name = path.display().to_string();
     let old = std::fs::read_to_string(path).map_err(|e| vec![format!("{name}: {e}")])?;
@@ -34,5 +34,5 @@
     std::fs::write(path, new).map_err(|e| vec![format!("{name}: {e}")])?;
     let (past, open) = sheet.verdicts();
     println!("{name}: {} past their budget, {} not measured yet", past.len(), open.len());
-    Ok(Verdict::Well)
+    Ok(CommandOutcome::Success)
 }
--- a/crates/cli/src/duty.rs
+++ b/crates/cli/src/coordination.rs
@@ -11,10 +11,10 @@
 use sablecross_director::coordination::call_member;
 use sablecross_director::coordination::settings::{CoordinationSettings, HIERARCHY_ROLE, ROLES, role_name};
 
-use crate::Verdict;
+use crate::CommandOutcome;
 
 #[derive(Args)]
-pub struct Whom {
+pub struct Target {
     /// The settings of the duties, as the directors have them: all voters are asked.
     #[arg(long, conflicts_with = "at")]
     settings: Option<PathBuf>,
@@ -31,7 +31,7 @@
     /// Each director's view: owners, terms, the deal of chores, what was refused. Changes nothing.
     Show {
         #[command(flatten)]
-        whom: Whom,
+        whom: Target,
         #[arg(long)]
         json: bool,
     },
@@ -43,7 +43,7 @@
         #[arg(long, default_value_t = 600.0)]
         follow: f64,
         #[command(flatten)]
-        whom: Whom,
+        whom: Target,
     },
     /// Asks the owner of a duty to give it up, to the voter of this number or to the next one; waits for the new owner.
     HandOver {
@@ -52,14 +52,14 @@
         #[arg(long)]
         to: Option<u32>,
         #[command(flatten)]
-        whom: Whom,
+        whom: Target,
     },
 }
 
 /// Whoever looks from outside is no member.
 const OUTSIDE: Member = Member { number: u32::MAX, incarnation: 0 };
 
-impl Whom {
+impl Target {
     fn addresses(&self) -> Result<Vec<SocketAddr>, Vec<String>> {
         match &self.settings {
             None if self.at.is_empty() => {
@@ -81,19 +81,19 @@
         Duration::from_secs_f64(self.time.clamp(0.01, 3_600.0))
     }
 
-    fn say(&self, at: SocketAddr, word: Message) -> Result<Vec<Reply>, String> {
+    fn send(&self, at: SocketAddr, word: Message) -> Result<Vec<Reply>, String> {
         let request = Request { from: OUTSIDE, messages: vec![word] };
         call_member(at, &request, self.time()).map_err(|e| format!("{at}: {e}"))
     }
 
-    fn shown(&self, at: SocketAddr) -> Result<MemberStatus, String> {
-        let said = self.say(at, Message::ShowStatus)?;
+    fn member_status(&self, at: SocketAddr) -> Result<MemberStatus, String> {
+        let said = self.send(at, Message::ShowStatus)?;
         let shown = said.into_iter().find_map(|a| if let Reply::Status(s) = a { Some(s) } else { None });
         shown.ok_or(format!("{at}: it shows nothing"))
     }
 }
 
-pub fn run(command: &Command) -> Result<Verdict, Vec<String>> {
+pub fn run(command: &Command) -> Result<CommandOutcome, Vec<String>> {
     match command {
         Command::Show { whom, json } => show(whom, *json),
         Command::Change { file, follow, whom } => change(file, *follow, whom),
@@ -105,11 +105,11 @@
     format!("{:.2} s", ns as f64 / 1e9)
 }
 
-fn show(whom: &Whom, json: bool) -> Result<Verdict, Vec<String>> {
+fn show(whom: &Target, json: bool) -> Result<CommandOutcome, Vec<String>> {
     let mut views = BTreeMap::new();
     let mut silent = Vec::new();
     for at in whom.addresses()? {
-        match whom.shown(at) {
+        match whom.member_status(at) {
             Ok(shown) => {
                 views.insert(at, shown);
             }
@@ -174,11 +174,11 @@
         }
     }
     silent.iter().for_each(|e| eprintln!("{e}"));
-    Ok(if silent.is_empty() { Verdict::Well } else { Verdict::Refused })
+    Ok(if silent.is_empty() { CommandOutcome::Success } else { CommandOutcome::Rejected })
 }
 
-fn owner(whom: &Whom, duty: RoleId) -> Result<Option<(SocketAddr, u32, u64)>, Vec<String>> {
-    let views = whom.addresses()?.into_iter().filter_map(|at| Some((at, whom.shown(at).ok()?)));
+fn find_holder(whom: &Target, duty: RoleId) -> Result<Option<(SocketAddr, u32, u64)>, Vec<String>> {
+    let views = whom.addresses()?.into_iter().filter_map(|at| Some((at, whom.member_status(at).ok()?)));
     let owns = |(at, s): (SocketAddr, MemberStatus)| {
         let own = s.roles.iter().find(|h| h.role == duty)?.own_lease?;
         Some((at, s.member.number, own.0.term))
@@ -186,31 +186,33 @@
     Ok(views.filter_map(owns).max_by_key(|o| o.2))
 }
 
-fn change(file: &std::path::Path, follow: f64, whom: &Whom) -> Result<Verdict, Vec<String>> {
+fn change(file: &std::path::Path, follow: f64, whom: &Target) -> Result<CommandOutcome, Vec<String>> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| vec![format!("{name}: {e}")])?;
     sablecross_hierarchy::spec::parse_settings(&name, &text, None)
         .map_err(|f| f.iter().map(ToString::to_string).collect::<Vec<_>>())?;
-    let Some((at, number, term)) = owner(whom, HIERARCHY_ROLE)? else {
+    let Some((at, number, term)) = find_holder(whom, HIERARCHY_ROLE)? else {
         eprintln!("driving: nobody of those asked owns it now: ask again");
-        return Ok(Verdict::Refused);
+        return Ok(CommandOutcome::Rejected);
     };
-    let said = whom.say(at, Message::Propose(HIERARCHY_ROLE, text.into_bytes())).map_err(|e| vec![e])?;
+    let said = whom.send(at, Message::Propose(HIERARCHY_ROLE, text.into_bytes())).map_err(|e| vec![e])?;
     if !said.contains(&Reply::ProposalResult(HIERARCHY_ROLE, Ok(()))) {
         eprintln!("driving: member {number} does not own it any more: ask again");
-        return Ok(Verdict::Refused);
+        return Ok(CommandOutcome::Rejected);
     }
     println!("member {number} drives in term {term}");
-    let before =
-        whom.shown(at).ok().and_then(|s| s.role_status.into_iter().find(|(d, _)| *d == HIERARCHY_ROLE));
+    let before = whom
+        .member_status(at)
+        .ok()
+        .and_then(|s| s.role_status.into_iter().find(|(d, _)| *d == HIERARCHY_ROLE));
     let mut ran = before.is_none_or(|(_, status)| !status.contains("no change runs"));
     let begun = Instant::now();
     let mut last = String::new();
     while begun.elapsed().as_secs_f64() < follow {
         std::thread::sleep(Duration::from_millis(100));
         // A new owner goes on with it.
-        let Some((at, number, _)) = owner(whom, HIERARCHY_ROLE)? else { continue };
-        let Ok(shown) = whom.shown(at) else { continue };
+        let Some((at, number, _)) = find_holder(whom, HIERARCHY_ROLE)? else { continue };
+        let Ok(shown) = whom.member_status(at) else { continue };
         let Some((_, status)) = shown.role_status.into_iter().find(|(d, _)| *d == HIERARCHY_ROLE) else {
             continue;
         };
@@ -218,48 +220,52 @@
             println!("{:>7.1} s  member {number}: {status}", begun.elapsed().as_secs_f64());
         }
         if status.contains("last refused") {
-            return Ok(Verdict::Refused);
+            return Ok(CommandOutcome::Rejected);
         }
         let rests = status.contains("no change runs");
         if rests && status.contains(" 0 missing") {
             if !ran {
                 eprintln!("driving: the owner was lost before the wish was kept: ask again");
-                return Ok(Verdict::Refused);
+                return Ok(CommandOutcome::Rejected);
             }
-            return Ok(Verdict::Well);
+            return Ok(CommandOutcome::Success);
         }
         ran |= !rests;
         last = status;
     }
     eprintln!("driving: it runs still");
-    Ok(Verdict::Refused)
+    Ok(CommandOutcome::Rejected)
 }
 
-fn hand_over(name: &str, to: Option<u32>, whom: &Whom) -> Result<Verdict, Vec<String>> {
+fn hand_over(name: &str, to: Option<u32>, whom: &Target) -> Result<CommandOutcome, Vec<String>> {
     let Some((duty, _)) = ROLES.iter().find(|d| d.1 == name).copied() else {
         let known: Vec<&str> = ROLES.iter().map(|d| d.1).collect();
         return Err(vec![format!("{name}: no such duty; there are {}", known.join(", "))]);
     };
-    let Some((at, number, term)) = owner(whom, duty)? else {
+    let Some((at, number, term)) = find_holder(whom, duty)? else {
         eprintln!("{name}: nobody of those asked owns it now");
-        return Ok(Verdict::Refused);
+        return Ok(CommandOutcome::Rejected);
     };
-    let said = whom.say(at, Message::HandOver(duty, to)).map_err(|e| vec![e])?;
+    let said = whom.send(at, Message::HandOver(duty, to)).map_err(|e| vec![e])?;
     if !said.contains(&Reply::HandOverStarted(duty, true)) {
         eprintln!("{name}: member {number} owned it and does not any more: look again");
-        return Ok(Verdict::Refused);
+        return Ok(CommandOutcome::Rejected);
     }
     let begun = Instant::now();
     while begun.elapsed() < whom.time().max(Duration::from_secs(2)) {
         std::thread::sleep(Duration::from_millis(50));
-        if let Some((_, next, later)) = owner(whom, duty)?.filter(|o| o.2 > term) {
+        if let Some((_, next, later)) = find_holder(whom, duty)?.filter(|o| o.2 > term) {
             let took = begun.elapsed().as_secs_f64();
             println!(
                 "{name}: member {number} gave it up in term {term}, member {next} has it in term {later} ({took:.2} s)"
             );
-            return Ok(if to.is_none_or(|to| to == next) { Verdict::Well } else { Verdict::Refused });
+            return Ok(if to.is_none_or(|to| to == next) {
+                CommandOutcome::Success
+            } else {
+                CommandOutcome::Rejected
+            });
         }
     }
     println!("{name}: member {number} gave it up in term {term}, nobody has taken it yet");
-    Ok(Verdict::Refused)
+    Ok(CommandOutcome::Rejected)
 }
--- a/crates/cli/src/slopes.rs
+++ b/crates/cli/src/cost_slopes.rs
@@ -4,7 +4,7 @@
 use sablecross_capacity::survey;
 use serde_json::json;
 
-use crate::Verdict;
+use crate::CommandOutcome;
 
 #[derive(Args)]
 pub struct Arguments {
@@ -25,13 +25,13 @@
     bare: Vec<String>,
 }
 
-pub fn run(a: &Arguments) -> Result<Verdict, Vec<String>> {
+pub fn run(a: &Arguments) -> Result<CommandOutcome, Vec<String>> {
     if let [name, size] = &a.bare[..] {
         let size = size.parse().ok().filter(|s| *s > 0);
         let size = size.ok_or_else(|| vec![format!("--bare {name}: the size is no count")])?;
         let value = survey::bare(name, size).ok_or_else(|| vec![format!("--bare {name}: no such cost")])?;
         println!("{value}");
-        return Ok(Verdict::Well);
+        return Ok(CommandOutcome::Success);
     }
     let known = survey::names().filter(|n| n.starts_with(&a.only)).collect::<Vec<_>>();
     if known.is_empty() {
@@ -40,7 +40,7 @@
     }
     if a.names {
         known.iter().for_each(|n| println!("{n}"));
-        return Ok(Verdict::Well);
+        return Ok(CommandOutcome::Success);
     }
     let own = std::env::current_exe().map_err(|e| vec![format!("this program: {e}")])?;
     let ask = |name: &str, size: usize| {
@@ -50,7 +50,7 @@
     };
     let director = || {
         let mut command = std::process::Command::new(&own);
-        command.args(["lab", "director"]);
+        command.args(["testbed", "director"]);
         command
     };
     let mut unfit = Vec::new();
@@ -69,5 +69,5 @@
     });
     taken.map_err(|e| vec![format!("slopes: {e}")])?;
     unfit.iter().for_each(|u| eprintln!("NOT WELL {u}"));
-    Ok(if unfit.is_empty() { Verdict::Well } else { Verdict::Refused })
+    Ok(if unfit.is_empty() { CommandOutcome::Success } else { CommandOutcome::Rejected })
 }
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -5,7 +5,7 @@
 use clap::Args;
 use sablecross_testbed::fleet;
 
-use crate::{Verdict, trial};
+use crate::{CommandOutcome, trial};
 
 #[derive(Args)]
 pub struct Arguments {
@@ -24,14 +24,14 @@
     director: Option<PathBuf>,
 }
 
-pub fn run(a: &Arguments) -> Result<Verdict, Vec<String>> {
-    let mut trial = trial::settings(&a.file, fleet::settings::read)?;
+pub fn run(a: &Arguments) -> Result<CommandOutcome, Vec<String>> {
+    let mut trial = trial::settings(&a.file, fleet::settings::parse)?;
     trial.seed = a.seed.unwrap_or(trial.seed);
     trial.directors = a.directors.unwrap_or(trial.directors);
     trial::run(&a.out, |own| {
         let program = || match &a.director {
             Some(other) => std::process::Command::new(other),
-            None => own(&["lab", "director"]),
+            None => own(&["testbed", "director"]),
         };
         fleet::run(&trial, &program, &a.out, |line| eprintln!("{line}"))
     })
--- a/crates/cli/src/hierarchy.rs
+++ b/crates/cli/src/hierarchy.rs
@@ -15,7 +15,7 @@
 };
 use serde_json::{Value, json};
 
-use crate::Verdict;
+use crate::CommandOutcome;
 
 #[derive(Subcommand)]
 pub enum Command {
@@ -66,13 +66,13 @@
 
 type Faults = Vec<String>;
 
-pub fn run(command: &Command) -> Result<Verdict, Faults> {
+pub fn run(command: &Command) -> Result<CommandOutcome, Faults> {
     match command {
         Command::Check { files, json } => check(files, *json),
         Command::Show { file, form } => {
             let (number, h) = load(file, None)?;
             print!("{}", show(number, &h, *form));
-            Ok(Verdict::Well)
+            Ok(CommandOutcome::Success)
         }
         Command::Diff { before, after, json } => {
             let (old_number, old) = load(before, None)?;
@@ -84,9 +84,9 @@
                 println!("version {old_number} to {new_number}: {} differences", lines.len());
                 lines.iter().for_each(|l| println!("  {l}"));
             }
-            Ok(if lines.is_empty() { Verdict::Well } else { Verdict::Refused })
+            Ok(if lines.is_empty() { CommandOutcome::Success } else { CommandOutcome::Rejected })
         }
-        Command::Plan(args) => planned(args),
+        Command::Plan(args) => plan_change(args),
     }
 }
 
@@ -96,8 +96,8 @@
     parse_settings(&name, &text, known).map_err(|f| f.iter().map(ToString::to_string).collect())
 }
 
-fn check(files: &[PathBuf], as_json: bool) -> Result<Verdict, Faults> {
-    let mut verdict = Verdict::Well;
+fn check(files: &[PathBuf], as_json: bool) -> Result<CommandOutcome, Faults> {
+    let mut verdict = CommandOutcome::Success;
     let mut said = Vec::new();
     for file in files {
         let name = file.display().to_string();
@@ -110,7 +110,7 @@
             },
         };
         if !fit {
-            verdict = Verdict::Refused;
+            verdict = CommandOutcome::Rejected;
         }
         if as_json {
             said.push(json!({"file": name, "fit": fit, "said": words}));
@@ -250,7 +250,7 @@
     lines
 }
 
-fn planned(args: &PlanArgs) -> Result<Verdict, Faults> {
+fn plan_change(args: &PlanArgs) -> Result<CommandOutcome, Faults> {
     let (number, from) = load(&args.from, None)?;
     let (aim_number, to) = load(&args.to, Some(&from))?;
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
@@ -260,7 +260,7 @@
             Form::Json => println!("{}", json!({"refused": why})),
             _ => println!("refused: {why}"),
         }
-        Ok(Verdict::Refused)
+        Ok(CommandOutcome::Rejected)
     };
     if let Err(refusal) = admitted {
         return refused(refusal.to_string());
@@ -277,11 +277,17 @@
             std::fs::write(&file, text).map_err(|e| vec![format!("{}: {e}", file.display())])?;
         }
     }
-    print!("{}", told(&plan, &from, &to, (number, aim_number), args.form));
-    Ok(Verdict::Well)
+    print!("{}", render_plan(&plan, &from, &to, (number, aim_number), args.form));
+    Ok(CommandOutcome::Success)
 }
 
-fn told(plan: &Plan, from: &Hierarchy, to: &Hierarchy, (number, aim): (u64, u64), form: Form) -> String {
+fn render_plan(
+    plan: &Plan,
+    from: &Hierarchy,
+    to: &Hierarchy,
+    (number, aim): (u64, u64),
+    form: Form,
+) -> String {
     let mut before = from.clone();
     let mut steps = Vec::new();
     let mut at: BTreeMap<NodeId, Vec<usize>> = BTreeMap::new();
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -2,14 +2,14 @@
 //! 2 the command line or a file can't be used.
 
 mod capacity;
-mod duty;
+mod coordination;
+mod cost_slopes;
 mod fleet;
 mod hierarchy;
-mod lab;
 mod relay;
 mod scale;
-mod slopes;
 mod soak;
+mod testbed;
 mod trial;
 
 use std::process::ExitCode;
@@ -18,7 +18,7 @@
 
 #[derive(Parser)]
 #[command(name = "sablecross", version, about = "Looks after sablecross directors and what they work by")]
-struct Line {
+struct Cli {
     #[command(subcommand)]
     command: Command,
 }
@@ -29,8 +29,8 @@
     #[command(subcommand)]
     Hierarchy(hierarchy::Command),
     /// Duties on behalf of the fleet: who owns what, and hand-overs.
-    #[command(subcommand)]
-    Duty(duty::Command),
+    #[command(subcommand, alias = "duty")]
+    Coordination(coordination::Command),
     /// A trial of a fleet on loopback: hundreds of directors, faults between them, how even the load stays.
     FleetTrial(fleet::Arguments),
     /// A trial of control at full size: thousands of hollow directors, real ones beside them, relays, faults.
@@ -41,30 +41,31 @@
     #[command(subcommand)]
     Relay(relay::Command),
     /// A small installation on loopback: real directors, stand-in nodes, load, a report.
-    #[command(subcommand)]
-    Lab(lab::Command),
+    #[command(subcommand, alias = "lab")]
+    Testbed(testbed::Command),
     /// The tables of docs/CAPACITY.md, worked out from what was measured.
     Capacity(capacity::Arguments),
     /// What the parts cost as they grow: measured again, each with its line and where that bends.
-    Slopes(slopes::Arguments),
+    #[command(alias = "slopes")]
+    CostSlopes(cost_slopes::Arguments),
 }
 
 /// How a command ended that could be carried out.
-enum Verdict {
-    Well,
-    Refused,
+enum CommandOutcome {
+    Success,
+    Rejected,
 }
 
 fn main() -> ExitCode {
-    let done = match Line::parse().command {
+    let done = match Cli::parse().command {
         Command::Capacity(arguments) => capacity::run(&arguments),
-        Command::Duty(command) => duty::run(&command),
+        Command::Coordination(command) => coordination::run(&command),
         Command::Hierarchy(command) => hierarchy::run(&command),
-        Command::Lab(lab::Command::Director) => {
+        Command::Testbed(testbed::Command::Director) => {
             sablecross_testbed::exit_with_parent();
             return sablecross_director::process::run();
         }
-        Command::Lab(lab::Command::Hollow) => {
+        Command::Testbed(testbed::Command::Hollow) => {
             return match sablecross_testbed::scale::hollow() {
                 Ok(()) => ExitCode::SUCCESS,
                 Err(e) => {
@@ -75,14 +76,14 @@
         }
         Command::Scale(arguments) => scale::run(&arguments),
         Command::FleetTrial(arguments) => fleet::run(&arguments),
-        Command::Lab(command) => lab::run(&command),
+        Command::Testbed(command) => testbed::run(&command),
         Command::Relay(command) => relay::run(&command),
-        Command::Slopes(arguments) => slopes::run(&arguments),
+        Command::CostSlopes(arguments) => cost_slopes::run(&arguments),
         Command::Soak(arguments) => soak::run(&arguments),
     };
     match done {
-        Ok(Verdict::Well) => ExitCode::SUCCESS,
-        Ok(Verdict::Refused) => ExitCode::from(1),
+        Ok(CommandOutcome::Success) => ExitCode::SUCCESS,
+        Ok(CommandOutcome::Rejected) => ExitCode::from(1),
         Err(faults) => {
             faults.iter().for_each(|f| eprintln!("{f}"));
             ExitCode::from(2)
--- a/crates/cli/src/relay.rs
+++ b/crates/cli/src/relay.rs
@@ -13,13 +13,13 @@
 use sablecross_relay_server::settings::MemberForm;
 use serde_json::{Value, json};
 
-use crate::Verdict;
+use crate::CommandOutcome;
 
 /// The longest status that is read.
-const LONGEST: usize = 64 << 20;
+const MAX_REPLY_BYTES: usize = 64 << 20;
 
 #[derive(Args)]
-pub struct Whom {
+pub struct Target {
     /// The settings of any relay: all members are asked.
     #[arg(long)]
     settings: PathBuf,
@@ -41,7 +41,7 @@
     /// All relays and their readers; for a number, since when it is in force everywhere or at whom it is missing. Changes nothing.
     Show {
         #[command(flatten)]
-        whom: Whom,
+        whom: Target,
         #[arg(long)]
         number: Option<u64>,
         #[arg(long)]
@@ -50,7 +50,7 @@
     /// Publishes events, each as JSON without its number, and prints the numbers under which they are told.
     Publish {
         #[command(flatten)]
-        whom: Whom,
+        whom: Target,
         /// By which the event is known again, so that it is told once however often it is published; several events
         /// get this with -1, -2 and so on. By itself one is made up.
         #[arg(long)]
@@ -61,13 +61,13 @@
     },
 }
 
-impl Whom {
+impl Target {
     fn time(&self) -> Duration {
         Duration::from_secs_f64(self.time.clamp(0.01, 3_600.0))
     }
 }
 
-pub fn run(command: &Command) -> Result<Verdict, Vec<String>> {
+pub fn run(command: &Command) -> Result<CommandOutcome, Vec<String>> {
     match command {
         Command::Run { file, with_parent } => {
             let setting = RelayServerConfig::load(file)?;
@@ -76,7 +76,7 @@
             }
             sablecross_relay_server::process::run(setting)
                 .map_err(|e| vec![format!("{}: {e}", file.display())])?;
-            Ok(Verdict::Well)
+            Ok(CommandOutcome::Success)
         }
         Command::Show { whom, number, json } => show(whom, *number, *json),
         Command::Publish { whom, mark, events } => publish(whom, mark.as_deref(), events),
@@ -84,7 +84,7 @@
 }
 
 fn status(at: SocketAddr, time: Duration) -> Result<RelayStatus, String> {
-    let mut line = PeerClient::new(at, time, LONGEST);
+    let mut line = PeerClient::new(at, time, MAX_REPLY_BYTES);
     let (code, body) =
         line.request("GET", "/v1/status", "Connection: close\r\n", b"").map_err(|e| e.to_string())?;
     if code != 200 {
@@ -97,11 +97,11 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
 
-fn ago(unix_ms: u64) -> String {
+fn age(unix_ms: u64) -> String {
     format!("{:.1} s ago", unix().saturating_sub(unix_ms) as f64 / 1e3)
 }
 
-fn show(whom: &Whom, number: Option<u64>, as_json: bool) -> Result<Verdict, Vec<String>> {
+fn show(whom: &Target, number: Option<u64>, as_json: bool) -> Result<CommandOutcome, Vec<String>> {
     let setting = RelayServerConfig::load(&whom.settings)?;
     let time = whom.time();
     // All at once: one that hangs holds nobody up.
@@ -126,7 +126,7 @@
         let silent: Vec<Value> = silent.iter().map(|(n, why)| json!({"number": n, "why": why})).collect();
         let shown = json!({"relays": all, "silent": silent, "whole": whole, "in_force": in_force});
         println!("{shown}");
-        return Ok(if well { Verdict::Well } else { Verdict::Refused });
+        return Ok(if well { CommandOutcome::Success } else { CommandOutcome::Rejected });
     }
     for s in &all {
         let fresh = s.staleness_ms.map_or("never".into(), |ms| format!("{:.1} s", ms as f64 / 1e3));
@@ -149,25 +149,25 @@
             println!("{:10} has begun anew and learns what was kept, for {:.1} s still", "", ms as f64 / 1e3);
         }
         if s.reset_unix_ms > 0 {
-            println!("{:10} the log began anew {}", "", ago(s.reset_unix_ms));
+            println!("{:10} the log began anew {}", "", age(s.reset_unix_ms));
         }
     }
     for (number, why) in &silent {
         println!("relay-{number:<4} no answer: {why}");
     }
     if let Some(f) = in_force {
-        print_in_force(&f, whole.last_number);
+        print_applied(&f, whole.last_number);
     }
-    Ok(if well { Verdict::Well } else { Verdict::Refused })
+    Ok(if well { CommandOutcome::Success } else { CommandOutcome::Rejected })
 }
 
-fn print_in_force(f: &AppliedStatus, last: u64) {
+fn print_applied(f: &AppliedStatus, last: u64) {
     let n = f.number;
     if n > last {
         println!("{n}: not told yet, the last is {last}");
     }
     match f.since_unix_ms {
-        Some(since) => println!("{n}: in force everywhere that counts since {since} ({})", ago(since)),
+        Some(since) => println!("{n}: in force everywhere that counts since {since} ({})", age(since)),
         None if f.missing.is_empty() => {
             println!("{n}: in force at all that are known; since when is not known")
         }
@@ -177,7 +177,7 @@
         let how = if *connected { "connected" } else { "gone" };
         match heard_unix_ms {
             Some(heard) => {
-                println!("  missing at {name}: has {number}, {how}, heard {} by {relay}", ago(*heard))
+                println!("  missing at {name}: has {number}, {how}, heard {} by {relay}", age(*heard))
             }
             None => println!("  missing at {name}: never heard, expected by {relay}"),
         }
@@ -197,7 +197,7 @@
     Ok(text)
 }
 
-fn publish(whom: &Whom, mark: Option<&str>, events: &[String]) -> Result<Verdict, Vec<String>> {
+fn publish(whom: &Target, mark: Option<&str>, events: &[String]) -> Result<CommandOutcome, Vec<String>> {
     let setting = RelayServerConfig::load(&whom.settings)?;
     if setting.voters().next().is_none() {
         return Err(vec![format!("{}: no member votes: nobody takes events", whom.settings.display())]);
@@ -229,9 +229,9 @@
                 if let PublishCallError::TimedOut(..) = no {
                     eprintln!("whether it will be told is not known: publish it again with --mark {mark}");
                 }
-                return Ok(Verdict::Refused);
+                return Ok(CommandOutcome::Rejected);
             }
         }
     }
-    Ok(Verdict::Well)
+    Ok(CommandOutcome::Success)
 }
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -5,7 +5,7 @@
 use clap::Args;
 use sablecross_testbed::scale;
 
-use crate::{Verdict, trial};
+use crate::{CommandOutcome, trial};
 
 #[derive(Args)]
 pub struct Arguments {
@@ -28,14 +28,14 @@
     star: bool,
 }
 
-pub fn run(a: &Arguments) -> Result<Verdict, Vec<String>> {
-    let mut s = trial::settings(&a.file, scale::settings::read)?;
+pub fn run(a: &Arguments) -> Result<CommandOutcome, Vec<String>> {
+    let mut s = trial::settings(&a.file, scale::settings::parse)?;
     s.hollow = a.hollow.unwrap_or(s.hollow);
     s.real = a.real.unwrap_or(s.real);
     s.seed = a.seed.unwrap_or(s.seed);
     s.seconds = a.seconds.unwrap_or(s.seconds);
     if a.star {
-        s = s.star();
+        s = s.without_relays();
     }
     s.checked().map_err(|e| vec![e])?;
     trial::run(&a.out, |program| scale::run(&s, program, &a.out, |line| eprintln!("{line}")))
--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -6,7 +6,7 @@
 use clap::Args;
 use sablecross_testbed::soak::{self, Options};
 
-use super::Verdict;
+use super::CommandOutcome;
 
 #[derive(Args)]
 pub struct Arguments {
@@ -42,7 +42,7 @@
     path.map(|p| p.canonicalize().map_err(|e| format!("{}: {e}", p.display()))).transpose()
 }
 
-pub fn run(arguments: &Arguments) -> Result<Verdict, Vec<String>> {
+pub fn run(arguments: &Arguments) -> Result<CommandOutcome, Vec<String>> {
     let one = |e: String| vec![e];
     let director = existing(arguments.director.as_ref()).map_err(one)?;
     let fault_library = existing(arguments.faults.as_ref()).map_err(one)?;
@@ -51,25 +51,25 @@
         Some(path) => Command::new(path),
         None => {
             let mut command = Command::new(&own);
-            command.args(["lab", "director"]);
+            command.args(["testbed", "director"]);
             command
         }
     };
-    let mut verdict = Verdict::Well;
+    let mut verdict = CommandOutcome::Success;
     for seed in arguments.seed..arguments.seed.saturating_add(arguments.soaks) {
         let options = Options {
             seed,
             seconds: arguments.seconds,
             directors: arguments.directors.into(),
             caches: arguments.caches.into(),
-            clients_a_director: arguments.clients.into(),
+            clients_per_director: arguments.clients.into(),
             fault_library: fault_library.clone(),
         };
         let folder = arguments.folder.join(seed.to_string());
         let outcome = soak::run(&options, &program, &folder).map_err(|e| vec![e.to_string()])?;
         println!("seed {seed}: {outcome}");
-        if !outcome.breaches.is_empty() {
-            verdict = Verdict::Refused;
+        if !outcome.violations.is_empty() {
+            verdict = CommandOutcome::Rejected;
         }
     }
     Ok(verdict)
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/testbed.rs
@@ -5,7 +5,7 @@
 use clap::Subcommand;
 use sablecross_testbed::settings;
 
-use crate::{Verdict, trial};
+use crate::{CommandOutcome, trial};
 
 #[derive(Subcommand)]
 pub enum Command {
@@ -27,12 +27,12 @@
     Hollow,
 }
 
-pub fn run(command: &Command) -> Result<Verdict, Vec<String>> {
-    let Command::Run { file, out, seed } = command else { return Ok(Verdict::Well) };
-    let mut experiment = trial::settings(file, settings::read)?;
+pub fn run(command: &Command) -> Result<CommandOutcome, Vec<String>> {
+    let Command::Run { file, out, seed } = command else { return Ok(CommandOutcome::Success) };
+    let mut experiment = trial::settings(file, settings::parse)?;
     experiment.seed = seed.unwrap_or(experiment.seed);
     trial::run(out, |program| {
-        let director = || program(&["lab", "director"]);
+        let director = || program(&["testbed", "director"]);
         sablecross_testbed::run(&experiment, &director, out, |line| eprintln!("{line}"))
     })
 }
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -4,9 +4,9 @@
 use std::process::Command;
 
 use sablecross_sexpr_config::ConfigError;
-use sablecross_testbed::{Failed, Outcome};
+use sablecross_testbed::{TrialError, TrialReport};
 
-use crate::Verdict;
+use crate::CommandOutcome;
 
 /// The settings of a trial.
 pub fn settings<T>(
@@ -19,10 +19,10 @@
 }
 
 /// Runs it, with this program under other words as its processes; then writes and prints the report.
-pub fn run<R: Outcome>(
+pub fn run<R: TrialReport>(
     out: &Path,
-    trial: impl FnOnce(&dyn Fn(&[&str]) -> Command) -> Result<R, Failed>,
-) -> Result<Verdict, Vec<String>> {
+    trial: impl FnOnce(&dyn Fn(&[&str]) -> Command) -> Result<R, TrialError>,
+) -> Result<CommandOutcome, Vec<String>> {
     let own = std::env::current_exe().map_err(|e| vec![format!("this program: {e}")])?;
     let program = |words: &[&str]| {
         let mut command = Command::new(&own);
@@ -33,5 +33,5 @@
     report.write(out).map_err(|e| vec![format!("{}: {e}", out.display())])?;
     print!("{report}");
     println!("report, plot and logs: {}", out.display());
-    Ok(if report.breaches().is_empty() { Verdict::Well } else { Verdict::Refused })
+    Ok(if report.violations().is_empty() { CommandOutcome::Success } else { CommandOutcome::Rejected })
 }
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/client_load.rs
@@ -12,7 +12,7 @@
 use rmp::{decode, encode};
 use sablecross::parent_position;
 
-use crate::node::{Common, lock, unix_ms};
+use crate::node_stub::{TrialState, lock, unix_ms};
 
 /// How long a client waits; the directors' settings say the same.
 pub const BUDGET_MS: u64 = 800;
@@ -21,16 +21,16 @@
 
 /// What one client saw.
 #[derive(Default)]
-pub struct Seen {
-    pub lookups: u64,
-    pub satisfied: u64,
-    pub nacked: u64,
+pub struct ClientStats {
+    pub requests: u64,
+    pub succeeded: u64,
+    pub rejected: u64,
     pub failed: u64,
     /// Ended with no answer, and answered what was not asked or twice.
-    pub lost: u64,
-    pub strange: u64,
+    pub unanswered: u64,
+    pub unexpected: u64,
     /// Answered with a copy from before a purge, after its grace.
-    pub old: u64,
+    pub stale: u64,
     /// By the second of the experiment, microseconds.
     pub latencies: Vec<(u64, u64)>,
 }
@@ -45,23 +45,23 @@
     pub objects: u64,
     pub every: Duration,
     pub purges: Purges,
-    pub common: Arc<Common>,
+    pub common: Arc<TrialState>,
 }
 
-pub enum Answer {
-    Satisfied(Vec<u8>),
-    Nacked,
+pub enum Response {
+    Success(Vec<u8>),
+    Rejected,
     Failed,
 }
 
 impl Client {
-    pub fn ask_on(self) -> Seen {
-        let mut seen = Seen::default();
+    pub fn run(self) -> ClientStats {
+        let mut seen = ClientStats::default();
         let mut rng = Pcg32::seed_from_u64(self.seed ^ self.number.wrapping_mul(0x9e37_79b9));
         let mut stream = None;
         let mut call = 0u32;
         let mut next = Instant::now() + self.every.mul_f64(rng.random());
-        while !self.common.over() {
+        while !self.common.is_over() {
             std::thread::sleep(next.saturating_duration_since(Instant::now()));
             // No backlog: a slow answer does not make a burst of the next ones.
             next = (next + self.every).max(Instant::now());
@@ -73,39 +73,39 @@
             let Some(link) = stream.as_mut() else { continue };
             call += 1;
             let (sent, sent_ms) = (Instant::now(), unix_ms());
-            seen.lookups += 1;
+            seen.requests += 1;
             let answer = link
                 .set_read_timeout(Some(Duration::from_millis(BUDGET_MS + 3_000)))
                 .and_then(|()| link.set_nodelay(true))
-                .and_then(|()| self.write(link, call, object, seen.lookups))
-                .and_then(|()| read(link, call));
+                .and_then(|()| self.write(link, call, object, seen.requests))
+                .and_then(|()| read_response(link, call));
             let took = sent.elapsed();
             match answer {
-                Ok(Answer::Satisfied(body)) => {
-                    seen.satisfied += 1;
+                Ok(Response::Success(body)) => {
+                    seen.succeeded += 1;
                     self.common.count(|s| s.satisfied += 1);
                     let issued = std::str::from_utf8(body.get(..16).unwrap_or_default());
                     let issued = issued.ok().and_then(|i| u64::from_str_radix(i, 16).ok());
                     let purged = lock(&self.purges).get(&object).copied();
                     let bound = purged.filter(|at| sent_ms > at + GRACE_MS);
-                    seen.strange += u64::from(issued.is_none());
-                    seen.old += u64::from(bound.zip(issued).is_some_and(|(at, issued)| issued < at));
+                    seen.unexpected += u64::from(issued.is_none());
+                    seen.stale += u64::from(bound.zip(issued).is_some_and(|(at, issued)| issued < at));
                     let at = self.common.begun.elapsed().as_secs();
                     seen.latencies.push((at, took.as_micros() as u64));
                 }
-                Ok(Answer::Nacked) => {
-                    seen.nacked += 1;
+                Ok(Response::Rejected) => {
+                    seen.rejected += 1;
                     self.common.count(|s| s.nacked += 1);
                 }
-                Ok(Answer::Failed) => {
+                Ok(Response::Failed) => {
                     seen.failed += 1;
                     self.common.count(|s| s.failed += 1);
                 }
                 Err(e) => {
                     if e.kind() == std::io::ErrorKind::InvalidData {
-                        seen.strange += 1;
+                        seen.unexpected += 1;
                     } else {
-                        seen.lost += 1;
+                        seen.unanswered += 1;
                     }
                     stream = None;
                 }
@@ -115,12 +115,12 @@
     }
 
     fn write(&self, link: &mut TcpStream, call: u32, object: u64, number: u64) -> std::io::Result<()> {
-        link.write_all(&lookup(self.number << 32 | number, call, object)?)
+        link.write_all(&encode_request(self.number << 32 | number, call, object)?)
     }
 }
 
 /// A lookup, as a client writes it.
-pub fn lookup(name: u64, call: u32, object: u64) -> std::io::Result<Vec<u8>> {
+pub fn encode_request(name: u64, call: u32, object: u64) -> std::io::Result<Vec<u8>> {
     let name = format!("{name:016x}");
     let budget = BUDGET_MS.to_string();
     // Sizes of 4 to 16 KB: what lookups bring for their sending time differs, and so does what they stand for.
@@ -147,56 +147,56 @@
     Ok(out)
 }
 
-fn bad<E>(_: E) -> std::io::Error {
+fn invalid_data<E>(_: E) -> std::io::Error {
     std::io::ErrorKind::InvalidData.into()
 }
 
 /// Reads the answer to this call. Any other is strange; a reset or a silence is the connection's error.
-fn read(link: &mut TcpStream, call: u32) -> std::io::Result<Answer> {
-    let (number, answer) = any_answer(link)?;
-    if number == call { Ok(answer) } else { Err(bad(())) }
+fn read_response(link: &mut TcpStream, call: u32) -> std::io::Result<Response> {
+    let (number, answer) = read_any_response(link)?;
+    if number == call { Ok(answer) } else { Err(invalid_data(())) }
 }
 
 /// Reads the next answer and the number of its call.
-pub fn any_answer(link: &mut impl Read) -> std::io::Result<(u32, Answer)> {
+pub fn read_any_response(link: &mut impl Read) -> std::io::Result<(u32, Response)> {
     let mut first = [0; 1];
     link.read_exact(&mut first)?;
     if first != [0x94] {
-        return Err(bad(()));
+        return Err(invalid_data(()));
     }
-    let kind: u8 = decode::read_int(link).map_err(bad)?;
-    let number: u32 = decode::read_int(link).map_err(bad)?;
+    let kind: u8 = decode::read_int(link).map_err(invalid_data)?;
+    let number: u32 = decode::read_int(link).map_err(invalid_data)?;
     if kind != 1 {
-        return Err(bad(()));
+        return Err(invalid_data(()));
     }
     link.read_exact(&mut first)?;
     if first == [0x92] {
-        let word = text(link)?;
-        fields(link)?;
-        decode::read_nil(link).map_err(bad)?;
-        return Ok((number, if word == "Rejected" { Answer::Nacked } else { Answer::Failed }));
+        let word = read_text(link)?;
+        skip_fields(link)?;
+        decode::read_nil(link).map_err(invalid_data)?;
+        return Ok((number, if word == "Rejected" { Response::Rejected } else { Response::Failed }));
     }
-    if first != [0xc0] || decode::read_array_len(link).map_err(bad)? != 2 {
-        return Err(bad(()));
+    if first != [0xc0] || decode::read_array_len(link).map_err(invalid_data)? != 2 {
+        return Err(invalid_data(()));
     }
-    let length = decode::read_bin_len(link).map_err(bad)?;
+    let length = decode::read_bin_len(link).map_err(invalid_data)?;
     let mut body = vec![0; length as usize];
     link.read_exact(&mut body)?;
-    fields(link)?;
-    Ok((number, Answer::Satisfied(body)))
+    skip_fields(link)?;
+    Ok((number, Response::Success(body)))
 }
 
-fn text(link: &mut impl Read) -> std::io::Result<String> {
-    let length = decode::read_str_len(link).map_err(bad)?;
+fn read_text(link: &mut impl Read) -> std::io::Result<String> {
+    let length = decode::read_str_len(link).map_err(invalid_data)?;
     let mut text = vec![0; length as usize];
     link.read_exact(&mut text)?;
-    String::from_utf8(text).map_err(bad)
+    String::from_utf8(text).map_err(invalid_data)
 }
 
-fn fields(link: &mut impl Read) -> std::io::Result<()> {
-    for _ in 0..decode::read_map_len(link).map_err(bad)? {
-        text(link)?;
-        text(link)?;
+fn skip_fields(link: &mut impl Read) -> std::io::Result<()> {
+    for _ in 0..decode::read_map_len(link).map_err(invalid_data)? {
+        read_text(link)?;
+        read_text(link)?;
     }
     Ok(())
 }
--- a/crates/testbed/src/directors.rs
+++ b/crates/testbed/src/director_process.rs
@@ -11,23 +11,23 @@
 use rand_pcg::Pcg32;
 use serde_json::{Value, json};
 
-use crate::load::BUDGET_MS;
-use crate::process::{Failed, Process};
+use crate::client_load::BUDGET_MS;
+use crate::process::{ChildProcess, TrialError};
 
 /// Ports that are free, below those that connections are given by themselves: a director that was killed finds its own
 /// again, and installations beside one another seldom meet.
-pub struct Ports(Pcg32);
+pub struct PortAllocator(Pcg32);
 
-impl Ports {
-    pub fn new() -> Ports {
+impl PortAllocator {
+    pub fn new() -> PortAllocator {
         // Installations of one program, as tests are, choose apart as well.
         static CHOSEN: AtomicU64 = AtomicU64::new(0);
         let own = CHOSEN.fetch_add(1, Ordering::Relaxed) << 32;
-        Ports(Pcg32::seed_from_u64(own | u64::from(std::process::id())))
+        PortAllocator(Pcg32::seed_from_u64(own | u64::from(std::process::id())))
     }
 
     /// One that was free a moment ago; the director says so if it is not any more.
-    pub fn next(&mut self) -> io::Result<SocketAddr> {
+    pub fn allocate(&mut self) -> io::Result<SocketAddr> {
         let mut last = io::ErrorKind::AddrInUse.into();
         for _ in 0..100 {
             let port = self.0.random_range(12_000..32_000);
@@ -46,19 +46,25 @@
     config: &Path,
     log: &Path,
     duty: Option<&Path>,
-) -> Result<Process, Failed> {
+) -> Result<ChildProcess, TrialError> {
     let mut command = program();
     command.env_remove("SABLECROSS_DUTY");
     command.envs(duty.map(|file| ("SABLECROSS_DUTY", file)));
     command.env("NODE_CONFIG", config).stdout(Stdio::null());
-    Process::start(&mut command, log, "a director")
+    ChildProcess::start(&mut command, log, "a director")
 }
 
 /// Waits until it takes connections, so long after `since` at most.
-pub fn serving(name: &str, at: SocketAddr, log: &Path, since: Instant, most: Duration) -> Result<(), Failed> {
+pub fn wait_until_serving(
+    name: &str,
+    at: SocketAddr,
+    log: &Path,
+    since: Instant,
+    most: Duration,
+) -> Result<(), TrialError> {
     while TcpStream::connect(at).is_err() {
         if since.elapsed() > most {
-            return Err(Failed::NotServing {
+            return Err(TrialError::NotServing {
                 name: name.into(),
                 within: most.as_secs(),
                 log: log.display().to_string(),
@@ -70,32 +76,32 @@
 }
 
 /// A line of the list: caches stand at the edge, all else at the hub.
-pub fn endpoint(name: &str, address: SocketAddr, kind: &str, status: &str, since: u64) -> Value {
+pub fn endpoint_json(name: &str, address: SocketAddr, kind: &str, status: &str, since: u64) -> Value {
     let zone = if kind == "small" { "edge" } else { "hub" };
     json!({"name": name, "address": address, "zone": zone, "type": kind, "group": 0, "status": status,
         "weight": 1, "since_ms": since})
 }
 
-pub fn members(endpoints: &[Value], whole: bool) -> String {
+pub fn members_event(endpoints: &[Value], whole: bool) -> String {
     format!("\"members\":{}", json!({"index": 1, "snapshot": whole, "endpoints": endpoints}))
 }
 
 /// What its nodes are like: the rule on cold ones, and how fast one transfer runs.
-pub struct Like {
-    pub cold_from: f64,
-    pub warm_us: u64,
-    pub falls_at: f64,
+pub struct NodeModel {
+    pub slow_start_initial_share: f64,
+    pub slow_start_us: u64,
+    pub collapse_multiple: f64,
     pub stream_kb_per_s: f64,
 }
 
 /// One of so many directors of the only location, with what the feed has told up to now.
-pub fn configuration(
+pub fn director_config(
     number: usize,
     directors: usize,
     seed: u64,
     listen: SocketAddr,
     (feed, known): (SocketAddr, &[String]),
-    like: &Like,
+    like: &NodeModel,
 ) -> Value {
     let known: Vec<Value> = known.iter().filter_map(|event| serde_json::from_str(event).ok()).collect();
     json!({
@@ -109,14 +115,14 @@
                 "aimUs": 300_000, "aimStretch": 1.6, "deadlineUs": BUDGET_MS * 1_000, "worth": 2.0}],
             "ceilings": {"mayCancel": true, "parallelTries": true, "retryAfter": true, "maxRetryAfterUs": 500_000,
                 "sendCap": 6, "dialTimeoutUs": 400_000, "keepaliveUs": 30_000_000},
-            "guarantees": {"coldFrom": like.cold_from, "warmAfterUs": like.warm_us, "fallMultiple": like.falls_at,
+            "guarantees": {"coldFrom": like.slow_start_initial_share, "warmAfterUs": like.slow_start_us, "fallMultiple": like.collapse_multiple,
                 "fallUs": 1_000_000, "drainGraceUs": 2_000_000, "answerSlackUs": 5_000},
             "report": {"how": "none", "names": []},
             "extra": {"freshForUs": [0], "usableAfterUs": [0], "multiPart": [false], "neverKept": [false],
                 "midKind": 1, "masterKind": 2, "direct": true, "joins": true,
                 "streamKbPerS": like.stream_kb_per_s, "clearedWithinUs": 1_000_000,
-                "parentStartsAt": like.cold_from, "parentColdUs": like.warm_us,
-                "upperFallMultiple": like.falls_at, "zoneBalancers": [0, directors]}
+                "parentStartsAt": like.slow_start_initial_share, "parentColdUs": like.slow_start_us,
+                "upperFallMultiple": like.collapse_multiple, "zoneBalancers": [0, directors]}
         }
     })
 }
--- a/crates/testbed/src/feed.rs
+++ b/crates/testbed/src/discovery_stub.rs
@@ -8,36 +8,36 @@
 
 use serde::Deserialize;
 
-use crate::node::{Common, lock, spawn};
+use crate::node_stub::{TrialState, lock, spawn};
 
 #[derive(Default)]
-struct Events {
+struct EventLog {
     all: Mutex<Vec<String>>,
     more: Condvar,
 }
 
 #[derive(Clone)]
-pub struct Feed {
-    events: Arc<Events>,
+pub struct DiscoveryStub {
+    events: Arc<EventLog>,
     pub address: SocketAddr,
 }
 
 /// What a director says that it has in force.
 #[derive(Debug, Deserialize)]
-pub struct Said {
+pub struct AppliedReport {
     pub party: String,
     pub number: u64,
     pub digest: String,
 }
 
-impl Feed {
-    pub fn start(common: &Arc<Common>, heard: Sender<Said>) -> std::io::Result<Feed> {
+impl DiscoveryStub {
+    pub fn start(common: &Arc<TrialState>, heard: Sender<AppliedReport>) -> std::io::Result<DiscoveryStub> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let feed = Feed { events: Arc::default(), address: listener.local_addr()? };
+        let feed = DiscoveryStub { events: Arc::default(), address: listener.local_addr()? };
         let (own, common) = (feed.clone(), Arc::clone(common));
         spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                if common.over() {
+                if common.is_over() {
                     return;
                 }
                 let (own, heard, common) = (own.clone(), heard.clone(), Arc::clone(&common));
@@ -51,7 +51,7 @@
     }
 
     /// An event without its number, which is added: `"members":{...}`.
-    pub fn tell(&self, event: &str) -> u64 {
+    pub fn publish(&self, event: &str) -> u64 {
         let mut all = lock(&self.events.all);
         let n = all.len() as u64 + 1;
         all.push(format!("{{\"n\":{n},{event}}}"));
@@ -59,11 +59,16 @@
         n
     }
 
-    pub fn known(&self) -> Vec<String> {
+    pub fn events(&self) -> Vec<String> {
         lock(&self.events.all).clone()
     }
 
-    fn serve(&self, mut stream: &TcpStream, heard: &Sender<Said>, common: &Common) -> std::io::Result<()> {
+    fn serve(
+        &self,
+        mut stream: &TcpStream,
+        heard: &Sender<AppliedReport>,
+        common: &TrialState,
+    ) -> std::io::Result<()> {
         let mut reader = BufReader::new(stream);
         let (mut first, mut last, mut length) = (String::new(), 0usize, 0usize);
         reader.read_line(&mut first)?;
@@ -91,7 +96,7 @@
             return stream.write_all(b"HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n");
         }
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")?;
-        while !common.over() {
+        while !common.is_over() {
             let mut all = lock(&self.events.all);
             if all.len() <= last {
                 let waited = self.events.more.wait_timeout(all, Duration::from_millis(500));
--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/experiment.rs
@@ -18,81 +18,84 @@
     RolloutInput, RolloutRecord,
 };
 
-use crate::directors::{Like, Ports, configuration, endpoint, members, serving, spawn_director};
-use crate::feed::{Feed, Said};
-use crate::load::{BUDGET_MS, Client, Purges, Seen};
-use crate::node::{Common, Node, Role, lock, spawn, unix_ms};
-use crate::process::{Failed, io_error};
+use crate::client_load::{BUDGET_MS, Client, ClientStats, Purges};
+use crate::director_process::{
+    NodeModel, PortAllocator, director_config, endpoint_json, members_event, spawn_director,
+    wait_until_serving,
+};
+use crate::discovery_stub::{AppliedReport, DiscoveryStub};
+use crate::node_stub::{Node, Role, TrialState, lock, spawn, unix_ms};
+use crate::process::{TrialError, io_error};
 use crate::report::Report;
 use crate::settings::Experiment;
 
 const SEC: u64 = 1_000_000_000;
 /// The lab's times, short so that many changes fit an experiment.
-const WARM_AFTER: u64 = 2 * SEC;
+const SLOW_START_WINDOW: u64 = 2 * SEC;
 const SETTLE: u64 = SEC / 2;
-const GIVE_UP: u64 = 8 * SEC;
-const CLIENTS_A_DIRECTOR: usize = 8;
+const ROLLBACK_TIMEOUT: u64 = 8 * SEC;
+const CLIENTS_PER_DIRECTOR: usize = 8;
 /// A node that left gets nothing so long after the last lookup from before has ended, in milliseconds.
 const STRAY_GRACE: u64 = 2_000;
 
 /// Makes the hierarchy of an experiment, and changes of it.
-struct Shape<'a> {
-    e: &'a Experiment,
+struct HierarchyGenerator<'a> {
+    experiment: &'a Experiment,
     rng: Pcg32,
 }
 
-impl Shape<'_> {
+impl HierarchyGenerator<'_> {
     fn rules(&self) -> HierarchyRules {
         HierarchyRules {
-            ceiling: self.e.ceiling,
+            ceiling: self.experiment.ceiling,
             margin: 0.1,
             slow_start_initial_share: 0.25,
-            slow_start_window: WARM_AFTER,
+            slow_start_window: SLOW_START_WINDOW,
             collapse_multiple: 2.0,
             allows_siblings: true,
             drain_window: (BUDGET_MS + 100) * 1_000_000,
             fill_window: SETTLE,
-            step_timeout: GIVE_UP,
+            step_timeout: ROLLBACK_TIMEOUT,
         }
     }
 
-    fn member(&self, name: &str, tier: u8, sources: &[NodeId]) -> HierarchyNode {
-        let rate = self.e.rate as f64;
+    fn node(&self, name: &str, tier: u8, sources: &[NodeId]) -> HierarchyNode {
+        let rate = self.experiment.rate as f64;
         let edge = tier == 3;
         HierarchyNode {
             name: name.into(),
             tier,
             sources: sources.into(),
             capacity: if tier == 0 { 10.0 * rate } else { rate },
-            demand: if edge { rate / self.e.caches as f64 } else { 0.0 },
-            hit_ratio: if tier == 0 { 0.0 } else { self.e.hit },
+            demand: if edge { rate / self.experiment.caches as f64 } else { 0.0 },
+            hit_ratio: if tier == 0 { 0.0 } else { self.experiment.hit },
             ring_share: FULL_SHARE,
             started_at: 0,
         }
     }
 
     /// The origin is node 0, upper caches come next, then the caches. Half of the upper caches are asked by the edge.
-    fn first(&mut self) -> Hierarchy {
-        let uppers = self.e.uppers as NodeId;
+    fn initial(&mut self) -> Hierarchy {
+        let uppers = self.experiment.parents as NodeId;
         let near = uppers.div_ceil(2);
-        let mut h = Hierarchy::new(self.rules()).with_node(0, self.member("origin", 0, &[]));
+        let mut h = Hierarchy::new(self.rules()).with_node(0, self.node("origin", 0, &[]));
         let far: Vec<NodeId> = (near + 1..=uppers).collect();
         for n in 1..=uppers {
             let (tier, sources) = if n <= near && !far.is_empty() { (2, far.clone()) } else { (1, vec![0]) };
-            h = h.with_node(n, self.member(&format!("upper-{n}"), tier, &sources));
+            h = h.with_node(n, self.node(&format!("upper-{n}"), tier, &sources));
         }
-        self.edged(h)
+        self.with_edge_caches(h)
     }
 
     /// All caches ask all upper caches of the tier nearest to them.
-    fn edged(&self, mut h: Hierarchy) -> Hierarchy {
-        let uppers = self.e.uppers as NodeId;
+    fn with_edge_caches(&self, mut h: Hierarchy) -> Hierarchy {
+        let uppers = self.experiment.parents as NodeId;
         let of = |tier: u8| -> Vec<NodeId> {
             h.iter().filter(|(_, m)| m.tier == tier).map(|(id, _)| id).collect()
         };
         let near = [of(2), of(1)].into_iter().find(|t| !t.is_empty()).unwrap_or_else(|| vec![0]);
-        for c in 0..self.e.caches as NodeId {
-            let m = self.member(&format!("cache-{c}"), 3, &near);
+        for c in 0..self.experiment.caches as NodeId {
+            let m = self.node(&format!("cache-{c}"), 3, &near);
             if h.get(uppers + 1 + c).is_none_or(|old| **old != m) {
                 h = h.with_node(uppers + 1 + c, m);
             }
@@ -101,8 +104,8 @@
     }
 
     /// Another shape: upper caches change tiers and sources, go, or come back cold.
-    fn other(&mut self, h: &Hierarchy, cold: impl Fn(NodeId) -> u64) -> Option<Hierarchy> {
-        let uppers = self.e.uppers as NodeId;
+    fn next_shape(&mut self, h: &Hierarchy, cold: impl Fn(NodeId) -> u64) -> Option<Hierarchy> {
+        let uppers = self.experiment.parents as NodeId;
         for _ in 0..50 {
             let mut next = h.clone();
             for _ in 0..self.rng.random_range(1..4) {
@@ -115,7 +118,9 @@
                 };
                 let below = others(&[1]);
                 let mut sources = vec![0];
-                if !below.is_empty() && (tier == 2 || self.e.chains && self.rng.random::<f64>() < 0.4) {
+                if !below.is_empty()
+                    && (tier == 2 || self.experiment.parent_chains && self.rng.random::<f64>() < 0.4)
+                {
                     sources = (0..2).map(|_| below[self.rng.random_range(0..below.len())]).collect();
                     sources.sort_unstable();
                     sources.dedup();
@@ -124,7 +129,7 @@
                     next = next.without_node(n);
                 } else {
                     let since = if next.get(n).is_none() { cold(n) } else { 0 };
-                    let m = self.member(&format!("upper-{n}"), tier, &sources);
+                    let m = self.node(&format!("upper-{n}"), tier, &sources);
                     next = next.with_node(n, HierarchyNode { started_at: since, ..m });
                 }
             }
@@ -170,9 +175,9 @@
                     (id, Some(Arc::new(HierarchyNode { sources: left.into(), ..(**m).clone() })))
                 })
                 .collect();
-            let next = self.edged(next.with_changes(fixed));
+            let next = self.with_edge_caches(next.with_changes(fixed));
             let moved = next.diff(h).count() > 0;
-            if moved && next.len() > self.e.caches + 2 && Admission::new(next.clone()).is_ok() {
+            if moved && next.len() > self.experiment.caches + 2 && Admission::new(next.clone()).is_ok() {
                 return Some(next);
             }
         }
@@ -181,7 +186,7 @@
 }
 
 /// What was told and is under way to an upper cache.
-struct Late {
+struct DelayedVersion {
     at: Instant,
     to: usize,
     number: u64,
@@ -189,67 +194,67 @@
 }
 
 /// The driver with what it drives.
-struct Control<'a> {
+struct RolloutDriver<'a> {
     e: &'a Experiment,
     rng: Pcg32,
-    driver: Rollout,
+    rollout: Rollout,
     log: ControllerLog,
     file: PathBuf,
-    feed: Feed,
-    uppers: Vec<Arc<Node>>,
-    parties: Vec<Participant>,
-    late: Vec<Late>,
-    common: Arc<Common>,
+    feed: DiscoveryStub,
+    parents: Vec<Arc<Node>>,
+    participants: Vec<Participant>,
+    delayed: Vec<DelayedVersion>,
+    common: Arc<TrialState>,
     kills: u64,
     notes: Vec<String>,
-    again: Instant,
+    next_retry: Instant,
     /// Purges on their way to nodes.
     purges: Vec<(Instant, Arc<Node>, u64, u64)>,
     /// The version after which nodes that left were told so.
-    left: u64,
+    departures_announced_at: u64,
 }
 
-impl Control<'_> {
+impl RolloutDriver<'_> {
     fn now() -> u64 {
         unix_ms() * 1_000_000
     }
 
-    fn tell(&mut self, number: u64, version: &Hierarchy) {
+    fn announce(&mut self, number: u64, version: &Hierarchy) {
         let told = HierarchySpec::from_hierarchy(number, version);
         if let Ok(text) = serde_json::to_string(&told) {
-            self.feed.tell(&format!("\"hierarchy\":{text}"));
+            self.feed.publish(&format!("\"hierarchy\":{text}"));
         }
         let times = if self.e.faults && self.rng.random::<f64>() < 0.3 { 2 } else { 1 };
         for _ in 0..times {
-            for to in 0..self.uppers.len() {
+            for to in 0..self.parents.len() {
                 // Lost now and then: it is told again until it is in force.
                 if self.e.faults && self.rng.random::<f64>() < 0.2 {
                     continue;
                 }
                 let most = if self.e.faults { 700 } else { 100 };
                 let at = Instant::now() + Duration::from_millis(self.rng.random_range(0..most));
-                self.late.push(Late { at, to, number, version: version.clone() });
+                self.delayed.push(DelayedVersion { at, to, number, version: version.clone() });
             }
         }
     }
 
-    fn acts(&mut self) -> Result<(), Failed> {
+    fn carry_out_actions(&mut self) -> Result<(), TrialError> {
         loop {
-            let acts = self.driver.take_actions();
+            let acts = self.rollout.take_actions();
             if acts.is_empty() {
                 return Ok(());
             }
             for act in acts {
-                if self.e.faults && self.driver.progress().is_some() && self.rng.random::<f64>() < 0.04 {
+                if self.e.faults && self.rollout.progress().is_some() && self.rng.random::<f64>() < 0.04 {
                     self.restart()?;
                     break;
                 }
                 match act {
-                    RolloutAction::Persist(record) => write_at_last(&mut self.log, &record)?,
+                    RolloutAction::Persist(record) => write_with_retry(&mut self.log, &record)?,
                     RolloutAction::Log(line) => self.notes.push(line),
                     RolloutAction::Publish { number, version } => {
                         self.common.count(|s| s.version = number);
-                        self.tell(number, &version);
+                        self.announce(number, &version);
                     }
                 }
             }
@@ -257,7 +262,7 @@
     }
 
     /// The driver is killed where it stands, and begins anew from its log.
-    fn restart(&mut self) -> Result<(), Failed> {
+    fn restart(&mut self) -> Result<(), TrialError> {
         self.kills += 1;
         let (file, folder) = (self.file.clone(), tempfile::tempdir().map_err(io_error("folder"))?);
         // The old one lets go of its file first.
@@ -265,27 +270,27 @@
         drop(std::mem::replace(&mut self.log, spare));
         let (log, records) = ControllerLog::open(&file)?;
         self.log = log;
-        self.driver = Rollout::recover(&records, self.parties.clone(), Self::now())?;
+        self.rollout = Rollout::recover(&records, self.participants.clone(), Self::now())?;
         Ok(())
     }
 
-    fn hear(&mut self, input: RolloutInput) -> Result<(), Failed> {
+    fn handle(&mut self, input: RolloutInput) -> Result<(), TrialError> {
         // A refusal stands in the notes; the experiment goes on.
-        if let Err(no) = self.driver.handle(input, Self::now()) {
+        if let Err(no) = self.rollout.handle(input, Self::now()) {
             self.notes.push(format!("refused: {no}"));
         }
-        self.acts()
+        self.carry_out_actions()
     }
 
-    fn step(&mut self, heard: &Receiver<Said>) -> Result<(), Failed> {
+    fn step(&mut self, heard: &Receiver<AppliedReport>) -> Result<(), TrialError> {
         let now = Instant::now();
-        let (due, later): (Vec<Late>, Vec<Late>) =
-            std::mem::take(&mut self.late).into_iter().partition(|l| l.at <= now);
-        self.late = later;
-        for Late { to, number, version, .. } in due {
-            let (number, digest) = self.uppers[to].offer(number, &version);
-            let party = self.uppers[to].name.as_str().into();
-            self.hear(RolloutInput::VersionApplied { participant: party, number, digest })?;
+        let (due, later): (Vec<DelayedVersion>, Vec<DelayedVersion>) =
+            std::mem::take(&mut self.delayed).into_iter().partition(|l| l.at <= now);
+        self.delayed = later;
+        for DelayedVersion { to, number, version, .. } in due {
+            let (number, digest) = self.parents[to].offer(number, &version);
+            let party = self.parents[to].name.as_str().into();
+            self.handle(RolloutInput::VersionApplied { participant: party, number, digest })?;
         }
         self.purges.retain(|(at, node, object, made)| {
             if *at <= now {
@@ -295,41 +300,41 @@
         });
         for said in heard.try_iter() {
             let digest = u64::from_str_radix(&said.digest, 16).unwrap_or(0);
-            self.hear(RolloutInput::VersionApplied {
+            self.handle(RolloutInput::VersionApplied {
                 participant: said.party.as_str().into(),
                 number: said.number,
                 digest,
             })?;
         }
-        if now >= self.again {
-            self.again = now + Duration::from_millis(500);
-            if !self.driver.missing_participants().is_empty() {
-                let (number, version) = (self.driver.published().0, self.driver.published().1.clone());
-                self.tell(number, &version);
+        if now >= self.next_retry {
+            self.next_retry = now + Duration::from_millis(500);
+            if !self.rollout.missing_participants().is_empty() {
+                let (number, version) = (self.rollout.published().0, self.rollout.published().1.clone());
+                self.announce(number, &version);
             }
             let origin = lock(&self.common.seconds).iter().rev().nth(1).map_or(0, |s| s.origin);
-            let (down, told) = (self.uppers.iter().filter(|u| u.is_down()), self.driver.published().1);
+            let (down, told) = (self.parents.iter().filter(|u| u.is_down()), self.rollout.published().1);
             let down: Vec<NodeId> = down.filter_map(|u| told.node_id(&u.name)).collect();
-            self.hear(RolloutInput::HealthReport { origin: origin as f64, down_nodes: down })?;
+            self.handle(RolloutInput::HealthReport { origin: origin as f64, down_nodes: down })?;
         }
         // An upper cache dies in the middle of a change now and then, for a second.
-        if self.e.faults && self.driver.progress().is_some() && self.rng.random::<f64>() < 0.000_5 {
-            let n = self.rng.random_range(0..self.uppers.len());
-            self.uppers[n].fails(1_000);
-            self.notes.push(format!("fault: {} fails for a second", self.uppers[n].name));
+        if self.e.faults && self.rollout.progress().is_some() && self.rng.random::<f64>() < 0.000_5 {
+            let n = self.rng.random_range(0..self.parents.len());
+            self.parents[n].fail_for(1_000);
+            self.notes.push(format!("fault: {} fails for a second", self.parents[n].name));
         }
-        let (number, held) = self.driver.committed();
-        if number != self.left || self.driver.published().0 != number {
+        let (number, held) = self.rollout.committed();
+        if number != self.departures_announced_at || self.rollout.published().0 != number {
             let over = unix_ms() + BUDGET_MS + 100 + STRAY_GRACE;
-            let told = self.driver.published().1;
-            for upper in &self.uppers {
+            let told = self.rollout.published().1;
+            for upper in &self.parents {
                 let here = [held, told].iter().any(|h| h.node_id(&upper.name).is_some());
-                upper.leaves((!here).then_some(over));
+                upper.reject_after((!here).then_some(over));
             }
-            self.left = number;
+            self.departures_announced_at = number;
         }
-        if self.driver.next_wakeup().is_some_and(|w| w <= Self::now()) {
-            self.hear(RolloutInput::Tick)?;
+        if self.rollout.next_wakeup().is_some_and(|w| w <= Self::now()) {
+            self.handle(RolloutInput::Tick)?;
         }
         Ok(())
     }
@@ -341,48 +346,60 @@
     director: &dyn Fn() -> Command,
     folder: &Path,
     mut tell: impl FnMut(&str),
-) -> Result<Report, Failed> {
+) -> Result<Report, TrialError> {
     std::fs::create_dir_all(folder).map_err(io_error(folder.display().to_string()))?;
-    let common = Arc::new(Common::begun(Instant::now()));
-    let mut shape = Shape { e, rng: Pcg32::seed_from_u64(e.seed) };
-    let first = shape.first();
+    let common = Arc::new(TrialState::new(Instant::now()));
+    let mut shape = HierarchyGenerator { experiment: e, rng: Pcg32::seed_from_u64(e.seed) };
+    let first = shape.initial();
 
     let mut nodes = BTreeMap::new();
     for (id, m) in first.iter() {
         let role = if id == 0 {
             Role::Origin
-        } else if id <= e.uppers as NodeId {
+        } else if id <= e.parents as NodeId {
             Role::Upper
         } else {
             Role::Edge
         };
-        let started = Node::start(&m.name, role, e.kept, e.ways, &common).map_err(io_error("a stand-in"))?;
+        let started = Node::start(&m.name, role, e.copies_per_cache, e.follow_named_path, &common)
+            .map_err(io_error("a stand-in"))?;
         let mut addresses = common.addresses.write().unwrap_or_else(|e| e.into_inner());
         addresses.insert(m.name.to_string(), started.1);
         nodes.insert(id, started);
     }
     let (to_control, heard) = channel();
-    let feed = Feed::start(&common, to_control).map_err(io_error("the feed"))?;
+    let feed = DiscoveryStub::start(&common, to_control).map_err(io_error("the feed"))?;
     let endpoints: Vec<_> =
-        nodes.values().map(|(n, at)| endpoint(&n.name, *at, n.role.kind(), "ready", 0)).collect();
-    feed.tell(&members(&endpoints, true));
+        nodes.values().map(|(n, at)| endpoint_json(&n.name, *at, n.role.kind(), "ready", 0)).collect();
+    feed.publish(&members_event(&endpoints, true));
     let told = serde_json::to_string(&HierarchySpec::from_hierarchy(1, &first)).unwrap_or_default();
-    feed.tell(&format!("\"hierarchy\":{told}"));
+    feed.publish(&format!("\"hierarchy\":{told}"));
 
     let mut fleet = Vec::new();
     let mut addresses = Vec::new();
-    let mut ports = Ports::new();
-    let like = Like { cold_from: 0.25, warm_us: WARM_AFTER / 1_000, falls_at: 2.0, stream_kb_per_s: 9000.0 };
+    let mut ports = PortAllocator::new();
+    let like = NodeModel {
+        slow_start_initial_share: 0.25,
+        slow_start_us: SLOW_START_WINDOW / 1_000,
+        collapse_multiple: 2.0,
+        stream_kb_per_s: 9000.0,
+    };
     for number in 0..e.directors {
-        let spare = ports.next().map_err(io_error("a port"))?;
+        let spare = ports.allocate().map_err(io_error("a port"))?;
         let (config, log) =
             (folder.join(format!("director-{number}.json")), folder.join(format!("director-{number}.log")));
         let _ = std::fs::remove_file(&log);
-        let text = configuration(number, e.directors, e.seed, spare, (feed.address, &feed.known()), &like)
+        let text = director_config(number, e.directors, e.seed, spare, (feed.address, &feed.events()), &like)
             .to_string();
         std::fs::write(&config, text).map_err(io_error(config.display().to_string()))?;
         fleet.push(spawn_director(director, &config, &log, None)?);
-        serving(&format!("director-{number}"), spare, &log, Instant::now(), Duration::from_secs(10))?;
+        wait_until_serving(
+            &format!("director-{number}"),
+            spare,
+            &log,
+            Instant::now(),
+            Duration::from_secs(10),
+        )?;
         addresses.push(spare);
     }
 
@@ -395,30 +412,30 @@
     parties.extend(uppers.iter().map(|u| Participant::from(u.name.as_str())));
     let file = folder.join("driver.redb");
     let _ = std::fs::remove_file(&file);
-    let mut control = Control {
+    let mut control = RolloutDriver {
         e,
         rng: Pcg32::seed_from_u64(e.seed + 1),
-        driver: Rollout::new(1, first.clone(), parties.clone())?,
+        rollout: Rollout::new(1, first.clone(), parties.clone())?,
         log: ControllerLog::open(&file)?.0,
         file,
         feed,
-        uppers,
-        parties,
-        late: Vec::new(),
+        parents: uppers,
+        participants: parties,
+        delayed: Vec::new(),
         common: Arc::clone(&common),
         kills: 0,
         notes: Vec::new(),
-        again: Instant::now(),
+        next_retry: Instant::now(),
         purges: Vec::new(),
-        left: 1,
+        departures_announced_at: 1,
     };
-    control.acts()?;
+    control.carry_out_actions()?;
 
     let purges = Purges::default();
     let begun = common.begun.elapsed().as_secs();
-    let clients = e.directors * CLIENTS_A_DIRECTOR;
+    let clients = e.directors * CLIENTS_PER_DIRECTOR;
     let every = Duration::from_secs_f64(clients as f64 / e.rate as f64);
-    let (done, seen) = channel::<Seen>();
+    let (done, seen) = channel::<ClientStats>();
     for number in 0..clients {
         let client = Client {
             director: addresses[number % e.directors],
@@ -430,7 +447,7 @@
             common: Arc::clone(&common),
         };
         let done = done.clone();
-        spawn(move || drop(done.send(client.ask_on())));
+        spawn(move || drop(done.send(client.run())));
     }
     drop(done);
 
@@ -439,36 +456,36 @@
     while start.elapsed() < Duration::from_secs(e.seconds) {
         std::thread::sleep(Duration::from_millis(10));
         control.step(&heard)?;
-        let second_due = second && control.driver.progress().is_some();
-        let idle = control.driver.progress().is_none();
-        if asked < e.rewirings && Instant::now() >= next_change && (idle || second_due) {
+        let second_due = second && control.rollout.progress().is_some();
+        let idle = control.rollout.progress().is_none();
+        if asked < e.hierarchy_changes && Instant::now() >= next_change && (idle || second_due) {
             second = false; // The driver numbers nodes anew when it begins anew; here they keep their first numbers.
             let told =
-                HierarchySpec::from_hierarchy(1, control.driver.published().1).to_hierarchy(Some(&first));
+                HierarchySpec::from_hierarchy(1, control.rollout.published().1).to_hierarchy(Some(&first));
             let from = told.map_or_else(|_| first.clone(), |(_, h)| h);
-            let cold = |n: NodeId| nodes.get(&n).map_or(0, |(node, _)| node.begin_cold() * 1_000_000);
-            if let Some(aim) = shape.other(&from, cold) {
+            let cold = |n: NodeId| nodes.get(&n).map_or(0, |(node, _)| node.restart_cold() * 1_000_000);
+            if let Some(aim) = shape.next_shape(&from, cold) {
                 let fresh: Vec<_> = aim
                     .iter()
                     .filter(|(id, m)| m.started_at > 0 && from.get(*id).is_none())
                     .filter_map(|(id, m)| {
                         nodes.get(&id).map(|(n, at)| {
-                            endpoint(&n.name, *at, n.role.kind(), "ready", m.started_at / 1_000_000)
+                            endpoint_json(&n.name, *at, n.role.kind(), "ready", m.started_at / 1_000_000)
                         })
                     })
                     .collect();
                 if !fresh.is_empty() {
-                    control.feed.tell(&members(&fresh, false));
+                    control.feed.publish(&members_event(&fresh, false));
                 }
                 asked += 1;
                 if e.plan {
-                    control.hear(RolloutInput::Propose { target: aim })?;
+                    control.handle(RolloutInput::Propose { target: aim })?;
                     // Another follows closely now and then.
                     second = e.faults && idle && shape.rng.random::<f64>() < 0.3;
                     let pause = if second { 50 } else { 300 };
                     next_change = Instant::now() + Duration::from_millis(pause);
                 } else {
-                    control.jump(aim)?;
+                    control.apply_at_once(aim)?;
                     next_change = Instant::now() + Duration::from_secs(3);
                 }
             }
@@ -476,7 +493,7 @@
         if e.purges > 0 && start.elapsed().as_millis() as u64 * e.purges / 1_000 > purged {
             purged += 1;
             let (object, at) = (shape.rng.random_range(0..e.objects.min(50)), unix_ms());
-            control.feed.tell(&format!("\"purge\":{{\"key\":\"{object:016x}\",\"at\":{at}}}"));
+            control.feed.publish(&format!("\"purge\":{{\"key\":\"{object:016x}\",\"at\":{at}}}"));
             lock(&purges).insert(object, at);
             for (node, _) in nodes.values() {
                 let late = Duration::from_millis(control.rng.random_range(0..700));
@@ -503,31 +520,31 @@
         }
     }
     let seconds = lock(&common.seconds).clone();
-    let endings = control.log_endings();
+    let endings = control.outcomes();
     let missing = clients - all.len();
     let window = begun + e.warm_up..begun + e.seconds;
     Ok(Report::of(e, seconds, all, missing, window, (endings, control.kills, asked), control.notes))
 }
 
-impl Control<'_> {
+impl RolloutDriver<'_> {
     /// All at once, without a plan: for comparison.
-    fn jump(&mut self, aim: Hierarchy) -> Result<(), Failed> {
-        let number = self.driver.published().0 + 1;
+    fn apply_at_once(&mut self, aim: Hierarchy) -> Result<(), TrialError> {
+        let number = self.rollout.published().0 + 1;
         self.common.count(|s| s.version = number);
-        self.tell(number, &aim);
+        self.announce(number, &aim);
         // The driver begins anew with it, so that what comes next starts from there.
         self.log.append(&RolloutRecord::Checkpoint {
             number,
             next_change: 1,
             version: HierarchySpec::from_hierarchy(number, &aim),
         })?;
-        self.driver = Rollout::new(number, aim, self.parties.clone())?;
-        self.driver.take_actions();
+        self.rollout = Rollout::new(number, aim, self.participants.clone())?;
+        self.rollout.take_actions();
         Ok(())
     }
 
     /// How changes ended, by the lines of the log.
-    fn log_endings(&self) -> BTreeMap<String, u64> {
+    fn outcomes(&self) -> BTreeMap<String, u64> {
         let mut endings = BTreeMap::new();
         for line in self.notes.iter().filter(|l| l.contains(" ended how=")) {
             let how = line.split("how=").nth(1).and_then(|h| h.split(' ').next()).unwrap_or_default();
@@ -538,16 +555,16 @@
 }
 
 /// How long the driver waits for a disk that can't be written, and how often it tries.
-const DISK_PATIENCE: Duration = Duration::from_secs(10);
-const DISK_PAUSE: Duration = Duration::from_millis(100);
+const DISK_RETRY_TIMEOUT: Duration = Duration::from_secs(10);
+const DISK_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Keeps an entry, for which a disk that is full or fails for a while is waited for: nothing may follow before.
-fn write_at_last(log: &mut ControllerLog, record: &RolloutRecord) -> Result<(), LogError> {
+fn write_with_retry(log: &mut ControllerLog, record: &RolloutRecord) -> Result<(), LogError> {
     let start = Instant::now();
     loop {
         match log.append(record) {
-            Err(LogError::Write(_) | LogError::Open { .. }) if start.elapsed() < DISK_PATIENCE => {
-                std::thread::sleep(DISK_PAUSE);
+            Err(LogError::Write(_) | LogError::Open { .. }) if start.elapsed() < DISK_RETRY_TIMEOUT => {
+                std::thread::sleep(DISK_RETRY_INTERVAL);
             }
             done => return done,
         }
--- a/crates/testbed/src/fleet/watch.rs
+++ b/crates/testbed/src/fleet/coordination_watch.rs
@@ -13,28 +13,28 @@
 use sablecross_director::coordination::settings::HIERARCHY_ROLE;
 use serde::{Deserialize, Serialize};
 
-use super::node::{At, Probe};
-use super::settings::Duties;
+use super::node::{Probe, Seconds};
+use super::settings::CoordinationTrial;
 
 /// What was done to the dealer: when, and who it was.
 #[derive(Clone, Copy, Debug)]
-pub struct Blow {
-    pub at: At,
+pub struct HolderFault {
+    pub at: Seconds,
     pub member: usize,
     pub duty: RoleId,
 }
 
 /// One that began to deal, by its log.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Begun {
-    pub at: At,
+pub struct LeaseStart {
+    pub at: Seconds,
     pub member: usize,
     pub duty: RoleId,
     pub term: u64,
 }
 
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Watched {
+pub struct CoordinationReport {
     pub probes: u64,
     /// Refused by the boxes' gates: they came of an old owner.
     pub refused: u64,
@@ -80,7 +80,7 @@
 }
 
 /// What a director says of its duties; none: it does not answer.
-pub fn shown(at: SocketAddr) -> Option<MemberStatus> {
+pub fn member_status(at: SocketAddr) -> Option<MemberStatus> {
     let request =
         Request { from: Member { number: u32::MAX, incarnation: 0 }, messages: vec![Message::ShowStatus] };
     let said = call_member(at, &request, Duration::from_millis(300)).ok()?;
@@ -88,14 +88,14 @@
 }
 
 /// Who owns a duty now, of these voters.
-pub fn owner(voters: &[SocketAddr], duty: RoleId) -> Option<usize> {
+pub fn find_holder(voters: &[SocketAddr], duty: RoleId) -> Option<usize> {
     voters.iter().position(|at| {
-        shown(*at).is_some_and(|s| s.roles.iter().any(|d| d.role == duty && d.own_lease.is_some()))
+        member_status(*at).is_some_and(|s| s.roles.iter().any(|d| d.role == duty && d.own_lease.is_some()))
     })
 }
 
 /// Hands a version of the hierarchy to whoever drives; whether it was heard.
-pub fn wish(driver: SocketAddr, text: &str) -> bool {
+pub fn propose_hierarchy(driver: SocketAddr, text: &str) -> bool {
     let words = vec![Message::Propose(HIERARCHY_ROLE, text.as_bytes().to_vec())];
     let request = Request { from: Member { number: u32::MAX, incarnation: 0 }, messages: words };
     let said = call_member(driver, &request, Duration::from_millis(500));
@@ -113,7 +113,7 @@
 }
 
 /// Those that began to own a duty, by the log of one director; times count from `zero`, in Unix milliseconds.
-pub fn begun(member: usize, log: &Path, zero: u64) -> Vec<Begun> {
+pub fn lease_starts(member: usize, log: &Path, zero: u64) -> Vec<LeaseStart> {
     let text = std::fs::read_to_string(log).unwrap_or_default();
     let one = |line: &str| {
         let rest = line.split_once("duty begins ")?.1;
@@ -123,23 +123,23 @@
         // Directors' own times are of no wall clock: the log's are, of one day.
         let at = (at_ms(line)? + DAY_MS - zero % DAY_MS) % DAY_MS;
         let at = at as f64 / 1e3;
-        Some(Begun { at, member, duty: field("duty")? as RoleId, term: field("term")? })
+        Some(LeaseStart { at, member, duty: field("duty")? as RoleId, term: field("term")? })
     };
     text.lines().filter_map(one).collect()
 }
 
-impl Watched {
+impl CoordinationReport {
     /// `boxes`: by name, what came; times from the start of the load. Boxes in `struck` at a time are not blamed for gaps.
     pub fn of(
-        d: &Duties,
+        d: &CoordinationTrial,
         seconds: f64,
         warm_up: f64,
         boxes: &BTreeMap<String, Vec<Probe>>,
-        excused: &[(String, At, At)],
-        blows: &[Blow],
-        begun: &[Begun],
-    ) -> Watched {
-        let mut w = Watched { blows: blows.len(), ..Watched::default() };
+        excused: &[(String, Seconds, Seconds)],
+        blows: &[HolderFault],
+        begun: &[LeaseStart],
+    ) -> CoordinationReport {
+        let mut w = CoordinationReport { blows: blows.len(), ..CoordinationReport::default() };
         let usual = (1_000.0 / d.probe_ms as f64).max(1.0);
         for (name, probes) in boxes {
             w.probes += probes.len() as u64;
@@ -155,7 +155,7 @@
                 owners.entry(p.token.term).or_default().insert(p.token.holder);
             }
             w.twins += owners.values().filter(|o| o.len() > 1).count() as u64;
-            let out = |from: At, to: At| {
+            let out = |from: Seconds, to: Seconds| {
                 excused.iter().any(|(n, begin, end)| n == name && *begin < to && *end + 1.0 > from)
             };
             let times = probes.iter().filter(|p| p.passed).map(|p| p.at).filter(|at| *at >= warm_up);
@@ -166,7 +166,7 @@
                 }
                 before = at;
             }
-            let all: Vec<At> = probes.iter().map(|p| p.at).filter(|at| *at >= warm_up).collect();
+            let all: Vec<Seconds> = probes.iter().map(|p| p.at).filter(|at| *at >= warm_up).collect();
             for (n, at) in all.iter().enumerate() {
                 let within = all[n..].iter().take_while(|t| **t < at + 1.0).count() as u32;
                 // What was held up comes at once when that is over.
@@ -235,7 +235,7 @@
         }
     }
 
-    pub fn breaches(&self, d: &Duties) -> Vec<String> {
+    pub fn violations(&self, d: &CoordinationTrial) -> Vec<String> {
         let mut found = Vec::new();
         let mut none = |what: &str, n: u64| {
             if n > 0 {
@@ -260,7 +260,7 @@
     }
 }
 
-impl fmt::Display for Watched {
+impl fmt::Display for CoordinationReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
--- a/crates/testbed/src/fleet/ways.rs
+++ b/crates/testbed/src/fleet/link_proxy.rs
@@ -12,21 +12,21 @@
 use mio::{Events, Interest, Poll, Token};
 use socket2::{Domain, Protocol, Socket, Type};
 
-use crate::node::{lock, spawn};
+use crate::node_stub::{lock, spawn};
 
 /// A member and the place of a voter.
 pub type Pair = (usize, usize);
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldDirections {
     /// What the member asks; what the voter answers.
     pub to: bool,
     pub from: bool,
 }
 
 #[derive(Default)]
-struct Orders {
-    held: BTreeMap<Pair, Held>,
+struct PairCommands {
+    held: BTreeMap<Pair, HeldDirections>,
     reset: Vec<Pair>,
 }
 
@@ -34,7 +34,7 @@
 type Bytes = Arc<BTreeMap<Pair, [AtomicU64; 2]>>;
 
 /// A link to be: whose, to where, and the address from which it is dialled.
-pub struct Planned {
+pub struct PlannedLink {
     pub pair: Pair,
     pub to: SocketAddr,
     pub from: Ipv4Addr,
@@ -53,20 +53,23 @@
     }
 }
 
-pub struct Ways {
-    orders: Arc<Mutex<Orders>>,
+pub struct LinkProxies {
+    orders: Arc<Mutex<PairCommands>>,
     bytes: Bytes,
     addresses: BTreeMap<Pair, SocketAddr>,
 }
 
-impl Ways {
+impl LinkProxies {
     /// Links from each of so many members to each voter.
-    pub fn start(members: usize, voters: &[SocketAddr], over: &Arc<AtomicBool>) -> io::Result<Ways> {
+    pub fn start(members: usize, voters: &[SocketAddr], over: &Arc<AtomicBool>) -> io::Result<LinkProxies> {
         let all = (0..members).flat_map(|m| voters.iter().enumerate().map(move |(v, to)| ((m, v), *to)));
-        Ways::between(all.map(|(pair, to)| Planned { pair, to, from: Ipv4Addr::LOCALHOST }).collect(), over)
+        LinkProxies::between(
+            all.map(|(pair, to)| PlannedLink { pair, to, from: Ipv4Addr::LOCALHOST }).collect(),
+            over,
+        )
     }
 
-    pub fn between(planned: Vec<Planned>, over: &Arc<AtomicBool>) -> io::Result<Ways> {
+    pub fn between(planned: Vec<PlannedLink>, over: &Arc<AtomicBool>) -> io::Result<LinkProxies> {
         let poll = Poll::new()?;
         let mut listeners = Vec::new();
         let mut addresses = BTreeMap::new();
@@ -76,9 +79,9 @@
             addresses.insert(link.pair, listener.local_addr()?);
             listeners.push((listener, link));
         }
-        let orders: Arc<Mutex<Orders>> = Arc::default();
+        let orders: Arc<Mutex<PairCommands>> = Arc::default();
         let bytes: Bytes = Arc::new(addresses.keys().map(|pair| (*pair, Default::default())).collect());
-        let relay = Relay {
+        let relay = ProxyThread {
             poll,
             listeners,
             open: BTreeMap::new(),
@@ -88,7 +91,7 @@
         };
         let over = Arc::clone(over);
         spawn(move || relay.run(&over));
-        Ok(Ways { orders, bytes, addresses })
+        Ok(LinkProxies { orders, bytes, addresses })
     }
 
     pub fn address(&self, member: usize, voter: usize) -> Option<SocketAddr> {
@@ -107,45 +110,45 @@
         self.addresses.keys()
     }
 
-    pub fn holds(&self, pair: Pair, held: Held) {
+    pub fn hold(&self, pair: Pair, held: HeldDirections) {
         let mut orders = lock(&self.orders);
-        if held == Held::default() {
+        if held == HeldDirections::default() {
             orders.held.remove(&pair);
         } else {
             orders.held.insert(pair, held);
         }
     }
 
-    pub fn resets(&self, pair: Pair) {
+    pub fn reset(&self, pair: Pair) {
         lock(&self.orders).reset.push(pair);
     }
 }
 
-struct End {
+struct Endpoint {
     stream: TcpStream,
     /// What is to be written to it.
     out: VecDeque<u8>,
 }
 
-struct Open {
+struct OpenLink {
     pair: Pair,
-    member: End,
-    voter: End,
+    member: Endpoint,
+    voter: Endpoint,
     /// One end has ended: the other gets what was said before that.
     over: bool,
 }
 
-struct Relay {
+struct ProxyThread {
     poll: Poll,
-    listeners: Vec<(TcpListener, Planned)>,
+    listeners: Vec<(TcpListener, PlannedLink)>,
     /// By number; the member's end has the even token, the voter's the odd one after it.
-    open: BTreeMap<usize, Open>,
+    open: BTreeMap<usize, OpenLink>,
     next: usize,
-    orders: Arc<Mutex<Orders>>,
+    orders: Arc<Mutex<PairCommands>>,
     bytes: Bytes,
 }
 
-impl Relay {
+impl ProxyThread {
     fn run(mut self, over: &AtomicBool) {
         let mut events = Events::with_capacity(1_024);
         let first = self.listeners.len();
@@ -161,19 +164,19 @@
                 } else {
                     let number = (at - first) / 2;
                     if let Some(open) = self.open.get_mut(&number) {
-                        open.reads(&self.bytes);
+                        open.read_both(&self.bytes);
                     }
                 }
             }
             let held = lock(&self.orders).held.clone();
-            self.open.retain(|_, o| o.writes(held.get(&o.pair).copied().unwrap_or_default()));
+            self.open.retain(|_, o| o.write_both(held.get(&o.pair).copied().unwrap_or_default()));
         }
     }
 
     fn accept(&mut self, at: usize) {
         let first = self.listeners.len();
         while let Ok((mut stream, _)) = self.listeners[at].0.accept() {
-            let Planned { pair, to, from } = self.listeners[at].1;
+            let PlannedLink { pair, to, from } = self.listeners[at].1;
             let Ok(mut voter) = dial_from(from, to) else { continue };
             let token = first + 2 * self.next;
             let both = Interest::READABLE | Interest::WRITABLE;
@@ -187,34 +190,35 @@
             }
             // A delay is harmless.
             let _ = stream.set_nodelay(true);
-            let end = |stream| End { stream, out: VecDeque::new() };
-            self.open.insert(self.next, Open { pair, member: end(stream), voter: end(voter), over: false });
+            let end = |stream| Endpoint { stream, out: VecDeque::new() };
+            self.open
+                .insert(self.next, OpenLink { pair, member: end(stream), voter: end(voter), over: false });
             self.next += 1;
         }
     }
 }
 
-impl Open {
+impl OpenLink {
     /// Takes in what either end says.
-    fn reads(&mut self, bytes: &Bytes) {
-        let Open { pair, member, voter, over } = self;
+    fn read_both(&mut self, bytes: &Bytes) {
+        let OpenLink { pair, member, voter, over } = self;
         let [asked, answered] = &bytes[pair];
-        *over |= !take_in(&mut member.stream, &mut voter.out, asked);
-        *over |= !take_in(&mut voter.stream, &mut member.out, answered);
+        *over |= !read_into(&mut member.stream, &mut voter.out, asked);
+        *over |= !read_into(&mut voter.stream, &mut member.out, answered);
     }
 
     /// False once nothing more can pass.
-    fn writes(&mut self, held: Held) -> bool {
+    fn write_both(&mut self, held: HeldDirections) -> bool {
         let passes = (held.to || self.voter.writes()) && (held.from || self.member.writes());
         passes && !(self.over && self.voter.out.is_empty() && self.member.out.is_empty())
     }
 }
 
-fn waits(e: &io::Error) -> bool {
+fn would_block(e: &io::Error) -> bool {
     matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected | ErrorKind::Interrupted)
 }
 
-fn take_in(from: &mut TcpStream, to: &mut VecDeque<u8>, count: &AtomicU64) -> bool {
+fn read_into(from: &mut TcpStream, to: &mut VecDeque<u8>, count: &AtomicU64) -> bool {
     let mut bytes = [0; 8_192];
     loop {
         match from.read(&mut bytes) {
@@ -223,12 +227,12 @@
                 count.fetch_add(n as u64, Ordering::Relaxed);
                 to.extend(&bytes[..n]);
             }
-            Err(e) => return waits(&e),
+            Err(e) => return would_block(&e),
         }
     }
 }
 
-impl End {
+impl Endpoint {
     fn writes(&mut self) -> bool {
         while !self.out.is_empty() {
             match self.stream.write(self.out.as_slices().0) {
@@ -236,7 +240,7 @@
                 Ok(n) => {
                     self.out.drain(..n);
                 }
-                Err(e) => return waits(&e),
+                Err(e) => return would_block(&e),
             }
         }
         true
--- a/crates/testbed/src/fleet/load.rs
+++ b/crates/testbed/src/fleet/load.rs
@@ -11,17 +11,17 @@
 use rand_pcg::Pcg32;
 use serde::{Deserialize, Serialize};
 
-use super::node::At;
-use crate::acts::pause;
-use crate::load::{Answer, BUDGET_MS, any_answer, lookup};
-use crate::node::{lock, spawn};
+use super::node::Seconds;
+use crate::client_load::{BUDGET_MS, Response, encode_request, read_any_response};
+use crate::node_stub::{lock, spawn};
+use crate::schedule::exponential_interval;
 
 /// An answer that comes within this after the client's time has earned nothing, a later one is none.
 const SLACK: f64 = 0.5;
 
 /// What became of lookups.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Tally {
+pub struct ClientTally {
     pub asked: u64,
     pub satisfied: u64,
     /// Of the satisfied, those past the client's time.
@@ -35,8 +35,8 @@
     pub strange: u64,
 }
 
-impl Tally {
-    pub fn add(&mut self, o: &Tally) {
+impl ClientTally {
+    pub fn add(&mut self, o: &ClientTally) {
         self.asked += o.asked;
         self.satisfied += o.satisfied;
         self.late += o.late;
@@ -51,26 +51,26 @@
 #[derive(Default)]
 struct Open {
     /// When each open call was asked.
-    calls: HashMap<u32, At>,
+    calls: HashMap<u32, Seconds>,
     /// Calls that were given up without blame, whose answers may come still.
     let_go: HashSet<u32>,
-    seconds: Vec<Tally>,
+    seconds: Vec<ClientTally>,
     /// When the director was stopped or killed, and until when.
-    struck: Vec<(At, At)>,
+    struck: Vec<(Seconds, Seconds)>,
     link: Option<Arc<TcpStream>>,
 }
 
 impl Open {
-    fn second(&mut self, at: At) -> &mut Tally {
+    fn second(&mut self, at: Seconds) -> &mut ClientTally {
         let at = at as usize;
         if self.seconds.len() <= at {
-            self.seconds.resize(at + 1, Tally::default());
+            self.seconds.resize(at + 1, ClientTally::default());
         }
         &mut self.seconds[at]
     }
 
     /// A call that has no answer.
-    fn unanswered(&mut self, call: u32, asked: At, now: At) {
+    fn unanswered(&mut self, call: u32, asked: Seconds, now: Seconds) {
         let excused = self.struck.iter().any(|(from, to)| asked < *to && *from < now);
         if excused {
             self.let_go.insert(call);
@@ -82,7 +82,7 @@
 
 /// What all clients of a trial ask for.
 #[derive(Clone, Copy)]
-pub struct Wants {
+pub struct Workload {
     pub objects: u64,
     pub hot: f64,
     pub rate: f64,
@@ -101,27 +101,27 @@
     pub fn start(
         number: usize,
         director: SocketAddr,
-        wants: Wants,
+        wants: Workload,
         begun: Instant,
         over: &Arc<AtomicBool>,
     ) -> Arc<Clients> {
         let all =
             Arc::new(Clients { number, director, begun, over: Arc::clone(over), open: Mutex::default() });
         let own = Arc::clone(&all);
-        spawn(move || own.ask_on(&wants));
+        spawn(move || own.send_requests(&wants));
         all
     }
 
-    fn now(&self) -> At {
+    fn now(&self) -> Seconds {
         self.begun.elapsed().as_secs_f64()
     }
 
     /// The director is stopped, or down, in this time.
-    pub fn struck(&self, from: At, to: At) {
+    pub fn excuse(&self, from: Seconds, to: Seconds) {
         lock(&self.open).struck.push((from, to));
     }
 
-    fn ask_on(self: &Arc<Clients>, wants: &Wants) {
+    fn send_requests(self: &Arc<Clients>, wants: &Workload) {
         let mut rng = Pcg32::seed_from_u64(wants.seed ^ (self.number as u64 + 1).wrapping_mul(0x9e37_79b9));
         let (mut call, mut next) = (0u32, self.now() + rng.random::<f64>() / wants.rate);
         while !self.over.load(Ordering::Relaxed) {
@@ -130,13 +130,13 @@
             if self.now() < next {
                 continue;
             }
-            next += pause(&mut rng, wants.rate);
+            next += exponential_interval(&mut rng, wants.rate);
             let hot = rng.random::<f64>() < wants.hot;
             let object = if hot { 0 } else { (wants.objects as f64 * rng.random::<f64>().powi(3)) as u64 };
             let Some(link) = self.link() else { continue };
             call += 1;
             let name = (self.number as u64) << 32 | u64::from(call);
-            let Ok(bytes) = lookup(name, call, object) else { continue };
+            let Ok(bytes) = encode_request(name, call, object) else { continue };
             let now = self.now();
             {
                 let mut open = lock(&self.open);
@@ -158,13 +158,13 @@
         let link = Arc::new(link);
         lock(&self.open).link = Some(Arc::clone(&link));
         let (own, to) = (Arc::clone(self), Arc::clone(&link));
-        spawn(move || own.hear(&to));
+        spawn(move || own.read_answers(&to));
         Some(link)
     }
 
-    fn hear(&self, link: &Arc<TcpStream>) {
+    fn read_answers(&self, link: &Arc<TcpStream>) {
         let mut from = BufReader::new(&**link);
-        while let Ok((call, answer)) = any_answer(&mut from) {
+        while let Ok((call, answer)) = read_any_response(&mut from) {
             let now = self.now();
             let mut open = lock(&self.open);
             let Some(asked) = open.calls.remove(&call) else {
@@ -175,12 +175,12 @@
             };
             let second = open.second(asked);
             match answer {
-                Answer::Satisfied(_) => {
+                Response::Success(_) => {
                     second.satisfied += 1;
                     second.late += u64::from(now - asked > BUDGET_MS as f64 / 1e3);
                 }
-                Answer::Nacked => second.nacked += 1,
-                Answer::Failed => second.failed += 1,
+                Response::Rejected => second.nacked += 1,
+                Response::Failed => second.failed += 1,
             }
         }
         let _ = link.shutdown(Shutdown::Both);
@@ -198,8 +198,8 @@
     fn sweep(&self) {
         let now = self.now();
         let mut open = lock(&self.open);
-        let over = |asked: At| now > asked + BUDGET_MS as f64 / 1e3 + SLACK;
-        let gone: Vec<(u32, At)> =
+        let over = |asked: Seconds| now > asked + BUDGET_MS as f64 / 1e3 + SLACK;
+        let gone: Vec<(u32, Seconds)> =
             open.calls.iter().filter(|(_, at)| over(**at)).map(|(c, at)| (*c, *at)).collect();
         for (call, asked) in gone {
             open.calls.remove(&call);
@@ -208,7 +208,7 @@
     }
 
     /// By second, once all has ended.
-    pub fn tally(&self) -> Vec<Tally> {
+    pub fn tally(&self) -> Vec<ClientTally> {
         self.sweep();
         lock(&self.open).seconds.clone()
     }
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -2,13 +2,13 @@
 //! that count by tenth of a second, and faults between them by seed. It shows what the operators' bench can't: each
 //! node's load over time, who moved where, links cut one way, directors stopped and continued.
 
+mod coordination_watch;
+pub(crate) mod link_proxy;
 mod load;
 mod node;
 mod report;
 mod run;
 pub mod settings;
-mod watch;
-pub(crate) mod ways;
 
 pub use report::Report;
 pub use run::run;
--- a/crates/testbed/src/fleet/node.rs
+++ b/crates/testbed/src/fleet/node.rs
@@ -12,10 +12,10 @@
 use sablecross_coordination::{FencingGuard, FencingToken as Duty};
 use sablecross_director::coordination::HealthCheckTag;
 
-use crate::node::{lock, spawn, unix_ms};
+use crate::node_stub::{lock, spawn, unix_ms};
 
 /// Seconds from the start of the load.
-pub type At = f64;
+pub type Seconds = f64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
 pub enum Tier {
@@ -25,17 +25,17 @@
 }
 
 /// The figures of the rule on cold nodes.
-pub const COLD_FROM: f64 = 0.25;
-pub const WARM_AFTER: f64 = 6.0;
-pub const FALLS_AT: f64 = 3.0;
+pub const SLOW_START_INITIAL_SHARE: f64 = 0.25;
+pub const SLOW_START_WINDOW: f64 = 6.0;
+pub const COLLAPSE_MULTIPLE: f64 = 3.0;
 /// A node holds work for so long at most; what would wait longer is turned away.
-const LONGEST_LINE: f64 = 0.6;
+const MAX_QUEUE_SECONDS: f64 = 0.6;
 /// What the way and the answer take beside the work.
-const WAY: f64 = 0.002;
+const NETWORK_DELAY: f64 = 0.002;
 
 /// Which way of a link is cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cut {
+pub enum CutDirection {
     To,
     From,
 }
@@ -47,19 +47,19 @@
 }
 
 #[derive(Default)]
-struct Inner {
+struct NodeState {
     copies: Copies,
     /// When its work in hand is done.
-    free_at: At,
+    free_at: Seconds,
     /// How many times longer it takes.
     slow: f64,
-    stopped_until: At,
+    stopped_until: Seconds,
     /// Until when it is down: crashed, or fallen over when it was pushed.
-    down_until: At,
-    since: Option<At>,
+    down_until: Seconds,
+    since: Option<Seconds>,
     /// Since when nothing new is to come, as the list says that it has gone, the grace included.
-    gone_from: Option<At>,
-    cuts: HashMap<usize, Cut>,
+    gone_from: Option<Seconds>,
+    cuts: HashMap<usize, CutDirection>,
     /// What came, by tenth of a second.
     came: Vec<u32>,
     /// Who sent, by second.
@@ -73,23 +73,23 @@
     warmed: u64,
     warm_refused: u64,
     /// Requests of directors since it began anew: when, and whether a copy was there.
-    fresh: Vec<(At, bool)>,
+    fresh: Vec<(Seconds, bool)>,
     /// Members whose probes are held up, until when.
-    held: HashMap<usize, At>,
+    held: HashMap<usize, Seconds>,
     probes: Vec<Probe>,
 }
 
 /// A probe as it came, and whether the gate let it through.
 #[derive(Clone, Copy, Debug)]
 pub struct Probe {
-    pub at: At,
+    pub at: Seconds,
     pub token: Duty,
     pub passed: bool,
 }
 
 /// An answer on its way.
-struct Due {
-    at: At,
+struct DelayedAnswer {
+    at: Seconds,
     number: u64,
     to: Arc<TcpStream>,
     bytes: Vec<u8>,
@@ -106,34 +106,34 @@
     gated: bool,
     begun: Instant,
     over: Arc<AtomicBool>,
-    inner: Mutex<Inner>,
-    due: Mutex<Sender<Due>>,
+    inner: Mutex<NodeState>,
+    due: Mutex<Sender<DelayedAnswer>>,
 }
 
 /// What of a node's work a report needs.
-pub struct Counted {
+pub struct NodeCounts {
     pub came: Vec<u32>,
     pub senders: HashSet<(u32, usize)>,
-    pub since: Option<At>,
+    pub since: Option<Seconds>,
     pub falls: u64,
     pub strays: u64,
     pub probes: Vec<Probe>,
     pub warmed: u64,
     pub warm_refused: u64,
-    pub fresh: Vec<(At, bool)>,
+    pub fresh: Vec<(Seconds, bool)>,
 }
 
-enum Done {
+enum PullOutcome {
     /// When, when the copy was made (Unix milliseconds), and whether it was held.
-    Copy(At, u64, bool),
-    Miss(At),
-    Full(At),
-    Error(At),
+    Copy(Seconds, u64, bool),
+    Miss(Seconds),
+    Full(Seconds),
+    Error(Seconds),
     /// Nothing is said.
     Silence,
 }
 
-pub type Others = Arc<HashMap<String, Arc<Node>>>;
+pub type NodesByName = Arc<HashMap<String, Arc<Node>>>;
 
 impl Node {
     pub fn start(
@@ -156,7 +156,7 @@
             gated,
             begun,
             over: Arc::clone(over),
-            inner: Mutex::new(Inner { slow: 1.0, ..Inner::default() }),
+            inner: Mutex::new(NodeState { slow: 1.0, ..NodeState::default() }),
             due: Mutex::new(due),
         });
         let own = Arc::clone(&node);
@@ -165,7 +165,7 @@
     }
 
     /// Takes connections, once all nodes are there.
-    pub fn serve(self: &Arc<Node>, listener: TcpListener, others: &Others) {
+    pub fn serve(self: &Arc<Node>, listener: TcpListener, others: &NodesByName) {
         let (own, others) = (Arc::clone(self), Arc::clone(others));
         spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
@@ -185,13 +185,13 @@
         });
     }
 
-    fn now(&self) -> At {
+    fn now(&self) -> Seconds {
         self.begun.elapsed().as_secs_f64()
     }
 
     /// Writes answers when they are due.
-    fn deliver(&self, dues: &Receiver<Due>) {
-        let mut waiting: BTreeMap<(u64, u64), Due> = BTreeMap::new();
+    fn deliver(&self, dues: &Receiver<DelayedAnswer>) {
+        let mut waiting: BTreeMap<(u64, u64), DelayedAnswer> = BTreeMap::new();
         while !self.over.load(Ordering::Relaxed) {
             let now = (self.now() * 1e6) as u64;
             while let Some(due) = waiting.first_entry().filter(|e| e.key().0 <= now) {
@@ -206,7 +206,7 @@
         }
     }
 
-    fn listen(&self, stream: &Arc<TcpStream>, others: &Others) -> io::Result<()> {
+    fn listen(&self, stream: &Arc<TcpStream>, others: &NodesByName) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let mut reader = BufReader::new(&**stream);
         let (mut line, mut number) = (String::new(), 0u64);
@@ -220,7 +220,7 @@
             match words.next() {
                 Some("PULL") => {}
                 Some("METER") => {
-                    if let Some(answer) = words.next().and_then(|tag| self.metered(tag)) {
+                    if let Some(answer) = words.next().and_then(|tag| self.answer_health_check(tag)) {
                         (&**stream).write_all(answer.as_bytes())?;
                     }
                     continue;
@@ -242,12 +242,12 @@
                 std::thread::sleep(Duration::from_secs_f64(stopped));
             }
             let director = warms.map_or(director, |tag| tag.token.holder.number as usize);
-            let refused = warms.and_then(|tag| self.warms(tag));
+            let refused = warms.and_then(|tag| self.admit_warming(tag));
             let done = match refused {
-                Some(_) => Done::Silence,
+                Some(_) => PullOutcome::Silence,
                 None => {
                     let source = field("miss").and_then(|m| others.get(m));
-                    self.asked(director, object, source, warms.is_some())
+                    self.serve_pull(director, object, source, warms.is_some())
                 }
             };
             let (at, word, said, body) = match done {
@@ -255,22 +255,22 @@
                     let newest = refused.unwrap_or(HealthCheckTag { token: Duty::default(), sequence: 0 });
                     (self.now(), "STALE", format!("newest={newest}"), String::new())
                 }
-                Done::Copy(at, issued, held) => {
+                PullOutcome::Copy(at, issued, held) => {
                     let how = if held { "HIT" } else { "MISS" };
                     let said = format!("how={how},entity={issued:016x},issued={issued}");
                     (at, "ACK", said, format!("{issued:016x}"))
                 }
-                Done::Miss(at) => (at, "NOENT", "-".into(), String::new()),
-                Done::Full(at) => (at, "AGAIN", "-".into(), String::new()),
-                Done::Error(at) => (at, "EIO", "-".into(), String::new()),
-                Done::Silence => (At::INFINITY, "", String::new(), String::new()),
+                PullOutcome::Miss(at) => (at, "NOENT", "-".into(), String::new()),
+                PullOutcome::Full(at) => (at, "AGAIN", "-".into(), String::new()),
+                PullOutcome::Error(at) => (at, "EIO", "-".into(), String::new()),
+                PullOutcome::Silence => (Seconds::INFINITY, "", String::new(), String::new()),
             };
             let bytes = format!("{id} {word} {said} {}\r\n{body}\r\n", body.len()).into_bytes();
             let length: usize = length.parse().unwrap_or(0);
             reader.read_exact(&mut vec![0; length + 2])?;
             number += 1;
             if at.is_finite() {
-                let due = Due { at, number: lane | number, to: Arc::clone(stream), bytes };
+                let due = DelayedAnswer { at, number: lane | number, to: Arc::clone(stream), bytes };
                 // Its thread ends with the trial.
                 let _ = lock(&self.due).send(due);
             }
@@ -278,10 +278,10 @@
     }
 
     /// A probe. The check of its token and what it does, which is to count here, are one step.
-    fn metered(&self, text: &str) -> Option<String> {
+    fn answer_health_check(&self, text: &str) -> Option<String> {
         let tag: HealthCheckTag = text.parse().ok()?;
         let member = tag.token.holder.number as usize;
-        let wait = |inner: &Inner| {
+        let wait = |inner: &NodeState| {
             let held = inner.held.get(&member).copied().unwrap_or(0.0);
             held.max(inner.stopped_until) - self.now()
         };
@@ -291,13 +291,13 @@
         }
         let now = self.now();
         let mut inner = lock(&self.inner);
-        if now < inner.down_until || inner.cuts.get(&member) == Some(&Cut::To) {
+        if now < inner.down_until || inner.cuts.get(&member) == Some(&CutDirection::To) {
             return None;
         }
         let refused = inner.gate.admit(tag.token).err().filter(|_| self.gated);
         inner.probes.push(Probe { at: now, token: tag.token, passed: refused.is_none() });
         let cut = inner.cuts.contains_key(&member);
-        let busy = ((inner.free_at - now) / LONGEST_LINE).clamp(0.0, 1.0);
+        let busy = ((inner.free_at - now) / MAX_QUEUE_SECONDS).clamp(0.0, 1.0);
         drop(inner);
         let said = match refused {
             Some(old) => {
@@ -312,7 +312,7 @@
     }
 
     /// A request of whoever warms caches: by which token a newer owner does, if one does.
-    fn warms(&self, tag: HealthCheckTag) -> Option<HealthCheckTag> {
+    fn admit_warming(&self, tag: HealthCheckTag) -> Option<HealthCheckTag> {
         let mut inner = lock(&self.inner);
         match inner.warm_gate.admit(tag.token) {
             Err(old) if self.gated => {
@@ -327,18 +327,24 @@
     }
 
     /// Probes of these directors arrive when this is over.
-    pub fn holds_probes(&self, directors: &[usize], lasts: f64) {
+    pub fn delay_health_checks(&self, directors: &[usize], lasts: f64) {
         let until = self.now() + lasts;
         lock(&self.inner).held.extend(directors.iter().map(|d| (*d, until)));
     }
 
     /// A director's request.
-    fn asked(&self, director: usize, object: u64, source: Option<&Arc<Node>>, warms: bool) -> Done {
+    fn serve_pull(
+        &self,
+        director: usize,
+        object: u64,
+        source: Option<&Arc<Node>>,
+        warms: bool,
+    ) -> PullOutcome {
         let now = self.now();
         let cut = {
             let mut inner = lock(&self.inner);
-            if inner.cuts.get(&director) == Some(&Cut::To) {
-                return Done::Silence;
+            if inner.cuts.get(&director) == Some(&CutDirection::To) {
+                return PullOutcome::Silence;
             }
             inner.senders.insert((now as u32, director));
             inner.strays += u64::from(inner.gone_from.is_some_and(|from| now > from));
@@ -355,24 +361,24 @@
         // time is what its line is reckoned by.
         let done = match self.work(now) {
             Ok(at) => match (self.held(object), source) {
-                (Some(issued), _) => Done::Copy(at, issued, true),
+                (Some(issued), _) => PullOutcome::Copy(at, issued, true),
                 (None, Some(source)) => match source.fill(now, object) {
                     Some((filled, issued)) => {
                         self.keep(object, issued);
-                        Done::Copy(at.max(filled) + WAY, issued, false)
+                        PullOutcome::Copy(at.max(filled) + NETWORK_DELAY, issued, false)
                     }
-                    None => Done::Error(at),
+                    None => PullOutcome::Error(at),
                 },
-                (None, None) if self.tier == Tier::Origin => Done::Copy(at, unix_ms(), false),
-                (None, None) => Done::Miss(at),
+                (None, None) if self.tier == Tier::Origin => PullOutcome::Copy(at, unix_ms(), false),
+                (None, None) => PullOutcome::Miss(at),
             },
             Err(done) => done,
         };
-        if cut { Done::Silence } else { done }
+        if cut { PullOutcome::Silence } else { done }
     }
 
     /// A fill: from its copies, or from what it fetches at the origin, which is not slow here.
-    fn fill(&self, now: At, object: u64) -> Option<(At, u64)> {
+    fn fill(&self, now: Seconds, object: u64) -> Option<(Seconds, u64)> {
         let at = self.work(now).ok()?;
         if let Some(issued) = self.held(object) {
             return Some((at, issued));
@@ -383,7 +389,7 @@
     }
 
     /// Takes its turn in the line; when it is done.
-    fn work(&self, now: At) -> Result<At, Done> {
+    fn work(&self, now: Seconds) -> Result<Seconds, PullOutcome> {
         let mut inner = lock(&self.inner);
         let tenth = (now * 10.0) as usize;
         if inner.came.len() <= tenth {
@@ -391,25 +397,26 @@
         }
         inner.came[tenth] += 1;
         if now < inner.down_until {
-            return Err(Done::Error(now + WAY));
+            return Err(PullOutcome::Error(now + NETWORK_DELAY));
         }
-        let warmth = inner
-            .since
-            .map_or(1.0, |since| (COLD_FROM + (1.0 - COLD_FROM) * (now - since) / WARM_AFTER).min(1.0));
+        let warmth = inner.since.map_or(1.0, |since| {
+            (SLOW_START_INITIAL_SHARE + (1.0 - SLOW_START_INITIAL_SHARE) * (now - since) / SLOW_START_WINDOW)
+                .min(1.0)
+        });
         if warmth < 1.0 {
             let lately: u32 = inner.came[tenth.saturating_sub(9)..].iter().sum();
-            if f64::from(lately) > FALLS_AT * warmth * self.capacity {
+            if f64::from(lately) > COLLAPSE_MULTIPLE * warmth * self.capacity {
                 inner.falls += 1;
                 inner.down_until = now + 2.0;
-                return Err(Done::Error(now + WAY));
+                return Err(PullOutcome::Error(now + NETWORK_DELAY));
             }
         }
         let begin = now.max(inner.free_at);
-        if begin - now > LONGEST_LINE {
-            return Err(Done::Full(now + WAY));
+        if begin - now > MAX_QUEUE_SECONDS {
+            return Err(PullOutcome::Full(now + NETWORK_DELAY));
         }
         inner.free_at = begin + inner.slow / (self.capacity * warmth);
-        Ok(inner.free_at + WAY)
+        Ok(inner.free_at + NETWORK_DELAY)
     }
 
     fn held(&self, object: u64) -> Option<u64> {
@@ -429,15 +436,15 @@
 
     // ---- what befalls it ----
 
-    pub fn slows(&self, by: f64) {
+    pub fn slow_down(&self, by: f64) {
         lock(&self.inner).slow = by;
     }
 
-    pub fn stops(&self, lasts: f64) {
+    pub fn stop(&self, lasts: f64) {
         lock(&self.inner).stopped_until = self.now() + lasts;
     }
 
-    pub fn cuts(&self, directors: impl Iterator<Item = usize>, way: Option<Cut>) {
+    pub fn cut_off(&self, directors: impl Iterator<Item = usize>, way: Option<CutDirection>) {
         let mut inner = lock(&self.inner);
         for director in directors {
             match way {
@@ -448,7 +455,7 @@
     }
 
     /// Resets all its connections.
-    pub fn resets(&self) {
+    pub fn reset_connections(&self) {
         for link in std::mem::take(&mut lock(&self.inner).links) {
             // One that has ended is as good.
             let _ = link.shutdown(Shutdown::Both);
@@ -456,13 +463,13 @@
     }
 
     /// Ends, until it begins anew.
-    pub fn crashes(&self) {
-        lock(&self.inner).down_until = At::INFINITY;
-        self.resets();
+    pub fn crash(&self) {
+        lock(&self.inner).down_until = Seconds::INFINITY;
+        self.reset_connections();
     }
 
     /// Begins anew, cold and empty; since when, in Unix milliseconds.
-    pub fn begins_cold(&self) -> u64 {
+    pub fn restart_cold(&self) -> u64 {
         let mut inner = lock(&self.inner);
         inner.copies = Copies::default();
         (inner.gate, inner.warm_gate) = (FencingGuard::default(), FencingGuard::default());
@@ -472,13 +479,13 @@
     }
 
     /// After this grace nothing new is to come.
-    pub fn goes(&self, grace: f64) {
+    pub fn leave(&self, grace: f64) {
         lock(&self.inner).gone_from = Some(self.now() + grace);
     }
 
-    pub fn counted(&self) -> Counted {
+    pub fn counts(&self) -> NodeCounts {
         let inner = lock(&self.inner);
-        Counted {
+        NodeCounts {
             came: inner.came.clone(),
             senders: inner.senders.clone(),
             since: inner.since,
--- a/crates/testbed/src/fleet/report.rs
+++ b/crates/testbed/src/fleet/report.rs
@@ -5,23 +5,23 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::load::Tally;
-use super::node::{Counted, Tier};
+use super::coordination_watch::CoordinationReport;
+use super::load::ClientTally;
+use super::node::{NodeCounts, Tier};
 use super::settings::Trial;
-use super::watch::Watched;
-use crate::outcome::{Outcome, Panel};
+use crate::trial_report::{Chart, TrialReport};
 
 /// Seconds of a window in which load is to be even.
-const WINDOW: usize = 5;
+const EVENNESS_WINDOW_SECONDS: usize = 5;
 /// Load counts as even again at this multiple of the fair share.
-const EVEN: f64 = 1.5;
+const EVEN_RATIO: f64 = 1.5;
 
 /// One node's count, with what it can do.
 pub struct Node {
     pub name: String,
     pub tier: Tier,
     pub capacity: f64,
-    pub counted: Counted,
+    pub counted: NodeCounts,
 }
 
 /// How even a tier was: what each node got over its fair share, which goes by what it can do.
@@ -41,7 +41,7 @@
 
 /// What a fault did to those that it did not strike.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Aftermath {
+pub struct FaultAftermath {
     pub what: String,
     pub at: f64,
     /// In the second after it: the most over the fair share.
@@ -53,10 +53,10 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Report {
     pub trial: Trial,
-    pub total: Tally,
-    pub seconds: Vec<Tally>,
+    pub total: ClientTally,
+    pub seconds: Vec<ClientTally>,
     pub windows: Vec<Evenness>,
-    pub aftermath: Vec<Aftermath>,
+    pub aftermath: Vec<FaultAftermath>,
     /// The most directors that began to send to one node within a second, part of all; the mean over nodes.
     pub herd_most: f64,
     pub herd_mean: f64,
@@ -71,11 +71,11 @@
     /// By node, what came in each second.
     pub came: BTreeMap<String, Vec<u32>>,
     /// What duties came to, where the trial had them.
-    pub watched: Option<Watched>,
+    pub watched: Option<CoordinationReport>,
 }
 
 /// A fault as it was carried out: its name, the nodes that it struck, from when until when.
-pub struct Struck {
+pub struct FaultWindow {
     pub what: String,
     pub nodes: Vec<String>,
     pub from: f64,
@@ -86,13 +86,13 @@
     pub fn of(
         trial: &Trial,
         nodes: &[Node],
-        clients: &[Vec<Tally>],
-        struck: &[Struck],
+        clients: &[Vec<ClientTally>],
+        struck: &[FaultWindow],
         (ended, late): (usize, f64),
     ) -> Report {
         let seconds = trial.seconds as usize;
-        let mut by_second = vec![Tally::default(); seconds];
-        let mut total = Tally::default();
+        let mut by_second = vec![ClientTally::default(); seconds];
+        let mut total = ClientTally::default();
         for (at, tally) in clients.iter().flat_map(|c| c.iter().enumerate()) {
             total.add(tally);
             if let Some(second) = by_second.get_mut(at) {
@@ -104,7 +104,7 @@
             tenths[(10 * from).min(tenths.len())..(10 * to).min(tenths.len())].iter().sum()
         };
         let out = |n: &Node, from: f64, to: f64| {
-            let cold = n.counted.since.is_some_and(|s| s + super::node::WARM_AFTER > from);
+            let cold = n.counted.since.is_some_and(|s| s + super::node::SLOW_START_WINDOW > from);
             cold || struck.iter().any(|s| s.nodes.contains(&n.name) && s.from < to && s.to > from)
         };
         let even = |tier: Tier, from: usize, to: usize| -> Option<Evenness> {
@@ -115,7 +115,9 @@
             let over = |n: &Node| f64::from(came(n, from, to)) / n.capacity * can / f64::from(got.max(1));
             let by = |a: &&&Node, b: &&&Node| over(a).total_cmp(&over(b));
             let (most, least) = (up.iter().max_by(by)?, up.iter().min_by(by)?);
-            let calm = struck.iter().all(|s| s.from >= to as f64 || s.to + WINDOW as f64 <= from as f64);
+            let calm = struck
+                .iter()
+                .all(|s| s.from >= to as f64 || s.to + EVENNESS_WINDOW_SECONDS as f64 <= from as f64);
             Some(Evenness {
                 from,
                 tier,
@@ -127,17 +129,19 @@
                 calm,
             })
         };
-        let starts = (trial.warm_up as usize..seconds).step_by(WINDOW).filter(|s| s + WINDOW <= seconds);
+        let starts = (trial.warm_up as usize..seconds)
+            .step_by(EVENNESS_WINDOW_SECONDS)
+            .filter(|s| s + EVENNESS_WINDOW_SECONDS <= seconds);
         let windows = starts
-            .flat_map(|s| [Tier::Cache, Tier::Parent].map(|t| even(t, s, s + WINDOW)))
+            .flat_map(|s| [Tier::Cache, Tier::Parent].map(|t| even(t, s, s + EVENNESS_WINDOW_SECONDS)))
             .flatten()
             .collect();
         let most_in = |from: usize| even(Tier::Cache, from, from + 1).map_or(0.0, |e| e.most);
         let aftermath = struck.iter().map(|s| {
             let end = s.to.ceil() as usize;
-            let again =
-                (end..seconds.saturating_sub(1)).find(|&at| most_in(at) <= EVEN && most_in(at + 1) <= EVEN);
-            Aftermath {
+            let again = (end..seconds.saturating_sub(1))
+                .find(|&at| most_in(at) <= EVEN_RATIO && most_in(at + 1) <= EVEN_RATIO);
+            FaultAftermath {
                 what: s.what.clone(),
                 at: s.from,
                 next_second: most_in(s.from.ceil() as usize),
@@ -189,8 +193,8 @@
     }
 }
 
-impl Outcome for Report {
-    fn breaches(&self) -> Vec<String> {
+impl TrialReport for Report {
+    fn violations(&self) -> Vec<String> {
         let mut found = Vec::new();
         let mut none = |what: &str, n: u64| {
             if n > 0 {
@@ -217,7 +221,7 @@
             }
         }
         if let (Some(w), Some(d)) = (&self.watched, &self.trial.duties) {
-            found.extend(w.breaches(d));
+            found.extend(w.violations(d));
         }
         let owed = (self.total.asked - self.total.excused).max(1);
         let part = self.total.satisfied as f64 / owed as f64;
@@ -232,14 +236,14 @@
     }
 
     /// What came to each node by second, and what was satisfied.
-    fn panels(&self) -> Vec<Panel> {
+    fn charts(&self) -> Vec<Chart> {
         let named = |with: &str| -> Vec<Vec<u64>> {
             let of = self.came.iter().filter(|(name, _)| name.starts_with(with));
             of.map(|(_, s)| s.iter().map(|n| u64::from(*n)).collect()).collect()
         };
-        let lookups: [fn(&Tally) -> u64; 3] = [|t| t.asked, |t| t.satisfied, |t| t.nacked];
+        let lookups: [fn(&ClientTally) -> u64; 3] = [|t| t.asked, |t| t.satisfied, |t| t.nacked];
         let ends = lookups.map(|of| self.seconds.iter().map(of).collect()).to_vec();
-        let panel = |name, curves| Panel { name, curves, line: None };
+        let panel = |name, curves| Chart { name, curves, line: None };
         vec![
             panel("requests a second at each cache", named("cache")),
             panel("requests a second at each parent", named("parent")),
@@ -267,7 +271,7 @@
                 f,
                 "{:>3} to {:>3} {:<8} {:>5.2}   {:>5.2} {:<12}    {:>5.2} {:<12} {}",
                 w.from,
-                w.from + WINDOW,
+                w.from + EVENNESS_WINDOW_SECONDS,
                 format!("{:?}", w.tier).to_lowercase(),
                 w.load,
                 w.most,
@@ -296,7 +300,7 @@
         if let Some(w) = &self.watched {
             write!(f, "{w}")?;
         }
-        for breach in self.breaches() {
+        for breach in self.violations() {
             writeln!(f, "NOT WELL {breach}")?;
         }
         Ok(())
--- a/crates/testbed/src/fleet/run.rs
+++ b/crates/testbed/src/fleet/run.rs
@@ -16,23 +16,26 @@
 use sablecross_director::coordination::settings::HIERARCHY_ROLE;
 use serde_json::Value;
 
-use super::load::{Clients, Wants};
-use super::node::{COLD_FROM, Cut, FALLS_AT, Node, Tier, WARM_AFTER};
-use super::report::{self, Report, Struck};
-use super::settings::{Duties, Fault, Kind, Trial};
-use super::watch::{self, Blow, Watched};
-use super::ways::{Held, Pair, Ways};
-use crate::acts::{due, some};
-use crate::directors::{Like, Ports, configuration, endpoint, members, serving, spawn_director};
-use crate::feed::Feed;
-use crate::load::BUDGET_MS;
-use crate::node::Common;
-use crate::process::{Failed, Process, io_error};
+use super::coordination_watch::{self, CoordinationReport, HolderFault};
+use super::link_proxy::{HeldDirections, LinkProxies, Pair};
+use super::load::{Clients, Workload};
+use super::node::{COLLAPSE_MULTIPLE, CutDirection, Node, SLOW_START_INITIAL_SHARE, SLOW_START_WINDOW, Tier};
+use super::report::{self, FaultWindow, Report};
+use super::settings::{CoordinationTrial, Fault, FaultKind, Trial};
+use crate::client_load::BUDGET_MS;
+use crate::director_process::{
+    NodeModel, PortAllocator, director_config, endpoint_json, members_event, spawn_director,
+    wait_until_serving,
+};
+use crate::discovery_stub::DiscoveryStub;
+use crate::node_stub::TrialState;
+use crate::process::{ChildProcess, TrialError, io_error};
+use crate::schedule::{sample, take_due};
 
 /// Copies of the feed, each told at its own time.
-const FEEDS: usize = 3;
+const DISCOVERY_COPIES: usize = 3;
 /// The list tells of a crash so much later.
-const NOTICE: f64 = 0.7;
+const CRASH_NOTICE_SECONDS: f64 = 0.7;
 const GRACE: f64 = 2.0;
 
 /// A director, its process and its clients.
@@ -42,7 +45,7 @@
     /// The settings of its duties.
     duty: Option<PathBuf>,
     at: SocketAddr,
-    process: Process,
+    process: ChildProcess,
     clients: Option<Arc<Clients>>,
     feed: usize,
     /// Killed by the trial, and not begun anew yet.
@@ -50,21 +53,21 @@
 }
 
 impl Director {
-    fn start(&mut self, program: &dyn Fn() -> Command) -> Result<(), Failed> {
+    fn start(&mut self, program: &dyn Fn() -> Command) -> Result<(), TrialError> {
         self.process = spawn_director(program, &self.config, &self.log, self.duty.as_deref())?;
         self.killed = false;
         Ok(())
     }
 
-    fn struck(&self, from: f64, to: f64) {
+    fn excuse(&self, from: f64, to: f64) {
         if let Some(clients) = &self.clients {
-            clients.struck(from, to);
+            clients.excuse(from, to);
         }
     }
 }
 
 /// What is to be done at its time.
-enum Act {
+enum ScheduledAction {
     Begin(usize),
     End(usize),
     /// The list says of a crashed node that it has gone.
@@ -76,7 +79,7 @@
 }
 
 /// One that is being carried out.
-struct Running {
+struct ActiveFault {
     fault: Fault,
     nodes: Vec<usize>,
     directors: Vec<usize>,
@@ -84,25 +87,26 @@
 }
 
 /// Duties of a trial: the links between members and voters, and what was done to the dealer.
-struct Shared {
-    duties: Duties,
+struct CoordinationLinks {
+    duties: CoordinationTrial,
     voters: Vec<SocketAddr>,
-    ways: Ways,
-    blows: Vec<Blow>,
+    ways: LinkProxies,
+    blows: Vec<HolderFault>,
     /// Requests a second that a cache bears.
     bears: f64,
 }
 
-impl Shared {
+impl CoordinationLinks {
     fn start(
-        d: &Duties,
+        d: &CoordinationTrial,
         bears: f64,
         addresses: &[SocketAddr],
         over: &Arc<AtomicBool>,
-    ) -> Result<Shared, Failed> {
+    ) -> Result<CoordinationLinks, TrialError> {
         let voters = addresses[..d.voters].to_vec();
-        let ways = Ways::start(addresses.len(), &voters, over).map_err(io_error("the links to voters"))?;
-        Ok(Shared { duties: d.clone(), voters, ways, blows: Vec::new(), bears })
+        let ways =
+            LinkProxies::start(addresses.len(), &voters, over).map_err(io_error("the links to voters"))?;
+        Ok(CoordinationLinks { duties: d.clone(), voters, ways, blows: Vec::new(), bears })
     }
 
     /// The settings of one member: its own links to the voters.
@@ -131,14 +135,14 @@
 }
 
 /// Rounds of faults that the seed draws, after those of the file.
-fn rounds(t: &Trial, rng: &mut Pcg32) -> Vec<Fault> {
+fn random_faults(t: &Trial, rng: &mut Pcg32) -> Vec<Fault> {
     let Some(d) = &t.duties else { return Vec::new() };
     let first = t.faults.iter().map(|f| f.at + f.lasts).fold(t.warm_up as f64, f64::max);
     let mut all = Vec::new();
     for round in 0..d.rounds {
         let from = first + round as f64 * d.round_s;
         for _ in 0..rng.random_range(1..=3) {
-            let kind = Kind::DRAWN[rng.random_range(0..Kind::DRAWN.len())];
+            let kind = FaultKind::DRAWN[rng.random_range(0..FaultKind::DRAWN.len())];
             let at = from + 0.2 * d.round_s * rng.random::<f64>();
             let lasts = d.round_s * (0.1 + 0.4 * rng.random::<f64>());
             let of = 0.1 + 0.5 * rng.random::<f64>();
@@ -151,7 +155,7 @@
 }
 
 /// One of several shapes of the hierarchy: all parents, or all but one.
-fn shape(t: &Trial, n: usize) -> String {
+fn hierarchy_spec(t: &Trial, n: usize) -> String {
     let capacity = 100.0 * t.rate;
     let mut text = format!(
         "(hierarchy (version . 1) (ceiling . {capacity}) (hold-ms . 300) (settle-ms . 200) (give-up-ms . 60000) (warm-after-ms . 500))\n\
@@ -176,19 +180,24 @@
     text
 }
 
-fn listed(node: &Node, status: &str, since: u64) -> Value {
+fn endpoint_of(node: &Node, status: &str, since: u64) -> Value {
     let kind = match node.tier {
         Tier::Cache => "small",
         Tier::Parent => "parent",
         Tier::Origin => "origin",
     };
-    endpoint(&node.name, node.address, kind, status, since)
+    endpoint_json(&node.name, node.address, kind, status, since)
 }
 
-fn configured(t: &Trial, number: usize, listen: SocketAddr, feed: &Feed) -> String {
-    let warm_us = (WARM_AFTER * 1e6) as u64;
-    let like = Like { cold_from: COLD_FROM, warm_us, falls_at: FALLS_AT, stream_kb_per_s: 400.0 };
-    configuration(number, t.directors, t.seed, listen, (feed.address, &feed.known()), &like).to_string()
+fn config_text(t: &Trial, number: usize, listen: SocketAddr, feed: &DiscoveryStub) -> String {
+    let warm_us = (SLOW_START_WINDOW * 1e6) as u64;
+    let like = NodeModel {
+        slow_start_initial_share: SLOW_START_INITIAL_SHARE,
+        slow_start_us: warm_us,
+        collapse_multiple: COLLAPSE_MULTIPLE,
+        stream_kb_per_s: 400.0,
+    };
+    director_config(number, t.directors, t.seed, listen, (feed.address, &feed.events()), &like).to_string()
 }
 
 /// Runs it. `program` starts a real director, whose log goes to the folder; `tell` hears of the progress.
@@ -197,7 +206,7 @@
     program: &dyn Fn() -> Command,
     folder: &Path,
     mut tell: impl FnMut(&str),
-) -> Result<Report, Failed> {
+) -> Result<Report, TrialError> {
     std::fs::create_dir_all(folder).map_err(io_error(folder.display().to_string()))?;
     let mut rng = Pcg32::seed_from_u64(t.seed);
     let over = Arc::new(AtomicBool::new(false));
@@ -225,32 +234,35 @@
     let others = Arc::new(nodes.iter().map(|n| (n.name.clone(), Arc::clone(n))).collect::<HashMap<_, _>>());
     nodes.iter().zip(listeners).for_each(|(node, listener)| node.serve(listener, &others));
 
-    let common = Arc::new(Common::begun(begun));
-    let endpoints: Vec<Value> = nodes.iter().map(|n| listed(n, "ready", 0)).collect();
+    let common = Arc::new(TrialState::new(begun));
+    let endpoints: Vec<Value> = nodes.iter().map(|n| endpoint_of(n, "ready", 0)).collect();
     let mut feeds = Vec::new();
-    for _ in 0..FEEDS {
-        let feed = Feed::start(&common, channel().0).map_err(io_error("the feed"))?;
-        feed.tell(&members(&endpoints, true));
+    for _ in 0..DISCOVERY_COPIES {
+        let feed = DiscoveryStub::start(&common, channel().0).map_err(io_error("the feed"))?;
+        feed.publish(&members_event(&endpoints, true));
         feeds.push(feed);
     }
 
     let mut fleet = Vec::new();
-    let mut ports = Ports::new();
+    let mut ports = PortAllocator::new();
     let mut addresses = Vec::new();
     while addresses.len() < t.directors {
-        let at = ports.next().map_err(io_error("a port"))?;
+        let at = ports.allocate().map_err(io_error("a port"))?;
         if !addresses.contains(&at) {
             addresses.push(at);
         }
     }
-    let mut shared =
-        t.duties.as_ref().map(|d| Shared::start(d, can(Tier::Cache), &addresses, &over)).transpose()?;
+    let mut shared = t
+        .duties
+        .as_ref()
+        .map(|d| CoordinationLinks::start(d, can(Tier::Cache), &addresses, &over))
+        .transpose()?;
     for (number, at) in addresses.iter().copied().enumerate() {
         let (config, log) =
             (folder.join(format!("director-{number}.json")), folder.join(format!("director-{number}.log")));
         let _ = std::fs::remove_file(&log);
-        let feed = number % FEEDS;
-        let text = configured(t, number, at, &feeds[feed]);
+        let feed = number % DISCOVERY_COPIES;
+        let text = config_text(t, number, at, &feeds[feed]);
         std::fs::write(&config, text).map_err(io_error(config.display().to_string()))?;
         let duty = shared.as_ref().map(|s| (folder.join(format!("duty-{number}.scm")), s.settings(number)));
         if let Some((file, text)) = &duty {
@@ -261,7 +273,13 @@
         fleet.push(Director { config, log, duty, at, process, clients: None, feed, killed: false });
     }
     for (number, director) in fleet.iter().enumerate() {
-        serving(&format!("director-{number}"), director.at, &director.log, begun, Duration::from_secs(60))?;
+        wait_until_serving(
+            &format!("director-{number}"),
+            director.at,
+            &director.log,
+            begun,
+            Duration::from_secs(60),
+        )?;
     }
     tell(&format!("{} directors serve after {:.1} s", t.directors, begun.elapsed().as_secs_f64()));
 
@@ -272,26 +290,28 @@
     let shift = (zero - begun).as_secs_f64();
     for (number, director) in fleet.iter_mut().enumerate() {
         let rate = t.rate * weights[number] / all;
-        let wants = Wants { objects: t.objects, hot: t.hot, rate, seed: t.seed };
+        let wants = Workload { objects: t.objects, hot: t.hot, rate, seed: t.seed };
         director.clients = Some(Clients::start(number, director.at, wants, zero, &over));
     }
 
-    let zero_ms = crate::node::unix_ms();
-    let used: f64 = fleet.iter().map(|d| d.process.cpu()).sum();
-    let faults: Vec<Fault> = t.faults.iter().cloned().chain(rounds(t, &mut rng)).collect();
-    let mut acts: Vec<(f64, Act)> = Vec::new();
+    let zero_ms = crate::node_stub::unix_ms();
+    let used: f64 = fleet.iter().map(|d| d.process.cpu_seconds()).sum();
+    let faults: Vec<Fault> = t.faults.iter().cloned().chain(random_faults(t, &mut rng)).collect();
+    let mut acts: Vec<(f64, ScheduledAction)> = Vec::new();
     for (n, fault) in faults.iter().enumerate() {
-        acts.push((fault.at, Act::Begin(n)));
-        acts.push((fault.at + fault.lasts, Act::End(n)));
+        acts.push((fault.at, ScheduledAction::Begin(n)));
+        acts.push((fault.at + fault.lasts, ScheduledAction::End(n)));
     }
     if let Some(every) = t.duties.as_ref().map(|d| d.change_s).filter(|s| *s > 0.0) {
         let wishes = (0..).map(|n| (n, 2.0 + n as f64 * every));
         acts.extend(
-            wishes.take_while(|(_, at)| at + every <= t.seconds as f64).map(|(n, at)| (at, Act::Wish(n))),
+            wishes
+                .take_while(|(_, at)| at + every <= t.seconds as f64)
+                .map(|(n, at)| (at, ScheduledAction::Wish(n))),
         );
     }
     let mut wished = 0;
-    let mut running: HashMap<usize, Running> = HashMap::new();
+    let mut running: HashMap<usize, ActiveFault> = HashMap::new();
     let mut struck = Vec::new();
     let (mut said, mut ended) = (0, 0);
     // How late this program itself was woken: where the machine is too busy, what is lost tells nothing of directors.
@@ -300,12 +320,12 @@
         std::thread::sleep(Duration::from_millis(5));
         late = late.max(woken.elapsed().as_secs_f64() - 0.005);
         let now = zero.elapsed().as_secs_f64();
-        while let Some(act) = due(&mut acts, now) {
+        while let Some(act) = take_due(&mut acts, now) {
             match act {
-                Act::Begin(n) => {
-                    let one = begin(t, &faults[n], &mut rng, &nodes, &mut fleet, shared.as_mut(), now)?;
-                    if one.fault.kind == Kind::CrashCaches {
-                        acts.push((now + NOTICE, Act::Told(one.nodes.clone())));
+                ScheduledAction::Begin(n) => {
+                    let one = begin_fault(t, &faults[n], &mut rng, &nodes, &mut fleet, shared.as_mut(), now)?;
+                    if one.fault.kind == FaultKind::CrashCaches {
+                        acts.push((now + CRASH_NOTICE_SECONDS, ScheduledAction::Told(one.nodes.clone())));
                     }
                     let names: Vec<String> = one.nodes.iter().map(|n| nodes[*n].name.clone()).collect();
                     tell(&format!(
@@ -316,28 +336,36 @@
                     ));
                     let what = format!("{:?}", one.fault.kind);
                     let to = one.fault.at + one.fault.lasts;
-                    struck.push(Struck { what, nodes: names, from: one.fault.at, to });
+                    struck.push(FaultWindow { what, nodes: names, from: one.fault.at, to });
                     running.insert(n, one);
                 }
-                Act::End(n) => {
+                ScheduledAction::End(n) => {
                     let Some(one) = running.remove(&n) else { continue };
-                    let lines = end(&one, &nodes, &mut fleet, program, &feeds, t, shared.as_ref())?;
-                    acts.extend(told(&lines, t, now));
+                    let lines = end_fault(&one, &nodes, &mut fleet, program, &feeds, t, shared.as_ref())?;
+                    acts.extend(delayed_list_events(&lines, t, now));
                 }
-                Act::Told(which) => {
-                    let lines: Vec<Value> = which.iter().map(|n| listed(&nodes[*n], "gone", 0)).collect();
-                    which.iter().for_each(|n| nodes[*n].goes(GRACE + t.late_lists + 0.5));
-                    acts.extend(told(&lines, t, now));
+                ScheduledAction::Told(which) => {
+                    let lines: Vec<Value> =
+                        which.iter().map(|n| endpoint_of(&nodes[*n], "gone", 0)).collect();
+                    which.iter().for_each(|n| nodes[*n].leave(GRACE + t.late_lists + 0.5));
+                    acts.extend(delayed_list_events(&lines, t, now));
                 }
-                Act::Feed(feed, event) => {
-                    feeds[feed].tell(&event);
+                ScheduledAction::Feed(feed, event) => {
+                    feeds[feed].publish(&event);
                 }
-                Act::Wish(n) => {
+                ScheduledAction::Wish(n) => {
                     let Some(s) = &shared else { continue };
-                    match watch::owner(&s.voters, HIERARCHY_ROLE) {
-                        Some(driver) if watch::wish(s.voters[driver], &shape(t, n)) => wished += 1,
+                    match coordination_watch::find_holder(&s.voters, HIERARCHY_ROLE) {
+                        Some(driver)
+                            if coordination_watch::propose_hierarchy(
+                                s.voters[driver],
+                                &hierarchy_spec(t, n),
+                            ) =>
+                        {
+                            wished += 1
+                        }
                         // Nobody drives in this moment: the wish is made a little later.
-                        _ => acts.push((now + 0.5, Act::Wish(n))),
+                        _ => acts.push((now + 0.5, ScheduledAction::Wish(n))),
                     }
                 }
             }
@@ -346,15 +374,15 @@
         if second > said {
             said = second;
             let alive = fleet.iter_mut().filter(|d| !d.killed);
-            ended = alive.filter_map(|d| d.process.ended().then_some(())).count();
+            ended = alive.filter_map(|d| d.process.has_exited().then_some(())).count();
             tell(&format!("{second:>4} of {} s", t.seconds));
         }
         woken = Instant::now();
     }
     let seconds = zero.elapsed().as_secs_f64();
-    let cpu_used = fleet.iter().map(|d| d.process.cpu()).sum::<f64>() - used;
+    let cpu_used = fleet.iter().map(|d| d.process.cpu_seconds()).sum::<f64>() - used;
     let asked = shared.as_ref().map_or(&[][..], |s| &s.voters[..]);
-    let views: Vec<_> = asked.iter().filter_map(|at| watch::shown(*at)).collect();
+    let views: Vec<_> = asked.iter().filter_map(|at| coordination_watch::member_status(*at)).collect();
     over.store(true, Ordering::Relaxed);
     common.over.store(true, Ordering::Relaxed);
     std::thread::sleep(Duration::from_millis(BUDGET_MS + 600));
@@ -362,7 +390,7 @@
     let skip = (shift * 10.0).round() as usize;
     let mut probes = BTreeMap::new();
     let counted = nodes.iter().map(|n| {
-        let mut counted = n.counted();
+        let mut counted = n.counts();
         counted.probes.iter_mut().for_each(|p| p.at -= shift);
         counted.probes.retain(|p| p.at <= seconds);
         probes.insert(n.name.clone(), std::mem::take(&mut counted.probes));
@@ -377,9 +405,10 @@
             struck.iter().flat_map(|s| s.nodes.iter().map(|n| (n.clone(), s.from, s.to))).collect();
         let logs: Vec<&Path> = fleet.iter().map(|d| d.log.as_path()).collect();
         let voters = logs.iter().enumerate().take(s.voters.len());
-        let begun: Vec<_> = voters.flat_map(|(n, log)| watch::begun(n, log, zero_ms)).collect();
+        let begun: Vec<_> =
+            voters.flat_map(|(n, log)| coordination_watch::lease_starts(n, log, zero_ms)).collect();
         let warm_up = t.warm_up as f64;
-        let mut w = Watched::of(&s.duties, seconds, warm_up, &probes, &excused, &s.blows, &begun);
+        let mut w = CoordinationReport::of(&s.duties, seconds, warm_up, &probes, &excused, &s.blows, &begun);
         w.bytes = s.ways.bytes(|_| true).iter().sum::<u64>() as f64 / seconds / t.directors as f64;
         w.cpu = cpu_used / seconds / t.directors as f64;
         w.wished = wished;
@@ -403,62 +432,66 @@
 }
 
 /// A change of the list: to the first copy of the feed at once, to the others later.
-fn told(lines: &[Value], t: &Trial, now: f64) -> Vec<(f64, Act)> {
+fn delayed_list_events(lines: &[Value], t: &Trial, now: f64) -> Vec<(f64, ScheduledAction)> {
     if lines.is_empty() {
         return Vec::new();
     }
-    let at = |feed: usize| now + t.late_lists * feed as f64 / (FEEDS - 1) as f64;
-    (0..FEEDS).map(|feed| (at(feed), Act::Feed(feed, members(lines, false)))).collect()
+    let at = |feed: usize| now + t.late_lists * feed as f64 / (DISCOVERY_COPIES - 1) as f64;
+    (0..DISCOVERY_COPIES)
+        .map(|feed| (at(feed), ScheduledAction::Feed(feed, members_event(lines, false))))
+        .collect()
 }
 
-fn begin(
+fn begin_fault(
     t: &Trial,
     fault: &Fault,
     rng: &mut Pcg32,
     nodes: &[Arc<Node>],
     directors: &mut [Director],
-    mut shared: Option<&mut Shared>,
+    mut shared: Option<&mut CoordinationLinks>,
     now: f64,
-) -> Result<Running, Failed> {
+) -> Result<ActiveFault, TrialError> {
     let mut one =
-        Running { fault: fault.clone(), nodes: Vec::new(), directors: Vec::new(), pairs: Vec::new() };
+        ActiveFault { fault: fault.clone(), nodes: Vec::new(), directors: Vec::new(), pairs: Vec::new() };
     let voters = shared.as_ref().map_or(1, |s| s.voters.len());
     let parents = |which: Vec<usize>| which.into_iter().map(|n| n + t.caches).collect::<Vec<_>>();
     match fault.kind {
-        Kind::StopCaches | Kind::SlowCaches | Kind::CrashCaches | Kind::Reset => {
-            one.nodes = some(rng, t.caches, fault.of);
+        FaultKind::StopCaches | FaultKind::SlowCaches | FaultKind::CrashCaches | FaultKind::Reset => {
+            one.nodes = sample(rng, t.caches, fault.of);
+        }
+        FaultKind::StopParents | FaultKind::SlowParents => {
+            one.nodes = parents(sample(rng, t.parents, fault.of))
         }
-        Kind::StopParents | Kind::SlowParents => one.nodes = parents(some(rng, t.parents, fault.of)),
-        Kind::CutTo | Kind::CutFrom => {
-            one.nodes = some(rng, t.caches, 0.0);
-            one.directors = some(rng, t.directors, fault.of);
+        FaultKind::CutTo | FaultKind::CutFrom => {
+            one.nodes = sample(rng, t.caches, 0.0);
+            one.directors = sample(rng, t.directors, fault.of);
         }
-        Kind::StopDirectors | Kind::KillDirectors | Kind::HoldProbes => {
-            one.directors = some(rng, t.directors, fault.of);
+        FaultKind::StopDirectors | FaultKind::KillDirectors | FaultKind::HoldProbes => {
+            one.directors = sample(rng, t.directors, fault.of);
         }
-        Kind::StopVoters | Kind::KillVoters => one.directors = some(rng, voters, fault.of),
-        Kind::StopOwner | Kind::KillOwner | Kind::StopDriver | Kind::KillDriver => {
+        FaultKind::StopVoters | FaultKind::KillVoters => one.directors = sample(rng, voters, fault.of),
+        FaultKind::StopOwner | FaultKind::KillOwner | FaultKind::StopDriver | FaultKind::KillDriver => {
             let duty = match fault.kind {
-                Kind::StopOwner | Kind::KillOwner => ASSIGNMENT_ROLE,
+                FaultKind::StopOwner | FaultKind::KillOwner => ASSIGNMENT_ROLE,
                 _ => HIERARCHY_ROLE,
             };
             if let Some(s) = shared.as_mut()
-                && let Some(member) = watch::owner(&s.voters, duty)
+                && let Some(member) = coordination_watch::find_holder(&s.voters, duty)
             {
                 one.directors = vec![member];
-                s.blows.push(Blow { at: now, member, duty });
+                s.blows.push(HolderFault { at: now, member, duty });
             }
         }
-        Kind::HoldTo | Kind::HoldFrom => {
+        FaultKind::HoldTo | FaultKind::HoldFrom => {
             let voter = rng.random_range(0..voters);
-            one.pairs = some(rng, t.directors, fault.of).into_iter().map(|m| (m, voter)).collect();
+            one.pairs = sample(rng, t.directors, fault.of).into_iter().map(|m| (m, voter)).collect();
         }
-        Kind::ResetWays => {
-            let members = some(rng, t.directors, fault.of);
+        FaultKind::ResetWays => {
+            let members = sample(rng, t.directors, fault.of);
             one.pairs = members.into_iter().flat_map(|m| (0..voters).map(move |v| (m, v))).collect();
         }
-        Kind::Part => {
-            let few = some(rng, voters, (voters.saturating_sub(1) / 2) as f64 / voters as f64);
+        FaultKind::Part => {
+            let few = sample(rng, voters, (voters.saturating_sub(1) / 2) as f64 / voters as f64);
             let apart = |m: usize| if m < voters { few.contains(&m) } else { m.is_multiple_of(3) };
             let all = (0..t.directors).flat_map(|m| (0..voters).map(move |v| (m, v)));
             one.pairs = all.filter(|(m, v)| apart(*m) != apart(*v)).collect();
@@ -466,44 +499,50 @@
     }
     if let Some(s) = shared {
         let held = match fault.kind {
-            Kind::HoldTo => Held { to: true, from: false },
-            Kind::HoldFrom => Held { to: false, from: true },
-            Kind::Part => Held { to: true, from: true },
-            _ => Held::default(),
+            FaultKind::HoldTo => HeldDirections { to: true, from: false },
+            FaultKind::HoldFrom => HeldDirections { to: false, from: true },
+            FaultKind::Part => HeldDirections { to: true, from: true },
+            _ => HeldDirections::default(),
         };
         for pair in &one.pairs {
             match fault.kind {
-                Kind::ResetWays => s.ways.resets(*pair),
-                _ => s.ways.holds(*pair, held),
+                FaultKind::ResetWays => s.ways.reset(*pair),
+                _ => s.ways.hold(*pair, held),
             }
         }
     }
-    if fault.kind == Kind::HoldProbes {
-        nodes.iter().for_each(|n| n.holds_probes(&one.directors, fault.lasts));
+    if fault.kind == FaultKind::HoldProbes {
+        nodes.iter().for_each(|n| n.delay_health_checks(&one.directors, fault.lasts));
     }
     for node in one.nodes.iter().map(|n| &nodes[*n]) {
         match fault.kind {
-            Kind::StopCaches | Kind::StopParents => node.stops(fault.lasts),
-            Kind::SlowCaches | Kind::SlowParents => node.slows(fault.by),
-            Kind::CrashCaches => node.crashes(),
-            Kind::Reset => node.resets(),
-            Kind::CutTo => node.cuts(one.directors.iter().copied(), Some(Cut::To)),
-            Kind::CutFrom => node.cuts(one.directors.iter().copied(), Some(Cut::From)),
+            FaultKind::StopCaches | FaultKind::StopParents => node.stop(fault.lasts),
+            FaultKind::SlowCaches | FaultKind::SlowParents => node.slow_down(fault.by),
+            FaultKind::CrashCaches => node.crash(),
+            FaultKind::Reset => node.reset_connections(),
+            FaultKind::CutTo => node.cut_off(one.directors.iter().copied(), Some(CutDirection::To)),
+            FaultKind::CutFrom => node.cut_off(one.directors.iter().copied(), Some(CutDirection::From)),
             _ => {}
         }
     }
     for d in &one.directors {
         let director = &mut directors[*d];
         match fault.kind {
-            Kind::StopDirectors | Kind::StopVoters | Kind::StopOwner | Kind::StopDriver => {
+            FaultKind::StopDirectors
+            | FaultKind::StopVoters
+            | FaultKind::StopOwner
+            | FaultKind::StopDriver => {
                 // What waited for it meanwhile may be late for a moment after it.
-                director.struck(now, fault.at + fault.lasts + 0.5);
+                director.excuse(now, fault.at + fault.lasts + 0.5);
                 director.process.signal(Signal::STOP);
             }
-            Kind::KillDirectors | Kind::KillVoters | Kind::KillOwner | Kind::KillDriver
+            FaultKind::KillDirectors
+            | FaultKind::KillVoters
+            | FaultKind::KillOwner
+            | FaultKind::KillDriver
                 if !director.killed =>
             {
-                director.struck(now, fault.at + fault.lasts + 2.0);
+                director.excuse(now, fault.at + fault.lasts + 2.0);
                 director.killed = true;
                 director.process.kill().map_err(io_error("a director's end"))?;
             }
@@ -514,40 +553,46 @@
 }
 
 /// Ends it; what the list says then.
-fn end(
-    one: &Running,
+fn end_fault(
+    one: &ActiveFault,
     nodes: &[Arc<Node>],
     directors: &mut [Director],
     program: &dyn Fn() -> Command,
-    feeds: &[Feed],
+    feeds: &[DiscoveryStub],
     t: &Trial,
-    shared: Option<&Shared>,
-) -> Result<Vec<Value>, Failed> {
+    shared: Option<&CoordinationLinks>,
+) -> Result<Vec<Value>, TrialError> {
     let mut lines = Vec::new();
     if let Some(s) = shared {
-        one.pairs.iter().for_each(|pair| s.ways.holds(*pair, Held::default()));
+        one.pairs.iter().for_each(|pair| s.ways.hold(*pair, HeldDirections::default()));
     }
     for node in one.nodes.iter().map(|n| &nodes[*n]) {
         match one.fault.kind {
-            Kind::SlowCaches | Kind::SlowParents => node.slows(1.0),
-            Kind::CutTo | Kind::CutFrom => node.cuts(one.directors.iter().copied(), None),
-            Kind::CrashCaches => {
-                let since = node.begins_cold();
-                lines.push(listed(node, "ready", since));
+            FaultKind::SlowCaches | FaultKind::SlowParents => node.slow_down(1.0),
+            FaultKind::CutTo | FaultKind::CutFrom => node.cut_off(one.directors.iter().copied(), None),
+            FaultKind::CrashCaches => {
+                let since = node.restart_cold();
+                lines.push(endpoint_of(node, "ready", since));
             }
             _ => {}
         }
     }
     for d in &one.directors {
         match one.fault.kind {
-            Kind::StopDirectors | Kind::StopVoters | Kind::StopOwner | Kind::StopDriver => {
+            FaultKind::StopDirectors
+            | FaultKind::StopVoters
+            | FaultKind::StopOwner
+            | FaultKind::StopDriver => {
                 directors[*d].process.signal(Signal::CONT);
             }
-            Kind::KillDirectors | Kind::KillVoters | Kind::KillOwner | Kind::KillDriver
+            FaultKind::KillDirectors
+            | FaultKind::KillVoters
+            | FaultKind::KillOwner
+            | FaultKind::KillDriver
                 if directors[*d].killed =>
             {
                 let director = &mut directors[*d];
-                let text = configured(t, *d, director.at, &feeds[director.feed]);
+                let text = config_text(t, *d, director.at, &feeds[director.feed]);
                 std::fs::write(&director.config, text).map_err(io_error("a configuration"))?;
                 director.start(program)?;
             }
--- a/crates/testbed/src/fleet/settings.rs
+++ b/crates/testbed/src/fleet/settings.rs
@@ -4,7 +4,7 @@
 use sablecross_sexpr_config::ConfigError as Flaw;
 use serde::{Deserialize, Serialize};
 
-use crate::settings::only;
+use crate::settings::parse_single_form;
 
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
@@ -15,7 +15,7 @@
 /// What befalls the fleet.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum FaultKind {
     /// Caches, or parents, fall silent and go on after it with what came meanwhile.
     StopCaches,
     StopParents,
@@ -53,37 +53,37 @@
     HoldProbes,
 }
 
-impl Kind {
+impl FaultKind {
     /// Those that are drawn in rounds.
-    pub const DRAWN: [Kind; 13] = [
-        Kind::StopDriver,
-        Kind::KillDriver,
-        Kind::StopOwner,
-        Kind::KillOwner,
-        Kind::StopVoters,
-        Kind::KillVoters,
-        Kind::HoldTo,
-        Kind::HoldFrom,
-        Kind::Part,
-        Kind::ResetWays,
-        Kind::HoldProbes,
-        Kind::StopDirectors,
-        Kind::KillDirectors,
+    pub const DRAWN: [FaultKind; 13] = [
+        FaultKind::StopDriver,
+        FaultKind::KillDriver,
+        FaultKind::StopOwner,
+        FaultKind::KillOwner,
+        FaultKind::StopVoters,
+        FaultKind::KillVoters,
+        FaultKind::HoldTo,
+        FaultKind::HoldFrom,
+        FaultKind::Part,
+        FaultKind::ResetWays,
+        FaultKind::HoldProbes,
+        FaultKind::StopDirectors,
+        FaultKind::KillDirectors,
     ];
 
-    fn of_duties(self) -> bool {
+    fn needs_coordination(self) -> bool {
         !matches!(
             self,
-            Kind::StopCaches
-                | Kind::StopParents
-                | Kind::SlowCaches
-                | Kind::SlowParents
-                | Kind::CrashCaches
-                | Kind::CutTo
-                | Kind::CutFrom
-                | Kind::Reset
-                | Kind::StopDirectors
-                | Kind::KillDirectors
+            FaultKind::StopCaches
+                | FaultKind::StopParents
+                | FaultKind::SlowCaches
+                | FaultKind::SlowParents
+                | FaultKind::CrashCaches
+                | FaultKind::CutTo
+                | FaultKind::CutFrom
+                | FaultKind::Reset
+                | FaultKind::StopDirectors
+                | FaultKind::KillDirectors
         )
     }
 }
@@ -91,7 +91,7 @@
 /// Duties on behalf of the fleet, where the trial has them.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct Duties {
+pub struct CoordinationTrial {
     /// The first so many directors vote.
     #[garde(range(min = 1, max = 15))]
     pub voters: usize,
@@ -146,7 +146,7 @@
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Fault {
     #[garde(skip)]
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// Seconds from the start of the load, and how long it lasts.
     #[garde(range(min = 0.0, max = 3600.0))]
     pub at: f64,
@@ -215,7 +215,7 @@
     pub late_lists: f64,
     #[garde(dive)]
     #[serde(default)]
-    pub duties: Option<Duties>,
+    pub duties: Option<CoordinationTrial>,
     #[garde(dive)]
     #[serde(default)]
     pub faults: Vec<Fault>,
@@ -253,13 +253,13 @@
     100.0
 }
 
-pub fn read(file: &str, text: &str) -> Result<Trial, Vec<Flaw>> {
-    let first = only(file, text, "fleet")?;
+pub fn parse(file: &str, text: &str) -> Result<Trial, Vec<Flaw>> {
+    let first = parse_single_form(file, text, "fleet")?;
     let Form::Fleet(trial) = &first.value;
     let end = trial.seconds as f64;
     let wrong = if trial.warm_up as f64 >= end {
         Some(("fleet.warm-up", "longer than the whole"))
-    } else if trial.duties.is_none() && trial.faults.iter().any(|f| f.kind.of_duties()) {
+    } else if trial.duties.is_none() && trial.faults.iter().any(|f| f.kind.needs_coordination()) {
         Some(("fleet.faults", "one strikes voters, and there are no duties"))
     } else if trial.duties.as_ref().is_some_and(|d| d.voters > trial.directors) {
         Some(("fleet.duties.voters", "more than there are directors"))
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -2,23 +2,23 @@
 //! and feed in this one, load, changes of the hierarchy, faults; a report. Stand-ins follow the operators' published
 //! protocol. Nothing here decides for directors: the driver and its plans are those of `sablecross-hierarchy`.
 
-mod acts;
-mod directors;
-pub mod feed;
+pub mod client_load;
+mod director_process;
+pub mod discovery_stub;
+pub mod experiment;
 pub mod fleet;
-pub mod load;
-pub mod node;
-mod outcome;
+pub mod node_stub;
 mod process;
 pub mod report;
-pub mod run;
 pub mod scale;
+mod schedule;
 pub mod settings;
 pub mod soak;
+mod trial_report;
 
-pub use outcome::Outcome;
-pub use process::Failed;
+pub use experiment::run;
+pub use process::TrialError;
 pub use report::Report;
-pub use run::run;
 pub use sablecross_relay_server::process::exit_with_parent;
 pub use settings::Experiment;
+pub use trial_report::TrialReport;
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node_stub.rs
@@ -40,17 +40,17 @@
 }
 
 /// What all stand-ins have in common.
-pub struct Common {
+pub struct TrialState {
     pub begun: Instant,
     pub over: AtomicBool,
     pub seconds: Mutex<Vec<Second>>,
     pub addresses: RwLock<BTreeMap<String, SocketAddr>>,
 }
 
-impl Common {
-    pub fn begun(begun: Instant) -> Common {
+impl TrialState {
+    pub fn new(begun: Instant) -> TrialState {
         let over = AtomicBool::new(false);
-        Common { begun, over, seconds: Mutex::default(), addresses: RwLock::default() }
+        TrialState { begun, over, seconds: Mutex::default(), addresses: RwLock::default() }
     }
 
     pub fn count(&self, what: impl FnOnce(&mut Second)) {
@@ -63,7 +63,7 @@
         what(&mut seconds[at]);
     }
 
-    pub fn over(&self) -> bool {
+    pub fn is_over(&self) -> bool {
         self.over.load(Ordering::Relaxed)
     }
 }
@@ -79,7 +79,7 @@
 #[derive(Default)]
 struct Copies {
     issued: HashMap<u64, u64>,
-    line: VecDeque<u64>,
+    insertion_order: VecDeque<u64>,
 }
 
 impl Role {
@@ -96,25 +96,25 @@
 pub struct Node {
     pub name: String,
     pub role: Role,
-    common: Arc<Common>,
-    kept: usize,
+    common: Arc<TrialState>,
+    max_copies: usize,
     /// Whether it passes on the way that the director named.
-    follow: bool,
+    follows_named_path: bool,
     copies: Mutex<Copies>,
-    held: Mutex<(VersionHolder, Arc<FillPaths>)>,
-    links: Mutex<HashMap<String, Vec<TcpStream>>>,
+    hierarchy: Mutex<(VersionHolder, Arc<FillPaths>)>,
+    idle_connections: Mutex<HashMap<String, Vec<TcpStream>>>,
     /// Unix milliseconds of a cold start; 0: long ago.
     since: AtomicU64,
     down_until: AtomicU64,
     /// Unix milliseconds after which nothing is to come here, as it has left; 0: it has not.
     gone_from: AtomicU64,
     /// The open second and what came in it.
-    pace: Mutex<(u64, u64)>,
+    second_and_count: Mutex<(u64, u64)>,
     numbers: AtomicU64,
 }
 
 /// A request, as far as a stand-in reads it.
-struct Pull {
+struct PullRequest {
     id: String,
     object: u64,
     within: u64,
@@ -124,7 +124,7 @@
 }
 
 /// How a request ended.
-enum Answer {
+enum PullOutcome {
     Copy { issued: u64, hit: bool },
     Miss,
     Error,
@@ -136,7 +136,7 @@
         role: Role,
         kept: usize,
         follow: bool,
-        common: &Arc<Common>,
+        common: &Arc<TrialState>,
     ) -> io::Result<(Arc<Node>, SocketAddr)> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -144,21 +144,21 @@
             name: name.into(),
             role,
             common: Arc::clone(common),
-            kept,
-            follow,
+            max_copies: kept,
+            follows_named_path: follow,
             copies: Mutex::default(),
-            held: Mutex::default(),
-            links: Mutex::default(),
+            hierarchy: Mutex::default(),
+            idle_connections: Mutex::default(),
             since: AtomicU64::new(0),
             down_until: AtomicU64::new(0),
             gone_from: AtomicU64::new(0),
-            pace: Mutex::default(),
+            second_and_count: Mutex::default(),
             numbers: AtomicU64::new(0),
         });
         let own = Arc::clone(&node);
         spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                if own.common.over() {
+                if own.common.is_over() {
                     return;
                 }
                 let own = Arc::clone(&own);
@@ -173,7 +173,7 @@
 
     /// Takes a version; the number and digest in force then.
     pub fn offer(&self, number: u64, version: &Hierarchy) -> (u64, u64) {
-        let mut held = lock(&self.held);
+        let mut held = lock(&self.hierarchy);
         if held.0.offer(number, version) == sablecross_hierarchy::OfferOutcome::Accepted {
             held.1 = Arc::new(FillPaths::from_hierarchy(version));
         }
@@ -181,12 +181,12 @@
     }
 
     /// From when nothing is to come here any more; none: it may.
-    pub fn leaves(&self, from: Option<u64>) {
+    pub fn reject_after(&self, from: Option<u64>) {
         self.gone_from.store(from.unwrap_or(0), Ordering::Relaxed);
     }
 
     /// Fails all that comes for a while.
-    pub fn fails(&self, ms: u64) {
+    pub fn fail_for(&self, ms: u64) {
         self.down_until.store(unix_ms() + ms, Ordering::Relaxed);
     }
 
@@ -195,7 +195,7 @@
     }
 
     /// Begins anew, cold and empty.
-    pub fn begin_cold(&self) -> u64 {
+    pub fn restart_cold(&self) -> u64 {
         *lock(&self.copies) = Copies::default();
         let now = unix_ms();
         self.since.store(now, Ordering::Relaxed);
@@ -215,7 +215,7 @@
         let mut line = String::new();
         loop {
             line.clear();
-            if reader.read_line(&mut line)? == 0 || self.common.over() {
+            if reader.read_line(&mut line)? == 0 || self.common.is_over() {
                 return Ok(());
             }
             let mut words = line.trim_end().split(' ');
@@ -225,71 +225,71 @@
             let (Some(id), Some(fields), Some(length)) = (words.next(), words.next(), words.next()) else {
                 return Ok(());
             };
-            let Some(pull) = Pull::of(id, fields) else { return Ok(()) };
+            let Some(pull) = PullRequest::of(id, fields) else { return Ok(()) };
             let length: usize = length.parse().unwrap_or(0);
             reader.read_exact(&mut vec![0; length + 2])?;
             let out = match self.answer(&pull) {
-                Answer::Copy { issued, hit } => {
+                PullOutcome::Copy { issued, hit } => {
                     let how = if hit { "HIT" } else { "MISS" };
                     let body = format!("{issued:016x}{:x<240}", "");
                     let (id, n) = (&pull.id, body.len());
                     format!("{id} ACK how={how},entity={issued:016x},issued={issued} {n}\r\n{body}\r\n")
                 }
-                Answer::Miss => format!("{} NOENT - 0\r\n\r\n", pull.id),
-                Answer::Error => format!("{} EIO - 0\r\n\r\n", pull.id),
+                PullOutcome::Miss => format!("{} NOENT - 0\r\n\r\n", pull.id),
+                PullOutcome::Error => format!("{} EIO - 0\r\n\r\n", pull.id),
             };
             (&*stream).write_all(out.as_bytes())?;
         }
     }
 
-    fn answer(&self, pull: &Pull) -> Answer {
+    fn answer(&self, pull: &PullRequest) -> PullOutcome {
         let now = unix_ms();
         if self.role == Role::Origin {
             self.common.count(|s| s.origin += 1);
             std::thread::sleep(Duration::from_millis(4));
-            return Answer::Copy { issued: unix_ms(), hit: false };
+            return PullOutcome::Copy { issued: unix_ms(), hit: false };
         }
         if check_fill_path(&self.name, pull.came.iter().map(String::as_str)).is_err() {
             self.common.count(|s| s.loops += 1);
-            return Answer::Error;
+            return PullOutcome::Error;
         }
         let gone = self.gone_from.load(Ordering::Relaxed);
         if gone > 0 && now > gone {
             self.common.count(|s| s.strays += 1);
         }
-        if self.pushed(now) {
-            return Answer::Error;
+        if self.is_overloaded(now) {
+            return PullOutcome::Error;
         }
         std::thread::sleep(Duration::from_millis(1));
         let fresh = |issued: u64| pull.within == 0 || now.saturating_sub(issued) < pull.within;
         if let Some(issued) = lock(&self.copies).issued.get(&pull.object).copied().filter(|i| fresh(*i)) {
             self.common.count(|s| s.hits += 1);
-            return Answer::Copy { issued, hit: true };
+            return PullOutcome::Copy { issued, hit: true };
         }
-        let Some(source) = self.source(pull) else { return Answer::Miss };
+        let Some(source) = self.source(pull) else { return PullOutcome::Miss };
         self.common.count(|s| s.fills += 1);
         match self.fill(pull, &source) {
             Ok(Some(issued)) => {
                 self.keep(pull.object, issued);
-                Answer::Copy { issued, hit: false }
+                PullOutcome::Copy { issued, hit: false }
             }
-            Ok(None) | Err(_) => Answer::Error,
+            Ok(None) | Err(_) => PullOutcome::Error,
         }
     }
 
     /// A cold node falls when it is pushed past the multiple of what its warmth bears.
-    fn pushed(&self, now: u64) -> bool {
+    fn is_overloaded(&self, now: u64) -> bool {
         let since = self.since.load(Ordering::Relaxed);
         if now < self.down_until.load(Ordering::Relaxed) {
             return true;
         }
-        let mut pace = lock(&self.pace);
+        let mut pace = lock(&self.second_and_count);
         if pace.0 != now / 1_000 {
             *pace = (now / 1_000, 0);
         }
         pace.1 += 1;
         let bears = {
-            let held = lock(&self.held);
+            let held = lock(&self.hierarchy);
             let Some(h) = held.0.version().filter(|_| since > 0) else { return false };
             let Some(m) = h.node_id(&self.name).and_then(|id| h.get(id)) else { return false };
             let age = (now - since) as f64 * 1e6 / h.rules.slow_start_window.max(1) as f64;
@@ -309,14 +309,14 @@
     }
 
     /// The source that the asker named, the next of the way, or what the own version says.
-    fn source(&self, pull: &Pull) -> Option<String> {
+    fn source(&self, pull: &PullRequest) -> Option<String> {
         if let Some(miss) = &pull.miss {
             return Some(miss.clone());
         }
         if self.role == Role::Edge {
             return None;
         }
-        let held = lock(&self.held);
+        let held = lock(&self.hierarchy);
         let h = held.0.version()?;
         let next = held.1.next_source(h, h.node_id(&self.name)?, parent_position(pull.object), |_| true)?;
         Some(h.node_name(next).to_owned())
@@ -325,16 +325,16 @@
     fn keep(&self, object: u64, issued: u64) {
         let mut copies = lock(&self.copies);
         if copies.issued.insert(object, issued).is_none() {
-            copies.line.push_back(object);
+            copies.insertion_order.push_back(object);
         }
-        while copies.issued.len() > self.kept {
-            let Some(first) = copies.line.pop_front() else { return };
+        while copies.issued.len() > self.max_copies {
+            let Some(first) = copies.insertion_order.pop_front() else { return };
             copies.issued.remove(&first);
         }
     }
 
-    fn fill(&self, pull: &Pull, source: &str) -> io::Result<Option<u64>> {
-        let link = lock(&self.links).get_mut(source).and_then(Vec::pop);
+    fn fill(&self, pull: &PullRequest, source: &str) -> io::Result<Option<u64>> {
+        let link = lock(&self.idle_connections).get_mut(source).and_then(Vec::pop);
         let mut link = match link {
             Some(link) => link,
             None => {
@@ -358,7 +358,7 @@
             fields += &format!(",within={}", pull.within);
         }
         // The rest of the way, where the director named one.
-        if let Some((first, rest)) = pull.way.split_first().filter(|_| self.follow) {
+        if let Some((first, rest)) = pull.way.split_first().filter(|_| self.follows_named_path) {
             fields += &format!(",miss={first}");
             if !rest.is_empty() {
                 fields += &format!(",way={}", rest.join("+"));
@@ -375,15 +375,21 @@
         let found = if word == "ACK" { issued } else { None };
         let mut body = vec![0; length + 2];
         reader.read_exact(&mut body)?;
-        lock(&self.links).entry(source.to_owned()).or_default().push(link);
+        lock(&self.idle_connections).entry(source.to_owned()).or_default().push(link);
         Ok(found)
     }
 }
 
-impl Pull {
-    fn of(id: &str, fields: &str) -> Option<Pull> {
-        let mut pull =
-            Pull { id: id.into(), object: 0, within: 0, miss: None, way: Vec::new(), came: Vec::new() };
+impl PullRequest {
+    fn of(id: &str, fields: &str) -> Option<PullRequest> {
+        let mut pull = PullRequest {
+            id: id.into(),
+            object: 0,
+            within: 0,
+            miss: None,
+            way: Vec::new(),
+            came: Vec::new(),
+        };
         let names = |list: &str| list.split('+').map(str::to_owned).collect::<Vec<_>>();
         for (name, value) in fields.split(',').filter_map(|f| f.split_once('=')) {
             match name {
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -9,7 +9,7 @@
 use thiserror::Error;
 
 #[derive(Debug, Error)]
-pub enum Failed {
+pub enum TrialError {
     #[error("{what}: {why}")]
     Io { what: String, why: io::Error },
     #[error("the log of the driver: {0}")]
@@ -22,21 +22,21 @@
     TooLarge(String),
 }
 
-pub(crate) fn io_error(what: impl Into<String>) -> impl FnOnce(io::Error) -> Failed {
+pub(crate) fn io_error(what: impl Into<String>) -> impl FnOnce(io::Error) -> TrialError {
     let what = what.into();
-    move |why| Failed::Io { what, why }
+    move |why| TrialError::Io { what, why }
 }
 
 /// A process that ends with the trial.
-pub struct Process(pub Child);
+pub struct ChildProcess(pub Child);
 
-impl Process {
+impl ChildProcess {
     /// What it logs is added to the file.
-    pub fn start(command: &mut Command, log: &Path, what: &str) -> Result<Process, Failed> {
+    pub fn start(command: &mut Command, log: &Path, what: &str) -> Result<ChildProcess, TrialError> {
         let out = std::fs::File::options().create(true).append(true).open(log);
         let out = out.map_err(io_error(log.display().to_string()))?;
         command.stderr(out).stdin(Stdio::piped());
-        command.spawn().map(Process).map_err(io_error(what))
+        command.spawn().map(ChildProcess).map_err(io_error(what))
     }
 
     pub fn signal(&self, signal: Signal) {
@@ -52,22 +52,22 @@
     }
 
     /// Whether it has ended by itself.
-    pub fn ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         matches!(self.0.try_wait(), Ok(Some(_)))
     }
 
     /// CPU seconds that it has used.
-    pub fn cpu(&self) -> f64 {
-        cpu_of(self.0.id())
+    pub fn cpu_seconds(&self) -> f64 {
+        cpu_seconds_of(self.0.id())
     }
 
     /// MB of memory that it holds.
-    pub fn memory(&self) -> f64 {
+    pub fn resident_mb(&self) -> f64 {
         megabytes(&format!("/proc/{}/status", self.0.id()), "VmRSS:")
     }
 }
 
-impl Drop for Process {
+impl Drop for ChildProcess {
     fn drop(&mut self) {
         // A stopped one ends as well; it may have ended by itself.
         let _ = self.kill();
@@ -75,7 +75,7 @@
 }
 
 /// CPU seconds that a process has used.
-pub fn cpu_of(process: u32) -> f64 {
+pub fn cpu_seconds_of(process: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).unwrap_or_default();
     let after = stat.rsplit_once(") ").map_or("", |s| s.1);
     let ticks = |n: usize| after.split(' ').nth(n).and_then(|t| t.parse::<f64>().ok()).unwrap_or(0.0);
@@ -92,6 +92,6 @@
 }
 
 /// MB of memory of the machine.
-pub fn machine_memory() -> f64 {
+pub fn machine_memory_mb() -> f64 {
     megabytes("/proc/meminfo", "MemTotal:")
 }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -6,10 +6,10 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::load::{Seen, histogram};
-use crate::node::Second;
-use crate::outcome::{Outcome, Panel};
+use crate::client_load::{ClientStats, histogram};
+use crate::node_stub::Second;
 use crate::settings::Experiment;
+use crate::trial_report::{Chart, TrialReport};
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Report {
@@ -48,13 +48,13 @@
     pub fn of(
         e: &Experiment,
         mut seconds: Vec<Second>,
-        seen: Vec<Seen>,
+        seen: Vec<ClientStats>,
         missing: usize,
         window: Range<u64>,
         (endings, kills, changes): (BTreeMap<String, u64>, u64, usize),
         notes: Vec<String>,
     ) -> Report {
-        let sum = |of: fn(&Seen) -> u64| seen.iter().map(of).sum();
+        let sum = |of: fn(&ClientStats) -> u64| seen.iter().map(of).sum();
         let timed = || seen.iter().flat_map(|s| &s.latencies);
         let all = histogram(timed().filter(|(at, _)| window.contains(at)).map(|(_, us)| *us));
         for (at, second) in seconds.iter_mut().enumerate() {
@@ -66,13 +66,13 @@
         let measured = &seconds[from..(window.end as usize).min(seconds.len()).max(from)];
         Report {
             experiment: e.clone(),
-            lookups: sum(|s| s.lookups),
-            satisfied: sum(|s| s.satisfied),
-            nacked: sum(|s| s.nacked),
+            lookups: sum(|s| s.requests),
+            satisfied: sum(|s| s.succeeded),
+            nacked: sum(|s| s.rejected),
             failed: sum(|s| s.failed),
-            lost: sum(|s| s.lost),
-            strange: sum(|s| s.strange),
-            old: sum(|s| s.old),
+            lost: sum(|s| s.unanswered),
+            strange: sum(|s| s.unexpected),
+            old: sum(|s| s.stale),
             missing,
             p50: all.value_at_quantile(0.5),
             p99: all.value_at_quantile(0.99),
@@ -92,8 +92,8 @@
     }
 }
 
-impl Outcome for Report {
-    fn breaches(&self) -> Vec<String> {
+impl TrialReport for Report {
+    fn violations(&self) -> Vec<String> {
         let mut found = Vec::new();
         let mut none = |what: &str, n: u64| {
             if n > 0 {
@@ -116,8 +116,8 @@
         format!("{}: {} lookups, {} changes", self.experiment.name, self.lookups, self.changes)
     }
 
-    fn panels(&self) -> Vec<Panel> {
-        let panel = |name, of: fn(&Second) -> u64, line| Panel {
+    fn charts(&self) -> Vec<Chart> {
+        let panel = |name, of: fn(&Second) -> u64, line| Chart {
             name,
             curves: vec![self.seconds.iter().map(of).collect()],
             line,
@@ -139,7 +139,7 @@
         writeln!(
             f,
             "{}: {} directors, {} caches, {} upper caches, seed {}",
-            e.name, e.directors, e.caches, e.uppers, e.seed
+            e.name, e.directors, e.caches, e.parents, e.seed
         )?;
         writeln!(
             f,
@@ -162,7 +162,7 @@
             "changes {} {:?}  driver killed {} times  fills twice at a node {}  cold nodes fallen {}  strays {}  old copies {}",
             self.changes, self.endings, self.kills, self.loops, self.falls, self.strays, self.old
         )?;
-        let breaches = self.breaches();
+        let breaches = self.violations();
         if breaches.is_empty() {
             writeln!(f, "all is well")
         } else {
--- a/crates/testbed/src/scale/pool.rs
+++ b/crates/testbed/src/scale/pool.rs
@@ -10,22 +10,22 @@
 use sablecross_director::clock::Clock;
 use sablecross_director::process::config::Config;
 
-use super::hollow::{Hollow, Shared};
-use super::words::{Finished, Order, Tick, Word, shared_ns};
-use crate::node::spawn;
+use super::pool_messages::{Finished, PoolCommand, PoolProgress, PoolReport, shared_ns};
+use super::simulated_director::{Shared, SimulatedDirector};
+use crate::node_stub::spawn;
 
 const WAKER: Token = Token(0);
 /// How often what is due by the clock is looked for, and how often the trial hears of it.
-const TURN: Duration = Duration::from_millis(20);
-const SAY: Duration = Duration::from_millis(250);
+const TURN_LENGTH: Duration = Duration::from_millis(20);
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 /// The first calls are spread over this time.
-const SPREAD: Duration = Duration::from_secs(2);
+const START_SPREAD: Duration = Duration::from_secs(2);
 
 struct Pool {
     poll: Poll,
     shared: Shared,
     /// By token; where the trial's numbers are among them.
-    hollow: Vec<Hollow>,
+    hollow: Vec<SimulatedDirector>,
     places: BTreeMap<usize, usize>,
     binds_ms: u64,
 }
@@ -34,7 +34,7 @@
     io::Error::new(io::ErrorKind::InvalidData, why.to_string())
 }
 
-fn say(word: &Word) -> io::Result<()> {
+fn send_report(word: &PoolReport) -> io::Result<()> {
     let mut out = io::stdout().lock();
     serde_json::to_writer(&mut out, word)?;
     out.write_all(b"\n")?;
@@ -56,11 +56,11 @@
         // The trial is gone.
         std::process::exit(0);
     });
-    let first: io::Result<Order> = orders.recv().map_err(bad)?;
-    let Order::Begin { config, directors, binds_ms } = first? else { return Err(bad("no beginning")) };
+    let first: io::Result<PoolCommand> = orders.recv().map_err(bad)?;
+    let PoolCommand::Begin { config, directors, binds_ms } = first? else { return Err(bad("no beginning")) };
     let config = Config::parse(&config).map_err(bad)?;
     let shared = Shared {
-        tick: Tick { most: config.known.last, ..Tick::default() },
+        tick: PoolProgress { most: config.known.last, ..PoolProgress::default() },
         config,
         clock: Clock::start(),
         began: Instant::now(),
@@ -71,12 +71,13 @@
     let places = directors.iter().enumerate().map(|(place, own)| (own.number, place)).collect();
     let many = directors.len().max(1) as u32;
     let hollow = directors.into_iter().enumerate();
-    let hollow = hollow.map(|(n, own)| Hollow::new(own, Token(n + 1), &shared, SPREAD * n as u32 / many));
+    let hollow = hollow
+        .map(|(n, own)| SimulatedDirector::new(own, Token(n + 1), &shared, START_SPREAD * n as u32 / many));
     Pool { poll, hollow: hollow.collect(), shared, places, binds_ms }.serve(&orders)
 }
 
 impl Pool {
-    fn serve(mut self, orders: &Receiver<io::Result<Order>>) -> io::Result<()> {
+    fn serve(mut self, orders: &Receiver<io::Result<PoolCommand>>) -> io::Result<()> {
         let mut events = Events::with_capacity(1_024);
         let (mut turn, mut word) = (Instant::now(), Instant::now());
         loop {
@@ -101,11 +102,11 @@
             if Instant::now() < turn {
                 continue;
             }
-            turn = Instant::now() + TURN;
+            turn = Instant::now() + TURN_LENGTH;
             let registry = self.poll.registry();
             self.hollow.iter_mut().for_each(|h| h.tick(&mut self.shared, registry));
             if Instant::now() >= word {
-                word = Instant::now() + SAY;
+                word = Instant::now() + REPORT_INTERVAL;
                 self.say()?;
             }
         }
@@ -117,28 +118,28 @@
         tick.at = shared_ns();
         tick.alive = on.clone().count();
         tick.up = on.clone().filter(|h| h.is_up()).count();
-        tick.least = on.map(Hollow::last).min().unwrap_or(tick.most);
-        say(&Word::Tick(*tick))
+        tick.least = on.map(SimulatedDirector::last).min().unwrap_or(tick.most);
+        send_report(&PoolReport::Tick(*tick))
     }
 
     /// Whether that was the last one.
-    fn order(&mut self, order: Order) -> io::Result<bool> {
+    fn order(&mut self, order: PoolCommand) -> io::Result<bool> {
         let Pool { hollow, places, shared, .. } = self;
-        let mut each = |numbers: &[usize], to: &mut dyn FnMut(&mut Hollow, &mut Shared)| {
+        let mut each = |numbers: &[usize], to: &mut dyn FnMut(&mut SimulatedDirector, &mut Shared)| {
             for place in numbers.iter().filter_map(|n| places.get(n)) {
                 to(&mut hollow[*place], shared);
             }
         };
         match order {
-            Order::Begin { .. } => return Err(bad("a second beginning")),
-            Order::Kill(who) => each(&who, &mut |h, shared| h.kill(shared)),
-            Order::Start(who) => each(&who, &mut |h, shared| h.start(shared)),
-            Order::Cut(who, from) => each(&who, &mut |h, _| h.cut.extend(&from)),
-            Order::Slow(who, slow) => each(&who, &mut |h, shared| {
+            PoolCommand::Begin { .. } => return Err(bad("a second beginning")),
+            PoolCommand::Kill(who) => each(&who, &mut |h, shared| h.kill(shared)),
+            PoolCommand::Start(who) => each(&who, &mut |h, shared| h.start(shared)),
+            PoolCommand::Cut(who, from) => each(&who, &mut |h, _| h.cut.extend(&from)),
+            PoolCommand::Slow(who, slow) => each(&who, &mut |h, shared| {
                 h.slow = slow;
                 h.ready(shared);
             }),
-            Order::Heal => {
+            PoolCommand::Heal => {
                 // What came meanwhile was never seen: the sockets are looked at anew.
                 for h in hollow.iter_mut().filter(|h| !h.cut.is_empty()) {
                     h.cut.clear();
@@ -146,12 +147,12 @@
                 }
                 shared.limbo.clear();
             }
-            Order::Finish { told, list } => {
+            PoolCommand::Finish { told, list } => {
                 for h in hollow.iter().filter(|h| h.is_on()) {
                     h.finish(&told, &list, self.binds_ms, shared);
                 }
                 shared.found.came = std::mem::take(&mut shared.came).into_values().collect();
-                say(&Word::Finished(Box::new(std::mem::take(&mut shared.found))))?;
+                send_report(&PoolReport::Finished(Box::new(std::mem::take(&mut shared.found))))?;
                 return Ok(true);
             }
         }
--- a/crates/testbed/src/scale/words.rs
+++ b/crates/testbed/src/scale/pool_messages.rs
@@ -12,7 +12,7 @@
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Own {
+pub struct DirectorIdentity {
     pub number: usize,
     pub source: Ipv4Addr,
     pub feeds: Vec<SocketAddr>,
@@ -21,18 +21,18 @@
 /// What an event of the load says: which one it is, when its purge was made (0: a change of the list), and its number
 /// in the feed.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Told {
+pub struct PublishedEvent {
     pub number: u64,
     pub content: u32,
     pub purged_ms: u64,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub enum Order {
+pub enum PoolCommand {
     Begin {
         /// The configuration of a director, with the list of the start as what is known.
         config: String,
-        directors: Vec<Own>,
+        directors: Vec<DirectorIdentity>,
         /// A purge may be passed over after this.
         binds_ms: u64,
     },
@@ -46,14 +46,14 @@
     Slow(Vec<usize>, bool),
     /// The load is over: what was told, and of each node the change that holds and whether it has gone.
     Finish {
-        told: Vec<Told>,
+        told: Vec<PublishedEvent>,
         list: Vec<(u32, bool)>,
     },
 }
 
 /// What all directors of one process came to up to now.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
-pub struct Tick {
+pub struct PoolProgress {
     pub at: u64,
     pub alive: usize,
     /// Whose call was answered once in this life.
@@ -99,7 +99,7 @@
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub enum Word {
-    Tick(Tick),
+pub enum PoolReport {
+    Tick(PoolProgress),
     Finished(Box<Finished>),
 }
--- a/crates/testbed/src/scale/report.rs
+++ b/crates/testbed/src/scale/report.rs
@@ -5,11 +5,11 @@
 
 use serde::{Deserialize, Serialize};
 
+use super::pool_messages::{Came, Finished, PoolProgress};
 use super::settings::Scale;
 use super::source::Published;
-use super::words::{Came, Finished, Tick};
-use crate::load::histogram;
-use crate::outcome::{Outcome, Panel};
+use crate::client_load::histogram;
+use crate::trial_report::{Chart, TrialReport};
 
 /// What heads and acknowledgements add to payload, by arithmetic: a packet of data and its acknowledgement for each read,
 /// nine packets beside for each call.
@@ -27,7 +27,7 @@
 
 /// A fault as it was carried out, by the clock that all processes share.
 #[derive(Clone, Debug)]
-pub struct Struck {
+pub struct FaultWindow {
     pub what: String,
     pub n: usize,
     pub from: u64,
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug)]
 pub struct Sample {
     pub at: u64,
-    pub ticks: Vec<Tick>,
+    pub ticks: Vec<PoolProgress>,
     pub hollow: Vec<Use>,
     pub real: Vec<Use>,
     pub real_bytes: [u64; 2],
@@ -59,7 +59,7 @@
     pub first: u64,
     pub published: Vec<Published>,
     pub again: usize,
-    pub ticks: Vec<Tick>,
+    pub ticks: Vec<PoolProgress>,
     pub finished: Vec<Finished>,
     /// Processes that did not say what they came to, or whose directors had not come to the last number in time.
     pub silent: usize,
@@ -110,7 +110,7 @@
 
 /// What a relay takes: part of a core, MB, bytes a second with other relays.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Role {
+pub struct RoleUse {
     pub name: String,
     pub voter: bool,
     pub cpu: f64,
@@ -122,7 +122,7 @@
 /// Until when events came into force everywhere over a second late, in seconds from a fault's begin; 0: none did. And the
 /// same from its end, for what was published before that.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Again {
+pub struct RecoveryTime {
     pub what: String,
     pub at: f64,
     pub lasted: f64,
@@ -167,10 +167,10 @@
     pub with_heads: f64,
     pub reads: f64,
     pub calls: f64,
-    pub roles: Vec<Role>,
+    pub roles: Vec<RoleUse>,
     /// This program's part of a core: in a star the source is in it.
     pub own_cpu: f64,
-    pub faults: Vec<Again>,
+    pub faults: Vec<RecoveryTime>,
     pub behind: usize,
     pub reals_behind: usize,
     pub reals_gaps: u64,
@@ -203,7 +203,7 @@
         from: &Sample,
         to: &Sample,
         names: &[String],
-        struck: &[Struck],
+        struck: &[FaultWindow],
     ) -> Report {
         let sum = |of: fn(&Finished) -> u64| c.finished.iter().map(of).sum::<u64>();
         let mut differs = sum(|f| f.differs);
@@ -232,7 +232,7 @@
         let mut seconds = vec![0; s.seconds as usize];
         for p in &c.published {
             let Some(at) = everywhere(p) else { continue };
-            let excused = struck.iter().zip(&over).filter(|(f, _)| s.faults[f.n].kind.excuses());
+            let excused = struck.iter().zip(&over).filter(|(f, _)| s.faults[f.n].kind.excuses_lateness());
             let in_way = excused.filter(|(f, over)| p.at <= **over && at >= f.from);
             let ends: Vec<u64> = in_way.map(|(f, _)| f.to).collect();
             let took = at.saturating_sub(p.at) as f64 / MS;
@@ -262,7 +262,7 @@
                 c.published.iter().filter(|p| p.at <= *over).filter_map(|p| Some((p.at, everywhere(p)?)));
             let last =
                 behind.filter(|(at, came)| *came >= f.from && came - at > BEHIND).map(|(_, came)| came).max();
-            Again {
+            RecoveryTime {
                 what: f.what.clone(),
                 at: f.from.saturating_sub(c.zero) as f64 / SEC,
                 lasted: (f.to - f.from) as f64 / SEC,
@@ -272,7 +272,7 @@
         });
         let time = ((to.at - from.at) as f64 / SEC).max(1e-3);
         let many = |n: usize| n.max(1) as f64 * time;
-        let ticked = |of: fn(&Tick) -> u64| {
+        let ticked = |of: fn(&PoolProgress) -> u64| {
             let sum = |s: &Sample| s.ticks.iter().map(of).sum::<u64>();
             (sum(to) - sum(from)) as f64 / many(s.hollow)
         };
@@ -297,7 +297,7 @@
         };
         let roles = names.iter().enumerate().map(|(n, name)| {
             let between = |way: usize| (to.between[n][way] - from.between[n][way]) as f64 / time;
-            Role {
+            RoleUse {
                 name: name.clone(),
                 voter: n < s.voters,
                 cpu: (to.relays[n].0 - from.relays[n].0) / time,
@@ -370,8 +370,8 @@
     }
 }
 
-impl Outcome for Report {
-    fn breaches(&self) -> Vec<String> {
+impl TrialReport for Report {
+    fn violations(&self) -> Vec<String> {
         let s = &self.trial;
         let mut found = Vec::new();
         let mut none = |what: &str, n: u64| {
@@ -431,10 +431,10 @@
         format!("{}: {} directors, {} events", self.trial.name, self.trial.hollow, self.published)
     }
 
-    fn panels(&self) -> Vec<Panel> {
+    fn charts(&self) -> Vec<Chart> {
         let name = "most ms to in force everywhere, by the second of publishing (line: bound of purges)";
         let line = Some((1e3 * self.trial.purge_within) as u64);
-        vec![Panel { name, curves: vec![self.seconds.clone()], line }]
+        vec![Chart { name, curves: vec![self.seconds.clone()], line }]
     }
 }
 
@@ -523,7 +523,7 @@
         for unlike in self.unlike() {
             writeln!(f, "hollow figures not to be used, the real ones' stand: {unlike}")?;
         }
-        for breach in self.breaches() {
+        for breach in self.violations() {
             writeln!(f, "NOT WELL {breach}")?;
         }
         Ok(())
