--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -15,17 +15,19 @@
 use rustix::process::Signal;
 use serde_json::{Value, json};
 
-use super::report::{Counted, Report, Sample, Struck};
-use super::settings::{Fault, Kind, Scale};
+use super::pool_messages::{DirectorIdentity, Finished, PoolCommand, PoolProgress, PoolReport, shared_ns};
+use super::report::{Counted, FaultWindow, Report, Sample};
+use super::settings::{Fault, FaultKind, Scale};
 use super::source::{Outlet, Source, status, whole};
 use super::tier::{Program, Tier, binds_ms};
-use super::words::{Finished, Order, Own, Tick, Word, shared_ns};
-use crate::acts::{due, some};
-use crate::directors::{Like, Ports, configuration, serving, spawn_director};
-use crate::feed::Feed;
-use crate::fleet::ways::{Held, Planned, Ways};
-use crate::node::{Common, spawn, unix_ms};
-use crate::process::{Failed, Process, io_error, machine_memory};
+use crate::director_process::{
+    NodeModel, PortAllocator, director_config, spawn_director, wait_until_serving,
+};
+use crate::discovery_stub::DiscoveryStub;
+use crate::fleet::link_proxy::{HeldDirections, LinkProxies, PlannedLink};
+use crate::node_stub::{TrialState, spawn, unix_ms};
+use crate::process::{ChildProcess, TrialError, io_error, machine_memory_mb};
+use crate::schedule::{sample, take_due};
 
 /// MB that a hollow director and a known purge of it, a real one and a relay are taken to need before a start, by
 /// measurement with some to spare.
@@ -40,10 +42,10 @@
 
 /// Directors of one process.
 struct Pool {
-    process: Process,
+    process: ChildProcess,
     /// Of all hollow ones.
     members: Vec<usize>,
-    tick: Tick,
+    tick: PoolProgress,
     finished: Option<Box<Finished>>,
 }
 
@@ -52,13 +54,13 @@
         program: Program,
         number: usize,
         folder: &Path,
-        heard: Sender<(usize, Word)>,
+        heard: Sender<(usize, PoolReport)>,
         members: Vec<usize>,
-    ) -> Result<Pool, Failed> {
+    ) -> Result<Pool, TrialError> {
         let log = folder.join(format!("hollow-{number}.log"));
         let _ = std::fs::remove_file(&log);
-        let mut command = program(&["lab", "hollow"]);
-        let mut process = Process::start(command.stdout(Stdio::piped()), &log, "hollow directors")?;
+        let mut command = program(&["testbed", "hollow"]);
+        let mut process = ChildProcess::start(command.stdout(Stdio::piped()), &log, "hollow directors")?;
         if let Some(out) = process.0.stdout.take() {
             spawn(move || {
                 for line in BufReader::new(out).lines().map_while(Result::ok) {
@@ -69,10 +71,10 @@
                 }
             });
         }
-        Ok(Pool { process, members, tick: Tick::default(), finished: None })
+        Ok(Pool { process, members, tick: PoolProgress::default(), finished: None })
     }
 
-    fn order(&mut self, order: &Order) -> Result<(), Failed> {
+    fn order(&mut self, order: &PoolCommand) -> Result<(), TrialError> {
         let Some(to) = &mut self.process.0.stdin else { return Ok(()) };
         let text = serde_json::to_string(order).unwrap_or_default();
         writeln!(to, "{text}").map_err(io_error("an order to hollow directors"))
@@ -81,7 +83,7 @@
 
 /// A real director.
 struct Real {
-    process: Process,
+    process: ChildProcess,
     log: PathBuf,
 }
 
@@ -96,7 +98,7 @@
 
 /// One that is being carried out.
 struct Running {
-    kind: Kind,
+    kind: FaultKind,
     relay: Option<usize>,
     directors: Vec<usize>,
 }
@@ -114,39 +116,44 @@
     pools: Vec<Pool>,
     reals: Vec<Real>,
     /// The links of the real ones to their feeds.
-    ways: Ways,
-    heard: Receiver<(usize, Word)>,
+    ways: LinkProxies,
+    heard: Receiver<(usize, PoolReport)>,
     rng: Pcg32,
     restarted: usize,
 }
 
 /// Half of the machine's memory is the most that a trial may take.
-fn fits(s: &Scale) -> Result<(), Failed> {
+fn fits(s: &Scale) -> Result<(), TrialError> {
     let binds = binds_ms(s) as f64 / 1e3;
     let known = s.purges * binds.min(s.seconds as f64) + s.faults.iter().map(|f| f.count as f64).sum::<f64>();
     let directors = s.hollow as f64 * (HOLLOW_MB + PURGE_MB * known) + s.real as f64 * REAL_MB;
     let needs = directors + s.relays as f64 * RELAY_MB;
-    let half = machine_memory() / 2.0;
+    let half = machine_memory_mb() / 2.0;
     if needs > half {
-        return Err(Failed::TooLarge(format!(
+        return Err(TrialError::TooLarge(format!(
             "{needs:.0} MB of memory are needed, half of the machine is {half:.0} MB"
         )));
     }
-    let processes = s.real + s.relays + s.pools();
+    let processes = s.real + s.relays + s.process_count();
     if processes > MOST_PROCESSES {
-        return Err(Failed::TooLarge(format!("{processes} processes, of {MOST_PROCESSES} at most")));
+        return Err(TrialError::TooLarge(format!("{processes} processes, of {MOST_PROCESSES} at most")));
     }
     Ok(())
 }
 
 /// Runs it. `program` starts this program under other words, whose logs go to the folder; `tell` hears of the progress.
-pub fn run(s: &Scale, program: Program, folder: &Path, mut tell: impl FnMut(&str)) -> Result<Report, Failed> {
+pub fn run(
+    s: &Scale,
+    program: Program,
+    folder: &Path,
+    mut tell: impl FnMut(&str),
+) -> Result<Report, TrialError> {
     fits(s)?;
     std::fs::create_dir_all(folder).map_err(io_error(folder.display().to_string()))?;
     let over = Arc::new(AtomicBool::new(false));
-    let common = Arc::new(Common::begun(Instant::now()));
+    let common = Arc::new(TrialState::new(Instant::now()));
     let (tier, outlet) = if s.voters == 0 {
-        let feed = Feed::start(&common, channel().0).map_err(io_error("the feed"))?;
+        let feed = DiscoveryStub::start(&common, channel().0).map_err(io_error("the feed"))?;
         let tier = match s.relays {
             0 => Tier::star(feed.address, &over)?,
             _ => Tier::start(s, program, folder, Some(feed.address), &over)?,
@@ -158,7 +165,7 @@
         (tier, outlet)
     };
     let Some((mut source, first)) = Source::start(s, outlet) else {
-        return Err(Failed::TooLarge("the list was not taken".into()));
+        return Err(TrialError::TooLarge("the list was not taken".into()));
     };
     let event: Value = serde_json::from_str(&format!("{{\"n\":{first},{}}}", whole(s))).unwrap_or_default();
     let known = json!({"n": first, "events": [event]});
@@ -173,7 +180,7 @@
         acts.push((fault.at + fault.lasts, Act::End(n)));
     }
     let mut running = BTreeMap::new();
-    let mut struck: Vec<Struck> = Vec::new();
+    let mut struck: Vec<FaultWindow> = Vec::new();
     let (mut said, mut from) = (0, None);
     let (mut woken, mut late) = (Instant::now(), 0.0f64);
     while zero.elapsed() < Duration::from_secs(s.seconds) {
@@ -181,7 +188,7 @@
         late = late.max(woken.elapsed().as_secs_f64() - 0.005);
         let now = zero.elapsed().as_secs_f64();
         source.step(s, now);
-        while let Some(act) = due(&mut acts, now) {
+        while let Some(act) = take_due(&mut acts, now) {
             match act {
                 Act::Begin(n) => {
                     let fault = &s.faults[n];
@@ -189,7 +196,7 @@
                     let whom = one.relay.map_or(String::new(), |r| format!(" relay-{r}"));
                     let what = format!("{:?}{whom} directors {}", fault.kind, one.directors.len());
                     tell(&format!("{now:>6.1} s  {what}"));
-                    struck.push(Struck { what, n, from: shared_ns(), to: 0 });
+                    struck.push(FaultWindow { what, n, from: shared_ns(), to: 0 });
                     running.insert(n, one);
                 }
                 Act::End(n) => {
@@ -199,7 +206,7 @@
                     struck.iter_mut().filter(|s| s.n == n).for_each(|s| s.to = shared_ns());
                 }
                 Act::Restart(who, on) => {
-                    let order = if on { Order::Start(vec![who]) } else { Order::Kill(vec![who]) };
+                    let order = if on { PoolCommand::Start(vec![who]) } else { PoolCommand::Kill(vec![who]) };
                     trial.restarted += usize::from(on);
                     trial.all(&order)?;
                 }
@@ -222,7 +229,7 @@
     let to = trial.sample();
     let from = from.unwrap_or_else(|| to.clone());
     // A restart that fell past the end comes now.
-    trial.all(&Order::Start((0..s.hollow).collect()))?;
+    trial.all(&PoolCommand::Start((0..s.hollow).collect()))?;
     let settle = Duration::from_secs(s.settle);
     source.end(settle);
     let told = source.told();
@@ -232,7 +239,7 @@
     let ended = trial.ended();
     let passed = trial.passed();
     for pool in &mut trial.pools {
-        pool.order(&Order::Finish { told: told.clone(), list: source.list() })?;
+        pool.order(&PoolCommand::Finish { told: told.clone(), list: source.list() })?;
     }
     let begun = Instant::now();
     while trial.pools.iter().any(|p| p.finished.is_none()) && begun.elapsed() < Duration::from_secs(60) {
@@ -270,12 +277,17 @@
         tier: Tier,
         known: &Value,
         over: &Arc<AtomicBool>,
-    ) -> Result<Trial<'a>, Failed> {
-        let mut ports = Ports::new();
-        let like = Like { cold_from: 0.25, warm_us: 60_000_000, falls_at: 3.0, stream_kb_per_s: 400.0 };
+    ) -> Result<Trial<'a>, TrialError> {
+        let mut ports = PortAllocator::new();
+        let like = NodeModel {
+            slow_start_initial_share: 0.25,
+            slow_start_us: 60_000_000,
+            collapse_multiple: 3.0,
+            stream_kb_per_s: 400.0,
+        };
         let all = s.hollow + s.real;
         let configured = |number: usize, listen, feeds: &[std::net::SocketAddr]| {
-            let mut text = configuration(number, all, s.seed, listen, (feeds[0], &[]), &like);
+            let mut text = director_config(number, all, s.seed, listen, (feeds[0], &[]), &like);
             text["known"] = known.clone();
             text["feeds"] = json!(feeds[1..]);
             let mut balancers = vec![0; s.zones];
@@ -290,36 +302,42 @@
         for real in 0..s.real {
             for (n, to) in tier.feeds_of(s.hollow + real, s.feeds).into_iter().enumerate() {
                 let from = Ipv4Addr::new(127, 15, (real >> 8) as u8, real as u8 + 1);
-                planned.push(Planned { pair: (real, n), to, from });
+                planned.push(PlannedLink { pair: (real, n), to, from });
             }
         }
-        let ways = Ways::between(planned, over).map_err(io_error("links of real directors"))?;
+        let ways = LinkProxies::between(planned, over).map_err(io_error("links of real directors"))?;
         let mut reals = Vec::new();
         for real in 0..s.real {
             let feeds: Vec<_> = (0..s.feeds).filter_map(|n| ways.address(real, n)).collect();
             let (config, log) =
                 (folder.join(format!("director-{real}.json")), folder.join(format!("director-{real}.log")));
             let _ = std::fs::remove_file(&log);
-            let at = ports.next().map_err(io_error("a port"))?;
+            let at = ports.allocate().map_err(io_error("a port"))?;
             std::fs::write(&config, configured(s.hollow + real, at, &feeds))
                 .map_err(io_error(config.display().to_string()))?;
-            let process = spawn_director(&|| program(&["lab", "director"]), &config, &log, None)?;
-            serving(&format!("director-{real}"), at, &log, Instant::now(), Duration::from_secs(30))?;
+            let process = spawn_director(&|| program(&["testbed", "director"]), &config, &log, None)?;
+            wait_until_serving(
+                &format!("director-{real}"),
+                at,
+                &log,
+                Instant::now(),
+                Duration::from_secs(30),
+            )?;
             reals.push(Real { process, log });
         }
         let (to_trial, heard) = channel();
         let mut pools = Vec::new();
         let config = configured(0, ([127, 0, 0, 1], 0).into(), &tier.feeds_of(0, s.feeds));
-        for number in 0..s.pools() {
-            let members: Vec<usize> = (number..s.hollow).step_by(s.pools()).collect();
-            let own = |n: usize| Own {
+        for number in 0..s.process_count() {
+            let members: Vec<usize> = (number..s.hollow).step_by(s.process_count()).collect();
+            let own = |n: usize| DirectorIdentity {
                 number: n,
                 source: Ipv4Addr::from(u32::from(Ipv4Addr::new(127, 16, 0, 1)) + n as u32),
                 feeds: tier.feeds_of(n, s.feeds),
             };
             let directors = members.iter().map(|n| own(*n)).collect();
             let mut pool = Pool::start(program, number, folder, to_trial.clone(), members)?;
-            pool.order(&Order::Begin { config: config.clone(), directors, binds_ms: binds_ms(s) })?;
+            pool.order(&PoolCommand::Begin { config: config.clone(), directors, binds_ms: binds_ms(s) })?;
             pools.push(pool);
         }
         let rng = Pcg32::seed_from_u64(s.seed);
@@ -329,22 +347,22 @@
     fn hear(&mut self) {
         for (pool, word) in self.heard.try_iter() {
             match word {
-                Word::Tick(tick) => self.pools[pool].tick = tick,
-                Word::Finished(finished) => self.pools[pool].finished = Some(finished),
+                PoolReport::Tick(tick) => self.pools[pool].tick = tick,
+                PoolReport::Finished(finished) => self.pools[pool].finished = Some(finished),
             }
         }
     }
 
-    fn all(&mut self, order: &Order) -> Result<(), Failed> {
+    fn all(&mut self, order: &PoolCommand) -> Result<(), TrialError> {
         self.pools.iter_mut().try_for_each(|pool| pool.order(order))
     }
 
-    fn wait_until_up(&mut self, tell: &mut impl FnMut(&str)) -> Result<(), Failed> {
+    fn wait_until_up(&mut self, tell: &mut impl FnMut(&str)) -> Result<(), TrialError> {
         let begun = Instant::now();
         while self.pools.iter().any(|p| p.tick.up < p.members.len()) {
             if begun.elapsed() > UP || self.ended() > 0 {
                 let (name, log) = ("a process of hollow directors".into(), "hollow-*.log".into());
-                return Err(Failed::NotServing { name, within: UP.as_secs(), log });
+                return Err(TrialError::NotServing { name, within: UP.as_secs(), log });
             }
             std::thread::sleep(Duration::from_millis(50));
             self.hear();
@@ -363,12 +381,12 @@
         Sample {
             at: shared_ns(),
             ticks: self.pools.iter().map(|p| p.tick).collect(),
-            hollow: self.pools.iter().map(|p| (p.process.cpu(), p.process.memory())).collect(),
-            real: self.reals.iter().map(|r| (r.process.cpu(), r.process.memory())).collect(),
+            hollow: self.pools.iter().map(|p| (p.process.cpu_seconds(), p.process.resident_mb())).collect(),
+            real: self.reals.iter().map(|r| (r.process.cpu_seconds(), r.process.resident_mb())).collect(),
             real_bytes: self.ways.bytes(|_| true),
             relays: self.tier.relays.iter().map(|r| (r.cpu(), r.memory())).collect(),
             between: (0..self.tier.relays.len()).map(|n| self.tier.bytes(n)).collect(),
-            own: crate::process::cpu_of(std::process::id()),
+            own: crate::process::cpu_seconds_of(std::process::id()),
         }
     }
 
@@ -449,8 +467,8 @@
 
     /// Processes that ended by themselves.
     fn ended(&mut self) -> usize {
-        self.reals.iter_mut().filter_map(|r| r.process.ended().then_some(())).count()
-            + self.pools.iter_mut().filter_map(|p| p.process.ended().then_some(())).count()
+        self.reals.iter_mut().filter_map(|r| r.process.has_exited().then_some(())).count()
+            + self.pools.iter_mut().filter_map(|p| p.process.has_exited().then_some(())).count()
             + self.tier.relays.iter_mut().filter_map(|r| r.ended().then_some(())).count()
     }
 
@@ -460,17 +478,17 @@
         now: f64,
         acts: &mut Vec<(f64, Act)>,
         source: &Source,
-    ) -> Result<Running, Failed> {
+    ) -> Result<Running, TrialError> {
         let mut one = Running { kind: fault.kind, relay: None, directors: Vec::new() };
         match fault.kind {
-            Kind::KillRelay | Kind::StopRelay | Kind::CutTo | Kind::CutFrom => {
+            FaultKind::KillRelay | FaultKind::StopRelay | FaultKind::CutTo | FaultKind::CutFrom => {
                 one.relay = Some(self.tier.plain(self.rng.random_range(0..1_000)));
             }
-            Kind::KillOwner | Kind::StopOwner => one.relay = self.tier.owner(),
-            Kind::KillDirectors | Kind::SlowDirectors => {
-                one.directors = some(&mut self.rng, self.s.hollow, fault.of);
+            FaultKind::KillOwner | FaultKind::StopOwner => one.relay = self.tier.owner(),
+            FaultKind::KillDirectors | FaultKind::SlowDirectors => {
+                one.directors = sample(&mut self.rng, self.s.hollow, fault.of);
             }
-            Kind::RestartDirectors => {
+            FaultKind::RestartDirectors => {
                 for _ in 0..fault.count {
                     let who = self.rng.random_range(0..self.s.hollow);
                     let at = now + (fault.lasts - 1.0).max(0.0) * self.rng.random::<f64>();
@@ -478,39 +496,39 @@
                     acts.push((at + 0.5 * self.rng.random::<f64>(), Act::Restart(who, true)));
                 }
             }
-            Kind::CutRegion => one.directors = self.cut_region()?,
-            Kind::Burst => source.burst(fault.count),
+            FaultKind::CutRegion => one.directors = self.cut_region()?,
+            FaultKind::Burst => source.burst(fault.count),
         }
-        let (to, from) = (Held { to: true, from: false }, Held { to: false, from: true });
+        let (to, from) = (HeldDirections { to: true, from: false }, HeldDirections { to: false, from: true });
         if let Some(relay) = one.relay {
             match fault.kind {
-                Kind::KillRelay | Kind::KillOwner => self.tier.relays[relay].kill()?,
-                Kind::StopRelay | Kind::StopOwner => self.tier.relays[relay].signal(Signal::STOP),
-                Kind::CutTo => self.tier.holds(|p| p.0 == relay, to),
-                Kind::CutFrom => self.tier.holds(|p| p.0 == relay, from),
+                FaultKind::KillRelay | FaultKind::KillOwner => self.tier.relays[relay].kill()?,
+                FaultKind::StopRelay | FaultKind::StopOwner => self.tier.relays[relay].signal(Signal::STOP),
+                FaultKind::CutTo => self.tier.holds(|p| p.0 == relay, to),
+                FaultKind::CutFrom => self.tier.holds(|p| p.0 == relay, from),
                 _ => {}
             }
         }
         match fault.kind {
-            Kind::KillDirectors => self.all(&Order::Kill(one.directors.clone()))?,
-            Kind::SlowDirectors => self.all(&Order::Slow(one.directors.clone(), true))?,
+            FaultKind::KillDirectors => self.all(&PoolCommand::Kill(one.directors.clone()))?,
+            FaultKind::SlowDirectors => self.all(&PoolCommand::Slow(one.directors.clone(), true))?,
             _ => {}
         }
         Ok(one)
     }
 
     /// Cuts one region off: its hollow directors.
-    fn cut_region(&mut self) -> Result<Vec<usize>, Failed> {
+    fn cut_region(&mut self) -> Result<Vec<usize>, TrialError> {
         let region = self.rng.random_range(0..self.s.regions);
         let (s, tier) = (self.s, &self.tier);
         let apart = |a: usize, b: usize| (tier.region(a) == region) != (tier.region(b) == region);
-        let both = Held { to: true, from: true };
+        let both = HeldDirections { to: true, from: true };
         tier.holds(|(a, b)| apart(*a, *b), both);
         for pair in self.ways.pairs() {
             let feed = tier.feeds_of(s.hollow + pair.0, s.feeds)[pair.1];
             let relay = tier.feeds.iter().position(|f| *f == feed).unwrap_or(0);
             if apart(s.hollow + pair.0, relay) {
-                self.ways.holds(*pair, both);
+                self.ways.hold(*pair, both);
             }
         }
         let (inside, outside): (Vec<usize>, Vec<usize>) =
@@ -519,23 +537,25 @@
             let of = tier.feeds.iter().enumerate().filter(|(n, _)| (tier.region(*n) == region) == in_it);
             of.map(|(_, f)| *f).collect()
         };
-        let orders = [Order::Cut(inside.clone(), feeds(false)), Order::Cut(outside, feeds(true))];
+        let orders = [PoolCommand::Cut(inside.clone(), feeds(false)), PoolCommand::Cut(outside, feeds(true))];
         orders.iter().try_for_each(|order| self.all(order))?;
         Ok(inside)
     }
 
-    fn end(&mut self, one: &Running) -> Result<(), Failed> {
-        self.tier.holds(|_| true, Held::default());
+    fn end(&mut self, one: &Running) -> Result<(), TrialError> {
+        self.tier.holds(|_| true, HeldDirections::default());
         match (one.kind, one.relay) {
-            (Kind::KillRelay | Kind::KillOwner, Some(relay)) => {
+            (FaultKind::KillRelay | FaultKind::KillOwner, Some(relay)) => {
                 self.tier.relays[relay].start(self.program)?
             }
-            (Kind::StopRelay | Kind::StopOwner, Some(relay)) => self.tier.relays[relay].signal(Signal::CONT),
-            (Kind::KillDirectors, _) => self.all(&Order::Start(one.directors.clone()))?,
-            (Kind::SlowDirectors, _) => self.all(&Order::Slow(one.directors.clone(), false))?,
-            (Kind::CutRegion, _) => {
-                self.ways.pairs().for_each(|pair| self.ways.holds(*pair, Held::default()));
-                self.all(&Order::Heal)?;
+            (FaultKind::StopRelay | FaultKind::StopOwner, Some(relay)) => {
+                self.tier.relays[relay].signal(Signal::CONT)
+            }
+            (FaultKind::KillDirectors, _) => self.all(&PoolCommand::Start(one.directors.clone()))?,
+            (FaultKind::SlowDirectors, _) => self.all(&PoolCommand::Slow(one.directors.clone(), false))?,
+            (FaultKind::CutRegion, _) => {
+                self.ways.pairs().for_each(|pair| self.ways.hold(*pair, HeldDirections::default()));
+                self.all(&PoolCommand::Heal)?;
             }
             _ => {}
         }
--- a/crates/testbed/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -5,7 +5,7 @@
 use sablecross_sexpr_config::ConfigError as Flaw;
 use serde::{Deserialize, Serialize};
 
-use crate::settings::only;
+use crate::settings::parse_single_form;
 
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
@@ -16,7 +16,7 @@
 /// What befalls control.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum FaultKind {
     /// One plain relay, drawn by the seed, is killed and begun anew with no memory, or stopped and continued.
     KillRelay,
     StopRelay,
@@ -38,14 +38,14 @@
     Burst,
 }
 
-impl Kind {
+impl FaultKind {
     /// Whether what it strikes may be late for it: directors that begin anew, and many purges at once, excuse nothing.
-    pub fn excuses(self) -> bool {
-        self.of_relays() || self == Kind::SlowDirectors
+    pub fn excuses_lateness(self) -> bool {
+        self.strikes_relays() || self == FaultKind::SlowDirectors
     }
 
-    fn of_relays(self) -> bool {
-        use Kind::{CutFrom, CutRegion, CutTo, KillOwner, KillRelay, StopOwner, StopRelay};
+    fn strikes_relays(self) -> bool {
+        use FaultKind::{CutFrom, CutRegion, CutTo, KillOwner, KillRelay, StopOwner, StopRelay};
         matches!(self, KillRelay | StopRelay | KillOwner | StopOwner | CutTo | CutFrom | CutRegion)
     }
 }
@@ -54,7 +54,7 @@
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Fault {
     #[garde(skip)]
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// Seconds from the start of the load, and how long it lasts.
     #[garde(range(min = 0.0, max = 3600.0))]
     pub at: f64,
@@ -210,7 +210,7 @@
 
 impl Scale {
     /// Processes of hollow directors.
-    pub fn pools(&self) -> usize {
+    pub fn process_count(&self) -> usize {
         let own = if self.processes > 0 { self.processes } else { self.hollow.div_ceil(500) };
         own.min(self.hollow)
     }
@@ -218,24 +218,24 @@
     /// Whether it holds together, with what the command line put in place of the file's own.
     pub fn checked(&self) -> Result<(), String> {
         self.validate().map_err(|e| format!("scale.{e}"))?;
-        self.wrong().map_or(Ok(()), |(key, what)| Err(format!("{key}: {what}")))
+        self.inconsistency().map_or(Ok(()), |(key, what)| Err(format!("{key}: {what}")))
     }
 
-    fn strikes_none(&self, kind: Kind) -> bool {
+    fn strikes_none(&self, kind: FaultKind) -> bool {
         match kind {
-            Kind::KillOwner | Kind::StopOwner => self.voters == 0,
-            Kind::CutRegion => self.relays == 0,
+            FaultKind::KillOwner | FaultKind::StopOwner => self.voters == 0,
+            FaultKind::CutRegion => self.relays == 0,
             _ => self.relays == self.voters,
         }
     }
 
-    fn wrong(&self) -> Option<(&'static str, &'static str)> {
+    fn inconsistency(&self) -> Option<(&'static str, &'static str)> {
         let end = self.seconds as f64;
         if self.warm_up >= self.seconds {
             Some(("scale.warm-up", "longer than the whole"))
         } else if self.voters > self.relays {
             Some(("scale.voters", "more than there are relays"))
-        } else if self.faults.iter().any(|f| f.kind.of_relays() && self.strikes_none(f.kind)) {
+        } else if self.faults.iter().any(|f| f.kind.strikes_relays() && self.strikes_none(f.kind)) {
             Some(("scale.faults", "one strikes plain relays, or the owner, and there are none"))
         } else if self.faults.iter().any(|f| f.at + f.lasts > end) {
             Some(("scale.faults", "one lasts past the end"))
@@ -247,17 +247,17 @@
     }
 
     /// The same with no relays between: one source.
-    pub fn star(mut self) -> Scale {
+    pub fn without_relays(mut self) -> Scale {
         (self.relays, self.voters) = (0, 0);
-        self.faults.retain(|f| !f.kind.of_relays());
+        self.faults.retain(|f| !f.kind.strikes_relays());
         self
     }
 }
 
-pub fn read(file: &str, text: &str) -> Result<Scale, Vec<Flaw>> {
-    let first = only(file, text, "scale")?;
+pub fn parse(file: &str, text: &str) -> Result<Scale, Vec<Flaw>> {
+    let first = parse_single_form(file, text, "scale")?;
     let Form::Scale(scale) = &first.value;
-    match scale.wrong() {
+    match scale.inconsistency() {
         Some((key, what)) => Err(vec![first.error(file, key, what, "see docs/scale-operators.md")]),
         None => Ok(scale.clone()),
     }
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/simulated_director.rs
@@ -19,16 +19,16 @@
 };
 use serde_json::Value;
 
-use crate::fleet::ways::dial_from;
+use crate::fleet::link_proxy::dial_from;
 
-use super::words::{Came, Finished, Own, Tick, Told, shared_ns};
+use super::pool_messages::{Came, DirectorIdentity, Finished, PoolProgress, PublishedEvent, shared_ns};
 
 /// What the directors of one process have in common.
 pub struct Shared {
     pub config: Config,
     pub clock: Clock,
     pub began: Instant,
-    pub tick: Tick,
+    pub tick: PoolProgress,
     pub found: Finished,
     /// By number.
     pub came: BTreeMap<u64, Came>,
@@ -36,7 +36,7 @@
 }
 
 impl Shared {
-    fn came(&mut self, number: u64, content: Option<u32>, timed: bool) {
+    fn record_arrival(&mut self, number: u64, content: Option<u32>, timed: bool) {
         let came = self.came.entry(number).or_default();
         self.found.differs += u64::from(came.content.zip(content).is_some_and(|(known, new)| known != new));
         (came.number, came.content, came.by) = (number, came.content.or(content), came.by + 1);
@@ -46,23 +46,23 @@
     }
 }
 
-enum Link {
+enum ConnectionPhase {
     /// Killed.
     Off,
     Waits(Instant),
     /// What is dialled into a cut never answers.
     Dials(Option<TcpStream>, Instant),
-    Open(Box<Open>),
+    Open(Box<OpenConnection>),
 }
 
-struct Open {
+struct OpenConnection {
     socket: TcpStream,
     stream: EventStreamParser,
     heard: Instant,
 }
 
 /// What a director holds in one life.
-struct Life {
+struct DirectorState {
     choice: Router,
     roster: NodeRegistry,
     upper: ParentHierarchy,
@@ -84,11 +84,11 @@
     list: Vec<u32>,
 }
 
-pub struct Hollow {
-    pub own: Own,
+pub struct SimulatedDirector {
+    pub own: DirectorIdentity,
     token: Token,
-    life: Box<Life>,
-    link: Link,
+    life: Box<DirectorState>,
+    link: ConnectionPhase,
     called: Instant,
     before: u64,
     pub cut: Vec<SocketAddr>,
@@ -96,25 +96,25 @@
 }
 
 /// Why a connection is over.
-enum Over {
+enum ConnectionEnd {
     Failed,
     Again,
     Ended,
 }
 
-impl From<io::Error> for Over {
-    fn from(_: io::Error) -> Over {
-        Over::Failed
+impl From<io::Error> for ConnectionEnd {
+    fn from(_: io::Error) -> ConnectionEnd {
+        ConnectionEnd::Failed
     }
 }
 
-impl Life {
-    fn begin(own: &Own, shared: &Shared, behind: u64) -> Life {
+impl DirectorState {
+    fn begin(own: &DirectorIdentity, shared: &Shared, behind: u64) -> DirectorState {
         let Config { settings, known, .. } = &shared.config;
         let mut settings = settings.clone();
         settings.director_index = own.number;
         let (home, others) = own.feeds.split_first().expect("a hollow director has a feed");
-        let mut life = Life {
+        let mut life = DirectorState {
             choice: Router::new(settings, own.number as u64, shared.clock.now()),
             roster: NodeRegistry::default(),
             upper: ParentHierarchy::new(shared.config.settings.parent_kind),
@@ -141,7 +141,7 @@
         let now: Ns = shared.clock.now();
         match fact {
             DiscoveryEvent::Endpoints { endpoints: members, is_snapshot: whole } => {
-                let Life { roster, upper, .. } = self;
+                let DirectorState { roster, upper, .. } = self;
                 roster.release_unused(u64::MAX, |_| true);
                 let names = &shared.config.names;
                 roster.observe_starts(members, now);
@@ -204,11 +204,18 @@
             found.disorder += u64::from(before > change as u32);
             self.list[node] = change as u32;
         }
-        shared.came(number, (!whole).then_some(content), number > self.behind);
+        shared.record_arrival(number, (!whole).then_some(content), number > self.behind);
     }
 
     /// What it has not taken of all that was told, unless that binds no more.
-    fn finish(&self, told: &[Told], list: &[(u32, bool)], known: u64, binds_ms: u64, found: &mut Finished) {
+    fn finish(
+        &self,
+        told: &[PublishedEvent],
+        list: &[(u32, bool)],
+        known: u64,
+        binds_ms: u64,
+        found: &mut Finished,
+    ) {
         for t in told.iter().filter(|t| t.number > known) {
             let taken =
                 self.seen.get(t.content as usize / 64).is_some_and(|w| w & (1 << (t.content % 64)) != 0);
@@ -229,16 +236,16 @@
     }
 }
 
-impl Hollow {
-    pub fn new(own: Own, token: Token, shared: &Shared, spread: Duration) -> Hollow {
-        let life = Box::new(Life::begin(&own, shared, 0));
+impl SimulatedDirector {
+    pub fn new(own: DirectorIdentity, token: Token, shared: &Shared, spread: Duration) -> SimulatedDirector {
+        let life = Box::new(DirectorState::begin(&own, shared, 0));
         let now = Instant::now();
-        let (link, cut) = (Link::Waits(now + spread), Vec::new());
-        Hollow { own, token, life, link, called: now, before: 0, cut, slow: false }
+        let (link, cut) = (ConnectionPhase::Waits(now + spread), Vec::new());
+        SimulatedDirector { own, token, life, link, called: now, before: 0, cut, slow: false }
     }
 
     pub fn is_on(&self) -> bool {
-        !matches!(self.link, Link::Off)
+        !matches!(self.link, ConnectionPhase::Off)
     }
 
     /// Its call was answered once in this life.
@@ -252,8 +259,8 @@
 
     /// It forgets all that it knew.
     pub fn kill(&mut self, shared: &mut Shared) {
-        let link = std::mem::replace(&mut self.link, Link::Off);
-        self.drop_link(link, shared);
+        let link = std::mem::replace(&mut self.link, ConnectionPhase::Off);
+        self.drop_connection(link, shared);
     }
 
     pub fn start(&mut self, shared: &mut Shared) {
@@ -261,16 +268,16 @@
             return;
         }
         let behind = shared.tick.most;
-        *self.life = Life::begin(&self.own, shared, behind);
+        *self.life = DirectorState::begin(&self.own, shared, behind);
         shared.found.restarts += 1;
-        self.link = Link::Waits(Instant::now());
+        self.link = ConnectionPhase::Waits(Instant::now());
     }
 
-    fn drop_link(&mut self, link: Link, shared: &mut Shared) {
+    fn drop_connection(&mut self, link: ConnectionPhase, shared: &mut Shared) {
         let address = self.life.feeds.current();
         let socket = match link {
-            Link::Open(open) => open.socket,
-            Link::Dials(Some(socket), _) => socket,
+            ConnectionPhase::Open(open) => open.socket,
+            ConnectionPhase::Dials(Some(socket), _) => socket,
             _ => return,
         };
         // Nobody at the other end hears of it before the cut is healed.
@@ -283,14 +290,20 @@
     pub fn tick(&mut self, shared: &mut Shared, registry: &Registry) {
         let limits = &shared.config.limits;
         let done = match &mut self.link {
-            Link::Off => return,
-            Link::Waits(until) if Instant::now() < *until => return,
-            Link::Waits(_) => return self.call(shared, registry),
-            Link::Dials(_, since) if since.elapsed() < Duration::from_nanos(limits.connect_timeout) => return,
-            Link::Dials(..) => Err(Over::Failed),
-            Link::Open(open) if open.heard.elapsed() >= limits.feed_silence_timeout => Err(Over::Failed),
-            Link::Open(_) if self.slow => self.read(shared, 1),
-            Link::Open(_) => return,
+            ConnectionPhase::Off => return,
+            ConnectionPhase::Waits(until) if Instant::now() < *until => return,
+            ConnectionPhase::Waits(_) => return self.call(shared, registry),
+            ConnectionPhase::Dials(_, since)
+                if since.elapsed() < Duration::from_nanos(limits.connect_timeout) =>
+            {
+                return;
+            }
+            ConnectionPhase::Dials(..) => Err(ConnectionEnd::Failed),
+            ConnectionPhase::Open(open) if open.heard.elapsed() >= limits.feed_silence_timeout => {
+                Err(ConnectionEnd::Failed)
+            }
+            ConnectionPhase::Open(_) if self.slow => self.read(shared, 1),
+            ConnectionPhase::Open(_) => return,
         };
         self.ended(done, shared);
     }
@@ -300,11 +313,11 @@
         (self.called, self.before) = (Instant::now(), self.last());
         let at = self.life.feeds.current();
         if self.cut.contains(&at) {
-            self.link = Link::Dials(None, self.called);
+            self.link = ConnectionPhase::Dials(None, self.called);
             return;
         }
         match self.dial(at, registry) {
-            Ok(socket) => self.link = Link::Dials(Some(socket), self.called),
+            Ok(socket) => self.link = ConnectionPhase::Dials(Some(socket), self.called),
             Err(e) => self.ended(Err(e.into()), shared),
         }
     }
@@ -321,12 +334,12 @@
         self.ended(done, shared);
     }
 
-    fn on_ready(&mut self, shared: &mut Shared) -> Result<(), Over> {
+    fn on_ready(&mut self, shared: &mut Shared) -> Result<(), ConnectionEnd> {
         let at = self.life.feeds.current();
         if self.cut.contains(&at) {
             return Ok(());
         }
-        if let Link::Dials(socket, _) = &mut self.link {
+        if let ConnectionPhase::Dials(socket, _) = &mut self.link {
             let Some(open) = socket else { return Ok(()) };
             if let Some(e) = open.take_error()? {
                 return Err(e.into());
@@ -342,24 +355,30 @@
             shared.tick.bytes_out += asks.len() as u64;
             let stream = EventStreamParser::new(shared.config.limits.max_feed_event_bytes);
             let Some(socket) = socket.take() else { return Ok(()) };
-            self.link = Link::Open(Box::new(Open { socket, stream, heard: Instant::now() }));
+            self.link =
+                ConnectionPhase::Open(Box::new(OpenConnection { socket, stream, heard: Instant::now() }));
         }
         if self.slow { Ok(()) } else { self.read(shared, 16 << 10) }
     }
 
-    fn read(&mut self, shared: &mut Shared, most: usize) -> Result<(), Over> {
+    fn read(&mut self, shared: &mut Shared, most: usize) -> Result<(), ConnectionEnd> {
         let mut bytes = [0; 16 << 10];
         loop {
-            let Link::Open(open) = &mut self.link else { return Ok(()) };
+            let ConnectionPhase::Open(open) = &mut self.link else { return Ok(()) };
             match open.socket.read(&mut bytes[..most]) {
-                Ok(0) => return Err(open.stream.finish().map_or(Over::Failed, |()| Over::Ended)),
+                Ok(0) => {
+                    return Err(open
+                        .stream
+                        .finish()
+                        .map_or(ConnectionEnd::Failed, |()| ConnectionEnd::Ended));
+                }
                 Ok(n) => {
                     shared.tick.reads += 1;
                     shared.tick.bytes_in += n as u64;
                     open.heard = Instant::now();
                     open.stream.push(&bytes[..n]);
-                    while let Link::Open(open) = &mut self.link
-                        && let Some(said) = open.stream.next_item().map_err(|_| Over::Failed)?
+                    while let ConnectionPhase::Open(open) = &mut self.link
+                        && let Some(said) = open.stream.next_item().map_err(|_| ConnectionEnd::Failed)?
                     {
                         match said {
                             StreamItem::Connected => {
@@ -381,7 +400,7 @@
         }
     }
 
-    fn event(&mut self, id: Option<u64>, data: &str, shared: &mut Shared) -> Result<(), Over> {
+    fn event(&mut self, id: Option<u64>, data: &str, shared: &mut Shared) -> Result<(), ConnectionEnd> {
         let value: Result<Value, String> = serde_json::from_str(data).map_err(|e| e.to_string());
         let parsed = value.as_ref().map_err(String::clone).and_then(NumberedEvent::from_json);
         match self.life.cursor.classify(id, parsed.map(|e| (e.number, e.event))) {
@@ -399,7 +418,7 @@
             EventVerdict::Duplicate => {}
             EventVerdict::Resubscribe(_) => {
                 shared.tick.gaps += 1;
-                return Err(Over::Again);
+                return Err(ConnectionEnd::Again);
             }
             EventVerdict::Skip { .. } => shared.tick.skipped += 1,
         }
@@ -407,21 +426,21 @@
     }
 
     /// The rules of the follower on whom to call next, and when.
-    fn ended(&mut self, done: Result<(), Over>, shared: &mut Shared) {
+    fn ended(&mut self, done: Result<(), ConnectionEnd>, shared: &mut Shared) {
         let Err(over) = done else { return };
-        let link = std::mem::replace(&mut self.link, Link::Off);
-        self.drop_link(link, shared);
+        let link = std::mem::replace(&mut self.link, ConnectionPhase::Off);
+        self.drop_connection(link, shared);
         match over {
-            Over::Failed => self.life.feeds.on_failed(shared.began.elapsed()),
-            Over::Ended => self.life.feeds.on_stream_ended(shared.began.elapsed()),
-            Over::Again => {}
+            ConnectionEnd::Failed => self.life.feeds.on_failed(shared.began.elapsed()),
+            ConnectionEnd::Ended => self.life.feeds.on_stream_ended(shared.began.elapsed()),
+            ConnectionEnd::Again => {}
         }
         let pause = shared.config.limits.feed_retry_delay;
         let early = self.last() == self.before && self.called.elapsed() < pause;
-        self.link = Link::Waits(Instant::now() + if early { pause } else { Duration::ZERO });
+        self.link = ConnectionPhase::Waits(Instant::now() + if early { pause } else { Duration::ZERO });
     }
 
-    pub fn finish(&self, told: &[Told], list: &[(u32, bool)], binds_ms: u64, shared: &mut Shared) {
+    pub fn finish(&self, told: &[PublishedEvent], list: &[(u32, bool)], binds_ms: u64, shared: &mut Shared) {
         let known = shared.config.known.last;
         self.life.finish(told, list, known, binds_ms, &mut shared.found);
     }
--- a/crates/testbed/src/scale/source.rs
+++ b/crates/testbed/src/scale/source.rs
@@ -14,11 +14,11 @@
 use sablecross_relay_server::settings::MemberForm;
 use serde_json::{Value, json};
 
+use super::pool_messages::{PublishedEvent, shared_ns};
 use super::settings::Scale;
-use super::words::{Told, shared_ns};
-use crate::acts::pause;
-use crate::feed::Feed;
-use crate::node::{lock, spawn, unix_ms};
+use crate::discovery_stub::DiscoveryStub;
+use crate::node_stub::{lock, spawn, unix_ms};
+use crate::schedule::exponential_interval;
 
 const PATIENCE: Duration = Duration::from_secs(2);
 /// The longest status that is read.
@@ -29,7 +29,7 @@
 /// Where events go.
 #[derive(Clone)]
 pub enum Outlet {
-    Star(Feed),
+    Star(DiscoveryStub),
     /// The voters: the owner moves among them.
     Relays(Vec<MemberForm>),
 }
@@ -49,7 +49,7 @@
 
 /// One that publishes, one event after the other.
 enum Publisher {
-    Star(Feed),
+    Star(DiscoveryStub),
     Relays { to: publisher::Publisher, again: Arc<AtomicUsize>, given_up: Arc<AtomicBool> },
 }
 
@@ -57,7 +57,7 @@
     /// The number that it got; nothing, once the trial has given up.
     fn publish(&mut self, event: &str, mark: &str) -> Option<u64> {
         let (to, again, given_up) = match self {
-            Publisher::Star(feed) => return Some(feed.tell(event)),
+            Publisher::Star(feed) => return Some(feed.publish(event)),
             Publisher::Relays { to, again, given_up } => (to, again, given_up),
         };
         let event = format!("{{{event}}}");
@@ -193,7 +193,8 @@
     /// Tells the whole list first; its number.
     pub fn start(s: &Scale, outlet: Outlet) -> Option<(Source, u64)> {
         let mut rng = Pcg32::seed_from_u64(s.seed);
-        let due = [s.purges, s.changes].map(|r| if r > 0.0 { pause(&mut rng, r) } else { f64::INFINITY });
+        let due = [s.purges, s.changes]
+            .map(|r| if r > 0.0 { exponential_interval(&mut rng, r) } else { f64::INFINITY });
         let source = Source {
             all: All::default(),
             list: Arc::new(Mutex::new(List::of(s))),
@@ -251,7 +252,7 @@
     pub fn step(&mut self, s: &Scale, now: f64) {
         for (which, rate) in [s.purges, s.changes].into_iter().enumerate() {
             while self.due[which] <= now {
-                self.due[which] += pause(&mut self.rng, rate);
+                self.due[which] += exponential_interval(&mut self.rng, rate);
                 self.hand_on(which == 1);
             }
         }
@@ -285,11 +286,11 @@
         lock(&self.all).clone()
     }
 
-    pub fn told(&self) -> Vec<Told> {
+    pub fn told(&self) -> Vec<PublishedEvent> {
         let all = lock(&self.all);
         let numbered =
             all.iter().enumerate().filter_map(|(n, p)| Some((n as u32 + 1, p.purged_ms, p.number?)));
-        numbered.map(|(content, purged_ms, number)| Told { number, content, purged_ms }).collect()
+        numbered.map(|(content, purged_ms, number)| PublishedEvent { number, content, purged_ms }).collect()
     }
 
     /// Of each node its last change, and whether it has gone.
--- a/crates/testbed/src/scale/tier.rs
+++ b/crates/testbed/src/scale/tier.rs
@@ -13,9 +13,9 @@
 
 use super::settings::Scale;
 use super::source::owner;
-use crate::directors::Ports;
-use crate::fleet::ways::{Held, Pair, Planned, Ways};
-use crate::process::{Failed, Process, io_error};
+use crate::director_process::PortAllocator;
+use crate::fleet::link_proxy::{HeldDirections, LinkProxies, Pair, PlannedLink};
+use crate::process::{ChildProcess, TrialError, io_error};
 
 const WITHIN: Duration = Duration::from_secs(30);
 
@@ -27,45 +27,45 @@
     pub at: SocketAddr,
     file: PathBuf,
     log: PathBuf,
-    process: Process,
+    process: ChildProcess,
     /// CPU seconds of its lives before this one.
     used: f64,
     pub down: bool,
 }
 
 impl Relay {
-    fn spawn(program: Program, file: &Path, log: &Path) -> Result<Process, Failed> {
+    fn spawn(program: Program, file: &Path, log: &Path) -> Result<ChildProcess, TrialError> {
         let mut command = program(&["relay", "run", "--with-parent"]);
         command.arg(file).stdout(Stdio::null());
-        Process::start(&mut command, log, "a relay")
+        ChildProcess::start(&mut command, log, "a relay")
     }
 
     pub fn cpu(&self) -> f64 {
-        self.used + if self.down { 0.0 } else { self.process.cpu() }
+        self.used + if self.down { 0.0 } else { self.process.cpu_seconds() }
     }
 
     pub fn memory(&self) -> f64 {
-        self.process.memory()
+        self.process.resident_mb()
     }
 
     pub fn signal(&self, signal: Signal) {
         self.process.signal(signal);
     }
 
-    pub fn kill(&mut self) -> Result<(), Failed> {
+    pub fn kill(&mut self) -> Result<(), TrialError> {
         (self.used, self.down) = (self.cpu(), true);
         self.process.kill().map_err(io_error("a relay's end"))
     }
 
-    pub fn start(&mut self, program: Program) -> Result<(), Failed> {
+    pub fn start(&mut self, program: Program) -> Result<(), TrialError> {
         self.process = Relay::spawn(program, &self.file, &self.log)?;
         self.down = false;
         Ok(())
     }
 
     /// It serves nobody, or has no owner to follow.
-    fn silent(&self) -> Failed {
-        Failed::NotServing {
+    fn silent(&self) -> TrialError {
+        TrialError::NotServing {
             name: self.name.clone(),
             within: WITHIN.as_secs(),
             log: self.log.display().to_string(),
@@ -74,7 +74,7 @@
 
     /// Whether it ended by itself.
     pub fn ended(&mut self) -> bool {
-        !self.down && self.process.ended()
+        !self.down && self.process.has_exited()
     }
 }
 
@@ -85,12 +85,12 @@
     pub feeds: Vec<SocketAddr>,
     voters: usize,
     regions: usize,
-    ways: Ways,
+    ways: LinkProxies,
 }
 
 impl Tier {
-    pub fn star(feed: SocketAddr, over: &Arc<AtomicBool>) -> Result<Tier, Failed> {
-        let ways = Ways::between(Vec::new(), over).map_err(io_error("links"))?;
+    pub fn star(feed: SocketAddr, over: &Arc<AtomicBool>) -> Result<Tier, TrialError> {
+        let ways = LinkProxies::between(Vec::new(), over).map_err(io_error("links"))?;
         Ok(Tier { relays: Vec::new(), feeds: vec![feed], voters: 0, regions: 1, ways })
     }
 
@@ -101,18 +101,18 @@
         folder: &Path,
         source: Option<SocketAddr>,
         over: &Arc<AtomicBool>,
-    ) -> Result<Tier, Failed> {
-        let mut ports = Ports::new();
+    ) -> Result<Tier, TrialError> {
+        let mut ports = PortAllocator::new();
         let mut feeds: Vec<SocketAddr> = Vec::new();
         while feeds.len() < s.relays {
-            let at = ports.next().map_err(io_error("a port"))?;
+            let at = ports.allocate().map_err(io_error("a port"))?;
             if !feeds.contains(&at) {
                 feeds.push(at);
             }
         }
         let pairs = (0..s.relays).flat_map(|a| (0..s.relays).map(move |b| (a, b))).filter(|(a, b)| a != b);
-        let planned = pairs.map(|pair| Planned { pair, to: feeds[pair.1], from: Ipv4Addr::LOCALHOST });
-        let ways = Ways::between(planned.collect(), over).map_err(io_error("links between relays"))?;
+        let planned = pairs.map(|pair| PlannedLink { pair, to: feeds[pair.1], from: Ipv4Addr::LOCALHOST });
+        let ways = LinkProxies::between(planned.collect(), over).map_err(io_error("links between relays"))?;
         let mut relays = Vec::new();
         for (n, at) in feeds.iter().enumerate() {
             let (file, log) = (folder.join(format!("relay-{n}.scm")), folder.join(format!("relay-{n}.log")));
@@ -154,7 +154,7 @@
         own: usize,
         feeds: &[SocketAddr],
         source: Option<SocketAddr>,
-        ways: &Ways,
+        ways: &LinkProxies,
     ) -> String {
         let mut text = format!(
             "(relay (number . {own}) (batch-ms . {}) (ack-ms . {}) (missed-ms . {}) (cleared-ms . {CLEARED_MS}) (held-ms . {}) \
@@ -206,8 +206,8 @@
         self.voters + chance % (self.relays.len() - self.voters).max(1)
     }
 
-    pub fn holds(&self, which: impl Fn(&Pair) -> bool, held: Held) {
-        self.ways.pairs().filter(|p| which(p)).for_each(|p| self.ways.holds(*p, held));
+    pub fn holds(&self, which: impl Fn(&Pair) -> bool, held: HeldDirections) {
+        self.ways.pairs().filter(|p| which(p)).for_each(|p| self.ways.hold(*p, held));
     }
 
     /// Bytes that a relay asked others, was answered by them, was asked by them and answered them.
--- a/crates/testbed/src/settings.rs
+++ b/crates/testbed/src/settings.rs
@@ -23,7 +23,7 @@
     #[garde(range(min = 2, max = 3600))]
     pub seconds: u64,
     #[garde(range(max = 600))]
-    #[serde(default = "warm_up")]
+    #[serde(default = "default_warm_up")]
     pub warm_up: u64,
     #[garde(range(min = 1, max = 16))]
     pub directors: usize,
@@ -31,7 +31,7 @@
     pub caches: usize,
     #[garde(range(min = 1, max = 32))]
     #[serde(rename = "uppers")]
-    pub uppers: usize,
+    pub parents: usize,
     /// Lookups a second of all clients together, and objects that they ask for.
     #[garde(range(min = 1, max = 20_000))]
     pub rate: u64,
@@ -40,26 +40,26 @@
     /// Copies that a cache, and an upper cache, keeps.
     #[garde(range(min = 1, max = 1_000_000))]
     #[serde(rename = "kept")]
-    pub kept: usize,
+    pub copies_per_cache: usize,
     #[garde(range(min = 1.0, max = 1e6))]
     pub ceiling: f64,
     /// The part of what it is asked for that each cache is said to answer itself, which plans go by.
     #[garde(range(min = 0.0, max = 1.0))]
-    #[serde(default = "half")]
+    #[serde(default = "default_half")]
     pub hit: f64,
     /// Changes of the hierarchy, one after another; 0: none.
     #[garde(range(max = 1_000))]
     #[serde(default)]
     #[serde(rename = "rewirings")]
-    pub rewirings: usize,
+    pub hierarchy_changes: usize,
     /// Whether upper caches of the tier at the origin may fill from one another, which makes ways longer.
     #[garde(skip)]
-    #[serde(default = "yes")]
+    #[serde(default = "default_true")]
     #[serde(rename = "chains")]
-    pub chains: bool,
+    pub parent_chains: bool,
     /// Whether they are carried out by a plan, or each in one jump.
     #[garde(skip)]
-    #[serde(default = "yes")]
+    #[serde(default = "default_true")]
     pub plan: bool,
     /// Whether versions come late, doubled and out of order, the driver is killed and changes follow closely.
     #[garde(skip)]
@@ -69,27 +69,27 @@
     #[garde(skip)]
     #[serde(default)]
     #[serde(rename = "ways")]
-    pub ways: bool,
+    pub follow_named_path: bool,
     /// Purges of an object a second.
     #[garde(range(max = 100))]
     #[serde(default)]
     pub purges: u64,
 }
 
-fn warm_up() -> u64 {
+fn default_warm_up() -> u64 {
     3
 }
 
-fn half() -> f64 {
+fn default_half() -> f64 {
     0.5
 }
 
-fn yes() -> bool {
+fn default_true() -> bool {
     true
 }
 
 /// The only form of a file, under this word.
-pub(crate) fn only<T>(file: &str, text: &str, word: &str) -> Result<Located<T>, Vec<ConfigError>>
+pub(crate) fn parse_single_form<T>(file: &str, text: &str, word: &str) -> Result<Located<T>, Vec<ConfigError>>
 where
     T: DeserializeOwned + Validate<Context = ()>,
 {
@@ -111,8 +111,8 @@
     Ok(first)
 }
 
-pub fn read(file: &str, text: &str) -> Result<Experiment, Vec<ConfigError>> {
-    let first = only(file, text, "experiment")?;
+pub fn parse(file: &str, text: &str) -> Result<Experiment, Vec<ConfigError>> {
+    let first = parse_single_form(file, text, "experiment")?;
     let Form::Experiment(e) = &first.value;
     if e.warm_up >= e.seconds {
         return Err(vec![first.error(
--- a/crates/testbed/src/soak/clients.rs
+++ b/crates/testbed/src/soak/clients.rs
@@ -11,10 +11,10 @@
 use rand_pcg::Pcg32;
 use rmp::encode;
 
-use super::At;
+use super::Seconds;
 use super::fleet::Director;
-use super::judge::{Effect, Judge, KINDS, LATE, Rule};
-use crate::load::{Answer, any_answer};
+use super::judge::{CLASSES, Effect, Judge, LATE, Rule};
+use crate::client_load::{Response, read_any_response};
 
 /// A request that is written so shortly before its connection ends crosses that end, and is asked again elsewhere.
 const CROSSING: f64 = 0.15;
@@ -24,7 +24,7 @@
 
 /// How a client uses one connection.
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
+enum Behavior {
     Plain,
     /// Its requests come in pieces.
     Slow,
@@ -39,14 +39,14 @@
     Rests,
 }
 
-const WAYS: [(Way, u32); 7] = [
-    (Way::Plain, 40),
-    (Way::Slow, 14),
-    (Way::Goes, 14),
-    (Way::Cancels, 12),
-    (Way::Hurries, 8),
-    (Way::Babbles, 6),
-    (Way::Rests, 6),
+const BEHAVIOR_WEIGHTS: [(Behavior, u32); 7] = [
+    (Behavior::Plain, 40),
+    (Behavior::Slow, 14),
+    (Behavior::Goes, 14),
+    (Behavior::Cancels, 12),
+    (Behavior::Hurries, 8),
+    (Behavior::Babbles, 6),
+    (Behavior::Rests, 6),
 ];
 
 pub struct Client {
@@ -67,7 +67,7 @@
     next: u32,
 }
 
-enum Heard {
+enum ReadOutcome {
     Nothing,
     Ended,
 }
@@ -102,7 +102,7 @@
     pub fn run(self) {
         let mut rng = Pcg32::seed_from_u64(self.seed);
         while !self.over.load(Ordering::Relaxed) {
-            if !self.director.takes() {
+            if !self.director.accepts_requests() {
                 std::thread::sleep(Duration::from_millis(20));
                 continue;
             }
@@ -128,18 +128,18 @@
     /// One connection from its beginning to its end.
     fn serve(&self, mut session: Session, rng: &mut Pcg32) {
         let mut draw = rng.random_range(0..100);
-        let way = WAYS.iter().find(|(_, share)| {
+        let way = BEHAVIOR_WEIGHTS.iter().find(|(_, share)| {
             let here = draw < *share;
             draw = draw.saturating_sub(*share);
             here
         });
-        let way = way.map_or(Way::Plain, |(way, _)| *way);
+        let way = way.map_or(Behavior::Plain, |(way, _)| *way);
         for _ in 0..rng.random_range(1..6) {
-            if self.over.load(Ordering::Relaxed) || !self.director.takes() {
+            if self.over.load(Ordering::Relaxed) || !self.director.accepts_requests() {
                 break;
             }
-            if way == Way::Babbles {
-                let half = request(1, 1, KINDS[0].0, 1, 500, None);
+            if way == Behavior::Babbles {
+                let half = request(1, 1, CLASSES[0].0, 1, 500, None);
                 let bytes = if rng.random() { &half[..30] } else { &b"what is this"[..] };
                 let _ = session.stream.write_all(bytes);
                 std::thread::sleep(Duration::from_millis(rng.random_range(10..300)));
@@ -147,25 +147,25 @@
             }
             let many = if rng.random_range(0..5) == 0 { rng.random_range(2..9) } else { 1 };
             for _ in 0..many {
-                if !self.asks(&mut session, way, rng) {
-                    return self.ended(&mut session);
+                if !self.send_request(&mut session, way, rng) {
+                    return self.on_connection_end(&mut session);
                 }
             }
             match way {
-                Way::Goes => {
+                Behavior::Goes => {
                     std::thread::sleep(Duration::from_millis(rng.random_range(0..30)));
-                    return self.goes(&session, rng.random());
+                    return self.leave(&session, rng.random());
                 }
-                Way::Cancels => {
+                Behavior::Cancels => {
                     std::thread::sleep(Duration::from_millis(rng.random_range(0..20)));
-                    self.cancels(&mut session);
+                    self.cancel_one(&mut session);
                 }
                 _ => {}
             }
-            if !self.awaits(&mut session) {
-                return self.ended(&mut session);
+            if !self.wait_for_answers(&mut session) {
+                return self.on_connection_end(&mut session);
             }
-            let rest = if way == Way::Rests { 3_000..9_000 } else { 1..60 };
+            let rest = if way == Behavior::Rests { 3_000..9_000 } else { 1..60 };
             let rest = Duration::from_millis(rng.random_range(rest));
             let pieces = rest.as_millis() as u64 / 50;
             for _ in 0..=pieces {
@@ -175,23 +175,23 @@
                 std::thread::sleep(rest.min(Duration::from_millis(50)));
             }
         }
-        self.goes(&session, false);
+        self.leave(&session, false);
     }
 
     /// Writes one request; false if its connection has ended.
-    fn asks(&self, session: &mut Session, way: Way, rng: &mut Pcg32) -> bool {
-        let (kind, effect): (&str, Effect) = KINDS[rng.random_range(0..KINDS.len())];
+    fn send_request(&self, session: &mut Session, way: Behavior, rng: &mut Pcg32) -> bool {
+        let (kind, effect): (&str, Effect) = CLASSES[rng.random_range(0..CLASSES.len())];
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let object = 1 + (OBJECTS as f64 * rng.random::<f64>().powi(2)) as u64;
         let budget_ms =
-            if way == Way::Hurries { rng.random_range(1..80) } else { rng.random_range(600..2_000) };
+            if way == Behavior::Hurries { rng.random_range(1..80) } else { rng.random_range(600..2_000) };
         session.next += 1;
         let call = session.next;
         let tag = (rng.random_range(0..8) == 0).then_some("t1");
         let bytes = request(id, call, kind, object, budget_ms, tag);
-        self.judge.asks(id, self.director.number, effect, object, budget_ms as f64 / 1_000.0);
+        self.judge.on_request(id, self.director.number, effect, object, budget_ms as f64 / 1_000.0);
         session.open.insert(call, id);
-        if way != Way::Slow {
+        if way != Behavior::Slow {
             return session.stream.write_all(&bytes).is_ok();
         }
         let cut = rng.random_range(1..bytes.len() - 1);
@@ -200,32 +200,32 @@
             return false;
         }
         std::thread::sleep(Duration::from_millis(rng.random_range(5..200)));
-        self.judge.written(id);
+        self.judge.on_request_written(id);
         session.stream.write_all(rest).is_ok()
     }
 
-    fn goes(&self, session: &Session, by_reset: bool) {
+    fn leave(&self, session: &Session, by_reset: bool) {
         if by_reset {
             let _ = socket2::SockRef::from(&session.stream).set_linger(Some(Duration::ZERO));
         }
         let _ = session.stream.shutdown(Shutdown::Both);
-        session.open.values().for_each(|id| self.judge.gone(*id));
+        session.open.values().for_each(|id| self.judge.on_client_gone(*id));
     }
 
-    fn cancels(&self, session: &mut Session) {
+    fn cancel_one(&self, session: &mut Session) {
         for (call, id) in session.open.drain() {
             let mut out = b"\x93\x02\xadcancelRequest\x91".to_vec();
             let _ = encode::write_uint(&mut out, u64::from(call));
             let _ = session.stream.write_all(&out);
-            self.judge.gone(id);
+            self.judge.on_client_gone(id);
             session.cancelled.insert(call, id);
         }
     }
 
     /// Reads until nothing is open; false if the connection ends before.
-    fn awaits(&self, session: &mut Session) -> bool {
+    fn wait_for_answers(&self, session: &mut Session) -> bool {
         while !session.open.is_empty() {
-            if matches!(self.hears(session), Heard::Ended) {
+            if matches!(self.read_answers(session), ReadOutcome::Ended) {
                 return false;
             }
             let now = self.judge.now();
@@ -233,13 +233,13 @@
                 .open
                 .iter()
                 .filter(|(_, id)| {
-                    self.judge.request(**id).is_none_or(|r| now > r.written + r.budget + LATE + 0.3)
+                    self.judge.request(**id).is_none_or(|r| now > r.written_at + r.budget + LATE + 0.3)
                 })
                 .map(|(call, _)| *call)
                 .collect();
             for call in late {
                 if let Some(id) = session.open.remove(&call) {
-                    self.lost(id, "no answer");
+                    self.on_lost(id, "no answer");
                     session.cancelled.insert(call, id);
                 }
             }
@@ -248,87 +248,89 @@
     }
 
     /// Takes in what has come.
-    fn hears(&self, session: &mut Session) -> Heard {
+    fn read_answers(&self, session: &mut Session) -> ReadOutcome {
         let mut bytes = [0; 16 << 10];
         match session.stream.read(&mut bytes) {
-            Ok(0) => return Heard::Ended,
+            Ok(0) => return ReadOutcome::Ended,
             Ok(n) => session.bytes.extend(&bytes[..n]),
             Err(e)
                 if matches!(
                     e.kind(),
                     ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted
                 ) => {}
-            Err(_) => return Heard::Ended,
+            Err(_) => return ReadOutcome::Ended,
         }
         loop {
             let mut rest = &session.bytes[..];
-            match any_answer(&mut rest) {
+            match read_any_response(&mut rest) {
                 Ok((call, answer)) => {
                     let used = session.bytes.len() - rest.len();
                     session.bytes.drain(..used);
-                    self.answered(session, call, &answer);
+                    self.on_answer(session, call, &answer);
                 }
-                Err(_) => return Heard::Nothing,
+                Err(_) => return ReadOutcome::Nothing,
             }
         }
     }
 
-    fn answered(&self, session: &mut Session, call: u32, answer: &Answer) {
+    fn on_answer(&self, session: &mut Session, call: u32, answer: &Response) {
         let object = match answer {
-            Answer::Satisfied(body) => {
+            Response::Success(body) => {
                 let text = std::str::from_utf8(body.get(..16).unwrap_or_default());
                 text.ok().and_then(|text| u64::from_str_radix(text, 16).ok())
             }
             _ => None,
         };
         let kind = match answer {
-            Answer::Satisfied(_) => "served",
-            Answer::Nacked => "refused",
-            Answer::Failed => "failed",
+            Response::Success(_) => "served",
+            Response::Rejected => "refused",
+            Response::Failed => "failed",
         };
         self.judge.count(kind);
         if let Some(id) = session.open.remove(&call) {
-            self.judge.answered(id, object);
+            self.judge.on_answer(id, object);
         } else if session.cancelled.remove(&call).is_none() {
-            self.judge
-                .breach(Rule::Stray, format!("director {}: an answer to call {call}", self.director.number));
+            self.judge.record_violation(
+                Rule::Stray,
+                format!("director {}: an answer to call {call}", self.director.number),
+            );
         }
     }
 
     /// The connection has ended under what is open on it.
-    fn ended(&self, session: &mut Session) {
+    fn on_connection_end(&self, session: &mut Session) {
         // What came before the end counts.
         for _ in 0..LAST_READS {
-            if session.open.is_empty() || matches!(self.hears(session), Heard::Ended) {
+            if session.open.is_empty() || matches!(self.read_answers(session), ReadOutcome::Ended) {
                 break;
             }
         }
-        let now: At = self.judge.now();
+        let now: Seconds = self.judge.now();
         for id in std::mem::take(&mut session.open).into_values() {
             let Some(request) = self.judge.request(id) else { continue };
-            if now < request.written + CROSSING {
-                self.judge.gone(id);
+            if now < request.written_at + CROSSING {
+                self.judge.on_client_gone(id);
                 self.judge.count("requests that crossed the end of their connection");
-            } else if self.director.breaks() {
+            } else if self.director.may_break_connections() {
                 self.judge.count("requests on connections that broke by themselves");
             } else {
-                self.lost(id, "its connection was closed");
+                self.on_lost(id, "its connection was closed");
             }
         }
     }
 
-    fn lost(&self, id: u64, why: &str) {
+    fn on_lost(&self, id: u64, why: &str) {
         let Some(request) = self.judge.request(id) else { return };
-        if self.director.excuses(request.written, request.budget) {
+        if self.director.excuses(request.written_at, request.budget) {
             self.judge.count("requests in the hand of a director that was killed or stopped");
         } else {
             let number = self.director.number;
-            let after = self.judge.now() - request.written;
+            let after = self.judge.now() - request.written_at;
             let what = format!(
                 "request {id:016x} at director {number}: {why}, {after:.3} s after it was written, budget {:.3}",
                 request.budget
             );
-            self.judge.breach(Rule::Lost, what);
+            self.judge.record_violation(Rule::Lost, what);
         }
     }
 }
--- a/crates/testbed/src/soak/discovery.rs
+++ b/crates/testbed/src/soak/discovery.rs
@@ -7,13 +7,13 @@
 
 use serde_json::Value;
 
-use super::At;
+use super::Seconds;
 use super::judge::Judge;
-use crate::node::{lock, spawn};
+use crate::node_stub::{lock, spawn};
 
 /// What an event tells, for the judge.
 #[derive(Clone, Debug)]
-pub enum News {
+pub enum Notification {
     Drained(usize),
     Ready(usize),
     Purge { object: u64, made_ms: u64 },
@@ -22,14 +22,14 @@
 #[derive(Clone)]
 struct Event {
     text: String,
-    news: Option<News>,
+    news: Option<Notification>,
 }
 
 #[derive(Default)]
 struct State {
     events: Vec<Event>,
-    down_until: At,
-    silent_until: At,
+    down_until: Seconds,
+    silent_until: Seconds,
     links: Vec<Arc<TcpStream>>,
 }
 
@@ -64,7 +64,7 @@
     }
 
     /// An event without its number, which is added.
-    pub fn tell(&self, event: &str, news: Option<News>) {
+    pub fn publish(&self, event: &str, news: Option<Notification>) {
         let mut state = lock(&self.state);
         let number = state.events.len() + 1;
         state.events.push(Event { text: format!("{{\"n\":{number},{event}}}"), news });
@@ -81,7 +81,7 @@
         events.iter().take(many).filter_map(|e| e.news.as_ref()).for_each(|news| self.note(director, news));
     }
 
-    pub fn goes_down(&self, lasts: f64) {
+    pub fn interrupt(&self, lasts: f64) {
         let mut state = lock(&self.state);
         state.down_until = self.judge.now() + lasts;
         for link in std::mem::take(&mut state.links) {
@@ -89,15 +89,17 @@
         }
     }
 
-    pub fn falls_silent(&self, lasts: f64) {
+    pub fn fall_silent(&self, lasts: f64) {
         lock(&self.state).silent_until = self.judge.now() + lasts;
     }
 
-    fn note(&self, director: usize, news: &News) {
+    fn note(&self, director: usize, news: &Notification) {
         match news {
-            News::Drained(node) => self.judge.told_drained(director, *node),
-            News::Ready(node) => self.judge.told_ready(director, *node),
-            News::Purge { object, made_ms } => self.judge.told_purge(director, *object, *made_ms),
+            Notification::Drained(node) => self.judge.on_notified_drained(director, *node),
+            Notification::Ready(node) => self.judge.on_notified_ready(director, *node),
+            Notification::Purge { object, made_ms } => {
+                self.judge.on_notified_purge(director, *object, *made_ms)
+            }
         }
     }
 
@@ -152,7 +154,7 @@
 pub fn note_all(discovery: &Arc<Discovery>, directors: usize) {
     let discovery = Arc::clone(discovery);
     spawn(move || {
-        let mut heard: Vec<At> = Vec::new();
+        let mut heard: Vec<Seconds> = Vec::new();
         let (mut noted, mut away) = (0, 0.0f64);
         loop {
             let now = discovery.judge.now();
--- a/crates/testbed/src/soak/troubles.rs
+++ b/crates/testbed/src/soak/faults.rs
@@ -3,11 +3,11 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
-use super::nodes::Mode;
-use super::{At, Options};
+use super::nodes::Misbehavior;
+use super::{Options, Seconds};
 
 #[derive(Clone, Debug)]
-pub enum Trouble {
+pub enum Fault {
     /// Told to end, then started again.
     Restart(usize),
     /// Killed, then started again.
@@ -25,14 +25,14 @@
     Purge(u64),
     /// A node drains, goes, and another takes its place, cold.
     Replace(usize),
-    Misbehave(usize, Mode, f64),
+    Misbehave(usize, Misbehavior, f64),
     DropConnections(usize, bool),
     /// New connections to it come up late.
     ConnectLate(usize, f64),
 }
 
 /// System calls that fail for a moment. Those that break connections are marked by their errors.
-const FAULTS: [&str; 16] = [
+const SYSTEM_CALL_FAULTS: [&str; 16] = [
     "fail accept ECONNABORTED",
     "fail accept ENFILE",
     "fail accept EMFILE",
@@ -55,61 +55,61 @@
     ["ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET", "ECONNABORTED"].iter().any(|error| fault.contains(error))
 }
 
-const MODES: [Mode; 8] = [
-    Mode::Hangs,
-    Mode::Stuck,
-    Mode::Resets,
-    Mode::Full,
-    Mode::Errors,
-    Mode::Garbage,
-    Mode::Twice,
-    Mode::WrongTag,
+const MISBEHAVIORS: [Misbehavior; 8] = [
+    Misbehavior::Hangs,
+    Misbehavior::Stuck,
+    Misbehavior::Resets,
+    Misbehavior::Full,
+    Misbehavior::Errors,
+    Misbehavior::Garbage,
+    Misbehavior::Twice,
+    Misbehavior::WrongTag,
 ];
 
 /// Seconds between two rounds, and within one between its troubles at most.
 const ROUND: f64 = 1.5;
-const APART: f64 = 0.4;
+const WITHIN_ROUND: f64 = 0.4;
 
 /// Directors that share one series of rounds, and how often a trouble strikes the one that the round is about.
 const GROUP: usize = 4;
 const SAME: f64 = 0.7;
 
-fn draw(rng: &mut Pcg32, o: &Options, victim: usize) -> Trouble {
+fn draw(rng: &mut Pcg32, o: &Options, victim: usize) -> Fault {
     let director = if rng.random::<f64>() < SAME { victim } else { rng.random_range(0..o.directors) };
     let node = rng.random_range(0..o.caches + 2);
     let cache = rng.random_range(0..o.caches);
     match rng.random_range(0..16) {
-        0 | 1 => Trouble::Restart(director),
-        2 => Trouble::Kill(director),
-        3 => Trouble::StandStill(director, 0.1 + 1.2 * rng.random::<f64>()),
-        4 => Trouble::Reload(director),
+        0 | 1 => Fault::Restart(director),
+        2 => Fault::Kill(director),
+        3 => Fault::StandStill(director, 0.1 + 1.2 * rng.random::<f64>()),
+        4 => Fault::Reload(director),
         5 | 6 if o.fault_library.is_some() => {
-            let fault = FAULTS[rng.random_range(0..FAULTS.len())];
-            Trouble::Fault(director, fault, 0.05 + 0.35 * rng.random::<f64>())
+            let fault = SYSTEM_CALL_FAULTS[rng.random_range(0..SYSTEM_CALL_FAULTS.len())];
+            Fault::Fault(director, fault, 0.05 + 0.35 * rng.random::<f64>())
         }
         7 if o.fault_library.is_some() => {
             let step = [3_600_000, -3_600_000, 5_000, -5_000][rng.random_range(0..4)];
             if rng.random() {
-                Trouble::ClockStep(director, step)
+                Fault::ClockStep(director, step)
             } else {
-                Trouble::KillUnderClock(director, step)
+                Fault::KillUnderClock(director, step)
             }
         }
-        8 => Trouble::DiscoveryDown(0.5 + 3.0 * rng.random::<f64>()),
-        9 => Trouble::DiscoverySilent(1.0 + 3.0 * rng.random::<f64>()),
-        10 | 14 => Trouble::Purge(1 + rng.random_range(0..super::clients::OBJECTS)),
-        11 => Trouble::Replace(cache),
-        12 => Trouble::DropConnections(node, rng.random()),
-        13 => Trouble::ConnectLate(node, 0.5 + rng.random::<f64>()),
+        8 => Fault::DiscoveryDown(0.5 + 3.0 * rng.random::<f64>()),
+        9 => Fault::DiscoverySilent(1.0 + 3.0 * rng.random::<f64>()),
+        10 | 14 => Fault::Purge(1 + rng.random_range(0..super::clients::OBJECTS)),
+        11 => Fault::Replace(cache),
+        12 => Fault::DropConnections(node, rng.random()),
+        13 => Fault::ConnectLate(node, 0.5 + rng.random::<f64>()),
         _ => {
-            let mode = MODES[rng.random_range(0..MODES.len())];
-            Trouble::Misbehave(node, mode, 0.3 + 2.0 * rng.random::<f64>())
+            let mode = MISBEHAVIORS[rng.random_range(0..MISBEHAVIORS.len())];
+            Fault::Misbehave(node, mode, 0.3 + 2.0 * rng.random::<f64>())
         }
     }
 }
 
 /// All troubles of a soak with their times, in order.
-pub fn plan(o: &Options) -> Vec<(At, Trouble)> {
+pub fn plan(o: &Options) -> Vec<(Seconds, Fault)> {
     let mut rng = Pcg32::seed_from_u64(o.seed);
     let mut all = Vec::new();
     for group in 0..o.directors.div_ceil(GROUP) {
@@ -119,7 +119,7 @@
         while at < o.seconds as f64 - 1.0 {
             let victim = rng.random_range(from..to);
             for _ in 0..rng.random_range(2..=3) {
-                all.push((at + APART * rng.random::<f64>(), draw(&mut rng, o, victim)));
+                all.push((at + WITHIN_ROUND * rng.random::<f64>(), draw(&mut rng, o, victim)));
             }
             at += ROUND * (0.6 + 0.8 * rng.random::<f64>());
         }
--- a/crates/testbed/src/soak/judge.rs
+++ b/crates/testbed/src/soak/judge.rs
@@ -5,8 +5,8 @@
 use std::sync::Mutex;
 use std::time::Instant;
 
-use super::At;
-use crate::node::lock;
+use super::Seconds;
+use crate::node_stub::lock;
 
 /// Slack of the rules, and that of this program, whose threads may be late as well.
 const WAIT_SLACK: f64 = 0.15;
@@ -17,11 +17,11 @@
 pub const DRAIN_GRACE: f64 = 2.0;
 pub const PURGE_GRACE: f64 = 1.0;
 /// How long nodes know a repeat of a deduplicated request.
-pub const MEMORY: f64 = 1.5;
+pub const DEDUPLICATION_WINDOW: f64 = 1.5;
 /// Slow start: where a node begins, how long it takes, at how many times its capacity it falls.
-pub const COLD_FROM: f64 = 0.25;
-pub const WARM_AFTER: f64 = 6.0;
-pub const FALL_MULTIPLE: f64 = 2.0;
+pub const SLOW_START_INITIAL_SHARE: f64 = 0.25;
+pub const SLOW_START_WINDOW: f64 = 6.0;
+pub const COLLAPSE_MULTIPLE: f64 = 2.0;
 
 /// A rule that was broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -53,13 +53,13 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Breach {
+pub struct Violation {
     pub rule: Rule,
-    pub at: At,
+    pub at: Seconds,
     pub what: String,
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:>7.3} s {:?}: {}", self.at, self.rule, self.what)
     }
@@ -73,7 +73,7 @@
     AtMostOnce,
 }
 
-pub const KINDS: [(&str, Effect); 3] =
+pub const CLASSES: [(&str, Effect); 3] =
     [("read", Effect::Idempotent), ("order", Effect::Deduplicated), ("charge", Effect::AtMostOnce)];
 
 #[derive(Clone, Debug)]
@@ -82,13 +82,13 @@
     pub effect: Effect,
     pub object: u64,
     /// When its last byte was written, and how long its client waits from then.
-    pub written: At,
+    pub written_at: Seconds,
     pub budget: f64,
     /// When its client closed or cancelled.
-    pub gone: Option<At>,
+    pub client_gone_at: Option<Seconds>,
     pub answered: bool,
     /// When each attempt of it ran.
-    ran: Vec<At>,
+    executed_at: Vec<Seconds>,
 }
 
 /// An attempt as its node sees it.
@@ -104,41 +104,41 @@
 
 /// What one director was told, and when.
 #[derive(Clone, Debug, Default)]
-struct Told {
+struct Notified {
     /// Nodes that drain or have gone.
-    drained: HashMap<usize, At>,
+    drained: HashMap<usize, Seconds>,
     /// By object: when it was told, and when the purge was made, in Unix milliseconds.
-    purged: HashMap<u64, (At, u64)>,
+    purged: HashMap<u64, (Seconds, u64)>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Cold {
-    since: At,
+struct ColdNode {
+    since: Seconds,
     capacity: f64,
-    calls: Vec<At>,
+    calls: Vec<Seconds>,
     reported: bool,
 }
 
 #[derive(Default)]
-struct Inner {
+struct JudgeState {
     requests: HashMap<u64, Request>,
-    told: HashMap<usize, Told>,
-    cold: HashMap<usize, Cold>,
-    breaches: Vec<Breach>,
+    told: HashMap<usize, Notified>,
+    cold: HashMap<usize, ColdNode>,
+    breaches: Vec<Violation>,
     counts: BTreeMap<&'static str, u64>,
 }
 
 pub struct Judge {
     began: Instant,
-    inner: Mutex<Inner>,
+    inner: Mutex<JudgeState>,
 }
 
 impl Judge {
-    pub fn begin() -> Judge {
+    pub fn new() -> Judge {
         Judge { began: Instant::now(), inner: Mutex::default() }
     }
 
-    pub fn now(&self) -> At {
+    pub fn now(&self) -> Seconds {
         self.began.elapsed().as_secs_f64()
     }
 
@@ -146,12 +146,12 @@
         *lock(&self.inner).counts.entry(what).or_default() += 1;
     }
 
-    pub fn breach(&self, rule: Rule, what: String) {
+    pub fn record_violation(&self, rule: Rule, what: String) {
         let at = self.now();
-        lock(&self.inner).breaches.push(Breach { rule, at, what });
+        lock(&self.inner).breaches.push(Violation { rule, at, what });
     }
 
-    pub fn close(&self) -> (Vec<Breach>, BTreeMap<&'static str, u64>) {
+    pub fn finish(&self) -> (Vec<Violation>, BTreeMap<&'static str, u64>) {
         let mut inner = lock(&self.inner);
         (std::mem::take(&mut inner.breaches), std::mem::take(&mut inner.counts))
     }
@@ -159,27 +159,36 @@
     // ---- clients ----
 
     /// A request is about to be written to its end.
-    pub fn asks(&self, id: u64, director: usize, effect: Effect, object: u64, budget: f64) {
+    pub fn on_request(&self, id: u64, director: usize, effect: Effect, object: u64, budget: f64) {
         let written = self.now();
         let ran = Vec::new();
-        let request = Request { director, effect, object, written, budget, gone: None, answered: false, ran };
+        let request = Request {
+            director,
+            effect,
+            object,
+            written_at: written,
+            budget,
+            client_gone_at: None,
+            answered: false,
+            executed_at: ran,
+        };
         let mut inner = lock(&self.inner);
         inner.requests.insert(id, request);
         *inner.counts.entry("requests").or_default() += 1;
     }
 
     /// Its last byte leaves now.
-    pub fn written(&self, id: u64) {
+    pub fn on_request_written(&self, id: u64) {
         let now = self.now();
         if let Some(request) = lock(&self.inner).requests.get_mut(&id) {
-            request.written = now;
+            request.written_at = now;
         }
     }
 
-    pub fn gone(&self, id: u64) {
+    pub fn on_client_gone(&self, id: u64) {
         let now = self.now();
         if let Some(request) = lock(&self.inner).requests.get_mut(&id) {
-            request.gone.get_or_insert(now);
+            request.client_gone_at.get_or_insert(now);
         }
     }
 
@@ -188,23 +197,26 @@
     }
 
     /// An answer, with the object that its bytes name if it was served.
-    pub fn answered(&self, id: u64, object: Option<u64>) {
+    pub fn on_answer(&self, id: u64, object: Option<u64>) {
         let now = self.now();
         let found = {
             let mut inner = lock(&self.inner);
             *inner.counts.entry("answers").or_default() += 1;
             let Some(request) = inner.requests.get_mut(&id) else { return };
             let twice = std::mem::replace(&mut request.answered, true);
-            let late = now > request.written + request.budget + LATE + OWN_SLACK;
+            let late = now > request.written_at + request.budget + LATE + OWN_SLACK;
             let wrong = object.is_some_and(|o| o != request.object);
             (twice, late, wrong)
         };
         let (twice, late, wrong) = found;
         if twice {
-            self.breach(Rule::Stray, format!("request {id:016x} has a second answer"));
+            self.record_violation(Rule::Stray, format!("request {id:016x} has a second answer"));
         }
         if wrong {
-            self.breach(Rule::WrongBytes, format!("request {id:016x} has the bytes of {object:x?}"));
+            self.record_violation(
+                Rule::WrongBytes,
+                format!("request {id:016x} has the bytes of {object:x?}"),
+            );
         }
         if late {
             self.count("answers long after their time");
@@ -213,18 +225,18 @@
 
     // ---- discovery ----
 
-    pub fn told_drained(&self, director: usize, node: usize) {
+    pub fn on_notified_drained(&self, director: usize, node: usize) {
         let now = self.now();
         let mut inner = lock(&self.inner);
         inner.told.entry(director).or_default().drained.entry(node).or_insert(now);
     }
 
-    pub fn told_ready(&self, director: usize, node: usize) {
+    pub fn on_notified_ready(&self, director: usize, node: usize) {
         let mut inner = lock(&self.inner);
         inner.told.entry(director).or_default().drained.remove(&node);
     }
 
-    pub fn told_purge(&self, director: usize, object: u64, made_ms: u64) {
+    pub fn on_notified_purge(&self, director: usize, object: u64, made_ms: u64) {
         let now = self.now();
         let mut inner = lock(&self.inner);
         let known = inner.told.entry(director).or_default().purged.entry(object).or_insert((now, made_ms));
@@ -235,26 +247,26 @@
 
     // ---- nodes ----
 
-    pub fn starts_cold(&self, node: usize, capacity: f64) {
+    pub fn on_cold_start(&self, node: usize, capacity: f64) {
         let since = self.now();
-        let cold = Cold { since, capacity, ..Cold::default() };
+        let cold = ColdNode { since, capacity, ..ColdNode::default() };
         lock(&self.inner).cold.insert(node, cold);
     }
 
     /// An attempt has come to a node.
-    pub fn attempt(&self, attempt: &Attempt) {
+    pub fn on_attempt(&self, attempt: &Attempt) {
         let now = self.now();
         let mut found: Vec<(Rule, String)> = Vec::new();
         {
             let mut inner = lock(&self.inner);
             *inner.counts.entry("attempts").or_default() += 1;
-            slow_start(&mut inner, attempt.node, now, &mut found);
+            check_slow_start(&mut inner, attempt.node, now, &mut found);
             let id = attempt.request;
             match inner.requests.get(&id) {
                 None => found.push((Rule::Unknown, format!("request {id:016x}"))),
                 Some(request) => {
                     if !attempt.read_late {
-                        timely(request, attempt, now, &mut found);
+                        check_time_and_client(request, attempt, now, &mut found);
                     }
                     let told = inner.told.get(&request.director);
                     for node in [Some(attempt.node), attempt.source].into_iter().flatten() {
@@ -269,34 +281,34 @@
                 }
             }
         }
-        found.into_iter().for_each(|(rule, what)| self.breach(rule, what));
+        found.into_iter().for_each(|(rule, what)| self.record_violation(rule, what));
     }
 
     /// An attempt ran at a node. Whether this repeats an effect that its like have forgotten is judged here; whether
     /// it is a repeat that they know is told.
-    pub fn ran(&self, id: u64) -> bool {
+    pub fn on_executed(&self, id: u64) -> bool {
         let now = self.now();
         let (effect, known, first) = {
             let mut inner = lock(&self.inner);
             let Some(request) = inner.requests.get_mut(&id) else { return false };
-            let first = request.ran.first().copied();
-            request.ran.push(now);
+            let first = request.executed_at.first().copied();
+            request.executed_at.push(now);
             (request.effect, first.is_some(), first)
         };
         let first = first.unwrap_or(now);
         let twice = match effect {
             Effect::Idempotent => false,
             Effect::AtMostOnce => known,
-            Effect::Deduplicated => known && now > first + MEMORY + OWN_SLACK,
+            Effect::Deduplicated => known && now > first + DEDUPLICATION_WINDOW + OWN_SLACK,
         };
         if twice {
-            self.breach(Rule::EffectTwice, format!("request {id:016x} ran at {first:.3} and now"));
+            self.record_violation(Rule::EffectTwice, format!("request {id:016x} ran at {first:.3} and now"));
         }
         known
     }
 
     /// A copy was given out for an attempt that came then.
-    pub fn served(&self, id: u64, came: At, issued_ms: u64) {
+    pub fn on_served(&self, id: u64, came: Seconds, issued_ms: u64) {
         let broken = {
             let inner = lock(&self.inner);
             let Some(request) = inner.requests.get(&id) else { return };
@@ -307,36 +319,41 @@
         if let Some((told, made)) = broken {
             let older = made - issued_ms;
             let what = format!("request {id:016x}: a copy {older} ms older than a purge told at {told:.3}");
-            self.breach(Rule::Purged, what);
+            self.record_violation(Rule::Purged, what);
         }
     }
 }
 
 /// The time told to the node, and that its client is there.
-fn timely(request: &Request, attempt: &Attempt, now: At, found: &mut Vec<(Rule, String)>) {
+fn check_time_and_client(
+    request: &Request,
+    attempt: &Attempt,
+    now: Seconds,
+    found: &mut Vec<(Rule, String)>,
+) {
     let id = attempt.request;
-    let left = request.written + request.budget - now;
+    let left = request.written_at + request.budget - now;
     let wait = attempt.wait_ms as f64 / 1_000.0;
     if wait > left.max(0.0) + WAIT_SLACK + OWN_SLACK {
         found.push((Rule::WaitTooLong, format!("request {id:016x}: {wait:.3} s of {left:.3} s left")));
     }
-    if let Some(gone) = request.gone.filter(|gone| now > gone + GONE_SLACK + OWN_SLACK) {
+    if let Some(gone) = request.client_gone_at.filter(|gone| now > gone + GONE_SLACK + OWN_SLACK) {
         let late = now - gone;
         found.push((Rule::ClientGone, format!("request {id:016x}: {late:.3} s after its client had gone")));
     }
 }
 
 /// Calls to a cold node in the last second, against what it may get.
-fn slow_start(inner: &mut Inner, node: usize, now: At, found: &mut Vec<(Rule, String)>) {
+fn check_slow_start(inner: &mut JudgeState, node: usize, now: Seconds, found: &mut Vec<(Rule, String)>) {
     let Some(cold) = inner.cold.get_mut(&node) else { return };
     let age = now - cold.since;
-    if age > WARM_AFTER {
+    if age > SLOW_START_WINDOW {
         return;
     }
     cold.calls.push(now);
     let lately = cold.calls.iter().filter(|at| **at > now - 1.0).count() as f64;
-    let warmth = COLD_FROM + (1.0 - COLD_FROM) * age / WARM_AFTER;
-    let allowed = FALL_MULTIPLE * warmth * cold.capacity;
+    let warmth = SLOW_START_INITIAL_SHARE + (1.0 - SLOW_START_INITIAL_SHARE) * age / SLOW_START_WINDOW;
+    let allowed = COLLAPSE_MULTIPLE * warmth * cold.capacity;
     let spare = if allowed < 30.0 { 3.0 } else { 2.0 };
     if lately > allowed + spare * allowed.sqrt() + spare && !cold.reported {
         cold.reported = true;
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -6,14 +6,14 @@
 
 mod clients;
 mod discovery;
+mod faults;
 mod fleet;
 mod judge;
 mod nodes;
 mod run;
-mod troubles;
 
-pub use judge::{Breach, Rule};
-pub use run::{Outcome, run};
+pub use judge::{Rule, Violation};
+pub use run::{SoakReport, run};
 
 use std::path::PathBuf;
 
@@ -24,10 +24,10 @@
     pub seconds: u64,
     pub directors: usize,
     pub caches: usize,
-    pub clients_a_director: usize,
+    pub clients_per_director: usize,
     /// The fault library; none: no faults of system calls.
     pub fault_library: Option<PathBuf>,
 }
 
 /// Seconds since the soak began.
-pub(crate) type At = f64;
+pub(crate) type Seconds = f64;
--- a/crates/testbed/src/soak/nodes.rs
+++ b/crates/testbed/src/soak/nodes.rs
@@ -9,13 +9,13 @@
 
 use socket2::{Domain, Socket, Type};
 
-use super::At;
+use super::Seconds;
 use super::judge::{Attempt, Judge};
-use crate::node::{lock, spawn, unix_ms};
+use crate::node_stub::{lock, spawn, unix_ms};
 
 /// How a node behaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mode {
+pub enum Misbehavior {
     #[default]
     Normal,
     /// It does the work and never answers.
@@ -38,14 +38,14 @@
 
 #[derive(Default)]
 struct State {
-    mode: Mode,
-    until: At,
+    mode: Misbehavior,
+    until: Seconds,
     /// When each copy was made, in Unix milliseconds.
     copies: HashMap<u64, u64>,
     links: Vec<Arc<TcpStream>>,
-    stuck_until: At,
+    stuck_until: Seconds,
     /// Connections are not taken until then.
-    late_until: At,
+    late_until: Seconds,
 }
 
 /// Connections that may wait to be taken; while new ones are to come up late, so few that others find no room.
@@ -70,7 +70,7 @@
 
 pub type Nodes = Arc<Mutex<HashMap<String, Arc<Node>>>>;
 
-struct Pull {
+struct PullRequest {
     id: u64,
     tag: String,
     object: u64,
@@ -80,12 +80,12 @@
     held: Option<String>,
 }
 
-impl Pull {
-    fn read(tag: &str, fields: &str) -> Option<Pull> {
+impl PullRequest {
+    fn read(tag: &str, fields: &str) -> Option<PullRequest> {
         let field = |name: &str| {
             fields.split(',').filter_map(|f| f.split_once('=')).find(|f| f.0 == name).map(|f| f.1)
         };
-        Some(Pull {
+        Some(PullRequest {
             id: u64::from_str_radix(tag, 16).ok()?,
             tag: tag.to_owned(),
             object: u64::from_str_radix(field("key")?, 16).ok()?,
@@ -98,9 +98,9 @@
 }
 
 /// A request, and when it came.
-struct Taken {
-    pull: Pull,
-    came: At,
+struct QueuedPull {
+    pull: PullRequest,
+    came: Seconds,
 }
 
 fn copy_tag(issued_ms: u64) -> String {
@@ -146,23 +146,23 @@
         Ok(node)
     }
 
-    pub fn behaves(&self, mode: Mode, lasts: f64) {
+    pub fn misbehave(&self, mode: Misbehavior, lasts: f64) {
         let until = self.judge.now() + lasts;
         let mut state = lock(&self.state);
         (state.mode, state.until) = (mode, until);
-        if mode == Mode::Stuck {
+        if mode == Misbehavior::Stuck {
             state.stuck_until = state.stuck_until.max(until);
         }
     }
 
-    pub fn connects_late(&self, lasts: f64) {
+    pub fn accept_late(&self, lasts: f64) {
         let until = self.judge.now() + lasts;
         let mut state = lock(&self.state);
         state.late_until = state.late_until.max(until);
     }
 
     /// Closes or resets all its connections, idle ones as well.
-    pub fn drops_connections(&self, by_reset: bool) {
+    pub fn drop_connections(&self, by_reset: bool) {
         for link in std::mem::take(&mut lock(&self.state).links) {
             if by_reset {
                 let _ = socket2::SockRef::from(&*link).set_linger(Some(Duration::ZERO));
@@ -172,24 +172,24 @@
     }
 
     /// Whether what it reads now may have lain unread for a while, through no fault of its sender.
-    fn reads_late(&self) -> bool {
+    fn is_reading_late(&self) -> bool {
         let state = lock(&self.state);
         state.stuck_until.max(state.late_until) > self.judge.now() - 1.0
     }
 
-    fn mode(&self) -> Mode {
+    fn mode(&self) -> Misbehavior {
         let state = lock(&self.state);
-        if self.judge.now() < state.until { state.mode } else { Mode::Normal }
+        if self.judge.now() < state.until { state.mode } else { Misbehavior::Normal }
     }
 
     /// Reads requests as they come; a thread beside it works them off, one after another.
     fn listen(self: &Arc<Node>, stream: &Arc<TcpStream>, all: &Nodes) -> io::Result<()> {
         stream.set_nodelay(true)?;
-        let (give, taken) = channel::<Taken>();
+        let (give, taken) = channel::<QueuedPull>();
         let (own, to, sources) = (Arc::clone(self), Arc::clone(stream), Arc::clone(all));
         spawn(move || {
             for one in taken {
-                if !own.answers(&one, &to, &sources).unwrap_or(false) {
+                if !own.answer(&one, &to, &sources).unwrap_or(false) {
                     return;
                 }
             }
@@ -211,43 +211,43 @@
                 continue;
             }
             let length: usize = length.parse().unwrap_or(0);
-            let pull = Pull::read(tag, fields);
+            let pull = PullRequest::read(tag, fields);
             reader.read_exact(&mut vec![0; length + 2])?;
             let Some(pull) = pull else { continue };
             // What was sent while it read nothing may have come at any time since.
-            let came = self.notes(&pull, all);
-            if give.send(Taken { pull, came }).is_err() {
+            let came = self.report_attempt(&pull, all);
+            if give.send(QueuedPull { pull, came }).is_err() {
                 return Ok(());
             }
         }
     }
 
     /// Tells the judge of a request; when it came, as far as that is known.
-    fn notes(&self, pull: &Pull, all: &Nodes) -> At {
+    fn report_attempt(&self, pull: &PullRequest, all: &Nodes) -> Seconds {
         let source = pull.source.as_ref().and_then(|name| lock(all).get(name).map(|node| node.number));
-        let read_late = self.reads_late();
+        let read_late = self.is_reading_late();
         let (request, node, wait_ms) = (pull.id, self.number, pull.wait_ms);
-        self.judge.attempt(&Attempt { request, node, source, wait_ms, read_late });
+        self.judge.on_attempt(&Attempt { request, node, source, wait_ms, read_late });
         if read_late { 0.0 } else { self.judge.now() }
     }
 
     /// Works one request off; false once its connection is over.
-    fn answers(&self, taken: &Taken, mut stream: &TcpStream, all: &Nodes) -> io::Result<bool> {
-        let Taken { pull, came } = taken;
+    fn answer(&self, taken: &QueuedPull, mut stream: &TcpStream, all: &Nodes) -> io::Result<bool> {
+        let QueuedPull { pull, came } = taken;
         let source = pull.source.as_ref().and_then(|name| lock(all).get(name).cloned());
         std::thread::sleep(Duration::from_micros(1_000 + pull.object % 7_000));
         let mode = self.mode();
         let refuses = |word: &str| format!("{} {word} - 0\r\n\r\n", pull.tag);
         match mode {
-            Mode::Full => {
+            Misbehavior::Full => {
                 stream.write_all(refuses("AGAIN").as_bytes())?;
                 return Ok(true);
             }
-            Mode::Garbage => {
+            Misbehavior::Garbage => {
                 stream.write_all(b"what is this\r\n")?;
                 return Ok(true);
             }
-            Mode::Resets if pull.id.is_multiple_of(2) => {
+            Misbehavior::Resets if pull.id.is_multiple_of(2) => {
                 let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
                 stream.shutdown(Shutdown::Both)?;
                 return Ok(false);
@@ -259,22 +259,22 @@
             return Ok(true);
         };
         // A repeat that is known is answered as the first one was.
-        self.judge.ran(pull.id);
+        self.judge.on_executed(pull.id);
         match mode {
-            Mode::Hangs => return Ok(true),
-            Mode::Errors => {
+            Misbehavior::Hangs => return Ok(true),
+            Misbehavior::Errors => {
                 stream.write_all(refuses("EIO").as_bytes())?;
                 return Ok(true);
             }
-            Mode::Resets => {
+            Misbehavior::Resets => {
                 stream.shutdown(Shutdown::Both)?;
                 return Ok(false);
             }
             _ => {}
         }
-        self.judge.served(pull.id, *came, issued);
+        self.judge.on_served(pull.id, *came, issued);
         let tag = copy_tag(issued);
-        let answer = if mode == Mode::WrongTag && pull.held.is_some() {
+        let answer = if mode == Misbehavior::WrongTag && pull.held.is_some() {
             format!("{} NOMOD how=HIT,entity=other,issued={issued} 0\r\n\r\n", pull.tag)
         } else if pull.held.as_deref() == Some(&tag) {
             format!("{} NOMOD how=HIT,entity={tag},issued={issued} 0\r\n\r\n", pull.tag)
@@ -284,7 +284,7 @@
             format!("{} ACK how=HIT,entity={tag},issued={issued} {}\r\n{body}\r\n", pull.tag, body.len())
         };
         stream.write_all(answer.as_bytes())?;
-        if mode == Mode::Twice {
+        if mode == Misbehavior::Twice {
             std::thread::sleep(Duration::from_millis(3));
             stream.write_all(answer.as_bytes())?;
         }
@@ -292,7 +292,7 @@
     }
 
     /// A copy that is young enough: its own, or one that is filled.
-    fn copy(&self, pull: &Pull, source: Option<&Node>) -> Option<u64> {
+    fn copy(&self, pull: &PullRequest, source: Option<&Node>) -> Option<u64> {
         let now = unix_ms();
         let fits = |issued: &u64| pull.within_ms.is_none_or(|within| now.saturating_sub(*issued) <= within);
         let own = lock(&self.state).copies.get(&pull.object).copied();
--- a/crates/testbed/src/soak/run.rs
+++ b/crates/testbed/src/soak/run.rs
@@ -12,15 +12,15 @@
 use rustix::process::Signal;
 
 use super::clients::Client;
-use super::discovery::{Discovery, News, note_all};
+use super::discovery::{Discovery, Notification, note_all};
+use super::faults::{self, Fault};
 use super::fleet::Director;
-use super::judge::{Breach, Judge, Rule};
+use super::judge::{Judge, Rule, Violation};
 use super::nodes::{Node, Nodes};
-use super::troubles::{self, Trouble};
-use super::{At, Options};
-use crate::directors::{Ports, endpoint, members, serving};
-use crate::node::{lock, unix_ms};
-use crate::process::{Failed, io_error};
+use super::{Options, Seconds};
+use crate::director_process::{PortAllocator, endpoint_json, members_event, wait_until_serving};
+use crate::node_stub::{lock, unix_ms};
+use crate::process::{TrialError, io_error};
 
 /// How long a platform waits after it has told a director to end, and for one to serve.
 const STOP_WAIT: Duration = Duration::from_millis(3_700);
@@ -28,27 +28,27 @@
 /// Requests a second that a cold cache bears once it is warm.
 const CACHE_CAPACITY: f64 = 100.0;
 /// A node that is listed as draining goes so much later, and its successor comes then.
-const DRAINS_FOR: f64 = 2.5;
+const DRAIN_SECONDS: f64 = 2.5;
 
 /// What a soak came to.
-pub struct Outcome {
-    pub breaches: Vec<Breach>,
+pub struct SoakReport {
+    pub violations: Vec<Violation>,
     pub counts: BTreeMap<&'static str, u64>,
-    pub troubles: usize,
+    pub faults: usize,
 }
 
-impl fmt::Display for Outcome {
+impl fmt::Display for SoakReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "{} troubles", self.troubles)?;
+        writeln!(f, "{} troubles", self.faults)?;
         for (what, many) in &self.counts {
             writeln!(f, "{many:>9} {what}")?;
         }
         let mut by_rule: BTreeMap<Rule, usize> = BTreeMap::new();
-        self.breaches.iter().for_each(|breach| *by_rule.entry(breach.rule).or_default() += 1);
+        self.violations.iter().for_each(|breach| *by_rule.entry(breach.rule).or_default() += 1);
         for (rule, many) in by_rule {
             writeln!(f, "broken {rule:?}: {many}")?;
         }
-        self.breaches.iter().take(20).try_for_each(|breach| writeln!(f, "{breach}"))
+        self.violations.iter().take(20).try_for_each(|breach| writeln!(f, "{breach}"))
     }
 }
 
@@ -65,12 +65,12 @@
     places: Mutex<Vec<usize>>,
 }
 
-fn listed(node: &Node, status: &str, since_ms: u64) -> serde_json::Value {
-    endpoint(&node.name, node.address, node.kind, status, since_ms)
+fn endpoint_of(node: &Node, status: &str, since_ms: u64) -> serde_json::Value {
+    endpoint_json(&node.name, node.address, node.kind, status, since_ms)
 }
 
 impl Soak<'_> {
-    fn add_node(&self, name: &str, kind: &'static str) -> Result<Arc<Node>, Failed> {
+    fn add_node(&self, name: &str, kind: &'static str) -> Result<Arc<Node>, TrialError> {
         let number = lock(&self.by_number).len();
         let node = Node::start(number, name, kind, &self.judge, &self.nodes).map_err(io_error("a node"))?;
         lock(&self.by_number).push(Arc::clone(&node));
@@ -82,18 +82,18 @@
         lock(&self.by_number).get(number).cloned()
     }
 
-    fn tell(&self, node: &Node, status: &str, since_ms: u64) {
+    fn announce(&self, node: &Node, status: &str, since_ms: u64) {
         let news = match status {
-            "ready" => News::Ready(node.number),
-            _ => News::Drained(node.number),
+            "ready" => Notification::Ready(node.number),
+            _ => Notification::Drained(node.number),
         };
-        self.discovery.tell(&members(&[listed(node, status, since_ms)], false), Some(news));
+        self.discovery.publish(&members_event(&[endpoint_of(node, status, since_ms)], false), Some(news));
     }
 
-    fn start(&self, director: &Director) -> Result<(), Failed> {
+    fn start(&self, director: &Director) -> Result<(), TrialError> {
         director.start(self.options, &self.program, &self.discovery)?;
         let name = format!("director-{}", director.number);
-        serving(&name, director.at, &director.log, Instant::now(), READY_WAIT)
+        wait_until_serving(&name, director.at, &director.log, Instant::now(), READY_WAIT)
     }
 
     /// Started again, whatever made it end. Its end is a crash if nobody asked for it.
@@ -101,84 +101,84 @@
         if killed {
             director.kill();
         } else {
-            director.ends();
-            director.awaits_end(STOP_WAIT);
+            director.terminate();
+            director.wait_for_exit(STOP_WAIT);
             director.kill();
         }
         director.faults(faults_at_start);
         if let Err(e) = self.start(director) {
-            self.judge.breach(Rule::Crash, e.to_string());
+            self.judge.record_violation(Rule::Crash, e.to_string());
         }
-        director.is_back();
+        director.end_excuse();
     }
 
-    fn replace(&self, place: usize) -> Result<(), Failed> {
+    fn replace(&self, place: usize) -> Result<(), TrialError> {
         let Some(old) = self.node(place) else { return Ok(()) };
-        self.tell(&old, "draining", 0);
-        thread::sleep(Duration::from_secs_f64(DRAINS_FOR));
-        self.tell(&old, "gone", 0);
+        self.announce(&old, "draining", 0);
+        thread::sleep(Duration::from_secs_f64(DRAIN_SECONDS));
+        self.announce(&old, "gone", 0);
         let number = lock(&self.by_number).len();
         let new = self.add_node(&format!("cache-{number}"), "small")?;
-        self.judge.starts_cold(new.number, CACHE_CAPACITY);
+        self.judge.on_cold_start(new.number, CACHE_CAPACITY);
         lock(&self.places)[place] = new.number;
-        self.tell(&new, "ready", unix_ms());
+        self.announce(&new, "ready", unix_ms());
         thread::sleep(Duration::from_secs_f64(super::judge::DRAIN_GRACE));
-        old.drops_connections(false);
+        old.drop_connections(false);
         Ok(())
     }
 
-    fn carry_out(&self, trouble: &Trouble) -> Result<(), Failed> {
+    fn carry_out(&self, trouble: &Fault) -> Result<(), TrialError> {
         match *trouble {
-            Trouble::Restart(n) => self.restart(&self.directors[n], false, ""),
-            Trouble::Kill(n) => self.restart(&self.directors[n], true, ""),
-            Trouble::KillUnderClock(n, offset) => {
+            Fault::Restart(n) => self.restart(&self.directors[n], false, ""),
+            Fault::Kill(n) => self.restart(&self.directors[n], true, ""),
+            Fault::KillUnderClock(n, offset) => {
                 let clock = format!("clock 0 {offset}\nclock 2000 0");
                 self.restart(&self.directors[n], true, &clock);
             }
-            Trouble::StandStill(n, lasts) => {
+            Fault::StandStill(n, lasts) => {
                 let director = &self.directors[n];
-                director.stands_still(lasts + 0.2);
+                director.excuse_stall(lasts + 0.2);
                 director.signal(Signal::STOP);
                 thread::sleep(Duration::from_secs_f64(lasts));
                 director.signal(Signal::CONT);
             }
-            Trouble::Reload(n) => self.directors[n].moves(self.options, &self.discovery)?,
-            Trouble::Fault(n, fault, lasts) => {
+            Fault::Reload(n) => self.directors[n].move_discovery(self.options, &self.discovery)?,
+            Fault::Fault(n, fault, lasts) => {
                 let director = &self.directors[n];
-                if troubles::breaks_connections(fault) {
-                    director.breaks_for(lasts);
+                if faults::breaks_connections(fault) {
+                    director.expect_broken_connections(lasts);
                 }
                 director.faults(&format!("{fault} 0 1000000000 80"));
                 thread::sleep(Duration::from_secs_f64(lasts));
                 director.faults("");
             }
-            Trouble::ClockStep(n, offset) => {
+            Fault::ClockStep(n, offset) => {
                 let director = &self.directors[n];
                 director.faults(&format!("clock 0 {offset}"));
                 thread::sleep(Duration::from_millis(1_500));
                 director.faults("");
             }
-            Trouble::DiscoveryDown(lasts) => self.discovery.goes_down(lasts),
-            Trouble::DiscoverySilent(lasts) => self.discovery.falls_silent(lasts),
-            Trouble::Purge(object) => {
+            Fault::DiscoveryDown(lasts) => self.discovery.interrupt(lasts),
+            Fault::DiscoverySilent(lasts) => self.discovery.fall_silent(lasts),
+            Fault::Purge(object) => {
                 let made_ms = unix_ms();
                 let event = format!("\"purge\":{{\"key\":\"{object:016x}\",\"at\":{made_ms}}}");
-                self.discovery.tell(&event, Some(News::Purge { object, made_ms }));
+                self.discovery.publish(&event, Some(Notification::Purge { object, made_ms }));
             }
-            Trouble::Replace(place) => self.replace(place)?,
-            Trouble::Misbehave(place, mode, lasts) => {
+            Fault::Replace(place) => self.replace(place)?,
+            Fault::Misbehave(place, mode, lasts) => {
                 if let Some(node) = self.node(place) {
-                    node.behaves(mode, lasts);
+                    node.misbehave(mode, lasts);
                 }
             }
-            Trouble::ConnectLate(place, lasts) => {
+            Fault::ConnectLate(place, lasts) => {
                 if let Some(node) = self.node(place) {
-                    node.connects_late(lasts);
+                    node.accept_late(lasts);
                 }
             }
-            Trouble::DropConnections(place, by_reset) => {
+            Fault::DropConnections(place, by_reset) => {
                 if let Some(node) = self.node(place) {
-                    node.drops_connections(by_reset);
+                    node.drop_connections(by_reset);
                 }
             }
         }
@@ -186,11 +186,11 @@
     }
 
     /// Troubles at their times, each on a thread of its own. Two that restart one director take turns.
-    fn trouble(&self, until: At) {
+    fn inject_faults(&self, until: Seconds) {
         let turns: Vec<Mutex<()>> = self.directors.iter().map(|_| Mutex::default()).collect();
         let turns = &turns;
         thread::scope(|scope| {
-            for (at, trouble) in troubles::plan(self.options) {
+            for (at, trouble) in faults::plan(self.options) {
                 let wait = at - self.judge.now();
                 if wait > 0.0 {
                     thread::sleep(Duration::from_secs_f64(wait));
@@ -200,13 +200,13 @@
                 }
                 scope.spawn(move || {
                     let turn = match trouble {
-                        Trouble::Restart(n) | Trouble::Kill(n) | Trouble::KillUnderClock(n, _) => {
+                        Fault::Restart(n) | Fault::Kill(n) | Fault::KillUnderClock(n, _) => {
                             Some(lock(&turns[n]))
                         }
                         _ => None,
                     };
                     if let Err(e) = self.carry_out(&trouble) {
-                        self.judge.breach(Rule::Crash, format!("{trouble:?}: {e}"));
+                        self.judge.record_violation(Rule::Crash, format!("{trouble:?}: {e}"));
                     }
                     drop(turn);
                 });
@@ -215,12 +215,12 @@
     }
 
     /// What the directors said of themselves.
-    fn look_inside(&self) {
+    fn check_logs(&self) {
         for director in &self.directors {
             let log = std::fs::read_to_string(&director.log).unwrap_or_default();
             for line in log.lines().filter(|l| l.contains("violation request=") || l.contains("panicked at"))
             {
-                self.judge.breach(Rule::Inside, format!("director {}: {line}", director.number));
+                self.judge.record_violation(Rule::Inside, format!("director {}: {line}", director.number));
             }
         }
     }
@@ -231,14 +231,14 @@
     options: &Options,
     program: &(dyn Fn() -> Command + Sync),
     folder: &Path,
-) -> Result<Outcome, Failed> {
+) -> Result<SoakReport, TrialError> {
     std::fs::create_dir_all(folder).map_err(io_error(folder.display().to_string()))?;
-    let judge = Arc::new(Judge::begin());
+    let judge = Arc::new(Judge::new());
     let discovery = Discovery::start(&judge).map_err(io_error("discovery"))?;
-    let mut ports = Ports::new();
+    let mut ports = PortAllocator::new();
     let mut directors: Vec<Arc<Director>> = Vec::new();
     while directors.len() < options.directors {
-        let at = ports.next().map_err(io_error("a port"))?;
+        let at = ports.allocate().map_err(io_error("a port"))?;
         if directors.iter().all(|d| d.at != at) {
             directors.push(Arc::new(Director::new(directors.len(), at, folder, &judge)));
         }
@@ -258,8 +258,8 @@
         soak.add_node(&name, kind)?;
     }
     *lock(&soak.places) = (0..options.caches + 2).collect();
-    let all: Vec<_> = lock(&soak.by_number).iter().map(|node| listed(node, "ready", 0)).collect();
-    soak.discovery.tell(&members(&all, true), None);
+    let all: Vec<_> = lock(&soak.by_number).iter().map(|node| endpoint_of(node, "ready", 0)).collect();
+    soak.discovery.publish(&members_event(&all, true), None);
     note_all(&soak.discovery, options.directors);
     for director in &soak.directors {
         let _ = std::fs::remove_file(&director.log);
@@ -269,7 +269,7 @@
     let (over, next_id) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(1)));
     let mut clients = Vec::new();
     for director in &soak.directors {
-        for number in 0..options.clients_a_director {
+        for number in 0..options.clients_per_director {
             let client = Client {
                 director: Arc::clone(director),
                 judge: Arc::clone(&judge),
@@ -281,24 +281,24 @@
         }
     }
     let began = Instant::now();
-    soak.trouble(options.seconds as f64);
+    soak.inject_faults(options.seconds as f64);
     thread::sleep(Duration::from_secs(options.seconds).saturating_sub(began.elapsed()));
     over.store(true, Ordering::Relaxed);
     for client in clients {
         if client.join().is_err() {
-            judge.breach(Rule::Unknown, "a client of the soak panicked".into());
+            judge.record_violation(Rule::Unknown, "a client of the soak panicked".into());
         }
     }
     for director in &soak.directors {
         if director.has_crashed() {
-            judge.breach(Rule::Crash, format!("director {} has ended by itself", director.number));
+            judge.record_violation(Rule::Crash, format!("director {} has ended by itself", director.number));
         } else {
-            director.ends();
-            director.awaits_end(STOP_WAIT);
+            director.terminate();
+            director.wait_for_exit(STOP_WAIT);
         }
     }
-    soak.look_inside();
-    let troubles = troubles::plan(options).len();
-    let (breaches, counts) = judge.close();
-    Ok(Outcome { breaches, counts, troubles })
+    soak.check_logs();
+    let troubles = faults::plan(options).len();
+    let (breaches, counts) = judge.finish();
+    Ok(SoakReport { violations: breaches, counts, faults: troubles })
 }
--- a/crates/testbed/src/outcome.rs
+++ b/crates/testbed/src/trial_report.rs
@@ -8,20 +8,20 @@
 use plotters::prelude::*;
 use serde::Serialize;
 
-pub trait Outcome: Display + Serialize {
+pub trait TrialReport: Display + Serialize {
     /// What must not have been shown; empty when all is well.
-    fn breaches(&self) -> Vec<String>;
+    fn violations(&self) -> Vec<String>;
 
     fn title(&self) -> String;
 
     /// Curves over the seconds, by what they are named.
-    fn panels(&self) -> Vec<Panel>;
+    fn charts(&self) -> Vec<Chart>;
 
     /// Writes report.json, report.txt and, where there are curves, plot.svg to a folder.
     fn write(&self, folder: &Path) -> Result<(), Box<dyn Error>> {
         std::fs::write(folder.join("report.json"), serde_json::to_string_pretty(self)?)?;
         std::fs::write(folder.join("report.txt"), self.to_string())?;
-        let panels = self.panels();
+        let panels = self.charts();
         if panels.is_empty() {
             return Ok(());
         }
@@ -37,14 +37,14 @@
     }
 }
 
-pub struct Panel {
+pub struct Chart {
     pub name: &'static str,
     pub curves: Vec<Vec<u64>>,
     /// A line across it.
     pub line: Option<u64>,
 }
 
-impl Panel {
+impl Chart {
     fn draw(&self, part: &DrawingArea<SVGBackend, Shift>) -> Result<(), Box<dyn Error>> {
         let curves = self.curves.iter();
         let most = curves.flatten().max().copied().unwrap_or(0).max(self.line.unwrap_or(0)) * 11 / 10 + 1;
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::process::Command;
 
-use sablecross_testbed::Outcome;
+use sablecross_testbed::TrialReport;
 use sablecross_testbed::fleet::{run, settings};
 
 #[test]
@@ -18,11 +18,11 @@
           ((kind . kill-directors) (at . 13) (lasts . 0.3) (of . 0.7))
           ((kind . reset) (at . 15.5) (lasts . 0) (of . 0.5))
           ((kind . crash-caches) (at . 16.5) (lasts . 1.5) (of . 0.4))))";
-    let trial = settings::read("test", text).unwrap();
+    let trial = settings::parse("test", text).unwrap();
     let folder = tempfile::tempdir().unwrap();
     let director = || Command::new(env!("CARGO_BIN_EXE_lab-director"));
     let report = run(&trial, &director, folder.path(), |_| {}).unwrap();
-    assert_eq!(report.breaches(), [] as [&str; 0], "{report}");
+    assert_eq!(report.violations(), [] as [&str; 0], "{report}");
     let t = report.total;
     assert_eq!(t.asked, t.satisfied + t.nacked + t.failed + t.excused, "{report}");
     assert!(t.satisfied * 2 > t.asked, "{report}");
@@ -50,11 +50,11 @@
           ((kind . reset-ways) (at . 27) (lasts . 0) (of . 1))
           ((kind . crash-caches) (at . 19) (lasts . 1) (of . 0.2))
           ((kind . kill-voters) (at . 28) (lasts . 0.5) (of . 1))))";
-    let trial = settings::read("test", text).unwrap();
+    let trial = settings::parse("test", text).unwrap();
     let folder = tempfile::tempdir().unwrap();
     let director = || Command::new(env!("CARGO_BIN_EXE_lab-director"));
     let report = run(&trial, &director, folder.path(), |_| {}).unwrap();
-    assert_eq!(report.breaches(), [] as [&str; 0], "{report}");
+    assert_eq!(report.violations(), [] as [&str; 0], "{report}");
     let watched = report.watched.as_ref().unwrap();
     assert!(watched.owners >= 4 && watched.blows == 3 && watched.unanswered == 0, "{report}");
     assert!(watched.changed >= 1 && watched.back == 0, "{report}");
@@ -78,7 +78,7 @@
           (duties ((voters . 3) (lease-ms . 1000) (beat-ms . 200) (probe-ms . 500))))", "fleet.duties.voters"),
     ];
     for (text, what) in cases {
-        let said = settings::read("f", text).unwrap_err()[0].to_string();
+        let said = settings::parse("f", text).unwrap_err()[0].to_string();
         assert!(said.contains(what), "{said}");
     }
 }
--- a/crates/testbed/tests/settings_format.rs
+++ b/crates/testbed/tests/settings_format.rs
@@ -12,7 +12,7 @@
     let text = r#"(experiment (name . "all") (seed . 7) (seconds . 60) (warm-up . 5) (directors . 3) (caches . 18) (uppers . 11)
         (rate . 300) (objects . 8000) (kept . 180) (ceiling . 200.0) (hit . 0.25) (rewirings . 6) (chains . #f) (plan . #f)
         (faults . #t) (ways . #t) (purges . 2))"#;
-    let read = settings::read("all.scm", text).expect("it is well formed");
+    let read = settings::parse("all.scm", text).expect("it is well formed");
     let expected = r#"{"name":"all","seed":7,"seconds":60,"warm-up":5,"directors":3,"caches":18,"uppers":11,"rate":300,"objects":8000,"kept":180,"ceiling":200.0,"hit":0.25,"rewirings":6,"chains":false,"plan":false,"faults":true,"ways":true,"purges":2}"#;
     assert_eq!(json(&read), expected);
 }
@@ -21,7 +21,7 @@
 fn an_experiment_with_needed_keys_alone() {
     let text = r#"(experiment (name . "few") (seconds . 60) (directors . 3) (caches . 18) (uppers . 11) (rate . 300)
         (objects . 8000) (kept . 180) (ceiling . 200.0))"#;
-    let read = settings::read("few.scm", text).expect("it is well formed");
+    let read = settings::parse("few.scm", text).expect("it is well formed");
     let expected = r#"{"name":"few","seed":0,"seconds":60,"warm-up":3,"directors":3,"caches":18,"uppers":11,"rate":300,"objects":8000,"kept":180,"ceiling":200.0,"hit":0.5,"rewirings":0,"chains":true,"plan":true,"faults":false,"ways":false,"purges":0}"#;
     assert_eq!(json(&read), expected);
 }
@@ -34,7 +34,7 @@
         (duties ((voters . 5) (lease-ms . 1000) (beat-ms . 400) (probe-ms . 500) (rounds . 12) (round-s . 6.0) (warming . #t)
                  (change-s . 9.0) (gap-s . 4.0) (burst . 3.0) (no-gate . #t)))
         (faults ((kind . stop-caches) (at . 1.0) (lasts . 2.0) (of . 0.5) (by . 3.0))))"#;
-    let read = fleet::settings::read("all.scm", text).expect("it is well formed");
+    let read = fleet::settings::parse("all.scm", text).expect("it is well formed");
     let expected = r#"{"name":"all","seed":7,"seconds":70,"warm-up":6,"directors":100,"caches":12,"parents":5,"rate":300.0,"objects":20000,"kept":600,"load":0.5,"hits":0.4,"uneven":2.0,"speeds":0.1,"hot":0.2,"late-lists":3.0,"duties":{"voters":5,"lease-ms":1000,"beat-ms":400,"probe-ms":500,"rounds":12,"round-s":6.0,"warming":true,"change-s":9.0,"gap-s":4.0,"burst":3.0,"no-gate":true},"faults":[{"kind":"stop-caches","at":1.0,"lasts":2.0,"of":0.5,"by":3.0}],"most":2.5,"least":0.1,"satisfied":0.6}"#;
     assert_eq!(json(&read), expected);
 }
@@ -44,7 +44,7 @@
     let text = r#"(fleet (name . "few") (seconds . 70) (directors . 100) (caches . 12) (parents . 5) (rate . 300.0)
         (objects . 20000) (kept . 600)
         (duties ((voters . 5) (lease-ms . 1000) (beat-ms . 400) (probe-ms . 500))))"#;
-    let read = fleet::settings::read("few.scm", text).expect("it is well formed");
+    let read = fleet::settings::parse("few.scm", text).expect("it is well formed");
     let expected = r#"{"name":"few","seed":0,"seconds":70,"warm-up":4,"directors":100,"caches":12,"parents":5,"rate":300.0,"objects":20000,"kept":600,"load":0.6,"hits":0.5,"uneven":1.0,"speeds":0.0,"hot":0.0,"late-lists":0.0,"duties":{"voters":5,"lease-ms":1000,"beat-ms":400,"probe-ms":500,"rounds":0,"round-s":5.0,"warming":false,"change-s":0.0,"gap-s":600.0,"burst":100.0,"no-gate":false},"faults":[],"most":100.0,"least":0.0,"satisfied":0.0}"#;
     assert_eq!(json(&read), expected);
 }
@@ -56,7 +56,7 @@
             (kept . 600) (duties ((voters . 5) (lease-ms . 1000) (beat-ms . 400) (probe-ms . 500)))
             (faults ((kind . {kind}) (at . 1.0))))"#
     );
-    json(&fleet::settings::read("k.scm", &text).expect("it is well formed").faults)
+    json(&fleet::settings::parse("k.scm", &text).expect("it is well formed").faults)
 }
 
 #[test]
@@ -97,7 +97,7 @@
         (changes . 0.25) (ack-ms . 1500) (batch-ms . 90) (held-ms . 4000) (purge-within . 8.0) (change-within . 4.0)
         (core . 0.02) (memory-mb . 60.0) (bytes . 6000.0) (relay-core . 0.5)
         (faults ((kind . restart-directors) (at . 5.0) (lasts . 9.0) (of . 0.5) (count . 480))))"#;
-    let read = scale::settings::read("all.scm", text).expect("it is well formed");
+    let read = scale::settings::parse("all.scm", text).expect("it is well formed");
     let expected = r#"{"name":"all","seed":7,"seconds":100,"warm-up":6,"settle":20,"hollow":400,"processes":2,"real":5,"relays":13,"voters":5,"regions":4,"feeds":3,"nodes":490,"zones":64,"purges":35.0,"changes":0.25,"ack-ms":1500,"batch-ms":90,"held-ms":4000,"purge-within":8.0,"change-within":4.0,"core":0.02,"memory-mb":60.0,"bytes":6000.0,"relay-core":0.5,"faults":[{"kind":"restart-directors","at":5.0,"lasts":9.0,"of":0.5,"count":480}]}"#;
     assert_eq!(json(&read), expected);
 }
@@ -105,7 +105,7 @@
 #[test]
 fn a_scale_trial_with_needed_keys_alone() {
     let text = r#"(scale (name . "few") (seconds . 100) (hollow . 400) (nodes . 490) (zones . 64) (purges . 35.0) (changes . 0.25))"#;
-    let read = scale::settings::read("few.scm", text).expect("it is well formed");
+    let read = scale::settings::parse("few.scm", text).expect("it is well formed");
     let expected = r#"{"name":"few","seed":0,"seconds":100,"warm-up":5,"settle":30,"hollow":400,"processes":0,"real":0,"relays":0,"voters":0,"regions":1,"feeds":4,"nodes":490,"zones":64,"purges":35.0,"changes":0.25,"ack-ms":2000,"batch-ms":100,"held-ms":120000,"purge-within":8.2,"change-within":5.0,"core":0.022,"memory-mb":64.0,"bytes":7000.0,"relay-core":1.0,"faults":[]}"#;
     assert_eq!(json(&read), expected);
 }
@@ -130,7 +130,7 @@
             r#"(scale (name . "k") (seconds . 100) (hollow . 400) (relays . 13) (voters . 5) (nodes . 490) (zones . 64)
                 (purges . 35.0) (changes . 0.25) (faults ((kind . {kind}) (at . 5.0))))"#
         );
-        let read = scale::settings::read("k.scm", &text).expect("it is well formed");
+        let read = scale::settings::parse("k.scm", &text).expect("it is well formed");
         let expected = format!(r#"[{{"kind":"{kind}","at":5.0,"lasts":1.0,"of":0.0,"count":0}}]"#);
         assert_eq!(json(&read.faults), expected);
     }
--- a/crates/testbed/tests/small.rs
+++ b/crates/testbed/tests/small.rs
@@ -2,14 +2,14 @@
 
 use std::process::Command;
 
-use sablecross_testbed::{Experiment, Outcome, run, settings};
+use sablecross_testbed::{Experiment, TrialReport, run, settings};
 
 fn experiment(more: &str) -> Experiment {
     let text = format!(
         "(experiment (name . \"test\") (seed . 7) (seconds . 14) (warm-up . 2) (directors . 2) (caches . 4) (uppers . 5)
          (rate . 60) (objects . 500) (kept . 200) (ceiling . 200) {more})"
     );
-    settings::read("test", &text).unwrap()
+    settings::parse("test", &text).unwrap()
 }
 
 #[test]
@@ -18,7 +18,7 @@
     let director = || Command::new(env!("CARGO_BIN_EXE_lab-director"));
     let e = experiment("(rewirings . 4) (faults . #t) (purges . 4)");
     let report = run(&e, &director, folder.path(), |_| {}).unwrap();
-    assert_eq!(report.breaches(), [] as [&str; 0], "{report}\n{:#?}", report.notes);
+    assert_eq!(report.violations(), [] as [&str; 0], "{report}\n{:#?}", report.notes);
     assert!(report.satisfied > 200 && report.satisfied * 100 > report.lookups * 90, "{report}");
     assert_eq!(report.lookups, report.satisfied + report.nacked + report.failed);
     assert!(report.changes > 0 && report.endings.values().sum::<u64>() > 0, "{:?}", report.notes);
@@ -44,7 +44,7 @@
         ),
     ];
     for (text, what) in cases {
-        let said = settings::read("f", text).unwrap_err()[0].to_string();
+        let said = settings::parse("f", text).unwrap_err()[0].to_string();
         assert!(said.contains(what), "{said}");
     }
 }
