--- a/crates/cli/src/capacity.rs
+++ b/crates/cli/src/capacity.rs
@@ -8,7 +8,7 @@
 use crate::CommandOutcome;
 
 #[derive(Args)]
-pub struct Arguments {
+pub(crate) struct Arguments {
     /// The slopes, the target size and the budgets, as S-expressions.
     #[arg(default_value = "docs/capacity.scm")]
     file: PathBuf,
@@ -17,7 +17,7 @@
     write: Option<PathBuf>,
 }
 
-pub fn run(a: &Arguments) -> Result<CommandOutcome, Vec<String>> {
+pub(crate) fn run(a: &Arguments) -> Result<CommandOutcome, Vec<String>> {
     let name = a.file.display().to_string();
     let text = std::fs::read_to_string(&a.file).map_err(|e| vec![format!("{name}: {e}")])?;
     let sheet = sheet::read(&name, &text)
--- a/crates/cli/src/coordination.rs
+++ b/crates/cli/src/coordination.rs
@@ -1,62 +1,69 @@
-//! `sablecross duty ...`: who owns what in a fleet, and hand-overs that go through the lease.
+//! `sablecross coordination ...` (`duty` up to 0.1.0): who holds which role in a fleet, hand-overs, hierarchy changes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
 use clap::{Args, Subcommand};
 use sablecross_coordination::Member;
-use sablecross_coordination::messages::{MemberStatus, Message, Reply, Request, RoleId};
+use sablecross_coordination::messages::{MemberStatus, Message, Reply, Request, RoleId, RoleStatus};
 use sablecross_director::coordination::call_member;
 use sablecross_director::coordination::settings::{CoordinationSettings, HIERARCHY_ROLE, ROLES, role_name};
 
 use crate::CommandOutcome;
 
+/// The interval at which a change is looked at.
+const FOLLOW_INTERVAL: Duration = Duration::from_millis(100);
+/// The interval at which a new holder is looked for, and for how long at least.
+const HAND_OVER_INTERVAL: Duration = Duration::from_millis(50);
+const MIN_HAND_OVER_WAIT: Duration = Duration::from_secs(2);
+
+/// Which directors are asked.
 #[derive(Args)]
-pub struct Target {
-    /// The settings of the duties, as the directors have them: all voters are asked.
+pub(crate) struct Target {
+    /// The coordination settings, as the directors have them: all voters are asked.
     #[arg(long, conflicts_with = "at")]
     settings: Option<PathBuf>,
     /// A director's address; more than one may be named.
     #[arg(long)]
     at: Vec<SocketAddr>,
-    /// Seconds that each is waited for.
+    /// The timeout of each call, in seconds.
     #[arg(long, default_value_t = 2.0)]
     time: f64,
 }
 
 #[derive(Subcommand)]
-pub enum Command {
-    /// Each director's view: owners, terms, the deal of chores, what was refused. Changes nothing.
+pub(crate) enum Command {
+    /// The status of each director: holders, terms, the assignment of health checks, rejected tokens. Changes nothing.
     Show {
         #[command(flatten)]
-        whom: Target,
+        target: Target,
         #[arg(long)]
         json: bool,
     },
-    /// Hands a version of the hierarchy to whoever drives changes, and follows the change to its end.
+    /// Proposes a version of the hierarchy to the holder of `driving`, and follows the change to its end.
     Change {
         /// As an S-expression: see docs/hierarchy-operators.md.
         file: PathBuf,
-        /// Seconds after which it is followed no more; it goes on all the same.
+        /// Seconds after which it is no longer followed; it goes on all the same.
         #[arg(long, default_value_t = 600.0)]
         follow: f64,
         #[command(flatten)]
-        whom: Target,
+        target: Target,
     },
-    /// Asks the owner of a duty to give it up, to the voter of this number or to the next one; waits for the new owner.
+    /// Asks the holder of a role to release it, to the voter of this number or to the next one; waits for the new holder.
     HandOver {
-        /// dealing or driving
-        duty: String,
+        /// dealing, driving or warming
+        role: String,
         #[arg(long)]
         to: Option<u32>,
         #[command(flatten)]
-        whom: Target,
+        target: Target,
     },
 }
 
-/// Whoever looks from outside is no member.
+/// The sender of calls from outside the fleet.
 const OUTSIDE: Member = Member { number: u32::MAX, incarnation: 0 };
 
 impl Target {
@@ -77,27 +84,30 @@
         }
     }
 
-    fn time(&self) -> Duration {
+    fn timeout(&self) -> Duration {
         Duration::from_secs_f64(self.time.clamp(0.01, 3_600.0))
     }
 
-    fn send(&self, at: SocketAddr, word: Message) -> Result<Vec<Reply>, String> {
-        let request = Request { from: OUTSIDE, messages: vec![word] };
-        call_member(at, &request, self.time()).map_err(|e| format!("{at}: {e}"))
+    fn send(&self, address: SocketAddr, message: Message) -> Result<Vec<Reply>, String> {
+        let request = Request { from: OUTSIDE, messages: vec![message] };
+        call_member(address, &request, self.timeout()).map_err(|e| format!("{address}: {e}"))
     }
 
-    fn member_status(&self, at: SocketAddr) -> Result<MemberStatus, String> {
-        let said = self.send(at, Message::ShowStatus)?;
-        let shown = said.into_iter().find_map(|a| if let Reply::Status(s) = a { Some(s) } else { None });
-        shown.ok_or(format!("{at}: it shows nothing"))
+    fn member_status(&self, address: SocketAddr) -> Result<MemberStatus, String> {
+        let replies = self.send(address, Message::ShowStatus)?;
+        let status = replies.into_iter().find_map(|reply| match reply {
+            Reply::Status(status) => Some(status),
+            _ => None,
+        });
+        status.ok_or(format!("{address}: its reply holds no status"))
     }
 }
 
-pub fn run(command: &Command) -> Result<CommandOutcome, Vec<String>> {
+pub(crate) fn run(command: &Command) -> Result<CommandOutcome, Vec<String>> {
     match command {
-        Command::Show { whom, json } => show(whom, *json),
-        Command::Change { file, follow, whom } => change(file, *follow, whom),
-        Command::HandOver { duty, to, whom } => hand_over(duty, *to, whom),
+        Command::Show { target, json } => show(target, *json),
+        Command::Change { file, follow, target } => change(file, *follow, target),
+        Command::HandOver { role, to, target } => hand_over(role, *to, target),
     }
 }
 
@@ -105,167 +115,201 @@
     format!("{:.2} s", ns as f64 / 1e9)
 }
 
-fn show(whom: &Target, json: bool) -> Result<CommandOutcome, Vec<String>> {
-    let mut views = BTreeMap::new();
-    let mut silent = Vec::new();
-    for at in whom.addresses()? {
-        match whom.member_status(at) {
-            Ok(shown) => {
-                views.insert(at, shown);
+fn show(target: &Target, as_json: bool) -> Result<CommandOutcome, Vec<String>> {
+    let mut statuses = BTreeMap::new();
+    let mut errors = Vec::new();
+    for address in target.addresses()? {
+        match target.member_status(address) {
+            Ok(status) => {
+                statuses.insert(address, status);
             }
-            Err(e) => silent.push(e),
+            Err(error) => errors.push(error),
         }
     }
-    if json {
-        let text = serde_json::to_string_pretty(&views).map_err(|e| vec![e.to_string()])?;
+    if as_json {
+        let text = serde_json::to_string_pretty(&statuses).map_err(|e| vec![e.to_string()])?;
         println!("{text}");
     } else {
-        for (at, s) in &views {
-            let voter = match (s.voter, s.silent_for) {
-                (None, _) => "no voter".into(),
-                (Some(v), 0) => format!("voter {v}"),
-                (Some(v), left) => format!("voter {v}, silent for {} more", seconds(left)),
-            };
-            println!("{at} member {} life {} ({voter})", s.member.number, s.member.incarnation);
-            for h in &s.roles {
-                let owner = match h.holder {
-                    Some((m, left)) => format!("granted to member {} for {}", m.number, seconds(left)),
-                    None => "granted to nobody".into(),
-                };
-                let own = h.own_lease.map_or(String::new(), |(t, left)| {
-                    format!(", OWNS term {} for {}", t.term, seconds(left))
-                });
-                println!("  {:<8} highest term {}, {owner}{own}", role_name(h.role), h.highest_term);
-            }
-            let holds = if s.assignment_valid_for == 0 {
-                "does not hold here now".into()
-            } else {
-                format!("holds for {}", seconds(s.assignment_valid_for))
-            };
-            println!(
-                "  deal {}.{} by member {} among {} members, {holds}; {} boxes here, {} probes made",
-                s.assignment.version.term,
-                s.assignment.version.number,
-                s.assignment.assigner.number,
-                s.assignment.members.len(),
-                s.target_count,
-                s.checks_sent
-            );
-            for (duty, status) in &s.role_status {
-                println!("  {} says: {status}", role_name(*duty));
-            }
-            println!(
-                "  refused here {}, older deals passed over {}, own refused at gates {}",
-                s.rejected_here, s.stale_assignments_ignored, s.own_rejections
-            );
-        }
+        statuses.iter().for_each(|(address, status)| print_status(*address, status));
+    }
+    print_holders(&statuses);
+    errors.iter().for_each(|error| eprintln!("{error}"));
+    Ok(if errors.is_empty() { CommandOutcome::Success } else { CommandOutcome::Rejected })
+}
+
+fn print_status(address: SocketAddr, status: &MemberStatus) {
+    let voter = match (status.voter, status.silent_for) {
+        (None, _) => "not a voter".into(),
+        (Some(voter), 0) => format!("voter {voter}"),
+        (Some(voter), left) => format!("voter {voter}, silent for {} more", seconds(left)),
+    };
+    let member = status.member;
+    println!("{address} member {} incarnation {} ({voter})", member.number, member.incarnation);
+    status.roles.iter().for_each(print_role);
+    print_assignment(status);
+    for (role, text) in &status.role_status {
+        println!("  {}: {text}", role_name(*role));
     }
-    for (duty, name) in ROLES {
-        let owners: Vec<u32> = views
-            .values()
-            .filter(|s| s.roles.iter().any(|h| h.role == duty && h.own_lease.is_some()))
-            .map(|s| s.member.number)
-            .collect();
-        match owners[..] {
-            [] => eprintln!("{name}: nobody of those asked owns it"),
-            [one] => eprintln!("{name}: member {one}"),
-            // Views are moments apart: a hand-over between them looks like two.
-            _ => eprintln!("{name}: members {owners:?}: it passed on meanwhile, or look again"),
+    println!(
+        "  stale tokens rejected here {}, older assignments ignored {}, own tokens rejected elsewhere {}",
+        status.rejected_here, status.stale_assignments_ignored, status.own_rejections
+    );
+}
+
+fn print_role(role: &RoleStatus) {
+    let granted = match role.holder {
+        Some((member, left)) => format!("granted to member {} for {}", member.number, seconds(left)),
+        None => "granted to nobody".into(),
+    };
+    let own = role.own_lease.map_or(String::new(), |(token, left)| {
+        format!(", HELD in term {} for {}", token.term, seconds(left))
+    });
+    println!("  {:<8} highest term {}, {granted}{own}", role_name(role.role), role.highest_term);
+}
+
+fn print_assignment(status: &MemberStatus) {
+    let valid = if status.assignment_valid_for == 0 {
+        "not valid here now".into()
+    } else {
+        format!("valid for {}", seconds(status.assignment_valid_for))
+    };
+    let assignment = &status.assignment;
+    println!(
+        "  assignment {}.{} by member {} among {} members, {valid}; {} cache nodes here, {} health checks sent",
+        assignment.version.term,
+        assignment.version.number,
+        assignment.assigner.number,
+        assignment.members.len(),
+        status.target_count,
+        status.checks_sent
+    );
+}
+
+/// One line for each role: which of the members asked holds it.
+fn print_holders(statuses: &BTreeMap<SocketAddr, MemberStatus>) {
+    for (role, name) in ROLES {
+        let holds = |status: &&MemberStatus| {
+            status.roles.iter().any(|held| held.role == role && held.own_lease.is_some())
+        };
+        let holders: Vec<u32> = statuses.values().filter(holds).map(|status| status.member.number).collect();
+        match holders[..] {
+            [] => eprintln!("{name}: none of those asked holds it"),
+            [holder] => eprintln!("{name}: member {holder}"),
+            // The statuses are moments apart: a hand-over between them looks like two holders.
+            _ => eprintln!("{name}: members {holders:?}: it passed on meanwhile; ask again"),
         }
     }
-    silent.iter().for_each(|e| eprintln!("{e}"));
-    Ok(if silent.is_empty() { CommandOutcome::Success } else { CommandOutcome::Rejected })
 }
 
-fn find_holder(whom: &Target, duty: RoleId) -> Result<Option<(SocketAddr, u32, u64)>, Vec<String>> {
-    let views = whom.addresses()?.into_iter().filter_map(|at| Some((at, whom.member_status(at).ok()?)));
-    let owns = |(at, s): (SocketAddr, MemberStatus)| {
-        let own = s.roles.iter().find(|h| h.role == duty)?.own_lease?;
-        Some((at, s.member.number, own.0.term))
+/// The member that holds a role, as far as those asked know.
+struct Holder {
+    address: SocketAddr,
+    member: u32,
+    term: u64,
+}
+
+fn find_holder(target: &Target, role: RoleId) -> Result<Option<Holder>, Vec<String>> {
+    let holder = |address: SocketAddr| {
+        let status = target.member_status(address).ok()?;
+        let (token, _) = status.roles.iter().find(|held| held.role == role)?.own_lease?;
+        Some(Holder { address, member: status.member.number, term: token.term })
     };
-    Ok(views.filter_map(owns).max_by_key(|o| o.2))
+    Ok(target.addresses()?.into_iter().filter_map(holder).max_by_key(|holder| holder.term))
+}
+
+fn role_status(status: MemberStatus, role: RoleId) -> Option<String> {
+    status.role_status.into_iter().find(|(of, _)| *of == role).map(|(_, text)| text)
 }
 
-fn change(file: &std::path::Path, follow: f64, whom: &Target) -> Result<CommandOutcome, Vec<String>> {
+fn change(file: &Path, follow: f64, target: &Target) -> Result<CommandOutcome, Vec<String>> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| vec![format!("{name}: {e}")])?;
     sablecross_hierarchy::spec::parse_settings(&name, &text, None)
-        .map_err(|f| f.iter().map(ToString::to_string).collect::<Vec<_>>())?;
-    let Some((at, number, term)) = find_holder(whom, HIERARCHY_ROLE)? else {
-        eprintln!("driving: nobody of those asked owns it now: ask again");
+        .map_err(|errors| errors.iter().map(ToString::to_string).collect::<Vec<_>>())?;
+    let Some(holder) = find_holder(target, HIERARCHY_ROLE)? else {
+        eprintln!("driving: none of those asked holds it now: ask again");
         return Ok(CommandOutcome::Rejected);
     };
-    let said = whom.send(at, Message::Propose(HIERARCHY_ROLE, text.into_bytes())).map_err(|e| vec![e])?;
-    if !said.contains(&Reply::ProposalResult(HIERARCHY_ROLE, Ok(()))) {
-        eprintln!("driving: member {number} does not own it any more: ask again");
+    let proposal = Message::Propose(HIERARCHY_ROLE, text.into_bytes());
+    let replies = target.send(holder.address, proposal).map_err(|e| vec![e])?;
+    if !replies.contains(&Reply::ProposalResult(HIERARCHY_ROLE, Ok(()))) {
+        eprintln!("driving: member {} does not hold it any more: ask again", holder.member);
         return Ok(CommandOutcome::Rejected);
     }
-    println!("member {number} drives in term {term}");
-    let before = whom
-        .member_status(at)
-        .ok()
-        .and_then(|s| s.role_status.into_iter().find(|(d, _)| *d == HIERARCHY_ROLE));
-    let mut ran = before.is_none_or(|(_, status)| !status.contains("no change runs"));
-    let begun = Instant::now();
+    println!("member {} holds the role in term {}", holder.member, holder.term);
+    follow_change(target, holder.address, follow)
+}
+
+/// Prints the progress of the change until it has ended, or for so many seconds.
+fn follow_change(
+    target: &Target,
+    proposed_to: SocketAddr,
+    follow: f64,
+) -> Result<CommandOutcome, Vec<String>> {
+    let first = target.member_status(proposed_to).ok().and_then(|status| role_status(status, HIERARCHY_ROLE));
+    let mut has_run = first.is_none_or(|status| !is_idle(&status));
+    let started = Instant::now();
     let mut last = String::new();
-    while begun.elapsed().as_secs_f64() < follow {
-        std::thread::sleep(Duration::from_millis(100));
-        // A new owner goes on with it.
-        let Some((at, number, _)) = find_holder(whom, HIERARCHY_ROLE)? else { continue };
-        let Ok(shown) = whom.member_status(at) else { continue };
-        let Some((_, status)) = shown.role_status.into_iter().find(|(d, _)| *d == HIERARCHY_ROLE) else {
-            continue;
-        };
+    while started.elapsed().as_secs_f64() < follow {
+        std::thread::sleep(FOLLOW_INTERVAL);
+        // After a loss of the holder the next one goes on with the change.
+        let Some(holder) = find_holder(target, HIERARCHY_ROLE)? else { continue };
+        let Ok(member) = target.member_status(holder.address) else { continue };
+        let Some(status) = role_status(member, HIERARCHY_ROLE) else { continue };
         if status != last {
-            println!("{:>7.1} s  member {number}: {status}", begun.elapsed().as_secs_f64());
+            println!("{:>7.1} s  member {}: {status}", started.elapsed().as_secs_f64(), holder.member);
         }
         if status.contains("last refused") {
             return Ok(CommandOutcome::Rejected);
         }
-        let rests = status.contains("no change runs");
-        if rests && status.contains(" 0 missing") {
-            if !ran {
-                eprintln!("driving: the owner was lost before the wish was kept: ask again");
-                return Ok(CommandOutcome::Rejected);
+        if is_idle(&status) && status.contains(" 0 missing") {
+            if has_run {
+                return Ok(CommandOutcome::Success);
             }
-            return Ok(CommandOutcome::Success);
+            eprintln!("driving: the holder was lost before it kept the proposal: ask again");
+            return Ok(CommandOutcome::Rejected);
         }
-        ran |= !rests;
+        has_run |= !is_idle(&status);
         last = status;
     }
-    eprintln!("driving: it runs still");
+    eprintln!("driving: the change still runs");
     Ok(CommandOutcome::Rejected)
 }
 
-fn hand_over(name: &str, to: Option<u32>, whom: &Target) -> Result<CommandOutcome, Vec<String>> {
-    let Some((duty, _)) = ROLES.iter().find(|d| d.1 == name).copied() else {
-        let known: Vec<&str> = ROLES.iter().map(|d| d.1).collect();
-        return Err(vec![format!("{name}: no such duty; there are {}", known.join(", "))]);
+/// Whether a status of the hierarchy role says that no change runs.
+fn is_idle(status: &str) -> bool {
+    status.contains("no change runs")
+}
+
+fn hand_over(name: &str, to: Option<u32>, target: &Target) -> Result<CommandOutcome, Vec<String>> {
+    let Some((role, _)) = ROLES.iter().find(|(_, known)| *known == name).copied() else {
+        let known: Vec<&str> = ROLES.iter().map(|(_, known)| *known).collect();
+        return Err(vec![format!("{name}: no such role; there are {}", known.join(", "))]);
     };
-    let Some((at, number, term)) = find_holder(whom, duty)? else {
-        eprintln!("{name}: nobody of those asked owns it now");
+    let Some(holder) = find_holder(target, role)? else {
+        eprintln!("{name}: none of those asked holds it now");
         return Ok(CommandOutcome::Rejected);
     };
-    let said = whom.send(at, Message::HandOver(duty, to)).map_err(|e| vec![e])?;
-    if !said.contains(&Reply::HandOverStarted(duty, true)) {
-        eprintln!("{name}: member {number} owned it and does not any more: look again");
+    let replies = target.send(holder.address, Message::HandOver(role, to)).map_err(|e| vec![e])?;
+    if !replies.contains(&Reply::HandOverStarted(role, true)) {
+        eprintln!("{name}: member {} held it and does not any more: ask again", holder.member);
         return Ok(CommandOutcome::Rejected);
     }
-    let begun = Instant::now();
-    while begun.elapsed() < whom.time().max(Duration::from_secs(2)) {
-        std::thread::sleep(Duration::from_millis(50));
-        if let Some((_, next, later)) = find_holder(whom, duty)?.filter(|o| o.2 > term) {
-            let took = begun.elapsed().as_secs_f64();
-            println!(
-                "{name}: member {number} gave it up in term {term}, member {next} has it in term {later} ({took:.2} s)"
-            );
-            return Ok(if to.is_none_or(|to| to == next) {
-                CommandOutcome::Success
-            } else {
-                CommandOutcome::Rejected
-            });
-        }
+    let started = Instant::now();
+    while started.elapsed() < target.timeout().max(MIN_HAND_OVER_WAIT) {
+        std::thread::sleep(HAND_OVER_INTERVAL);
+        let Some(next) = find_holder(target, role)?.filter(|next| next.term > holder.term) else { continue };
+        println!(
+            "{name}: member {} released it in term {}, member {} holds it in term {} ({:.2} s)",
+            holder.member,
+            holder.term,
+            next.member,
+            next.term,
+            started.elapsed().as_secs_f64()
+        );
+        let is_wanted = to.is_none_or(|to| to == next.member);
+        return Ok(if is_wanted { CommandOutcome::Success } else { CommandOutcome::Rejected });
     }
-    println!("{name}: member {number} gave it up in term {term}, nobody has taken it yet");
+    println!("{name}: member {} released it in term {}, nobody holds it yet", holder.member, holder.term);
     Ok(CommandOutcome::Rejected)
 }
--- a/crates/cli/src/cost_slopes.rs
+++ b/crates/cli/src/cost_slopes.rs
@@ -7,7 +7,7 @@
 use crate::CommandOutcome;
 
 #[derive(Args)]
-pub struct Arguments {
+pub(crate) struct Arguments {
     /// Only costs whose names begin so.
     #[arg(long, default_value = "")]
     only: String,
@@ -25,7 +25,7 @@
     bare: Vec<String>,
 }
 
-pub fn run(a: &Arguments) -> Result<CommandOutcome, Vec<String>> {
+pub(crate) fn run(a: &Arguments) -> Result<CommandOutcome, Vec<String>> {
     if let [name, size] = &a.bare[..] {
         let size = size.parse().ok().filter(|s| *s > 0);
         let size = size.ok_or_else(|| vec![format!("--bare {name}: the size is no count")])?;
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -8,7 +8,7 @@
 use crate::{CommandOutcome, trial};
 
 #[derive(Args)]
-pub struct Arguments {
+pub(crate) struct Arguments {
     /// The trial, as an S-expression: see docs/spread-operators.md.
     file: PathBuf,
     /// Where the report, the plot and the directors' logs go.
@@ -24,7 +24,7 @@
     director: Option<PathBuf>,
 }
 
-pub fn run(a: &Arguments) -> Result<CommandOutcome, Vec<String>> {
+pub(crate) fn run(a: &Arguments) -> Result<CommandOutcome, Vec<String>> {
     let mut trial = trial::settings(&a.file, fleet::settings::parse)?;
     trial.seed = a.seed.unwrap_or(trial.seed);
     trial.directors = a.directors.unwrap_or(trial.directors);
--- a/crates/cli/src/hierarchy.rs
+++ b/crates/cli/src/hierarchy.rs
@@ -1,4 +1,4 @@
-//! `sablecross hierarchy ...`
+//! `sablecross hierarchy ...`: checks, shows, compares and plans versions of the hierarchy.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -18,7 +18,7 @@
 use crate::CommandOutcome;
 
 #[derive(Subcommand)]
-pub enum Command {
+pub(crate) enum Command {
     /// Checks each file: its form, circles, ways to the origin, loads.
     Check {
         #[arg(required = true)]
@@ -44,10 +44,10 @@
 }
 
 #[derive(Args)]
-pub struct PlanArgs {
-    /// What is in force.
+pub(crate) struct PlanArgs {
+    /// The version that is applied now.
     from: PathBuf,
-    /// What is aimed for.
+    /// The version that is wanted.
     to: PathBuf,
     #[arg(long, value_enum, default_value_t = Form::Table)]
     form: Form,
@@ -56,17 +56,19 @@
     steps: Option<PathBuf>,
 }
 
+/// How a hierarchy or a plan is written.
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
-pub enum Form {
+pub(crate) enum Form {
     Table,
     Json,
     /// For Graphviz.
     Dot,
 }
 
-type Faults = Vec<String>;
+/// One line for each problem.
+type Problems = Vec<String>;
 
-pub fn run(command: &Command) -> Result<CommandOutcome, Faults> {
+pub(crate) fn run(command: &Command) -> Result<CommandOutcome, Problems> {
     match command {
         Command::Check { files, json } => check(files, *json),
         Command::Show { file, form } => {
@@ -90,46 +92,49 @@
     }
 }
 
-fn load(file: &Path, known: Option<&Hierarchy>) -> Result<(u64, Hierarchy), Faults> {
+fn load(file: &Path, known: Option<&Hierarchy>) -> Result<(u64, Hierarchy), Problems> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| vec![format!("{name}: {e}")])?;
     parse_settings(&name, &text, known).map_err(|f| f.iter().map(ToString::to_string).collect())
 }
 
-fn check(files: &[PathBuf], as_json: bool) -> Result<CommandOutcome, Faults> {
-    let mut verdict = CommandOutcome::Success;
-    let mut said = Vec::new();
+fn check(files: &[PathBuf], as_json: bool) -> Result<CommandOutcome, Problems> {
+    let mut outcome = CommandOutcome::Success;
+    let mut results = Vec::new();
     for file in files {
         let name = file.display().to_string();
         let found = load(file, None);
-        let (fit, words) = match &found {
+        let (is_fit, lines) = match &found {
             Err(faults) => (false, faults.clone()),
             Ok((number, h)) => match Admission::new(h.clone()) {
                 Err(refusal) => (false, vec![format!("{name}: {refusal}")]),
                 Ok(_) => (true, vec![format!("{name}: version {number}, {} nodes: well", h.len())]),
             },
         };
-        if !fit {
-            verdict = CommandOutcome::Rejected;
+        if !is_fit {
+            outcome = CommandOutcome::Rejected;
         }
         if as_json {
-            said.push(json!({"file": name, "fit": fit, "said": words}));
+            results.push(json!({"file": name, "fit": is_fit, "said": lines}));
         } else {
-            words.iter().for_each(|w| println!("{w}"));
+            lines.iter().for_each(|line| println!("{line}"));
         }
     }
     if as_json {
-        println!("{}", Value::from(said));
+        println!("{}", Value::from(results));
     }
-    Ok(verdict)
+    Ok(outcome)
 }
 
-/// What each node is asked for, by its number; nothing for a hierarchy with a circle.
+/// The load on each node, in requests a second; empty for a hierarchy with a loop.
 fn loads(h: &Hierarchy) -> BTreeMap<NodeId, f64> {
     let index = NodeIndex::from_versions(&[h]);
-    let cells = index.flow_nodes(h);
-    let side = FlowGraph::new(cells.iter().map(Option::as_ref).collect());
-    side.map_or_else(|_| BTreeMap::new(), |s| index.ids.iter().copied().zip(s.incoming_load).collect())
+    let nodes = index.flow_nodes(h);
+    let graph = FlowGraph::new(nodes.iter().map(Option::as_ref).collect());
+    graph.map_or_else(
+        |_| BTreeMap::new(),
+        |graph| index.ids.iter().copied().zip(graph.incoming_load).collect(),
+    )
 }
 
 fn names(h: &Hierarchy, ids: &[NodeId]) -> String {
@@ -250,7 +255,7 @@
     lines
 }
 
-fn plan_change(args: &PlanArgs) -> Result<CommandOutcome, Faults> {
+fn plan_change(args: &PlanArgs) -> Result<CommandOutcome, Problems> {
     let (number, from) = load(&args.from, None)?;
     let (aim_number, to) = load(&args.to, Some(&from))?;
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
--- a/crates/cli/src/relay.rs
+++ b/crates/cli/src/relay.rs
@@ -18,8 +18,9 @@
 /// The longest status that is read.
 const MAX_REPLY_BYTES: usize = 64 << 20;
 
+/// Which relays are asked.
 #[derive(Args)]
-pub struct Target {
+pub(crate) struct Target {
     /// The settings of any relay: all members are asked.
     #[arg(long)]
     settings: PathBuf,
@@ -29,7 +30,7 @@
 }
 
 #[derive(Subcommand)]
-pub enum Command {
+pub(crate) enum Command {
     /// Runs a relay until SIGTERM, which hands over; SIGUSR1 puts its status into the log.
     Run {
         /// Its settings: see docs/relay-operators.md.
@@ -41,7 +42,7 @@
     /// All relays and their readers; for a number, since when it is in force everywhere or at whom it is missing. Changes nothing.
     Show {
         #[command(flatten)]
-        whom: Target,
+        target: Target,
         #[arg(long)]
         number: Option<u64>,
         #[arg(long)]
@@ -50,7 +51,7 @@
     /// Publishes events, each as JSON without its number, and prints the numbers under which they are told.
     Publish {
         #[command(flatten)]
-        whom: Target,
+        target: Target,
         /// By which the event is known again, so that it is told once however often it is published; several events
         /// get this with -1, -2 and so on. By itself one is made up.
         #[arg(long)]
@@ -62,12 +63,12 @@
 }
 
 impl Target {
-    fn time(&self) -> Duration {
+    fn timeout(&self) -> Duration {
         Duration::from_secs_f64(self.time.clamp(0.01, 3_600.0))
     }
 }
 
-pub fn run(command: &Command) -> Result<CommandOutcome, Vec<String>> {
+pub(crate) fn run(command: &Command) -> Result<CommandOutcome, Vec<String>> {
     match command {
         Command::Run { file, with_parent } => {
             let setting = RelayServerConfig::load(file)?;
@@ -78,156 +79,176 @@
                 .map_err(|e| vec![format!("{}: {e}", file.display())])?;
             Ok(CommandOutcome::Success)
         }
-        Command::Show { whom, number, json } => show(whom, *number, *json),
-        Command::Publish { whom, mark, events } => publish(whom, mark.as_deref(), events),
+        Command::Show { target, number, json } => show(target, *number, *json),
+        Command::Publish { target, mark, events } => publish(target, mark.as_deref(), events),
     }
 }
 
-fn status(at: SocketAddr, time: Duration) -> Result<RelayStatus, String> {
-    let mut line = PeerClient::new(at, time, MAX_REPLY_BYTES);
+fn relay_status(address: SocketAddr, timeout: Duration) -> Result<RelayStatus, String> {
+    let mut client = PeerClient::new(address, timeout, MAX_REPLY_BYTES);
     let (code, body) =
-        line.request("GET", "/v1/status", "Connection: close\r\n", b"").map_err(|e| e.to_string())?;
+        client.request("GET", "/v1/status", "Connection: close\r\n", b"").map_err(|e| e.to_string())?;
     if code != 200 {
         return Err(format!("answer {code}"));
     }
     serde_json::from_slice(&body).map_err(|e| format!("its status can't be read: {e}"))
 }
 
-fn unix() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
+/// A relay that did not answer, and why.
+struct SilentRelay {
+    number: u32,
+    why: String,
 }
 
-fn age(unix_ms: u64) -> String {
-    format!("{:.1} s ago", unix().saturating_sub(unix_ms) as f64 / 1e3)
-}
-
-fn show(whom: &Target, number: Option<u64>, as_json: bool) -> Result<CommandOutcome, Vec<String>> {
-    let setting = RelayServerConfig::load(&whom.settings)?;
-    let time = whom.time();
-    // All at once: one that hangs holds nobody up.
-    let asked: Vec<_> = std::thread::scope(|all| {
-        let one = |m: &MemberForm| {
-            let m = *m;
-            (m, all.spawn(move || status(m.address, time)))
+/// Asks all relays at the same time, so that one that hangs delays no other.
+fn relay_statuses(config: &RelayServerConfig, timeout: Duration) -> (Vec<RelayStatus>, Vec<SilentRelay>) {
+    let mut statuses = Vec::new();
+    let mut silent = Vec::new();
+    std::thread::scope(|scope| {
+        let ask = |member: &MemberForm| {
+            let address = member.address;
+            (member.number, scope.spawn(move || relay_status(address, timeout)))
         };
-        let threads: Vec<_> = setting.members.iter().map(one).collect();
-        let joined = threads.into_iter().map(|(m, t)| (m, t.join().unwrap_or(Err("no answer".into()))));
-        joined.collect()
+        let threads: Vec<_> = config.members.iter().map(ask).collect();
+        for (number, thread) in threads {
+            match thread.join().unwrap_or(Err("no answer".into())) {
+                Ok(status) => statuses.push(status),
+                Err(why) => silent.push(SilentRelay { number, why }),
+            }
+        }
     });
-    let silent: Vec<(u32, String)> =
-        asked.iter().filter_map(|(m, s)| Some((m.number, s.as_ref().err()?.clone()))).collect();
-    let all: Vec<RelayStatus> = asked.into_iter().filter_map(|(_, s)| s.ok()).collect();
-    let whole = merge_statuses(&all);
-    let in_force = number.map(|n| whole.applied_status(n));
-    let owner = all.iter().any(|s| s.role == "owner");
-    let well = silent.is_empty() && (owner || setting.voters().next().is_none());
-    let well = well && in_force.as_ref().is_none_or(|f| f.missing.is_empty() && f.since_unix_ms.is_some());
+    (statuses, silent)
+}
+
+fn unix_ms() -> u64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
+}
+
+fn age(since_unix_ms: u64) -> String {
+    format!("{:.1} s ago", unix_ms().saturating_sub(since_unix_ms) as f64 / 1e3)
+}
+
+fn show(target: &Target, number: Option<u64>, as_json: bool) -> Result<CommandOutcome, Vec<String>> {
+    let config = RelayServerConfig::load(&target.settings)?;
+    let (statuses, silent) = relay_statuses(&config, target.timeout());
+    let fleet = merge_statuses(&statuses);
+    let applied = number.map(|number| fleet.applied_status(number));
+    let has_leader = statuses.iter().any(|status| status.role == "owner");
+    let is_served = has_leader || config.voters().next().is_none();
+    let is_applied = applied.as_ref().is_none_or(|a| a.missing.is_empty() && a.since_unix_ms.is_some());
+    let is_well = silent.is_empty() && is_served && is_applied;
     if as_json {
-        let silent: Vec<Value> = silent.iter().map(|(n, why)| json!({"number": n, "why": why})).collect();
-        let shown = json!({"relays": all, "silent": silent, "whole": whole, "in_force": in_force});
-        println!("{shown}");
-        return Ok(if well { CommandOutcome::Success } else { CommandOutcome::Rejected });
-    }
-    for s in &all {
-        let fresh = s.staleness_ms.map_or("never".into(), |ms| format!("{:.1} s", ms as f64 / 1e3));
-        let (connected, missing) = (
-            s.subscribers.iter().filter(|r| r.connected).count(),
-            s.subscribers.iter().filter(|r| r.missing).count(),
-        );
-        let owner = s.leader.map_or("-".into(), |o| o.to_string());
-        println!(
-            "{:10} {:6} owner {owner} term {} fresh {fresh}  events {}..{} floor {} log {} KB  readers {connected}, {missing} missing",
-            s.name,
-            s.role,
-            s.term,
-            s.snapshot_number,
-            s.last_number,
-            s.floor,
-            s.log_bytes / 1_000
-        );
-        if let Some(ms) = s.recovering_ms {
-            println!("{:10} has begun anew and learns what was kept, for {:.1} s still", "", ms as f64 / 1e3);
+        let silent: Vec<Value> =
+            silent.iter().map(|relay| json!({"number": relay.number, "why": relay.why})).collect();
+        println!("{}", json!({"relays": statuses, "silent": silent, "whole": fleet, "in_force": applied}));
+    } else {
+        statuses.iter().for_each(print_relay);
+        for relay in &silent {
+            println!("relay-{:<4} no answer: {}", relay.number, relay.why);
         }
-        if s.reset_unix_ms > 0 {
-            println!("{:10} the log began anew {}", "", age(s.reset_unix_ms));
+        if let Some(applied) = applied {
+            print_applied(&applied, fleet.last_number);
         }
     }
-    for (number, why) in &silent {
-        println!("relay-{number:<4} no answer: {why}");
+    Ok(if is_well { CommandOutcome::Success } else { CommandOutcome::Rejected })
+}
+
+fn print_relay(status: &RelayStatus) {
+    let staleness = status.staleness_ms.map_or("never".into(), |ms| format!("{:.1} s", ms as f64 / 1e3));
+    let connected = status.subscribers.iter().filter(|subscriber| subscriber.connected).count();
+    let missing = status.subscribers.iter().filter(|subscriber| subscriber.missing).count();
+    let leader = status.leader.map_or("-".into(), |leader| leader.to_string());
+    println!(
+        "{:10} {:6} leader {leader} term {} last heard {staleness}  events {}..{} floor {} log {} KB  readers {connected}, {missing} missing",
+        status.name,
+        status.role,
+        status.term,
+        status.snapshot_number,
+        status.last_number,
+        status.floor,
+        status.log_bytes / 1_000
+    );
+    if let Some(ms) = status.recovering_ms {
+        println!("{:10} has restarted and recovers the log, for {:.1} s so far", "", ms as f64 / 1e3);
     }
-    if let Some(f) = in_force {
-        print_applied(&f, whole.last_number);
+    if status.reset_unix_ms > 0 {
+        println!("{:10} the log was reset {}", "", age(status.reset_unix_ms));
     }
-    Ok(if well { CommandOutcome::Success } else { CommandOutcome::Rejected })
 }
 
-fn print_applied(f: &AppliedStatus, last: u64) {
-    let n = f.number;
-    if n > last {
-        println!("{n}: not told yet, the last is {last}");
+fn print_applied(applied: &AppliedStatus, last: u64) {
+    let number = applied.number;
+    if number > last {
+        println!("{number}: not told yet, the last is {last}");
     }
-    match f.since_unix_ms {
-        Some(since) => println!("{n}: in force everywhere that counts since {since} ({})", age(since)),
-        None if f.missing.is_empty() => {
-            println!("{n}: in force at all that are known; since when is not known")
+    match applied.since_unix_ms {
+        Some(since) => println!("{number}: in force everywhere that counts since {since} ({})", age(since)),
+        None if applied.missing.is_empty() => {
+            println!("{number}: in force at all that are known; since when is not known")
         }
-        None => println!("{n}: not in force everywhere"),
+        None => println!("{number}: not in force everywhere"),
     }
-    for MergedSubscriber { name, number, last_seen_unix_ms: heard_unix_ms, connected, relay } in &f.missing {
-        let how = if *connected { "connected" } else { "gone" };
-        match heard_unix_ms {
-            Some(heard) => {
-                println!("  missing at {name}: has {number}, {how}, heard {} by {relay}", age(*heard))
-            }
-            None => println!("  missing at {name}: never heard, expected by {relay}"),
-        }
+    applied.missing.iter().for_each(print_missing);
+}
+
+fn print_missing(subscriber: &MergedSubscriber) {
+    let MergedSubscriber { name, number, last_seen_unix_ms, connected, relay } = subscriber;
+    let state = if *connected { "connected" } else { "gone" };
+    match last_seen_unix_ms {
+        Some(seen) => println!("  missing at {name}: has {number}, {state}, heard {} by {relay}", age(*seen)),
+        None => println!("  missing at {name}: never heard, expected by {relay}"),
     }
 }
 
-/// The text of an event, checked here before anything is published.
-fn event(place: usize, text: &str, most: usize) -> Result<Vec<u8>, String> {
-    let (name, text) = match text.strip_prefix('@') {
+/// The body of an event, checked before anything is published. `@FILE` reads it from a file.
+fn event_body(index: usize, text: &str, max_bytes: usize) -> Result<Vec<u8>, String> {
+    let (name, body) = match text.strip_prefix('@') {
         Some(file) => {
-            let read = std::fs::read(Path::new(file)).map_err(|e| format!("{file}: {e}"))?;
-            (file.to_owned(), read)
+            let body = std::fs::read(Path::new(file)).map_err(|e| format!("{file}: {e}"))?;
+            (file.to_owned(), body)
         }
-        None => (format!("event {}", place + 1), text.as_bytes().to_vec()),
+        None => (format!("event {}", index + 1), text.as_bytes().to_vec()),
     };
-    Event::parse(&text, most).map_err(|e| format!("{name}: {e}"))?;
-    Ok(text)
+    Event::parse(&body, max_bytes).map_err(|e| format!("{name}: {e}"))?;
+    Ok(body)
 }
 
-fn publish(whom: &Target, mark: Option<&str>, events: &[String]) -> Result<CommandOutcome, Vec<String>> {
-    let setting = RelayServerConfig::load(&whom.settings)?;
-    if setting.voters().next().is_none() {
-        return Err(vec![format!("{}: no member votes: nobody takes events", whom.settings.display())]);
-    }
-    let read = events.iter().enumerate().map(|(i, text)| event(i, text, setting.relay.event_bytes));
-    let (mut bodies, mut faults) = (Vec::new(), Vec::new());
-    for one in read {
-        match one {
+/// The bodies of all events, or all that is wrong with them.
+fn event_bodies(events: &[String], max_bytes: usize) -> Result<Vec<Vec<u8>>, Vec<String>> {
+    let mut bodies = Vec::new();
+    let mut errors = Vec::new();
+    for (index, text) in events.iter().enumerate() {
+        match event_body(index, text, max_bytes) {
             Ok(body) => bodies.push(body),
-            Err(why) => faults.push(why),
+            Err(error) => errors.push(error),
         }
     }
-    if !faults.is_empty() {
-        return Err(faults);
+    if errors.is_empty() { Ok(bodies) } else { Err(errors) }
+}
+
+fn publish(target: &Target, mark: Option<&str>, events: &[String]) -> Result<CommandOutcome, Vec<String>> {
+    let config = RelayServerConfig::load(&target.settings)?;
+    if config.voters().next().is_none() {
+        return Err(vec![format!("{}: no member votes: nobody takes events", target.settings.display())]);
     }
-    let made = format!("{}-{}", unix(), std::process::id());
-    let voters: Vec<MemberForm> = setting.voters().copied().collect();
+    let bodies = event_bodies(events, config.relay.event_bytes)?;
+    let generated = format!("{}-{}", unix_ms(), std::process::id());
+    let voters: Vec<MemberForm> = config.voters().copied().collect();
     let mut publisher = Publisher::new(&voters);
-    for (i, body) in bodies.iter().enumerate() {
-        let mark = match mark {
+    for (index, body) in bodies.iter().enumerate() {
+        let idempotency_key = match mark {
             Some(mark) if bodies.len() == 1 => mark.to_owned(),
-            Some(mark) => format!("{mark}-{}", i + 1),
-            None => format!("{made}-{}", i + 1),
+            Some(mark) => format!("{mark}-{}", index + 1),
+            None => format!("{generated}-{}", index + 1),
         };
-        match publisher.publish(&mark, body, whom.time()) {
-            Ok(n) => println!("{n}"),
-            Err(no) => {
-                eprintln!("event {} of {}: {no}", i + 1, bodies.len());
-                if let PublishCallError::TimedOut(..) = no {
-                    eprintln!("whether it will be told is not known: publish it again with --mark {mark}");
+        match publisher.publish(&idempotency_key, body, target.timeout()) {
+            Ok(number) => println!("{number}"),
+            Err(error) => {
+                eprintln!("event {} of {}: {error}", index + 1, bodies.len());
+                if let PublishCallError::TimedOut(..) = error {
+                    eprintln!(
+                        "whether it was taken is not known: publish it again with --mark {idempotency_key}"
+                    );
                 }
                 return Ok(CommandOutcome::Rejected);
             }
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -8,7 +8,7 @@
 use crate::{CommandOutcome, trial};
 
 #[derive(Args)]
-pub struct Arguments {
+pub(crate) struct Arguments {
     /// The trial, as an S-expression: see docs/scale-operators.md.
     file: PathBuf,
     /// Where the report, the plot and all logs go.
@@ -28,7 +28,7 @@
     star: bool,
 }
 
-pub fn run(a: &Arguments) -> Result<CommandOutcome, Vec<String>> {
+pub(crate) fn run(a: &Arguments) -> Result<CommandOutcome, Vec<String>> {
     let mut s = trial::settings(&a.file, scale::settings::parse)?;
     s.hollow = a.hollow.unwrap_or(s.hollow);
     s.real = a.real.unwrap_or(s.real);
--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -9,7 +9,7 @@
 use super::CommandOutcome;
 
 #[derive(Args)]
-pub struct Arguments {
+pub(crate) struct Arguments {
     /// The seed of the first soak; each further one has the next.
     #[arg(long, default_value_t = 1)]
     seed: u64,
@@ -42,7 +42,7 @@
     path.map(|p| p.canonicalize().map_err(|e| format!("{}: {e}", p.display()))).transpose()
 }
 
-pub fn run(arguments: &Arguments) -> Result<CommandOutcome, Vec<String>> {
+pub(crate) fn run(arguments: &Arguments) -> Result<CommandOutcome, Vec<String>> {
     let one = |e: String| vec![e];
     let director = existing(arguments.director.as_ref()).map_err(one)?;
     let fault_library = existing(arguments.faults.as_ref()).map_err(one)?;
--- a/crates/cli/src/testbed.rs
+++ b/crates/cli/src/testbed.rs
@@ -8,7 +8,7 @@
 use crate::{CommandOutcome, trial};
 
 #[derive(Subcommand)]
-pub enum Command {
+pub(crate) enum Command {
     /// Runs an experiment and writes report.txt, report.json and plot.svg.
     Run {
         file: PathBuf,
@@ -27,7 +27,7 @@
     Hollow,
 }
 
-pub fn run(command: &Command) -> Result<CommandOutcome, Vec<String>> {
+pub(crate) fn run(command: &Command) -> Result<CommandOutcome, Vec<String>> {
     let Command::Run { file, out, seed } = command else { return Ok(CommandOutcome::Success) };
     let mut experiment = trial::settings(file, settings::parse)?;
     experiment.seed = seed.unwrap_or(experiment.seed);
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -9,7 +9,7 @@
 use crate::CommandOutcome;
 
 /// The settings of a trial.
-pub fn settings<T>(
+pub(crate) fn settings<T>(
     file: &Path,
     read: fn(&str, &str) -> Result<T, Vec<ConfigError>>,
 ) -> Result<T, Vec<String>> {
@@ -19,7 +19,7 @@
 }
 
 /// Runs it, with this program under other words as its processes; then writes and prints the report.
-pub fn run<R: TrialReport>(
+pub(crate) fn run<R: TrialReport>(
     out: &Path,
     trial: impl FnOnce(&dyn Fn(&[&str]) -> Command) -> Result<R, TrialError>,
 ) -> Result<CommandOutcome, Vec<String>> {
--- a/crates/fault-injection/src/calls.rs
+++ b/crates/fault-injection/src/calls.rs
@@ -12,19 +12,21 @@
 /// Errors after which a connection stays broken: the next call must not find it whole.
 const BREAKING: [i32; 3] = [libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET];
 
-fn due(call: Call) -> Option<i32> {
+/// The error with which a call of this kind is to fail now, if any.
+fn due_error(call: Call) -> Option<i32> {
     match state::fault(call)? {
         Fault::Errno(errno) => Some(errno),
         Fault::Short(_) => None,
     }
 }
 
+/// The result of a system call as the C library returns it.
 fn result(value: c_long) -> c_int {
     value as c_int
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Kind {
+enum DescriptorKind {
     Socket,
     File,
     Other,
@@ -49,28 +51,28 @@
 }
 
 /// What a descriptor is.
-fn kind(descriptor: c_int) -> Kind {
+fn descriptor_kind(descriptor: c_int) -> DescriptorKind {
     // SAFETY: the kernel fills the structure that it is given.
     let mode = unsafe {
         let mut status: libc::stat = std::mem::zeroed();
         if libc::syscall(libc::SYS_fstat, descriptor, &mut status) != 0 {
-            return Kind::Other;
+            return DescriptorKind::Other;
         }
         status.st_mode & libc::S_IFMT
     };
     match mode {
-        libc::S_IFSOCK if is_internet(descriptor) => Kind::Socket,
-        libc::S_IFREG => Kind::File,
-        _ => Kind::Other,
+        libc::S_IFSOCK if is_internet(descriptor) => DescriptorKind::Socket,
+        libc::S_IFREG => DescriptorKind::File,
+        _ => DescriptorKind::Other,
     }
 }
 
 /// How many bytes a transfer may move, or the error with which it fails.
 fn transfer(descriptor: c_int, on_socket: Call, on_file: Call) -> Result<usize, c_int> {
-    let call = match kind(descriptor) {
-        Kind::Socket => on_socket,
-        Kind::File => on_file,
-        Kind::Other => return Ok(usize::MAX),
+    let call = match descriptor_kind(descriptor) {
+        DescriptorKind::Socket => on_socket,
+        DescriptorKind::File => on_file,
+        DescriptorKind::Other => return Ok(usize::MAX),
     };
     match state::fault(call) {
         None => Ok(usize::MAX),
@@ -85,20 +87,20 @@
     }
 }
 
-/// The first parts of a gathered or scattered transfer, at most so many bytes of them.
-fn cut(parts: &[iovec], most: usize) -> Vec<iovec> {
-    let mut left = most;
-    let mut cut = Vec::new();
+/// The first `max_bytes` of the parts of a gathered or scattered transfer.
+fn truncated(parts: &[iovec], max_bytes: usize) -> Vec<iovec> {
+    let mut left = max_bytes;
+    let mut truncated = Vec::new();
     for part in parts {
         let length = part.iov_len.min(left);
         left -= length;
-        cut.push(iovec { iov_base: part.iov_base, iov_len: length });
+        truncated.push(iovec { iov_base: part.iov_base, iov_len: length });
     }
-    cut
+    truncated
 }
 
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, time: *mut libc::timespec) -> c_int {
+pub(crate) unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, time: *mut libc::timespec) -> c_int {
     // SAFETY: the caller's arguments go on unchanged.
     let done = unsafe { libc::syscall(libc::SYS_clock_gettime, clock, time) };
     if done == 0 && clock == libc::CLOCK_REALTIME {
@@ -116,8 +118,8 @@
 macro_rules! forwarded {
     ($name:ident, $kind:expr, $number:expr, ($($argument:ident: $type:ty),*)) => {
         #[unsafe(no_mangle)]
-        pub unsafe extern "C" fn $name($($argument: $type),*) -> c_int {
-            if let Some(errno) = due($kind) {
+        pub(crate) unsafe extern "C" fn $name($($argument: $type),*) -> c_int {
+            if let Some(errno) = due_error($kind) {
                 return state::fail(errno);
             }
             // SAFETY: the caller's arguments go on unchanged.
@@ -141,13 +143,13 @@
 forwarded!(fdatasync, Call::Sync, libc::SYS_fdatasync, (file: c_int));
 
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn accept4(
+pub(crate) unsafe extern "C" fn accept4(
     listener: c_int,
     address: *mut c_void,
     length: *mut c_uint,
     flags: c_int,
 ) -> c_int {
-    if let Some(errno) = due(Call::Accept) {
+    if let Some(errno) = due_error(Call::Accept) {
         if errno == libc::ECONNABORTED {
             // The connection that was aborted is gone from the queue.
             // SAFETY: no address is asked for, and the descriptor is this call's own.
@@ -167,8 +169,13 @@
 }
 
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn epoll_wait(epoll: c_int, events: *mut c_void, most: c_int, timeout: c_int) -> c_int {
-    if let Some(errno) = due(Call::Wait) {
+pub(crate) unsafe extern "C" fn epoll_wait(
+    epoll: c_int,
+    events: *mut c_void,
+    most: c_int,
+    timeout: c_int,
+) -> c_int {
+    if let Some(errno) = due_error(Call::Wait) {
         return state::fail(errno);
     }
     let mask = std::ptr::null::<c_void>();
@@ -177,8 +184,8 @@
 }
 
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: c_uint) -> c_int {
-    if let Some(errno) = due(Call::Open) {
+pub(crate) unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: c_uint) -> c_int {
+    if let Some(errno) = due_error(Call::Open) {
         return state::fail(errno);
     }
     // SAFETY: the caller's arguments go on unchanged.
@@ -186,7 +193,7 @@
 }
 
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn read(descriptor: c_int, to: *mut c_void, length: size_t) -> ssize_t {
+pub(crate) unsafe extern "C" fn read(descriptor: c_int, to: *mut c_void, length: size_t) -> ssize_t {
     match transfer(descriptor, Call::Receive, Call::FileRead) {
         Err(failed) => failed as ssize_t,
         // SAFETY: the caller's buffer, or a part of it.
@@ -195,7 +202,7 @@
 }
 
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn write(descriptor: c_int, from: *const c_void, length: size_t) -> ssize_t {
+pub(crate) unsafe extern "C" fn write(descriptor: c_int, from: *const c_void, length: size_t) -> ssize_t {
     match transfer(descriptor, Call::Send, Call::FileWrite) {
         Err(failed) => failed as ssize_t,
         // SAFETY: the caller's buffer, or a part of it.
@@ -204,7 +211,7 @@
 }
 
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn pwrite64(
+pub(crate) unsafe extern "C" fn pwrite64(
     descriptor: c_int,
     from: *const c_void,
     length: size_t,
@@ -220,7 +227,12 @@
 }
 
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn recv(socket: c_int, to: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
+pub(crate) unsafe extern "C" fn recv(
+    socket: c_int,
+    to: *mut c_void,
+    length: size_t,
+    flags: c_int,
+) -> ssize_t {
     match transfer(socket, Call::Receive, Call::FileRead) {
         Err(failed) => failed as ssize_t,
         // SAFETY: the caller's buffer, or a part of it.
@@ -232,7 +244,12 @@
 }
 
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn send(socket: c_int, from: *const c_void, length: size_t, flags: c_int) -> ssize_t {
+pub(crate) unsafe extern "C" fn send(
+    socket: c_int,
+    from: *const c_void,
+    length: size_t,
+    flags: c_int,
+) -> ssize_t {
     match transfer(socket, Call::Send, Call::FileWrite) {
         Err(failed) => failed as ssize_t,
         // SAFETY: the caller's buffer, or a part of it.
@@ -244,14 +261,14 @@
 }
 
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn writev(descriptor: c_int, parts: *const iovec, many: c_int) -> ssize_t {
+pub(crate) unsafe extern "C" fn writev(descriptor: c_int, parts: *const iovec, many: c_int) -> ssize_t {
     match transfer(descriptor, Call::Send, Call::FileWrite) {
         Err(failed) => failed as ssize_t,
         // SAFETY: the caller tells how many parts there are.
         Ok(usize::MAX) => unsafe { libc::syscall(libc::SYS_writev, descriptor, parts, many) as ssize_t },
         // SAFETY: as above, of which some are left out.
         Ok(most) => unsafe {
-            let shorter = cut(std::slice::from_raw_parts(parts, many as usize), most);
+            let shorter = truncated(std::slice::from_raw_parts(parts, many as usize), most);
             libc::syscall(libc::SYS_writev, descriptor, shorter.as_ptr(), many) as ssize_t
         },
     }
@@ -260,13 +277,13 @@
 type Start = extern "C" fn(*mut c_void) -> *mut c_void;
 
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn pthread_create(
+pub(crate) unsafe extern "C" fn pthread_create(
     thread: *mut pthread_t,
     attributes: *const pthread_attr_t,
     start: Start,
     argument: *mut c_void,
 ) -> c_int {
-    if let Some(errno) = due(Call::Thread) {
+    if let Some(errno) = due_error(Call::Thread) {
         return errno;
     }
     type Create = unsafe extern "C" fn(*mut pthread_t, *const pthread_attr_t, Start, *mut c_void) -> c_int;
--- a/crates/fault-injection/src/plan.rs
+++ b/crates/fault-injection/src/plan.rs
@@ -13,10 +13,15 @@
 /// Kinds of system calls that a rule can name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
+    /// `socket`.
     Socket,
+    /// `bind`.
     Bind,
+    /// `listen`.
     Listen,
+    /// `accept` and `accept4`.
     Accept,
+    /// `connect`.
     Connect,
     /// Reads from a socket, by whatever function.
     Receive,
@@ -24,39 +29,50 @@
     Send,
     /// `epoll_wait` and `poll`.
     Wait,
+    /// `epoll_create1`.
     EpollCreate,
+    /// `epoll_ctl`.
     EpollControl,
+    /// `eventfd`.
     EventFd,
+    /// `socketpair`.
     SocketPair,
+    /// Creation of threads.
     Thread,
-    /// Opens of files.
+    /// `open` and `openat`.
     Open,
+    /// Reads from a regular file.
     FileRead,
+    /// Writes to a regular file.
     FileWrite,
+    /// `fsync` and `fdatasync`.
     Sync,
 }
 
 /// What a rule does to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
+    /// It fails with this error number.
     Errno(i32),
-    /// At most so many bytes are moved.
+    /// It moves at most so many bytes.
     Short(usize),
 }
 
+/// Makes a part of the calls of one kind fail or fall short for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Rule {
-    pub call: Call,
-    pub fault: Fault,
-    pub from_ms: u64,
-    pub to_ms: u64,
-    pub percent: u64,
+    pub(crate) call: Call,
+    pub(crate) fault: Fault,
+    pub(crate) from_ms: u64,
+    pub(crate) to_ms: u64,
+    pub(crate) percent: u64,
 }
 
+/// Sets the offset of the wall clock from a time on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ClockStep {
-    pub from_ms: u64,
-    pub offset_ms: i64,
+    pub(crate) from_ms: u64,
+    pub(crate) offset_ms: i64,
 }
 
 /// All rules of one file.
@@ -66,9 +82,10 @@
     pub(crate) steps: Vec<ClockStep>,
 }
 
-/// A line that is no rule.
+/// A line of the plan that is not a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlanError {
+    /// The number of the line, from 1.
     pub line: usize,
 }
 
@@ -124,7 +141,8 @@
 }
 
 impl Plan {
-    fn add(&mut self, line: &str) -> Option<()> {
+    /// Adds the rule of one line; `None` if it is not a rule.
+    fn add_rule(&mut self, line: &str) -> Option<()> {
         let mut words = line.split_whitespace();
         match words.next()? {
             "clock" => {
@@ -154,10 +172,10 @@
         past.max_by_key(|step| step.from_ms).map_or(0, |step| step.offset_ms)
     }
 
-    /// What befalls this call; `dice` draws from 0 to 99.
-    pub(crate) fn fault(&self, call: Call, at_ms: u64, mut dice: impl FnMut() -> u64) -> Option<Fault> {
+    /// The fault of this call, if any; `roll` draws from 0 to 99.
+    pub(crate) fn fault(&self, call: Call, at_ms: u64, mut roll: impl FnMut() -> u64) -> Option<Fault> {
         let mut due = self.rules.iter().filter(|r| r.call == call && (r.from_ms..r.to_ms).contains(&at_ms));
-        due.find(|rule| dice() < rule.percent).map(|rule| rule.fault)
+        due.find(|rule| roll() < rule.percent).map(|rule| rule.fault)
     }
 }
 
@@ -169,7 +187,7 @@
         for (index, line) in text.lines().enumerate() {
             let line = line.trim();
             if !line.is_empty() && !line.starts_with('#') {
-                plan.add(line).ok_or(PlanError { line: index + 1 })?;
+                plan.add_rule(line).ok_or(PlanError { line: index + 1 })?;
             }
         }
         Ok(plan)
--- a/crates/fault-injection/src/state.rs
+++ b/crates/fault-injection/src/state.rs
@@ -10,11 +10,12 @@
 
 /// The environment variable that names the plan's file.
 const VARIABLE: &std::ffi::CStr = c"SABLECROSS_FAULTS";
-/// How often the file is looked at.
+/// The interval at which the file is read again.
 const REREAD_MS: u64 = 10;
-/// The plan's file is not longer.
-const LONGEST_PLAN: usize = 16 << 10;
+/// The largest plan file that is read.
+const MAX_PLAN_BYTES: usize = 16 << 10;
 
+/// What the faults of this process depend on.
 struct State {
     path: Option<CString>,
     began_ms: u64,
@@ -38,7 +39,8 @@
     time.tv_sec as u64 * 1_000 + time.tv_nsec as u64 / 1_000_000
 }
 
-fn begin() -> Mutex<State> {
+/// The state at the start of the process.
+fn new_state() -> Mutex<State> {
     // SAFETY: the variable is read once, before the process has other threads.
     let path = unsafe {
         let value = libc::getenv(VARIABLE.as_ptr());
@@ -52,10 +54,11 @@
 }
 
 impl State {
+    /// Reads the plan's file again if the interval is over. A file that cannot be read or parsed changes nothing.
     fn reread(&mut self, now: u64) {
         let Some(path) = self.path.as_ref().filter(|_| now >= self.read_ms + REREAD_MS) else { return };
         self.read_ms = now;
-        let mut bytes = [0u8; LONGEST_PLAN];
+        let mut bytes = [0u8; MAX_PLAN_BYTES];
         // SAFETY: the path ends in a zero byte and the buffer has the length that is told.
         let read = unsafe {
             let file = libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path.as_ptr(), libc::O_CLOEXEC, 0);
@@ -73,7 +76,8 @@
         }
     }
 
-    fn dice(random: &mut u64) -> u64 {
+    /// A number from 0 to 99 (xorshift).
+    fn roll(random: &mut u64) -> u64 {
         *random ^= *random << 13;
         *random ^= *random >> 7;
         *random ^= *random << 17;
@@ -81,12 +85,13 @@
     }
 }
 
-fn with<T>(look: impl FnOnce(&mut State, u64) -> Option<T>) -> Option<T> {
+/// Looks at the state with the milliseconds since the process began; `None` while this thread is in here already.
+fn with_state<T>(look: impl FnOnce(&mut State, u64) -> Option<T>) -> Option<T> {
     if INSIDE.try_with(|inside| inside.replace(true)).unwrap_or(true) {
         return None;
     }
     let found = {
-        let mut state = STATE.get_or_init(begin).lock().unwrap_or_else(|e| e.into_inner());
+        let mut state = STATE.get_or_init(new_state).lock().unwrap_or_else(|e| e.into_inner());
         let now = monotonic_ms();
         state.reread(now);
         let since = now - state.began_ms;
@@ -96,17 +101,17 @@
     found
 }
 
-/// What befalls a call of this kind now.
+/// The fault of a call of this kind now, if any.
 pub(crate) fn fault(call: Call) -> Option<Fault> {
-    with(|state, since| {
+    with_state(|state, since| {
         let State { plan, random, .. } = state;
-        plan.fault(call, since, || State::dice(random))
+        plan.fault(call, since, || State::roll(random))
     })
 }
 
 /// How far the wall clock is off now, in milliseconds.
 pub(crate) fn clock_offset_ms() -> i64 {
-    with(|state, since| Some(state.plan.clock_offset_ms(since))).unwrap_or(0)
+    with_state(|state, since| Some(state.plan.clock_offset_ms(since))).unwrap_or(0)
 }
 
 /// Fails a call with this error.
