--- a/Makefile
+++ b/Makefile
@@ -18,7 +18,7 @@
 
 # A small installation on loopback, with a report.
 demo:
-	cargo run --release --locked -p sablecross-cli -- lab run deploy/lab.scm
+	cargo run --release --locked -p sablecross-cli -- testbed run deploy/lab.scm
 
 bench:
 	cargo bench --locked -p sablecross -p sablecross-hierarchy
