--- a/crates/director/src/coordination_settings.rs
+++ b/crates/director/src/coordination_settings.rs
@@ -1,222 +1,295 @@
-//! The settings of the duties: `(duty ...)` in the file that `SABLECROSS_DUTY` names, the same at all members.
+//! The settings of coordination: `(duty ...)` and `(voter ...)` forms in the file that `SABLECROSS_DUTY` names, the same at
+//! all directors.
 
+use std::io;
 use std::net::SocketAddr;
 
 use garde::Validate;
 use sablecross_coordination::messages::{ASSIGNMENT_ROLE, RoleId};
 use sablecross_coordination::{CoordinationConfig, WarmingLimits};
-use sablecross_sexpr_config::ConfigError;
+use sablecross_sexpr_config::{ConfigError, Located};
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
 use crate::clock::NS_PER_MS;
 
-/// The variable that names the settings file.
-const FILE: &str = "SABLECROSS_DUTY";
+/// The environment variable that names the settings file.
+const FILE_VARIABLE: &str = "SABLECROSS_DUTY";
 
+/// Voters are counted in 64-bit sets, and more of them only make each lease slower.
+const MAX_VOTERS: usize = 15;
+
+/// The role of carrying out changes of the hierarchy.
+pub const HIERARCHY_ROLE: RoleId = 1;
+
+/// The role of warming cold caches.
+pub const WARMING_ROLE: RoleId = 2;
+
+/// The roles that a member can hold, with their names in commands and log lines.
+pub const ROLES: [(RoleId, &str); 3] =
+    [(ASSIGNMENT_ROLE, "dealing"), (HIERARCHY_ROLE, "driving"), (WARMING_ROLE, "warming")];
+
+/// A role's name in commands and log lines.
+pub fn role_name(role: RoleId) -> &'static str {
+    ROLES.iter().find(|known| known.0 == role).map_or("unknown", |known| known.1)
+}
+
+/// A form of the settings file. The names of fields are the settings' keys: error lines name them too.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-enum Form {
-    Duty(#[garde(dive)] Head),
-    Voter(#[garde(dive)] Line),
+enum SettingsForm {
+    Duty(#[garde(dive)] DutyForm),
+    Voter(#[garde(dive)] VoterForm),
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-struct Head {
+struct DutyForm {
+    /// The duration of a lease.
     #[garde(range(min = 50, max = 600_000))]
-    #[serde(default = "lease")]
+    #[serde(default = "defaults::lease_ms")]
     lease_ms: u64,
-    /// A round of asking voters; how far apart claimants hold their claims.
+    /// How long the replies of voters are waited for.
     #[garde(range(min = 5, max = 60_000))]
-    #[serde(default = "round")]
+    #[serde(default = "defaults::round_ms")]
     round_ms: u64,
+    /// The delay between the attempts of two candidates.
     #[garde(range(min = 1, max = 60_000))]
-    #[serde(default = "apart")]
+    #[serde(default = "defaults::apart_ms")]
     apart_ms: u64,
+    /// The interval of heartbeats.
     #[garde(range(min = 20, max = 60_000))]
-    #[serde(default = "beat")]
+    #[serde(default = "defaults::beat_ms")]
     beat_ms: u64,
+    /// The interval of health checks of one node.
     #[garde(range(min = 20, max = 600_000))]
-    #[serde(default = "probe")]
+    #[serde(default = "defaults::probe_ms")]
     probe_ms: u64,
+    /// The timeout of a health check.
     #[garde(range(min = 5, max = 60_000))]
-    #[serde(default = "patience")]
+    #[serde(default = "defaults::patience_ms")]
     patience_ms: u64,
-    /// A member that is missed for so long is taken for gone for good: a change waits for it no more.
+    /// A change of the hierarchy stops waiting for a member that is missing for so long.
     #[garde(range(min = 1_000, max = 86_400_000))]
-    #[serde(default = "gone")]
+    #[serde(default = "defaults::gone_after_ms")]
     gone_after_ms: u64,
-    /// Whether boxes are probed.
+    /// Whether the health of nodes is checked.
     #[garde(skip)]
-    #[serde(default = "yes")]
+    #[serde(default = "defaults::probing")]
     probing: bool,
-    /// Whether fresh caches are warmed; requests a second that a warm cache bears, the part of what a cold one bears that warming
-    /// may take, and objects for one cache at most.
+    /// Whether cold caches are warmed.
     #[garde(skip)]
     #[serde(default)]
     warming: bool,
+    /// Requests a second that a warm cache can serve.
     #[garde(range(min = 0.1, max = 1e6))]
-    #[serde(default = "bears")]
+    #[serde(default = "defaults::warm_bears")]
     warm_bears: f64,
+    /// The part of a cold cache's capacity that warming may use.
     #[garde(range(min = 0.01, max = 1.0))]
-    #[serde(default = "quarter")]
+    #[serde(default = "defaults::warm_part")]
     warm_part: f64,
+    /// A cache is warmed with this many objects at most.
     #[garde(range(min = 1, max = 100_000))]
-    #[serde(default = "objects")]
+    #[serde(default = "defaults::warm_objects")]
     warm_objects: usize,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-struct Line {
-    /// The member's number among the directors.
+struct VoterForm {
+    /// The director's number.
     #[garde(range(max = 1_000_000))]
     number: u32,
+    /// Where it listens for clients.
     #[garde(skip)]
     address: SocketAddr,
 }
 
-fn lease() -> u64 {
-    1_000
-}
+/// Defaults of [`DutyForm`], by its keys.
+mod defaults {
+    pub(super) fn lease_ms() -> u64 {
+        1_000
+    }
 
-fn round() -> u64 {
-    200
-}
+    pub(super) fn round_ms() -> u64 {
+        200
+    }
 
-fn apart() -> u64 {
-    50
-}
+    pub(super) fn apart_ms() -> u64 {
+        50
+    }
 
-fn beat() -> u64 {
-    200
-}
+    pub(super) fn beat_ms() -> u64 {
+        200
+    }
 
-fn probe() -> u64 {
-    1_000
-}
+    pub(super) fn probe_ms() -> u64 {
+        1_000
+    }
 
-fn patience() -> u64 {
-    400
-}
+    pub(super) fn patience_ms() -> u64 {
+        400
+    }
 
-fn gone() -> u64 {
-    60_000
-}
+    pub(super) fn gone_after_ms() -> u64 {
+        60_000
+    }
 
-fn bears() -> f64 {
-    20.0
-}
+    pub(super) fn probing() -> bool {
+        true
+    }
 
-fn quarter() -> f64 {
-    0.25
-}
+    pub(super) fn warm_bears() -> f64 {
+        20.0
+    }
+
+    pub(super) fn warm_part() -> f64 {
+        0.25
+    }
 
-fn objects() -> usize {
-    200
+    pub(super) fn warm_objects() -> usize {
+        200
+    }
 }
 
-fn yes() -> bool {
-    true
+/// Why the settings of coordination can't be used.
+#[derive(Debug, Error)]
+pub enum CoordinationSettingsError {
+    /// The file can't be read.
+    #[error("{FILE_VARIABLE}: {file}: {source}")]
+    Read {
+        /// The file that the environment variable names.
+        file: String,
+        /// Why.
+        source: io::Error,
+    },
+    /// The file's content is wrong.
+    #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
+    Invalid(Vec<ConfigError>),
 }
 
+/// The settings of coordination.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CoordinationSettings {
+    /// Voters, roles and times.
     pub config: CoordinationConfig,
-    /// In the order of the voters.
+    /// Where the voters listen, in the order of `config.voters`.
     pub voter_addresses: Vec<SocketAddr>,
+    /// Whether the health of nodes is checked.
     pub probing: bool,
+    /// A change of the hierarchy stops waiting for a member that is missing for so long, in nanoseconds.
     pub member_gone_after: sablecross::Ns,
-    /// How fresh caches are warmed, if they are; how warm they begin stands in the director's own settings.
+    /// How cold caches are warmed, if they are. How warm a cache is at its start, and how soon it is warm, are the director's
+    /// own settings and not set here.
     pub warming: Option<WarmingLimits>,
 }
 
-/// Carrying changes of the hierarchy out.
-pub const HIERARCHY_ROLE: RoleId = 1;
-
-/// Warming fresh caches.
-pub const WARMING_ROLE: RoleId = 2;
-
-/// What a member can own: dealing chores to the living, driving changes of the hierarchy.
-pub const ROLES: [(RoleId, &str); 3] =
-    [(ASSIGNMENT_ROLE, "dealing"), (HIERARCHY_ROLE, "driving"), (WARMING_ROLE, "warming")];
-
-pub fn role_name(duty: RoleId) -> &'static str {
-    ROLES.iter().find(|d| d.0 == duty).map_or("unknown", |d| d.1)
-}
-
 impl CoordinationSettings {
-    /// From the file, where one is named.
-    pub fn from_env() -> Option<Result<CoordinationSettings, String>> {
-        let file = std::env::var(FILE).ok()?;
-        let text = std::fs::read_to_string(&file).map_err(|e| format!("{FILE}: {file}: {e}"));
-        Some(text.and_then(|text| {
-            CoordinationSettings::parse(&file, &text)
-                .map_err(|f| f.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))
-        }))
+    /// Reads the file that the environment variable names; none if it is not set.
+    pub fn from_env() -> Option<Result<CoordinationSettings, CoordinationSettingsError>> {
+        let file = std::env::var(FILE_VARIABLE).ok()?;
+        Some(match std::fs::read_to_string(&file) {
+            Ok(text) => CoordinationSettings::parse(&file, &text).map_err(CoordinationSettingsError::Invalid),
+            Err(source) => Err(CoordinationSettingsError::Read { file, source }),
+        })
     }
 
+    /// Parses the text of a settings file. `file` is its name in errors.
+    ///
+    /// # Errors
+    ///
+    /// What is wrong, with line, column and key.
     pub fn parse(file: &str, text: &str) -> Result<CoordinationSettings, Vec<ConfigError>> {
-        let forms = sablecross_sexpr_config::parse_forms::<Form>(file, text)?;
-        let none = |key: &str, what: &str, todo: &str| {
-            let (key, what, todo) = (key.into(), what.into(), todo.into());
-            vec![ConfigError { file: file.into(), line: 1, column: 1, key, problem: what, remedy: todo }]
-        };
-        let (mut head, mut lines) = (None, Vec::<Line>::new());
-        for form in &forms {
-            match &form.value {
-                Form::Duty(h) => {
-                    if head.replace(h.clone()).is_some() {
-                        return Err(vec![form.error(file, "duty", "a second one", "keep one")]);
-                    }
+        let forms = sablecross_sexpr_config::parse_forms::<SettingsForm>(file, text)?;
+        let (duty, voters) = collect_forms(file, &forms).map_err(|error| vec![error])?;
+        check_across_forms(file, &duty, &voters).map_err(|error| vec![error])?;
+        Ok(CoordinationSettings {
+            config: config(&duty, &voters),
+            voter_addresses: voters.iter().map(|voter| voter.address).collect(),
+            probing: duty.probing,
+            member_gone_after: duty.gone_after_ms * NS_PER_MS,
+            warming: duty.warming.then(|| warming_limits(&duty)),
+        })
+    }
+}
+
+/// The one `duty` form and the `voter` forms.
+fn collect_forms(
+    file: &str,
+    forms: &[Located<SettingsForm>],
+) -> Result<(DutyForm, Vec<VoterForm>), ConfigError> {
+    let (mut duty, mut voters) = (None, Vec::<VoterForm>::new());
+    for form in forms {
+        match &form.value {
+            SettingsForm::Duty(new) => {
+                if duty.replace(new.clone()).is_some() {
+                    return Err(form.error(file, "duty", "a second one", "keep one"));
                 }
-                Form::Voter(line) => {
-                    let twice = |l: &Line| l.number == line.number || l.address == line.address;
-                    if lines.iter().any(twice) {
-                        let what = "its number or address is another voter's too";
-                        return Err(vec![form.error(file, "voter", what, "each votes once")]);
-                    }
-                    lines.push(line.clone());
+            }
+            SettingsForm::Voter(new) => {
+                let is_same = |known: &VoterForm| known.number == new.number || known.address == new.address;
+                if voters.iter().any(is_same) {
+                    let problem = "its number or address is another voter's too";
+                    return Err(form.error(file, "voter", problem, "each votes once"));
                 }
+                voters.push(new.clone());
             }
         }
-        let head = head.ok_or_else(|| none("duty", "no (duty ...) form", "add one"))?;
-        if lines.is_empty() || lines.len() > 15 {
-            return Err(none("voter", "between 1 and 15 voters are needed", "three or five are usual"));
-        }
-        if 2 * head.round_ms > head.lease_ms {
-            return Err(none(
-                "duty.round-ms",
-                "longer than half of the lease",
-                "an owner has to renew in time",
-            ));
-        }
-        if head.warming && !head.probing {
-            return Err(none("duty.warming", "boxes are not probed", "warming goes by the same connections"));
-        }
-        let terms = CoordinationConfig {
-            voters: lines.iter().map(|l| l.number).collect(),
-            roles: ROLES.iter().map(|d| d.0).collect(),
-            lease_duration: head.lease_ms * NS_PER_MS,
-            round_timeout: head.round_ms * NS_PER_MS,
-            claim_spacing: head.apart_ms * NS_PER_MS,
-            heartbeat_interval: head.beat_ms * NS_PER_MS,
-            check_interval: head.probe_ms * NS_PER_MS,
-            check_timeout: head.patience_ms * NS_PER_MS,
-        };
-        Ok(CoordinationSettings {
-            config: terms,
-            voter_addresses: lines.iter().map(|l| l.address).collect(),
-            probing: head.probing,
-            member_gone_after: head.gone_after_ms * NS_PER_MS,
-            warming: head.warming.then_some(WarmingLimits {
-                warm_requests_per_second: head.warm_bears,
-                capacity_share: head.warm_part,
-                initial_share: 1.0,
-                warm_up_time: 0,
-                fetch_timeout: head.lease_ms * NS_PER_MS,
-                max_objects: head.warm_objects,
-            }),
-        })
+    }
+    let duty = duty.ok_or_else(|| file_error(file, "duty", "no (duty ...) form", "add one"))?;
+    Ok((duty, voters))
+}
+
+fn check_across_forms(file: &str, duty: &DutyForm, voters: &[VoterForm]) -> Result<(), ConfigError> {
+    if voters.is_empty() || voters.len() > MAX_VOTERS {
+        let problem = format!("between 1 and {MAX_VOTERS} voters are needed");
+        return Err(file_error(file, "voter", &problem, "three or five are usual"));
+    }
+    if 2 * duty.round_ms > duty.lease_ms {
+        let problem = "longer than half of the lease";
+        return Err(file_error(file, "duty.round-ms", problem, "a holder has to renew its lease in time"));
+    }
+    if duty.warming && !duty.probing {
+        let remedy = "warming uses the connections of health checks";
+        return Err(file_error(file, "duty.warming", "needs (probing . #t)", remedy));
+    }
+    Ok(())
+}
+
+/// An error of no one form.
+fn file_error(file: &str, key: &str, problem: &str, remedy: &str) -> ConfigError {
+    ConfigError {
+        file: file.into(),
+        line: 1,
+        column: 1,
+        key: key.into(),
+        problem: problem.into(),
+        remedy: remedy.into(),
+    }
+}
+
+fn config(duty: &DutyForm, voters: &[VoterForm]) -> CoordinationConfig {
+    CoordinationConfig {
+        voters: voters.iter().map(|voter| voter.number).collect(),
+        roles: ROLES.iter().map(|role| role.0).collect(),
+        lease_duration: duty.lease_ms * NS_PER_MS,
+        round_timeout: duty.round_ms * NS_PER_MS,
+        claim_spacing: duty.apart_ms * NS_PER_MS,
+        heartbeat_interval: duty.beat_ms * NS_PER_MS,
+        check_interval: duty.probe_ms * NS_PER_MS,
+        check_timeout: duty.patience_ms * NS_PER_MS,
+    }
+}
+
+/// Placeholders of a warm cache for what the director's own settings tell.
+fn warming_limits(duty: &DutyForm) -> WarmingLimits {
+    WarmingLimits {
+        warm_requests_per_second: duty.warm_bears,
+        capacity_share: duty.warm_part,
+        initial_share: 1.0,
+        warm_up_time: 0,
+        fetch_timeout: duty.lease_ms * NS_PER_MS,
+        max_objects: duty.warm_objects,
     }
 }
--- a/crates/director/src/coordination_settings_off.rs
+++ b/crates/director/src/coordination_settings_off.rs
@@ -1,10 +1,13 @@
-//! Without the feature `duty` there are no settings of duties.
+//! Without the feature `coordination` there are no settings of it.
 
-/// None can be.
+use std::convert::Infallible;
+
+/// There are none.
 pub enum CoordinationSettings {}
 
 impl CoordinationSettings {
-    pub fn from_env() -> Option<Result<CoordinationSettings, String>> {
+    /// None.
+    pub fn from_env() -> Option<Result<CoordinationSettings, Infallible>> {
         None
     }
 }
--- a/crates/director/src/process/mod.rs
+++ b/crates/director/src/process/mod.rs
@@ -63,8 +63,8 @@
     let config = load(starting).map_err(|e| e.to_string())?;
     let (to_feed, moves) = bounded(config.limits.feed_move_queue_length);
     let fixed = ReloadContext::new(&config, moves.clone());
-    let duty = CoordinationSettings::from_env().transpose()?;
-    let names = NameTable { answers_peers: duty.is_some(), ..config.names };
+    let coordination = CoordinationSettings::from_env().transpose().map_err(|e| e.to_string())?;
+    let names = NameTable { answers_peers: coordination.is_some(), ..config.names };
     let (common, to_desk) = SharedContext::new(names, config.limits);
     let limits = &common.limits;
     let at_listen = |e| format!("listen: {}: {e}", config.listen);
@@ -77,7 +77,8 @@
     let nodes = NodePool::new(orders, Arc::clone(&common));
     let upper = ParentHierarchy::new(config.settings.parent_kind);
     let at_duty = |e| format!("duties: {e}");
-    let (duties, agent) = CoordinationHandle::start(duty, &config.settings, &common).map_err(at_duty)?;
+    let (duties, agent) =
+        CoordinationHandle::start(coordination, &config.settings, &common).map_err(at_duty)?;
     let choice = Router::new(config.settings, config.seed, common.clock.now());
     let mut desk = Dispatcher::new(choice, nodes, outlet, Arc::clone(&common), upper, duties, to_say);
     let hierarchy = VersionAnnouncement::from_settings_file().transpose()?;
--- a/crates/director/src/process/signals.rs
+++ b/crates/director/src/process/signals.rs
@@ -60,8 +60,9 @@
 
 /// Reads the files of the duties and the hierarchy again; false once the desk is gone.
 fn reload_more(events: &Sender<Event>) -> bool {
-    let setting = CoordinationSettings::from_env()
-        .and_then(|read| read.map_err(|e| tracing::error!("reload failed, the old duties stay: {e}")).ok());
+    let setting = CoordinationSettings::from_env().and_then(|read| {
+        read.map_err(|e| tracing::error!("reload failed, coordination settings stay as they were: {e}")).ok()
+    });
     if let Some(setting) = setting
         && events.send(Event::CoordinationReloaded(Box::new(setting))).is_err()
     {
--- a/crates/director/tests/coordination.rs
+++ b/crates/director/tests/coordination.rs
@@ -151,16 +151,18 @@
     let owner = |duty: u16| {
         (0..3).find_map(|n| {
             let own = shown(at[n])?.roles.iter().find(|d| d.role == duty)?.own_lease?;
-            Some((n, own.0.term))
+            Some((n, own.token.term))
         })
     };
     let (first, term) = until("somebody drives", || owner(1));
     let to = (first as u32 + 1) % 3;
-    let request = Request { from: OUTSIDE, messages: vec![Message::HandOver(1, Some(to))] };
+    let request = Request { from: OUTSIDE, messages: vec![Message::HandOver { role: 1, to: Some(to) }] };
     let said = until("the roster is known", || {
-        call_member(at[first], &request, LONG).ok().filter(|s| s.contains(&Reply::HandOverStarted(1, true)))
+        call_member(at[first], &request, LONG)
+            .ok()
+            .filter(|s| s.contains(&Reply::HandOverStarted { role: 1, started: true }))
     });
-    assert_eq!(said, [Reply::HandOverStarted(1, true)]);
+    assert_eq!(said, [Reply::HandOverStarted { role: 1, started: true }]);
     let (next, later) = until("it was taken", || owner(1).filter(|o| o.1 > term));
     assert!(later > term && next != first);
     worlds[next].signal("TERM");
@@ -178,7 +180,7 @@
     let owner = || {
         (0..4).find_map(|n| {
             let own = shown(at[n])?.roles.iter().find(|d| d.role == 0)?.own_lease?;
-            Some((n, own.0.term))
+            Some((n, own.token.term))
         })
     };
     let (first, _) = until("somebody deals", owner);
@@ -187,7 +189,7 @@
         worlds.iter().for_each(|w| w.signal("HUP"));
     };
     tell_all(&settings(&at));
-    worlds.iter().for_each(|w| drop(w.logged("reload duties voters=4")));
+    worlds.iter().for_each(|w| drop(w.logged("reload coordination voters=4")));
     until("the fourth votes", || shown(at[3]).filter(|s| s.voter == Some(3) && s.silent_for == 0));
     // Numbers stay as they are: the owner's line goes.
     let less: String = settings(&at)
@@ -201,7 +203,7 @@
     until("it votes no more", || shown(at[first]).filter(|s| s.voter.is_none() && s.roles.is_empty()));
     // Two at once are refused, and nothing changes.
     tell_all(&settings(&at[next..=next]));
-    worlds.iter().for_each(|w| drop(w.logged("reload failed, the old duties stay: ")));
+    worlds.iter().for_each(|w| drop(w.logged("reload failed, coordination settings stay as they were: ")));
     assert_eq!(owner().map(|o| o.0), Some(next));
     let _ = std::fs::remove_file(file);
 }
--- a/crates/director/tests/coordination_settings_format.rs
+++ b/crates/director/tests/coordination_settings_format.rs
@@ -11,7 +11,7 @@
 use sablecross_director::coordination::settings::{
     CoordinationSettings, HIERARCHY_ROLE, ROLES, WARMING_ROLE, role_name,
 };
-use sablecross_director::coordination::{HealthCheckTag, call_member};
+use sablecross_director::coordination::{HealthCheckTag, InvalidTag, call_member};
 
 const MS: u64 = 1_000_000;
 
@@ -113,8 +113,8 @@
         r#"f:1:1: duty: no (duty ...) form (add one)"#,
         r#"f:1:1: voter: between 1 and 15 voters are needed (three or five are usual)"#,
         r#"f:1:8: duty.lease-ms: lower than 50"#,
-        r#"f:1:1: duty.round-ms: longer than half of the lease (an owner has to renew in time)"#,
-        r#"f:1:1: duty.warming: boxes are not probed (warming goes by the same connections)"#,
+        r#"f:1:1: duty.round-ms: longer than half of the lease (a holder has to renew its lease in time)"#,
+        r#"f:1:1: duty.warming: needs (probing . #t) (warming uses the connections of health checks)"#,
         r#"f:1:8: duty.warm-part: greater than 1"#,
         r#"f:3:1: voter: its number or address is another voter's too (each votes once)"#,
         r#"f:2:1: duty: a second one (keep one)"#,
@@ -141,7 +141,7 @@
     assert_eq!(tag.to_string(), "a1-b2-c3-d4");
     assert_eq!("a1-b2-c3-d4".parse(), Ok(tag));
     for odd in ["", "a1-b2-c3", "a1-b2-c3-x", "a1-100000000-c3-d4"] {
-        assert_eq!(odd.parse::<HealthCheckTag>(), Err(()), "{odd}");
+        assert_eq!(odd.parse::<HealthCheckTag>(), Err(InvalidTag), "{odd}");
     }
 }
 
@@ -165,5 +165,5 @@
     let request = Request { from: Member { number: 7, incarnation: 8 }, messages: vec![Message::ShowStatus] };
     let answers = call_member(at, &request, Duration::from_secs(5));
     voter.join().expect("the frame");
-    assert_eq!(answers.expect("answered"), [Reply::HandOverStarted(1, true)]);
+    assert_eq!(answers.expect("answered"), [Reply::HandOverStarted { role: 1, started: true }]);
 }
--- a/crates/relay-server/tests/wire_format.rs
+++ b/crates/relay-server/tests/wire_format.rs
@@ -3,7 +3,7 @@
 
 use std::fmt::Debug;
 
-use sablecross_coordination::{FencingToken, LeaseReply as Said, LeaseRequest, Member};
+use sablecross_coordination::{FencingToken, LeaseHolder, LeaseReply as Said, LeaseRequest, Member};
 use sablecross_relay::group::ReplicaState;
 use sablecross_relay::{LogEntry, PeerAnswer, PeerCall, PeerReply, PeerRequest, Snapshot};
 use serde::Serialize;
@@ -124,10 +124,18 @@
     let answers = [
         PeerAnswer::NotReady,
         PeerAnswer::Lease(Said::PreVoteResult { round: 2, highest_term: 3, holder: None }),
-        PeerAnswer::Lease(Said::PreVoteResult { round: 2, highest_term: 3, holder: Some((member(), 500)) }),
+        PeerAnswer::Lease(Said::PreVoteResult {
+            round: 2,
+            highest_term: 3,
+            holder: Some(LeaseHolder { member: member(), remaining: 500 }),
+        }),
         PeerAnswer::Lease(Said::Granted { round: 2, term: 3 }),
         PeerAnswer::Lease(Said::Rejected { round: 2, highest_term: 3, holder: None }),
-        PeerAnswer::Lease(Said::Rejected { round: 2, highest_term: 3, holder: Some((member(), 500)) }),
+        PeerAnswer::Lease(Said::Rejected {
+            round: 2,
+            highest_term: 3,
+            holder: Some(LeaseHolder { member: member(), remaining: 500 }),
+        }),
         PeerAnswer::Recovered { highest_token: token(), is_complete: true, state: held() },
         PeerAnswer::State {
             token: token(),
--- a/crates/relay/src/group.rs
+++ b/crates/relay/src/group.rs
@@ -346,7 +346,7 @@
     /// The owner that was heard of last.
     pub fn leader(&self, now: Ns) -> Option<Member> {
         let own = self.seat.token(now).map(|t| t.holder);
-        own.or_else(|| self.voter.holder(now).map(|(m, _)| m))
+        own.or_else(|| self.voter.holder(now).map(|holder| holder.member))
     }
 
     pub fn staleness(&self, now: Ns) -> Staleness {
--- a/crates/testbed/src/fleet/watch.rs
+++ b/crates/testbed/src/fleet/watch.rs
@@ -96,10 +96,10 @@
 
 /// Hands a version of the hierarchy to whoever drives; whether it was heard.
 pub fn wish(driver: SocketAddr, text: &str) -> bool {
-    let words = vec![Message::Propose(HIERARCHY_ROLE, text.as_bytes().to_vec())];
+    let words = vec![Message::Propose { role: HIERARCHY_ROLE, bytes: text.as_bytes().to_vec() }];
     let request = Request { from: Member { number: u32::MAX, incarnation: 0 }, messages: words };
     let said = call_member(driver, &request, Duration::from_millis(500));
-    said.is_ok_and(|said| said.contains(&Reply::ProposalResult(HIERARCHY_ROLE, Ok(()))))
+    said.is_ok_and(|said| said.contains(&Reply::ProposalResult { role: HIERARCHY_ROLE, result: Ok(()) }))
 }
 
 const DAY_MS: u64 = 86_400_000;
@@ -116,14 +116,14 @@
 pub fn begun(member: usize, log: &Path, zero: u64) -> Vec<Begun> {
     let text = std::fs::read_to_string(log).unwrap_or_default();
     let one = |line: &str| {
-        let rest = line.split_once("duty begins ")?.1;
+        let rest = line.split_once("coordination lease acquired ")?.1;
         let field = |name: &str| {
             rest.split(' ').find_map(|f| f.strip_prefix(name)?.strip_prefix('=')?.parse::<u64>().ok())
         };
         // Directors' own times are of no wall clock: the log's are, of one day.
         let at = (at_ms(line)? + DAY_MS - zero % DAY_MS) % DAY_MS;
         let at = at as f64 / 1e3;
-        Some(Begun { at, member, duty: field("duty")? as RoleId, term: field("term")? })
+        Some(Begun { at, member, duty: field("role")? as RoleId, term: field("term")? })
     };
     text.lines().filter_map(one).collect()
 }
@@ -212,7 +212,7 @@
                 let field = |name: &str| {
                     line.split(' ').find_map(|f| f.strip_prefix(name)?.strip_prefix('=')?.parse::<u64>().ok())
                 };
-                if line.contains("duty member number=") {
+                if line.contains("coordination member number=") {
                     moves.push((at, member, 0));
                 } else if line.contains("hierarchy in force version=") && line.contains(" by=") {
                     moves.push((at, member, field("version").unwrap_or(0)));
