--- a/crates/estimators/src/lib.rs
+++ b/crates/estimators/src/lib.rs
@@ -1,10 +1,13 @@
-//! Estimates from thin samples, without I/O. A director of hundreds sees a member once in a second: what it saw there is
-//! one draw, and what it saw at all members is many. `Group` weighs the two by how unlike the members prove to be;
-//! `Most` finds what is asked for most within a fixed memory.
+//! Estimates from few samples, without I/O.
 //!
-//! Times are whole nanoseconds that never go back; values are plain numbers: 0 and 1 for a failure, a logarithm for a
-//! speed. Empirical Bayes after Efron and Morris 1975; Space-Saving after Metwally, Agrawal, El Abbadi 2005.
+//! A director of a large fleet sees each member only about once a second: what it saw there is one sample, and what it saw
+//! at all members is many. [`ShrinkageEstimator`] weighs the two by how different the members prove to be.
+//! [`SpaceSaving`] finds the most frequent keys of a stream within a fixed memory.
+//!
+//! Times are whole nanoseconds of a monotonic clock. Values are plain numbers: 0 and 1 for a success and a failure, a
+//! logarithm for a speed.
 
+mod decaying_sum;
 mod shrinkage_estimator;
 mod space_saving;
 
--- a/crates/estimators/src/space_saving.rs
+++ b/crates/estimators/src/space_saving.rs
@@ -1,68 +1,90 @@
-//! What is asked for most, within a fixed memory.
+//! The most frequent keys of a stream, within a fixed memory.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// So many counters: any object with more than `total / counters` of what was counted has one, and its count is over
-/// the truth by that much at most.
+/// Keys whose count has decayed below this are dropped.
+const MIN_COUNT: f64 = 1e-3;
+/// Floor of the total, which is a divisor.
+const MIN_TOTAL: f64 = 1e-9;
+
+#[derive(Clone, Copy, Debug)]
+struct Counter {
+    count: f64,
+    /// How much of the count may belong to keys that had the counter before.
+    max_error: f64,
+}
+
+/// The Space-Saving sketch (Metwally, Agrawal, El Abbadi 2005). Every key with more than `total / counters` of everything
+/// counted has a counter, and no counter exceeds the true count by more than that.
 #[derive(Clone, Debug)]
 pub struct SpaceSaving<K = u64> {
-    counters: usize,
-    /// Count, and how much of it may be another's.
-    held: HashMap<K, (f64, f64)>,
+    capacity: usize,
+    counters: HashMap<K, Counter>,
     total: f64,
 }
 
 impl<K: Copy + Ord + Hash> SpaceSaving<K> {
-    pub fn new(counters: usize) -> SpaceSaving<K> {
-        SpaceSaving { counters: counters.max(1), held: HashMap::new(), total: 0.0 }
+    /// A sketch with so many counters, one at least.
+    pub fn new(capacity: usize) -> SpaceSaving<K> {
+        SpaceSaving { capacity: capacity.max(1), counters: HashMap::new(), total: 0.0 }
     }
 
-    pub fn add(&mut self, object: K, weight: f64) {
+    /// Counts a key; a weight that is not positive is ignored.
+    pub fn add(&mut self, key: K, weight: f64) {
         if weight.is_nan() || weight <= 0.0 {
             return;
         }
         self.total += weight;
-        if let Some((count, _)) = self.held.get_mut(&object) {
-            *count += weight;
-            return;
-        }
-        if self.held.len() < self.counters {
-            self.held.insert(object, (weight, 0.0));
-            return;
-        }
-        // The least one gives way; of equals the one with the least number, so that replays agree.
-        let least = self.held.iter().min_by(|a, b| a.1.0.total_cmp(&b.1.0).then(a.0.cmp(b.0)));
-        if let Some((gone, least)) = least.map(|(object, (count, _))| (*object, *count)) {
-            self.held.remove(&gone);
-            self.held.insert(object, (least + weight, least));
+        if let Some(counter) = self.counters.get_mut(&key) {
+            counter.count += weight;
+        } else if self.counters.len() < self.capacity {
+            self.counters.insert(key, Counter { count: weight, max_error: 0.0 });
+        } else if let Some((replaced, Counter { count, .. })) = self.lowest() {
+            self.counters.remove(&replaced);
+            self.counters.insert(key, Counter { count: count + weight, max_error: count });
         }
     }
 
-    /// What has been counted most of late, the most first, with its count.
-    pub fn top(&self, most: usize) -> Vec<(K, f64)> {
-        let mut all: Vec<(K, f64)> = self.held.iter().map(|(k, (count, _))| (*k, *count)).collect();
-        all.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
-        all.truncate(most);
+    /// The counter with the lowest count; of equal ones that of the lowest key, so that replays agree.
+    fn lowest(&self) -> Option<(K, Counter)> {
+        let all = self.counters.iter();
+        let lowest = all.min_by(|a, b| a.1.count.total_cmp(&b.1.count).then(a.0.cmp(b.0)));
+        lowest.map(|(key, counter)| (*key, *counter))
+    }
+
+    /// The keys with the highest counts, in descending order, with their counts.
+    pub fn top(&self, max_keys: usize) -> Vec<(K, f64)> {
+        let mut all: Vec<(K, f64)> =
+            self.counters.iter().map(|(key, counter)| (*key, counter.count)).collect();
+        sort_descending(&mut all);
+        all.truncate(max_keys);
         all
     }
 
-    /// All counts become this part of themselves: called at the end of a window.
-    pub fn decay(&mut self, part: f64) {
-        let part = part.clamp(0.0, 1.0);
-        self.total *= part;
-        self.held.retain(|_, (count, over)| {
-            (*count, *over) = (*count * part, *over * part);
-            *count > 1e-3
+    /// Multiplies all counts by a factor between 0 and 1, to be called at the end of a time window.
+    pub fn decay(&mut self, factor: f64) {
+        let factor = factor.clamp(0.0, 1.0);
+        self.total *= factor;
+        self.counters.retain(|_, counter| {
+            counter.count *= factor;
+            counter.max_error *= factor;
+            counter.count > MIN_COUNT
         });
     }
 
-    /// Objects that surely have more than this part of all, the most first.
-    pub fn above_share(&self, part: f64) -> Vec<(K, f64)> {
-        let sure =
-            |(object, (count, over)): (&K, &(f64, f64))| (*object, (count - over) / self.total.max(1e-9));
-        let mut found: Vec<_> = self.held.iter().map(sure).filter(|(_, share)| *share > part).collect();
-        found.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
-        found
+    /// The keys that surely have more than this share of the total, in descending order, with their shares.
+    pub fn above_share(&self, min_share: f64) -> Vec<(K, f64)> {
+        let total = self.total.max(MIN_TOTAL);
+        let shares =
+            self.counters.iter().map(|(key, counter)| (*key, (counter.count - counter.max_error) / total));
+        let mut above: Vec<_> = shares.filter(|(_, share)| *share > min_share).collect();
+        sort_descending(&mut above);
+        above
     }
 }
+
+/// By value in descending order, then by key.
+fn sort_descending<K: Ord>(values: &mut [(K, f64)]) {
+    values.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
+}
