--- a/crates/director/src/coordination/health_check.rs
+++ b/crates/director/src/coordination/health_check.rs
@@ -1,5 +1,8 @@
 //! Health checks on the wire: the `METER` line with a tag that carries the token, and the answer to it.
 
+#[cfg(test)]
+mod tests;
+
 use std::fmt;
 use std::str::FromStr;
 
--- a/crates/director/tests/coordination.rs
+++ b/crates/director/tests/coordination.rs
@@ -1,4 +1,4 @@
-//! Members of a fleet that call one another, as programs on loopback.
+//! Directors that coordinate with one another, as programs on loopback.
 #![cfg(feature = "coordination")]
 
 mod help;
@@ -24,212 +24,223 @@
         + &lines.map(|(n, at)| format!("(voter (number . {n}) (address . \"{at}\"))\n")).collect::<String>()
 }
 
-fn file(name: &str, text: &str) -> PathBuf {
-    let file =
+fn settings_file(name: &str, text: &str) -> PathBuf {
+    let settings_file =
         std::env::temp_dir().join(format!("sablecross-coordination-{name}-{}.scm", std::process::id()));
-    std::fs::write(&file, text).expect("written");
-    file
+    std::fs::write(&settings_file, text).expect("written");
+    settings_file
 }
 
 /// The sample's configuration as that of director `n`, at this address.
-fn placed(config: &str, n: usize, at: SocketAddr) -> String {
+fn config_of(config: &str, n: usize, at: SocketAddr) -> String {
     let config = config.replace("\"127.0.0.1:0\"", &format!("\"{at}\""));
-    let placed = config.replace("\n    \"index\": 0,", &format!("\n    \"index\": {n},"));
-    assert!(n == 0 || placed != config);
-    placed.replace("\"zoneBalancers\": [0, 1]", "\"zoneBalancers\": [0, 3]")
+    let config_of = config.replace("\n    \"index\": 0,", &format!("\n    \"index\": {n},"));
+    assert!(n == 0 || config_of != config);
+    config_of.replace("\"zoneBalancers\": [0, 1]", "\"zoneBalancers\": [0, 3]")
 }
 
-fn free() -> SocketAddr {
+fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port")
 }
 
-fn shown(at: SocketAddr) -> Option<MemberStatus> {
-    let said =
+fn status(at: SocketAddr) -> Option<MemberStatus> {
+    let replies =
         call_member(at, &Request { from: OUTSIDE, messages: vec![Message::ShowStatus] }, SHORT).ok()?;
-    said.into_iter().find_map(|a| if let Reply::Status(s) = a { Some(s) } else { None })
+    replies.into_iter().find_map(|a| if let Reply::Status(s) = a { Some(s) } else { None })
 }
 
-fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
-    let begun = Instant::now();
+fn wait_for<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+    let started = Instant::now();
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return found;
         }
-        assert!(begun.elapsed() < 4 * LONG, "{what}");
+        assert!(started.elapsed() < 4 * LONG, "{what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// A box that answers probes; each one's tag is told.
-fn box_that_answers() -> (SocketAddr, Receiver<HealthCheckTag>) {
+/// A node that answers health checks; the receiver gets their tags.
+fn node_that_answers() -> (SocketAddr, Receiver<HealthCheckTag>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let address = listener.local_addr().expect("bound");
-    let (tell, told) = channel();
+    let (tags, received_tags) = channel();
     std::thread::spawn(move || {
-        let gate = std::sync::Arc::new(std::sync::Mutex::new(FencingGuard::default()));
+        let guard = std::sync::Arc::new(std::sync::Mutex::new(FencingGuard::default()));
         for stream in listener.incoming().map_while(Result::ok) {
-            let (tell, gate) = (tell.clone(), gate.clone());
+            let (tags, guard) = (tags.clone(), guard.clone());
             std::thread::spawn(move || {
                 let mut reader = BufReader::new(&stream);
                 let mut line = String::new();
                 while reader.read_line(&mut line).is_ok_and(|n| n > 0) {
                     if let Some(text) = line.trim_end().strip_prefix("METER ") {
                         let tag: HealthCheckTag = text.parse().expect("a tag");
-                        let passed = gate.lock().expect("whole").admit(tag.token);
-                        let said = match passed {
+                        let admitted = guard.lock().expect("whole").admit(tag.token);
+                        let replies = match admitted {
                             Ok(()) => format!("{text} READY stats=cpu:0.25 0\r\n\r\n"),
                             Err(old) => {
                                 let newest = HealthCheckTag { token: old.highest, sequence: 0 };
                                 format!("{text} STALE newest={newest} 0\r\n\r\n")
                             }
                         };
-                        (&stream).write_all(said.as_bytes()).expect("written");
-                        let _ = tell.send(tag);
+                        (&stream).write_all(replies.as_bytes()).expect("written");
+                        let _ = tags.send(tag);
                     }
                     line.clear();
                 }
             });
         }
     });
-    (address, told)
+    (address, received_tags)
 }
 
 #[test]
-fn three_directors_find_an_owner_probe_and_go_on_without_it() {
-    let at: Vec<SocketAddr> = (0..3).map(|_| free()).collect();
-    let file = file("three", &settings(&at));
+fn three_directors_check_a_node_and_go_on_without_the_assigner() {
+    let at: Vec<SocketAddr> = (0..3).map(|_| free_address()).collect();
+    let settings_file = settings_file("three", &settings(&at));
     let mut worlds: Vec<World> = (0..3)
-        .map(|n| World::start_with(|c| placed(&c, n, at[n]), &[("SABLECROSS_DUTY", file.as_os_str())]))
+        .map(|n| {
+            World::start_with(|c| config_of(&c, n, at[n]), &[("SABLECROSS_DUTY", settings_file.as_os_str())])
+        })
         .collect();
-    let (address, probes) = box_that_answers();
+    let (address, tags) = node_that_answers();
     for world in &worlds {
         let (_, feed) = world.feed.call();
-        tell(&feed, 2, &member(2, "cache-probed", address, "ready"));
+        tell(&feed, 2, &member(2, "cache-checked", address, "ready"));
         world.told(2);
         std::mem::forget(feed);
     }
-    let owner = || {
+    let holder = || {
         (0..3).find(|n| {
-            shown(at[*n]).is_some_and(|s| s.roles.iter().any(|d| d.role == 0 && d.own_lease.is_some()))
+            status(at[*n]).is_some_and(|s| s.roles.iter().any(|d| d.role == 0 && d.own_lease.is_some()))
         })
     };
-    let first = until("somebody deals", owner);
+    let first = wait_for("there is an assigner", holder);
     let by = |tag: &HealthCheckTag| tag.token.holder.number;
-    let holder = by(&probes.recv_timeout(LONG).expect("a probe"));
-    // The owner of the duty and the holder of the box end at once.
-    for n in [first, holder as usize] {
+    let checker = by(&tags.recv_timeout(LONG).expect("a health check"));
+    // The assigner and the director that checks the node end at once.
+    for n in [first, checker as usize] {
         worlds[n].signal("KILL");
     }
-    let gone: Vec<usize> = vec![first, holder as usize];
+    let gone: Vec<usize> = vec![first, checker as usize];
     if gone[0] != gone[1] {
-        // One of three is no majority: it rests, and says so.
-        until("it rests", || {
+        // One of three voters is no majority: it stops, and its status tells so.
+        wait_for("it stops", || {
             let last = (0..3).find(|n| !gone.contains(n))?;
-            shown(at[last])
+            status(at[last])
                 .filter(|s| s.assignment_valid_for == 0 && s.roles.iter().all(|d| d.own_lease.is_none()))
         });
     } else {
-        let next = until("another deals", || owner().filter(|n| *n != first));
+        let next = wait_for("there is another assigner", || holder().filter(|n| *n != first));
         assert!(!gone.contains(&next));
-        until("another probes", || probes.try_recv().ok().filter(|t| by(t) != holder));
+        wait_for("another director checks", || tags.try_recv().ok().filter(|t| by(t) != checker));
     }
-    // Lookups go on all the same.
+    // Requests are served all the same.
     let last = (0..3).find(|n| !gone.contains(n)).expect("one is left");
     let mut client = worlds[last].client();
     assert!(client.alive());
     worlds.clear();
-    let _ = std::fs::remove_file(file);
+    let _ = std::fs::remove_file(settings_file);
 }
 
 #[test]
-fn a_hand_over_and_an_end_by_the_signal_pass_the_duty_on() {
-    let at: Vec<SocketAddr> = (0..3).map(|_| free()).collect();
-    let file = file("over", &settings(&at));
+fn a_hand_over_and_a_stop_by_signal_pass_the_role_on() {
+    let at: Vec<SocketAddr> = (0..3).map(|_| free_address()).collect();
+    let settings_file = settings_file("over", &settings(&at));
     let worlds: Vec<World> = (0..3)
-        .map(|n| World::start_with(|c| placed(&c, n, at[n]), &[("SABLECROSS_DUTY", file.as_os_str())]))
+        .map(|n| {
+            World::start_with(|c| config_of(&c, n, at[n]), &[("SABLECROSS_DUTY", settings_file.as_os_str())])
+        })
         .collect();
-    let owner = |duty: u16| {
+    let holder = |duty: u16| {
         (0..3).find_map(|n| {
-            let own = shown(at[n])?.roles.iter().find(|d| d.role == duty)?.own_lease?;
+            let own = status(at[n])?.roles.iter().find(|d| d.role == duty)?.own_lease?;
             Some((n, own.token.term))
         })
     };
-    let (first, term) = until("somebody drives", || owner(1));
+    let (first, term) = wait_for("there is a holder", || holder(1));
     let to = (first as u32 + 1) % 3;
     let request = Request { from: OUTSIDE, messages: vec![Message::HandOver { role: 1, to: Some(to) }] };
-    let said = until("the roster is known", || {
+    let replies = wait_for("the assignment is known", || {
         call_member(at[first], &request, LONG)
             .ok()
             .filter(|s| s.contains(&Reply::HandOverStarted { role: 1, started: true }))
     });
-    assert_eq!(said, [Reply::HandOverStarted { role: 1, started: true }]);
-    let (next, later) = until("it was taken", || owner(1).filter(|o| o.1 > term));
+    assert_eq!(replies, [Reply::HandOverStarted { role: 1, started: true }]);
+    let (next, later) = wait_for("the successor holds it", || holder(1).filter(|o| o.1 > term));
     assert!(later > term && next != first);
     worlds[next].signal("TERM");
-    until("it passed on at the end", || owner(1).filter(|o| o.0 != next && o.1 > later));
-    let _ = std::fs::remove_file(file);
+    wait_for("it was handed over at the stop", || holder(1).filter(|o| o.0 != next && o.1 > later));
+    let _ = std::fs::remove_file(settings_file);
 }
 
 #[test]
-fn a_voter_is_added_and_the_owner_removed_by_the_signal() {
-    let at: Vec<SocketAddr> = (0..4).map(|_| free()).collect();
-    let file = file("settle", &settings(&at[..3]));
+fn a_voter_is_added_and_the_holder_removed_by_signal() {
+    let at: Vec<SocketAddr> = (0..4).map(|_| free_address()).collect();
+    let settings_file = settings_file("settle", &settings(&at[..3]));
     let worlds: Vec<World> = (0..4)
-        .map(|n| World::start_with(|c| placed(&c, n, at[n]), &[("SABLECROSS_DUTY", file.as_os_str())]))
+        .map(|n| {
+            World::start_with(|c| config_of(&c, n, at[n]), &[("SABLECROSS_DUTY", settings_file.as_os_str())])
+        })
         .collect();
-    let owner = || {
+    let holder = || {
         (0..4).find_map(|n| {
-            let own = shown(at[n])?.roles.iter().find(|d| d.role == 0)?.own_lease?;
+            let own = status(at[n])?.roles.iter().find(|d| d.role == 0)?.own_lease?;
             Some((n, own.token.term))
         })
     };
-    let (first, _) = until("somebody deals", owner);
-    let tell_all = |text: &str| {
-        std::fs::write(&file, text).expect("written");
+    let (first, _) = wait_for("there is an assigner", holder);
+    let reload_all = |text: &str| {
+        std::fs::write(&settings_file, text).expect("written");
         worlds.iter().for_each(|w| w.signal("HUP"));
     };
-    tell_all(&settings(&at));
+    reload_all(&settings(&at));
     worlds.iter().for_each(|w| drop(w.logged("reload coordination voters=4")));
-    until("the fourth votes", || shown(at[3]).filter(|s| s.voter == Some(3) && s.silent_for == 0));
-    // Numbers stay as they are: the owner's line goes.
+    wait_for("the fourth director votes", || {
+        status(at[3]).filter(|s| s.voter == Some(3) && s.silent_for == 0)
+    });
+    // Remove the line of the holder; the numbers of the others stay.
     let less: String = settings(&at)
         .lines()
         .filter(|l| !l.contains(&format!("(number . {first})")))
         .map(|l| format!("{l}\n"))
         .collect();
-    tell_all(&less);
-    let (next, _) = until("another deals", || owner().filter(|o| o.0 != first));
+    reload_all(&less);
+    let (next, _) = wait_for("there is another assigner", || holder().filter(|o| o.0 != first));
     assert_ne!(next, first);
-    until("it votes no more", || shown(at[first]).filter(|s| s.voter.is_none() && s.roles.is_empty()));
-    // Two at once are refused, and nothing changes.
-    tell_all(&settings(&at[next..=next]));
+    wait_for("it is no voter any more", || {
+        status(at[first]).filter(|s| s.voter.is_none() && s.roles.is_empty())
+    });
+    // Two changes at once are rejected, and nothing changes.
+    reload_all(&settings(&at[next..=next]));
     worlds.iter().for_each(|w| drop(w.logged("reload failed, coordination settings stay as they were: ")));
-    assert_eq!(owner().map(|o| o.0), Some(next));
-    let _ = std::fs::remove_file(file);
+    assert_eq!(holder().map(|o| o.0), Some(next));
+    let _ = std::fs::remove_file(settings_file);
 }
 
 #[test]
 fn without_settings_the_method_is_unknown_and_odd_calls_do_no_harm() {
     let world = World::start();
     let request = Request { from: OUTSIDE, messages: vec![Message::ShowStatus] };
-    let e = call_member(world.address, &request, LONG).expect_err("it answers none");
+    let e = call_member(world.address, &request, LONG).expect_err("it answers no calls");
     assert!(e.to_string().contains("SABLECROSS_DUTY"), "{e}");
-    let at = free();
-    let file = file("odd", &settings(&[at]));
-    let world = World::start_with(|c| placed(&c, 0, at), &[("SABLECROSS_DUTY", file.as_os_str())]);
-    until("it answers", || shown(at));
+    let at = free_address();
+    let settings_file = settings_file("odd", &settings(&[at]));
+    let world =
+        World::start_with(|c| config_of(&c, 0, at), &[("SABLECROSS_DUTY", settings_file.as_os_str())]);
+    wait_for("it answers", || status(at));
     let mut stream = std::net::TcpStream::connect(at).expect("connected");
     stream
         .write_all(&sablecross_director::wire::rpc::encode_call(3, "duty", b"nothing of the kind"))
         .expect("written");
-    until("it answers still", || shown(at));
+    wait_for("it still answers", || status(at));
     let mut client = world.client();
     assert!(client.alive());
-    let _ = std::fs::remove_file(file);
+    let _ = std::fs::remove_file(settings_file);
 }
 
 #[test]
-fn faulty_settings_are_refused_by_file_line_and_key() {
+fn faulty_settings_are_rejected_by_file_line_and_key() {
     let voter = "(voter (number . 0) (address . \"127.0.0.1:1\"))";
     let cases = [
         (voter.to_owned(), "no (duty ...) form"),
@@ -243,8 +254,8 @@
         (format!("(duty (lease . 10))\n{voter}"), "lease"),
     ];
     for (text, what) in cases {
-        let said = CoordinationSettings::parse("f", &text).expect_err(&text)[0].to_string();
-        assert!(said.contains(what), "{text}: {said}");
+        let replies = CoordinationSettings::parse("f", &text).expect_err(&text)[0].to_string();
+        assert!(replies.contains(what), "{text}: {replies}");
     }
     let text = include_str!("../../../deploy/duty.scm");
     assert_eq!(
--- a/crates/director/tests/coordination_settings_format.rs
+++ b/crates/director/tests/coordination_settings_format.rs
@@ -23,7 +23,7 @@
 (voter (number . 9) (address . "127.0.0.1:10089"))
 (voter (number . 1) (address . "[::1]:10081"))
 "#;
-    let whole = CoordinationSettings {
+    let complete = CoordinationSettings {
         config: CoordinationConfig {
             voters: vec![9, 1],
             roles: vec![0, 1, 2],
@@ -46,11 +46,11 @@
             max_objects: 208,
         }),
     };
-    assert_eq!(CoordinationSettings::parse("f", text).expect("read"), whole);
+    assert_eq!(CoordinationSettings::parse("f", text).expect("read"), complete);
     let without = text.replace("(probing . #t) (warming . #t)", "(probing . #f) (warming . #f)");
     assert_eq!(
         CoordinationSettings::parse("f", &without).expect("read"),
-        CoordinationSettings { probing: false, warming: None, ..whole }
+        CoordinationSettings { probing: false, warming: None, ..complete }
     );
 }
 
@@ -91,7 +91,7 @@
 #[test]
 fn what_is_wrong_is_named_by_file_line_key_and_cause() {
     let voter = "(voter (number . 0) (address . \"127.0.0.1:1\"))";
-    let mut said = Vec::new();
+    let mut lines = Vec::new();
     for text in [
         voter.to_owned(),
         "(duty)".into(),
@@ -107,7 +107,7 @@
         format!("(duty)\n{voter}\n(owner)"),
     ] {
         let faults = CoordinationSettings::parse("f", &text).expect_err(&text);
-        said.push(faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "));
+        lines.push(faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "));
     }
     let expected = [
         r#"f:1:1: duty: no (duty ...) form (add one)"#,
@@ -123,7 +123,7 @@
         r#"f:1:8: duty.lease: unknown field `lease`, expected one of `lease-ms`, `round-ms`, `apart-ms`, `beat-ms`, `probe-ms`, `patience-ms`, `gone-after-ms`, `probing`, `warming`, `warm-bears`, `warm-part`, `warm-objects`"#,
         r#"f:3:1: unknown variant `owner`, expected `duty` or `voter`"#,
     ];
-    assert_eq!(said, expected);
+    assert_eq!(lines, expected);
 }
 
 #[test]
