--- a/crates/coordination/src/cache_warmer.rs
+++ b/crates/coordination/src/cache_warmer.rs
@@ -98,19 +98,13 @@
 pub struct CacheWarmer {
     limits: WarmingLimits,
     caches: BTreeMap<u64, ColdCache>,
-    fetched: u64,
     is_stopped: bool,
 }
 
 impl CacheWarmer {
     /// A warmer that knows of no caches yet.
     pub fn new(limits: WarmingLimits) -> CacheWarmer {
-        CacheWarmer { limits, caches: BTreeMap::new(), fetched: 0, is_stopped: false }
-    }
-
-    /// How many objects were fetched.
-    pub fn fetched_count(&self) -> u64 {
-        self.fetched
+        CacheWarmer { limits, caches: BTreeMap::new(), is_stopped: false }
     }
 
     /// Replaces the set of caches, each with when it started (0: not known, taken for warm). A cache that has restarted is
@@ -183,7 +177,6 @@
         let Some(since) = cold.fetching_since.take() else { return };
         match outcome {
             FetchOutcome::Fetched => {
-                self.fetched += 1;
                 cold.busy_count = 0;
                 // An answer that took longer than its share of time shows a busy cache: the next fetch waits as long again.
                 cold.next_fetch_at = (since + gap).max(now + (now - since).min(gap));
--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -19,14 +19,16 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
+use crate::health_check_schedule::HealthCheckSchedule;
 use crate::messages::{
     ASSIGNMENT_ROLE, AppliedVersion, Assignment, AssignmentVersion, HealthObservation, HotObjectCount,
     Message, Reply, RoleId,
 };
 use crate::outstanding_calls::OutstandingCalls;
+use crate::register_replica::ReadValue;
+use crate::register_writer::RegisterWriter;
 use crate::{
-    Action, CoordinationConfig, FencingToken, HealthCheckSchedule, HotObject, LeaseCandidate, Member,
-    MemberVersion, Ns, ReadValue, RegisterWriter, VoterNode,
+    Action, CoordinationConfig, FencingToken, HotObject, LeaseCandidate, Member, MemberVersion, Ns, VoterNode,
 };
 
 /// Observations are not fetched from a voter with so many outstanding calls, but from the next one.
--- a/crates/coordination/src/coordinator/roles.rs
+++ b/crates/coordination/src/coordinator/roles.rs
@@ -4,10 +4,9 @@
 
 use super::{Assigner, Coordinator};
 use crate::messages::{ASSIGNMENT_ROLE, AssignmentVersion, Message, RoleId};
-use crate::{
-    Action, CandidateAction, FencingToken, LeaseCandidate, LeaseEnd, LeaseReply, Ns, ReadValue,
-    RegisterAction, RegisterWriter, VoterNode,
-};
+use crate::register_replica::ReadValue;
+use crate::register_writer::{RegisterAction, RegisterWriter};
+use crate::{Action, CandidateAction, FencingToken, LeaseCandidate, LeaseEnd, LeaseReply, Ns, VoterNode};
 
 const MS: Ns = 1_000_000;
 
--- a/crates/coordination/src/health_check_schedule.rs
+++ b/crates/coordination/src/health_check_schedule.rs
@@ -28,17 +28,17 @@
 
 /// A check that got no answer in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TimedOutCheck {
+pub(crate) struct TimedOutCheck {
     /// The target that did not answer.
-    pub target: u64,
+    pub(crate) target: u64,
     /// When the check was sent.
-    pub sent_at: Ns,
+    pub(crate) sent_at: Ns,
 }
 
 /// Checks each target at a steady interval, whichever member did so before. Every target belongs to one member at a
 /// time; a check that was missed is not made up for.
 #[derive(Clone, Debug)]
-pub struct HealthCheckSchedule {
+pub(crate) struct HealthCheckSchedule {
     interval: Ns,
     timeout: Ns,
     seed: u64,
@@ -48,27 +48,27 @@
 
 impl HealthCheckSchedule {
     /// A schedule without targets. `seed` spreads the first checks and should differ between members.
-    pub fn new(interval: Ns, timeout: Ns, seed: u64) -> HealthCheckSchedule {
+    pub(crate) fn new(interval: Ns, timeout: Ns, seed: u64) -> HealthCheckSchedule {
         HealthCheckSchedule { interval, timeout, seed, targets: BTreeMap::new(), checks_sent: 0 }
     }
 
     /// How many targets belong to this member.
-    pub fn own_count(&self) -> usize {
+    pub(crate) fn own_count(&self) -> usize {
         self.targets.values().filter(|target| target.is_own).count()
     }
 
     /// How many checks were sent.
-    pub fn checks_sent(&self) -> u64 {
+    pub(crate) fn checks_sent(&self) -> u64 {
         self.checks_sent
     }
 
     /// When a check is due or times out next.
-    pub fn next_wakeup(&self) -> Ns {
+    pub(crate) fn next_wakeup(&self) -> Ns {
         self.targets.values().map(|target| target.next_wakeup(self.timeout)).min().unwrap_or(Ns::MAX)
     }
 
     /// Replaces the set of targets. New ones are checked first at different moments of the interval.
-    pub fn update_targets(&mut self, now: Ns, targets: &BTreeSet<u64>) {
+    pub(crate) fn update_targets(&mut self, now: Ns, targets: &BTreeSet<u64>) {
         self.targets.retain(|target, _| targets.contains(target));
         for target in targets {
             let due_at = now + mix(target ^ self.seed) % self.interval.max(1);
@@ -79,7 +79,7 @@
 
     /// Assigns the targets to `members`. One that comes to this member is checked an interval after it was observed last,
     /// and not before `not_before`: by then this member knows what others observed, even if it was cut off from them.
-    pub fn assign(&mut self, members: &[Member], me: Member, not_before: Ns) {
+    pub(crate) fn assign(&mut self, members: &[Member], me: Member, not_before: Ns) {
         let shares = RendezvousShares::from_weights(members.iter().map(|member| (*member, 1.0)));
         for (number, target) in &mut self.targets {
             let is_own = shares.owner(*number) == Some(me);
@@ -93,7 +93,7 @@
 
     /// Another member observed the target. This member's own observations come back by the voters with a little delay; they
     /// are recognized by that and change nothing.
-    pub fn on_observation(&mut self, target: u64, at: Ns) {
+    pub(crate) fn on_observation(&mut self, target: u64, at: Ns) {
         let echo_delay = self.interval / 4;
         let is_newer = |target: &&mut Target| target.observed_at.is_none_or(|last| last + echo_delay < at);
         if let Some(target) = self.targets.get_mut(&target).filter(is_newer) {
@@ -103,7 +103,7 @@
     }
 
     /// Takes the targets that are due; the caller sends a check to each.
-    pub fn take_due(&mut self, now: Ns) -> Vec<u64> {
+    pub(crate) fn take_due(&mut self, now: Ns) -> Vec<u64> {
         let mut due = Vec::new();
         for (number, target) in &mut self.targets {
             if target.is_own && target.sent_at.is_none() && now >= target.due_at {
@@ -117,14 +117,14 @@
     }
 
     /// Puts off what is due, as this member has no valid assignment.
-    pub fn postpone_due(&mut self, now: Ns) {
+    pub(crate) fn postpone_due(&mut self, now: Ns) {
         for target in self.targets.values_mut().filter(|target| now >= target.due_at) {
             target.due_at = now + self.interval / 4;
         }
     }
 
     /// The target answered; returns whether a check was outstanding.
-    pub fn on_answer(&mut self, now: Ns, target: u64) -> bool {
+    pub(crate) fn on_answer(&mut self, now: Ns, target: u64) -> bool {
         let Some(target) = self.targets.get_mut(&target) else { return false };
         let was_outstanding = target.sent_at.take().is_some();
         if was_outstanding {
@@ -134,14 +134,14 @@
     }
 
     /// The target rejected the check, which tells nothing of its health.
-    pub fn on_rejected(&mut self, target: u64) {
+    pub(crate) fn on_rejected(&mut self, target: u64) {
         if let Some(target) = self.targets.get_mut(&target) {
             target.sent_at = None;
         }
     }
 
     /// Takes the outstanding checks that have timed out.
-    pub fn take_timed_out(&mut self, now: Ns) -> Vec<TimedOutCheck> {
+    pub(crate) fn take_timed_out(&mut self, now: Ns) -> Vec<TimedOutCheck> {
         let mut timed_out = Vec::new();
         for (number, target) in &mut self.targets {
             if let Some(sent_at) = target.sent_at.filter(|sent_at| now >= sent_at + self.timeout) {
--- a/crates/coordination/src/lease_candidate.rs
+++ b/crates/coordination/src/lease_candidate.rs
@@ -1,7 +1,8 @@
 //! Acquiring the lease of one role at the voters, renewing it, and handing it over.
 
 use crate::voter::{LeaseReply, LeaseRequest};
-use crate::{FencingToken, Member, Ns, VoterSet};
+use crate::voter_set::VoterSet;
+use crate::{FencingToken, Member, Ns};
 
 /// Multiplier and increment of the linear congruential generator that spreads attempts (Knuth's MMIX).
 const LCG_MULTIPLIER: u64 = 6_364_136_223_846_793_005;
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -50,14 +50,10 @@
 pub use coordinator::Coordinator;
 pub use failure_detector::FailureDetector;
 pub use fencing::{FencingGuard, FencingToken, StaleToken};
-pub use health_check_schedule::{HealthCheckSchedule, TimedOutCheck};
 pub use lease_candidate::{CandidateAction, LeaseCandidate, LeaseConfig, LeaseEnd};
 pub use member::Member;
-pub use register_replica::{ReadValue, RegisterReplica};
-pub use register_writer::{RegisterAction, RegisterWriter};
 pub use rendezvous_shares::RendezvousShares;
 pub use voter::{LeaseHolder, LeaseReply, LeaseRequest, Voter};
 pub use voter_node::{MemberVersion, VoterNode};
-pub use voter_set::VoterSet;
 
 pub use sablecross::Ns;
--- a/crates/coordination/src/register_replica.rs
+++ b/crates/coordination/src/register_replica.rs
@@ -1,15 +1,16 @@
 //! A voter's replica of a role's register.
 
 use crate::messages::RegisterValue;
-use crate::{FencingGuard, FencingToken, StaleToken, VoterSet};
+use crate::voter_set::VoterSet;
+use crate::{FencingGuard, FencingToken, StaleToken};
 
 /// What a replica returns to a read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ReadValue {
+pub(crate) struct ReadValue {
     /// The newest value that it holds.
-    pub value: RegisterValue,
+    pub(crate) value: RegisterValue,
     /// Whether it can't have forgotten a value that was written before.
-    pub is_complete: bool,
+    pub(crate) is_complete: bool,
 }
 
 /// One of the replicas of a register, at a voter. A read or a write with a token shuts out all older tokens.
@@ -17,7 +18,7 @@
 /// A voter without a disk forgets at a restart whom it had shut out. It takes part again once a majority of the other
 /// voters, or all of them, have sent the newest token that they know.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct RegisterReplica {
+pub(crate) struct RegisterReplica {
     guard: FencingGuard,
     value: RegisterValue,
     is_complete: bool,
@@ -36,7 +37,7 @@
 
 impl RegisterReplica {
     /// The replica of voter `me` after a start without memory.
-    pub fn new(me: u32, voter_count: u32) -> RegisterReplica {
+    pub(crate) fn new(me: u32, voter_count: u32) -> RegisterReplica {
         let is_alone = voter_count <= 1;
         let mut replied = VoterSet::default();
         replied.insert(me);
@@ -50,36 +51,36 @@
     }
 
     /// The guard that rejects former holders.
-    pub fn guard(&self) -> &FencingGuard {
+    pub(crate) fn guard(&self) -> &FencingGuard {
         &self.guard
     }
 
     /// The voters have changed: a recovery under way begins again.
-    pub fn on_voters_changed(&mut self, me: u32, voter_count: u32) {
+    pub(crate) fn on_voters_changed(&mut self, me: u32, voter_count: u32) {
         if self.recovery.is_some() {
             *self = RegisterReplica { guard: self.guard.clone(), ..RegisterReplica::new(me, voter_count) };
         }
     }
 
     /// The voters that it still has to ask for their newest token.
-    pub fn unqueried_voters(&self) -> VoterSet {
+    pub(crate) fn unqueried_voters(&self) -> VoterSet {
         self.recovery.map_or(VoterSet::default(), |recovery| {
             VoterSet::first(recovery.voter_count).without(recovery.replied)
         })
     }
 
     /// The newest token it knows, for another voter that recovers.
-    pub fn newest_token(&self) -> FencingToken {
+    pub(crate) fn newest_token(&self) -> FencingToken {
         self.guard.highest()
     }
 
     /// Whether it still recovers from a restart: it may have forgotten newer tokens.
-    pub fn is_recovering(&self) -> bool {
+    pub(crate) fn is_recovering(&self) -> bool {
         self.recovery.is_some()
     }
 
     /// Another voter's newest token; `is_certain` if that voter does not recover itself.
-    pub fn on_newest_token(&mut self, voter: u32, newest: FencingToken, is_certain: bool) {
+    pub(crate) fn on_newest_token(&mut self, voter: u32, newest: FencingToken, is_certain: bool) {
         let is_other = |recovery: &&mut Recovery| voter < recovery.voter_count && voter != recovery.me;
         let Some(recovery) = self.recovery.as_mut().filter(is_other) else { return };
         recovery.replied.insert(voter);
@@ -101,7 +102,7 @@
     /// # Errors
     ///
     /// [`StaleToken`] if a newer token has read or written before.
-    pub fn read(&mut self, token: FencingToken) -> Option<Result<ReadValue, StaleToken>> {
+    pub(crate) fn read(&mut self, token: FencingToken) -> Option<Result<ReadValue, StaleToken>> {
         if self.is_recovering() {
             return None;
         }
@@ -115,7 +116,7 @@
     /// # Errors
     ///
     /// [`StaleToken`] if a newer token has read or written before.
-    pub fn write(&mut self, value: RegisterValue) -> Option<Result<u64, StaleToken>> {
+    pub(crate) fn write(&mut self, value: RegisterValue) -> Option<Result<u64, StaleToken>> {
         if self.is_recovering() {
             return None;
         }
--- a/crates/coordination/src/register_writer.rs
+++ b/crates/coordination/src/register_writer.rs
@@ -5,7 +5,9 @@
 //! older holders there, writes back what it read under its own token, and writes its own values from then on.
 
 use crate::messages::RegisterValue;
-use crate::{FencingToken, Ns, ReadValue, VoterSet};
+use crate::register_replica::ReadValue;
+use crate::voter_set::VoterSet;
+use crate::{FencingToken, Ns};
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
@@ -26,7 +28,7 @@
 
 /// What the caller has to do for a writer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum RegisterAction {
+pub(crate) enum RegisterAction {
     /// Send a read to these voters.
     Read(VoterSet),
     /// Send a write to these voters.
@@ -37,7 +39,7 @@
 
 /// Reads and writes the register of one role, from the time its lease is acquired to its end.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct RegisterWriter {
+pub(crate) struct RegisterWriter {
     token: FencingToken,
     voter_count: u32,
     round_timeout: Ns,
@@ -50,7 +52,7 @@
 
 impl RegisterWriter {
     /// A writer that begins with its read at the next [`step`](Self::step).
-    pub fn new(token: FencingToken, voter_count: u32, round_timeout: Ns, now: Ns) -> RegisterWriter {
+    pub(crate) fn new(token: FencingToken, voter_count: u32, round_timeout: Ns, now: Ns) -> RegisterWriter {
         RegisterWriter {
             token,
             voter_count,
@@ -63,17 +65,17 @@
     }
 
     /// The token under which it reads and writes.
-    pub fn token(&self) -> FencingToken {
+    pub(crate) fn token(&self) -> FencingToken {
         self.token
     }
 
     /// When [`step`](Self::step) is to be called next.
-    pub fn next_wakeup(&self) -> Ns {
+    pub(crate) fn next_wakeup(&self) -> Ns {
         if matches!(self.phase, Phase::Idle) { Ns::MAX } else { self.next_attempt }
     }
 
     /// The voters have changed: a majority of the new ones has to store what a majority of the old ones holds.
-    pub fn on_voters_changed(&mut self, now: Ns, voter_count: u32) -> Vec<RegisterAction> {
+    pub(crate) fn on_voters_changed(&mut self, now: Ns, voter_count: u32) -> Vec<RegisterAction> {
         self.voter_count = voter_count;
         if matches!(self.phase, Phase::Reading { .. }) {
             self.phase = Phase::first_read();
@@ -84,7 +86,7 @@
     }
 
     /// Sends the read or the write again to voters that have not replied.
-    pub fn step(&mut self, now: Ns) -> Vec<RegisterAction> {
+    pub(crate) fn step(&mut self, now: Ns) -> Vec<RegisterAction> {
         if now < self.next_wakeup() {
             return Vec::new();
         }
@@ -101,7 +103,13 @@
 
     /// A voter's value, read with the token `to`. A majority of voters that can't have forgotten a value is enough; else
     /// all have to reply, and the newest of their values counts.
-    pub fn on_read(&mut self, now: Ns, voter: u32, to: FencingToken, read: ReadValue) -> Vec<RegisterAction> {
+    pub(crate) fn on_read(
+        &mut self,
+        now: Ns,
+        voter: u32,
+        to: FencingToken,
+        read: ReadValue,
+    ) -> Vec<RegisterAction> {
         if to != self.token || voter >= self.voter_count {
             return Vec::new();
         }
@@ -123,7 +131,7 @@
     }
 
     /// Replaces the value. A write that waits already is dropped for this one.
-    pub fn write(&mut self, now: Ns, bytes: Vec<u8>) -> Vec<RegisterAction> {
+    pub(crate) fn write(&mut self, now: Ns, bytes: Vec<u8>) -> Vec<RegisterAction> {
         if !matches!(self.phase, Phase::Idle) {
             self.queued = Some(bytes);
             return Vec::new();
@@ -133,7 +141,7 @@
     }
 
     /// A voter has stored the value of this token and sequence number.
-    pub fn on_written(
+    pub(crate) fn on_written(
         &mut self,
         now: Ns,
         voter: u32,
--- a/crates/coordination/src/voter.rs
+++ b/crates/coordination/src/voter.rs
@@ -128,12 +128,9 @@
         Voter { highest_term: 0, grant: None, silent_until: now + with_clock_drift(max_lease), max_lease }
     }
 
-    /// A voter with the highest term that its disk kept. At the `first` start of all it replies at once; later a lease
-    /// that it granted before may still run.
-    pub fn restored(highest_term: u64, now: Ns, max_lease: Ns, first: bool) -> Voter {
-        let forgetful = Voter::without_memory(now, max_lease);
-        let silent_until = if first { now } else { forgetful.silent_until };
-        Voter { highest_term, silent_until, ..forgetful }
+    /// A voter that has surely granted nothing before: it replies at once.
+    pub fn first_start(now: Ns, max_lease: Ns) -> Voter {
+        Voter { silent_until: now, ..Voter::without_memory(now, max_lease) }
     }
 
     /// The highest term that it has granted or heard of.
--- a/crates/coordination/src/voter_node.rs
+++ b/crates/coordination/src/voter_node.rs
@@ -9,9 +9,10 @@
     ASSIGNMENT_ROLE, AppliedVersion, Assignment, AssignmentVersion, Message, RegisterValue, Reply, RoleId,
     RoleStatus,
 };
+use crate::register_replica::RegisterReplica;
 use crate::{
     CoordinationConfig, FailureDetector, FencingGuard, FencingToken, HotObject, LeaseRequest, Member, Ns,
-    RegisterReplica, StaleToken, Voter,
+    StaleToken, Voter,
 };
 
 /// What a role's holder publishes to all members.
--- a/crates/coordination/src/voter_set.rs
+++ b/crates/coordination/src/voter_set.rs
@@ -2,51 +2,46 @@
 
 /// A set of voters by their index in the configuration's order, below [`VoterSet::CAPACITY`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct VoterSet(u64);
+pub(crate) struct VoterSet(u64);
 
 impl VoterSet {
     /// Indexes from here on can't be members of a set.
-    pub const CAPACITY: u32 = 64;
+    pub(crate) const CAPACITY: u32 = 64;
 
     /// The set of the first `count` voters.
-    pub fn first(count: u32) -> VoterSet {
+    pub(crate) fn first(count: u32) -> VoterSet {
         VoterSet((1u64 << count.min(Self::CAPACITY - 1)) - 1)
     }
 
     /// Adds a voter; an index past the capacity is ignored.
-    pub fn insert(&mut self, voter: u32) {
+    pub(crate) fn insert(&mut self, voter: u32) {
         if voter < Self::CAPACITY {
             self.0 |= 1 << voter;
         }
     }
 
     /// Whether the voter is in the set.
-    pub fn contains(self, voter: u32) -> bool {
+    pub(crate) fn contains(self, voter: u32) -> bool {
         voter < Self::CAPACITY && self.0 >> voter & 1 == 1
     }
 
     /// How many voters are in the set.
-    pub fn len(self) -> u32 {
+    pub(crate) fn len(self) -> u32 {
         self.0.count_ones()
     }
 
-    /// Whether no voter is in the set.
-    pub fn is_empty(self) -> bool {
-        self.0 == 0
-    }
-
     /// The voters of this set that are not in `other`.
-    pub fn without(self, other: VoterSet) -> VoterSet {
+    pub(crate) fn without(self, other: VoterSet) -> VoterSet {
         VoterSet(self.0 & !other.0)
     }
 
     /// Whether these are more than half of `voter_count` voters.
-    pub fn is_majority_of(self, voter_count: u32) -> bool {
+    pub(crate) fn is_majority_of(self, voter_count: u32) -> bool {
         self.len() * 2 > voter_count
     }
 
     /// The voters in ascending order.
-    pub fn iter(self) -> impl Iterator<Item = u32> {
+    pub(crate) fn iter(self) -> impl Iterator<Item = u32> {
         (0..Self::CAPACITY).filter(move |voter| self.contains(*voter))
     }
 }
--- a/crates/coordination/tests/leases.rs
+++ b/crates/coordination/tests/leases.rs
@@ -36,7 +36,7 @@
             (0..claimants).map(|n| LeaseCandidate::new(member(n), n, CONFIG, rng.random(), 0)).collect();
         Simulation {
             now: 0,
-            voters: vec![Voter::restored(0, 0, LEASE, true); CONFIG.voter_count as usize],
+            voters: vec![Voter::first_start(0, LEASE); CONFIG.voter_count as usize],
             candidates,
             cut_links: Vec::new(),
             stalled: Vec::new(),
--- a/crates/coordination/tests/model_check.rs
+++ b/crates/coordination/tests/model_check.rs
@@ -110,7 +110,7 @@
         let candidate = |n: usize| LeaseCandidate::new(member(n), n as u32, CONFIG, 7, 0);
         vec![World {
             now: 0,
-            voters: vec![Voter::restored(0, 0, LEASE, true); 3],
+            voters: vec![Voter::first_start(0, LEASE); 3],
             candidates: vec![candidate(0), candidate(1)],
             requests: BTreeSet::new(),
             checked: vec![None; 2],
@@ -223,7 +223,7 @@
             Move::Restart(v) => {
                 world.restarts += 1;
                 world.voters[v] = match self.fault {
-                    Fault::NoSilence => Voter::restored(0, world.now, LEASE, true),
+                    Fault::NoSilence => Voter::first_start(world.now, LEASE),
                     _ => Voter::without_memory(world.now, LEASE),
                 };
             }
