--- a/crates/controller-log/tests/log.rs
+++ b/crates/controller-log/tests/log.rs
@@ -90,7 +90,7 @@
         let said = log.append_as(token(term, owner), &start);
         assert_eq!(said.is_ok(), taken, "term {term} of {owner}: {said:?}");
         if let Err(e) = said {
-            assert!(e.to_string().contains("claim the duty anew"), "{e}");
+            assert!(e.to_string().contains("acquire the lease again"), "{e}");
         }
     }
     drop(log);
