--- a/crates/coordination/tests/coordinator.rs
+++ b/crates/coordination/tests/coordinator.rs
@@ -161,16 +161,16 @@
                 if let Some(until) = self.delayed_until.get(&by.number).filter(|u| **u > self.now) {
                     return self.in_transit.push((*until, Envelope::Check { by, target, token }));
                 }
-                let Some(one) = self.targets.get_mut(&target) else { return };
-                let rejected = one.guard.admit(token).err().filter(|_| self.with_guards);
+                let Some(node) = self.targets.get_mut(&target) else { return };
+                let rejected = node.guard.admit(token).err().filter(|_| self.with_guards);
                 let state = match rejected {
                     Some(old) => {
-                        one.rejected += 1;
+                        node.rejected += 1;
                         Err(old.highest)
                     }
                     None => {
-                        one.times.push(self.now);
-                        one.admitted.push(token);
+                        node.times.push(self.now);
+                        node.admitted.push(token);
                         Ok(HealthState::Healthy(Some(0.5)))
                     }
                 };
@@ -216,8 +216,8 @@
     /// The longest pause of any target from `from` on, and the most checks within any second.
     fn longest_pause_and_burst(&self, from: Ns) -> (Ns, usize) {
         let (mut longest, mut most) = (0, 0);
-        for one in self.targets.values() {
-            let times: Vec<Ns> = one.times.iter().copied().filter(|t| *t >= from).collect();
+        for node in self.targets.values() {
+            let times: Vec<Ns> = node.times.iter().copied().filter(|t| *t >= from).collect();
             let ends = times.iter().copied().chain([self.now]);
             let begins = std::iter::once(from).chain(times.iter().copied());
             longest = longest.max(begins.zip(ends).map(|(a, b)| b - a).max().unwrap_or(0));
@@ -228,11 +228,11 @@
         (longest, most)
     }
 
-    /// The config of admitted tokens never go back, and each term has one holder.
+    /// The terms of admitted tokens never decrease, and each term has one holder.
     fn check_token_order(&self) -> Result<(), String> {
-        for (target, one) in &self.targets {
+        for (target, node) in &self.targets {
             let mut highest = FencingToken::default();
-            for token in &one.admitted {
+            for token in &node.admitted {
                 if token.term < highest.term || token.term == highest.term && token.holder != highest.holder {
                     return Err(format!("target {target}: {token:?} after {highest:?}"));
                 }
@@ -249,13 +249,13 @@
     fleet.run(20 * SEC);
     let (longest, most) = fleet.longest_pause_and_burst(4 * SEC);
     assert!(longest <= 1_200 * MS && most <= 2, "{longest} {most}");
-    let probes: usize =
-        fleet.targets.values().map(|b| b.times.iter().filter(|t| **t >= 4 * SEC).count()).sum();
-    assert!((24 * 15..=24 * 17).contains(&probes), "{probes}");
+    let checks: usize =
+        fleet.targets.values().map(|node| node.times.iter().filter(|t| **t >= 4 * SEC).count()).sum();
+    assert!((24 * 15..=24 * 17).contains(&checks), "{checks}");
     let by: BTreeSet<u32> =
-        fleet.targets.values().flat_map(|b| b.admitted.iter().map(|t| t.holder.number)).collect();
+        fleet.targets.values().flat_map(|node| node.admitted.iter().map(|t| t.holder.number)).collect();
     assert!(by.len() >= 5, "{by:?}");
-    assert_eq!(fleet.targets.values().map(|b| b.rejected).sum::<u64>(), 0);
+    assert_eq!(fleet.targets.values().map(|node| node.rejected).sum::<u64>(), 0);
 }
 
 #[test]
@@ -277,7 +277,7 @@
         assert!(most <= 2, "seed {seed}: {most} in a second");
         fleet.check_token_order().unwrap();
         let last = |number: u32| {
-            fleet.targets.values().any(|b| b.admitted.last().is_some_and(|t| t.holder.number == number))
+            fleet.targets.values().any(|node| node.admitted.last().is_some_and(|t| t.holder.number == number))
         };
         assert!(last(assigner) || last(other), "seed {seed}: the returned members have targets again");
     }
@@ -298,7 +298,7 @@
         fleet.stalled.remove(&one);
         fleet.run(18 * SEC);
         fleet.check_token_order().unwrap();
-        rejected += fleet.targets.values().map(|b| b.rejected).sum::<u64>();
+        rejected += fleet.targets.values().map(|node| node.rejected).sum::<u64>();
         let (longest, _) = fleet.longest_pause_and_burst(4 * SEC);
         assert!(longest <= 5 * SEC, "seed {seed}: {longest}");
     }
@@ -338,11 +338,11 @@
         let new_assigner = fleet.holder(ASSIGNMENT_ROLE).expect("the majority has an assigner");
         assert!(!few.contains(&new_assigner), "seed {seed}");
         // Members that are cut_links off have stopped before their targets moved.
-        for one in fleet.targets.values() {
+        for node in fleet.targets.values() {
             let delay = one
                 .admitted
                 .iter()
-                .zip(&one.times)
+                .zip(&node.times)
                 .filter(|(t, at)| **at > 9 * SEC && few.contains(&t.holder.number));
             assert_eq!(delay.count(), 0, "seed {seed}");
         }
@@ -351,8 +351,11 @@
         fleet.check_token_order().unwrap();
         let (longest, most) = fleet.longest_pause_and_burst(4 * SEC);
         assert!(longest <= 5 * SEC && most <= 2, "seed {seed}: {longest} {most}");
-        let back =
-            fleet.targets.values().flat_map(|b| b.admitted.last()).any(|t| few.contains(&t.holder.number));
+        let back = fleet
+            .targets
+            .values()
+            .flat_map(|node| node.admitted.last())
+            .any(|t| few.contains(&t.holder.number));
         assert!(back, "seed {seed}: the others have targets again");
     }
 }
@@ -369,20 +372,20 @@
     assert_eq!(fleet.holder(ASSIGNMENT_ROLE), None);
     fleet.run(15 * SEC);
     assert!(
-        fleet.targets.values().all(|b| b.times.last().is_some_and(|t| *t < at)),
+        fleet.targets.values().all(|node| node.times.last().is_some_and(|t| *t < at)),
         "no checks without a majority"
     );
     (0..3).for_each(|v| fleet.start(v, 2));
     fleet.run(22 * SEC);
     fleet.check_token_order().unwrap();
-    assert!(fleet.targets.values().all(|b| b.times.last().is_some_and(|t| *t > 21 * SEC)));
+    assert!(fleet.targets.values().all(|node| node.times.last().is_some_and(|t| *t > 21 * SEC)));
 }
 
 #[test]
 fn targets_overrule_voters_that_all_forgot_the_terms() {
     let mut fleet = Fleet::new(6, 3, 12, 5);
     fleet.run(6 * SEC);
-    // Let the config grow first.
+    // Let the terms grow first.
     for _ in 0..3 {
         let assigner = fleet.holder(ASSIGNMENT_ROLE).expect("an assigner");
         fleet.stalled.insert(assigner);
@@ -393,25 +396,28 @@
     let before = fleet
         .targets
         .values()
-        .filter_map(|b| b.admitted.last())
+        .filter_map(|node| node.admitted.last())
         .map(|t| AssignmentVersion::from_token(*t).term)
         .max();
     assert!(before >= Some(3));
-    // Every process restarts: only the targets know the config.
+    // Every process restarts: only the targets know the terms.
     (0..6).for_each(|m| fleet.start(m, 2));
     let from = fleet.now;
     fleet.run(from + 15 * SEC);
     fleet.check_token_order().unwrap();
     assert!(
-        fleet.targets.values().all(|b| b.rejected > 0 || b.times.last().is_some_and(|t| *t > from + 3 * SEC))
+        fleet
+            .targets
+            .values()
+            .all(|node| node.rejected > 0 || b.times.last().is_some_and(|t| *t > from + 3 * SEC))
     );
-    for one in fleet.targets.values() {
-        let last = one.admitted.last().expect("probed");
+    for node in fleet.targets.values() {
+        let last = node.admitted.last().expect("probed");
         assert!(
             AssignmentVersion::from_token(*last).term > before.unwrap_or(0),
             "past what the targets knew"
         );
-        assert!(one.times.last().is_some_and(|t| *t > fleet.now - 2 * SEC));
+        assert!(node.times.last().is_some_and(|t| *t > fleet.now - 2 * SEC));
     }
 }
 
@@ -427,7 +433,7 @@
     fleet.run(16 * SEC);
     let coordinator = &fleet.members[&4];
     assert!(coordinator.me().incarnation > 1_000_000 && !coordinator.is_displaced());
-    assert!(fleet.targets.values().any(|b| b.admitted.last().is_some_and(|t| t.holder.number == 4)));
+    assert!(fleet.targets.values().any(|node| node.admitted.last().is_some_and(|t| t.holder.number == 4)));
 }
 
 #[test]
@@ -441,10 +447,10 @@
     // The stalled process goes on and learns of it.
     fleet.run(11 * SEC);
     assert!(fleet.members[&5].is_displaced());
-    let probes: Vec<usize> = fleet.targets.values().map(|b| b.admitted.len()).collect();
+    let checks: Vec<usize> = fleet.targets.values().map(|node| node.admitted.len()).collect();
     fleet.members.insert(5, new);
     fleet.run(14 * SEC);
-    assert!(fleet.targets.values().zip(probes).any(|(b, n)| b.admitted.len() > n));
+    assert!(fleet.targets.values().zip(checks).any(|(b, n)| b.admitted.len() > n));
     fleet.check_token_order().unwrap();
 }
 
@@ -491,9 +497,9 @@
     fleet.execute_actions(holder);
     fleet.run(now + SEC);
     assert_eq!(fleet.holder(HIERARCHY_ROLE), Some(to));
-    let config: Vec<u64> =
-        fleet.acquired.iter().filter(|b| b.1 == HIERARCHY_ROLE).map(|b| b.2.term).collect();
-    assert!(config.windows(2).all(|w| w[0] < w[1]), "{config:?}");
+    let terms: Vec<u64> =
+        fleet.acquired.iter().filter(|node| node.1 == HIERARCHY_ROLE).map(|node| node.2.term).collect();
+    assert!(terms.windows(2).all(|w| w[0] < w[1]), "{terms:?}");
 }
 
 /// Holders of a role write its register one after another; the next one finds what was stored.
