--- a/crates/coordination/tests/coordinator.rs
+++ b/crates/coordination/tests/coordinator.rs
@@ -290,7 +290,7 @@
         let mut fleet = Fleet::new(6, 3, 24, seed);
         fleet.run(6 * SEC);
         let one = 3 + (seed % 3) as u32;
-        // What it has sent arrives delay, after the assignment that moved its targets.
+        // What it has sent arrives late, after the assignment that moved its targets.
         fleet.delayed_until.insert(one, 12 * SEC);
         fleet.run(7_500 * MS);
         fleet.stalled.insert(one);
@@ -337,14 +337,14 @@
         fleet.run(14 * SEC);
         let new_assigner = fleet.holder(ASSIGNMENT_ROLE).expect("the majority has an assigner");
         assert!(!few.contains(&new_assigner), "seed {seed}");
-        // Members that are cut_links off have stopped before their targets moved.
+        // Members that are cut off have stopped before their targets moved.
         for node in fleet.targets.values() {
-            let delay = one
+            let late = node
                 .admitted
                 .iter()
                 .zip(&node.times)
                 .filter(|(t, at)| **at > 9 * SEC && few.contains(&t.holder.number));
-            assert_eq!(delay.count(), 0, "seed {seed}");
+            assert_eq!(late.count(), 0, "seed {seed}");
         }
         fleet.cut_links.clear();
         fleet.run(20 * SEC);
@@ -409,7 +409,7 @@
         fleet
             .targets
             .values()
-            .all(|node| node.rejected > 0 || b.times.last().is_some_and(|t| *t > from + 3 * SEC))
+            .all(|node| node.rejected > 0 || node.times.last().is_some_and(|t| *t > from + 3 * SEC))
     );
     for node in fleet.targets.values() {
         let last = node.admitted.last().expect("probed");
--- a/crates/coordination/tests/leases.rs
+++ b/crates/coordination/tests/leases.rs
@@ -287,7 +287,7 @@
         assert!(k >= 107 || !dead);
     }
     assert_eq!(sim.alive_members(now), [steady]);
-    // Its next incarnation counts as another member; a delay message of the earlier one is ignored.
+    // Its next incarnation counts as another member; a late message of the earlier one is ignored.
     sim.record_heartbeat(now, Member { number: 2, incarnation: 2 });
     sim.record_heartbeat(now, gone);
     assert_eq!(sim.alive_members(now), [steady, Member { number: 2, incarnation: 2 }]);
--- a/crates/coordination/tests/model_check.rs
+++ b/crates/coordination/tests/model_check.rs
@@ -281,7 +281,7 @@
         for _ in 0..160 {
             let mut moves = Vec::new();
             search.actions(&world, &mut moves);
-            // Time is_admitted now and then only, or nothing would arrive in time.
+            // Time passes now and then only, or nothing would arrive in time.
             moves.retain(|m| *m != Move::Tick || rng.random_range(0..6) == 0);
             if moves.is_empty() {
                 moves.push(Move::Tick);
