--- a/crates/coordination/tests/cache_warmer.rs
+++ b/crates/coordination/tests/cache_warmer.rs
@@ -16,7 +16,7 @@
     (0..n).map(|object| HotObject { object, part: 0, class: 0 }).collect()
 }
 
-/// Answers each fetch after `duration`; returns outcome many cache 7 made in each second.
+/// Answers each fetch after `duration`; returns how many cache 7 made in each second.
 fn fetch_for(
     warmer: &mut CacheWarmer,
     seconds: u64,
--- a/crates/coordination/tests/coordinator.rs
+++ b/crates/coordination/tests/coordinator.rs
@@ -302,7 +302,7 @@
         let (longest, _) = fleet.longest_pause_and_burst(4 * SEC);
         assert!(longest <= 5 * SEC, "seed {seed}: {longest}");
     }
-    assert!(rejected > 0, "no delay effect arrived: the test shows nothing");
+    assert!(rejected > 0, "no late effect arrived: the test shows nothing");
 }
 
 #[test]
@@ -412,7 +412,7 @@
             .all(|node| node.rejected > 0 || node.times.last().is_some_and(|t| *t > from + 3 * SEC))
     );
     for node in fleet.targets.values() {
-        let last = node.admitted.last().expect("probed");
+        let last = node.admitted.last().expect("checked");
         assert!(
             AssignmentVersion::from_token(*last).term > before.unwrap_or(0),
             "past what the targets knew"
--- a/crates/coordination/tests/leases.rs
+++ b/crates/coordination/tests/leases.rs
@@ -166,7 +166,7 @@
         let mut sim = Simulation::new(3, seed);
         sim.run(2_000);
         let holder = sim.holder().expect("a holder");
-        // It reaches all voters, but only two of five reach it: its lease ended, while its requests renew it at the
+        // It reaches all voters, but only two of five reach it: its lease ends, while its requests renew it at the
         // voters, who can't grant another one until that is over.
         sim.cut_links = (2..5).map(|v| (holder, v, false)).collect();
         sim.run(8_000);
@@ -270,40 +270,40 @@
 #[test]
 fn a_member_is_dead_after_seconds_and_not_for_lost_messages() {
     let mut rng = Pcg32::seed_from_u64(1);
-    let (mut sim, mut now) = (FailureDetector::default(), 0);
+    let (mut detector, mut now) = (FailureDetector::default(), 0);
     let (steady, gone) = (member(1), member(2));
     for k in 0..20_000 {
         now += 250 * MS;
         // One message in ten is lost.
         if rng.random_range(0..10) > 0 {
-            sim.record_heartbeat(now, steady);
+            detector.record_heartbeat(now, steady);
         }
         if k < 100 {
-            sim.record_heartbeat(now, gone);
+            detector.record_heartbeat(now, gone);
         }
-        assert!(sim.suspicion_level(now, steady) < 1.0, "at message {k}");
-        let dead = sim.suspicion_level(now, gone) >= 1.0;
+        assert!(detector.suspicion_level(now, steady) < 1.0, "at message {k}");
+        let dead = detector.suspicion_level(now, gone) >= 1.0;
         assert!(k < 107 || dead || k < 112, "silent for {} messages", k - 99);
         assert!(k >= 107 || !dead);
     }
-    assert_eq!(sim.alive_members(now), [steady]);
+    assert_eq!(detector.alive_members(now), [steady]);
     // Its next incarnation counts as another member; a late message of the earlier one is ignored.
-    sim.record_heartbeat(now, Member { number: 2, incarnation: 2 });
-    sim.record_heartbeat(now, gone);
-    assert_eq!(sim.alive_members(now), [steady, Member { number: 2, incarnation: 2 }]);
-    assert!(sim.suspicion_level(now, member(7)).is_infinite(), "unknown");
+    detector.record_heartbeat(now, Member { number: 2, incarnation: 2 });
+    detector.record_heartbeat(now, gone);
+    assert_eq!(detector.alive_members(now), [steady, Member { number: 2, incarnation: 2 }]);
+    assert!(detector.suspicion_level(now, member(7)).is_infinite(), "unknown");
 }
 
 #[test]
 fn a_heartbeat_costs_the_same_for_any_number_of_members() {
-    // A scan of all members at each heartbeat made a voter'sim cost grow with their square.
+    // A scan of all members at each heartbeat made a voter's cost grow with their square.
     let time = |members: u32| {
         let mut best = std::time::Duration::MAX;
         for _ in 0..3 {
-            let mut sim = FailureDetector::default();
-            (0..members).for_each(|n| sim.record_heartbeat(0, member(n)));
+            let mut detector = FailureDetector::default();
+            (0..members).for_each(|n| detector.record_heartbeat(0, member(n)));
             let start = std::time::Instant::now();
-            (0..10_000).for_each(|n| sim.record_heartbeat(1 + u64::from(n), member(n % members)));
+            (0..10_000).for_each(|n| detector.record_heartbeat(1 + u64::from(n), member(n % members)));
             best = best.min(start.elapsed());
         }
         best
--- a/crates/director/tests/coordination.rs
+++ b/crates/director/tests/coordination.rs
@@ -34,9 +34,9 @@
 /// The sample's configuration as that of director `n`, at this address.
 fn config_of(config: &str, n: usize, at: SocketAddr) -> String {
     let config = config.replace("\"127.0.0.1:0\"", &format!("\"{at}\""));
-    let config_of = config.replace("\n    \"index\": 0,", &format!("\n    \"index\": {n},"));
-    assert!(n == 0 || config_of != config);
-    config_of.replace("\"zoneBalancers\": [0, 1]", "\"zoneBalancers\": [0, 3]")
+    let placed = config.replace("\n    \"index\": 0,", &format!("\n    \"index\": {n},"));
+    assert!(n == 0 || placed != config);
+    placed.replace("\"zoneBalancers\": [0, 1]", "\"zoneBalancers\": [0, 3]")
 }
 
 fn free_address() -> SocketAddr {
@@ -75,15 +75,15 @@
                 while reader.read_line(&mut line).is_ok_and(|n| n > 0) {
                     if let Some(text) = line.trim_end().strip_prefix("METER ") {
                         let tag: HealthCheckTag = text.parse().expect("a tag");
-                        let admitted = guard.lock().expect("whole").admit(tag.token);
-                        let replies = match admitted {
+                        let admitted = guard.lock().expect("not poisoned").admit(tag.token);
+                        let reply = match admitted {
                             Ok(()) => format!("{text} READY stats=cpu:0.25 0\r\n\r\n"),
                             Err(old) => {
                                 let newest = HealthCheckTag { token: old.highest, sequence: 0 };
                                 format!("{text} STALE newest={newest} 0\r\n\r\n")
                             }
                         };
-                        (&stream).write_all(replies.as_bytes()).expect("written");
+                        (&stream).write_all(reply.as_bytes()).expect("written");
                         let _ = tags.send(tag);
                     }
                     line.clear();
@@ -152,9 +152,9 @@
             World::start_with(|c| config_of(&c, n, at[n]), &[("SABLECROSS_DUTY", settings_file.as_os_str())])
         })
         .collect();
-    let holder = |duty: u16| {
+    let holder = |role: u16| {
         (0..3).find_map(|n| {
-            let own = status(at[n])?.roles.iter().find(|d| d.role == duty)?.own_lease?;
+            let own = status(at[n])?.roles.iter().find(|d| d.role == role)?.own_lease?;
             Some((n, own.token.term))
         })
     };
@@ -254,8 +254,8 @@
         (format!("(duty (lease . 10))\n{voter}"), "lease"),
     ];
     for (text, what) in cases {
-        let replies = CoordinationSettings::parse("f", &text).expect_err(&text)[0].to_string();
-        assert!(replies.contains(what), "{text}: {replies}");
+        let error = CoordinationSettings::parse("f", &text).expect_err(&text)[0].to_string();
+        assert!(error.contains(what), "{text}: {error}");
     }
     let text = include_str!("../../../deploy/duty.scm");
     assert_eq!(
