--- a/crates/cli/src/coordination.rs
+++ b/crates/cli/src/coordination.rs
@@ -6,8 +6,10 @@
 use std::time::{Duration, Instant};
 
 use clap::{Args, Subcommand};
-use sablecross_coordination::Member;
-use sablecross_coordination::messages::{MemberStatus, Message, Reply, Request, RoleId, RoleStatus};
+use sablecross_coordination::messages::{
+    MemberStatus, Message, Reply, Request, RoleId, RoleReport, RoleStatus,
+};
+use sablecross_coordination::{LeaseHolder, Member};
 use sablecross_director::coordination::call_member;
 use sablecross_director::coordination::settings::{CoordinationSettings, HIERARCHY_ROLE, ROLES, role_name};
 
@@ -147,7 +149,7 @@
     println!("{address} member {} incarnation {} ({voter})", member.number, member.incarnation);
     status.roles.iter().for_each(print_role);
     print_assignment(status);
-    for (role, text) in &status.role_status {
+    for RoleReport { role, text } in &status.role_status {
         println!("  {}: {text}", role_name(*role));
     }
     println!(
@@ -158,7 +160,9 @@
 
 fn print_role(role: &RoleStatus) {
     let granted = match role.holder {
-        Some((member, left)) => format!("granted to member {} for {}", member.number, seconds(left)),
+        Some(LeaseHolder { member, remaining }) => {
+            format!("granted to member {} for {}", member.number, seconds(remaining))
+        }
         None => "granted to nobody".into(),
     };
     let own = role.own_lease.map_or(String::new(), |(token, left)| {
@@ -211,14 +215,14 @@
 fn find_holder(target: &Target, role: RoleId) -> Result<Option<Holder>, Vec<String>> {
     let holder = |address: SocketAddr| {
         let status = target.member_status(address).ok()?;
-        let (token, _) = status.roles.iter().find(|held| held.role == role)?.own_lease?;
-        Some(Holder { address, member: status.member.number, term: token.term })
+        let lease = status.roles.iter().find(|held| held.role == role)?.own_lease?;
+        Some(Holder { address, member: status.member.number, term: lease.token.term })
     };
     Ok(target.addresses()?.into_iter().filter_map(holder).max_by_key(|holder| holder.term))
 }
 
 fn role_status(status: MemberStatus, role: RoleId) -> Option<String> {
-    status.role_status.into_iter().find(|(of, _)| *of == role).map(|(_, text)| text)
+    status.role_status.into_iter().find(|report| report.role == role).map(|report| report.text)
 }
 
 fn change(file: &Path, follow: f64, target: &Target) -> Result<CommandOutcome, Vec<String>> {
@@ -230,9 +234,9 @@
         eprintln!("driving: none of those asked holds it now: ask again");
         return Ok(CommandOutcome::Rejected);
     };
-    let proposal = Message::Propose(HIERARCHY_ROLE, text.into_bytes());
+    let proposal = Message::Propose { role: HIERARCHY_ROLE, bytes: text.into_bytes() };
     let replies = target.send(holder.address, proposal).map_err(|e| vec![e])?;
-    if !replies.contains(&Reply::ProposalResult(HIERARCHY_ROLE, Ok(()))) {
+    if !replies.contains(&Reply::ProposalResult { role: HIERARCHY_ROLE, result: Ok(()) }) {
         eprintln!("driving: member {} does not hold it any more: ask again", holder.member);
         return Ok(CommandOutcome::Rejected);
     }
@@ -290,8 +294,8 @@
         eprintln!("{name}: none of those asked holds it now");
         return Ok(CommandOutcome::Rejected);
     };
-    let replies = target.send(holder.address, Message::HandOver(role, to)).map_err(|e| vec![e])?;
-    if !replies.contains(&Reply::HandOverStarted(role, true)) {
+    let replies = target.send(holder.address, Message::HandOver { role, to }).map_err(|e| vec![e])?;
+    if !replies.contains(&Reply::HandOverStarted { role, started: true }) {
         eprintln!("{name}: member {} held it and does not any more: ask again", holder.member);
         return Ok(CommandOutcome::Rejected);
     }
