--- a/crates/cli/src/coordination.rs
+++ b/crates/cli/src/coordination.rs
@@ -165,8 +165,8 @@
         }
         None => "granted to nobody".into(),
     };
-    let own = role.own_lease.map_or(String::new(), |(token, left)| {
-        format!(", HELD in term {} for {}", token.term, seconds(left))
+    let own = role.own_lease.map_or(String::new(), |lease| {
+        format!(", HELD in term {} for {}", lease.token.term, seconds(lease.remaining))
     });
     println!("  {:<8} highest term {}, {granted}{own}", role_name(role.role), role.highest_term);
 }
