--- a/crates/director/src/coordination/agent.rs
+++ b/crates/director/src/coordination/agent.rs
@@ -332,9 +332,7 @@
 
     /// A version that the owner of driving has passed on to all.
     fn told(&mut self, bytes: &[u8]) {
-        match sablecross_hierarchy_controller::decode_spec(bytes)
-            .and_then(|spec| VersionAnnouncement::from_controller(&spec))
-        {
+        match VersionAnnouncement::from_controller(bytes) {
             Ok(told) => {
                 // The desk outlives this thread, but for the end of the program.
                 let _ = self.common.events.send(Event::Discovery(DiscoveryEvent::Hierarchy(Box::new(told))));
--- a/crates/director/src/process/mod.rs
+++ b/crates/director/src/process/mod.rs
@@ -80,7 +80,8 @@
     let (duties, agent) = CoordinationHandle::start(duty, &config.settings, &common).map_err(at_duty)?;
     let choice = Router::new(config.settings, config.seed, common.clock.now());
     let mut desk = Dispatcher::new(choice, nodes, outlet, Arc::clone(&common), upper, duties, to_say);
-    let hierarchy = VersionAnnouncement::from_settings_file().transpose()?;
+    let hierarchy =
+        VersionAnnouncement::from_settings_file().transpose().map_err(|error| error.to_string())?;
     let (home, others) = config.feeds.split_first().ok_or("feed: missing")?;
     let follower = DiscoveryClient {
         cursor: EventCursor::after_number(config.known.last),
--- a/crates/director/tests/upper.rs
+++ b/crates/director/tests/parent_hierarchy.rs
@@ -99,7 +99,7 @@
 
     // Late, and a faulty one: nothing changes, and what came late is not said to be in force.
     tell(&feed, 4, &event(4, &version(4, &["parent-b"], None)));
-    world.logged("hierarchy passed over version=4 in_force=5 why=Older");
+    world.logged("hierarchy version ignored version=4 in_force=5 why=Older");
     let circle = event(5, &version(9, &["parent-a"], Some("u"))).replace("[\"u\"]", "[\"parent-a\"]");
     tell(&feed, 5, &circle);
     let (last, feed) = world.feed.call();
--- a/crates/hierarchy-controller/tests/drive.rs
+++ b/crates/hierarchy-controller/tests/controller.rs
@@ -102,7 +102,8 @@
                     self.refused += 1;
                     return;
                 }
-                let (n, version) = decode_spec(&bytes).and_then(|t| t.to_hierarchy(None)).expect("a version");
+                let (n, version) =
+                    decode_spec(&bytes).expect("a version").to_hierarchy(None).expect("a version");
                 assert_eq!(n, number);
                 for (_, holder) in &mut self.members {
                     let before = holder.number();
@@ -266,7 +267,7 @@
     let said = w.owners[0].propose(0, b"(hierarchy (version . 1)").expect_err("cut short").to_string();
     assert!(said.contains("never closed"), "{said}");
     assert!(w.owners[0].status().contains("last refused"));
-    assert!(matches!(w.owners[0].propose(0, &[0xff, 0xfe]), Err(ProposalError::Invalid(_))));
+    assert!(matches!(w.owners[0].propose(0, &[0xff, 0xfe]), Err(ProposalError::NotUtf8(_))));
     w.wish(0).expect("a first one");
     w.run(3 * SEC, usize::MAX);
     assert!(matches!(w.wish(0), Err(ProposalError::Rollout(_))), "it is in force already");
--- a/crates/hierarchy/src/admission.rs
+++ b/crates/hierarchy/src/admission.rs
@@ -1,42 +1,107 @@
-//! Whether a version may be aimed for. A refusal names the node and the way or figure.
+//! Decides whether a version may become the target of a change. A rejection names the node and the cause.
 
 use std::sync::Arc;
 
 use thiserror::Error;
 
-use crate::load_flow::{FlowGraph, NodeIndex};
+use crate::load_flow::{FlowGraph, FlowNode, LOAD_TOLERANCE, NodeIndex};
+use crate::spec::SpecError;
 use crate::topological_order::TopologicalOrder;
 use crate::version::{FULL_SHARE, Hierarchy, HierarchyNode, NodeId};
 
+/// The largest capacity and demand of a node, in requests a second.
+const MAX_LOAD: f64 = 1e9;
+
+/// Why a version is rejected.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum AdmissionError {
+    /// A source is not in the version.
     #[error("{node}: its source {source_name} is in no tier (add it, or take it from the sources)")]
-    UnknownSource { node: Arc<str>, source_name: String },
+    UnknownSource {
+        /// The node that names the source.
+        node: Arc<str>,
+        /// The name of the source, or its number.
+        source_name: String,
+    },
+    /// A source is not nearer to the origin than the node.
     #[error(
         "{node} (tier {tier}): its source {source_name} is of tier {source_tier} (name one nearer to the origin)"
     )]
-    SourceTier { node: Arc<str>, tier: u8, source_name: Arc<str>, source_tier: u8 },
+    SourceTier {
+        /// The node that names the source.
+        node: Arc<str>,
+        /// Its tier.
+        tier: u8,
+        /// The source.
+        source_name: Arc<str>,
+        /// The tier of the source.
+        source_tier: u8,
+    },
+    /// None of a node's sources leads to an origin.
     #[error("{node}: no way leads from it to the origin (give it a source that has one)")]
-    NoPathToOrigin { node: Arc<str> },
-    #[error("a fill could run in a circle: {} (take one of these sources away)", .way.join(" > "))]
-    Cycle { way: Vec<Arc<str>> },
+    NoPathToOrigin {
+        /// The node.
+        node: Arc<str>,
+    },
+    /// A fill could come back to a node that it has passed.
+    #[error("a fill could run in a circle: {} (take one of these sources away)", .path.join(" > "))]
+    Cycle {
+        /// The nodes of the loop; the first and the last are the same.
+        path: Vec<Arc<str>>,
+    },
+    /// The nodes of a tier get more load than they can take together.
+    #[error(
+        "tier {tier} is asked for {load:.0} a second and bears {capacity:.0} \
+         (add to it, or raise the hit part below)"
+    )]
+    TierOverloaded {
+        /// The tier.
+        tier: u8,
+        /// Requests a second that it gets.
+        load: f64,
+        /// Requests a second that it can take.
+        capacity: f64,
+    },
+    /// A node gets more load than it can take.
     #[error(
-        "tier {tier} is asked for {demand:.0} a second and bears {bears:.0} (add to it, or raise the hit part below)"
+        "{node} is asked for {load:.0} a second and bears {capacity:.0} (give its askers another source)"
     )]
-    TierOverloaded { tier: u8, demand: f64, bears: f64 },
-    #[error("{node} is asked for {demand:.0} a second and bears {bears:.0} (give its askers another source)")]
-    NodeOverloaded { node: Arc<str>, demand: f64, bears: f64 },
-    #[error("the origin is asked for {demand:.0} a second, of {most:.0} that ceiling and margin leave")]
-    OriginOverloaded { demand: f64, most: f64 },
-    #[error("{what} (give each node one name and one form)")]
-    DuplicateNode { what: String },
+    NodeOverloaded {
+        /// The node.
+        node: Arc<str>,
+        /// Requests a second that it gets.
+        load: f64,
+        /// Requests a second that it can take.
+        capacity: f64,
+    },
+    /// The origin gets more load than its ceiling and margin leave.
+    #[error("the origin is asked for {load:.0} a second, of {limit:.0} that ceiling and margin leave")]
+    OriginOverloaded {
+        /// Fetches a second that it gets.
+        load: f64,
+        /// Fetches a second that it may get.
+        limit: f64,
+    },
+    /// Its written form is not one version.
+    #[error("{0} (give each node one name and one form)")]
+    InvalidSpec(#[from] SpecError),
+    /// No node is of tier 0.
     #[error("no origin: no node is of tier 0")]
     NoOrigin,
-    #[error("{node}: {what} is {value}, which is out of its range")]
-    OutOfRange { node: Arc<str>, what: &'static str, value: f64 },
+    /// A value of a node is out of its range.
+    #[error("{node}: {key} is {value}, which is out of its range")]
+    OutOfRange {
+        /// The node.
+        node: Arc<str>,
+        /// The key of the value in the settings file.
+        key: &'static str,
+        /// The value.
+        value: f64,
+    },
 }
 
-/// Admits versions one after another; the order of the last one is kept, so that a change costs what it changes.
+/// Admits versions one after another. The topological order of the last one is kept, so that the cost of a check for
+/// loops depends on what changes, not on the size of the version.
 #[derive(Clone, Debug)]
 pub struct Admission {
     order: TopologicalOrder,
@@ -44,221 +109,263 @@
 }
 
 impl Admission {
+    /// Admits the first version.
+    ///
+    /// # Errors
+    /// Why it is rejected.
     pub fn new(first: Hierarchy) -> Result<Admission, AdmissionError> {
-        let empty = Hierarchy::new((*first.rules).clone());
-        let mut admission = Admission { order: TopologicalOrder::default(), last: empty };
+        let mut admission = Admission::empty(&first);
         admission.admit(&first)?;
         Ok(admission)
     }
 
-    /// From a version that is in force already, be it half-way: its loads are not asked about.
+    /// Starts from a version that is applied already. It may be an intermediate one, so its load is not checked.
+    ///
+    /// # Errors
+    /// What is wrong with its nodes and sources.
     pub fn from_active(version: Hierarchy) -> Result<Admission, AdmissionError> {
-        let empty = Hierarchy::new((*version.rules).clone());
-        let mut admission = Admission { order: TopologicalOrder::default(), last: empty };
-        admission.shaped(&version)?;
+        let mut admission = Admission::empty(&version);
+        admission.check_nodes_and_cycles(&version)?;
         admission.last = version;
         Ok(admission)
     }
 
-    /// Whether a version that a plan leads through can be in force: as `new`, but for loads, which its steps bound.
+    fn empty(version: &Hierarchy) -> Admission {
+        let last = Hierarchy::new((*version.rules).clone());
+        Admission { order: TopologicalOrder::default(), last }
+    }
+
+    /// Checks a version that a participant is about to apply, which may be an intermediate one. The load is not
+    /// checked: the steps of the plan bound it.
+    ///
+    /// # Errors
+    /// Why it must not be applied.
     pub fn check_structure(version: &Hierarchy) -> Result<(), AdmissionError> {
         Admission::from_active(version.clone())?;
-        leads(version, false)
+        check_paths_to_origin(version, RequiredPaths::NodesInUse)
     }
 
+    /// The version that was admitted last.
     pub fn last_admitted(&self) -> &Hierarchy {
         &self.last
     }
 
-    /// Takes the version as the last one, or leaves all as it was.
-    pub fn admit(&mut self, aim: &Hierarchy) -> Result<(), AdmissionError> {
-        self.shaped(aim)?;
-        if let Err(refusal) = leads(aim, true).and_then(|()| loads(aim)) {
-            // The order has the aim's edges already; those of the last version, which had no cycle, come back.
+    /// Admits a version.
+    ///
+    /// # Errors
+    /// Why it is rejected; the last admitted version stays.
+    pub fn admit(&mut self, version: &Hierarchy) -> Result<(), AdmissionError> {
+        self.check_nodes_and_cycles(version)?;
+        let checked =
+            check_paths_to_origin(version, RequiredPaths::AllNodes).and_then(|()| check_loads(version));
+        if let Err(error) = checked {
+            // The order has the edges of the rejected version; those of the last one, which had no cycle, come back.
             let last = self.last.clone();
-            self.move_edges(aim, &last).map_err(|way| named(&last, &way))?;
-            return Err(refusal);
+            self.move_edges(version, &last).map_err(|cycle| cycle_error(&last, &cycle))?;
+            return Err(error);
         }
-        self.last = aim.clone();
+        self.last = version.clone();
         Ok(())
     }
 
-    fn shaped(&mut self, aim: &Hierarchy) -> Result<(), AdmissionError> {
-        if let Some(name) = aim.duplicate_name() {
-            return Err(AdmissionError::DuplicateNode { what: format!("{name}: a node stands twice") });
+    fn check_nodes_and_cycles(&mut self, version: &Hierarchy) -> Result<(), AdmissionError> {
+        if let Some(name) = version.duplicate_name() {
+            return Err(SpecError::DuplicateNode { node: name.to_owned() }.into());
         }
-        lines(&self.last, aim)?;
-        self.cycles(aim)
-    }
-
-    fn cycles(&mut self, aim: &Hierarchy) -> Result<(), AdmissionError> {
+        check_changed_nodes(&self.last, version)?;
         let last = self.last.clone();
-        self.move_edges(&last, aim).map_err(|way| named(aim, &way))
+        self.move_edges(&last, version).map_err(|cycle| cycle_error(version, &cycle))
     }
 
-    /// Moves the order from one version's edges to another's. On a cycle it is put back; the way is given.
+    /// Moves the order from the edges of one version to those of another. On a cycle it is put back as it was, and the
+    /// cycle is returned.
     fn move_edges(&mut self, from: &Hierarchy, to: &Hierarchy) -> Result<(), Vec<u32>> {
-        let top = to.iter().last().map_or(0, |(id, _)| id as usize + 1);
-        self.order.grow(top.max(self.order.len()));
-        let changed: Vec<_> = from.diff(to).collect();
-        let edges =
-            |m: &Option<Arc<HierarchyNode>>| m.iter().flat_map(|m| m.sources.to_vec()).collect::<Vec<_>>();
-        for d in &changed {
-            edges(&d.before).into_iter().for_each(|s| self.order.remove_edge(d.node, s));
+        let nodes = to.iter().last().map_or(0, |(id, _)| id as usize + 1);
+        self.order.grow(nodes.max(self.order.len()));
+        let (mut removed, mut added) = (Vec::new(), Vec::new());
+        for difference in from.diff(to) {
+            removed.extend(edges(difference.node, difference.before.as_ref()));
+            added.extend(edges(difference.node, difference.after.as_ref()));
         }
-        let mut added = Vec::new();
-        for d in &changed {
-            for s in edges(&d.after) {
-                self.order.grow(s as usize + 1);
-                if let Err(way) = self.order.insert_edge(d.node, s) {
-                    added.into_iter().for_each(|(a, b)| self.order.remove_edge(a, b));
-                    for d in &changed {
-                        for s in edges(&d.before) {
-                            // These were there before, so they close no cycle.
-                            let _ = self.order.insert_edge(d.node, s);
-                        }
-                    }
-                    return Err(way);
+        removed.iter().for_each(|&(node, source)| self.order.remove_edge(node, source));
+        for (index, &(node, source)) in added.iter().enumerate() {
+            self.order.grow(source as usize + 1);
+            if let Err(cycle) = self.order.insert_edge(node, source) {
+                added[..index].iter().for_each(|&(node, source)| self.order.remove_edge(node, source));
+                for &(node, source) in &removed {
+                    // These were there before, so they close no cycle.
+                    let _ = self.order.insert_edge(node, source);
                 }
-                added.push((d.node, s));
+                return Err(cycle);
             }
         }
         Ok(())
     }
 }
 
-fn named(h: &Hierarchy, way: &[NodeId]) -> AdmissionError {
-    AdmissionError::Cycle { way: way.iter().map(|n| h.node_name(*n).into()).collect() }
+/// The edges from a node to its sources.
+fn edges(id: NodeId, node: Option<&Arc<HierarchyNode>>) -> Vec<(NodeId, NodeId)> {
+    node.map_or_else(Vec::new, |node| node.sources.iter().map(|source| (id, *source)).collect())
+}
+
+fn cycle_error(version: &Hierarchy, cycle: &[NodeId]) -> AdmissionError {
+    AdmissionError::Cycle { path: cycle.iter().map(|node| version.node_name(*node).into()).collect() }
 }
 
-/// What can be said of each node that changed by itself and its sources. One whose source went has changed too, or
-/// names what is in no tier.
-fn lines(last: &Hierarchy, aim: &Hierarchy) -> Result<(), AdmissionError> {
-    for d in last.diff(aim) {
-        let Some(m) = d.after else { continue };
-        range(&m)?;
-        for s in m.sources.iter() {
-            let source = aim.get(*s).ok_or_else(|| AdmissionError::UnknownSource {
-                node: Arc::clone(&m.name),
-                source_name: match last.get(*s) {
-                    Some(gone) => gone.name.to_string(),
-                    None => format!("number {s}"),
-                },
-            })?;
-            let far = if aim.rules.allows_siblings { source.tier > m.tier } else { source.tier >= m.tier };
-            if far || m.is_origin() {
-                return Err(AdmissionError::SourceTier {
-                    node: Arc::clone(&m.name),
-                    tier: m.tier,
-                    source_name: Arc::clone(&source.name),
-                    source_tier: source.tier,
-                });
+/// Checks what concerns a node and its sources alone, for each node that changed. A node whose source was removed has
+/// changed too, or names a source that is not in the version.
+fn check_changed_nodes(last: &Hierarchy, version: &Hierarchy) -> Result<(), AdmissionError> {
+    let mut is_node_removed = false;
+    for difference in last.diff(version) {
+        match difference.after {
+            Some(node) => {
+                check_ranges(&node)?;
+                check_sources(last, version, &node)?;
             }
+            None => is_node_removed = true,
         }
     }
-    let unknown = |m: &HierarchyNode, s: NodeId| AdmissionError::UnknownSource {
-        node: Arc::clone(&m.name),
-        source_name: last.node_name(s).to_owned(),
-    };
-    if last.diff(aim).any(|d| d.after.is_none()) {
-        for (_, m) in aim.iter() {
-            if let Some(s) = m.sources.iter().find(|s| aim.get(**s).is_none()) {
-                return Err(unknown(m, *s));
+    if is_node_removed {
+        for (_, node) in version.iter() {
+            if let Some(source) = node.sources.iter().find(|source| version.get(**source).is_none()) {
+                let source_name = last.node_name(*source).to_owned();
+                return Err(AdmissionError::UnknownSource { node: Arc::clone(&node.name), source_name });
             }
         }
     }
     Ok(())
 }
 
-/// Whether all, or all that are asked or bring demand, lead to an origin over members that have a place in their pie.
-fn leads(aim: &Hierarchy, all: bool) -> Result<(), AdmissionError> {
-    let index = NodeIndex::from_versions(&[aim]);
-    let mut askers: Vec<Vec<u32>> = vec![Vec::new(); index.ids.len()];
-    let mut leads = vec![false; index.ids.len()];
-    let mut next = Vec::new();
-    for (i, id) in index.ids.iter().enumerate() {
-        let Some(m) = aim.get(*id) else { continue };
-        if m.is_origin() {
-            leads[i] = true;
-            next.push(i as u32);
+fn check_sources(last: &Hierarchy, version: &Hierarchy, node: &HierarchyNode) -> Result<(), AdmissionError> {
+    for id in node.sources.iter() {
+        let Some(source) = version.get(*id) else {
+            let source_name = match last.get(*id) {
+                Some(removed) => removed.name.to_string(),
+                None => format!("number {id}"),
+            };
+            return Err(AdmissionError::UnknownSource { node: Arc::clone(&node.name), source_name });
+        };
+        let is_too_far =
+            if version.rules.allows_siblings { source.tier > node.tier } else { source.tier >= node.tier };
+        if is_too_far || node.is_origin() {
+            return Err(AdmissionError::SourceTier {
+                node: Arc::clone(&node.name),
+                tier: node.tier,
+                source_name: Arc::clone(&source.name),
+                source_tier: source.tier,
+            });
         }
-        for s in m.sources.iter().filter_map(|s| index.position(*s)) {
-            if aim.get(index.ids[s as usize]).is_some_and(|m| m.ring_share > 0) {
-                askers[s as usize].push(i as u32);
-            }
+    }
+    Ok(())
+}
+
+fn check_ranges(node: &HierarchyNode) -> Result<(), AdmissionError> {
+    let is_load = |value: f64| value.is_finite() && (0.0..=MAX_LOAD).contains(&value);
+    let values = [
+        ("capacity", node.capacity, is_load(node.capacity)),
+        ("demand", node.demand, is_load(node.demand)),
+        ("hit", node.hit_ratio, (0.0..=1.0).contains(&node.hit_ratio)),
+        ("share", f64::from(node.ring_share), node.ring_share <= FULL_SHARE),
+    ];
+    for (key, value, is_in_range) in values {
+        if !is_in_range {
+            return Err(AdmissionError::OutOfRange { node: Arc::clone(&node.name), key, value });
+        }
+    }
+    Ok(())
+}
+
+/// Which nodes need a path to an origin.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum RequiredPaths {
+    AllNodes,
+    /// Those that another node may fill from, or that have demand of their own.
+    NodesInUse,
+}
+
+/// Checks that nodes lead to an origin over nodes that take requests.
+fn check_paths_to_origin(version: &Hierarchy, required: RequiredPaths) -> Result<(), AdmissionError> {
+    let index = NodeIndex::from_versions(&[version]);
+    let dependents = dependents(version, &index);
+    let mut leads_to_origin = vec![false; index.ids.len()];
+    let mut unvisited = Vec::new();
+    for (at, id) in index.ids.iter().enumerate() {
+        if version.get(*id).is_some_and(|node| node.is_origin()) {
+            leads_to_origin[at] = true;
+            unvisited.push(at as u32);
         }
     }
-    if next.is_empty() {
+    if unvisited.is_empty() {
         return Err(AdmissionError::NoOrigin);
     }
-    while let Some(n) = next.pop() {
-        for &a in &askers[n as usize] {
-            if !std::mem::replace(&mut leads[a as usize], true) {
-                next.push(a);
+    while let Some(at) = unvisited.pop() {
+        for &dependent in &dependents[at as usize] {
+            if !std::mem::replace(&mut leads_to_origin[dependent as usize], true) {
+                unvisited.push(dependent);
             }
         }
     }
-    let matters = |i: usize| {
-        let brings = aim.get(index.ids[i]).is_some_and(|m| m.demand > 0.0);
-        all || brings || !askers[i].is_empty()
+    let is_required = |at: usize| {
+        let has_demand = version.get(index.ids[at]).is_some_and(|node| node.demand > 0.0);
+        required == RequiredPaths::AllNodes || has_demand || !dependents[at].is_empty()
     };
-    match (0..leads.len()).find(|&i| !leads[i] && matters(i)) {
-        Some(i) => Err(AdmissionError::NoPathToOrigin { node: aim.node_name(index.ids[i]).into() }),
+    match (0..leads_to_origin.len()).find(|&at| !leads_to_origin[at] && is_required(at)) {
+        Some(at) => Err(AdmissionError::NoPathToOrigin { node: version.node_name(index.ids[at]).into() }),
         None => Ok(()),
     }
 }
 
-fn range(m: &HierarchyNode) -> Result<(), AdmissionError> {
-    let out = |what, value| Err(AdmissionError::OutOfRange { node: Arc::clone(&m.name), what, value });
-    let amount = |x: f64| x.is_finite() && (0.0..=1e9).contains(&x);
-    if !amount(m.capacity) {
-        return out("capacity", m.capacity);
-    }
-    if !amount(m.demand) {
-        return out("demand", m.demand);
-    }
-    if !(0.0..=1.0).contains(&m.hit_ratio) {
-        return out("hit", m.hit_ratio);
-    }
-    if m.ring_share > FULL_SHARE {
-        return out("share", f64::from(m.ring_share));
+/// For each node those that may fill from it; none for a node that takes no requests.
+fn dependents(version: &Hierarchy, index: &NodeIndex) -> Vec<Vec<u32>> {
+    let mut dependents = vec![Vec::new(); index.ids.len()];
+    for (at, id) in index.ids.iter().enumerate() {
+        for source in version.active_sources(*id).filter_map(|source| index.position(source)) {
+            dependents[source as usize].push(at as u32);
+        }
     }
-    Ok(())
+    dependents
 }
 
-/// Slack of sums.
-const NEAR: f64 = 1e-6;
-
-fn loads(aim: &Hierarchy) -> Result<(), AdmissionError> {
-    let index = NodeIndex::from_versions(&[aim]);
-    let cells = index.flow_nodes(aim);
-    let side = FlowGraph::new(cells.iter().map(Option::as_ref).collect()).map_err(|way| {
-        let ids: Vec<NodeId> = way.iter().map(|&n| index.ids[n as usize]).collect();
-        named(aim, &ids)
+/// Checks the load of the origin, of each tier and of each node.
+fn check_loads(version: &Hierarchy) -> Result<(), AdmissionError> {
+    let index = NodeIndex::from_versions(&[version]);
+    let nodes: Vec<Option<FlowNode>> = index.flow_nodes(version);
+    let graph = FlowGraph::new(nodes.iter().map(Option::as_ref).collect()).map_err(|cycle| {
+        let ids: Vec<NodeId> = cycle.iter().map(|&at| index.ids[at as usize]).collect();
+        cycle_error(version, &ids)
     })?;
-    let (demand, most) = (side.origin_load(), aim.rules.ceiling * (1.0 - aim.rules.margin));
-    if demand > most + NEAR {
-        return Err(AdmissionError::OriginOverloaded { demand, most });
+    let (load, limit) = (graph.origin_load(), version.rules.ceiling * (1.0 - version.rules.margin));
+    if load > limit + LOAD_TOLERANCE {
+        return Err(AdmissionError::OriginOverloaded { load, limit });
     }
-    let mut tiers = vec![(0.0, 0.0); 256];
-    for (n, into) in side.incoming_load.iter().enumerate() {
-        if let Some(m) = side.node(n as u32) {
-            let sums = &mut tiers[usize::from(m.tier)];
-            *sums = (sums.0 + into, sums.1 + m.capacity);
+    check_tier_loads(&graph)?;
+    for (at, &load) in graph.incoming_load.iter().enumerate() {
+        if let Some(node) = graph.node(at as u32).filter(|node| load > node.capacity + LOAD_TOLERANCE) {
+            let (node, capacity) = (Arc::clone(&node.name), node.capacity);
+            return Err(AdmissionError::NodeOverloaded { node, load, capacity });
         }
     }
-    for (tier, (demand, bears)) in tiers.into_iter().enumerate() {
-        if demand > bears + NEAR {
-            return Err(AdmissionError::TierOverloaded { tier: tier as u8, demand, bears });
+    Ok(())
+}
+
+fn check_tier_loads(graph: &FlowGraph<'_>) -> Result<(), AdmissionError> {
+    /// The sums of a tier's nodes, in requests a second.
+    #[derive(Clone, Copy, Default)]
+    struct TierLoad {
+        load: f64,
+        capacity: f64,
+    }
+    let mut tiers = [TierLoad::default(); u8::MAX as usize + 1];
+    for (at, load) in graph.incoming_load.iter().enumerate() {
+        if let Some(node) = graph.node(at as u32) {
+            let tier = &mut tiers[usize::from(node.tier)];
+            tier.load += load;
+            tier.capacity += node.capacity;
         }
     }
-    for (n, into) in side.incoming_load.iter().enumerate() {
-        if let Some(m) = side.node(n as u32).filter(|m| *into > m.capacity + NEAR) {
-            return Err(AdmissionError::NodeOverloaded {
-                node: Arc::clone(&m.name),
-                demand: *into,
-                bears: m.capacity,
-            });
+    for (tier, TierLoad { load, capacity }) in tiers.into_iter().enumerate() {
+        if load > capacity + LOAD_TOLERANCE {
+            return Err(AdmissionError::TierOverloaded { tier: tier as u8, load, capacity });
         }
     }
     Ok(())
--- a/crates/hierarchy/src/fill_path.rs
+++ b/crates/hierarchy/src/fill_path.rs
@@ -1,5 +1,7 @@
-//! The way of an object through a version: at each tier the member of the pie at its place, so that the fills of one
-//! object meet at one member of each tier from wherever they come. The pies are the module's.
+//! The path of an object's fill through a version.
+//!
+//! Each tier is a hash ring, built by the decision module's own function. So the fills of one object meet at the same
+//! node of each tier, wherever they come from.
 
 use std::collections::BTreeMap;
 
@@ -7,82 +9,93 @@
 
 use crate::version::{FULL_SHARE, Hierarchy, NodeId};
 
-/// Upper nodes that a way may pass; a longer one is cut, which no admitted version brings about.
+/// The most nodes that a path passes. A longer one is cut; no admitted version has such a path.
 pub const MAX_PATH_LENGTH: usize = 16;
 
-/// The pies of one version, dealt once for it.
+/// The hash rings of one version, one for each tier.
 #[derive(Clone, Debug, Default)]
 pub struct FillPaths {
-    pies: BTreeMap<u8, HashRing>,
+    rings: BTreeMap<u8, HashRing>,
 }
 
 /// Why a node must not pass a fill on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FillRejection {
-    /// It has come through here before.
+    /// The fill has passed this node before.
     Loop,
-    /// It has come through too many nodes.
+    /// The fill has passed too many nodes.
     TooLong,
 }
 
 impl FillPaths {
+    /// Builds the rings of a version.
     pub fn from_hierarchy(version: &Hierarchy) -> FillPaths {
-        let mut stands: BTreeMap<u8, Vec<RingMember>> = BTreeMap::new();
-        for (id, m) in version.iter() {
-            let stand = (rank(&m.name), id as usize, FULL_SHARE - m.ring_share.min(FULL_SHARE));
-            stands.entry(m.tier).or_default().push(stand);
+        let mut members: BTreeMap<u8, Vec<RingMember>> = BTreeMap::new();
+        for (id, node) in version.iter() {
+            let withheld_virtual_nodes = FULL_SHARE - node.ring_share.min(FULL_SHARE);
+            let member: RingMember = (rank(&node.name), id as usize, withheld_virtual_nodes);
+            members.entry(node.tier).or_default().push(member);
         }
-        let deal = |(tier, mut stands): (u8, Vec<RingMember>)| {
-            stands.sort_unstable();
-            (tier, HashRing::build(stands))
-        };
-        FillPaths { pies: stands.into_iter().map(deal).collect() }
+        let rings = members.into_iter().map(|(tier, mut members)| {
+            members.sort_unstable();
+            (tier, HashRing::build(members))
+        });
+        FillPaths { rings: rings.collect() }
     }
 
-    /// Where a node fills an object from, among those that are fit: its sources of the highest tier first, there
-    /// the one that stands nearest to the object's place.
+    /// The source that a node fills an object from, of those that are usable: one of the highest tier, the nearest to
+    /// the object's position on the ring.
     pub fn next_source(
         &self,
         version: &Hierarchy,
         node: NodeId,
-        place: u64,
-        fit: impl Fn(NodeId) -> bool,
+        position: u64,
+        is_usable: impl Fn(NodeId) -> bool,
     ) -> Option<NodeId> {
-        let sources: Vec<NodeId> = version.active_sources(node).filter(|s| fit(*s)).collect();
-        let tier = |s: &NodeId| version.get(*s).map_or(0, |m| m.tier);
-        let nearest = sources.iter().map(tier).max()?;
-        let pie = self.pies.get(&nearest)?;
-        let of_tier = |m: usize| sources.iter().any(|s| *s as usize == m && tier(s) == nearest);
-        pie.owner(place, of_tier).map(|m| m as NodeId)
+        let sources: Vec<NodeId> = version.active_sources(node).filter(|source| is_usable(*source)).collect();
+        let tier = |source: NodeId| version.get(source).map_or(0, |node| node.tier);
+        let highest = sources.iter().map(|source| tier(*source)).max()?;
+        let is_candidate =
+            |index: usize| sources.iter().any(|&source| source as usize == index && tier(source) == highest);
+        self.rings.get(&highest)?.owner(position, is_candidate).map(|index| index as NodeId)
     }
 
-    /// The whole way of an object from a node on, without it, to the origin or as far as one leads.
+    /// The path of an object's fill from a node to the origin, or as far as there are usable sources. The node itself
+    /// is not part of it.
     pub fn path(
         &self,
         version: &Hierarchy,
         node: NodeId,
-        place: u64,
-        fit: impl Fn(NodeId) -> bool,
+        position: u64,
+        is_usable: impl Fn(NodeId) -> bool,
     ) -> Vec<NodeId> {
-        let mut way = Vec::new();
-        let mut at = node;
-        while way.len() < MAX_PATH_LENGTH {
-            let Some(next) = self.next_source(version, at, place, &fit).filter(|n| !way.contains(n)) else {
-                break;
-            };
-            way.push(next);
-            at = next;
+        let mut path = Vec::new();
+        let mut current = node;
+        while path.len() < MAX_PATH_LENGTH {
+            let next = self.next_source(version, current, position, &is_usable);
+            let Some(next) = next.filter(|next| !path.contains(next)) else { break };
+            path.push(next);
+            current = next;
         }
-        way
+        path
     }
 }
 
-/// What a node does with a fill that says through whom it came: the second guard, should directors hold versions
-/// that no plan brought about.
-pub fn check_fill_path<'a>(own: &str, mut came: impl Iterator<Item = &'a str>) -> Result<(), FillRejection> {
+/// Checks whether a node may pass a fill on that names the nodes that it has passed. This catches loops that no plan
+/// allows, should participants apply versions that do not follow one another.
+///
+/// # Errors
+/// Why the fill must not be passed on.
+pub fn check_fill_path<'a>(
+    own_name: &str,
+    passed: impl Iterator<Item = &'a str>,
+) -> Result<(), FillRejection> {
     let mut length = 0;
-    if came.by_ref().inspect(|_| length += 1).any(|n| n == own) {
-        return Err(FillRejection::Loop);
+    for name in passed {
+        if name == own_name {
+            return Err(FillRejection::Loop);
+        }
+        length += 1;
     }
     if length >= MAX_PATH_LENGTH { Err(FillRejection::TooLong) } else { Ok(()) }
 }
--- a/crates/hierarchy/src/lib.rs
+++ b/crates/hierarchy/src/lib.rs
@@ -1,14 +1,14 @@
-//! The hierarchy of upper caches between the edge and the origin, and how it changes in service.
+//! The hierarchy of parent caches between the edge and the origin, and how it changes in service.
 //!
-//! - `version`: one version of it, persistent, so that who holds an old one pays for a pointer;
-//! - `spec`: its form in settings files, events and logs;
-//! - `order`: a topological order kept up edge by edge, which finds a cycle when it is closed;
-//! - `flow`: what each node is asked for, and the most it can be while two versions are mixed;
-//! - `admit`: whether a version may be aimed for at all;
-//! - `plan`: the steps from one version to another;
-//! - `change`: the driver of a change, step by step, with its log;
-//! - `holder`: the side of a director or node that takes versions;
-//! - `way`: the way of an object through a version.
+//! - [`version`]: one version of the hierarchy, and what differs between two;
+//! - [`spec`]: its written form in settings files, events, messages and logs;
+//! - [`topological_order`]: orders that find loops, incrementally and in full;
+//! - [`admission`]: whether a version may be the target of a change at all;
+//! - [`load_flow`]: the load of each node, and the most it can be while two versions are in use;
+//! - [`plan`](mod@plan): the steps from one version to another;
+//! - [`rollout`]: the state machine that rolls a change out, with its log;
+//! - [`version_holder`]: what a participant keeps of the versions that it is sent;
+//! - [`fill_path`]: the path of an object's fill through a version.
 //!
 //! Nothing here reads a clock, a file or a socket.
 
@@ -24,6 +24,6 @@
 
 pub use admission::{Admission, AdmissionError};
 pub use plan::{Plan, PlanError, PlanStep, plan};
-pub use rollout::{Rollout, RolloutAction, RolloutInput, RolloutOutcome, RolloutRecord};
+pub use rollout::{ChangeProgress, Rollout, RolloutAction, RolloutInput, RolloutOutcome, RolloutRecord};
 pub use version::{FULL_SHARE, Hierarchy, HierarchyNode, HierarchyRules, NodeId};
 pub use version_holder::{OfferOutcome, VersionHolder};
--- a/crates/hierarchy/src/load_flow.rs
+++ b/crates/hierarchy/src/load_flow.rs
@@ -1,257 +1,357 @@
-//! What each node is asked for, and the most it can be while two versions are mixed.
+//! The load of each node, and the most it can be while participants apply two successive versions.
 //!
-//! A lookup that a node doesn't answer itself goes to one of its sources, by their places in the pie. Of requests a
-//! second that is linear, so the worst mixture of two versions is found exactly by one sweep: seen from the
-//! target backwards, each node takes the worse of its two versions for itself. What has moved to a node
-//! is not held there yet: all of it is passed on.
+//! A request that a node can't answer itself goes to one of its sources, in proportion to their virtual nodes. The
+//! load is linear in the clients' demand, so the worst mixture of two versions is found exactly by one pass from the
+//! target backwards, in which each node uses the worse of its two versions. Objects that have moved to a node are not
+//! cached there yet: the node passes all requests for them on.
 
 use std::sync::Arc;
 
 use sablecross::Ns;
 
-use crate::topological_order;
+use crate::topological_order::topological_sort;
 use crate::version::{COLD_LOAD_FRACTION, Hierarchy, HierarchyNode, HierarchyRules, NodeId};
 
-/// A node as one version has it, its sources by their dense numbers.
+/// Tolerance of comparisons between sums, in requests a second.
+pub(crate) const LOAD_TOLERANCE: f64 = 1e-6;
+
+/// A node as one version has it, with its sources by their index.
 #[derive(Clone, Debug)]
 pub struct FlowNode {
+    /// The node.
     pub node: Arc<HierarchyNode>,
+    /// The indexes of its sources.
     pub sources: Vec<u32>,
 }
 
-/// One version by dense numbers: who is sent on to whom, how much, and what comes of it.
+/// The flow of requests through one version. Nodes are numbered by a [`NodeIndex`].
 #[derive(Clone, Debug)]
 pub struct FlowGraph<'a> {
+    /// The nodes; none where the version does not have the node.
     pub nodes: Vec<Option<&'a FlowNode>>,
-    /// By node the sources that it may be sent on to, and the parts of what it passes on.
+    /// For each node the sources that it may fill from.
     pub possible_sources: Vec<Vec<u32>>,
-    parts: Vec<Vec<(u32, f64)>>,
-    /// Requests a second.
+    /// The requests a second that each node gets.
     pub incoming_load: Vec<f64>,
-    /// Who is sent on to whom: the asker comes first.
+    /// All nodes; who fills from whom comes first.
     pub topological_order: Vec<u32>,
+    /// For each node the sources that it fills from as long as all are up, with their parts of what it passes on.
+    preferred_sources: Vec<Vec<(u32, f64)>>,
 }
 
-/// Why one version can't follow another.
+/// Why one version must not follow another.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TransitionViolation {
-    /// A fill could come back to a node, along this way.
+    /// A fill could come back to a node that it has passed, along these nodes.
     Cycle(Vec<u32>),
-    /// A node could be asked by someone, while it has no way on in one of the two versions.
+    /// A node could get requests while it has no source in one of the two versions.
     NoPathToOrigin(u32),
-    /// A node would be asked for more a second than it bears.
-    NodeOverloaded { node: u32, load: f64, capacity: f64 },
-    /// The origin could be asked for so much a second.
-    OriginOverloaded { peak: f64, limit: f64 },
+    /// A node would get more load than it can take.
+    NodeOverloaded {
+        /// The index of the node.
+        node: u32,
+        /// Requests a second that it would get.
+        load: f64,
+        /// Requests a second that it can take.
+        capacity: f64,
+    },
+    /// The origin could get more load than its ceiling and margin leave.
+    OriginOverloaded {
+        /// Fetches a second that it could get.
+        peak: f64,
+        /// Fetches a second that it may get.
+        limit: f64,
+    },
 }
 
-/// What a step from one version to another comes to.
-#[derive(Clone, Debug, PartialEq)]
+/// The load of a step from one version to another.
+#[derive(Clone, Debug, Default, PartialEq)]
 pub struct TransitionLoad {
-    /// The most that the origin can be asked for, in fetches a second, and what it is before.
+    /// The most fetches a second that the origin can get.
     pub origin_peak: f64,
+    /// The fetches a second that the origin gets before the step.
     pub origin_before: f64,
-    /// Requests a second that change their node.
+    /// Requests a second that go to another node than before.
     pub moved_load: f64,
-    /// The warmth that nodes must have before it.
+    /// The warmth, from 0 to 1, that these nodes need before the step.
     pub required_warmth: Vec<(u32, f64)>,
 }
 
 impl<'a> FlowGraph<'a> {
-    /// A cycle is an error: the way from a node back to it.
-    pub fn new(cells: Vec<Option<&'a FlowNode>>) -> Result<FlowGraph<'a>, Vec<u32>> {
-        let share = |s: u32| cells[s as usize].map_or(0, |c| c.node.ring_share);
-        let may: Vec<Vec<u32>> = cells
-            .iter()
-            .map(|c| {
-                c.map_or_else(Vec::new, |c| c.sources.iter().copied().filter(|&s| share(s) > 0).collect())
-            })
-            .collect();
-        let order = topological_order::topological_sort(&may)?;
-        let tier = |s: u32| cells[s as usize].map_or(0, |c| c.node.tier);
-        let parts: Vec<Vec<(u32, f64)>> = may
-            .iter()
-            .map(|may| {
-                let nearest = may.iter().map(|&s| tier(s)).max();
-                let first = || may.iter().copied().filter(|&s| Some(tier(s)) == nearest);
-                let all: f64 = first().map(|s| f64::from(share(s))).sum();
-                first().map(|s| (s, f64::from(share(s)) / all)).collect()
-            })
-            .collect();
-        let mut into: Vec<f64> = cells.iter().map(|c| c.map_or(0.0, |c| c.node.demand)).collect();
-        for &n in &order {
-            let on = into[n as usize] * cells[n as usize].map_or(0.0, |c| 1.0 - c.node.hit_ratio);
-            for &(s, part) in &parts[n as usize] {
-                into[s as usize] += on * part;
+    /// The flow through a version.
+    ///
+    /// # Errors
+    /// A cycle, from a node back to it.
+    pub fn new(nodes: Vec<Option<&'a FlowNode>>) -> Result<FlowGraph<'a>, Vec<u32>> {
+        let share = |index: u32| nodes[index as usize].map_or(0, |flow| flow.node.ring_share);
+        let takes_requests = |flow: &FlowNode| -> Vec<u32> {
+            flow.sources.iter().copied().filter(|&source| share(source) > 0).collect()
+        };
+        let possible_sources: Vec<Vec<u32>> =
+            nodes.iter().map(|flow| flow.map_or_else(Vec::new, takes_requests)).collect();
+        let topological_order = topological_sort(&possible_sources)?;
+        let preferred_sources =
+            possible_sources.iter().map(|sources| preferred_sources(&nodes, sources)).collect();
+        let incoming_load = nodes.iter().map(|flow| flow.map_or(0.0, |flow| flow.node.demand)).collect();
+        let mut graph =
+            FlowGraph { nodes, possible_sources, incoming_load, topological_order, preferred_sources };
+        graph.propagate_load();
+        Ok(graph)
+    }
+
+    /// Adds what each node passes on to the load of its sources.
+    fn propagate_load(&mut self) {
+        for &index in &self.topological_order {
+            let passed_on = self.incoming_load[index as usize] * self.miss_ratio(index);
+            for &(source, part) in &self.preferred_sources[index as usize] {
+                self.incoming_load[source as usize] += passed_on * part;
             }
         }
-        Ok(FlowGraph {
-            nodes: cells,
-            possible_sources: may,
-            parts,
-            incoming_load: into,
-            topological_order: order,
-        })
     }
 
-    fn passes(&self, n: u32) -> f64 {
-        self.nodes[n as usize].map_or(0.0, |c| 1.0 - c.node.hit_ratio)
+    /// The part of its requests that a node passes on.
+    fn miss_ratio(&self, index: u32) -> f64 {
+        self.node(index).map_or(0.0, |node| 1.0 - node.hit_ratio)
     }
 
-    /// What a node passes on to each source, in requests a second.
-    fn sent(&self, n: u32) -> impl Iterator<Item = (u32, f64)> + '_ {
-        let on = self.incoming_load[n as usize] * self.passes(n);
-        self.parts[n as usize].iter().map(move |&(s, part)| (s, on * part))
+    /// The requests a second that a node passes on to each source.
+    fn outgoing_load(&self, index: u32) -> impl Iterator<Item = (u32, f64)> + '_ {
+        let passed_on = self.incoming_load[index as usize] * self.miss_ratio(index);
+        self.preferred_sources[index as usize].iter().map(move |&(source, part)| (source, passed_on * part))
     }
 
-    pub fn node(&self, n: u32) -> Option<&'a HierarchyNode> {
-        self.nodes[n as usize].map(|c| &*c.node)
+    /// The node with this index, if the version has it.
+    pub fn node(&self, index: u32) -> Option<&'a HierarchyNode> {
+        self.nodes[index as usize].map(|flow| &*flow.node)
     }
 
+    fn is_origin(&self, index: u32) -> bool {
+        self.node(index).is_some_and(HierarchyNode::is_origin)
+    }
+
+    /// The fetches a second that all origins get.
     pub fn origin_load(&self) -> f64 {
-        let nodes = 0..self.nodes.len() as u32;
-        nodes
-            .filter(|&n| self.node(n).is_some_and(HierarchyNode::is_origin))
-            .map(|n| self.incoming_load[n as usize])
-            .sum()
+        let indexes = 0..self.nodes.len() as u32;
+        indexes.filter(|&index| self.is_origin(index)).map(|index| self.incoming_load[index as usize]).sum()
     }
 }
 
-/// What a node bears at a warmth, in requests a second.
-pub fn usable_capacity(m: &HierarchyNode, rules: &HierarchyRules, warmth: f64) -> f64 {
+/// Of a node's sources those of the highest tier, with the parts of the load that they get.
+fn preferred_sources(nodes: &[Option<&FlowNode>], sources: &[u32]) -> Vec<(u32, f64)> {
+    let tier = |index: u32| nodes[index as usize].map_or(0, |flow| flow.node.tier);
+    let share = |index: u32| f64::from(nodes[index as usize].map_or(0, |flow| flow.node.ring_share));
+    let highest = sources.iter().map(|&source| tier(source)).max();
+    let preferred = || sources.iter().copied().filter(|&source| Some(tier(source)) == highest);
+    let total: f64 = preferred().map(share).sum();
+    preferred().map(|source| (source, share(source) / total)).collect()
+}
+
+/// The requests a second that a node can take at a warmth from 0 to 1.
+pub fn usable_capacity(node: &HierarchyNode, rules: &HierarchyRules, warmth: f64) -> f64 {
     if warmth >= 1.0 {
-        m.capacity
-    } else {
-        m.capacity * (COLD_LOAD_FRACTION * rules.collapse_multiple * warmth).min(1.0)
+        return node.capacity;
     }
+    node.capacity * (COLD_LOAD_FRACTION * rules.collapse_multiple * warmth).min(1.0)
 }
 
-/// How warm a node is, by its time alone.
-pub fn warmth(m: &HierarchyNode, rules: &HierarchyRules, now: Ns) -> f64 {
-    if m.started_at == 0 || m.is_origin() || rules.slow_start_window == 0 {
+/// The warmth of a node at a Unix time, from 0 to 1, estimated by how long it has been running.
+pub fn warmth(node: &HierarchyNode, rules: &HierarchyRules, now: Ns) -> f64 {
+    if node.started_at == 0 || node.is_origin() || rules.slow_start_window == 0 {
         return 1.0;
     }
-    let age = now.saturating_sub(m.started_at) as f64 / rules.slow_start_window as f64;
-    (rules.slow_start_initial_share + (1.0 - rules.slow_start_initial_share) * age).min(1.0)
+    let elapsed = now.saturating_sub(node.started_at) as f64 / rules.slow_start_window as f64;
+    let initial = rules.slow_start_initial_share;
+    (initial + (1.0 - initial) * elapsed).min(1.0)
 }
 
-/// Slack of sums.
-const NEAR: f64 = 1e-6;
+/// Two successive versions that participants apply at the same time.
+struct Transition<'a> {
+    before: &'a FlowGraph<'a>,
+    after: &'a FlowGraph<'a>,
+    rules: &'a HierarchyRules,
+    /// The topological order of both versions together.
+    order: Vec<u32>,
+    /// For each node the requests a second that the step moves to it; 0 for the origin.
+    moved_load: Vec<f64>,
+}
 
-/// Whether `v` may follow `u`, whoever holds which of the two meanwhile.
+/// Checks whether one version may follow another at the Unix time `now`, whoever applies which of the two.
+///
+/// # Errors
+/// The bound that the step would violate.
 pub fn check_transition(
-    u: &FlowGraph,
-    v: &FlowGraph,
+    before: &FlowGraph<'_>,
+    after: &FlowGraph<'_>,
     rules: &HierarchyRules,
     now: Ns,
 ) -> Result<TransitionLoad, TransitionViolation> {
-    let nodes = 0..u.nodes.len() as u32;
-    let union: Vec<Vec<u32>> = nodes
-        .clone()
-        .map(|n| {
-            let (old, new) = (&u.possible_sources[n as usize], &v.possible_sources[n as usize]);
-            let mut both = old.clone();
-            both.extend(new.iter().filter(|s| !old.contains(s)));
-            both
-        })
-        .collect();
-    let order = topological_order::topological_sort(&union).map_err(TransitionViolation::Cycle)?;
-    if let Some(n) = stranded(u, v, &union) {
-        return Err(TransitionViolation::NoPathToOrigin(n));
+    let union = union_of_sources(before, after);
+    let order = topological_sort(&union).map_err(TransitionViolation::Cycle)?;
+    if let Some(node) = find_stranded(before, after, &union) {
+        return Err(TransitionViolation::NoPathToOrigin(node));
+    }
+    let moved_load = moved_load(before, after);
+    let transition = Transition { before, after, rules, order, moved_load };
+    let origin_peak = transition.check_origin()?;
+    let required_warmth = transition.check_nodes(now)?;
+    Ok(TransitionLoad {
+        origin_peak,
+        origin_before: before.origin_load(),
+        moved_load: transition.moved_load.iter().sum(),
+        required_warmth,
+    })
+}
+
+/// For each node the sources that it may fill from in either version.
+fn union_of_sources(before: &FlowGraph<'_>, after: &FlowGraph<'_>) -> Vec<Vec<u32>> {
+    let both = before.possible_sources.iter().zip(&after.possible_sources);
+    both.map(|(old, new)| {
+        let mut union = old.clone();
+        union.extend(new.iter().filter(|source| !old.contains(source)));
+        union
+    })
+    .collect()
+}
+
+/// A node that may get requests by one of the versions while it has no source in the other one: a participant that
+/// applies that one could not fill. So a node is listed before it is a source, and no one's source before it goes.
+fn find_stranded(before: &FlowGraph<'_>, after: &FlowGraph<'_>, union: &[Vec<u32>]) -> Option<u32> {
+    let mut is_source = vec![false; union.len()];
+    union.iter().flatten().for_each(|&source| is_source[source as usize] = true);
+    let is_dead_end = |graph: &FlowGraph<'_>, index: u32| match graph.node(index) {
+        Some(node) => !node.is_origin() && graph.possible_sources[index as usize].is_empty(),
+        None => true,
+    };
+    let has_demand = |index: u32| after.node(index).is_some_and(|node| node.demand > 0.0);
+    (0..union.len() as u32).find(|&index| {
+        is_source[index as usize] && (is_dead_end(before, index) || is_dead_end(after, index))
+            || has_demand(index) && is_dead_end(after, index)
+    })
+}
+
+/// For each node the requests a second that it gets from another node than before; 0 for the origin.
+fn moved_load(before: &FlowGraph<'_>, after: &FlowGraph<'_>) -> Vec<f64> {
+    let mut moved = vec![0.0; before.nodes.len()];
+    let indexes = 0..before.nodes.len() as u32;
+    for index in indexes.clone().filter(|&index| outgoing_differs(before, after, index)) {
+        for (source, load) in after.outgoing_load(index) {
+            let old =
+                before.outgoing_load(index).find(|(old, _)| *old == source).map_or(0.0, |(_, load)| load);
+            moved[source as usize] += (load - old).max(0.0);
+        }
     }
+    for index in indexes.filter(|&index| before.is_origin(index) || after.is_origin(index)) {
+        moved[index as usize] = 0.0;
+    }
+    moved
+}
 
-    let mut moved = vec![0.0; u.nodes.len()];
-    for n in nodes.clone().filter(|&n| u.parts[n as usize] != v.parts[n as usize] || differs(u, v, n)) {
-        for (s, flow) in v.sent(n) {
-            let before = u.sent(n).find(|(t, _)| *t == s).map_or(0.0, |(_, f)| f);
-            moved[s as usize] += (flow - before).max(0.0);
+fn outgoing_differs(before: &FlowGraph<'_>, after: &FlowGraph<'_>, index: u32) -> bool {
+    let at = index as usize;
+    before.preferred_sources[at] != after.preferred_sources[at]
+        || (before.incoming_load[at] - after.incoming_load[at]).abs() > LOAD_TOLERANCE
+        || before.miss_ratio(index) != after.miss_ratio(index)
+}
+
+impl Transition<'_> {
+    /// The most fetches a second that the origin can get.
+    fn check_origin(&self) -> Result<f64, TransitionViolation> {
+        let peak = self.peak_load(|index| self.before.is_origin(index) || self.after.is_origin(index));
+        let limit = self.rules.ceiling * (1.0 - self.rules.margin);
+        // A step that moves nothing and does not add to the load is possible above the limit too.
+        let adds_load = peak > self.before.origin_load() + LOAD_TOLERANCE
+            || self.moved_load.iter().any(|&moved| moved > LOAD_TOLERANCE);
+        if peak > limit + LOAD_TOLERANCE && adds_load {
+            return Err(TransitionViolation::OriginOverloaded { peak, limit });
         }
+        Ok(peak)
     }
-    let origin = |n: u32| [u, v].iter().any(|side| side.node(n).is_some_and(HierarchyNode::is_origin));
-    nodes.clone().filter(|&n| origin(n)).for_each(|n| moved[n as usize] = 0.0);
 
-    let before = u.origin_load();
-    let (most, peak) = (rules.ceiling * (1.0 - rules.margin), worst(u, v, &order, &moved, origin));
-    if peak > most + NEAR && !(peak <= before + NEAR && moved.iter().all(|&m| m <= NEAR)) {
-        return Err(TransitionViolation::OriginOverloaded { peak, limit: most });
+    /// The nodes that have to be warm before the step, with the warmth that they need.
+    fn check_nodes(&self, now: Ns) -> Result<Vec<(u32, f64)>, TransitionViolation> {
+        let mut required_warmth = Vec::new();
+        for index in 0..self.before.nodes.len() as u32 {
+            if let Some(node) = self.after.node(index).filter(|node| !node.is_origin())
+                && let Some(required) = self.check_node(index, node, now)?
+            {
+                required_warmth.push((index, required));
+            }
+        }
+        Ok(required_warmth)
     }
-    let mut needs = Vec::new();
-    for n in nodes {
-        let Some(m) = v.node(n).filter(|m| !m.is_origin()) else { continue };
-        let (old, new) = (u.incoming_load[n as usize], v.incoming_load[n as usize]);
-        if new > m.capacity + NEAR && new > old + NEAR {
-            return Err(TransitionViolation::NodeOverloaded { node: n, load: new, capacity: m.capacity });
+
+    /// The warmth that a node needs before the step, if it is cold and gets more than it can take when coldest.
+    fn check_node(
+        &self,
+        index: u32,
+        node: &HierarchyNode,
+        now: Ns,
+    ) -> Result<Option<f64>, TransitionViolation> {
+        let old = self.before.incoming_load[index as usize];
+        let new = self.after.incoming_load[index as usize];
+        let gets_more = new > old + LOAD_TOLERANCE;
+        if new > node.capacity + LOAD_TOLERANCE && gets_more {
+            return Err(TransitionViolation::NodeOverloaded {
+                node: index,
+                load: new,
+                capacity: node.capacity,
+            });
         }
-        if warmth(m, rules, now) >= 1.0 || new <= old + NEAR {
-            continue;
+        if warmth(node, self.rules, now) >= 1.0 || !gets_more {
+            return Ok(None);
         }
-        let load = worst(u, v, &order, &moved, |t| t == n);
-        let least = usable_capacity(m, rules, rules.slow_start_initial_share);
-        if load <= least + NEAR {
-            continue;
+        let load = self.peak_load(|target| target == index);
+        let capacity = usable_capacity(node, self.rules, self.rules.slow_start_initial_share);
+        if load <= capacity + LOAD_TOLERANCE {
+            return Ok(None);
         }
-        // One that is asked already gets warm if it is waited for; one that is not stays cold.
-        let served = u.node(n).is_some_and(|m| m.ring_share > 0) && old > 0.0;
-        if !served {
-            return Err(TransitionViolation::NodeOverloaded { node: n, load, capacity: least });
+        // A node that gets requests already warms up while the step waits; one that gets none stays cold.
+        let gets_requests = old > 0.0 && self.before.node(index).is_some_and(|node| node.ring_share > 0);
+        if !gets_requests {
+            return Err(TransitionViolation::NodeOverloaded { node: index, load, capacity });
         }
-        let need = load / (m.capacity * COLD_LOAD_FRACTION * rules.collapse_multiple).max(f64::MIN_POSITIVE);
-        needs.push((n, need.min(1.0)));
+        let full_load = node.capacity * COLD_LOAD_FRACTION * self.rules.collapse_multiple;
+        Ok(Some((load / full_load.max(f64::MIN_POSITIVE)).min(1.0)))
     }
-    Ok(TransitionLoad {
-        origin_peak: peak,
-        origin_before: before,
-        moved_load: moved.iter().sum(),
-        required_warmth: needs,
-    })
-}
-
-/// A node that someone may ask by one of the two versions and that has no way on in the other: one that holds this
-/// other could not fill. So a node is listed before it is asked, and asked by nobody before it goes.
-fn stranded(u: &FlowGraph, v: &FlowGraph, union: &[Vec<u32>]) -> Option<u32> {
-    let mut asked = vec![false; union.len()];
-    union.iter().flatten().for_each(|&s| asked[s as usize] = true);
-    let ends = |side: &FlowGraph, n: u32| match side.node(n) {
-        Some(m) => !m.is_origin() && side.possible_sources[n as usize].is_empty(),
-        None => true,
-    };
-    let brings = |n: u32| v.node(n).is_some_and(|m| m.demand > 0.0);
-    (0..union.len() as u32)
-        .find(|&n| asked[n as usize] && (ends(u, n) || ends(v, n)) || brings(n) && ends(v, n))
-}
-
-fn differs(u: &FlowGraph, v: &FlowGraph, n: u32) -> bool {
-    (u.incoming_load[n as usize] - v.incoming_load[n as usize]).abs() > NEAR || u.passes(n) != v.passes(n)
-}
 
-/// The most that the targets can be asked for together, in requests a second, over all mixtures of two versions.
-fn worst(u: &FlowGraph, v: &FlowGraph, order: &[u32], moved: &[f64], target: impl Fn(u32) -> bool) -> f64 {
-    // Of one request that comes to a node, how many reach a target; and of one that it passes on.
-    let mut reach = vec![0.0f64; u.nodes.len()];
-    let mut sum = 0.0;
-    for &n in order.iter().rev() {
-        let on = |side: &FlowGraph| -> f64 {
-            side.parts[n as usize].iter().map(|&(s, p)| p * reach[s as usize]).sum()
-        };
-        let (old, new) = (on(u), on(v));
-        let held = |side: &FlowGraph| side.node(n).map_or(0.0, |m| m.hit_ratio);
-        reach[n as usize] = if target(n) { 1.0 } else { (old * u.passes(n)).max(new * v.passes(n)) };
-        let demand = |side: &FlowGraph| side.node(n).map_or(0.0, |m| m.demand);
-        sum += demand(u).max(demand(v)) * reach[n as usize];
-        if !target(n) {
-            sum += moved[n as usize] * held(v) * old.max(new);
+    /// The most that the targets can get together, in requests a second, over all mixtures of the two versions.
+    fn peak_load(&self, is_target: impl Fn(u32) -> bool) -> f64 {
+        // For each node the requests that reach a target for one that comes to the node.
+        let mut reach = vec![0.0f64; self.before.nodes.len()];
+        let mut peak = 0.0;
+        for &index in self.order.iter().rev() {
+            let at = index as usize;
+            // The same for one that the node passes on.
+            let passed_on = |graph: &FlowGraph<'_>| -> f64 {
+                graph.preferred_sources[at].iter().map(|&(source, part)| part * reach[source as usize]).sum()
+            };
+            let (old, new) = (passed_on(self.before), passed_on(self.after));
+            let is_target = is_target(index);
+            reach[at] = if is_target {
+                1.0
+            } else {
+                (old * self.before.miss_ratio(index)).max(new * self.after.miss_ratio(index))
+            };
+            let demand = |graph: &FlowGraph<'_>| graph.node(index).map_or(0.0, |node| node.demand);
+            peak += demand(self.before).max(demand(self.after)) * reach[at];
+            if !is_target {
+                let hit_ratio = self.after.node(index).map_or(0.0, |node| node.hit_ratio);
+                peak += self.moved_load[at] * hit_ratio * old.max(new);
+            }
         }
+        peak
     }
-    sum
 }
 
-/// All versions' nodes by dense numbers.
+/// Numbers the nodes of some versions without gaps.
 #[derive(Clone, Debug, Default)]
 pub struct NodeIndex {
+    /// The node at each index, in ascending order.
     pub ids: Vec<NodeId>,
 }
 
 impl NodeIndex {
+    /// All nodes of these versions.
     pub fn from_versions(versions: &[&Hierarchy]) -> NodeIndex {
         let mut ids: Vec<NodeId> = versions.iter().flat_map(|h| h.iter().map(|(id, _)| id)).collect();
         ids.sort_unstable();
@@ -259,17 +359,19 @@
         NodeIndex { ids }
     }
 
+    /// The index of a node.
     pub fn position(&self, id: NodeId) -> Option<u32> {
-        self.ids.binary_search(&id).ok().map(|i| i as u32)
+        self.ids.binary_search(&id).ok().map(|index| index as u32)
     }
 
-    /// A member's cell; sources that no version has are left out.
-    pub fn flow_node(&self, member: &Arc<HierarchyNode>) -> FlowNode {
-        let sources = member.sources.iter().filter_map(|s| self.position(*s)).collect();
-        FlowNode { node: Arc::clone(member), sources }
+    /// A node with its sources' indexes. Sources that no version has are left out.
+    pub fn flow_node(&self, node: &Arc<HierarchyNode>) -> FlowNode {
+        let sources = node.sources.iter().filter_map(|source| self.position(*source)).collect();
+        FlowNode { node: Arc::clone(node), sources }
     }
 
-    pub fn flow_nodes(&self, h: &Hierarchy) -> Vec<Option<FlowNode>> {
-        self.ids.iter().map(|id| h.get(*id).map(|m| self.flow_node(m))).collect()
+    /// The nodes of a version at their indexes.
+    pub fn flow_nodes(&self, version: &Hierarchy) -> Vec<Option<FlowNode>> {
+        self.ids.iter().map(|id| version.get(*id).map(|node| self.flow_node(node))).collect()
     }
 }
--- /dev/null
+++ b/crates/hierarchy/src/plan/sweep.rs
@@ -0,0 +1,106 @@
+//! Plans a large change: each step advances as many tracks as it can.
+
+use super::PlanError;
+use super::tracks::{PlanSpace, Position};
+use crate::load_flow::{FlowGraph, TransitionViolation};
+
+/// The most candidate steps that are evaluated. Each costs time in proportion to nodes and sources.
+pub const MAX_SWEEP_EVALUATIONS: usize = 4_000;
+
+/// One step that is being put together.
+struct StepBuilder<'a> {
+    space: &'a PlanSpace<'a>,
+    before: &'a FlowGraph<'a>,
+    end: &'a Position,
+    /// The furthest position found so far.
+    position: Position,
+    last_violation: Option<TransitionViolation>,
+    evaluations: &'a mut usize,
+}
+
+/// The positions after each step, until all tracks are at their end.
+///
+/// # Errors
+/// The bound that stands in the way, or [`PlanError::TooLarge`].
+pub(super) fn large_steps(
+    space: &PlanSpace<'_>,
+    evaluations: &mut usize,
+) -> Result<Vec<Position>, PlanError> {
+    let end = space.end();
+    let mut position: Position = vec![0; end.len()];
+    let mut stops = Vec::new();
+    while position != end {
+        let before = space
+            .flow_graph(&position)
+            .map_err(|cycle| space.error(&position, TransitionViolation::Cycle(cycle)))?;
+        let unfinished: Vec<usize> = (0..end.len()).filter(|&track| position[track] < end[track]).collect();
+        let mut step = StepBuilder {
+            space,
+            before: &before,
+            end: &end,
+            position: position.clone(),
+            last_violation: None,
+            evaluations,
+        };
+        step.advance(&unfinished);
+        let StepBuilder { position: next, last_violation, .. } = step;
+        if next == position {
+            if *evaluations >= MAX_SWEEP_EVALUATIONS {
+                return Err(PlanError::TooLarge { evaluations: *evaluations });
+            }
+            let violation = last_violation.unwrap_or(TransitionViolation::Cycle(Vec::new()));
+            return Err(space.error(&position, violation));
+        }
+        position = next;
+        stops.push(position.clone());
+    }
+    Ok(stops)
+}
+
+impl StepBuilder<'_> {
+    /// Advances these tracks as far as possible: all of them to their end at once, else each half by itself.
+    fn advance(&mut self, tracks: &[usize]) {
+        if tracks.is_empty() || *self.evaluations >= MAX_SWEEP_EVALUATIONS {
+            return;
+        }
+        let mut candidate = self.position.clone();
+        tracks.iter().for_each(|&track| candidate[track] = self.end[track]);
+        if self.accept(candidate) {
+            return;
+        }
+        if let [track] = tracks {
+            self.advance_partly(*track);
+        } else {
+            let (first, rest) = tracks.split_at(tracks.len() / 2);
+            self.advance(first);
+            self.advance(rest);
+        }
+    }
+
+    /// Advances one track half of its way, a quarter of it, and so on down to one state.
+    fn advance_partly(&mut self, track: usize) {
+        let mut states = (self.end[track] - self.position[track]) / 2;
+        while states > 0 {
+            let mut candidate = self.position.clone();
+            candidate[track] += states;
+            if self.accept(candidate) {
+                return;
+            }
+            states /= 2;
+        }
+    }
+
+    /// Takes the candidate as the step's position if no bound is violated.
+    fn accept(&mut self, candidate: Position) -> bool {
+        match self.space.evaluate(self.before, &candidate, self.evaluations) {
+            Ok(_) => {
+                self.position = candidate;
+                true
+            }
+            Err(violation) => {
+                self.last_violation = Some(violation);
+                false
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/hierarchy/src/rollout/mod.rs
@@ -0,0 +1,306 @@
+//! Rolls a change of the hierarchy out, step by step.
+//!
+//! A step is started only when every participant applies the version of the step before, and no request that was
+//! routed by an earlier version is in flight any more. So at most two successive versions are in use at any time, and
+//! the plan guarantees that these two together contain no loop.
+//!
+//! There is no I/O here: the caller carries out each [`RolloutAction`] in order and passes on what it learns as
+//! [`RolloutInput`]. A [`RolloutAction::Persist`] must be durable before any later action is carried out.
+
+mod active_change;
+mod messages;
+mod recovery;
+mod rollback;
+mod steps;
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+use sablecross::Ns;
+
+use self::active_change::{ActiveChange, Stage};
+pub use self::messages::{
+    Participant, RolloutAction, RolloutError, RolloutInput, RolloutOutcome, RolloutRecord,
+};
+use crate::admission::{Admission, AdmissionError};
+use crate::spec::HierarchySpec;
+use crate::version::{Hierarchy, NodeId};
+
+/// What a participant last reported, of the version that was published last.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
+struct AppliedVersion {
+    number: u64,
+    digest: u64,
+}
+
+/// How far the running change is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ChangeProgress {
+    /// The number of the change.
+    pub change: u64,
+    /// Whether it is being rolled back.
+    pub is_rollback: bool,
+    /// The steps that are not finished, the current one included.
+    pub remaining_steps: usize,
+}
+
+/// The state machine that rolls changes out, one at a time. One further change may be queued.
+#[derive(Clone, Debug)]
+pub struct Rollout {
+    admission: Admission,
+    /// The last version that every participant applied.
+    committed: Hierarchy,
+    committed_number: u64,
+    /// The last version number that was assigned.
+    last_number: u64,
+    /// The version that was committed when no change ran.
+    baseline: Hierarchy,
+    next_change_id: u64,
+    change: Option<ActiveChange>,
+    /// The target of the change that starts after the running one.
+    queued: Option<Hierarchy>,
+    participants: BTreeMap<Participant, AppliedVersion>,
+    /// Set once a participant was found to be ahead of the log: nothing is published any more.
+    stale: Option<RolloutError>,
+    /// Fetches a second that the origin counted last.
+    origin_load: Option<f64>,
+    actions: Vec<RolloutAction>,
+}
+
+impl Rollout {
+    /// Starts from a version that every participant applies, or will apply before any other.
+    ///
+    /// # Errors
+    /// [`RolloutError::NotAdmitted`] if the version must not be applied.
+    pub fn new(
+        number: u64,
+        version: Hierarchy,
+        participants: impl IntoIterator<Item = Participant>,
+    ) -> Result<Rollout, RolloutError> {
+        let number = number.max(1);
+        Admission::new(version.clone())?;
+        let checkpoint = RolloutRecord::Checkpoint {
+            number,
+            next_change: 1,
+            version: HierarchySpec::from_hierarchy(number, &version),
+        };
+        let mut rollout = Rollout::at(number, version, participants)?;
+        rollout.persist(checkpoint);
+        rollout.publish();
+        Ok(rollout)
+    }
+
+    fn at(
+        number: u64,
+        version: Hierarchy,
+        participants: impl IntoIterator<Item = Participant>,
+    ) -> Result<Rollout, RolloutError> {
+        Ok(Rollout {
+            admission: Admission::from_active(version.clone())?,
+            baseline: version.clone(),
+            committed: version,
+            committed_number: number,
+            last_number: number,
+            next_change_id: 1,
+            change: None,
+            queued: None,
+            participants: participants.into_iter().map(|p| (p, AppliedVersion::default())).collect(),
+            stale: None,
+            origin_load: None,
+            actions: Vec::new(),
+        })
+    }
+
+    /// Takes the actions that are due, in the order in which they have to be carried out.
+    pub fn take_actions(&mut self) -> Vec<RolloutAction> {
+        std::mem::take(&mut self.actions)
+    }
+
+    /// The version that was published last, with its number.
+    pub fn published(&self) -> (u64, &Hierarchy) {
+        (self.last_number, self.uncommitted().unwrap_or(&self.committed))
+    }
+
+    /// The last version that every participant applied, with its number.
+    pub fn committed(&self) -> (u64, &Hierarchy) {
+        (self.committed_number, &self.committed)
+    }
+
+    /// The running change, if there is one.
+    pub fn progress(&self) -> Option<ChangeProgress> {
+        self.change.as_ref().map(|change| ChangeProgress {
+            change: change.id,
+            is_rollback: change.is_rollback,
+            remaining_steps: change.steps.len(),
+        })
+    }
+
+    /// When the next [`RolloutInput::Tick`] is due; none while only a participant's report can help.
+    pub fn next_wakeup(&self) -> Option<Ns> {
+        let change = self.change.as_ref()?;
+        let timeout = self.committed.rules.step_timeout;
+        match change.stage {
+            Stage::Publishing { .. } if change.timeout_handled => None,
+            Stage::Publishing { since } => Some(since + timeout),
+            Stage::Draining { until } => Some(until),
+            Stage::Waiting { until } if self.origin_can_take_next_step() => Some(until),
+            Stage::Waiting { until } => Some(until + timeout),
+        }
+    }
+
+    /// The participants that have not reported the version that was published last.
+    pub fn missing_participants(&self) -> Vec<Participant> {
+        let (number, version) = self.published();
+        let expected = AppliedVersion { number, digest: version.digest() };
+        let missing = self.participants.iter().filter(|(_, applied)| **applied != expected);
+        missing.map(|(participant, _)| Arc::clone(participant)).collect()
+    }
+
+    /// Reacts to an event at the time `now`. The actions that follow from it are taken by [`Rollout::take_actions`].
+    ///
+    /// # Errors
+    /// A proposal or a rollback that is not possible is rejected; the state stays as it was.
+    pub fn handle(&mut self, input: RolloutInput, now: Ns) -> Result<(), RolloutError> {
+        match input {
+            RolloutInput::Propose { target } => self.propose(target, now)?,
+            RolloutInput::VersionApplied { participant, number, digest } => {
+                self.on_version_applied(participant, AppliedVersion { number, digest });
+            }
+            RolloutInput::ParticipantGone { participant } => {
+                self.participants.remove(&participant);
+            }
+            RolloutInput::HealthReport { origin_load, down_nodes } => {
+                self.on_health_report(origin_load, &down_nodes, now);
+            }
+            RolloutInput::RollBack => self.roll_back_on_request(now)?,
+            RolloutInput::Tick => {}
+        }
+        self.advance(now);
+        Ok(())
+    }
+
+    fn propose(&mut self, target: Hierarchy, now: Ns) -> Result<(), RolloutError> {
+        if let Some(stale) = &self.stale {
+            return Err(stale.clone());
+        }
+        let target = self.with_committed_ids(&target)?;
+        match &self.change {
+            Some(change) if self.queued.is_some() => Err(RolloutError::Busy { running: change.id }),
+            Some(change) if change.target == target => Err(RolloutError::AlreadyActive),
+            Some(change) => {
+                let running = change.id;
+                self.queue(target, running, now)
+            }
+            None if self.committed == target => Err(RolloutError::AlreadyActive),
+            None => self.start(target, now),
+        }
+    }
+
+    /// Queues a change behind the running one. It is planned once it is known from which version it starts.
+    fn queue(&mut self, target: Hierarchy, running: u64, now: Ns) -> Result<(), RolloutError> {
+        self.admission.clone().admit(&target)?;
+        let spec = HierarchySpec::from_hierarchy(self.last_number, &target);
+        self.persist(RolloutRecord::Queued { target: Some(spec) });
+        self.log(format!("hierarchy change queued behind={running}"));
+        self.queued = Some(target);
+        if matches!(self.change.as_ref().map(|change| change.stage), Some(Stage::Waiting { .. })) {
+            self.supersede(now);
+        }
+        Ok(())
+    }
+
+    /// The version with the node numbers of the committed one: nodes are identified by their names.
+    fn with_committed_ids(&self, version: &Hierarchy) -> Result<Hierarchy, AdmissionError> {
+        let spec = HierarchySpec::from_hierarchy(self.last_number, version);
+        let (_, version) = spec.to_hierarchy(Some(&self.committed))?;
+        Ok(version)
+    }
+
+    fn on_version_applied(&mut self, participant: Participant, applied: AppliedVersion) {
+        if applied.number > self.last_number {
+            let last_number = self.last_number;
+            let line = format!(
+                "hierarchy log outdated participant={participant} theirs={} ours={last_number}",
+                applied.number
+            );
+            self.log(line);
+            self.stale = Some(RolloutError::Stale { participant, applied: applied.number, last_number });
+            return;
+        }
+        let known = self.participants.entry(participant).or_default();
+        // A report of an older number is late, or from a participant that has yet to apply the newest.
+        if applied.number == self.last_number {
+            *known = applied;
+        }
+    }
+
+    fn on_health_report(&mut self, origin_load: f64, down_nodes: &[NodeId], now: Ns) {
+        self.origin_load = Some(origin_load);
+        let ceiling = self.committed.rules.ceiling;
+        let reason = if origin_load > ceiling {
+            Some(format!("origin={origin_load:.0} ceiling={ceiling:.0}"))
+        } else {
+            let down = down_nodes.iter().find(|node| self.is_changing(**node));
+            down.map(|node| format!("down={}", self.published().1.node_name(*node)))
+        };
+        if let Some(reason) = reason
+            && self.change.as_ref().is_some_and(|change| !change.is_rollback)
+        {
+            self.roll_back(now, &reason);
+        }
+    }
+
+    /// Whether one of the remaining steps changes the node.
+    fn is_changing(&self, node: NodeId) -> bool {
+        let Some(change) = &self.change else { return false };
+        change.steps.iter().any(|step| step.changed_nodes.contains(&node))
+    }
+
+    /// The published version, as long as not every participant is known to apply it.
+    fn uncommitted(&self) -> Option<&Hierarchy> {
+        let change = self.change.as_ref()?;
+        let is_publishing = matches!(change.stage, Stage::Publishing { .. });
+        is_publishing.then(|| change.steps.first().map(|step| &step.target))?
+    }
+
+    fn publish(&mut self) {
+        if self.stale.is_some() {
+            return;
+        }
+        let (number, version) = self.published();
+        let publish = RolloutAction::Publish { number, version: version.clone() };
+        self.actions.push(publish);
+    }
+
+    fn persist(&mut self, record: RolloutRecord) {
+        self.actions.push(RolloutAction::Persist(record));
+    }
+
+    fn log(&mut self, line: String) {
+        self.actions.push(RolloutAction::Log(line));
+    }
+
+    /// Everything that decides what the rollout does next, for a search over its states. Points in time are given by
+    /// their distance from `now`, so that the same state at another time has the same key.
+    pub fn state_key(&self, now: Ns) -> impl std::hash::Hash + Eq + use<> {
+        let change = self.change.as_ref().map(|change| {
+            let steps: Vec<u64> = change.steps.iter().map(|step| step.target.digest()).collect();
+            let history: Vec<u64> = change.history.iter().map(Hierarchy::digest).collect();
+            let stage = match change.stage {
+                Stage::Publishing { since } => (0, now.abs_diff(since)),
+                Stage::Draining { until } => (1, now.abs_diff(until)),
+                Stage::Waiting { until } => (2, now.abs_diff(until)),
+            };
+            let versions = (change.baseline.digest(), change.target.digest());
+            (change.id, versions, change.is_rollback, steps, history, stage, change.timeout_handled)
+        });
+        let participants: Vec<(Participant, AppliedVersion)> = self
+            .participants
+            .iter()
+            .map(|(participant, applied)| (Arc::clone(participant), *applied))
+            .collect();
+        let queued = self.queued.as_ref().map(Hierarchy::digest);
+        let numbers = (self.committed_number, self.last_number, self.next_change_id);
+        (self.committed.digest(), numbers, change, queued, participants, self.stale.is_some())
+    }
+}
--- /dev/null
+++ b/crates/hierarchy/src/rollout/recovery.rs
@@ -0,0 +1,137 @@
+//! Rebuilds a rollout from the records that an earlier one has written.
+
+use sablecross::Ns;
+
+use super::active_change::{ActiveChange, Stage};
+use super::{AppliedVersion, Participant, Rollout, RolloutError, RolloutRecord};
+use crate::admission::Admission;
+use crate::plan::direct_step;
+use crate::spec::HierarchySpec;
+use crate::version::Hierarchy;
+
+/// A step that was published and that not every participant is known to apply.
+struct PendingStep {
+    is_rollback: bool,
+    version: Hierarchy,
+}
+
+/// Applies records one after another.
+#[derive(Default)]
+struct Replay {
+    rollout: Option<Rollout>,
+    pending: Option<PendingStep>,
+}
+
+impl Rollout {
+    /// Continues from the log of a rollout that ended at any point. The version that was published last is published
+    /// again.
+    ///
+    /// # Errors
+    /// [`RolloutError::InvalidLog`] if no rollout can have written these records.
+    pub fn recover(
+        records: &[RolloutRecord],
+        participants: impl IntoIterator<Item = Participant>,
+        now: Ns,
+    ) -> Result<Rollout, RolloutError> {
+        let mut replay = Replay::default();
+        for record in records {
+            replay.apply(record, now)?;
+        }
+        let mut rollout = replay.rollout.ok_or(RolloutError::InvalidLog)?;
+        rollout.participants = participants.into_iter().map(|p| (p, AppliedVersion::default())).collect();
+        rollout.admission = Admission::from_active(rollout.committed.clone())?;
+        rollout.resume_step(replay.pending, now);
+        rollout.log(format!(
+            "hierarchy recovered version={} in_force={}",
+            rollout.last_number, rollout.committed_number
+        ));
+        rollout.publish();
+        if rollout.change.is_none() {
+            rollout.start_queued(now);
+        }
+        Ok(rollout)
+    }
+
+    /// Puts the recovered change back into the stage that its last record left it in.
+    fn resume_step(&mut self, pending: Option<PendingStep>, now: Ns) {
+        let Some(change) = self.change.as_mut() else { return };
+        match pending {
+            Some(step) => {
+                if step.is_rollback {
+                    change.start_rollback();
+                }
+                change.steps = vec![direct_step(&self.committed, &step.version)];
+                change.stage = Stage::Publishing { since: now };
+            }
+            // Requests that were routed by an earlier version may still be in flight.
+            None => {
+                change.steps = vec![direct_step(&self.committed, &self.committed)];
+                change.stage = Stage::Draining { until: now + self.committed.rules.drain_window };
+            }
+        }
+    }
+}
+
+impl Replay {
+    fn apply(&mut self, record: &RolloutRecord, now: Ns) -> Result<(), RolloutError> {
+        if let RolloutRecord::Checkpoint { number, next_change, version } = record {
+            let mut rollout = Rollout::at(*number, self.read(version)?, [])?;
+            rollout.next_change_id = *next_change;
+            *self = Replay { rollout: Some(rollout), pending: None };
+            return Ok(());
+        }
+        match record {
+            RolloutRecord::Checkpoint { .. } => {}
+            RolloutRecord::Started { change, target, baseline } => {
+                let (target, baseline) = (self.read(target)?, self.read(baseline)?);
+                let rollout = self.rollout()?;
+                rollout.next_change_id = change + 1;
+                rollout.queued = None;
+                rollout.baseline = baseline.clone();
+                rollout.change = Some(ActiveChange::new(*change, baseline, target, now));
+            }
+            RolloutRecord::Queued { target } => {
+                let target = target.as_ref().map(|spec| self.read(spec)).transpose()?;
+                self.rollout()?.queued = target;
+            }
+            RolloutRecord::RollbackStarted { .. } => {
+                if let Some(change) = self.rollout()?.change.as_mut() {
+                    change.start_rollback();
+                }
+            }
+            RolloutRecord::StepStarted { number, is_rollback, version, .. } => {
+                let version = self.read(version)?;
+                self.rollout()?.last_number = *number;
+                self.pending = Some(PendingStep { is_rollback: *is_rollback, version });
+            }
+            RolloutRecord::StepCommitted { number } => self.commit_step(*number)?,
+            RolloutRecord::Ended { .. } => self.rollout()?.change = None,
+        }
+        Ok(())
+    }
+
+    fn commit_step(&mut self, number: u64) -> Result<(), RolloutError> {
+        let step = self.pending.take().ok_or(RolloutError::InvalidLog)?;
+        let rollout = self.rollout()?;
+        if let Some(change) = rollout.change.as_mut() {
+            change.history.push(std::mem::replace(&mut rollout.committed, step.version));
+            if step.is_rollback {
+                change.start_rollback();
+            }
+        }
+        rollout.committed_number = number;
+        Ok(())
+    }
+
+    /// The rollout so far; every record but a checkpoint needs one.
+    fn rollout(&mut self) -> Result<&mut Rollout, RolloutError> {
+        self.rollout.as_mut().ok_or(RolloutError::InvalidLog)
+    }
+
+    /// A version of the log. Its nodes get the numbers that they have in the committed version.
+    fn read(&self, spec: &HierarchySpec) -> Result<Hierarchy, RolloutError> {
+        let known = self.rollout.as_ref().map(|rollout| &rollout.committed);
+        let (_, version) = spec.to_hierarchy(known).map_err(|_| RolloutError::InvalidLog)?;
+        Ok(version)
+    }
+}
--- /dev/null
+++ b/crates/hierarchy/src/spec/mod.rs
@@ -0,0 +1,285 @@
+//! The written form of a version: in settings files (S-expressions), and by serde in events, messages and logs.
+
+mod settings_file;
+
+use std::collections::HashMap;
+use std::sync::Arc;
+
+use garde::Validate;
+use serde::{Deserialize, Serialize};
+use thiserror::Error;
+
+pub use self::settings_file::parse_settings;
+use crate::version::{FULL_SHARE, Hierarchy, HierarchyNode, HierarchyRules, NodeId};
+pub use sablecross_sexpr_config::ConfigError;
+
+const NANOS_PER_MILLI: u64 = 1_000_000;
+/// The longest duration in settings: a day.
+const MAX_DURATION_MS: u64 = 86_400_000;
+
+/// One form of a settings file.
+#[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
+#[serde(rename_all = "kebab-case", deny_unknown_fields)]
+pub enum SpecForm {
+    /// The settings of the hierarchy; there is one such form.
+    #[serde(rename = "hierarchy")]
+    Hierarchy(#[garde(dive)] SpecHeader),
+    /// A node.
+    #[serde(rename = "node")]
+    Node(#[garde(dive)] NodeSpec),
+}
+
+/// The settings of a whole hierarchy.
+///
+/// The fields are the keys of the settings file, in kebab case, also in the errors of their validation. Their order is
+/// the order in messages.
+#[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
+#[serde(rename_all = "kebab-case", deny_unknown_fields)]
+pub struct SpecHeader {
+    /// The number of the version. Of two versions the one with the larger number is newer.
+    #[garde(range(min = 1))]
+    pub version: u64,
+    /// The fetches a second that the origin may get.
+    #[garde(range(min = 0.0, max = 1e9))]
+    pub ceiling: f64,
+    /// The part of `ceiling` that plans keep free.
+    #[garde(range(min = 0.0, max = 0.9))]
+    #[serde(default = "default_margin")]
+    pub margin: f64,
+    /// The warmth of a node that has just started.
+    #[garde(range(min = 0.0, max = 1.0))]
+    #[serde(default = "default_cold_from")]
+    pub cold_from: f64,
+    /// Milliseconds until a node is warm.
+    #[garde(range(max = MAX_DURATION_MS))]
+    #[serde(default = "default_warm_after_ms")]
+    pub warm_after_ms: u64,
+    /// The multiple of what its warmth allows at which a cold node collapses.
+    #[garde(range(min = 0.0, max = 100.0))]
+    #[serde(default = "default_fall_multiple")]
+    pub fall_multiple: f64,
+    /// Whether a node may fill from a node of its own tier.
+    #[garde(skip)]
+    #[serde(default)]
+    pub siblings: bool,
+    /// The longest time in milliseconds that a request is in flight.
+    #[garde(range(max = MAX_DURATION_MS))]
+    #[serde(default = "default_hold_ms")]
+    pub hold_ms: u64,
+    /// Milliseconds until a moved part of a ring is filled.
+    #[garde(range(max = MAX_DURATION_MS))]
+    #[serde(default = "default_settle_ms")]
+    pub settle_ms: u64,
+    /// Milliseconds that a step may wait for participants, or for the origin's load, before it is rolled back.
+    #[garde(range(min = 1, max = MAX_DURATION_MS))]
+    #[serde(default = "default_give_up_ms")]
+    pub give_up_ms: u64,
+}
+
+fn default_margin() -> f64 {
+    0.2
+}
+fn default_cold_from() -> f64 {
+    0.25
+}
+fn default_warm_after_ms() -> u64 {
+    20_000
+}
+fn default_fall_multiple() -> f64 {
+    2.0
+}
+fn default_hold_ms() -> u64 {
+    3_000
+}
+fn default_settle_ms() -> u64 {
+    5_000
+}
+fn default_give_up_ms() -> u64 {
+    30_000
+}
+fn default_share() -> u16 {
+    FULL_SHARE
+}
+
+/// Allows the characters that lines of the protocol and of logs can carry in a name.
+fn validate_name(name: &str, _: &()) -> garde::Result {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "._:-".contains(c);
+    if name.chars().all(is_allowed) {
+        Ok(())
+    } else {
+        Err(garde::Error::new("letters, digits and . _ : - only"))
+    }
+}
+
+/// A node. As in [`SpecHeader`], fields are keys, and their order is the order in messages.
+#[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
+#[serde(rename_all = "kebab-case", deny_unknown_fields)]
+pub struct NodeSpec {
+    /// The name, by which nodes of successive versions are the same.
+    #[garde(length(min = 1, max = 64), custom(validate_name))]
+    pub name: String,
+    /// The distance from the origin, which is tier 0.
+    #[garde(range(max = 7))]
+    pub tier: u8,
+    /// The names of the nodes that it fills from.
+    #[garde(length(max = 64))]
+    #[serde(default)]
+    pub sources: Vec<String>,
+    /// The requests a second that it can take when it is warm.
+    #[garde(range(min = 0.0, max = 1e9))]
+    pub capacity: f64,
+    /// The requests a second that it gets from clients.
+    #[garde(range(min = 0.0, max = 1e9))]
+    #[serde(default)]
+    pub demand: f64,
+    /// The part of its requests that it answers from its cache.
+    #[garde(range(min = 0.0, max = 1.0))]
+    #[serde(default)]
+    pub hit: f64,
+    /// The virtual nodes that it takes in the ring of its tier, of [`FULL_SHARE`].
+    #[garde(range(max = FULL_SHARE))]
+    #[serde(default = "default_share")]
+    pub share: u16,
+    /// The Unix time of its start in milliseconds if it is cold; 0 if it has been running for long.
+    #[garde(skip)]
+    #[serde(default)]
+    pub since_ms: u64,
+}
+
+/// A complete version as events, messages and logs carry it.
+#[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
+#[serde(deny_unknown_fields)]
+pub struct HierarchySpec {
+    /// The settings of the hierarchy.
+    #[serde(rename = "head")]
+    pub header: SpecHeader,
+    /// All nodes, the origin included.
+    #[serde(rename = "nodes")]
+    pub nodes: Vec<NodeSpec>,
+}
+
+/// Why a written form is not a version.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+pub enum SpecError {
+    /// Two nodes have the same name.
+    #[error("{node}: a node stands twice")]
+    DuplicateNode {
+        /// The name.
+        node: String,
+    },
+    /// A node names a source that is not there.
+    #[error("{node}: no node is called {source_name}")]
+    UnknownSource {
+        /// The node.
+        node: String,
+        /// The name of the source.
+        source_name: String,
+    },
+}
+
+impl HierarchySpec {
+    /// The written form of a version.
+    pub fn from_hierarchy(number: u64, version: &Hierarchy) -> HierarchySpec {
+        let rules = &version.rules;
+        let header = SpecHeader {
+            version: number,
+            ceiling: rules.ceiling,
+            margin: rules.margin,
+            cold_from: rules.slow_start_initial_share,
+            warm_after_ms: rules.slow_start_window / NANOS_PER_MILLI,
+            fall_multiple: rules.collapse_multiple,
+            siblings: rules.allows_siblings,
+            hold_ms: rules.drain_window / NANOS_PER_MILLI,
+            settle_ms: rules.fill_window / NANOS_PER_MILLI,
+            give_up_ms: rules.step_timeout / NANOS_PER_MILLI,
+        };
+        let nodes = version.iter().map(|(_, node)| NodeSpec {
+            name: node.name.to_string(),
+            tier: node.tier,
+            sources: node.sources.iter().map(|source| version.node_name(*source).to_owned()).collect(),
+            capacity: node.capacity,
+            demand: node.demand,
+            hit: node.hit_ratio,
+            share: node.ring_share,
+            since_ms: node.started_at / NANOS_PER_MILLI,
+        });
+        HierarchySpec { header, nodes: nodes.collect() }
+    }
+
+    /// The version with its number. Nodes that `known` has keep their ids; others get new ones. Nodes that are
+    /// unchanged are shared with `known`, so that versions are quickly compared.
+    ///
+    /// # Errors
+    /// If names are not unique, or sources are unknown.
+    pub fn to_hierarchy(&self, known: Option<&Hierarchy>) -> Result<(u64, Hierarchy), SpecError> {
+        let ids = self.assign_ids(known)?;
+        let rules = Arc::new(self.header.to_rules());
+        let version = match known {
+            Some(known) => known.with_rules(rules),
+            None => Hierarchy::new((*rules).clone()),
+        };
+        let removed = version.iter().filter(|(_, node)| !ids.contains_key(&*node.name));
+        let mut changes: Vec<(NodeId, Option<Arc<HierarchyNode>>)> =
+            removed.map(|(id, _)| (id, None)).collect();
+        for spec in &self.nodes {
+            let node = spec.to_node(&ids)?;
+            let id = ids[&*spec.name];
+            if version.get(id).is_none_or(|known| **known != node) {
+                changes.push((id, Some(Arc::new(node))));
+            }
+        }
+        Ok((self.header.version, version.with_changes(changes)))
+    }
+
+    fn assign_ids(&self, known: Option<&Hierarchy>) -> Result<HashMap<&str, NodeId>, SpecError> {
+        let mut next_id = known.and_then(|known| known.iter().last()).map_or(0, |(id, _)| id + 1);
+        let mut ids: HashMap<&str, NodeId> = HashMap::new();
+        for node in &self.nodes {
+            let id = known.and_then(|known| known.node_id(&node.name)).unwrap_or_else(|| {
+                next_id += 1;
+                next_id - 1
+            });
+            if ids.insert(&node.name, id).is_some() {
+                return Err(SpecError::DuplicateNode { node: node.name.clone() });
+            }
+        }
+        Ok(ids)
+    }
+}
+
+impl SpecHeader {
+    fn to_rules(&self) -> HierarchyRules {
+        HierarchyRules {
+            ceiling: self.ceiling,
+            margin: self.margin,
+            slow_start_initial_share: self.cold_from,
+            slow_start_window: self.warm_after_ms.saturating_mul(NANOS_PER_MILLI),
+            collapse_multiple: self.fall_multiple,
+            allows_siblings: self.siblings,
+            drain_window: self.hold_ms.saturating_mul(NANOS_PER_MILLI),
+            fill_window: self.settle_ms.saturating_mul(NANOS_PER_MILLI),
+            step_timeout: self.give_up_ms.saturating_mul(NANOS_PER_MILLI),
+        }
+    }
+}
+
+impl NodeSpec {
+    fn to_node(&self, ids: &HashMap<&str, NodeId>) -> Result<HierarchyNode, SpecError> {
+        let source_id = |source: &String| {
+            ids.get(&**source).copied().ok_or_else(|| SpecError::UnknownSource {
+                node: self.name.clone(),
+                source_name: source.clone(),
+            })
+        };
+        Ok(HierarchyNode {
+            name: self.name.as_str().into(),
+            tier: self.tier,
+            sources: self.sources.iter().map(source_id).collect::<Result<Vec<_>, _>>()?.into(),
+            capacity: self.capacity,
+            demand: self.demand,
+            hit_ratio: self.hit,
+            ring_share: self.share,
+            started_at: self.since_ms.saturating_mul(NANOS_PER_MILLI),
+        })
+    }
+}
--- a/crates/hierarchy/src/topological_order.rs
+++ b/crates/hierarchy/src/topological_order.rs
@@ -1,181 +1,202 @@
-//! A topological order kept up edge by edge (Pearce and Kelly, "A dynamic topological sort algorithm for directed
-//! acyclic graphs", 2006): an edge that fits the order costs nothing, one against it only the part between.
+//! Topological orders of a graph of sources: one that is kept up edge by edge, and a full sort.
+//!
+//! The incremental one is by Pearce and Kelly, "A dynamic topological sort algorithm for directed acyclic graphs"
+//! (2006): an edge that agrees with the order costs nothing, one against it only the nodes between its ends.
 
-/// Nodes from 0 up, each with its edges. `edge(a, b)`: a fills from b, so a stands before b.
+/// An acyclic graph with its topological order. An edge from `a` to `b` means that `a` fills from `b`; `a` comes first.
 #[derive(Clone, Debug, Default)]
 pub struct TopologicalOrder {
-    place: Vec<u32>,
-    out: Vec<Vec<u32>>,
-    into: Vec<Vec<u32>>,
-    /// When a node was last met, so that nothing has to be cleared between searches.
-    met: Vec<u32>,
+    positions: Vec<u32>,
+    sources: Vec<Vec<u32>>,
+    dependents: Vec<Vec<u32>>,
+    /// The number of the search that visited each node last, so that nothing has to be cleared between searches.
+    visited: Vec<u32>,
     search: u32,
 }
 
 impl TopologicalOrder {
+    /// A graph of so many nodes, numbered from 0, without edges.
     pub fn new(nodes: usize) -> TopologicalOrder {
         let mut order = TopologicalOrder::default();
         order.grow(nodes);
         order
     }
 
+    /// Adds nodes until there are so many. Has no effect if there are more.
     pub fn grow(&mut self, nodes: usize) {
-        let from = self.place.len();
-        self.place.extend((from..nodes).map(|i| i as u32));
-        let nodes = self.place.len();
-        self.out.resize(nodes, Vec::new());
-        self.into.resize(nodes, Vec::new());
-        self.met.resize(nodes, 0);
+        let old = self.positions.len();
+        self.positions.extend((old..nodes).map(|node| node as u32));
+        let nodes = self.positions.len();
+        self.sources.resize(nodes, Vec::new());
+        self.dependents.resize(nodes, Vec::new());
+        self.visited.resize(nodes, 0);
     }
 
+    /// The number of nodes.
     pub fn len(&self) -> usize {
-        self.place.len()
+        self.positions.len()
     }
 
+    /// Whether there are no nodes.
     pub fn is_empty(&self) -> bool {
-        self.place.is_empty()
+        self.positions.is_empty()
     }
 
-    /// Where a node stands; who fills from whom stands before.
+    /// The position of a node in the order: after those that fill from it.
     pub fn position(&self, node: u32) -> u32 {
-        self.place[node as usize]
+        self.positions[node as usize]
     }
 
+    /// The nodes that a node fills from.
     pub fn sources(&self, node: u32) -> &[u32] {
-        &self.out[node as usize]
+        &self.sources[node as usize]
     }
 
-    /// Adds an edge. One that would close a cycle is not added: the cycle is given, from `a` back to `a`.
+    /// Adds an edge.
+    ///
+    /// # Errors
+    /// An edge that would close a cycle is not added: the cycle is returned, from `a` back to `a`.
     pub fn insert_edge(&mut self, a: u32, b: u32) -> Result<(), Vec<u32>> {
         if a == b {
             return Err(vec![a, a]);
         }
-        if self.out[a as usize].contains(&b) {
+        if self.sources[a as usize].contains(&b) {
             return Ok(());
         }
         let (low, high) = (self.position(b), self.position(a));
         if low < high {
-            let ahead = self.ahead(b, a, high)?;
-            let behind = self.behind(a, low);
-            self.reorder(behind, ahead);
+            let descendants = self.descendants(b, a, high)?;
+            let ancestors = self.ancestors(a, low);
+            self.reorder(ancestors, descendants);
         }
-        self.out[a as usize].push(b);
-        self.into[b as usize].push(a);
+        self.sources[a as usize].push(b);
+        self.dependents[b as usize].push(a);
         Ok(())
     }
 
+    /// Removes an edge, if it is there.
     pub fn remove_edge(&mut self, a: u32, b: u32) {
-        self.out[a as usize].retain(|&x| x != b);
-        self.into[b as usize].retain(|&x| x != a);
+        self.sources[a as usize].retain(|&source| source != b);
+        self.dependents[b as usize].retain(|&dependent| dependent != a);
     }
 
-    fn begin(&mut self) -> u32 {
+    fn start_search(&mut self) -> u32 {
         self.search = self.search.wrapping_add(1);
         if self.search == 0 {
-            self.met.fill(0);
+            self.visited.fill(0);
             self.search = 1;
         }
         self.search
     }
 
-    /// All that is reached from `from` up to the place of `to`; the cycle if `to` is among it.
-    fn ahead(&mut self, from: u32, to: u32, high: u32) -> Result<Vec<u32>, Vec<u32>> {
-        let turn = self.begin();
+    /// All nodes that are reached from `from` and come before the position `high`. An error is the cycle that an edge
+    /// from `to` to `from` would close.
+    fn descendants(&mut self, from: u32, to: u32, high: u32) -> Result<Vec<u32>, Vec<u32>> {
+        let search = self.start_search();
         let mut found = vec![from];
-        let mut way: Vec<(u32, usize)> = vec![(from, 0)];
-        self.met[from as usize] = turn;
-        while let Some((node, next)) = way.last_mut() {
-            let Some(&s) = self.out[*node as usize].get(*next) else {
-                way.pop();
+        // The path of the depth-first search: each node with the index of its next source.
+        let mut path: Vec<(u32, usize)> = vec![(from, 0)];
+        self.visited[from as usize] = search;
+        while let Some((node, next)) = path.last_mut() {
+            let Some(&source) = self.sources[*node as usize].get(*next) else {
+                path.pop();
                 continue;
             };
             *next += 1;
-            if s == to {
+            if source == to {
                 let mut cycle = vec![to];
-                cycle.extend(way.iter().map(|(n, _)| *n));
+                cycle.extend(path.iter().map(|(node, _)| *node));
                 cycle.push(to);
                 return Err(cycle);
             }
-            if self.met[s as usize] != turn && self.place[s as usize] < high {
-                self.met[s as usize] = turn;
-                found.push(s);
-                way.push((s, 0));
+            if self.visited[source as usize] != search && self.positions[source as usize] < high {
+                self.visited[source as usize] = search;
+                found.push(source);
+                path.push((source, 0));
             }
         }
         Ok(found)
     }
 
-    /// All that reaches `from`, down to a place.
-    fn behind(&mut self, from: u32, low: u32) -> Vec<u32> {
-        let turn = self.begin();
+    /// All nodes that reach `from` and come after the position `low`.
+    fn ancestors(&mut self, from: u32, low: u32) -> Vec<u32> {
+        let search = self.start_search();
         let (mut found, mut next) = (vec![from], 0);
-        self.met[from as usize] = turn;
+        self.visited[from as usize] = search;
         while next < found.len() {
             let node = found[next] as usize;
             next += 1;
-            for &a in &self.into[node] {
-                if self.met[a as usize] != turn && self.place[a as usize] > low {
-                    self.met[a as usize] = turn;
-                    found.push(a);
+            for &dependent in &self.dependents[node] {
+                let dependent_index = dependent as usize;
+                if self.visited[dependent_index] != search && self.positions[dependent_index] > low {
+                    self.visited[dependent_index] = search;
+                    found.push(dependent);
                 }
             }
         }
         found
     }
 
-    /// Those behind come before those ahead, on the places that both together have.
-    fn reorder(&mut self, mut behind: Vec<u32>, mut ahead: Vec<u32>) {
-        behind.sort_unstable_by_key(|&n| self.place[n as usize]);
-        ahead.sort_unstable_by_key(|&n| self.place[n as usize]);
-        behind.append(&mut ahead);
-        let mut places: Vec<u32> = behind.iter().map(|&n| self.place[n as usize]).collect();
-        places.sort_unstable();
-        for (node, place) in behind.into_iter().zip(places) {
-            self.place[node as usize] = place;
+    /// Puts the ancestors before the descendants, on the positions that both together have.
+    fn reorder(&mut self, mut ancestors: Vec<u32>, mut descendants: Vec<u32>) {
+        ancestors.sort_unstable_by_key(|&node| self.position(node));
+        descendants.sort_unstable_by_key(|&node| self.position(node));
+        let mut nodes = ancestors;
+        nodes.append(&mut descendants);
+        let mut positions: Vec<u32> = nodes.iter().map(|&node| self.position(node)).collect();
+        positions.sort_unstable();
+        for (node, position) in nodes.into_iter().zip(positions) {
+            self.positions[node as usize] = position;
         }
     }
 }
 
-/// A full search: an order of all nodes (who fills from whom comes first), or a cycle, from a node back to it.
-pub fn topological_sort(out: &[Vec<u32>]) -> Result<Vec<u32>, Vec<u32>> {
-    let mut into = vec![0u32; out.len()];
-    out.iter().flatten().for_each(|&s| into[s as usize] += 1);
-    let mut order: Vec<u32> = (0..out.len() as u32).filter(|&n| into[n as usize] == 0).collect();
+/// Sorts all nodes of a graph, given by the sources of each: who fills from whom comes first.
+///
+/// # Errors
+/// A cycle, from a node back to it.
+pub fn topological_sort(sources: &[Vec<u32>]) -> Result<Vec<u32>, Vec<u32>> {
+    let mut unsorted_dependents = vec![0u32; sources.len()];
+    sources.iter().flatten().for_each(|&source| unsorted_dependents[source as usize] += 1);
+    let mut order: Vec<u32> =
+        (0..sources.len() as u32).filter(|&node| unsorted_dependents[node as usize] == 0).collect();
     let mut next = 0;
     while next < order.len() {
-        for &s in &out[order[next] as usize] {
-            into[s as usize] -= 1;
-            if into[s as usize] == 0 {
-                order.push(s);
+        for &source in &sources[order[next] as usize] {
+            unsorted_dependents[source as usize] -= 1;
+            if unsorted_dependents[source as usize] == 0 {
+                order.push(source);
             }
         }
         next += 1;
     }
-    if order.len() == out.len() {
+    if order.len() == sources.len() {
         return Ok(order);
     }
-    Err(cycle(out, &into))
+    Err(find_cycle(sources, &unsorted_dependents))
 }
 
-/// A cycle among the nodes that are left with edges into them. Each of these is asked by another that is left, so
-/// that going back from one to its asker ends in a circle.
-fn cycle(out: &[Vec<u32>], left: &[u32]) -> Vec<u32> {
-    let mut asker = vec![u32::MAX; out.len()];
-    for (a, sources) in out.iter().enumerate().filter(|(a, _)| left[*a] > 0) {
-        sources.iter().for_each(|&s| asker[s as usize] = a as u32);
-    }
-    let Some(mut at) = left.iter().position(|&n| n > 0).map(|n| n as u32) else { return Vec::new() };
-    let mut met = vec![false; out.len()];
-    while !std::mem::replace(&mut met[at as usize], true) {
-        at = asker[at as usize];
-    }
-    let mut back = vec![at];
-    let mut next = asker[at as usize];
+/// A cycle among the nodes that could not be sorted. Each of these is the source of another one, so that walking from
+/// one to its dependent, again and again, ends in a cycle.
+fn find_cycle(sources: &[Vec<u32>], unsorted_dependents: &[u32]) -> Vec<u32> {
+    let is_unsorted = |node: usize| unsorted_dependents[node] > 0;
+    let mut dependent = vec![u32::MAX; sources.len()];
+    for (node, sources) in sources.iter().enumerate().filter(|(node, _)| is_unsorted(*node)) {
+        sources.iter().for_each(|&source| dependent[source as usize] = node as u32);
+    }
+    let Some(start) = (0..sources.len()).find(|&node| is_unsorted(node)) else { return Vec::new() };
+    let mut at = start as u32;
+    let mut visited = vec![false; sources.len()];
+    while !std::mem::replace(&mut visited[at as usize], true) {
+        at = dependent[at as usize];
+    }
+    let mut cycle = vec![at];
+    let mut next = dependent[at as usize];
     while next != at {
-        back.push(next);
-        next = asker[next as usize];
+        cycle.push(next);
+        next = dependent[next as usize];
     }
-    back.push(at);
-    back.reverse();
-    back
+    cycle.push(at);
+    cycle.reverse();
+    cycle
 }
--- a/crates/hierarchy/src/version.rs
+++ b/crates/hierarchy/src/version.rs
@@ -1,4 +1,4 @@
-//! One version of the hierarchy.
+//! One version of the hierarchy: a persistent map, so that a copy costs two reference counts.
 
 use std::sync::{Arc, OnceLock};
 
@@ -6,237 +6,275 @@
 use imbl::ordmap::DiffItem;
 use sablecross::Ns;
 
-/// A node's number; it stays the same for a name through all versions that follow one another.
+/// The number of a node. A node keeps it through successive versions; another process may number nodes differently.
 pub type NodeId = u32;
 
-/// All places of a member in the pie of its tier.
+/// All virtual nodes that a node can take in the ring of its tier.
 pub const FULL_SHARE: u16 = 256;
 
-/// Part of the load at which a cold node falls that it is given, as the module has it.
+/// The part of the load at which a cold node collapses that it may get, as in the decision module.
 pub const COLD_LOAD_FRACTION: f64 = 0.5;
 
-/// What holds for a whole hierarchy and for its changes.
+/// The settings of a whole hierarchy and of its changes. Durations are in nanoseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HierarchyRules {
-    /// Fetches a second that the origin may be asked for, and the part of it that plans keep free.
+    /// The fetches a second that the origin may get.
     pub ceiling: f64,
+    /// The part of `ceiling` that plans keep free.
     pub margin: f64,
-    /// Warmth of a node that has just begun, and how long it takes to be warm.
+    /// The warmth of a node that has just started, from 0 to 1.
     pub slow_start_initial_share: f64,
+    /// How long after its start a node is warm.
     pub slow_start_window: Ns,
-    /// A cold node falls at this multiple of what its warmth bears.
+    /// The multiple of what its warmth allows at which a cold node collapses.
     pub collapse_multiple: f64,
-    /// Whether a node may fill from one of its own tier.
+    /// Whether a node may fill from a node of its own tier.
     pub allows_siblings: bool,
-    /// The longest that a lookup is in hand: so long a version is still in use after a newer one came.
+    /// The longest time that a request is in flight: so long a version is in use after a newer one was applied.
     pub drain_window: Ns,
-    /// How long a moved slice takes to fill.
+    /// How long a moved part of a ring takes to fill.
     pub fill_window: Ns,
-    /// How long a step may wait for those that have to take it, or for calm, before it is taken back.
+    /// How long a step may wait for participants, or for the origin's load, before it is rolled back.
     pub step_timeout: Ns,
 }
 
+/// An origin or a cache of one version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HierarchyNode {
+    /// The name, by which nodes of different processes are the same.
     pub name: Arc<str>,
-    /// 0 is the origin; it counts away from it.
+    /// The distance from the origin, which is tier 0.
     pub tier: u8,
-    /// Where it fills from. Those of the highest tier are asked first, by their pie; the next tier serves when
-    /// none of these can.
+    /// The nodes that it fills from. Those of the highest tier are preferred and share the objects by their ring; the
+    /// next tier is used when none of these is up.
     pub sources: Arc<[NodeId]>,
-    /// Fetches a second that it bears when it is warm.
+    /// The requests a second that it can take when it is warm.
     pub capacity: f64,
-    /// Lookups a second that clients bring it.
+    /// The requests a second that it gets from clients.
     pub demand: f64,
-    /// Part of what it is asked for that it answers itself.
+    /// The part of its requests that it answers from its cache.
     pub hit_ratio: f64,
-    /// Places that it takes in the pie of its tier, of `FULL`.
+    /// The virtual nodes that it takes in the ring of its tier, of [`FULL_SHARE`].
     pub ring_share: u16,
-    /// When it began, in Unix time; 0: long ago.
+    /// The Unix time of its start in nanoseconds; 0 if it has been running for long.
     pub started_at: Ns,
 }
 
 impl HierarchyNode {
+    /// Whether the node is an origin.
     pub fn is_origin(&self) -> bool {
         self.tier == 0
     }
 }
 
+/// A version: its settings and its nodes. It is never changed; each change makes a new version.
 #[derive(Clone, Debug)]
 pub struct Hierarchy {
+    /// The settings.
     pub rules: Arc<HierarchyRules>,
-    members: OrdMap<NodeId, Arc<HierarchyNode>>,
+    nodes: OrdMap<NodeId, Arc<HierarchyNode>>,
     ids: OrdMap<Arc<str>, NodeId>,
-    /// Reckoned once for all clones.
+    /// Computed once for all clones.
     digest: Arc<OnceLock<u64>>,
 }
 
-/// A node that two versions have differently.
+/// A node that differs between two versions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeDifference {
+    /// The node.
     pub node: NodeId,
+    /// The node before, if it was there.
     pub before: Option<Arc<HierarchyNode>>,
+    /// The node after, if it is there.
     pub after: Option<Arc<HierarchyNode>>,
 }
 
 impl PartialEq for Hierarchy {
     fn eq(&self, other: &Self) -> bool {
+        // Clones share their digest.
         Arc::ptr_eq(&self.digest, &other.digest)
-            || self.rules == other.rules && self.members.diff(&other.members).next().is_none()
+            || self.rules == other.rules && self.nodes.diff(&other.nodes).next().is_none()
     }
 }
 
 impl Hierarchy {
+    /// A version without nodes.
     pub fn new(rules: HierarchyRules) -> Self {
-        Hierarchy {
-            rules: Arc::new(rules),
-            members: OrdMap::new(),
-            ids: OrdMap::new(),
-            digest: Arc::default(),
-        }
+        Hierarchy { rules: Arc::new(rules), nodes: OrdMap::new(), ids: OrdMap::new(), digest: Arc::default() }
     }
 
+    /// The version with other settings.
     pub fn with_rules(&self, rules: Arc<HierarchyRules>) -> Self {
         Hierarchy { rules, digest: Arc::default(), ..self.clone() }
     }
 
-    /// A version with this member; the one before is untouched.
-    pub fn with_node(&self, node: NodeId, member: impl Into<Arc<HierarchyNode>>) -> Self {
+    /// The version with this node, in place of one with the same id.
+    pub fn with_node(&self, id: NodeId, node: impl Into<Arc<HierarchyNode>>) -> Self {
         let mut next = self.clone();
-        next.put(node, member.into());
+        next.insert(id, node.into());
         next
     }
 
-    pub fn without_node(&self, node: NodeId) -> Self {
+    /// The version without this node.
+    pub fn without_node(&self, id: NodeId) -> Self {
         let mut next = self.clone();
-        next.drop(node);
+        next.remove(id);
         next
     }
 
-    pub(crate) fn put(&mut self, node: NodeId, member: Arc<HierarchyNode>) {
-        self.digest = Arc::default();
-        self.ids.insert(Arc::clone(&member.name), node);
-        self.members.insert(node, member);
-    }
-
-    fn drop(&mut self, node: NodeId) {
-        self.digest = Arc::default();
-        if let Some(member) = self.members.remove(&node) {
-            self.ids.remove(&member.name);
-        }
-    }
-
-    /// Sets each of these nodes as it is after, or takes it out.
+    /// The version with each of these nodes replaced, or removed where there is none.
     pub fn with_changes(
         &self,
         changes: impl IntoIterator<Item = (NodeId, Option<Arc<HierarchyNode>>)>,
     ) -> Self {
         let mut next = self.clone();
-        for (node, after) in changes {
-            match after {
-                Some(member) => next.put(node, member),
-                None => next.drop(node),
+        for (id, node) in changes {
+            match node {
+                Some(node) => next.insert(id, node),
+                None => next.remove(id),
             }
         }
         next
     }
 
-    pub fn get(&self, node: NodeId) -> Option<&Arc<HierarchyNode>> {
-        self.members.get(&node)
+    fn insert(&mut self, id: NodeId, node: Arc<HierarchyNode>) {
+        self.digest = Arc::default();
+        self.ids.insert(Arc::clone(&node.name), id);
+        self.nodes.insert(id, node);
+    }
+
+    fn remove(&mut self, id: NodeId) {
+        self.digest = Arc::default();
+        if let Some(node) = self.nodes.remove(&id) {
+            self.ids.remove(&node.name);
+        }
     }
 
+    /// The node with this id.
+    pub fn get(&self, id: NodeId) -> Option<&Arc<HierarchyNode>> {
+        self.nodes.get(&id)
+    }
+
+    /// The id of the node with this name.
     pub fn node_id(&self, name: &str) -> Option<NodeId> {
         self.ids.get(name).copied()
     }
 
-    pub fn node_name(&self, node: NodeId) -> &str {
-        self.get(node).map_or("?", |m| &m.name)
+    /// The name of a node; `?` if it is not in the version.
+    pub fn node_name(&self, id: NodeId) -> &str {
+        self.get(id).map_or("?", |node| &node.name)
     }
 
+    /// The number of nodes.
     pub fn len(&self) -> usize {
-        self.members.len()
+        self.nodes.len()
+    }
+
+    /// Whether there are no nodes.
+    pub fn is_empty(&self) -> bool {
+        self.nodes.is_empty()
     }
-    /// A name that two of its nodes have.
+
+    /// A name that two nodes have.
     pub fn duplicate_name(&self) -> Option<&str> {
-        if self.ids.len() == self.members.len() {
+        if self.ids.len() == self.nodes.len() {
             return None;
         }
-        self.iter().find(|(id, m)| self.node_id(&m.name) != Some(*id)).map(|(_, m)| &*m.name)
+        let mut nodes = self.iter();
+        nodes.find(|(id, node)| self.node_id(&node.name) != Some(*id)).map(|(_, node)| &*node.name)
     }
 
-    pub fn is_empty(&self) -> bool {
-        self.members.is_empty()
-    }
-
-    /// All members by their numbers.
+    /// All nodes by their ids.
     pub fn iter(&self) -> impl Iterator<Item = (NodeId, &Arc<HierarchyNode>)> {
-        self.members.iter().map(|(id, m)| (*id, m))
+        self.nodes.iter().map(|(id, node)| (*id, node))
     }
 
-    /// Whom a node may be sent on to: its sources that are in this version and have a place in their pie.
-    pub fn active_sources(&self, node: NodeId) -> impl Iterator<Item = NodeId> + '_ {
-        let sources = self.get(node).map(|m| &m.sources[..]).unwrap_or_default();
-        sources.iter().copied().filter(|s| self.get(*s).is_some_and(|m| m.ring_share > 0))
+    /// The nodes that a node may fill from: its sources that are in the version and take virtual nodes.
+    pub fn active_sources(&self, id: NodeId) -> impl Iterator<Item = NodeId> + '_ {
+        let sources = self.get(id).map(|node| &node.sources[..]).unwrap_or_default();
+        sources.iter().copied().filter(|source| self.get(*source).is_some_and(|node| node.ring_share > 0))
     }
 
-    /// What differs, in the order of the numbers; parts that both share are passed over.
+    /// The nodes that differ, by their ids. Parts that both versions share are skipped.
     pub fn diff<'a>(&'a self, after: &'a Hierarchy) -> impl Iterator<Item = NodeDifference> + 'a {
-        self.members.diff(&after.members).filter_map(|item| {
+        self.nodes.diff(&after.nodes).filter_map(|item| {
             let (node, before, after) = match item {
-                DiffItem::Add(id, m) => (*id, None, Some(m)),
-                DiffItem::Remove(id, m) => (*id, Some(m), None),
+                DiffItem::Add(id, node) => (*id, None, Some(node)),
+                DiffItem::Remove(id, node) => (*id, Some(node), None),
                 DiffItem::Update { old: (id, old), new: (_, new) } => (*id, Some(old), Some(new)),
             };
-            // Two members made apart may say the same.
+            // Two nodes that were created separately may be equal.
             (before != after).then(|| NodeDifference { node, before: before.cloned(), after: after.cloned() })
         })
     }
 
-    /// A number that is the same for the same content, whoever reckons it (FNV-1a).
+    /// A hash of the content that is the same in all processes (FNV-1a).
     pub fn digest(&self) -> u64 {
-        *self.digest.get_or_init(|| self.reckon())
+        *self.digest.get_or_init(|| self.compute_digest())
     }
 
-    fn reckon(&self) -> u64 {
-        let mut h = Digest(0xcbf2_9ce4_8422_2325);
-        let r = &self.rules;
-        for x in [r.ceiling, r.margin, r.slow_start_initial_share, r.collapse_multiple] {
-            h.eat(x.to_bits());
+    fn compute_digest(&self) -> u64 {
+        let mut hash = FnvHash::default();
+        let rules = &self.rules;
+        for value in [rules.ceiling, rules.margin, rules.slow_start_initial_share, rules.collapse_multiple] {
+            hash.write_f64(value);
         }
-        for x in
-            [r.slow_start_window, u64::from(r.allows_siblings), r.drain_window, r.fill_window, r.step_timeout]
-        {
-            h.eat(x);
+        hash.write_u64(rules.slow_start_window);
+        hash.write_u64(u64::from(rules.allows_siblings));
+        for value in [rules.drain_window, rules.fill_window, rules.step_timeout] {
+            hash.write_u64(value);
         }
-        // By name: numbers are given out by each holder for itself.
+        // By name, as each process assigns ids by itself.
         for (name, id) in &self.ids {
-            let Some(m) = self.get(*id) else { continue };
-            h.text(name);
-            for x in [u64::from(m.tier), u64::from(m.ring_share), m.started_at, m.sources.len() as u64] {
-                h.eat(x);
+            if let Some(node) = self.get(*id) {
+                self.hash_node(&mut hash, name, node);
             }
-            for x in [m.capacity, m.demand, m.hit_ratio] {
-                h.eat(x.to_bits());
-            }
-            m.sources.iter().for_each(|s| h.text(self.node_name(*s)));
         }
-        h.0
+        hash.0
+    }
+
+    fn hash_node(&self, hash: &mut FnvHash, name: &str, node: &HierarchyNode) {
+        hash.write_str(name);
+        for value in
+            [u64::from(node.tier), u64::from(node.ring_share), node.started_at, node.sources.len() as u64]
+        {
+            hash.write_u64(value);
+        }
+        for value in [node.capacity, node.demand, node.hit_ratio] {
+            hash.write_f64(value);
+        }
+        node.sources.iter().for_each(|source| hash.write_str(self.node_name(*source)));
+    }
+}
+
+/// The 64-bit FNV-1a hash.
+struct FnvHash(u64);
+
+impl Default for FnvHash {
+    fn default() -> Self {
+        FnvHash(0xcbf2_9ce4_8422_2325)
     }
 }
 
-struct Digest(u64);
+impl FnvHash {
+    const PRIME: u64 = 0x0100_0000_01b3;
+    /// Ends each text, so that two texts don't run into each other.
+    const TEXT_END: u8 = 0xff;
+
+    fn write_byte(&mut self, byte: u8) {
+        self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(Self::PRIME);
+    }
 
-impl Digest {
-    fn byte(&mut self, b: u8) {
-        self.0 = (self.0 ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
+    fn write_u64(&mut self, value: u64) {
+        value.to_le_bytes().into_iter().for_each(|byte| self.write_byte(byte));
     }
 
-    fn eat(&mut self, x: u64) {
-        x.to_le_bytes().into_iter().for_each(|b| self.byte(b));
+    fn write_f64(&mut self, value: f64) {
+        self.write_u64(value.to_bits());
     }
 
-    fn text(&mut self, text: &str) {
-        text.bytes().for_each(|b| self.byte(b));
-        self.byte(0xff);
+    fn write_str(&mut self, text: &str) {
+        text.bytes().for_each(|byte| self.write_byte(byte));
+        self.write_byte(Self::TEXT_END);
     }
 }
--- a/crates/hierarchy/src/version_holder.rs
+++ b/crates/hierarchy/src/version_holder.rs
@@ -1,56 +1,54 @@
-//! The side of a director or node that takes versions: numbers rise, older ones never come back.
+//! The version that a participant applies. Its number only rises.
 
 use crate::version::Hierarchy;
 
-#[derive(Clone, Debug, PartialEq)]
+/// What a director or cache node keeps of the versions that it is sent.
+#[derive(Clone, Debug, Default, PartialEq)]
 pub struct VersionHolder {
     number: u64,
     version: Option<Hierarchy>,
 }
 
-/// What became of a version that was told.
+/// What became of a version that was offered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OfferOutcome {
-    /// In force from now on.
+    /// It is applied from now on.
     Accepted,
-    /// In force already.
+    /// It was applied before.
     Unchanged,
-    /// Older than what is in force: passed over.
+    /// It is older than the applied one, and ignored.
     Older,
-    /// The number in force, with another content: passed over, and not to be said to be in force.
+    /// It has the number of the applied one and another content. It is ignored, and must not be reported as applied.
     Conflicting,
 }
 
-impl Default for VersionHolder {
-    fn default() -> Self {
-        VersionHolder::new()
-    }
-}
-
 impl VersionHolder {
+    /// A holder without a version.
     pub fn new() -> VersionHolder {
-        VersionHolder { number: 0, version: None }
+        VersionHolder::default()
     }
 
-    /// The number in force; 0: none.
+    /// The number of the applied version; 0 if there is none.
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// The version in force. A lookup keeps what it was routed by: a clone costs two counts of references.
+    /// The applied version. A request keeps a clone of the version that it was routed by.
     pub fn version(&self) -> Option<&Hierarchy> {
         self.version.as_ref()
     }
 
+    /// Applies the version if it is newer than the current one.
     pub fn offer(&mut self, number: u64, version: &Hierarchy) -> OfferOutcome {
         if number < self.number || number == 0 {
             return OfferOutcome::Older;
         }
         if number == self.number {
-            let same = self.version.as_ref().is_some_and(|v| v.digest() == version.digest());
-            return if same { OfferOutcome::Unchanged } else { OfferOutcome::Conflicting };
+            let is_same = self.version.as_ref().is_some_and(|held| held.digest() == version.digest());
+            return if is_same { OfferOutcome::Unchanged } else { OfferOutcome::Conflicting };
         }
-        (self.number, self.version) = (number, Some(version.clone()));
+        self.number = number;
+        self.version = Some(version.clone());
         OfferOutcome::Accepted
     }
 }
--- a/crates/hierarchy/tests/changes.rs
+++ b/crates/hierarchy/tests/changes.rs
@@ -1,15 +1,15 @@
 //! The driver: killed at each act, superseded, taken back, told by old logs.
 
-mod help;
+mod support;
 
 use std::collections::BTreeMap;
 
-use help::{SEC, of_masks};
 use sablecross_hierarchy::rollout::{Participant, RolloutError};
 use sablecross_hierarchy::{
     Hierarchy, HierarchyRules, Rollout, RolloutAction, RolloutInput, RolloutOutcome, RolloutRecord,
     VersionHolder,
 };
+use support::{SEC, of_masks};
 
 /// A world round a driver: its log, and parties that take what they are told.
 struct World {
@@ -169,7 +169,7 @@
         w.now += 50_000_000;
         w.hear(RolloutInput::Propose { target: other.clone() }).unwrap();
         let third = w.hear(RolloutInput::Propose { target: from.clone() });
-        let (kept, running) = (kill != Some(0), w.driver.progress().map_or(0, |r| r.0));
+        let (kept, running) = (kill != Some(0), w.driver.progress().map_or(0, |progress| progress.change));
         assert!(!kept || third == Err(RolloutError::Busy { running }), "{kill:?}: {third:?}");
         w.run();
         if kept {
@@ -188,12 +188,12 @@
     w.run();
     w.hear(RolloutInput::Propose { target: to }).unwrap();
     w.hear(RolloutInput::Propose { target: of_masks(&[0b0001, 0b0001, 0b0001]) }).unwrap();
-    while w.driver.progress().is_some_and(|(change, ..)| change == 1) {
+    while w.driver.progress().is_some_and(|progress| progress.change == 1) {
         w.now = w.now.max(w.driver.next_wakeup().unwrap());
         w.hear(RolloutInput::Tick).unwrap();
     }
     assert!(w.driver.committed().1 != &from);
-    w.hear(RolloutInput::HealthReport { origin: 2e6, down_nodes: vec![] }).unwrap();
+    w.hear(RolloutInput::HealthReport { origin_load: 2e6, down_nodes: vec![] }).unwrap();
     let parties: Vec<Participant> = w.holders.keys().cloned().collect();
     w.driver = Rollout::recover(&w.log, parties, w.now).unwrap();
     w.run();
@@ -232,8 +232,8 @@
     let from = of_masks(&[0b0001, 0b0001, 0b0001]);
     let mut w = World::new(&from);
     w.run();
-    w.hear(RolloutInput::Propose { target: from.with_node(4, help::member("x", 1, &[0])) }).unwrap();
-    let aim = from.with_node(4, help::member("y", 1, &[0]));
+    w.hear(RolloutInput::Propose { target: from.with_node(4, support::member("x", 1, &[0])) }).unwrap();
+    let aim = from.with_node(4, support::member("y", 1, &[0]));
     w.hear(RolloutInput::Propose { target: aim.clone() }).unwrap();
     w.run();
     let held = w.driver.committed().1;
@@ -246,9 +246,12 @@
 fn bad_evidence_takes_a_change_back() {
     let (from, to) = chain();
     let bad: Vec<(RolloutInput, &str)> = vec![
-        (RolloutInput::HealthReport { origin: 2e6, down_nodes: vec![] }, "origin=2000000 ceiling=1000000"),
-        (RolloutInput::HealthReport { origin: 1.0, down_nodes: vec![1] }, "down=n1"),
-        (RolloutInput::RollBack, "back asked"),
+        (
+            RolloutInput::HealthReport { origin_load: 2e6, down_nodes: vec![] },
+            "origin=2000000 ceiling=1000000",
+        ),
+        (RolloutInput::HealthReport { origin_load: 1.0, down_nodes: vec![1] }, "down=n1"),
+        (RolloutInput::RollBack, "rollback requested"),
     ];
     for (input, why) in bad {
         for ticks in 0..7 {
@@ -262,8 +265,8 @@
             }
             let over = w.driver.progress().is_none();
             let untouched = over
-                || matches!(&input, RolloutInput::HealthReport { origin, .. } if *origin < 2.0)
-                    && w.driver.progress().is_none_or(|(.., left)| left <= 1);
+                || matches!(&input, RolloutInput::HealthReport { origin_load, .. } if *origin_load < 2.0)
+                    && w.driver.progress().is_none_or(|progress| progress.remaining_steps <= 1);
             // The same word once more changes nothing.
             for _ in 0..2 {
                 let said = w.hear(input.clone());
@@ -292,8 +295,8 @@
     // Taken back for those that have it; nothing more happens until it is known what the third has.
     assert!(w.endings().is_empty() && w.driver.next_wakeup().is_none());
     assert_eq!(w.driver.missing_participants(), ["d2".into()]);
-    assert!(w.notes.iter().any(|n| n.contains("back missing=d2")), "{:?}", w.notes);
-    assert!(w.notes.iter().any(|n| n.contains("waits missing=d2")), "{:?}", w.notes);
+    assert!(w.notes.iter().any(|n| n.contains("rollback missing=d2")), "{:?}", w.notes);
+    assert!(w.notes.iter().any(|n| n.contains("waiting missing=d2")), "{:?}", w.notes);
     let mut gone = World {
         driver: w.driver.clone(),
         log: w.log.clone(),
@@ -328,7 +331,7 @@
     w.run();
     w.hear(RolloutInput::Propose { target: to.clone() }).unwrap();
     // 90 of 100 with a margin of a fifth.
-    w.hear(RolloutInput::HealthReport { origin: 90.0, down_nodes: vec![] }).unwrap();
+    w.hear(RolloutInput::HealthReport { origin_load: 90.0, down_nodes: vec![] }).unwrap();
     let number = w.driver.published().0;
     w.now = w.driver.next_wakeup().unwrap();
     w.hear(RolloutInput::Tick).unwrap();
@@ -342,12 +345,12 @@
         ..World::new(&from)
     };
     calm.now = w.now;
-    calm.hear(RolloutInput::HealthReport { origin: 10.0, down_nodes: vec![] }).unwrap();
+    calm.hear(RolloutInput::HealthReport { origin_load: 10.0, down_nodes: vec![] }).unwrap();
     calm.run();
     calm.agree(&to);
     w.run();
     w.agree(&from);
-    assert!(w.notes.iter().any(|n| n.contains("origin not calm")), "{:?}", w.notes);
+    assert!(w.notes.iter().any(|n| n.contains("rollback origin load too high")), "{:?}", w.notes);
 }
 
 #[test]
--- a/crates/hierarchy/tests/model.rs
+++ b/crates/hierarchy/tests/model.rs
@@ -4,19 +4,19 @@
 //! `SABLECROSS_MODEL=all` searches every first version and every pair of changes on it (one of each kind that differs
 //! by the names of the nodes alone), `N` one in so many, `N:PART` another such part; without it a sample is searched, the same each time.
 
-mod help;
+mod support;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use help::{all_masks, of_masks};
 use sablecross_hierarchy::rollout::Participant;
 use sablecross_hierarchy::{
     Hierarchy, NodeId, Rollout, RolloutAction, RolloutInput, RolloutRecord, VersionHolder,
 };
 use stateright::{Checker, Model, Property};
+use support::{all_masks, of_masks};
 
 #[derive(Clone, Debug)]
 struct World {
@@ -198,7 +198,7 @@
         if w.begun && w.kills < self.kills {
             actions.push(Move::Kill);
         }
-        if w.begun && w.bad < self.bad && w.driver.progress().is_some_and(|(_, back, _)| !back) {
+        if w.begun && w.bad < self.bad && w.driver.progress().is_some_and(|progress| !progress.is_rollback) {
             actions.push(Move::Evidence);
         }
     }
@@ -259,7 +259,7 @@
             }
             Move::Evidence => {
                 w.bad += 1;
-                self.hear(&mut w, RolloutInput::HealthReport { origin: 1e7, down_nodes: Vec::new() });
+                self.hear(&mut w, RolloutInput::HealthReport { origin_load: 1e7, down_nodes: Vec::new() });
             }
         }
         self.walk(&mut w);
--- a/crates/hierarchy/tests/plans.rs
+++ b/crates/hierarchy/tests/plans.rs
@@ -1,10 +1,9 @@
 //! Plans: no loop in any mixture, cold nodes and the origin within their bounds, the fewest steps.
 
-mod help;
+mod support;
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use help::{SEC, all_masks, member, of_masks, random, read, rules};
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
@@ -13,6 +12,7 @@
 use sablecross_hierarchy::{
     Admission, FULL_SHARE, Hierarchy, HierarchyNode, HierarchyRules, NodeId, PlanError, plan,
 };
+use support::{SEC, all_masks, member, of_masks, random, read, rules};
 
 /// Whether a fill can meet a node twice while everyone holds one of two versions, by a search of its own.
 fn loops(u: &Hierarchy, v: &Hierarchy) -> bool {
--- a/crates/hierarchy/tests/help/mod.rs
+++ b/crates/hierarchy/tests/support/mod.rs
@@ -5,9 +5,9 @@
 use rand_pcg::Pcg32;
 use sablecross_hierarchy::{FULL_SHARE, Hierarchy, HierarchyNode, HierarchyRules, NodeId, spec};
 
-pub const SEC: u64 = 1_000_000_000;
+pub(crate) const SEC: u64 = 1_000_000_000;
 
-pub fn rules() -> HierarchyRules {
+pub(crate) fn rules() -> HierarchyRules {
     HierarchyRules {
         ceiling: 1e6,
         margin: 0.2,
@@ -21,15 +21,15 @@
     }
 }
 
-pub const HEAD: &str = "(hierarchy (version . 1) (ceiling . 1000) (siblings . #t))";
+pub(crate) const HEAD: &str = "(hierarchy (version . 1) (ceiling . 1000) (siblings . #t))";
 
 /// A version from the forms of its nodes; those of `known` keep their numbers.
-pub fn read(nodes: &str, known: Option<&Hierarchy>) -> Hierarchy {
+pub(crate) fn read(nodes: &str, known: Option<&Hierarchy>) -> Hierarchy {
     spec::parse_settings("test", &format!("{HEAD}{nodes}"), known).unwrap_or_else(|f| panic!("{f:?}")).1
 }
 
 /// The origin is node 0; a bit of `masks[n - 1]` is a source of node n. No loads.
-pub fn of_masks(masks: &[u8]) -> Hierarchy {
+pub(crate) fn of_masks(masks: &[u8]) -> Hierarchy {
     let mut h = Hierarchy::new(rules()).with_node(0, member("o", 0, &[]));
     for (i, mask) in masks.iter().enumerate() {
         let sources: Vec<NodeId> = (0..8).filter(|s| mask >> s & 1 == 1).collect();
@@ -38,7 +38,7 @@
     h
 }
 
-pub fn member(name: &str, tier: u8, sources: &[NodeId]) -> HierarchyNode {
+pub(crate) fn member(name: &str, tier: u8, sources: &[NodeId]) -> HierarchyNode {
     let (capacity, sources) = (1e6, sources.into());
     HierarchyNode {
         name: name.into(),
@@ -53,7 +53,7 @@
 }
 
 /// All loop-free ways to give sources to `n` nodes so that each leads to the origin.
-pub fn all_masks(n: usize) -> Vec<Vec<u8>> {
+pub(crate) fn all_masks(n: usize) -> Vec<Vec<u8>> {
     let each = 1u32 << (n + 1);
     let mut found = Vec::new();
     for code in 0..each.pow(n as u32) {
@@ -76,7 +76,7 @@
 }
 
 /// Upper tiers over an origin, `edge` nodes with demand below them; some may fill from their own tier.
-pub fn random(nodes: u32, edge: u32, siblings: f64, rng: &mut Pcg32) -> Hierarchy {
+pub(crate) fn random(nodes: u32, edge: u32, siblings: f64, rng: &mut Pcg32) -> Hierarchy {
     let upper = nodes - edge - 1;
     let mut h = Hierarchy::new(rules()).with_node(0, HierarchyNode { capacity: 1e9, ..member("o", 0, &[]) });
     let mut line: Vec<NodeId> = (1..=upper).collect();
--- a/crates/hierarchy/tests/versions.rs
+++ b/crates/hierarchy/tests/versions.rs
@@ -1,8 +1,7 @@
 //! Files, versions, orders and admission.
 
-mod help;
+mod support;
 
-use help::{HEAD, member, random, read, rules};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use sablecross_hierarchy::fill_path::{FillPaths, FillRejection, check_fill_path};
@@ -10,6 +9,7 @@
 use sablecross_hierarchy::{
     Admission, AdmissionError, FULL_SHARE, Hierarchy, HierarchyNode, OfferOutcome, VersionHolder, spec,
 };
+use support::{HEAD, member, random, read, rules};
 
 const SMALL: &str = r#"
 (node (name . "o") (tier . 0) (capacity . 2000))
--- a/crates/relay/src/event.rs
+++ b/crates/relay/src/event.rs
@@ -148,7 +148,8 @@
 
 fn hierarchy(text: &str) -> Result<EventKind, EventError> {
     let spec: Spec = serde_json::from_str(text).map_err(|e| EventError::InvalidHierarchy(why(e)))?;
-    let (_, version) = spec.to_hierarchy(None).map_err(EventError::InvalidHierarchy)?;
+    let (_, version) =
+        spec.to_hierarchy(None).map_err(|error| EventError::InvalidHierarchy(error.to_string()))?;
     // As directors check it: one that they would pass over is not told.
     Admission::check_structure(&version).map_err(|e| EventError::InvalidHierarchy(e.to_string()))?;
     Ok(EventKind::Hierarchy)
--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -310,7 +310,7 @@
             let origin = lock(&self.common.seconds).iter().rev().nth(1).map_or(0, |s| s.origin);
             let (down, told) = (self.uppers.iter().filter(|u| u.is_down()), self.driver.published().1);
             let down: Vec<NodeId> = down.filter_map(|u| told.node_id(&u.name)).collect();
-            self.hear(RolloutInput::HealthReport { origin: origin as f64, down_nodes: down })?;
+            self.hear(RolloutInput::HealthReport { origin_load: origin as f64, down_nodes: down })?;
         }
         // An upper cache dies in the middle of a change now and then, for a second.
         if self.e.faults && self.driver.progress().is_some() && self.rng.random::<f64>() < 0.000_5 {
