--- a/crates/controller-log/src/lib.rs
+++ b/crates/controller-log/src/lib.rs
@@ -1,5 +1,5 @@
-//! The log of the driver on disk: each entry is there before anything that follows from it is done. What a
-//! `Start` makes needless goes in the same commit.
+//! The write-ahead log of the hierarchy controller, in a database file. A record is durable before any action that
+//! follows from it is carried out. Records that a checkpoint makes needless are removed in the same transaction.
 
 use std::path::{Path, PathBuf};
 
@@ -8,146 +8,200 @@
 use sablecross_hierarchy::RolloutRecord;
 use thiserror::Error;
 
+/// The records as JSON, by their index in the log.
 const RECORDS: TableDefinition<u64, &[u8]> = TableDefinition::new("records");
-/// The newest token that wrote: its term, the owner's number and life.
-const NEWEST: TableDefinition<(), (u64, u32, u64)> = TableDefinition::new("newest");
+/// The newest token that wrote: its term, and the number and incarnation of its holder.
+const NEWEST_TOKEN: TableDefinition<(), (u64, u32, u64)> = TableDefinition::new("newest");
 
+/// Why the log can't be opened, read or written.
 #[derive(Debug, Error)]
 pub enum ControllerLogError {
-    #[error("{file}: the log can't be opened (is another driver running on it?): {why}")]
-    Open { file: String, why: redb::Error },
-    /// Nothing follows from the entry. It may be written again: the file is opened anew for that.
-    #[error("the log can't be written, so nothing more is told until it can be (is the disk full?): {0}")]
-    Write(redb::Error),
-    #[error("entry {at} of the log can't be read: {why}")]
-    Read { at: u64, why: String },
-    #[error("the log takes nothing of this owner: {0}")]
+    /// The file is no database, or another process has it open.
+    #[error("{}: the log can't be opened (is another controller running on it?): {cause}", .file.display())]
+    Open {
+        /// The file.
+        file: PathBuf,
+        /// What the database reports.
+        cause: redb::Error,
+    },
+    /// The record is not stored, so nothing may follow from it. Writing it may be tried again.
+    #[error("the log can't be written, so nothing more is sent until it can be (is the disk full?): {0}")]
+    Write(#[source] redb::Error),
+    /// The tables can't be read.
+    #[error("the log can't be read: {0}")]
+    Read(#[source] redb::Error),
+    /// A stored record is not what it should be.
+    #[error("entry {index} of the log can't be read: {cause}")]
+    Decode {
+        /// The index of the record.
+        index: u64,
+        /// What is wrong with it.
+        cause: serde_json::Error,
+    },
+    /// A record can't be written as JSON.
+    #[error("entry {index} of the log can't be encoded: {cause}")]
+    Encode {
+        /// The index that the record would have.
+        index: u64,
+        /// What is wrong with it.
+        cause: serde_json::Error,
+    },
+    /// A newer holder of the role has written to the log.
+    #[error("the log rejects this holder: {0}")]
     StaleToken(#[from] StaleToken),
 }
 
+/// What became of a record.
+enum AppendOutcome {
+    Stored,
+    /// The token is not the newest one.
+    Rejected(StaleToken),
+}
+
+/// An open log. Only one process can have it open.
 pub struct ControllerLog {
     file: PathBuf,
-    /// None after a write that failed: the database refuses all others then, until it is opened again.
+    /// None after a failed write: the database then rejects all others until it is opened again.
     database: Option<Database>,
-    next: u64,
+    next_index: u64,
 }
 
 impl ControllerLog {
-    /// Opens the log, or begins one; the entries that it has.
+    /// Opens the log, or creates it. Returns it with its records, the oldest first.
+    ///
+    /// # Errors
+    /// If the file can't be opened, or a record can't be read.
     pub fn open(file: &Path) -> Result<(ControllerLog, Vec<RolloutRecord>), ControllerLogError> {
-        let mut log = ControllerLog { file: file.to_path_buf(), database: None, next: 0 };
-        log.database()?;
-        let records = log.records()?;
-        log.next = records.last().map_or(0, |(at, _)| at + 1);
-        Ok((log, records.into_iter().map(|(_, r)| r).collect()))
-    }
-
-    /// The database, opened if it is not. The tables are there from the first opening on.
-    fn database(&mut self) -> Result<&Database, ControllerLogError> {
-        let failed =
-            |why: redb::Error| ControllerLogError::Open { file: self.file.display().to_string(), why };
-        let database = match self.database.take() {
-            Some(database) => database,
-            None => opened(&self.file).map_err(failed)?,
-        };
-        Ok(self.database.insert(database))
-    }
-
-    fn records(&mut self) -> Result<Vec<(u64, RolloutRecord)>, ControllerLogError> {
-        let database = self.database()?;
-        let read = || -> Result<Vec<(u64, Vec<u8>)>, redb::Error> {
-            let read = database.begin_read()?;
-            let table = read.open_table(RECORDS)?;
-            let mut all = Vec::new();
-            for entry in table.iter()? {
-                let (at, bytes) = entry?;
-                all.push((at.value(), bytes.value().to_vec()));
-            }
-            Ok(all)
-        };
-        let all = read().map_err(|why| ControllerLogError::Read { at: 0, why: why.to_string() })?;
-        let parse = |(at, bytes): (u64, Vec<u8>)| match serde_json::from_slice(&bytes) {
-            Ok(record) => Ok((at, record)),
-            Err(e) => Err(ControllerLogError::Read { at, why: e.to_string() }),
-        };
-        all.into_iter().map(parse).collect()
+        let mut log = ControllerLog { file: file.to_path_buf(), database: None, next_index: 0 };
+        let entries = read_entries(log.database()?).map_err(ControllerLogError::Read)?;
+        let mut records = Vec::with_capacity(entries.len());
+        for (index, bytes) in entries {
+            let record = serde_json::from_slice(&bytes);
+            records.push(record.map_err(|cause| ControllerLogError::Decode { index, cause })?);
+            log.next_index = index + 1;
+        }
+        Ok((log, records))
     }
 
-    /// Keeps an entry; once this returns it survives the end of the program and of the machine.
+    /// Appends a record. Once this returns, the record survives the end of the process and of the machine.
+    ///
+    /// # Errors
+    /// If the record is not stored.
     pub fn append(&mut self, record: &RolloutRecord) -> Result<(), ControllerLogError> {
-        self.keep(None, record)
+        self.append_fenced(None, record)
     }
 
-    /// The same on behalf of the owner of a duty: one whose token is older than the newest that wrote is refused, in
-    /// the same commit that would have kept the entry.
+    /// Appends a record on behalf of the holder of a role. A token that is older than the newest one that wrote is
+    /// rejected, in the transaction that would store the record.
+    ///
+    /// # Errors
+    /// If the record is not stored.
     pub fn append_as(
         &mut self,
         token: FencingToken,
         record: &RolloutRecord,
     ) -> Result<(), ControllerLogError> {
-        self.keep(Some(token), record)
+        self.append_fenced(Some(token), record)
     }
 
-    /// The newest token that wrote: who opens the log claims past its term.
+    /// The newest token that wrote. A new holder needs a later term.
+    ///
+    /// # Errors
+    /// If the log can't be read.
     pub fn newest_token(&mut self) -> Result<FencingToken, ControllerLogError> {
-        let database = self.database()?;
-        let read = || -> Result<FencingToken, redb::Error> {
-            let read = database.begin_read()?;
-            Ok(kept_token(&read.open_table(NEWEST)?)?)
-        };
-        read().map_err(|why| ControllerLogError::Read { at: 0, why: why.to_string() })
+        read_newest_token(self.database()?).map_err(ControllerLogError::Read)
     }
 
-    fn keep(&mut self, by: Option<FencingToken>, record: &RolloutRecord) -> Result<(), ControllerLogError> {
-        let bytes = serde_json::to_vec(record)
-            .map_err(|e| ControllerLogError::Read { at: self.next, why: e.to_string() })?;
-        let starts = matches!(record, RolloutRecord::Checkpoint { .. });
-        let at = self.next;
-        let database = self.database()?;
-        let kept = || -> Result<Result<(), StaleToken>, redb::Error> {
-            let write = database.begin_write()?;
-            {
-                if let Some(by) = by {
-                    let mut newest = write.open_table(NEWEST)?;
-                    if let Err(old) = FencingGuard::with_highest(kept_token(&newest)?).admit(by) {
-                        return Ok(Err(old));
-                    }
-                    newest.insert((), (by.term, by.holder.number, by.holder.incarnation))?;
-                }
-                let mut table = write.open_table(RECORDS)?;
-                if starts {
-                    table.retain(|_, _| false)?;
-                }
-                table.insert(at, &*bytes)?;
+    fn append_fenced(
+        &mut self,
+        token: Option<FencingToken>,
+        record: &RolloutRecord,
+    ) -> Result<(), ControllerLogError> {
+        let index = self.next_index;
+        let bytes =
+            serde_json::to_vec(record).map_err(|cause| ControllerLogError::Encode { index, cause })?;
+        let is_checkpoint = matches!(record, RolloutRecord::Checkpoint { .. });
+        match write_entry(self.database()?, token, index, &bytes, is_checkpoint) {
+            Ok(AppendOutcome::Stored) => {
+                self.next_index += 1;
+                Ok(())
             }
-            write.commit()?;
-            Ok(Ok(()))
-        };
-        match kept() {
-            Ok(kept) => kept?,
-            Err(why) => {
+            Ok(AppendOutcome::Rejected(stale)) => Err(stale.into()),
+            Err(error) => {
                 self.database = None;
-                return Err(ControllerLogError::Write(why));
+                Err(ControllerLogError::Write(error))
             }
         }
-        self.next += 1;
-        Ok(())
+    }
+
+    /// The database, which is opened if it is not open.
+    fn database(&mut self) -> Result<&Database, ControllerLogError> {
+        let database = match self.database.take() {
+            Some(database) => database,
+            None => open_database(&self.file)
+                .map_err(|cause| ControllerLogError::Open { file: self.file.clone(), cause })?,
+        };
+        Ok(self.database.insert(database))
     }
 }
 
-fn opened(file: &Path) -> Result<Database, redb::Error> {
+/// Opens the file, with both tables in it from the first time on.
+fn open_database(file: &Path) -> Result<Database, redb::Error> {
     let database = Database::create(file)?;
-    let write = database.begin_write()?;
-    write.open_table(RECORDS)?;
-    write.open_table(NEWEST)?;
-    write.commit()?;
+    let transaction = database.begin_write()?;
+    transaction.open_table(RECORDS)?;
+    transaction.open_table(NEWEST_TOKEN)?;
+    transaction.commit()?;
     Ok(database)
 }
 
-fn kept_token(from: &impl ReadableTable<(), (u64, u32, u64)>) -> Result<FencingToken, redb::StorageError> {
-    let kept = from.get(())?.map(|kept| kept.value());
-    Ok(kept.map_or(FencingToken::default(), |(term, number, life)| FencingToken {
+fn read_entries(database: &Database) -> Result<Vec<(u64, Vec<u8>)>, redb::Error> {
+    let transaction = database.begin_read()?;
+    let table = transaction.open_table(RECORDS)?;
+    let mut entries = Vec::new();
+    for entry in table.iter()? {
+        let (index, bytes) = entry?;
+        entries.push((index.value(), bytes.value().to_vec()));
+    }
+    Ok(entries)
+}
+
+fn read_newest_token(database: &Database) -> Result<FencingToken, redb::Error> {
+    let transaction = database.begin_read()?;
+    Ok(stored_token(&transaction.open_table(NEWEST_TOKEN)?)?)
+}
+
+fn write_entry(
+    database: &Database,
+    token: Option<FencingToken>,
+    index: u64,
+    bytes: &[u8],
+    is_checkpoint: bool,
+) -> Result<AppendOutcome, redb::Error> {
+    let transaction = database.begin_write()?;
+    {
+        if let Some(token) = token {
+            let mut newest = transaction.open_table(NEWEST_TOKEN)?;
+            let mut guard = FencingGuard::with_highest(stored_token(&newest)?);
+            if let Err(stale) = guard.admit(token) {
+                return Ok(AppendOutcome::Rejected(stale));
+            }
+            newest.insert((), (token.term, token.holder.number, token.holder.incarnation))?;
+        }
+        let mut records = transaction.open_table(RECORDS)?;
+        if is_checkpoint {
+            records.retain(|_, _| false)?;
+        }
+        records.insert(index, bytes)?;
+    }
+    transaction.commit()?;
+    Ok(AppendOutcome::Stored)
+}
+
+fn stored_token(table: &impl ReadableTable<(), (u64, u32, u64)>) -> Result<FencingToken, redb::StorageError> {
+    let stored = table.get(())?.map(|stored| stored.value());
+    Ok(stored.map_or(FencingToken::default(), |(term, number, incarnation)| FencingToken {
         term,
-        holder: Member { number, incarnation: life },
+        holder: Member { number, incarnation },
     }))
 }
--- a/crates/controller-log/tests/faults.rs
+++ b/crates/controller-log/tests/disk_faults.rs
@@ -1,4 +1,4 @@
-//! A disk that fails for a while, under the log: the test runs itself once more with the fault library.
+//! The log on a disk that fails for a while. The test starts itself again with the fault injection library preloaded.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -6,7 +6,7 @@
 use sablecross_controller_log::ControllerLog;
 use sablecross_hierarchy::RolloutRecord;
 
-/// Set in the process that writes.
+/// The file to write, in the process that is started with the library.
 const FILE: &str = "SABLECROSS_STORE_TEST";
 const FAULTS: [&str; 5] = [
     "fail sync EIO",
@@ -16,33 +16,33 @@
     "short file_write 100",
 ];
 
-fn set(plan: &Path, rules: &str) {
+fn set_plan(plan: &Path, rules: &str) {
     std::fs::write(plan, rules).expect("written");
-    // The library looks at its plan before long.
+    // The library reads its plan again within this time.
     std::thread::sleep(std::time::Duration::from_millis(40));
 }
 
-/// Writes entries while the disk fails and after.
+/// Appends records before, during and after the fault.
 fn write_under_faults(file: &Path) {
     let plan = PathBuf::from(std::env::var("SABLECROSS_FAULTS").expect("a plan"));
     let fault = std::env::var("SABLECROSS_STORE_FAULT").expect("a fault");
     let (mut log, _) = ControllerLog::open(file).expect("opened");
-    let entry = |n| RolloutRecord::StepCommitted { number: n };
-    log.append(&entry(0)).expect("written before");
-    set(&plan, &format!("{fault} 0 1000000000 100"));
-    let failed = log.append(&entry(1)).is_err();
-    set(&plan, "");
-    // What could not be kept is kept once the disk is well.
+    let record = |number| RolloutRecord::StepCommitted { number };
+    log.append(&record(0)).expect("written before");
+    set_plan(&plan, &format!("{fault} 0 1000000000 100"));
+    let failed = log.append(&record(1)).is_err();
+    set_plan(&plan, "");
+    // A record that was not stored is stored once the disk works again.
     if failed {
-        log.append(&entry(1)).expect("written after");
+        log.append(&record(1)).expect("written after");
     }
-    log.append(&entry(2)).expect("written at last");
+    log.append(&record(2)).expect("written at last");
     drop(log);
     assert_eq!(ControllerLog::open(file).expect("opened again").1.len(), 3);
 }
 
 #[test]
-fn the_log_goes_on_once_the_disk_is_well() {
+fn the_log_can_be_written_once_the_disk_works_again() {
     if let Ok(file) = std::env::var(FILE) {
         return write_under_faults(Path::new(&file));
     }
@@ -53,7 +53,7 @@
         let plan = folder.path().join("plan");
         std::fs::write(&plan, "").expect("written");
         let out = Command::new(&own)
-            .args(["--exact", "the_log_goes_on_once_the_disk_is_well", "--nocapture"])
+            .args(["--exact", "the_log_can_be_written_once_the_disk_works_again", "--nocapture"])
             .env(FILE, folder.path().join("log.redb"))
             .env("SABLECROSS_STORE_FAULT", fault)
             .env("SABLECROSS_FAULTS", &plan)
--- a/crates/controller-log/tests/log.rs
+++ b/crates/controller-log/tests/log.rs
@@ -1,103 +1,145 @@
-//! The log on disk, and a driver that goes on from it.
+//! The log on disk, and a rollout that continues from it.
 
-use sablecross_controller_log::ControllerLog;
+use std::path::Path;
+
+use sablecross_controller_log::{ControllerLog, ControllerLogError};
 use sablecross_coordination::{FencingToken, Member};
-use sablecross_hierarchy::{Rollout, RolloutAction, RolloutInput, RolloutRecord, spec};
+use sablecross_hierarchy::spec::{HierarchySpec, parse_settings};
+use sablecross_hierarchy::{Hierarchy, Rollout, RolloutAction, RolloutInput, RolloutRecord};
 
-const OLD: &str = r#"(hierarchy (version . 1) (ceiling . 500) (hold-ms . 1) (settle-ms . 1))
+const SETTINGS: &str = r#"(hierarchy (version . 1) (ceiling . 500) (hold-ms . 1) (settle-ms . 1))
 (node (name . "o") (tier . 0) (capacity . 900))
 (node (name . "a") (tier . 1) (sources "o") (capacity . 900) (hit . 0.5))
 (node (name . "e") (tier . 2) (sources "a") (capacity . 900) (demand . 100) (hit . 0.5))"#;
 
+fn first_version() -> (u64, Hierarchy) {
+    parse_settings("first", SETTINGS, None).unwrap()
+}
+
+/// The first version with another source of one node.
+fn second_version(first: &Hierarchy) -> Hierarchy {
+    let settings = SETTINGS.replace("(sources \"a\")", "(sources \"a\" \"o\")");
+    parse_settings("second", &settings, Some(first)).unwrap().1
+}
+
+fn checkpoint(number: u64, version: &Hierarchy) -> RolloutRecord {
+    let version = HierarchySpec::from_hierarchy(number, version);
+    RolloutRecord::Checkpoint { number, next_change: 1, version }
+}
+
+/// The records of a rollout whose change has started.
+fn records_of_a_change() -> Vec<RolloutRecord> {
+    let (number, first) = first_version();
+    let mut rollout = Rollout::new(number, first.clone(), ["d".into()]).unwrap();
+    rollout.handle(RolloutInput::Propose { target: second_version(&first) }, 0).unwrap();
+    let records = rollout.take_actions().into_iter().filter_map(|action| match action {
+        RolloutAction::Persist(record) => Some(record),
+        _ => None,
+    });
+    records.collect()
+}
+
+fn read_back(file: &Path) -> Vec<RolloutRecord> {
+    ControllerLog::open(file).unwrap().1
+}
+
 #[test]
-fn what_was_written_is_there_after_an_end_at_any_entry() {
+fn records_are_read_back_however_many_were_written() {
     let folder = tempfile::tempdir().unwrap();
-    let (number, old) = spec::parse_settings("old", OLD, None).unwrap();
-    let new =
-        spec::parse_settings("new", &OLD.replace("(sources \"a\")", "(sources \"a\" \"o\")"), Some(&old))
-            .unwrap()
-            .1;
-    let mut ends = 0;
-    for end in 0..8 {
-        let file = folder.path().join(format!("{end}.redb"));
-        let mut kept = 0;
-        let mut driver = Rollout::new(number, old.clone(), ["d".into()]).unwrap();
-        driver.handle(RolloutInput::Propose { target: new.clone() }, 0).unwrap();
+    let records = records_of_a_change();
+    assert_eq!(records.len(), 3, "{records:?}");
+    for written in 0..=records.len() {
+        let file = folder.path().join(format!("{written}.redb"));
         let mut log = ControllerLog::open(&file).unwrap().0;
-        for act in driver.take_actions() {
-            if let RolloutAction::Persist(record) = act
-                && kept < end
-            {
-                log.append(&record).unwrap();
-                kept += 1;
-            }
+        for record in &records[..written] {
+            log.append(record).unwrap();
         }
-        // One writer at a time.
-        assert!(ControllerLog::open(&file).is_err());
+        // Only one process can have it open.
+        assert!(matches!(ControllerLog::open(&file), Err(ControllerLogError::Open { .. })));
         drop(log);
-        let (log, records) = ControllerLog::open(&file).unwrap();
-        assert_eq!(records.len(), kept);
-        drop(log);
-        let recovered = Rollout::recover(&records, ["d".into()], 0);
-        assert_eq!(recovered.is_ok(), kept > 0);
-        if let Ok(driver) = recovered {
-            // The step that was kept is told again, under its number.
-            assert_eq!(driver.published().0, if kept >= 3 { 2 } else { 1 });
-            ends += 1;
+        let read = read_back(&file);
+        assert_eq!(read, records[..written]);
+        let recovered = Rollout::recover(&read, ["d".into()], 0);
+        assert_eq!(recovered.is_ok(), written > 0);
+        if let Ok(rollout) = recovered {
+            // A step that was written is published again under its number.
+            assert_eq!(rollout.published().0, if written == 3 { 2 } else { 1 });
         }
     }
-    assert_eq!(ends, 7);
 }
 
 #[test]
-fn a_start_makes_what_was_before_needless() {
+fn a_checkpoint_removes_earlier_records() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("log.redb");
-    let (number, old) = spec::parse_settings("old", OLD, None).unwrap();
-    let start = |n| RolloutRecord::Checkpoint {
-        number: n,
-        next_change: 1,
-        version: spec::HierarchySpec::from_hierarchy(n, &old),
-    };
+    let (number, version) = first_version();
     let mut log = ControllerLog::open(&file).unwrap().0;
-    for n in number..number + 5 {
-        log.append(&start(n)).unwrap();
-        log.append(&RolloutRecord::StepCommitted { number: n }).unwrap();
+    for number in number..number + 5 {
+        log.append(&checkpoint(number, &version)).unwrap();
+        log.append(&RolloutRecord::StepCommitted { number }).unwrap();
     }
     drop(log);
-    let records = ControllerLog::open(&file).unwrap().1;
-    assert_eq!(records, [start(number + 4), RolloutRecord::StepCommitted { number: number + 4 }]);
+    let last = number + 4;
+    assert_eq!(read_back(&file), [checkpoint(last, &version), RolloutRecord::StepCommitted { number: last }]);
+}
+
+#[test]
+fn a_file_that_is_no_database_is_an_error() {
+    let folder = tempfile::tempdir().unwrap();
+    let file = folder.path().join("log.redb");
     std::fs::write(&file, b"no database").unwrap();
-    assert!(ControllerLog::open(&file).is_err());
+    let error = ControllerLog::open(&file).map(|_| ()).unwrap_err();
+    assert!(matches!(error, ControllerLogError::Open { .. }), "{error}");
+    assert!(error.to_string().contains("log.redb: the log can't be opened"), "{error}");
 }
 
 #[test]
-fn an_old_owner_writes_nothing_and_is_told_so() {
+fn a_record_that_is_damaged_is_named_by_its_index() {
+    let folder = tempfile::tempdir().unwrap();
+    let file = folder.path().join("log.redb");
+    drop(ControllerLog::open(&file).unwrap());
+    let database = redb::Database::open(&file).unwrap();
+    let transaction = database.begin_write().unwrap();
+    let records = redb::TableDefinition::<u64, &[u8]>::new("records");
+    transaction.open_table(records).unwrap().insert(7, &b"{\"odd\":1}"[..]).unwrap();
+    transaction.commit().unwrap();
+    drop(database);
+    let error = ControllerLog::open(&file).map(|_| ()).unwrap_err();
+    assert!(matches!(error, ControllerLogError::Decode { index: 7, .. }), "{error}");
+    assert!(error.to_string().starts_with("entry 7 of the log can't be read: unknown variant"), "{error}");
+}
+
+#[test]
+fn an_earlier_holder_of_the_role_is_rejected() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("fenced.redb");
-    let (number, old) = spec::parse_settings("old", OLD, None).unwrap();
-    let start = RolloutRecord::Checkpoint {
-        number,
-        next_change: 1,
-        version: spec::HierarchySpec::from_hierarchy(number, &old),
-    };
+    let (number, version) = first_version();
+    let record = checkpoint(number, &version);
     let token = |term, number| FencingToken { term, holder: Member { number, incarnation: 1 } };
     let mut log = ControllerLog::open(&file).unwrap().0;
     assert_eq!(log.newest_token().unwrap(), FencingToken::default());
-    // (term, owner, taken): of two owners of one term the first is it.
+    // (term, holder, whether it is stored): of two holders of one term the first one is it.
     let cases = [(3, 1, true), (3, 1, true), (2, 2, false), (3, 2, false), (4, 2, true), (3, 1, false)];
-    for (term, owner, taken) in cases {
-        let said = log.append_as(token(term, owner), &start);
-        assert_eq!(said.is_ok(), taken, "term {term} of {owner}: {said:?}");
-        if let Err(e) = said {
-            assert!(e.to_string().contains("claim the duty anew"), "{e}");
+    let mut newest = FencingToken::default();
+    for (term, holder, is_stored) in cases {
+        let token = token(term, holder);
+        let result = log.append_as(token, &record);
+        assert_eq!(result.is_ok(), is_stored, "term {term} of {holder}: {result:?}");
+        match result {
+            Ok(()) => newest = token,
+            Err(error) => {
+                assert!(matches!(error, ControllerLogError::StaleToken(_)), "{error}");
+                // It names the term that a new lease has to be past.
+                assert!(error.to_string().contains(&format!("term {} of member", newest.term)), "{error}");
+            }
         }
+        assert_eq!(log.newest_token().unwrap(), newest);
     }
     drop(log);
-    // Kept with what was written: an owner that slept through a restart of the log is refused as well.
+    // The token is stored with the records: a holder that was delayed until the log was opened again is rejected too.
     let (mut log, records) = ControllerLog::open(&file).unwrap();
     assert_eq!((records.len(), log.newest_token().unwrap()), (1, token(4, 2)));
-    assert!(log.append_as(token(3, 1), &start).is_err());
-    log.append(&start).unwrap();
-    assert_eq!(log.newest_token().unwrap(), token(4, 2), "what has no owner changes none");
+    assert!(log.append_as(token(3, 1), &record).is_err());
+    log.append(&record).unwrap();
+    assert_eq!(log.newest_token().unwrap(), token(4, 2), "a record without a token changes none");
 }
--- a/crates/controller-log/tests/stored_format.rs
+++ b/crates/controller-log/tests/stored_format.rs
@@ -56,8 +56,16 @@
     }
 }
 
-/// The tables, read without this crate: by their names and types alone.
-fn raw(file: &Path) -> (Vec<(u64, String)>, Option<(u64, u32, u64)>) {
+/// What the tables contain.
+#[derive(Debug, PartialEq)]
+struct Tables {
+    records: Vec<(u64, String)>,
+    /// Term, and number and incarnation of the holder.
+    newest_token: Option<(u64, u32, u64)>,
+}
+
+/// Reads the tables without this crate: by their names and types alone.
+fn read_tables(file: &Path) -> Tables {
     let database = Database::open(file).expect("opened");
     let read = database.begin_read().expect("read");
     let records = read.open_table(TableDefinition::<u64, &[u8]>::new("records")).expect("the records");
@@ -67,12 +75,15 @@
         let (at, bytes) = entry.expect("an entry");
         (at.value(), text(bytes.value()))
     });
-    (records.collect(), newest.get(()).expect("read").map(|token| token.value()))
+    let newest_token = newest.get(()).expect("read").map(|token| token.value());
+    Tables { records: records.collect(), newest_token }
 }
 
-fn texts() -> Vec<(u64, String)> {
+/// The tables after `write_examples`.
+fn example_tables() -> Tables {
     let texts = examples().into_iter().map(|(_, text)| text.replace("SPEC", SPEC));
-    texts.enumerate().map(|(at, text)| (at as u64, text)).collect()
+    let records = texts.enumerate().map(|(index, text)| (index as u64, text)).collect();
+    Tables { records, newest_token: Some((7, 2, 1_700_000_000_123)) }
 }
 
 fn token(term: u64) -> FencingToken {
@@ -93,9 +104,9 @@
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("log.redb");
     drop(ControllerLog::open(&file).expect("opened"));
-    assert_eq!(raw(&file), (Vec::new(), None));
+    assert_eq!(read_tables(&file), Tables { records: Vec::new(), newest_token: None });
     write_examples(&file);
-    assert_eq!(raw(&file), (texts(), Some((7, 2, 1_700_000_000_123))));
+    assert_eq!(read_tables(&file), example_tables());
 }
 
 /// `data/log-0.1.0.redb` was made by `write_examples` above with the program of commit 6b53750 (version 0.1.0, redb 4),
@@ -107,7 +118,7 @@
     let file = folder.path().join("log.redb");
     let old = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/log-0.1.0.redb");
     std::fs::write(&file, std::fs::read(old).expect("the old file")).expect("copied");
-    assert_eq!(raw(&file), (texts(), Some((7, 2, 1_700_000_000_123))));
+    assert_eq!(read_tables(&file), example_tables());
 
     let (mut log, records) = ControllerLog::open(&file).expect("opened");
     let mut expected: Vec<RolloutRecord> = examples().into_iter().map(|(record, _)| record).collect();
@@ -124,7 +135,7 @@
     assert_eq!(records, expected);
     assert_eq!(log.newest_token().expect("read"), token(8));
     drop(log);
-    let (raw_records, newest) = raw(&file);
-    assert_eq!(raw_records.last(), Some(&(12, r#"{"in-force":{"number":8}}"#.into())));
-    assert_eq!(newest, Some((8, 2, 1_700_000_000_123)));
+    let tables = read_tables(&file);
+    assert_eq!(tables.records.last(), Some(&(12, r#"{"in-force":{"number":8}}"#.into())));
+    assert_eq!(tables.newest_token, Some((8, 2, 1_700_000_000_123)));
 }
--- a/crates/sexpr-config/src/scan.rs
+++ b/crates/sexpr-config/src/scan.rs
@@ -1,101 +1,138 @@
-//! Cuts a text into its forms and finds parentheses that don't match.
+//! Splits a text into its top-level forms, and finds parentheses that don't match.
+
+use std::iter::Peekable;
+use std::str::CharIndices;
 
 use super::MAX_FORM_BYTES;
 
-/// How deep parentheses may lie in one another.
-const DEEPEST: usize = 64;
+/// How deep parentheses may be nested.
+const MAX_DEPTH: usize = 64;
+const FORM_SYNTAX: &str = "write (word (key . value) ...)";
 
-/// A form by its bytes, and where it begins, from 1.
+/// A form by its bytes in the text, and where it begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FormSpan {
-    pub from: usize,
-    pub to: usize,
-    pub line: usize,
-    pub column: usize,
+pub(crate) struct FormSpan {
+    pub(crate) start: usize,
+    pub(crate) end: usize,
+    /// The line, from 1.
+    pub(crate) line: usize,
+    /// The column in bytes, from 1.
+    pub(crate) column: usize,
 }
 
+/// Why a text can't be split, with the place of that.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ScanError {
-    pub line: usize,
-    pub column: usize,
-    pub problem: &'static str,
-    pub remedy: &'static str,
+pub(crate) struct ScanError {
+    pub(crate) line: usize,
+    pub(crate) column: usize,
+    pub(crate) problem: &'static str,
+    pub(crate) remedy: &'static str,
+}
+
+/// A place in the text.
+#[derive(Clone, Copy)]
+struct Place {
+    offset: usize,
+    line: usize,
+    column: usize,
+}
+
+impl Place {
+    fn error<T>(self, problem: &'static str, remedy: &'static str) -> Result<T, ScanError> {
+        Err(ScanError { line: self.line, column: self.column, problem, remedy })
+    }
+}
+
+struct Scanner<'a> {
+    chars: Peekable<CharIndices<'a>>,
+    line: usize,
+    /// The offset at which the line begins.
+    line_start: usize,
+    /// Where the parentheses that are open were opened, the outermost first.
+    open: Vec<Place>,
+    forms: Vec<FormSpan>,
 }
 
-pub fn split_forms(text: &str) -> Result<Vec<FormSpan>, ScanError> {
-    let mut pieces = Vec::new();
-    let mut open: Vec<FormSpan> = Vec::new();
-    let (mut line, mut begins) = (1, 0);
-    let mut chars = text.char_indices().peekable();
-    while let Some((at, c)) = chars.next() {
-        let column = at - begins + 1;
-        let flaw = |what, todo| Err(ScanError { line, column, problem: what, remedy: todo });
+/// The forms of a text, in their order.
+pub(crate) fn split_forms(text: &str) -> Result<Vec<FormSpan>, ScanError> {
+    let mut scanner = Scanner {
+        chars: text.char_indices().peekable(),
+        line: 1,
+        line_start: 0,
+        open: Vec::new(),
+        forms: Vec::new(),
+    };
+    while let Some((offset, c)) = scanner.chars.next() {
+        scanner.scan(offset, c)?;
+    }
+    match scanner.open.first() {
+        None => Ok(scanner.forms),
+        Some(place) => place.error("a parenthesis that is never closed", "close the form that begins here"),
+    }
+}
+
+impl Scanner<'_> {
+    fn scan(&mut self, offset: usize, c: char) -> Result<(), ScanError> {
+        let place = Place { offset, line: self.line, column: offset - self.line_start + 1 };
         match c {
-            '\n' => (line, begins) = (line + 1, at + 1),
-            ';' => while chars.next_if(|&(_, c)| c != '\n').is_some() {},
-            '"' => {
-                let (mut ended, mut masked) = (false, false);
-                for (at, c) in chars.by_ref() {
-                    match c {
-                        '\n' => (line, begins) = (line + 1, at + 1),
-                        '"' if !masked => {
-                            ended = true;
-                            break;
-                        }
-                        _ => {}
-                    }
-                    masked = c == '\\' && !masked;
-                }
-                if !ended {
-                    return Err(ScanError {
-                        line,
-                        column,
-                        problem: "a string that never ends",
-                        remedy: "close it with \"",
-                    });
-                }
-            }
-            // A character, also one that is a parenthesis.
-            '#' if chars.next_if(|&(_, c)| c == '\\').is_some() => {
-                chars.next();
-            }
-            '(' | '[' => {
-                if open.len() == DEEPEST {
-                    return flaw("parentheses lie too deep in one another", "write (word (key . value) ...)");
-                }
-                open.push(FormSpan { from: at, to: at, line, column });
+            '\n' => self.start_line(offset),
+            ';' => while self.chars.next_if(|&(_, c)| c != '\n').is_some() {},
+            '"' => self.skip_string(place)?,
+            // A character literal, also one of a parenthesis.
+            '#' if self.chars.next_if(|&(_, c)| c == '\\').is_some() => {
+                self.chars.next();
             }
-            ')' | ']' => {
-                let Some(piece) = open.pop() else {
-                    return flaw("a parenthesis that closes nothing", "remove it, or open one before");
-                };
-                if open.is_empty() {
-                    let piece = FormSpan { to: at + 1, ..piece };
-                    if piece.to - piece.from > MAX_FORM_BYTES {
-                        let todo = "split it: a form has 16 KiB at most";
-                        return Err(ScanError {
-                            line: piece.line,
-                            column: piece.column,
-                            problem: "a form too long",
-                            remedy: todo,
-                        });
-                    }
-                    pieces.push(piece);
-                }
-            }
-            c if open.is_empty() && !c.is_whitespace() => {
-                return flaw("a word outside of all forms", "write (word (key . value) ...)");
+            '(' | '[' => self.open(place)?,
+            ')' | ']' => self.close(place)?,
+            c if self.open.is_empty() && !c.is_whitespace() => {
+                return place.error("a word outside of all forms", FORM_SYNTAX);
             }
             _ => {}
         }
+        Ok(())
+    }
+
+    fn start_line(&mut self, newline: usize) {
+        self.line += 1;
+        self.line_start = newline + 1;
+    }
+
+    /// Skips the rest of a string whose opening quote was read.
+    fn skip_string(&mut self, place: Place) -> Result<(), ScanError> {
+        let mut is_escaped = false;
+        while let Some((offset, c)) = self.chars.next() {
+            match c {
+                '\n' => self.start_line(offset),
+                '"' if !is_escaped => return Ok(()),
+                _ => {}
+            }
+            is_escaped = c == '\\' && !is_escaped;
+        }
+        // The column is that of the opening quote, the line the last one.
+        Place { line: self.line, ..place }.error("a string that never ends", "close it with \"")
     }
-    match open.first() {
-        None => Ok(pieces),
-        Some(p) => Err(ScanError {
-            line: p.line,
-            column: p.column,
-            problem: "a parenthesis that is never closed",
-            remedy: "close the form that begins here",
-        }),
+
+    fn open(&mut self, place: Place) -> Result<(), ScanError> {
+        if self.open.len() == MAX_DEPTH {
+            return place.error("parentheses lie too deep in one another", FORM_SYNTAX);
+        }
+        self.open.push(place);
+        Ok(())
+    }
+
+    fn close(&mut self, place: Place) -> Result<(), ScanError> {
+        let Some(opening) = self.open.pop() else {
+            return place.error("a parenthesis that closes nothing", "remove it, or open one before");
+        };
+        if !self.open.is_empty() {
+            return Ok(());
+        }
+        let Place { offset: start, line, column } = opening;
+        let end = place.offset + 1;
+        if end - start > MAX_FORM_BYTES {
+            return opening.error("a form too long", "split it: a form has 16 KiB at most");
+        }
+        self.forms.push(FormSpan { start, end, line, column });
+        Ok(())
     }
 }
--- a/crates/sexpr-config/tests/forms.rs
+++ b/crates/sexpr-config/tests/parse_forms.rs
@@ -1,4 +1,4 @@
-//! Faults are named by line and key; long and broken texts end in an error, never in a crash.
+//! Errors are named by line and key; long and broken texts end in an error, never in a crash.
 
 use garde::Validate;
 use sablecross_sexpr_config::{Located, parse_forms};
@@ -22,7 +22,7 @@
     },
 }
 
-fn said(text: &str) -> Vec<String> {
+fn errors(text: &str) -> Vec<String> {
     parse_forms::<Form>("f", text).unwrap_err().iter().map(ToString::to_string).collect()
 }
 
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn faults_name_line_and_key() {
+fn errors_name_line_and_key() {
     let cases = [
         ("(node (name . \"a\")\n (tier . \"x\"))", "f:2:", "node.tier: invalid type"),
         ("(node (name . \"a\")\n (tier . 9))", "f:2:", "node.tier: "),
@@ -57,29 +57,29 @@
         ("(node 5)", "f:1:", ""),
     ];
     for (text, place, what) in cases {
-        let said = said(text);
-        assert!(said[0].starts_with(place) && said[0].contains(what), "{text:?}: {said:?}");
+        let lines = errors(text);
+        assert!(lines[0].starts_with(place) && lines[0].contains(what), "{text:?}: {lines:?}");
     }
 }
 
 #[test]
-fn each_faulty_form_is_told() {
+fn each_faulty_form_is_reported() {
     let text = "(node (tier . 1))\n(node (name . \"a\") (tier . 1))\n(node (name . \"\") (tier . 8))";
-    let said = said(text);
-    assert_eq!(said.len(), 3, "{said:?}");
-    assert!(said[1].starts_with("f:3:") && said[2].starts_with("f:3:"), "{said:?}");
+    let lines = errors(text);
+    assert_eq!(lines.len(), 3, "{lines:?}");
+    assert!(lines[1].starts_with("f:3:") && lines[2].starts_with("f:3:"), "{lines:?}");
 }
 
 #[test]
 fn long_and_deep_texts_end_in_an_error() {
     let deep = "(".repeat(100_000);
-    assert!(said(&deep)[0].contains("too deep"));
+    assert!(errors(&deep)[0].contains("too deep"));
     let long = format!("(node (name . \"a\") (tier . 1) (sources {}))", "\"a\" ".repeat(100_000));
-    assert!(said(&long)[0].contains("too long"));
+    assert!(errors(&long)[0].contains("too long"));
     let many = "(node (name . \"a\") (tier . 1))\n".repeat(100_000);
     assert_eq!(parse_forms::<Form>("f", &many).unwrap().len(), 100_000);
     let faulty = "(node (tier . 1))\n".repeat(100_000);
-    assert_eq!(said(&faulty).len(), 20);
+    assert_eq!(errors(&faulty).len(), 20);
     let cut = "(node (name . \"ä\") (tier . 1))";
     for end in cut.char_indices().map(|(i, _)| i) {
         assert_eq!(parse_forms::<Form>("f", &cut[..end]).is_ok(), end == 0, "{}", &cut[..end]);
