--- a/crates/controller-log/tests/log.rs
+++ b/crates/controller-log/tests/log.rs
@@ -63,7 +63,7 @@
         assert_eq!(recovered.is_ok(), written > 0);
         if let Ok(rollout) = recovered {
             // A step that was written is published again under its number.
-            assert_eq!(rollout.published().0, if written == 3 { 2 } else { 1 });
+            assert_eq!(rollout.published().number, if written == 3 { 2 } else { 1 });
         }
     }
 }
--- a/crates/hierarchy-controller/src/controller.rs
+++ b/crates/hierarchy-controller/src/controller.rs
@@ -191,7 +191,7 @@
 
     fn try_propose(&mut self, now: Ns, text: &[u8]) -> Result<(), ProposalError> {
         let text = std::str::from_utf8(text)?;
-        let known = self.rollout().map(|rollout| rollout.published().1.clone());
+        let known = self.rollout().map(|rollout| rollout.published().version.clone());
         let (number, version) =
             parse_settings(PROPOSAL_FILE, text, known.as_ref()).map_err(ProposalError::InvalidSettings)?;
         match &mut self.state {
@@ -345,8 +345,8 @@
     };
     format!(
         "version {} told, {} in force everywhere, {change}, {} missing",
-        rollout.published().0,
-        rollout.committed().0,
+        rollout.published().number,
+        rollout.committed().number,
         rollout.missing_participants().len()
     )
 }
--- a/crates/hierarchy-controller/tests/controller.rs
+++ b/crates/hierarchy-controller/tests/controller.rs
@@ -170,7 +170,7 @@
         let newest = self.owners.last().and_then(HierarchyController::rollout).expect("a driver");
         newest.progress().is_none()
             && newest.missing_participants().is_empty()
-            && self.members.iter().all(|(_, h)| h.number() == newest.published().0)
+            && self.members.iter().all(|(_, h)| h.number() == newest.published().number)
     }
 }
 
--- a/crates/hierarchy-controller/tests/stored_format.rs
+++ b/crates/hierarchy-controller/tests/stored_format.rs
@@ -112,7 +112,7 @@
     // The form, then an array of 13.
     driving.on_persisted(0, &entry(bytes(&format!("019d{records}"))));
     let driver = driving.rollout().expect("read");
-    assert_eq!((driver.published().0, driver.committed().0, driver.progress()), (6, 6, None));
+    assert_eq!((driver.published().number, driver.committed().number, driver.progress()), (6, 6, None));
     let orders = driving.take_actions();
     let sent = orders.iter().find_map(|order| match order {
         ControllerAction::Publish { number, bytes } => Some((*number, bytes.clone())),
--- a/crates/hierarchy/src/lib.rs
+++ b/crates/hierarchy/src/lib.rs
@@ -24,6 +24,8 @@
 
 pub use admission::{Admission, AdmissionError};
 pub use plan::{Plan, PlanError, PlanStep, plan};
-pub use rollout::{ChangeProgress, Rollout, RolloutAction, RolloutInput, RolloutOutcome, RolloutRecord};
+pub use rollout::{
+    ChangeProgress, NumberedVersion, Rollout, RolloutAction, RolloutInput, RolloutOutcome, RolloutRecord,
+};
 pub use version::{FULL_SHARE, Hierarchy, HierarchyNode, HierarchyRules, NodeId};
 pub use version_holder::{OfferOutcome, VersionHolder};
--- a/crates/hierarchy/src/rollout/mod.rs
+++ b/crates/hierarchy/src/rollout/mod.rs
@@ -33,6 +33,15 @@
     digest: u64,
 }
 
+/// A version with its number.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct NumberedVersion<'a> {
+    /// The number; later versions have larger ones.
+    pub number: u64,
+    /// The version.
+    pub version: &'a Hierarchy,
+}
+
 /// How far the running change is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChangeProgress {
@@ -116,14 +125,15 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// The version that was published last, with its number.
-    pub fn published(&self) -> (u64, &Hierarchy) {
-        (self.last_number, self.uncommitted().unwrap_or(&self.committed))
+    /// The version that was published last.
+    pub fn published(&self) -> NumberedVersion<'_> {
+        let version = self.uncommitted().unwrap_or(&self.committed);
+        NumberedVersion { number: self.last_number, version }
     }
 
-    /// The last version that every participant applied, with its number.
-    pub fn committed(&self) -> (u64, &Hierarchy) {
-        (self.committed_number, &self.committed)
+    /// The last version that every participant applied.
+    pub fn committed(&self) -> NumberedVersion<'_> {
+        NumberedVersion { number: self.committed_number, version: &self.committed }
     }
 
     /// The running change, if there is one.
@@ -150,7 +160,7 @@
 
     /// The participants that have not reported the version that was published last.
     pub fn missing_participants(&self) -> Vec<Participant> {
-        let (number, version) = self.published();
+        let NumberedVersion { number, version } = self.published();
         let expected = AppliedVersion { number, digest: version.digest() };
         let missing = self.participants.iter().filter(|(_, applied)| **applied != expected);
         missing.map(|(participant, _)| Arc::clone(participant)).collect()
@@ -241,7 +251,7 @@
             Some(format!("origin={origin_load:.0} ceiling={ceiling:.0}"))
         } else {
             let down = down_nodes.iter().find(|node| self.is_changing(**node));
-            down.map(|node| format!("down={}", self.published().1.node_name(*node)))
+            down.map(|node| format!("down={}", self.published().version.node_name(*node)))
         };
         if let Some(reason) = reason
             && self.change.as_ref().is_some_and(|change| !change.is_rollback)
@@ -267,7 +277,7 @@
         if self.stale.is_some() {
             return;
         }
-        let (number, version) = self.published();
+        let NumberedVersion { number, version } = self.published();
         let publish = RolloutAction::Publish { number, version: version.clone() };
         self.actions.push(publish);
     }
--- a/crates/hierarchy/tests/changes.rs
+++ b/crates/hierarchy/tests/changes.rs
@@ -94,10 +94,10 @@
     }
 
     fn agree(&self, on: &Hierarchy) {
-        assert_eq!(self.driver.committed().1, on);
+        assert_eq!(self.driver.committed().version, on);
         for (party, holder) in &self.holders {
             assert_eq!(holder.version(), Some(on), "{party}");
-            assert_eq!(holder.number(), self.driver.committed().0, "{party}");
+            assert_eq!(holder.number(), self.driver.committed().number, "{party}");
         }
     }
 }
@@ -141,7 +141,7 @@
         w.hear(RolloutInput::Propose { target: to.clone() }).unwrap();
         w.run();
         assert_eq!(w.kill, None);
-        if w.driver.committed().1 == &from {
+        if w.driver.committed().version == &from {
             // Not even its beginning was kept: it is as if it had not been asked for.
             assert!(w.endings().is_empty() && kill <= before + 1, "{kill}");
             w.hear(RolloutInput::Propose { target: to.clone() }).unwrap();
@@ -192,7 +192,7 @@
         w.now = w.now.max(w.driver.next_wakeup().unwrap());
         w.hear(RolloutInput::Tick).unwrap();
     }
-    assert!(w.driver.committed().1 != &from);
+    assert!(w.driver.committed().version != &from);
     w.hear(RolloutInput::HealthReport { origin_load: 2e6, down_nodes: vec![] }).unwrap();
     let parties: Vec<Participant> = w.holders.keys().cloned().collect();
     w.driver = Rollout::recover(&w.log, parties, w.now).unwrap();
@@ -215,7 +215,7 @@
     let aim = of_masks(&[0b0001, 0b1000, 0b0001]).without_node(1);
     w.hear(RolloutInput::Propose { target: aim.clone() }).unwrap();
     w.run();
-    assert_eq!(w.driver.committed().1.digest(), aim.digest());
+    assert_eq!(w.driver.committed().version.digest(), aim.digest());
     assert_eq!(w.endings(), [(1, RolloutOutcome::Completed), (2, RolloutOutcome::Completed)]);
     let twice = aim.with_node(9, (**aim.get(2).unwrap()).clone());
     assert!(
@@ -236,7 +236,7 @@
     let aim = from.with_node(4, support::member("y", 1, &[0]));
     w.hear(RolloutInput::Propose { target: aim.clone() }).unwrap();
     w.run();
-    let held = w.driver.committed().1;
+    let held = w.driver.committed().version;
     assert_eq!(held.digest(), aim.digest());
     assert_eq!(held.node_id("x"), None);
     assert_ne!(held.node_id("y"), Some(4), "y came in x's place, with no way of its own into the pie");
@@ -306,7 +306,7 @@
     gone.now = w.now;
     // It comes back and takes the newest alone.
     w.deaf.clear();
-    let (number, version) = (w.driver.published().0, w.driver.published().1.clone());
+    let (number, version) = (w.driver.published().number, w.driver.published().version.clone());
     let d2 = w.holders.get_mut("d2").unwrap();
     d2.offer(number, &version);
     let digest = version.digest();
@@ -332,12 +332,12 @@
     w.hear(RolloutInput::Propose { target: to.clone() }).unwrap();
     // 90 of 100 with a margin of a fifth.
     w.hear(RolloutInput::HealthReport { origin_load: 90.0, down_nodes: vec![] }).unwrap();
-    let number = w.driver.published().0;
+    let number = w.driver.published().number;
     w.now = w.driver.next_wakeup().unwrap();
     w.hear(RolloutInput::Tick).unwrap();
     w.now += 10 * SEC;
     w.hear(RolloutInput::Tick).unwrap();
-    assert_eq!(w.driver.published().0, number);
+    assert_eq!(w.driver.published().number, number);
     let mut calm = World {
         driver: w.driver.clone(),
         log: w.log.clone(),
--- a/crates/hierarchy/tests/model.rs
+++ b/crates/hierarchy/tests/model.rs
@@ -266,7 +266,7 @@
         // What would change nothing is as good as lost.
         let World { told, words, holders, driver, .. } = &mut w;
         told.retain(|(p, n)| *n > holders[*p].number());
-        words.retain(|(_, n, _)| *n == driver.published().0);
+        words.retain(|(_, n, _)| *n == driver.published().number);
         Some(w)
     }
 
@@ -275,10 +275,10 @@
             Property::always("no fill meets a node twice", |_, w: &World| !w.twice),
             Property::always("no one goes back to an older number", |_, w: &World| {
                 // Holders are told apart from the log: what is in force is never beyond what was kept.
-                w.holders.iter().all(|h| h.number() <= w.driver.published().0)
+                w.holders.iter().all(|h| h.number() <= w.driver.published().number)
             }),
             Property::eventually("every change ends, and all agree", |s: &Search, w: &World| {
-                let held = w.driver.committed().1;
+                let held = w.driver.committed().version;
                 let one = *held == s.aim || *held == s.from || s.second.as_ref() == Some(held);
                 let agreed = w.holders.iter().all(|h| h.version() == Some(held));
                 let agreed = agreed && w.told.is_empty();
--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -304,11 +304,12 @@
         if now >= self.again {
             self.again = now + Duration::from_millis(500);
             if !self.driver.missing_participants().is_empty() {
-                let (number, version) = (self.driver.published().0, self.driver.published().1.clone());
+                let (number, version) =
+                    (self.driver.published().number, self.driver.published().version.clone());
                 self.tell(number, &version);
             }
             let origin = lock(&self.common.seconds).iter().rev().nth(1).map_or(0, |s| s.origin);
-            let (down, told) = (self.uppers.iter().filter(|u| u.is_down()), self.driver.published().1);
+            let (down, told) = (self.uppers.iter().filter(|u| u.is_down()), self.driver.published().version);
             let down: Vec<NodeId> = down.filter_map(|u| told.node_id(&u.name)).collect();
             self.hear(RolloutInput::HealthReport { origin_load: origin as f64, down_nodes: down })?;
         }
@@ -318,10 +319,10 @@
             self.uppers[n].fails(1_000);
             self.notes.push(format!("fault: {} fails for a second", self.uppers[n].name));
         }
-        let (number, held) = self.driver.committed();
-        if number != self.left || self.driver.published().0 != number {
+        let sablecross_hierarchy::NumberedVersion { number, version: held } = self.driver.committed();
+        if number != self.left || self.driver.published().number != number {
             let over = unix_ms() + BUDGET_MS + 100 + STRAY_GRACE;
-            let told = self.driver.published().1;
+            let told = self.driver.published().version;
             for upper in &self.uppers {
                 let here = [held, told].iter().any(|h| h.node_id(&upper.name).is_some());
                 upper.leaves((!here).then_some(over));
@@ -443,8 +444,8 @@
         let idle = control.driver.progress().is_none();
         if asked < e.rewirings && Instant::now() >= next_change && (idle || second_due) {
             second = false; // The driver numbers nodes anew when it begins anew; here they keep their first numbers.
-            let told =
-                HierarchySpec::from_hierarchy(1, control.driver.published().1).to_hierarchy(Some(&first));
+            let told = HierarchySpec::from_hierarchy(1, control.driver.published().version)
+                .to_hierarchy(Some(&first));
             let from = told.map_or_else(|_| first.clone(), |(_, h)| h);
             let cold = |n: NodeId| nodes.get(&n).map_or(0, |(node, _)| node.begin_cold() * 1_000_000);
             if let Some(aim) = shape.other(&from, cold) {
@@ -512,7 +513,7 @@
 impl Control<'_> {
     /// All at once, without a plan: for comparison.
     fn jump(&mut self, aim: Hierarchy) -> Result<(), Failed> {
-        let number = self.driver.published().0 + 1;
+        let number = self.driver.published().number + 1;
         self.common.count(|s| s.version = number);
         self.tell(number, &aim);
         // The driver begins anew with it, so that what comes next starts from there.
