--- a/crates/hierarchy/tests/model.rs
+++ b/crates/hierarchy/tests/model.rs
@@ -1,8 +1,9 @@
-//! All states of small hierarchies while they change, by stateright: told versions late, lost, doubled and out of
-//! order, the driver killed, a second change while one runs, bad evidence. A fill walks through it all by what each node holds.
+//! Model checking of small hierarchies while they change, by stateright: versions delayed, lost, duplicated and
+//! reordered, the rollout killed, a second change while one runs, bad health. A fill goes by what each node applies.
 //!
-//! `SABLECROSS_MODEL=all` searches every first version and every pair of changes on it (one of each kind that differs
-//! by the names of the nodes alone), `N` one in so many, `N:PART` another such part; without it a sample is searched, the same each time.
+//! `SABLECROSS_MODEL=all` searches every first version and every pair of changes on it (one of those that differ
+//! by the names of the nodes only), `N` one in N, `N:PART` another such part; without it a sample is searched, the same
+//! each time.
 
 mod support;
 
@@ -19,114 +20,114 @@
 use support::{all_masks, of_masks};
 
 #[derive(Clone, Debug)]
-struct World {
-    driver: Rollout,
+struct ModelState {
+    rollout: Rollout,
     log: Vec<Arc<RolloutRecord>>,
     now: u64,
     holders: Vec<VersionHolder>,
-    /// What was told to each party, in any order and as often as may be; what is never taken is lost.
-    told: BTreeSet<(usize, u64)>,
+    /// The versions sent to each participant, which may take them in any order and any number of times, or never.
+    sent: BTreeSet<(usize, u64)>,
     versions: Vec<(u64, Hierarchy)>,
-    /// Words of parties on their way to the driver.
-    words: BTreeSet<(usize, u64, u64)>,
-    /// Where a fill that set out at a node can be, and when it set out at the latest: all fills there can be at
-    /// once, each staying or going on as it may. One that meets any node twice has set out there at the latest.
+    /// Reports of participants on their way to the rollout.
+    reports: BTreeSet<(usize, u64, u64)>,
+    /// For each node where a fill can be that started there, and when it started at the latest: all fills that are
+    /// possible, each of which stays or goes on. A fill that passes a node twice is found as one that started there.
     fills: BTreeMap<(NodeId, NodeId), u64>,
-    twice: bool,
-    begun: bool,
-    second: bool,
+    has_loop: bool,
+    is_proposed: bool,
+    is_second_proposed: bool,
     kills: u8,
-    bad: u8,
+    bad_reports: u8,
 }
 
-impl World {
+impl ModelState {
     fn key(&self) -> impl Hash + Eq + '_ {
         let holders: Vec<u64> = self.holders.iter().map(VersionHolder::number).collect();
         // Times count by how long ago they are: the same state later is the same state.
         let fills: Vec<_> = self.fills.iter().map(|(k, at)| (*k, self.now - at)).collect();
-        let flags = (self.begun, self.second, self.kills, self.bad, self.twice);
-        (self.driver.state_key(self.now), holders, &self.told, &self.words, fills, flags)
+        let flags = (self.is_proposed, self.is_second_proposed, self.kills, self.bad_reports, self.has_loop);
+        (self.rollout.state_key(self.now), holders, &self.sent, &self.reports, fills, flags)
     }
 }
 
-impl PartialEq for World {
+impl PartialEq for ModelState {
     fn eq(&self, other: &Self) -> bool {
         self.key() == other.key()
     }
 }
 
-impl Eq for World {}
+impl Eq for ModelState {}
 
-impl Hash for World {
+impl Hash for ModelState {
     fn hash<H: Hasher>(&self, to: &mut H) {
         self.key().hash(to);
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Move {
+enum Event {
     Propose,
-    Second,
-    Take(usize, u64),
-    Word(usize, u64, u64),
+    ProposeSecond,
+    Apply(usize, u64),
+    Report(usize, u64, u64),
     Tick,
     Kill,
-    Evidence,
+    BadHealth,
 }
 
 struct Search {
     from: Hierarchy,
-    aim: Hierarchy,
+    target: Hierarchy,
     second: Option<Hierarchy>,
     kills: u8,
-    bad: u8,
-    /// A fault sown for the search to find: it is told all at once, without a plan.
-    jump: bool,
-    /// Another: steps follow one another while lookups from before are in hand.
-    hasty: bool,
+    bad_reports: u8,
+    /// A fault for the search to find: the target is sent at once, without a plan.
+    skips_plan: bool,
+    /// Another one: a step is started while requests of earlier versions are in flight.
+    skips_drain: bool,
 }
 
 impl Search {
-    fn parties(&self) -> Vec<Participant> {
+    fn participants(&self) -> Vec<Participant> {
         (1..self.from.len()).map(|n| format!("n{n}").into()).collect()
     }
 
-    fn settle(&self, w: &mut World, kill: bool) {
-        for act in w.driver.take_actions() {
-            match act {
-                RolloutAction::Persist(record) => w.log.push(Arc::new(record)),
-                // Killed once all is kept and nothing is told yet; the acts before that are tested by themselves.
+    fn carry_out(&self, state: &mut ModelState, kill: bool) {
+        for action in state.rollout.take_actions() {
+            match action {
+                RolloutAction::Persist(record) => state.log.push(Arc::new(record)),
+                // Killed when all is stored and nothing is sent yet; kills at other actions have a test of their own.
                 RolloutAction::Publish { .. } if kill => {}
                 RolloutAction::Publish { number, version } => {
-                    if !w.versions.iter().any(|(n, _)| *n == number) {
-                        w.versions.push((number, version));
+                    if !state.versions.iter().any(|(n, _)| *n == number) {
+                        state.versions.push((number, version));
                     }
-                    w.told.extend((0..w.holders.len()).map(|p| (p, number)));
+                    state.sent.extend((0..state.holders.len()).map(|p| (p, number)));
                 }
                 RolloutAction::Log(_) => {}
             }
         }
     }
 
-    /// Lets fills set out and go on by what each node holds now.
-    fn walk(&self, w: &mut World) {
-        if w.driver.progress().is_none() {
+    /// Lets fills start and go on by the versions that nodes apply now.
+    fn advance_fills(&self, state: &mut ModelState) {
+        if state.rollout.progress().is_none() {
             // Only while something changes can a fill meet more than one version.
-            w.fills.clear();
+            state.fills.clear();
             return;
         }
         let mut next: Vec<((NodeId, NodeId), u64)> = (1..self.from.len() as NodeId)
-            .map(|n| ((n, n), w.now))
-            .chain(w.fills.iter().map(|(k, at)| (*k, *at)))
+            .map(|n| ((n, n), state.now))
+            .chain(state.fills.iter().map(|(k, at)| (*k, *at)))
             .collect();
-        w.fills.clear();
+        state.fills.clear();
         while let Some(((start, at), born)) = next.pop() {
-            if w.fills.get(&(start, at)).is_some_and(|b| *b >= born) {
+            if state.fills.get(&(start, at)).is_some_and(|b| *b >= born) {
                 continue;
             }
-            w.fills.insert((start, at), born);
-            for s in w.holders[at as usize - 1].version().into_iter().flat_map(|v| v.active_sources(at)) {
-                w.twice |= s == start;
+            state.fills.insert((start, at), born);
+            for s in state.holders[at as usize - 1].version().into_iter().flat_map(|v| v.active_sources(at)) {
+                state.has_loop |= s == start;
                 if s != 0 {
                     next.push(((start, s), born));
                 }
@@ -134,26 +135,26 @@
         }
     }
 
-    fn hear(&self, w: &mut World, input: RolloutInput) {
-        let _ = w.driver.handle(input, w.now);
-        self.settle(w, false);
+    fn handle(&self, state: &mut ModelState, input: RolloutInput) {
+        let _ = state.rollout.handle(input, state.now);
+        self.carry_out(state, false);
     }
 }
 
 impl Model for Search {
-    type State = World;
-    type Action = Move;
+    type State = ModelState;
+    type Action = Event;
 
-    fn init_states(&self) -> Vec<World> {
-        let mut driver = Rollout::new(1, self.from.clone(), self.parties()).unwrap();
+    fn init_states(&self) -> Vec<ModelState> {
+        let mut rollout = Rollout::new(1, self.from.clone(), self.participants()).unwrap();
         let mut holders = vec![VersionHolder::new(); self.from.len() - 1];
-        driver.take_actions();
-        for (party, holder) in self.parties().into_iter().zip(&mut holders) {
+        rollout.take_actions();
+        for (participant, holder) in self.participants().into_iter().zip(&mut holders) {
             holder.offer(1, &self.from);
-            driver
+            rollout
                 .handle(
                     RolloutInput::VersionApplied {
-                        participant: party,
+                        participant,
                         number: 1,
                         digest: self.from.digest(),
                     },
@@ -162,127 +163,141 @@
                 .unwrap();
         }
         let version = sablecross_hierarchy::spec::HierarchySpec::from_hierarchy(1, &self.from);
-        vec![World {
-            driver,
+        vec![ModelState {
+            rollout,
             log: vec![Arc::new(RolloutRecord::Checkpoint { number: 1, next_change: 1, version })],
             now: 0,
             holders,
-            told: BTreeSet::new(),
+            sent: BTreeSet::new(),
             versions: vec![(1, self.from.clone())],
-            words: BTreeSet::new(),
+            reports: BTreeSet::new(),
             fills: BTreeMap::new(),
-            twice: false,
-            begun: false,
-            second: false,
+            has_loop: false,
+            is_proposed: false,
+            is_second_proposed: false,
             kills: 0,
-            bad: 0,
+            bad_reports: 0,
         }]
     }
 
-    fn actions(&self, w: &World, actions: &mut Vec<Move>) {
-        if w.twice {
+    fn actions(&self, state: &ModelState, actions: &mut Vec<Event>) {
+        if state.has_loop {
             return;
         }
-        if !w.begun {
-            actions.push(Move::Propose);
-        } else if !w.second && self.second.is_some() && w.driver.progress().is_some() {
-            actions.push(Move::Second);
+        if !state.is_proposed {
+            actions.push(Event::Propose);
+        } else if !state.is_second_proposed && self.second.is_some() && state.rollout.progress().is_some() {
+            actions.push(Event::ProposeSecond);
         }
         actions.extend(
-            w.told.iter().filter(|(p, n)| *n > w.holders[*p].number()).map(|&(p, n)| Move::Take(p, n)),
+            state
+                .sent
+                .iter()
+                .filter(|(p, n)| *n > state.holders[*p].number())
+                .map(|&(p, n)| Event::Apply(p, n)),
         );
-        actions.extend(w.words.iter().map(|&(p, n, d)| Move::Word(p, n, d)));
-        if w.driver.next_wakeup().is_some() {
-            actions.push(Move::Tick);
+        actions.extend(state.reports.iter().map(|&(p, n, d)| Event::Report(p, n, d)));
+        if state.rollout.next_wakeup().is_some() {
+            actions.push(Event::Tick);
         }
-        if w.begun && w.kills < self.kills {
-            actions.push(Move::Kill);
+        if state.is_proposed && state.kills < self.kills {
+            actions.push(Event::Kill);
         }
-        if w.begun && w.bad < self.bad && w.driver.progress().is_some_and(|progress| !progress.is_rollback) {
-            actions.push(Move::Evidence);
+        if state.is_proposed
+            && state.bad_reports < self.bad_reports
+            && state.rollout.progress().is_some_and(|progress| !progress.is_rollback)
+        {
+            actions.push(Event::BadHealth);
         }
     }
 
-    fn next_state(&self, before: &World, action: Move) -> Option<World> {
-        let mut w = before.clone();
+    fn next_state(&self, before: &ModelState, action: Event) -> Option<ModelState> {
+        let mut state = before.clone();
         match action {
-            Move::Propose => {
-                w.begun = true;
-                if self.jump {
-                    w.versions.push((2, self.aim.clone()));
-                    w.told.extend((0..w.holders.len()).map(|p| (p, 2)));
+            Event::Propose => {
+                state.is_proposed = true;
+                if self.skips_plan {
+                    state.versions.push((2, self.target.clone()));
+                    state.sent.extend((0..state.holders.len()).map(|p| (p, 2)));
                 }
-                self.hear(&mut w, RolloutInput::Propose { target: self.aim.clone() });
+                self.handle(&mut state, RolloutInput::Propose { target: self.target.clone() });
             }
-            Move::Second => {
-                w.second = true;
-                let aim = self.second.clone()?;
-                self.hear(&mut w, RolloutInput::Propose { target: aim });
+            Event::ProposeSecond => {
+                state.is_second_proposed = true;
+                let target = self.second.clone()?;
+                self.handle(&mut state, RolloutInput::Propose { target });
             }
-            Move::Take(p, n) => {
-                let version = w.versions.iter().find(|(number, _)| *number == n)?.1.clone();
-                w.holders[p].offer(n, &version);
-                w.words.insert((p, n, version.digest()));
+            Event::Apply(p, n) => {
+                let version = state.versions.iter().find(|(number, _)| *number == n)?.1.clone();
+                state.holders[p].offer(n, &version);
+                state.reports.insert((p, n, version.digest()));
             }
-            Move::Word(p, number, digest) => {
-                // A word that was heard may come again: it changes nothing then.
-                let party = self.parties()[p].clone();
-                w.words.remove(&(p, number, digest));
-                self.hear(
-                    &mut w,
-                    RolloutInput::VersionApplied { participant: party.clone(), number, digest },
+            Event::Report(p, number, digest) => {
+                // A report may come twice: it changes nothing then.
+                let participant = self.participants()[p].clone();
+                state.reports.remove(&(p, number, digest));
+                self.handle(
+                    &mut state,
+                    RolloutInput::VersionApplied { participant.clone(), number, digest },
+                );
+                self.handle(
+                    &mut state,
+                    RolloutInput::VersionApplied { participant, number, digest },
                 );
-                self.hear(&mut w, RolloutInput::VersionApplied { participant: party, number, digest });
             }
-            Move::Tick => {
-                let wake = w.driver.next_wakeup()?;
-                w.now = w.now.max(wake);
-                // No lookup is in hand for longer than this.
-                let (now, hold) = (w.now, self.from.rules.drain_window);
-                w.fills.retain(|_, at| self.hasty || *at + hold > now);
-                self.hear(&mut w, RolloutInput::Tick);
+            Event::Tick => {
+                let wake = state.rollout.next_wakeup()?;
+                state.now = state.now.max(wake);
+                // No request is in flight for longer than this.
+                let (now, hold) = (state.now, self.from.rules.drain_window);
+                state.fills.retain(|_, at| self.skips_drain || *at + hold > now);
+                self.handle(&mut state, RolloutInput::Tick);
             }
-            Move::Kill => {
-                w.kills += 1;
-                self.settle(&mut w, true);
-                let log: Vec<RolloutRecord> = w.log.iter().map(|r| (**r).clone()).collect();
-                w.driver = Rollout::recover(&log, self.parties(), w.now).ok()?;
-                self.settle(&mut w, false);
-                // Each says what it holds when the driver is back.
-                let said: Vec<_> = w
+            Event::Kill => {
+                state.kills += 1;
+                self.carry_out(&mut state, true);
+                let log: Vec<RolloutRecord> = state.log.iter().map(|r| (**r).clone()).collect();
+                state.rollout = Rollout::recover(&log, self.participants(), state.now).ok()?;
+                self.carry_out(&mut state, false);
+                // Each reports what it applies when the rollout is back.
+                let current: Vec<_> = state
                     .holders
                     .iter()
                     .enumerate()
                     .map(|(p, h)| (p, h.number(), h.version().map_or(0, Hierarchy::digest)))
                     .collect();
-                w.words.extend(said);
+                state.reports.extend(current);
             }
-            Move::Evidence => {
-                w.bad += 1;
-                self.hear(&mut w, RolloutInput::HealthReport { origin_load: 1e7, down_nodes: Vec::new() });
+            Event::BadHealth => {
+                state.bad_reports += 1;
+                self.handle(
+                    &mut state,
+                    RolloutInput::HealthReport { origin_load: 1e7, down_nodes: Vec::new() },
+                );
             }
         }
-        self.walk(&mut w);
-        // What would change nothing is as good as lost.
-        let World { told, words, holders, driver, .. } = &mut w;
-        told.retain(|(p, n)| *n > holders[*p].number());
-        words.retain(|(_, n, _)| *n == driver.published().number);
-        Some(w)
+        self.advance_fills(&mut state);
+        // What would change nothing is the same as lost.
+        let ModelState { sent, reports, holders, rollout, .. } = &mut state;
+        sent.retain(|(p, n)| *n > holders[*p].number());
+        reports.retain(|(_, n, _)| *n == rollout.published().number);
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no fill meets a node twice", |_, w: &World| !w.twice),
-            Property::always("no one goes back to an older number", |_, w: &World| {
-                // Holders are told apart from the log: what is in force is never beyond what was kept.
-                w.holders.iter().all(|h| h.number() <= w.driver.published().number)
+            Property::always("no fill passes a node twice", |_, state: &ModelState| !state.has_loop),
+            Property::always("no one goes back to an older number", |_, state: &ModelState| {
+                // No participant applies a version that is not in the log.
+                state.holders.iter().all(|h| h.number() <= state.rollout.published().number)
             }),
-            Property::eventually("every change ends, and all agree", |s: &Search, w: &World| {
-                let held = w.driver.committed().version;
-                let one = *held == s.aim || *held == s.from || s.second.as_ref() == Some(held);
-                let agreed = w.holders.iter().all(|h| h.version() == Some(held));
-                let agreed = agreed && w.told.is_empty();
-                w.begun && w.driver.progress().is_none() && one && agreed
+            Property::eventually("every change ends, and all agree", |s: &Search, state: &ModelState| {
+                let committed = state.rollout.committed().version;
+                let one =
+                    *committed == s.target || *committed == s.from || s.second.as_ref() == Some(committed);
+                let agreed = state.holders.iter().all(|h| h.version() == Some(committed));
+                let agreed = agreed && state.sent.is_empty();
+                state.is_proposed && state.rollout.progress().is_none() && one && agreed
             }),
         ]
     }
@@ -324,13 +339,21 @@
     })
 }
 
-fn search(from: &[u8], aim: &[u8], second: Option<&[u8]>, kills: u8, bad: u8) -> Search {
+fn search(from: &[u8], target: &[u8], second: Option<&[u8]>, kills: u8, bad_reports: u8) -> Search {
     let second = second.map(of_masks);
-    Search { from: of_masks(from), aim: of_masks(aim), second, kills, bad, jump: false, hasty: false }
+    Search {
+        from: of_masks(from),
+        target: of_masks(target),
+        second,
+        kills,
+        bad_reports,
+        skips_plan: false,
+        skips_drain: false,
+    }
 }
 
 #[test]
-fn every_change_ends_and_no_fill_meets_a_node_twice() {
+fn every_change_ends_and_no_fill_passes_a_node_twice() {
     // Of three nodes and the origin one triple in so many is searched; of fewer nodes all are.
     let asked = std::env::var("SABLECROSS_MODEL").unwrap_or_else(|_| "997".into());
     let (each, part) = match asked.split_once(':') {
@@ -357,8 +380,10 @@
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| {
-                while let Some((a, b, c, (kills, bad))) = triples.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let (count, found) = states(search(a, b, Some(c), *kills, *bad));
+                while let Some((a, b, c, (kills, bad_reports))) =
+                    triples.get(next.fetch_add(1, Ordering::Relaxed))
+                {
+                    let (count, found) = states(search(a, b, Some(c), *kills, *bad_reports));
                     assert!(found.is_empty(), "{a:?} {b:?} {c:?}: {found:?}");
                     let all = states_in_all.fetch_add(count, Ordering::Relaxed) + count;
                     most.fetch_max(count, Ordering::Relaxed);
@@ -376,18 +401,18 @@
 }
 
 #[test]
-fn faults_that_are_sown_are_found() {
-    // Two nodes that swap places: told at once, a fill can run in a circle between them.
+fn injected_faults_are_found() {
+    // Two nodes that swap places: if the target is sent at once, a fill can run in a loop between them.
     let swapped: (&[u8], &[u8]) = (&[0b001, 0b010], &[0b100, 0b001]);
-    let jumped = Search { jump: true, ..search(swapped.0, swapped.1, None, 0, 0) };
-    assert!(states(jumped).1.contains(&"no fill meets a node twice"));
+    let jumped = Search { skips_plan: true, ..search(swapped.0, swapped.1, None, 0, 0) };
+    assert!(states(jumped).1.contains(&"no fill passes a node twice"));
     assert!(states(search(swapped.0, swapped.1, None, 0, 0)).1.is_empty());
-    // Without the time for lookups from before, a fill meets three versions.
+    // If requests of earlier versions are not waited for, a fill can meet three versions.
     let mut found = 0;
     let masks = all_masks(3);
     for (a, b) in masks.iter().flat_map(|a| masks.iter().map(move |b| (a, b))).step_by(7) {
-        let hasty = Search { hasty: true, ..search(a, b, None, 0, 0) };
-        found += usize::from(states(hasty).1.contains(&"no fill meets a node twice"));
+        let skips_drain = Search { skips_drain: true, ..search(a, b, None, 0, 0) };
+        found += usize::from(states(skips_drain).1.contains(&"no fill passes a node twice"));
     }
     assert!(found > 0);
 }
