--- a/crates/hierarchy/tests/model.rs
+++ b/crates/hierarchy/tests/model.rs
@@ -153,11 +153,7 @@
             holder.offer(1, &self.from);
             rollout
                 .handle(
-                    RolloutInput::VersionApplied {
-                        participant,
-                        number: 1,
-                        digest: self.from.digest(),
-                    },
+                    RolloutInput::VersionApplied { participant, number: 1, digest: self.from.digest() },
                     0,
                 )
                 .unwrap();
@@ -238,12 +234,9 @@
                 state.reports.remove(&(p, number, digest));
                 self.handle(
                     &mut state,
-                    RolloutInput::VersionApplied { participant.clone(), number, digest },
-                );
-                self.handle(
-                    &mut state,
-                    RolloutInput::VersionApplied { participant, number, digest },
+                    RolloutInput::VersionApplied { participant: participant.clone(), number, digest },
                 );
+                self.handle(&mut state, RolloutInput::VersionApplied { participant, number, digest });
             }
             Event::Tick => {
                 let wake = state.rollout.next_wakeup()?;
