--- a/crates/hierarchy-controller/tests/controller.rs
+++ b/crates/hierarchy-controller/tests/controller.rs
@@ -1,4 +1,4 @@
-//! The driver whose owner ends, or stalls and wakes, at each of its steps.
+//! The controller, whose holder fails, or is delayed and resumes, at each of its actions.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
@@ -10,8 +10,9 @@
 const MS: Ns = 1_000_000;
 const SEC: Ns = 1_000 * MS;
 
-/// An origin, two uppers, parents and a cache; `shape` says which uppers each parent has and whether there is a third parent.
-fn text(shape: usize) -> String {
+/// The settings of an origin, two upper parents, two or three parents below them and a cache. The shape decides which
+/// upper parents each parent has, and whether there is a third parent.
+fn settings(shape: usize) -> String {
     let (a, b) = [("\"u1\"", "\"u2\""), ("\"u2\"", "\"u1\""), ("\"u1\" \"u2\"", "\"u2\"")][shape % 3];
     let third = shape >= 3;
     let mut text = format!(
@@ -31,45 +32,45 @@
     )
 }
 
-/// The register and the members as the voters and directors keep them.
-struct World {
+/// The register of the voters, the members, and all controllers that ever held the role.
+struct Fleet {
     now: Ns,
-    gate: FencingGuard,
-    entry: RegisterValue,
-    board: FencingGuard,
+    register_guard: FencingGuard,
+    register: RegisterValue,
+    message_guard: FencingGuard,
     members: Vec<(Member, VersionHolder)>,
-    owners: Vec<HierarchyController>,
+    controllers: Vec<HierarchyController>,
     term: u64,
-    orders: usize,
-    done: Vec<String>,
-    /// The most numbers that members were apart.
-    apart: u64,
-    refused: usize,
+    carried_out: usize,
+    lines: Vec<String>,
+    /// The largest difference between the numbers of successive versions that a member applied.
+    max_gap: u64,
+    rejected_actions: usize,
 }
 
-impl World {
-    fn new() -> World {
+impl Fleet {
+    fn new() -> Fleet {
         let members =
             (0..4).map(|number| (Member { number, incarnation: 1 }, VersionHolder::new())).collect();
-        let mut w = World {
+        let mut fleet = Fleet {
             now: 0,
-            gate: FencingGuard::default(),
-            entry: RegisterValue::default(),
-            board: FencingGuard::default(),
+            register_guard: FencingGuard::default(),
+            register: RegisterValue::default(),
+            message_guard: FencingGuard::default(),
             members,
-            owners: Vec::new(),
+            controllers: Vec::new(),
             term: 0,
-            orders: 0,
-            done: Vec::new(),
-            apart: 0,
-            refused: 0,
+            carried_out: 0,
+            lines: Vec::new(),
+            max_gap: 0,
+            rejected_actions: 0,
         };
-        w.owner();
-        w
+        fleet.change_holder();
+        fleet
     }
 
-    /// Another one owns the duty from here on; those before are there still, stalled.
-    fn owner(&mut self) {
+    /// Another member acquires the role. The earlier holders still exist, and are delayed.
+    fn change_holder(&mut self) {
         self.term += 1;
         let token = FencingToken {
             term: self.term,
@@ -78,28 +79,28 @@
         let mut next = HierarchyController::new(token, 10 * SEC);
         let alive: Vec<Member> = self.members.iter().map(|m| m.0).collect();
         next.update_members(self.now, &alive);
-        self.gate.admit(token).expect("a newer term");
-        self.entry.token = token;
-        next.on_persisted(self.now, &self.entry.clone());
-        self.owners.push(next);
+        self.register_guard.admit(token).expect("a newer term");
+        self.register.token = token;
+        next.on_persisted(self.now, &self.register.clone());
+        self.controllers.push(next);
     }
 
-    /// Carries one order of an owner out, the newest one's or an old one's.
-    fn order(&mut self, by: usize, order: ControllerAction) {
-        let token = self.owners[by].token();
-        match order {
+    /// Carries out an action of the current holder, or of an earlier one.
+    fn carry_out(&mut self, by: usize, action: ControllerAction) {
+        let token = self.controllers[by].token();
+        match action {
             ControllerAction::Persist(bytes) => {
-                if self.gate.admit(token).is_err() {
-                    self.refused += 1;
+                if self.register_guard.admit(token).is_err() {
+                    self.rejected_actions += 1;
                     return;
                 }
-                self.entry = RegisterValue { sequence: self.entry.sequence + 1, token, bytes };
-                let entry = self.entry.clone();
-                self.owners[by].on_persisted(self.now, &entry);
+                self.register = RegisterValue { sequence: self.register.sequence + 1, token, bytes };
+                let stored = self.register.clone();
+                self.controllers[by].on_persisted(self.now, &stored);
             }
             ControllerAction::Publish { number, bytes } => {
-                if self.board.admit(token).is_err() {
-                    self.refused += 1;
+                if self.message_guard.admit(token).is_err() {
+                    self.rejected_actions += 1;
                     return;
                 }
                 let (n, version) =
@@ -107,180 +108,182 @@
                 assert_eq!(n, number);
                 for (_, holder) in &mut self.members {
                     let before = holder.number();
-                    let taken = holder.offer(number, &version);
-                    assert_ne!(taken, OfferOutcome::Conflicting, "one number, two versions");
+                    let outcome = holder.offer(number, &version);
+                    assert_ne!(outcome, OfferOutcome::Conflicting, "one number, two versions");
                     assert!(holder.number() >= before);
-                    if taken == OfferOutcome::Accepted && before > 0 {
-                        self.apart = self.apart.max(number - before);
+                    if outcome == OfferOutcome::Accepted && before > 0 {
+                        self.max_gap = self.max_gap.max(number - before);
                     }
                 }
             }
-            ControllerAction::Log(line) => self.done.push(line),
+            ControllerAction::Log(line) => self.lines.push(line),
         }
     }
 
-    /// Lets the newest owner go on for a while; ends after so many orders, if that many come.
-    fn run(&mut self, time: Ns, most: usize) -> bool {
+    /// Lets the current holder go on for a while. Before action `limit` the role changes its holder: the earlier one then
+    /// carries out what it was about to do. Whether that happened.
+    fn run(&mut self, time: Ns, limit: usize) -> bool {
         let until = self.now + time;
         while self.now < until {
             self.now += 10 * MS;
-            let by = self.owners.len() - 1;
-            let said: Vec<_> = self
+            let by = self.controllers.len() - 1;
+            let reports: Vec<_> = self
                 .members
                 .iter()
                 .map(|(m, h)| {
                     (*m, h.number(), h.version().map_or(0, sablecross_hierarchy::Hierarchy::digest))
                 })
                 .collect();
-            for (m, number, digest) in said {
-                self.owners[by].on_version_applied(self.now, m, number, digest);
+            for (m, number, digest) in reports {
+                self.controllers[by].on_version_applied(self.now, m, number, digest);
             }
             let now = self.now;
-            self.owners[by].tick(now);
+            self.controllers[by].tick(now);
             loop {
-                let orders = self.owners[by].take_actions();
-                if orders.is_empty() {
+                let actions = self.controllers[by].take_actions();
+                if actions.is_empty() {
                     break;
                 }
-                let mut orders = orders.into_iter();
-                while let Some(order) = orders.next() {
-                    if self.orders == most {
-                        // What it would have done next it does when it wakes.
-                        let late: Vec<ControllerAction> = std::iter::once(order).chain(orders).collect();
-                        self.owner();
-                        for order in late {
-                            self.order(by, order);
+                let mut actions = actions.into_iter();
+                while let Some(action) = actions.next() {
+                    if self.carried_out == limit {
+                        // The delayed holder does this when it resumes.
+                        let late: Vec<ControllerAction> = std::iter::once(action).chain(actions).collect();
+                        self.change_holder();
+                        for action in late {
+                            self.carry_out(by, action);
                         }
                         return true;
                     }
-                    self.orders += 1;
-                    self.order(by, order);
+                    self.carried_out += 1;
+                    self.carry_out(by, action);
                 }
             }
         }
         false
     }
 
-    fn wish(&mut self, shape: usize) -> Result<(), ProposalError> {
-        let (by, now) = (self.owners.len() - 1, self.now);
-        self.owners[by].propose(now, text(shape).as_bytes())
+    fn propose(&mut self, shape: usize) -> Result<(), ProposalError> {
+        let (by, now) = (self.controllers.len() - 1, self.now);
+        self.controllers[by].propose(now, settings(shape).as_bytes())
     }
 
-    fn ended(&self) -> bool {
-        let newest = self.owners.last().and_then(HierarchyController::rollout).expect("a driver");
+    fn is_settled(&self) -> bool {
+        let newest = self.controllers.last().and_then(HierarchyController::rollout).expect("a rollout");
         newest.progress().is_none()
             && newest.missing_participants().is_empty()
             && self.members.iter().all(|(_, h)| h.number() == newest.published().number)
     }
 }
 
-/// The owner ends, or stalls and wakes with what it was about to do, before each of its orders in turn.
+/// The holder is replaced before each of its actions in turn, and carries that out late.
 #[test]
-fn an_owner_that_is_lost_at_any_step_harms_nothing_and_the_change_ends() {
-    let (mut cases, mut refused) = (0, 0);
+fn a_holder_that_is_replaced_at_any_action_does_no_harm_and_the_change_ends() {
+    let (mut cases, mut rejected_actions) = (0, 0);
     for shape in 1..6 {
         for at in 0..200 {
-            let mut w = World::new();
-            w.wish(0).expect("the first version");
-            w.run(3 * SEC, usize::MAX);
-            assert!(w.ended());
-            w.orders = 0;
-            w.wish(shape).expect("a change");
-            let struck = w.run(60 * SEC, at);
-            if struck {
-                w.run(60 * SEC, usize::MAX);
+            let mut fleet = Fleet::new();
+            fleet.propose(0).expect("the first version");
+            fleet.run(3 * SEC, usize::MAX);
+            assert!(fleet.is_settled());
+            fleet.carried_out = 0;
+            fleet.propose(shape).expect("a change");
+            let is_replaced = fleet.run(60 * SEC, at);
+            if is_replaced {
+                fleet.run(60 * SEC, usize::MAX);
             }
             assert!(
-                w.ended(),
-                "shape {shape}, before order {at}: {:?}",
-                w.owners.last().map(HierarchyController::status)
+                fleet.is_settled(),
+                "shape {shape}, before action {at}: {:?}",
+                fleet.controllers.last().map(HierarchyController::status)
             );
-            // What was lost before it was kept never began: whoever asked is told nothing of it, and asks again.
-            assert_eq!(w.apart, u64::from(at > 0), "shape {shape}, before order {at}");
-            refused += w.refused;
+            // A change that was lost before its record was stored has never started, and is proposed again.
+            assert_eq!(fleet.max_gap, u64::from(at > 0), "shape {shape}, before action {at}");
+            rejected_actions += fleet.rejected_actions;
             cases += 1;
-            if !struck {
+            if !is_replaced {
                 break;
             }
         }
     }
-    assert!(cases > 40 && refused > 10, "{cases} {refused}");
+    assert!(cases > 40 && rejected_actions > 10, "{cases} {rejected_actions}");
 }
 
 #[test]
-fn owners_that_are_lost_again_and_again_harm_nothing() {
+fn holders_that_are_replaced_again_and_again_do_no_harm() {
     for seed in 0..60 {
         let mut rng = Pcg32::seed_from_u64(seed);
-        let mut w = World::new();
-        w.wish(0).expect("the first version");
-        w.run(3 * SEC, usize::MAX);
+        let mut fleet = Fleet::new();
+        fleet.propose(0).expect("the first version");
+        fleet.run(3 * SEC, usize::MAX);
         for _ in 0..6 {
-            // A wish while another runs may be declined.
-            let _ = w.wish(rng.random_range(0..6));
-            w.orders = 0;
-            let most = rng.random_range(0..12);
-            w.run(rng.random_range(1..4) * SEC, most);
+            // A proposal while another one runs may be rejected.
+            let _ = fleet.propose(rng.random_range(0..6));
+            fleet.carried_out = 0;
+            let limit = rng.random_range(0..12);
+            fleet.run(rng.random_range(1..4) * SEC, limit);
             if rng.random::<f64>() < 0.3 {
                 let n = rng.random_range(0..4);
-                // Begun anew: it has nothing in force.
-                w.members[n] = (
-                    Member { number: n as u32, incarnation: w.members[n].0.incarnation + 1 },
+                // Restarted: it applies no version.
+                fleet.members[n] = (
+                    Member { number: n as u32, incarnation: fleet.members[n].0.incarnation + 1 },
                     VersionHolder::new(),
                 );
-                let alive: Vec<Member> = w.members.iter().map(|m| m.0).collect();
-                let (by, now) = (w.owners.len() - 1, w.now);
-                w.owners[by].update_members(now, &alive);
+                let alive: Vec<Member> = fleet.members.iter().map(|m| m.0).collect();
+                let (by, now) = (fleet.controllers.len() - 1, fleet.now);
+                fleet.controllers[by].update_members(now, &alive);
             }
         }
-        w.orders = 0;
-        w.run(120 * SEC, usize::MAX);
-        let published = w.owners.last().map(HierarchyController::status);
-        let newest = w.owners.last().and_then(HierarchyController::rollout).expect("a driver");
+        fleet.carried_out = 0;
+        fleet.run(120 * SEC, usize::MAX);
+        let published = fleet.controllers.last().map(HierarchyController::status);
+        let newest = fleet.controllers.last().and_then(HierarchyController::rollout).expect("a rollout");
         assert!(newest.progress().is_none(), "seed {seed}: {published:?}");
     }
 }
 
 #[test]
-fn a_member_that_is_missing_is_waited_for_until_it_is_taken_for_gone() {
-    let mut w = World::new();
-    w.wish(0).expect("the first version");
-    w.run(3 * SEC, usize::MAX);
-    let lost = w.members.pop().expect("four");
-    let alive: Vec<Member> = w.members.iter().map(|m| m.0).collect();
-    w.owners[0].update_members(w.now, &alive);
-    w.wish(1).expect("a change");
-    w.run(5 * SEC, usize::MAX);
-    assert!(!w.ended(), "it waits for the one that is missing");
+fn a_missing_member_is_waited_for_until_it_is_considered_gone() {
+    let mut fleet = Fleet::new();
+    fleet.propose(0).expect("the first version");
+    fleet.run(3 * SEC, usize::MAX);
+    let lost = fleet.members.pop().expect("four");
+    let alive: Vec<Member> = fleet.members.iter().map(|m| m.0).collect();
+    fleet.controllers[0].update_members(fleet.now, &alive);
+    fleet.propose(1).expect("a change");
+    fleet.run(5 * SEC, usize::MAX);
+    assert!(!fleet.is_settled(), "it waits for the one that is missing");
     for _ in 0..40 {
-        w.owners[0].update_members(w.now, &alive);
-        w.run(SEC, usize::MAX);
+        fleet.controllers[0].update_members(fleet.now, &alive);
+        fleet.run(SEC, usize::MAX);
     }
-    assert!(w.ended(), "{}", w.owners[0].status());
-    // A late word of it changes nothing.
-    w.owners[0].on_version_applied(w.now, lost.0, 1, 1);
-    assert!(w.ended());
+    assert!(fleet.is_settled(), "{}", fleet.controllers[0].status());
+    // A late report of it changes nothing.
+    fleet.controllers[0].on_version_applied(fleet.now, lost.0, 1, 1);
+    assert!(fleet.is_settled());
 }
 
 #[test]
-fn odd_wishes_and_registers_are_declined_by_word() {
-    let mut w = World::new();
-    let said = w.owners[0].propose(0, b"(hierarchy (version . 1)").expect_err("cut short").to_string();
-    assert!(said.contains("never closed"), "{said}");
-    assert!(w.owners[0].status().contains("last refused"));
-    assert!(matches!(w.owners[0].propose(0, &[0xff, 0xfe]), Err(ProposalError::NotUtf8(_))));
-    w.wish(0).expect("a first one");
-    w.run(3 * SEC, usize::MAX);
-    assert!(matches!(w.wish(0), Err(ProposalError::Rollout(_))), "it is in force already");
-    // A register that holds another form, or half of one, is left alone.
-    for bytes in [vec![9, 9, 9], w.entry.bytes[..w.entry.bytes.len() / 2].to_vec(), vec![1]] {
+fn invalid_proposals_and_registers_are_rejected_with_a_cause() {
+    let mut fleet = Fleet::new();
+    let message =
+        fleet.controllers[0].propose(0, b"(hierarchy (version . 1)").expect_err("cut short").to_string();
+    assert!(message.contains("never closed"), "{message}");
+    assert!(fleet.controllers[0].status().contains("last refused"));
+    assert!(matches!(fleet.controllers[0].propose(0, &[0xff, 0xfe]), Err(ProposalError::NotUtf8(_))));
+    fleet.propose(0).expect("a first one");
+    fleet.run(3 * SEC, usize::MAX);
+    assert!(matches!(fleet.propose(0), Err(ProposalError::Rollout(_))), "it is committed already");
+    // A register with another format, or half of its content, is left as it is.
+    for bytes in [vec![9, 9, 9], fleet.register.bytes[..fleet.register.bytes.len() / 2].to_vec(), vec![1]] {
         let token = FencingToken { term: 9, holder: Member { number: 1, incarnation: 1 } };
         let mut next = HierarchyController::new(token, SEC);
         next.on_persisted(0, &RegisterValue { sequence: 5, token, bytes });
-        let orders = next.take_actions();
+        let actions = next.take_actions();
         assert!(
-            matches!(&orders[..], [ControllerAction::Log(line)] if line.contains("unreadable")),
-            "{orders:?}"
+            matches!(&actions[..], [ControllerAction::Log(line)] if line.contains("unreadable")),
+            "{actions:?}"
         );
-        assert!(next.propose(0, text(1).as_bytes()).is_err());
+        assert!(next.propose(0, settings(1).as_bytes()).is_err());
     }
 }
--- a/crates/hierarchy-controller/tests/stored_format.rs
+++ b/crates/hierarchy-controller/tests/stored_format.rs
@@ -14,7 +14,7 @@
 (node (name . "o") (tier . 0) (capacity . 900))
 (node (name . "e") (tier . 2) (sources "o") (capacity . 800) (demand . 100) (hit . 0.5) (share . 64) (since-ms . 7))"#;
 
-/// The same version as an array of its head and its nodes, each an array of its fields in their order.
+/// The same version as an array of its header and its nodes, each an array of its fields in their order.
 const SPEC: &str = "929a03cb407f400000000000cb3fb999999999999acb3fd3333333333333cd5208cb4004000000000000c30102cd7531\
     9298a16f0090cb408c200000000000cb0000000000000000cb0000000000000000cd010000\
     98a1650291a16fcb4089000000000000cb4059000000000000cb3fe00000000000004007";
@@ -64,7 +64,7 @@
     ]
 }
 
-fn owner() -> HierarchyController {
+fn new_controller() -> HierarchyController {
     HierarchyController::new(FencingToken { term: 3, holder: Member { number: 1, incarnation: 1 } }, SEC)
 }
 
@@ -87,34 +87,34 @@
     }
 }
 
-/// What the first version makes a new owner keep and send: the form, an array of records, and the version alone.
+/// What the first version makes a new holder store and send: the format, an array of records, and the version alone.
 #[test]
-fn the_register_begins_with_its_form() {
-    let mut driving = owner();
-    driving.on_persisted(0, &entry(Vec::new()));
-    driving.propose(0, TEXT.as_bytes()).expect("taken");
+fn the_register_begins_with_its_format() {
+    let mut controller = new_controller();
+    controller.on_persisted(0, &entry(Vec::new()));
+    controller.propose(0, TEXT.as_bytes()).expect("taken");
     let start = "81a57374617274930301SPEC".replace("SPEC", SPEC);
     let register = format!("0191{start}");
-    let orders = driving.take_actions();
-    let [ControllerAction::Persist(kept)] = &orders[..] else { panic!("{orders:?}") };
-    assert_eq!(hex(kept), register);
-    driving.on_persisted(0, &entry(kept.clone()));
-    let orders = driving.take_actions();
-    let [ControllerAction::Publish { number: 3, bytes: sent }] = &orders[..] else { panic!("{orders:?}") };
+    let actions = controller.take_actions();
+    let [ControllerAction::Persist(stored)] = &actions[..] else { panic!("{actions:?}") };
+    assert_eq!(hex(stored), register);
+    controller.on_persisted(0, &entry(stored.clone()));
+    let actions = controller.take_actions();
+    let [ControllerAction::Publish { number: 3, bytes: sent }] = &actions[..] else { panic!("{actions:?}") };
     assert_eq!(hex(sent), SPEC);
 }
 
-/// A register that an earlier program left, with every kind of record, is read and gone on from.
+/// A register that an earlier program left, with every kind of record, is read and continued from.
 #[test]
 fn a_register_of_the_first_program_is_read() {
     let records: String = examples().iter().map(|(_, text)| text.replace("SPEC", SPEC)).collect();
-    let mut driving = owner();
-    // The form, then an array of 13.
-    driving.on_persisted(0, &entry(bytes(&format!("019d{records}"))));
-    let driver = driving.rollout().expect("read");
-    assert_eq!((driver.published().number, driver.committed().number, driver.progress()), (6, 6, None));
-    let orders = driving.take_actions();
-    let sent = orders.iter().find_map(|order| match order {
+    let mut controller = new_controller();
+    // The format, then an array of 13.
+    controller.on_persisted(0, &entry(bytes(&format!("019d{records}"))));
+    let rollout = controller.rollout().expect("read");
+    assert_eq!((rollout.published().number, rollout.committed().number, rollout.progress()), (6, 6, None));
+    let actions = controller.take_actions();
+    let sent = actions.iter().find_map(|action| match action {
         ControllerAction::Publish { number, bytes } => Some((*number, bytes.clone())),
         _ => None,
     });
@@ -130,8 +130,8 @@
             }
         )
     );
-    // Another form is left alone.
-    let mut other = owner();
+    // Another format is left as it is.
+    let mut other = new_controller();
     other.on_persisted(0, &entry(bytes(&format!("029d{records}"))));
     assert!(other.rollout().is_none());
 }
--- a/crates/hierarchy/tests/model.rs
+++ b/crates/hierarchy/tests/model.rs
@@ -17,7 +17,7 @@
     Hierarchy, NodeId, Rollout, RolloutAction, RolloutInput, RolloutRecord, VersionHolder,
 };
 use stateright::{Checker, Model, Property};
-use support::{all_masks, of_masks};
+use support::{all_masks, from_masks};
 
 #[derive(Clone, Debug)]
 struct ModelState {
@@ -333,10 +333,10 @@
 }
 
 fn search(from: &[u8], target: &[u8], second: Option<&[u8]>, kills: u8, bad_reports: u8) -> Search {
-    let second = second.map(of_masks);
+    let second = second.map(from_masks);
     Search {
-        from: of_masks(from),
-        target: of_masks(target),
+        from: from_masks(from),
+        target: from_masks(target),
         second,
         kills,
         bad_reports,
--- a/crates/hierarchy/tests/plans.rs
+++ b/crates/hierarchy/tests/plans.rs
@@ -12,21 +12,21 @@
 use sablecross_hierarchy::{
     Admission, FULL_SHARE, Hierarchy, HierarchyNode, HierarchyRules, NodeId, PlanError, plan,
 };
-use support::{SEC, all_masks, member, of_masks, random, read, rules};
+use support::{SEC, all_masks, from_masks, node, random, read, rules};
 
-/// Whether a fill can meet a node twice while everyone holds one of two versions, by a search of its own.
-fn loops(u: &Hierarchy, v: &Hierarchy) -> bool {
+/// Whether a fill can pass a node twice while each participant applies one of two versions, by a search of its own.
+fn has_loop(u: &Hierarchy, v: &Hierarchy) -> bool {
     let nodes: BTreeSet<NodeId> = u.iter().chain(v.iter()).map(|(id, _)| id).collect();
     let edges: BTreeMap<NodeId, BTreeSet<NodeId>> =
         nodes.iter().map(|&n| (n, u.active_sources(n).chain(v.active_sources(n)).collect())).collect();
     nodes.iter().any(|&start| {
-        let (mut met, mut next) = (BTreeSet::new(), vec![start]);
+        let (mut visited, mut next) = (BTreeSet::new(), vec![start]);
         while let Some(n) = next.pop() {
             for &s in edges.get(&n).into_iter().flatten() {
                 if s == start {
                     return true;
                 }
-                if met.insert(s) {
+                if visited.insert(s) {
                     next.push(s);
                 }
             }
@@ -35,11 +35,11 @@
     })
 }
 
-/// Checks a plan, and gives its number of steps.
-fn check(from: &Hierarchy, to: &Hierarchy, steps: &[sablecross_hierarchy::PlanStep]) -> usize {
+/// Checks a plan. Returns its number of steps.
+fn check_plan(from: &Hierarchy, to: &Hierarchy, steps: &[sablecross_hierarchy::PlanStep]) -> usize {
     let mut before = from.clone();
     for step in steps {
-        assert!(!loops(&before, &step.target), "a loop between two steps");
+        assert!(!has_loop(&before, &step.target), "a loop between two steps");
         assert!(before != step.target, "a step that changes nothing");
         Admission::check_structure(&step.target).unwrap();
         before = step.target.clone();
@@ -48,8 +48,8 @@
     steps.len()
 }
 
-/// The fewest steps, by trying all orders of changing sets of nodes; without loads. Depth by depth.
-fn fewest(from: &Hierarchy, to: &Hierarchy) -> usize {
+/// The fewest steps, by a breadth-first search over all orders in which sets of nodes can change. Without load.
+fn fewest_steps(from: &Hierarchy, to: &Hierarchy) -> usize {
     let changed: Vec<_> = from.diff(to).collect();
     let at = |mask: usize| {
         let done = changed.iter().enumerate().filter(|(i, _)| mask >> i & 1 == 1);
@@ -63,7 +63,7 @@
         }
         let mut next = reached.clone();
         for &u in &reached {
-            next.extend((0..=all).filter(|v| v & u == u).filter(|&v| !loops(&at(u), &at(v))));
+            next.extend((0..=all).filter(|v| v & u == u).filter(|&v| !has_loop(&at(u), &at(v))));
         }
         assert_ne!(next, reached, "no plan at all");
         reached = next;
@@ -73,24 +73,24 @@
 
 #[test]
 fn all_pairs_of_four_nodes_take_the_fewest_steps() {
-    let all: Vec<Hierarchy> = all_masks(3).iter().map(|m| of_masks(m)).collect();
+    let all: Vec<Hierarchy> = all_masks(3).iter().map(|m| from_masks(m)).collect();
     let mut counts = BTreeMap::new();
     for from in &all {
         for to in &all {
             let found = plan(from, to, 0).unwrap();
-            let n = check(from, to, &found.steps);
+            let n = check_plan(from, to, &found.steps);
             assert!(found.is_minimal);
-            assert_eq!(n, fewest(from, to));
+            assert_eq!(n, fewest_steps(from, to));
             *counts.entry(n).or_insert(0) += 1;
         }
     }
-    // Some take several steps: one jump would have been a loop.
+    // Some take several steps: a direct step would have been a loop.
     assert!(counts[&2] > 100 && counts.contains_key(&3), "{counts:?}");
     assert_eq!(counts.values().sum::<usize>(), all.len() * all.len());
 }
 
 #[test]
-fn nodes_swap_tiers_and_sink_below_their_own() {
+fn nodes_swap_tiers_and_move_below_their_dependents() {
     let h = |a: &str, b: &str| {
         read(
             &format!(
@@ -107,14 +107,14 @@
     };
     let from = h(&node("a", 2, "b"), &node("b", 1, "o"));
     let to = h(&node("a", 1, "o"), &node("b", 2, "a"));
-    assert!(loops(&from, &to));
+    assert!(has_loop(&from, &to));
     let found = plan(&from, &to, 0).unwrap();
-    assert!(check(&from, &to, &found.steps) >= 2);
-    // One moved below its own descendant.
+    assert!(check_plan(&from, &to, &found.steps) >= 2);
+    // A node moves below its own dependent.
     let from = h(&node("a", 1, "o"), &node("b", 2, "a"));
     let to = h(&node("a", 2, "b"), &node("b", 1, "o"));
-    assert!(loops(&from, &to));
-    assert!(check(&from, &to, &plan(&from, &to, 0).unwrap().steps) >= 2);
+    assert!(has_loop(&from, &to));
+    assert!(check_plan(&from, &to, &plan(&from, &to, 0).unwrap().steps) >= 2);
 }
 
 fn with_new(capacity: f64, since: u64) -> (Hierarchy, Hierarchy) {
@@ -127,7 +127,7 @@
         None,
     );
     let mut to = from
-        .with_node(5, HierarchyNode { capacity, hit_ratio: 0.8, started_at: since, ..member("p3", 1, &[0]) });
+        .with_node(5, HierarchyNode { capacity, hit_ratio: 0.8, started_at: since, ..node("p3", 1, &[0]) });
     for n in [3, 4] {
         let m = (**to.get(n).unwrap()).clone();
         to = to.with_node(n, HierarchyNode { sources: [1, 2, 5].into(), ..m });
@@ -136,14 +136,14 @@
 }
 
 #[test]
-fn a_cold_node_takes_its_slice_as_it_warms() {
-    // Warm: listed, then asked, for 100 a second.
+fn a_cold_node_takes_its_virtual_nodes_as_it_warms_up() {
+    // Warm: listed, then used as a source, for 100 a second.
     let (from, to) = with_new(110.0, 0);
     assert_eq!(plan(&from, &to, 0).unwrap().steps.len(), 2);
-    // Cold it bears a quarter of 110 at first, which a quarter of its places is, and all once it is warm.
+    // Cold it can take a quarter of 110 at first, which is a quarter of its virtual nodes, and all once it is warm.
     let (from, to) = with_new(110.0, 1_000 * SEC);
     let found = plan(&from, &to, 1_000 * SEC).unwrap();
-    check(&from, &to, &found.steps);
+    check_plan(&from, &to, &found.steps);
     assert!(found.steps.len() >= 3);
     let share = |h: &Hierarchy| h.get(5).map_or(0, |m| m.ring_share);
     assert!(found.steps.iter().any(|s| (1..FULL_SHARE).contains(&share(&s.target))));
@@ -154,7 +154,7 @@
         last.required_warmth
     );
     assert!(last.min_delay >= 10 * SEC, "{}", last.min_delay);
-    // One that bears its whole slice cold takes it at once; one that is too small for its slice never.
+    // One that can take its whole load when cold takes it at once; one that is too small for its load never does.
     assert_eq!(
         {
             let (f, t) = with_new(900.0, 1);
@@ -170,7 +170,7 @@
 
 #[test]
 fn the_origin_stays_below_its_ceiling_or_the_ceiling_is_named() {
-    // 300 a second at the parents, 60 of them at the origin; a slice that moves is fetched anew.
+    // 300 a second at the parents, 60 of them at the origin; what moves is fetched again.
     let (from, to) = with_new(400.0, 0);
     let with =
         |h: &Hierarchy, ceiling: f64| h.with_rules(HierarchyRules { ceiling, ..(*h.rules).clone() }.into());
@@ -181,17 +181,17 @@
     for step in &few {
         assert!(step.origin_peak <= 100.0 + 1e-6, "{}", step.origin_peak);
     }
-    check(&with(&from, 125.0), &with(&to, 125.0), &few);
+    check_plan(&with(&from, 125.0), &with(&to, 125.0), &few);
     let no = steps(76.0).unwrap_err();
     assert!(matches!(no, PlanError::OriginOverloaded { .. }), "{no}");
 }
 
 #[test]
-fn who_is_asked_has_a_way_in_both_versions() {
+fn a_node_that_gets_requests_has_a_source_in_both_versions() {
     for seed in 0..300 {
         let mut rng = Pcg32::seed_from_u64(seed);
         let all = random(9, 3, 0.6, &mut rng);
-        // One of two upper caches is not there at first, the other not at last.
+        // One of two parents is not there before the change, the other one not after it.
         let without = |h: &Hierarchy, gone: NodeId| {
             let fixed: Vec<_> = h
                 .iter()
@@ -206,16 +206,16 @@
         };
         let (from, to) = (without(&all, 1), without(&all, 2));
         let found = plan(&from, &to, 0).unwrap();
-        check(&from, &to, &found.steps);
+        check_plan(&from, &to, &found.steps);
         let mut before = from.clone();
         for step in &found.steps {
-            let asked: BTreeSet<NodeId> = [&before, &step.target]
+            let used: BTreeSet<NodeId> = [&before, &step.target]
                 .iter()
                 .flat_map(|h| {
                     h.iter().flat_map(|(id, _)| h.active_sources(id).collect::<Vec<_>>()).collect::<Vec<_>>()
                 })
                 .collect();
-            for n in asked.into_iter().filter(|n| *n != 0) {
+            for n in used.into_iter().filter(|n| *n != 0) {
                 assert!(
                     [&before, &step.target].iter().all(|h| h.active_sources(n).count() > 0),
                     "seed {seed}: node {n}"
@@ -226,12 +226,13 @@
     }
 }
 
-/// What each node is asked for, by walking requests through one mixture.
-fn mixture(u: &FlowGraph, v: &FlowGraph, pick: &[bool]) -> f64 {
-    let n = u.nodes.len() as u32;
-    let mixed: Vec<_> =
-        (0..n).map(|i| if pick[i as usize] { v.nodes[i as usize] } else { u.nodes[i as usize] }).collect();
-    // Shares as the asker's version has them: here they are the same in both.
+/// The load of the origin in one mixture of two versions.
+fn mixture(before: &FlowGraph, after: &FlowGraph, pick: &[bool]) -> f64 {
+    let n = before.nodes.len() as u32;
+    let mixed: Vec<_> = (0..n)
+        .map(|i| if pick[i as usize] { after.nodes[i as usize] } else { before.nodes[i as usize] })
+        .collect();
+    // Shares are those of the dependent's version: here they are the same in both.
     FlowGraph::new(mixed).unwrap().origin_load()
 }
 
@@ -245,7 +246,7 @@
         for _ in 0..3 {
             let n = rng.random_range(1..9);
             let m = (**to.get(n).unwrap()).clone();
-            // What moves holds nothing yet, which the mixtures here leave out: no hits, no difference.
+            // Moved objects are not cached yet, which the mixtures here leave out: without hits there is no difference.
             to = to.with_node(n, HierarchyNode { sources: [rng.random_range(0..6)].into(), ..m });
         }
         let bare = |h: &Hierarchy| {
@@ -256,19 +257,19 @@
             )
         };
         let (from, to) = (bare(&from), bare(&to));
-        if loops(&from, &to) || Admission::new(to.clone()).is_err() {
+        if has_loop(&from, &to) || Admission::new(to.clone()).is_err() {
             continue;
         }
         let index = NodeIndex::from_versions(&[&from, &to]);
         let (old, new) = (index.flow_nodes(&from), index.flow_nodes(&to));
         let u = FlowGraph::new(old.iter().map(Option::as_ref).collect()).unwrap();
         let v = FlowGraph::new(new.iter().map(Option::as_ref).collect()).unwrap();
-        let Ok(reckoned) = check_transition(&u, &v, &rules(), 0) else { continue };
+        let Ok(load) = check_transition(&u, &v, &rules(), 0) else { continue };
         let worst = (0..512u32)
             .map(|code| mixture(&u, &v, &(0..9).map(|i| code >> i & 1 == 1).collect::<Vec<_>>()))
             .fold(0.0, f64::max);
-        assert!(worst <= reckoned.origin_peak + 1e-6, "seed {seed}: {worst} > {}", reckoned.origin_peak);
-        near += usize::from((worst - reckoned.origin_peak).abs() < 1e-6);
+        assert!(worst <= load.origin_peak + 1e-6, "seed {seed}: {worst} > {}", load.origin_peak);
+        near += usize::from((worst - load.origin_peak).abs() < 1e-6);
     }
     assert!(near > 30, "{near}");
 }
@@ -276,10 +277,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 5, rng_seed: proptest::test_runner::RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Ten thousand nodes, a hundred directors, each and every node anywhere between two versions: no fill
-    /// comes to a node twice.
+    /// Ten thousand nodes and a hundred directors, each of which applies either of two versions: no fill passes a node
+    /// twice.
     #[test]
-    fn at_ten_thousand_nodes_no_fill_comes_twice(seed in 0u64..1_000_000, moved in 20usize..400) {
+    fn at_ten_thousand_nodes_no_fill_passes_a_node_twice(seed in 0u64..1_000_000, moved in 20usize..400) {
         let mut rng = Pcg32::seed_from_u64(seed);
         let from = random(10_000, 9_000, 0.9, &mut rng);
         let other = random(10_000, 9_000, 0.9, &mut rng);
@@ -295,16 +296,16 @@
         let found = plan(&from, &to, 0).unwrap();
         let mut before = from.clone();
         for step in &found.steps {
-            // A director and each node holds one of the two; a hundred directors' fills go by these.
+            // Each director and node applies one of the two; the fills of a hundred directors go by these.
             for _director in 0..100 {
                 let late = rng.random::<u64>();
                 let of = |n: NodeId| if (late ^ u64::from(n).wrapping_mul(0x9e37_79b9_7f4a_7c15)) >> 63 == 1 { &before } else { &step.target };
                 let mut at = rng.random_range(1_000..10_000);
-                let mut met = BTreeSet::new();
+                let mut visited = BTreeSet::new();
                 while at != 0 {
-                    prop_assert!(met.insert(at), "came to {at} twice");
-                    let asked: Vec<NodeId> = of(at).active_sources(at).collect();
-                    at = asked[rng.random_range(0..asked.len())];
+                    prop_assert!(visited.insert(at), "came to {at} twice");
+                    let used: Vec<NodeId> = of(at).active_sources(at).collect();
+                    at = used[rng.random_range(0..used.len())];
                 }
             }
             let union: Vec<Vec<u32>> = (0..10_000).map(|n| before.active_sources(n).chain(step.target.active_sources(n)).collect()).collect();
--- a/crates/hierarchy/tests/rollout.rs
+++ b/crates/hierarchy/tests/rollout.rs
@@ -9,7 +9,7 @@
     Hierarchy, HierarchyRules, Rollout, RolloutAction, RolloutInput, RolloutOutcome, RolloutRecord,
     VersionHolder,
 };
-use support::{SEC, of_masks};
+use support::{SEC, from_masks};
 
 /// A rollout with its log and its participants, which apply the versions that they are sent.
 struct Simulation {
@@ -105,7 +105,7 @@
 
 /// n1 over n2 over n3, and the same upside down: a change of several steps.
 fn chain() -> (Hierarchy, Hierarchy) {
-    (of_masks(&[0b0001, 0b0010, 0b0100]), of_masks(&[0b0100, 0b1000, 0b0001]))
+    (from_masks(&[0b0001, 0b0010, 0b0100]), from_masks(&[0b0100, 0b1000, 0b0001]))
 }
 
 #[test]
@@ -160,7 +160,7 @@
 #[test]
 fn a_second_change_is_planned_from_the_committed_version_and_a_third_is_rejected() {
     let (from, to) = chain();
-    let other = of_masks(&[0b0001, 0b0001, 0b0001]);
+    let other = from_masks(&[0b0001, 0b0001, 0b0001]);
     // Killed before each of its actions: the queued change is not lost, once it was stored.
     for kill in [None].into_iter().chain((0..48).map(Some)) {
         let mut simulation = Simulation::new(&from);
@@ -197,7 +197,7 @@
     let mut simulation = Simulation::new(&from);
     simulation.run();
     simulation.handle(RolloutInput::Propose { target: to }).unwrap();
-    simulation.handle(RolloutInput::Propose { target: of_masks(&[0b0001, 0b0001, 0b0001]) }).unwrap();
+    simulation.handle(RolloutInput::Propose { target: from_masks(&[0b0001, 0b0001, 0b0001]) }).unwrap();
     while simulation.rollout.progress().is_some_and(|progress| progress.change == 1) {
         simulation.now = simulation.now.max(simulation.rollout.next_wakeup().unwrap());
         simulation.handle(RolloutInput::Tick).unwrap();
@@ -214,7 +214,7 @@
 #[test]
 fn nodes_are_the_same_by_their_names_after_a_recovery() {
     // n1 is removed, so that a log without ids gives n2 and n3 other ones.
-    let from = of_masks(&[0b0001, 0b0001, 0b0100]);
+    let from = from_masks(&[0b0001, 0b0001, 0b0100]);
     let mut simulation = Simulation::new(&from);
     simulation.run();
     simulation.handle(RolloutInput::Propose { target: from.without_node(1) }).unwrap();
@@ -222,7 +222,7 @@
     let participants: Vec<Participant> = simulation.holders.keys().cloned().collect();
     simulation.rollout = Rollout::recover(&simulation.log, participants, simulation.now).unwrap();
     // Proposed with the first ids: n3 over the origin, n2 over n3.
-    let target = of_masks(&[0b0001, 0b1000, 0b0001]).without_node(1);
+    let target = from_masks(&[0b0001, 0b1000, 0b0001]).without_node(1);
     simulation.handle(RolloutInput::Propose { target: target.clone() }).unwrap();
     simulation.run();
     assert_eq!(simulation.rollout.committed().version.digest(), target.digest());
@@ -240,13 +240,13 @@
 #[test]
 fn a_queued_change_gets_the_node_ids_of_the_version_that_it_starts_from() {
     // Both add a node; that of the first is committed when the second starts.
-    let from = of_masks(&[0b0001, 0b0001, 0b0001]);
+    let from = from_masks(&[0b0001, 0b0001, 0b0001]);
     let mut simulation = Simulation::new(&from);
     simulation.run();
     simulation
-        .handle(RolloutInput::Propose { target: from.with_node(4, support::member("x", 1, &[0])) })
+        .handle(RolloutInput::Propose { target: from.with_node(4, support::node("x", 1, &[0])) })
         .unwrap();
-    let target = from.with_node(4, support::member("y", 1, &[0]));
+    let target = from.with_node(4, support::node("y", 1, &[0]));
     simulation.handle(RolloutInput::Propose { target: target.clone() }).unwrap();
     simulation.run();
     let committed = simulation.rollout.committed().version;
--- a/crates/hierarchy/tests/support/mod.rs
+++ b/crates/hierarchy/tests/support/mod.rs
@@ -23,22 +23,22 @@
 
 pub(crate) const HEAD: &str = "(hierarchy (version . 1) (ceiling . 1000) (siblings . #t))";
 
-/// A version from the forms of its nodes; those of `known` keep their numbers.
+/// A version from the forms of its nodes; those of `known` keep their ids.
 pub(crate) fn read(nodes: &str, known: Option<&Hierarchy>) -> Hierarchy {
     spec::parse_settings("test", &format!("{HEAD}{nodes}"), known).unwrap_or_else(|f| panic!("{f:?}")).1
 }
 
-/// The origin is node 0; a bit of `masks[n - 1]` is a source of node n. No loads.
-pub(crate) fn of_masks(masks: &[u8]) -> Hierarchy {
-    let mut h = Hierarchy::new(rules()).with_node(0, member("o", 0, &[]));
+/// The origin is node 0; each bit of `masks[n - 1]` is a source of node n. There is no load.
+pub(crate) fn from_masks(masks: &[u8]) -> Hierarchy {
+    let mut h = Hierarchy::new(rules()).with_node(0, node("o", 0, &[]));
     for (i, mask) in masks.iter().enumerate() {
         let sources: Vec<NodeId> = (0..8).filter(|s| mask >> s & 1 == 1).collect();
-        h = h.with_node(i as NodeId + 1, member(&format!("n{}", i + 1), 1, &sources));
+        h = h.with_node(i as NodeId + 1, node(&format!("n{}", i + 1), 1, &sources));
     }
     h
 }
 
-pub(crate) fn member(name: &str, tier: u8, sources: &[NodeId]) -> HierarchyNode {
+pub(crate) fn node(name: &str, tier: u8, sources: &[NodeId]) -> HierarchyNode {
     let (capacity, sources) = (1e6, sources.into());
     HierarchyNode {
         name: name.into(),
@@ -52,7 +52,7 @@
     }
 }
 
-/// All loop-free ways to give sources to `n` nodes so that each leads to the origin.
+/// All loop-free choices of sources of `n` nodes in which each leads to the origin.
 pub(crate) fn all_masks(n: usize) -> Vec<Vec<u8>> {
     let each = 1u32 << (n + 1);
     let mut found = Vec::new();
@@ -61,7 +61,7 @@
         if masks.iter().enumerate().any(|(i, m)| m >> (i + 1) & 1 == 1 || *m == 0) {
             continue;
         }
-        // Who has only sources that lead there leads there; with a circle some never do.
+        // A node leads there if all of its sources do; with a loop some never do.
         let mut leads = 1u8;
         for _ in 0..n {
             for (i, m) in masks.iter().enumerate() {
@@ -75,12 +75,12 @@
     found
 }
 
-/// Upper tiers over an origin, `edge` nodes with demand below them; some may fill from their own tier.
+/// Parents over an origin, and `edge` nodes with demand below them. Some parents fill from their own tier.
 pub(crate) fn random(nodes: u32, edge: u32, siblings: f64, rng: &mut Pcg32) -> Hierarchy {
     let upper = nodes - edge - 1;
-    let mut h = Hierarchy::new(rules()).with_node(0, HierarchyNode { capacity: 1e9, ..member("o", 0, &[]) });
+    let mut h = Hierarchy::new(rules()).with_node(0, HierarchyNode { capacity: 1e9, ..node("o", 0, &[]) });
     let mut line: Vec<NodeId> = (1..=upper).collect();
-    // Siblings fill from those that stand before them in an order of their own.
+    // Siblings fill from those before them in a random order.
     for i in (1..line.len()).rev() {
         line.swap(i, rng.random_range(0..=i));
     }
@@ -93,7 +93,7 @@
             sources.sort_unstable();
             sources.dedup();
         }
-        h = h.with_node(n, HierarchyNode { hit_ratio: 0.5, ..member(&format!("u{n}"), 1, &sources) });
+        h = h.with_node(n, HierarchyNode { hit_ratio: 0.5, ..node(&format!("u{n}"), 1, &sources) });
     }
     for n in upper + 1..nodes {
         let mut sources: Vec<NodeId> = (0..3).map(|_| rng.random_range(1..=upper)).collect();
@@ -101,7 +101,7 @@
         sources.dedup();
         h = h.with_node(
             n,
-            HierarchyNode { hit_ratio: 0.6, demand: 10.0, ..member(&format!("e{n}"), 2, &sources) },
+            HierarchyNode { hit_ratio: 0.6, demand: 10.0, ..node(&format!("e{n}"), 2, &sources) },
         );
     }
     h
--- a/crates/hierarchy/tests/versions.rs
+++ b/crates/hierarchy/tests/versions.rs
@@ -1,4 +1,4 @@
-//! Files, versions, orders and admission.
+//! Settings files, versions, topological orders, admission, holders and fill paths.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use sablecross_hierarchy::{
     Admission, AdmissionError, FULL_SHARE, Hierarchy, HierarchyNode, OfferOutcome, VersionHolder, spec,
 };
-use support::{HEAD, member, random, read, rules};
+use support::{HEAD, node, random, read, rules};
 
 const SMALL: &str = r#"
 (node (name . "o") (tier . 0) (capacity . 2000))
@@ -18,7 +18,7 @@
 (node (name . "e") (tier . 2) (sources "p1" "p2") (capacity . 900) (demand . 400) (hit . 0.5))"#;
 
 #[test]
-fn faulty_files_name_line_and_key() {
+fn errors_of_files_name_line_and_key() {
     let cases = [
         (
             format!("{HEAD}\n(node (name . \"a\") (tier . 1) (sources \"b\") (capacity . 1))"),
@@ -55,8 +55,8 @@
         ("(hierarchy (version . 1)\n".into(), "f:1:1: a parenthesis that is never closed"),
     ];
     for (text, what) in cases {
-        let faults = spec::parse_settings("f", &text, None).unwrap_err();
-        assert!(faults[0].to_string().contains(what), "{text}: {}", faults[0]);
+        let errors = spec::parse_settings("f", &text, None).unwrap_err();
+        assert!(errors[0].to_string().contains(what), "{text}: {}", errors[0]);
     }
 }
 
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn nodes_keep_their_numbers_and_unchanged_ones_their_place_in_memory() {
+fn nodes_keep_their_ids_and_unchanged_ones_are_shared() {
     let h = read(SMALL, None);
     let moved = SMALL.replace("\"p2\") (tier", "\"p3\") (tier").replace("\"p1\" \"p2\"", "\"p3\" \"p1\"");
     let next = read(&moved, Some(&h));
@@ -81,16 +81,16 @@
     assert_eq!((next.node_id("p2"), next.node_id("p3")), (None, Some(4)));
     let names: Vec<_> = h.diff(&next).map(|d| h.node_name(d.node).to_owned()).collect();
     assert_eq!(names, ["p2", "e", "?"]);
-    // Another who reads the same file numbers otherwise and reckons the same digest.
+    // Another process that reads the same file assigns other ids and gets the same digest.
     assert_eq!(read(&moved, None).digest(), next.digest());
     assert_ne!(h.digest(), next.digest());
     let json = serde_json::to_string(&spec::HierarchySpec::from_hierarchy(7, &h)).unwrap();
-    let told: spec::HierarchySpec = serde_json::from_str(&json).unwrap();
-    assert_eq!(told.to_hierarchy(None).unwrap(), (7, h));
+    let decoded: spec::HierarchySpec = serde_json::from_str(&json).unwrap();
+    assert_eq!(decoded.to_hierarchy(None).unwrap(), (7, h));
 }
 
 #[test]
-fn the_kept_order_finds_what_a_full_search_finds() {
+fn the_incremental_order_finds_the_cycles_that_a_full_sort_finds() {
     let mut found = [0; 2];
     for seed in 0..300 {
         let mut rng = Pcg32::seed_from_u64(seed);
@@ -114,12 +114,12 @@
                     assert!(!closes, "seed {seed}: {a} > {b}");
                     out = tried;
                 }
-                Err(way) => {
+                Err(cycle) => {
                     assert!(closes, "seed {seed}: {a} > {b} closes nothing");
-                    assert_eq!(way.first(), way.last());
+                    assert_eq!(cycle.first(), cycle.last());
                     assert!(
-                        way.windows(2).all(|w| w == [a, b] || out[w[0] as usize].contains(&w[1])),
-                        "{way:?}"
+                        cycle.windows(2).all(|w| w == [a, b] || out[w[0] as usize].contains(&w[1])),
+                        "{cycle:?}"
                     );
                 }
             }
@@ -129,12 +129,12 @@
         }
     }
     assert!(found.iter().all(|&n| n > 1_000), "{found:?}");
-    let way = topological_sort(&[vec![1], vec![2], vec![0], vec![0]]).unwrap_err();
-    assert!(way.len() == 4 && way.first() == way.last());
+    let cycle = topological_sort(&[vec![1], vec![2], vec![0], vec![0]]).unwrap_err();
+    assert!(cycle.len() == 4 && cycle.first() == cycle.last());
 }
 
 #[test]
-fn refusals_name_node_and_figure() {
+fn rejections_name_node_and_figure() {
     let base = read(SMALL, None);
     let (p1, p2) = (base.node_id("p1").unwrap(), base.node_id("p2").unwrap());
     let of = |name: &str| (**base.get(base.node_id(name).unwrap()).unwrap()).clone();
@@ -167,7 +167,7 @@
         (
             base.with_node(
                 4,
-                HierarchyNode { demand: 3_000.0, hit_ratio: 0.4, capacity: 5_000.0, ..member("e2", 2, &[0]) },
+                HierarchyNode { demand: 3_000.0, hit_ratio: 0.4, capacity: 5_000.0, ..node("e2", 2, &[0]) },
             ),
             "the origin is asked for 1900 a second, of 800",
         ),
@@ -177,27 +177,27 @@
         (strict.clone(), "no origin"),
     ];
     let admission = Admission::new(base.clone()).unwrap();
-    for (aim, what) in cases {
+    for (version, expected) in cases {
         let mut tried = admission.clone();
-        let refusal = tried.admit(&aim).unwrap_err();
-        assert!(refusal.to_string().contains(what), "{refusal} / {what}");
-        // A refusal leaves all as it was: what was admitted before is again.
+        let error = tried.admit(&version).unwrap_err();
+        assert!(error.to_string().contains(expected), "{error} / {expected}");
+        // A rejection leaves the state as it was: what was admitted before is admitted again.
         assert_eq!(tried.last_admitted(), &base);
-        tried.admit(&base.with_node(4, member("p3", 1, &[0]))).unwrap();
+        tried.admit(&base.with_node(4, node("p3", 1, &[0]))).unwrap();
         assert!(
             tried.admit(&base.with_node(p1, HierarchyNode { sources: [p1].into(), ..of("p1") })).is_err()
         );
     }
     let same_tier = strict
-        .with_node(0, member("o", 0, &[]))
-        .with_node(1, member("a", 1, &[0]))
-        .with_node(2, member("b", 1, &[1]));
+        .with_node(0, node("o", 0, &[]))
+        .with_node(1, node("a", 1, &[0]))
+        .with_node(2, node("b", 1, &[1]));
     assert!(matches!(Admission::new(same_tier), Err(AdmissionError::SourceTier { .. })));
 }
 
 #[test]
 fn admission_step_by_step_is_admission_at_once() {
-    let mut refused = 0;
+    let mut rejected = 0;
     for seed in 0..40 {
         let mut rng = Pcg32::seed_from_u64(seed);
         let mut admission = Admission::new(random(24, 8, 0.7, &mut rng)).unwrap();
@@ -207,38 +207,38 @@
             let mut m = (**last.get(node).unwrap()).clone();
             let sources: Vec<u32> = (0..rng.random_range(1..3)).map(|_| rng.random_range(0..24)).collect();
             m.sources = sources.into();
-            let aim = last.with_node(node, m);
-            let at_once = Admission::new(aim.clone()).map(drop);
-            refused += usize::from(at_once.is_err());
-            assert_eq!(admission.admit(&aim).is_ok(), at_once.is_ok(), "seed {seed}: {at_once:?}");
+            let version = last.with_node(node, m);
+            let at_once = Admission::new(version.clone()).map(drop);
+            rejected += usize::from(at_once.is_err());
+            assert_eq!(admission.admit(&version).is_ok(), at_once.is_ok(), "seed {seed}: {at_once:?}");
         }
     }
-    assert!(refused > 400, "{refused}");
+    assert!(rejected > 400, "{rejected}");
 }
 
 #[test]
-fn holders_take_later_versions_alone() {
+fn holders_accept_only_newer_versions() {
     let (a, b) = (read(SMALL, None), read(&SMALL.replace("400", "300"), None));
     let mut holder = VersionHolder::new();
-    let told = [
+    let offers = [
         (0, &a, OfferOutcome::Older),
         (3, &a, OfferOutcome::Accepted),
         (3, &a, OfferOutcome::Unchanged),
         (3, &b, OfferOutcome::Conflicting),
     ];
-    for (number, version, taken) in
-        told.into_iter().chain([(2, &b, OfferOutcome::Older), (9, &b, OfferOutcome::Accepted)])
+    for (number, version, outcome) in
+        offers.into_iter().chain([(2, &b, OfferOutcome::Older), (9, &b, OfferOutcome::Accepted)])
     {
-        assert_eq!(holder.offer(number, version), taken);
+        assert_eq!(holder.offer(number, version), outcome);
     }
     assert_eq!((holder.number(), holder.version()), (9, Some(&b)));
 }
 
 #[test]
-fn fills_of_an_object_meet_at_one_member_of_each_tier() {
+fn fills_of_an_object_meet_at_one_node_of_each_tier() {
     let mut rng = Pcg32::seed_from_u64(5);
     let mut h = random(40, 20, 0.0, &mut rng);
-    // A tier between: all of tier 2 ask all of tier 1; the edge asks all of tier 2.
+    // A tier in between: all of tier 2 fill from all of tier 1, the edge from all of tier 2.
     let all: Vec<u32> = (1..20).collect();
     for n in 10..20 {
         let m = (**h.get(n).unwrap()).clone();
@@ -248,16 +248,16 @@
         let m = (**h.get(n).unwrap()).clone();
         h = h.with_node(n, HierarchyNode { tier: 3, sources: all.clone().into(), ..m });
     }
-    let ways = FillPaths::from_hierarchy(&h);
+    let paths = FillPaths::from_hierarchy(&h);
     let mut met = std::collections::BTreeSet::new();
     for object in 0..200u64 {
-        let place = object.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let first = ways.path(&h, 20, place, |_| true);
+        let position = object.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let first = paths.path(&h, 20, position, |_| true);
         assert_eq!(first.iter().map(|n| h.get(*n).unwrap().tier).collect::<Vec<_>>(), [2, 1, 0]);
-        assert!((21..40).all(|e| ways.path(&h, e, place, |_| true) == first));
+        assert!((21..40).all(|e| paths.path(&h, e, position, |_| true) == first));
         met.insert(first);
-        // One that is not fit is passed over, its tier as a whole by the next.
-        let down = ways.path(&h, 20, place, |n| !(10..20).contains(&n));
+        // A node that is not usable is skipped; if its whole tier is not, the next tier is used.
+        let down = paths.path(&h, 20, position, |n| !(10..20).contains(&n));
         assert_eq!(down.iter().map(|n| h.get(*n).unwrap().tier).collect::<Vec<_>>(), [1, 0]);
     }
     assert!(met.len() > 50);
@@ -265,9 +265,9 @@
     let of = |share: u16| {
         let m = (**h.get(1).unwrap()).clone();
         let h = h.with_node(1, HierarchyNode { ring_share: share, ..m });
-        let ways = FillPaths::from_hierarchy(&h);
+        let paths = FillPaths::from_hierarchy(&h);
         (0..4_000u64)
-            .filter(|o| ways.next_source(&h, 10, o.wrapping_mul(0x9e37_79b9_7f4a_7c15), |_| true) == Some(1))
+            .filter(|o| paths.next_source(&h, 10, o.wrapping_mul(0x9e37_79b9_7f4a_7c15), |_| true) == Some(1))
             .count()
     };
     let (none, quarter, full) = (of(0), of(FULL_SHARE / 4), of(FULL_SHARE));
