--- a/crates/cli/src/hierarchy.rs
+++ b/crates/cli/src/hierarchy.rs
@@ -1,4 +1,4 @@
-//! `sablecross hierarchy ...`
+//! `sablecross hierarchy ...`: checks, shows, compares and plans versions of the hierarchy.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -11,28 +11,31 @@
 use sablecross_hierarchy::load_flow::{FlowGraph, NodeIndex};
 use sablecross_hierarchy::spec::{HierarchySpec, parse_settings};
 use sablecross_hierarchy::{
-    Admission, AdmissionError, FULL_SHARE, Hierarchy, HierarchyNode, NodeId, Plan, plan,
+    Admission, FULL_SHARE, Hierarchy, HierarchyNode, HierarchyRules, NodeId, Plan, PlanStep, plan,
 };
 use serde_json::{Value, json};
 
 use crate::Verdict;
 
+const NANOS_PER_MILLI: u64 = 1_000_000;
+const NANOS_PER_SECOND: f64 = 1e9;
+
 #[derive(Subcommand)]
 pub enum Command {
-    /// Checks each file: its form, circles, ways to the origin, loads.
+    /// Checks each file: its form, loops, paths to the origin, loads.
     Check {
         #[arg(required = true)]
         files: Vec<PathBuf>,
         #[arg(long)]
         json: bool,
     },
-    /// Shows what each node is asked for, or draws the hierarchy.
+    /// Shows the load of each node, or draws the hierarchy.
     Show {
         file: PathBuf,
         #[arg(long, value_enum, default_value_t = Form::Table)]
         form: Form,
     },
-    /// Says what differs between two versions.
+    /// Shows what differs between two versions.
     Diff {
         before: PathBuf,
         after: PathBuf,
@@ -45,9 +48,9 @@
 
 #[derive(Args)]
 pub struct PlanArgs {
-    /// What is in force.
+    /// The current version.
     from: PathBuf,
-    /// What is aimed for.
+    /// The target.
     to: PathBuf,
     #[arg(long, value_enum, default_value_t = Form::Table)]
     form: Form,
@@ -64,185 +67,176 @@
     Dot,
 }
 
-type Faults = Vec<String>;
+/// Error lines, each for one problem.
+type ErrorLines = Vec<String>;
 
-pub fn run(command: &Command) -> Result<Verdict, Faults> {
+/// Runs a command.
+pub fn run(command: &Command) -> Result<Verdict, ErrorLines> {
     match command {
         Command::Check { files, json } => check(files, *json),
         Command::Show { file, form } => {
-            let (number, h) = load(file, None)?;
-            print!("{}", show(number, &h, *form));
+            let (number, version) = load(file, None)?;
+            print!("{}", show(number, &version, *form));
             Ok(Verdict::Well)
         }
-        Command::Diff { before, after, json } => {
-            let (old_number, old) = load(before, None)?;
-            let (new_number, new) = load(after, Some(&old))?;
-            let lines = diff(&old, &new);
-            if *json {
-                println!("{}", json!({"before": old_number, "after": new_number, "differences": lines}));
-            } else {
-                println!("version {old_number} to {new_number}: {} differences", lines.len());
-                lines.iter().for_each(|l| println!("  {l}"));
-            }
-            Ok(if lines.is_empty() { Verdict::Well } else { Verdict::Refused })
-        }
-        Command::Plan(args) => planned(args),
+        Command::Diff { before, after, json } => compare(before, after, *json),
+        Command::Plan(args) => plan_change(args),
     }
 }
 
-fn load(file: &Path, known: Option<&Hierarchy>) -> Result<(u64, Hierarchy), Faults> {
+fn load(file: &Path, known: Option<&Hierarchy>) -> Result<(u64, Hierarchy), ErrorLines> {
     let name = file.display().to_string();
-    let text = std::fs::read_to_string(file).map_err(|e| vec![format!("{name}: {e}")])?;
-    parse_settings(&name, &text, known).map_err(|f| f.iter().map(ToString::to_string).collect())
+    let text = std::fs::read_to_string(file).map_err(|error| vec![format!("{name}: {error}")])?;
+    parse_settings(&name, &text, known).map_err(|errors| errors.iter().map(ToString::to_string).collect())
 }
 
-fn check(files: &[PathBuf], as_json: bool) -> Result<Verdict, Faults> {
+fn check(files: &[PathBuf], as_json: bool) -> Result<Verdict, ErrorLines> {
     let mut verdict = Verdict::Well;
-    let mut said = Vec::new();
+    let mut results = Vec::new();
     for file in files {
         let name = file.display().to_string();
-        let found = load(file, None);
-        let (fit, words) = match &found {
-            Err(faults) => (false, faults.clone()),
-            Ok((number, h)) => match Admission::new(h.clone()) {
-                Err(refusal) => (false, vec![format!("{name}: {refusal}")]),
-                Ok(_) => (true, vec![format!("{name}: version {number}, {} nodes: well", h.len())]),
-            },
+        let (is_valid, lines) = match check_file(file) {
+            Ok(line) => (true, vec![line]),
+            Err(lines) => (false, lines),
         };
-        if !fit {
+        if !is_valid {
             verdict = Verdict::Refused;
         }
         if as_json {
-            said.push(json!({"file": name, "fit": fit, "said": words}));
+            results.push(json!({"file": name, "fit": is_valid, "said": lines}));
         } else {
-            words.iter().for_each(|w| println!("{w}"));
+            lines.iter().for_each(|line| println!("{line}"));
         }
     }
     if as_json {
-        println!("{}", Value::from(said));
+        println!("{}", Value::from(results));
     }
     Ok(verdict)
 }
 
-/// What each node is asked for, by its number; nothing for a hierarchy with a circle.
-fn loads(h: &Hierarchy) -> BTreeMap<NodeId, f64> {
-    let index = NodeIndex::from_versions(&[h]);
-    let cells = index.flow_nodes(h);
-    let side = FlowGraph::new(cells.iter().map(Option::as_ref).collect());
-    side.map_or_else(|_| BTreeMap::new(), |s| index.ids.iter().copied().zip(s.incoming_load).collect())
+/// A line about a valid file, or what is wrong with it.
+fn check_file(file: &Path) -> Result<String, ErrorLines> {
+    let name = file.display();
+    let (number, version) = load(file, None)?;
+    Admission::new(version.clone()).map_err(|error| vec![format!("{name}: {error}")])?;
+    Ok(format!("{name}: version {number}, {} nodes: well", version.len()))
+}
+
+fn compare(before: &Path, after: &Path, as_json: bool) -> Result<Verdict, ErrorLines> {
+    let (old_number, old) = load(before, None)?;
+    let (new_number, new) = load(after, Some(&old))?;
+    let lines = differences(&old, &new);
+    if as_json {
+        println!("{}", json!({"before": old_number, "after": new_number, "differences": lines}));
+    } else {
+        println!("version {old_number} to {new_number}: {} differences", lines.len());
+        lines.iter().for_each(|line| println!("  {line}"));
+    }
+    Ok(if lines.is_empty() { Verdict::Well } else { Verdict::Refused })
+}
+
+/// The load of each node, in requests a second; nothing for a hierarchy with a loop.
+fn node_loads(version: &Hierarchy) -> BTreeMap<NodeId, f64> {
+    let index = NodeIndex::from_versions(&[version]);
+    let nodes = index.flow_nodes(version);
+    match FlowGraph::new(nodes.iter().map(Option::as_ref).collect()) {
+        Ok(graph) => index.ids.iter().copied().zip(graph.incoming_load).collect(),
+        Err(_) => BTreeMap::new(),
+    }
 }
 
-fn names(h: &Hierarchy, ids: &[NodeId]) -> String {
-    ids.iter().map(|s| h.node_name(*s)).collect::<Vec<_>>().join(" ")
+fn names(version: &Hierarchy, ids: &[NodeId]) -> String {
+    ids.iter().map(|id| version.node_name(*id)).collect::<Vec<_>>().join(" ")
 }
 
-fn show(number: u64, h: &Hierarchy, form: Form) -> String {
-    let loads = loads(h);
+fn show(number: u64, version: &Hierarchy, form: Form) -> String {
+    let loads = node_loads(version);
     match form {
-        Form::Json => {
-            let nodes: Vec<Value> = h
-                .iter()
-                .map(|(id, m)| {
-                    json!({"name": &*m.name, "tier": m.tier, "capacity": m.capacity, "share": m.ring_share,
-                        "asked": loads.get(&id), "sources": m.sources.iter().map(|s| h.node_name(*s)).collect::<Vec<_>>()})
-                })
-                .collect();
-            format!("{}\n", json!({"version": number, "ceiling": h.rules.ceiling, "nodes": nodes}))
-        }
-        Form::Dot => dot(h, &loads, &BTreeMap::new()),
-        Form::Table => {
-            let mut out = format!(
-                "version {number}: {} nodes, ceiling {} a second with a margin of {}\n",
-                h.len(),
-                h.rules.ceiling,
-                h.rules.margin
-            );
-            let _ = writeln!(
-                out,
-                "{:<20} {:>4} {:>9} {:>9} {:>6}  sources",
-                "node", "tier", "asked/s", "bears/s", "share"
-            );
-            let mut all: Vec<(NodeId, &HierarchyNode)> = h.iter().map(|(id, m)| (id, &**m)).collect();
-            all.sort_by(|a, b| (a.1.tier, &a.1.name).cmp(&(b.1.tier, &b.1.name)));
-            for (id, m) in all {
-                let asked = loads.get(&id).map_or("circle".into(), |l| format!("{l:.0}"));
-                let share = format!("{}%", 100 * u32::from(m.ring_share) / u32::from(FULL_SHARE));
-                let _ = writeln!(
-                    out,
-                    "{:<20} {:>4} {asked:>9} {:>9.0} {share:>6}  {}",
-                    m.name,
-                    m.tier,
-                    m.capacity,
-                    names(h, &m.sources)
-                );
-            }
-            out
-        }
+        Form::Json => show_json(number, version, &loads),
+        Form::Dot => dot(version, &loads, &BTreeMap::new()),
+        Form::Table => show_table(number, version, &loads),
     }
 }
 
-/// A graph for Graphviz; nodes that a plan changes carry the steps in which it does.
-fn dot(h: &Hierarchy, loads: &BTreeMap<NodeId, f64>, steps: &BTreeMap<NodeId, Vec<usize>>) -> String {
-    let mut graph = DiGraph::new();
-    let mut places = BTreeMap::new();
-    for (id, m) in h.iter() {
-        let mut label = format!(
-            "{}\ntier {}, {:.0} of {:.0}/s",
-            m.name,
-            m.tier,
-            loads.get(&id).unwrap_or(&0.0),
-            m.capacity
+fn show_json(number: u64, version: &Hierarchy, loads: &BTreeMap<NodeId, f64>) -> String {
+    let nodes = version.iter().map(|(id, node)| {
+        let sources: Vec<&str> = node.sources.iter().map(|source| version.node_name(*source)).collect();
+        json!({"name": &*node.name, "tier": node.tier, "capacity": node.capacity, "share": node.ring_share,
+            "asked": loads.get(&id), "sources": sources})
+    });
+    let nodes: Vec<Value> = nodes.collect();
+    format!("{}\n", json!({"version": number, "ceiling": version.rules.ceiling, "nodes": nodes}))
+}
+
+fn show_table(number: u64, version: &Hierarchy, loads: &BTreeMap<NodeId, f64>) -> String {
+    let mut out = format!(
+        "version {number}: {} nodes, ceiling {} a second with a margin of {}\n",
+        version.len(),
+        version.rules.ceiling,
+        version.rules.margin
+    );
+    let columns = ["node", "tier", "load/s", "max/s", "share"];
+    let [node, tier, load, capacity, share] = columns;
+    let _ = writeln!(out, "{node:<20} {tier:>4} {load:>9} {capacity:>9} {share:>6}  sources");
+    let mut nodes: Vec<(NodeId, &HierarchyNode)> = version.iter().map(|(id, node)| (id, &**node)).collect();
+    nodes.sort_by(|a, b| (a.1.tier, &a.1.name).cmp(&(b.1.tier, &b.1.name)));
+    for (id, node) in nodes {
+        let load = loads.get(&id).map_or("loop".into(), |load| format!("{load:.0}"));
+        let share = format!("{}%", 100 * u32::from(node.ring_share) / u32::from(FULL_SHARE));
+        let _ = writeln!(
+            out,
+            "{:<20} {:>4} {load:>9} {:>9.0} {share:>6}  {}",
+            node.name,
+            node.tier,
+            node.capacity,
+            names(version, &node.sources)
         );
+    }
+    out
+}
+
+/// A graph for Graphviz. Nodes that a plan changes carry the steps in which it does.
+fn dot(version: &Hierarchy, loads: &BTreeMap<NodeId, f64>, steps: &BTreeMap<NodeId, Vec<usize>>) -> String {
+    let mut graph = DiGraph::new();
+    let mut vertices = BTreeMap::new();
+    for (id, node) in version.iter() {
+        let load = loads.get(&id).unwrap_or(&0.0);
+        let mut label = format!("{}\ntier {}, {load:.0} of {:.0}/s", node.name, node.tier, node.capacity);
         if let Some(steps) = steps.get(&id) {
-            let _ =
-                write!(label, "\nstep {}", steps.iter().map(usize::to_string).collect::<Vec<_>>().join(", "));
+            let numbers: Vec<String> = steps.iter().map(usize::to_string).collect();
+            let _ = write!(label, "\nstep {}", numbers.join(", "));
         }
-        places.insert(id, graph.add_node(label));
+        vertices.insert(id, graph.add_node(label));
     }
-    for (id, m) in h.iter() {
-        for s in m.sources.iter() {
-            if let (Some(a), Some(b)) = (places.get(&id), places.get(s)) {
-                graph.add_edge(*a, *b, "");
+    for (id, node) in version.iter() {
+        for source in node.sources.iter() {
+            if let (Some(from), Some(to)) = (vertices.get(&id), vertices.get(source)) {
+                graph.add_edge(*from, *to, "");
             }
         }
     }
     format!("{}", Dot::with_config(&graph, &[Config::EdgeNoLabel]))
 }
 
-fn diff(old: &Hierarchy, new: &Hierarchy) -> Vec<String> {
+/// One line for each difference between two versions.
+fn differences(old: &Hierarchy, new: &Hierarchy) -> Vec<String> {
     let mut lines = Vec::new();
     if old.rules != new.rules {
-        lines.push(format!("rules: {:?} to {:?}", old.rules, new.rules));
+        lines.push(format!("rules: {}", rule_differences(&old.rules, &new.rules)));
     }
-    for d in old.diff(new) {
-        match (d.before, d.after) {
-            (None, Some(m)) => {
-                lines.push(format!("{} joins tier {} over {}", m.name, m.tier, names(new, &m.sources)))
+    for difference in old.diff(new) {
+        match (difference.before, difference.after) {
+            (None, Some(node)) => {
+                lines.push(format!(
+                    "{} joins tier {} over {}",
+                    node.name,
+                    node.tier,
+                    names(new, &node.sources)
+                ));
             }
-            (Some(m), None) => lines.push(format!("{} leaves tier {}", m.name, m.tier)),
-            (Some(a), Some(b)) => {
-                let mut what = Vec::new();
-                if a.tier != b.tier {
-                    what.push(format!("tier {} to {}", a.tier, b.tier));
-                }
-                if a.sources != b.sources {
-                    what.push(format!("sources {} to {}", names(old, &a.sources), names(new, &b.sources)));
-                }
-                let figures = [
-                    ("capacity", a.capacity, b.capacity),
-                    ("demand", a.demand, b.demand),
-                    ("hit", a.hit_ratio, b.hit_ratio),
-                ];
-                what.extend(
-                    figures.iter().filter(|(_, a, b)| a != b).map(|(k, a, b)| format!("{k} {a} to {b}")),
-                );
-                if a.ring_share != b.ring_share {
-                    what.push(format!("share {} to {}", a.ring_share, b.ring_share));
-                }
-                if a.started_at != b.started_at {
-                    what.push("started anew".into());
-                }
-                lines.push(format!("{}: {}", a.name, what.join(", ")));
+            (Some(node), None) => lines.push(format!("{} leaves tier {}", node.name, node.tier)),
+            (Some(before), Some(after)) => {
+                lines.push(format!("{}: {}", before.name, node_differences(old, &before, new, &after)));
             }
             (None, None) => {}
         }
@@ -250,85 +244,174 @@
     lines
 }
 
-fn planned(args: &PlanArgs) -> Result<Verdict, Faults> {
+/// The settings that differ, by their keys in the file.
+fn rule_differences(old: &HierarchyRules, new: &HierarchyRules) -> String {
+    let values = |rules: &HierarchyRules| {
+        [
+            ("ceiling", rules.ceiling.to_string()),
+            ("margin", rules.margin.to_string()),
+            ("cold-from", rules.slow_start_initial_share.to_string()),
+            ("warm-after-ms", (rules.slow_start_window / NANOS_PER_MILLI).to_string()),
+            ("fall-multiple", rules.collapse_multiple.to_string()),
+            ("siblings", rules.allows_siblings.to_string()),
+            ("hold-ms", (rules.drain_window / NANOS_PER_MILLI).to_string()),
+            ("settle-ms", (rules.fill_window / NANOS_PER_MILLI).to_string()),
+            ("give-up-ms", (rules.step_timeout / NANOS_PER_MILLI).to_string()),
+        ]
+    };
+    let pairs = values(old).into_iter().zip(values(new));
+    let changed = pairs.filter(|((_, old), (_, new))| old != new);
+    changed.map(|((key, old), (_, new))| format!("{key} {old} to {new}")).collect::<Vec<_>>().join(", ")
+}
+
+/// What differs between a node of the old version and the same node of the new one.
+fn node_differences(
+    old: &Hierarchy,
+    before: &HierarchyNode,
+    new: &Hierarchy,
+    after: &HierarchyNode,
+) -> String {
+    let mut changes = Vec::new();
+    if before.tier != after.tier {
+        changes.push(format!("tier {} to {}", before.tier, after.tier));
+    }
+    if before.sources != after.sources {
+        changes.push(format!("sources {} to {}", names(old, &before.sources), names(new, &after.sources)));
+    }
+    let values = [
+        ("capacity", before.capacity, after.capacity),
+        ("demand", before.demand, after.demand),
+        ("hit", before.hit_ratio, after.hit_ratio),
+        ("share", f64::from(before.ring_share), f64::from(after.ring_share)),
+    ];
+    for (key, before, after) in values.into_iter().filter(|(_, before, after)| before != after) {
+        changes.push(format!("{key} {before} to {after}"));
+    }
+    if before.started_at != after.started_at {
+        changes.push("restarted".into());
+    }
+    changes.join(", ")
+}
+
+fn plan_change(args: &PlanArgs) -> Result<Verdict, ErrorLines> {
     let (number, from) = load(&args.from, None)?;
-    let (aim_number, to) = load(&args.to, Some(&from))?;
+    let (target_number, to) = load(&args.to, Some(&from))?;
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
-    let admitted: Result<(), AdmissionError> = Admission::new(from.clone()).and_then(|mut a| a.admit(&to));
-    let refused = |why: String| {
-        match args.form {
-            Form::Json => println!("{}", json!({"refused": why})),
-            _ => println!("refused: {why}"),
-        }
-        Ok(Verdict::Refused)
-    };
-    if let Err(refusal) = admitted {
-        return refused(refusal.to_string());
+    let admitted = Admission::new(from.clone()).and_then(|mut admission| admission.admit(&to));
+    if let Err(error) = admitted {
+        return Ok(reject(&error, args.form));
     }
     let plan = match plan(&from, &to, now) {
         Ok(plan) => plan,
-        Err(no) => return refused(no.to_string()),
+        Err(error) => return Ok(reject(&error, args.form)),
     };
     if let Some(folder) = &args.steps {
-        std::fs::create_dir_all(folder).map_err(|e| vec![format!("{}: {e}", folder.display())])?;
-        for (k, step) in plan.steps.iter().enumerate() {
-            let file = folder.join(format!("step-{}.scm", k + 1));
-            let text = HierarchySpec::from_hierarchy(number + k as u64 + 1, &step.target).to_settings_text();
-            std::fs::write(&file, text).map_err(|e| vec![format!("{}: {e}", file.display())])?;
-        }
+        write_steps(folder, number, &plan)?;
     }
-    print!("{}", told(&plan, &from, &to, (number, aim_number), args.form));
+    let change = PlannedChange { number, from: &from, target_number, to: &to, plan: &plan };
+    print!("{}", change.render(args.form));
     Ok(Verdict::Well)
 }
 
-fn told(plan: &Plan, from: &Hierarchy, to: &Hierarchy, (number, aim): (u64, u64), form: Form) -> String {
-    let mut before = from.clone();
-    let mut steps = Vec::new();
-    let mut at: BTreeMap<NodeId, Vec<usize>> = BTreeMap::new();
-    for (k, step) in plan.steps.iter().enumerate() {
-        steps.push((diff(&before, &step.target), step));
-        step.changed_nodes.iter().for_each(|n| at.entry(*n).or_default().push(k + 1));
-        before = step.target.clone();
-    }
+/// Says why there is no plan.
+fn reject(error: &dyn std::error::Error, form: Form) -> Verdict {
     match form {
-        Form::Dot => dot(to, &loads(to), &at),
-        Form::Json => {
-            let steps: Vec<Value> = steps
-                .iter()
-                .map(|(lines, s)| {
-                    let warm: Vec<Value> = s.required_warmth.iter().map(|(n, w)| json!({"node": s.target.node_name(*n), "warmth": w})).collect();
-                    json!({"changes": lines, "origin_peak": s.origin_peak, "origin_before": s.origin_before, "moved": s.moved_load,
-                        "wait_ms": s.min_delay / 1_000_000, "warm": warm})
-                })
-                .collect();
-            format!("{}\n", json!({"from": number, "to": aim, "fewest": plan.is_minimal, "steps": steps}))
+        Form::Json => println!("{}", json!({"refused": error.to_string()})),
+        Form::Table | Form::Dot => println!("rejected: {error}"),
+    }
+    Verdict::Refused
+}
+
+/// Writes the version of each step as a settings file.
+fn write_steps(folder: &Path, number: u64, plan: &Plan) -> Result<(), ErrorLines> {
+    std::fs::create_dir_all(folder).map_err(|error| vec![format!("{}: {error}", folder.display())])?;
+    for (index, step) in plan.steps.iter().enumerate() {
+        let file = folder.join(format!("step-{}.scm", index + 1));
+        let spec = HierarchySpec::from_hierarchy(number + index as u64 + 1, &step.target);
+        std::fs::write(&file, spec.to_settings_text())
+            .map_err(|error| vec![format!("{}: {error}", file.display())])?;
+    }
+    Ok(())
+}
+
+/// A plan with the two versions that it leads from and to.
+struct PlannedChange<'a> {
+    number: u64,
+    from: &'a Hierarchy,
+    target_number: u64,
+    to: &'a Hierarchy,
+    plan: &'a Plan,
+}
+
+impl PlannedChange<'_> {
+    fn render(&self, form: Form) -> String {
+        match form {
+            Form::Dot => dot(self.to, &node_loads(self.to), &self.steps_by_node()),
+            Form::Json => self.json(),
+            Form::Table => self.table(),
         }
-        Form::Table => {
-            let how = if plan.is_minimal { "there are no fewer" } else { "not searched for the fewest" };
-            let mut out = format!("version {number} to {aim} in {} steps ({how})\n", steps.len());
-            for (k, (lines, s)) in steps.iter().enumerate() {
-                let _ = writeln!(
-                    out,
-                    "step {}: after {:.1} s; {:.0} a second change their node; origin {:.0} a second at most, {:.0} before",
-                    k + 1,
-                    s.min_delay as f64 / 1e9,
-                    s.moved_load,
-                    s.origin_peak,
-                    s.origin_before
-                );
-                for (node, warmth) in &s.required_warmth {
-                    let _ = writeln!(
-                        out,
-                        "  once {} is warm by {:.0}%",
-                        s.target.node_name(*node),
-                        100.0 * warmth
-                    );
-                }
-                lines.iter().for_each(|l| {
-                    let _ = writeln!(out, "  {l}");
-                });
+    }
+
+    /// For each node the numbers of the steps that change it.
+    fn steps_by_node(&self) -> BTreeMap<NodeId, Vec<usize>> {
+        let mut steps: BTreeMap<NodeId, Vec<usize>> = BTreeMap::new();
+        for (index, step) in self.plan.steps.iter().enumerate() {
+            step.changed_nodes.iter().for_each(|node| steps.entry(*node).or_default().push(index + 1));
+        }
+        steps
+    }
+
+    /// Each step with its differences from the step before.
+    fn steps(&self) -> impl Iterator<Item = (&PlanStep, Vec<String>)> {
+        let versions_before =
+            std::iter::once(self.from).chain(self.plan.steps.iter().map(|step| &step.target));
+        let steps = self.plan.steps.iter().zip(versions_before);
+        steps.map(|(step, before)| (step, differences(before, &step.target)))
+    }
+
+    fn json(&self) -> String {
+        let steps = self.steps().map(|(step, changes)| {
+            let warm = step.required_warmth.iter();
+            let warm: Vec<Value> = warm
+                .map(|(node, warmth)| json!({"node": step.target.node_name(*node), "warmth": warmth}))
+                .collect();
+            json!({"changes": changes, "origin_peak": step.origin_peak, "origin_before": step.origin_before,
+                "moved": step.moved_load, "wait_ms": step.min_delay / NANOS_PER_MILLI, "warm": warm})
+        });
+        let steps: Vec<Value> = steps.collect();
+        let fewest = self.plan.is_minimal;
+        format!(
+            "{}\n",
+            json!({"from": self.number, "to": self.target_number, "fewest": fewest, "steps": steps})
+        )
+    }
+
+    fn table(&self) -> String {
+        let how = if self.plan.is_minimal { "there are no fewer" } else { "not searched for the fewest" };
+        let mut out = format!(
+            "version {} to {} in {} steps ({how})\n",
+            self.number,
+            self.target_number,
+            self.plan.steps.len()
+        );
+        for (index, (step, changes)) in self.steps().enumerate() {
+            let _ = writeln!(
+                out,
+                "step {}: after {:.1} s; {:.0} requests a second go to another node; origin {:.0} a second at most, {:.0} before",
+                index + 1,
+                step.min_delay as f64 / NANOS_PER_SECOND,
+                step.moved_load,
+                step.origin_peak,
+                step.origin_before
+            );
+            for (node, warmth) in &step.required_warmth {
+                let name = step.target.node_name(*node);
+                let _ = writeln!(out, "  once {name} is warm by {:.0}%", 100.0 * warmth);
+            }
+            for change in changes {
+                let _ = writeln!(out, "  {change}");
             }
-            out
         }
+        out
     }
 }
--- a/crates/cli/tests/cli.rs
+++ b/crates/cli/tests/cli.rs
@@ -39,7 +39,7 @@
     );
     let cases: Vec<(Vec<&str>, i32, &str)> = vec![
         (vec!["hierarchy", "check", old, new], 0, "6 nodes: well"),
-        (vec!["hierarchy", "check", &circle], 1, "a fill could run in a circle: upper-"),
+        (vec!["hierarchy", "check", &circle], 1, "a fill could run in a loop: upper-"),
         (vec!["hierarchy", "check", old, &typo], 1, "typo.scm:4:37: node.capcity: unknown field"),
         (vec!["hierarchy", "check"], 2, "Usage"),
         (vec!["hierarchy", "show", &typo], 2, "node.capcity"),
@@ -48,9 +48,10 @@
         (vec!["hierarchy", "show", old, "--form", "dot"], 0, "digraph"),
         (vec!["hierarchy", "diff", old, old], 0, "0 differences"),
         (vec!["hierarchy", "diff", old, new], 1, "upper-c joins tier 1 over origin"),
+        (vec!["hierarchy", "diff", new, &narrow], 1, "rules: ceiling 150 to 101\n"),
         (vec!["hierarchy", "plan", old, new], 0, "version 1 to 2 in "),
-        (vec!["hierarchy", "plan", old, &narrow], 1, "moves the origin could be asked for 8"),
-        (vec!["hierarchy", "plan", old, &circle], 1, "refused: a fill could run in a circle"),
+        (vec!["hierarchy", "plan", old, &narrow], 1, "moves the origin could get 8"),
+        (vec!["hierarchy", "plan", old, &circle], 1, "rejected: a fill could run in a loop"),
         (vec!["lab", "run", old], 2, "unknown variant `hierarchy`"),
     ];
     for (args, code, words) in cases {
--- a/crates/hierarchy/src/admission.rs
+++ b/crates/hierarchy/src/admission.rs
@@ -16,7 +16,9 @@
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum AdmissionError {
     /// A source is not in the version.
-    #[error("{node}: its source {source_name} is in no tier (add it, or take it from the sources)")]
+    #[error(
+        "{node}: its source {source_name} is not in the hierarchy (add it, or remove it from the sources)"
+    )]
     UnknownSource {
         /// The node that names the source.
         node: Arc<str>,
@@ -38,21 +40,21 @@
         source_tier: u8,
     },
     /// None of a node's sources leads to an origin.
-    #[error("{node}: no way leads from it to the origin (give it a source that has one)")]
+    #[error("{node}: it has no path to the origin (give it a source that has one)")]
     NoPathToOrigin {
         /// The node.
         node: Arc<str>,
     },
     /// A fill could come back to a node that it has passed.
-    #[error("a fill could run in a circle: {} (take one of these sources away)", .path.join(" > "))]
+    #[error("a fill could run in a loop: {} (remove one of these sources)", .path.join(" > "))]
     Cycle {
         /// The nodes of the loop; the first and the last are the same.
         path: Vec<Arc<str>>,
     },
     /// The nodes of a tier get more load than they can take together.
     #[error(
-        "tier {tier} is asked for {load:.0} a second and bears {capacity:.0} \
-         (add to it, or raise the hit part below)"
+        "tier {tier} gets {load:.0} requests a second and can take {capacity:.0} \
+         (add to it, or raise the hit ratios below it)"
     )]
     TierOverloaded {
         /// The tier.
@@ -64,7 +66,8 @@
     },
     /// A node gets more load than it can take.
     #[error(
-        "{node} is asked for {load:.0} a second and bears {capacity:.0} (give its askers another source)"
+        "{node} gets {load:.0} requests a second and can take {capacity:.0} \
+         (give the nodes that fill from it another source)"
     )]
     NodeOverloaded {
         /// The node.
@@ -75,7 +78,7 @@
         capacity: f64,
     },
     /// The origin gets more load than its ceiling and margin leave.
-    #[error("the origin is asked for {load:.0} a second, of {limit:.0} that ceiling and margin leave")]
+    #[error("the origin gets {load:.0} fetches a second, of {limit:.0} that ceiling and margin leave")]
     OriginOverloaded {
         /// Fetches a second that it gets.
         load: f64,
--- a/crates/hierarchy/src/plan/mod.rs
+++ b/crates/hierarchy/src/plan/mod.rs
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum PlanError {
     /// A fill could come back to a node that it has passed.
-    #[error("after {done} of {of} moves a fill could run in a circle: {}", .path.join(" > "))]
+    #[error("after {done} of {of} moves a fill could run in a loop: {}", .path.join(" > "))]
     Cycle {
         /// The moves that were possible.
         done: usize,
@@ -80,7 +80,7 @@
     },
     /// A node could get requests while none of its sources leads to the origin.
     #[error(
-        "after {done} of {of} moves {node} could be asked and has no way to the origin (give it a source)"
+        "after {done} of {of} moves {node} could get requests and has no path to the origin (give it a source)"
     )]
     NoPathToOrigin {
         /// The moves that were possible.
@@ -92,8 +92,8 @@
     },
     /// A node would get more load than it can take.
     #[error(
-        "after {done} of {of} moves {node} would be asked for {load:.0} a second and bears {capacity:.0}: \
-         raise its capacity, or begin it earlier"
+        "after {done} of {of} moves {node} would get {load:.0} requests a second and could take {capacity:.0}: \
+         raise its capacity, or start it earlier"
     )]
     NodeOverloaded {
         /// The moves that were possible.
@@ -109,7 +109,7 @@
     },
     /// The origin could get more load than its ceiling and margin leave.
     #[error(
-        "after {done} of {of} moves the origin could be asked for {peak:.0} a second, of {limit:.0}: \
+        "after {done} of {of} moves the origin could get {peak:.0} fetches a second, of {limit:.0}: \
          raise the ceiling, or move less at a time"
     )]
     OriginOverloaded {
--- a/crates/hierarchy/tests/versions.rs
+++ b/crates/hierarchy/tests/versions.rs
@@ -142,34 +142,37 @@
     let cases: Vec<(Hierarchy, &str)> = vec![
         (
             base.with_node(p1, HierarchyNode { sources: [9].into(), ..of("p1") }),
-            "p1: its source number 9 is in no tier",
+            "p1: its source number 9 is not in the hierarchy",
         ),
-        (base.without_node(p2), "e: its source p2 is in no tier"),
+        (base.without_node(p2), "e: its source p2 is not in the hierarchy"),
         (
             base.with_node(p1, HierarchyNode { sources: [base.node_id("e").unwrap()].into(), ..of("p1") }),
             "p1 (tier 1): its source e is of tier 2",
         ),
-        (base.with_node(p1, HierarchyNode { sources: [].into(), ..of("p1") }), "p1: no way leads"),
+        (
+            base.with_node(p1, HierarchyNode { sources: [].into(), ..of("p1") }),
+            "p1: it has no path to the origin",
+        ),
         (
             base.with_node(p1, HierarchyNode { sources: [p2].into(), ..of("p1") })
                 .with_node(p2, HierarchyNode { sources: [p1].into(), ..of("p2") }),
-            "circle: p",
+            "loop: p",
         ),
         (
             base.with_node(p1, HierarchyNode { capacity: 10.0, ..of("p1") }),
-            "p1 is asked for 100 a second and bears 10",
+            "p1 gets 100 requests a second and can take 10",
         ),
         (
             base.with_node(p1, HierarchyNode { capacity: 50.0, ..of("p1") })
                 .with_node(p2, HierarchyNode { capacity: 50.0, ..of("p2") }),
-            "tier 1 is asked for 200 a second and bears 100",
+            "tier 1 gets 200 requests a second and can take 100",
         ),
         (
             base.with_node(
                 4,
                 HierarchyNode { demand: 3_000.0, hit_ratio: 0.4, capacity: 5_000.0, ..node("e2", 2, &[0]) },
             ),
-            "the origin is asked for 1900 a second, of 800",
+            "the origin gets 1900 fetches a second, of 800",
         ),
         (base.with_node(p1, HierarchyNode { capacity: f64::NAN, ..of("p1") }), "p1: capacity is NaN"),
         (base.with_node(p1, HierarchyNode { ring_share: FULL_SHARE + 1, ..of("p1") }), "p1: share is 257"),
