--- a/crates/director/tests/parent_hierarchy.rs
+++ b/crates/director/tests/parent_hierarchy.rs
@@ -1,4 +1,4 @@
-//! Versions of the hierarchy: from the file and the feed, faulty, late, and what sends say then.
+//! Versions of the hierarchy: from the settings file and from events, invalid, late, and the paths of fills.
 #![cfg(feature = "hierarchy")]
 
 mod help;
@@ -8,7 +8,7 @@
 
 use help::*;
 
-/// The sample's cache over parent-a and a second parent, these over an upper cache where there is one.
+/// The settings of the sample's cache over some parents, and these over an upper parent if there is one.
 fn version(number: u64, parents: &[&str], above: Option<&str>) -> String {
     let names = |list: &[&str]| list.iter().map(|n| format!("\"{n}\"")).collect::<Vec<_>>().join(" ");
     let tier = if above.is_some() { 2 } else { 1 };
@@ -29,14 +29,14 @@
 fn event(n: u64, text: &str) -> String {
     let (number, version) =
         sablecross_hierarchy::spec::parse_settings("test", text, None).expect("a version");
-    let told = sablecross_hierarchy::spec::HierarchySpec::from_hierarchy(number, &version);
-    format!("{{\"n\":{n},\"hierarchy\":{}}}", serde_json::to_string(&told).expect("json"))
+    let spec = sablecross_hierarchy::spec::HierarchySpec::from_hierarchy(number, &version);
+    format!("{{\"n\":{n},\"hierarchy\":{}}}", serde_json::to_string(&spec).expect("json"))
 }
 
-/// The next word of what is in force that the director says to the feed.
-fn said(feed: &Feed) -> serde_json::Value {
+/// The next report of the applied version that the director sends to the source of events.
+fn reported(feed: &Feed) -> serde_json::Value {
     feed.0.set_nonblocking(false).expect("set");
-    // A call for events meanwhile (the feed was silent for too long) is ended; it comes again.
+    // A call for events in between (the stream was silent for too long) is closed; it comes again.
     let (stream, mut reader, mut line) = loop {
         let stream = feed.0.accept().expect("called").0;
         let mut reader = BufReader::new(stream.try_clone().expect("cloned"));
@@ -64,23 +64,23 @@
     member(n, name, address, "ready").replace("\"edge\"", "\"hub\"").replace("\"small\"", "\"parent\"")
 }
 
-/// Asks for many objects, and gives the source and the way that the cache was told for each.
+/// Requests many objects. Returns the source and the path that the cache was sent for each.
 fn sources(world: &World, client: &mut Client, from: u64) -> Vec<(String, Option<String>)> {
     (from..from + 24)
         .map(|object| {
             client.ask(object as u8, object, 3_000);
             let pull = world.cache.pull();
-            let told =
+            let fill =
                 (pull.field("miss").expect("a source").to_owned(), pull.field("way").map(str::to_owned));
             pull.answer("ACK", "how=MISS,entity=aa", b"body");
             client.answer();
-            told
+            fill
         })
         .collect()
 }
 
 #[test]
-fn versions_of_the_feed_move_slices_and_name_ways() {
+fn versions_of_events_move_load_and_name_paths() {
     let world = World::start();
     let (_, feed) = world.feed.call();
     let other = Node::start();
@@ -91,32 +91,32 @@
     assert!(both.iter().any(|(s, _)| s == "parent-b") && both.iter().any(|(s, _)| s == "parent-a"));
     assert!(both.iter().all(|(_, way)| way.is_none()));
 
-    // Of two tiers: the parents that it names, and no way.
+    // Of two tiers: the parents that it names, and no path.
     tell(&feed, 3, &event(3, &version(5, &["parent-a"], None)));
-    let word = said(&world.feed);
-    assert_eq!((&word["party"], &word["number"]), (&"sample".into(), &5.into()));
-    assert!(sources(&world, &mut client, 30).iter().all(|told| *told == ("parent-a".into(), None)));
+    let report = reported(&world.feed);
+    assert_eq!((&report["party"], &report["number"]), (&"sample".into(), &5.into()));
+    assert!(sources(&world, &mut client, 30).iter().all(|fill| *fill == ("parent-a".into(), None)));
 
-    // Late, and a faulty one: nothing changes, and what came late is not said to be in force.
+    // A late and an invalid one: nothing changes, and the late one is not reported as applied.
     tell(&feed, 4, &event(4, &version(4, &["parent-b"], None)));
     world.logged("hierarchy version ignored version=4 in_force=5 why=Older");
-    let circle = event(5, &version(9, &["parent-a"], Some("u"))).replace("[\"u\"]", "[\"parent-a\"]");
-    tell(&feed, 5, &circle);
+    let with_loop = event(5, &version(9, &["parent-a"], Some("u"))).replace("[\"u\"]", "[\"parent-a\"]");
+    tell(&feed, 5, &with_loop);
     let (last, feed) = world.feed.call();
     assert_eq!(last, 4);
-    tell(&feed, 5, &circle);
+    tell(&feed, 5, &with_loop);
     world.logged("feed skipped n=5: event 5: ");
 
-    // Of three tiers: the way beyond the source, and the other parent has its slice again.
+    // Of three tiers: the path beyond the source, and the other parent has its objects again.
     tell(&feed, 6, &event(6, &version(6, &["parent-a", "parent-b"], Some("upper-z"))));
-    assert_eq!(said(&world.feed)["number"], 6);
-    let told = sources(&world, &mut client, 60);
-    assert!(told.iter().all(|(_, way)| way.as_deref() == Some("upper-z+origin")), "{told:?}");
+    assert_eq!(reported(&world.feed)["number"], 6);
+    let fills = sources(&world, &mut client, 60);
+    assert!(fills.iter().all(|(_, way)| way.as_deref() == Some("upper-z+origin")), "{fills:?}");
     assert_eq!(
-        told.iter().map(|t| &t.0).collect::<Vec<_>>(),
+        fills.iter().map(|t| &t.0).collect::<Vec<_>>(),
         sources(&world, &mut client, 60).iter().map(|t| t.0.as_str()).collect::<Vec<_>>()
     );
-    assert!(told.iter().any(|(s, _)| s == "parent-b") && told.iter().any(|(s, _)| s == "parent-a"));
+    assert!(fills.iter().any(|(s, _)| s == "parent-b") && fills.iter().any(|(s, _)| s == "parent-a"));
 }
 
 #[test]
@@ -125,7 +125,7 @@
     std::fs::write(&file, version(1, &["parent-a"], None)).expect("written");
     let world = World::start_with(|c| c, &[("SABLECROSS_HIERARCHY", file.as_os_str())]);
     let (_, feed) = world.feed.call();
-    assert_eq!(said(&world.feed)["number"], 1);
+    assert_eq!(reported(&world.feed)["number"], 1);
     std::fs::write(&file, version(2, &["parent-a"], None).replace("(tier . 1)", "(tier . 9)"))
         .expect("written");
     world.signal("HUP");
@@ -134,9 +134,9 @@
     std::fs::write(&file, version(3, &["parent-a"], Some("up"))).expect("written");
     world.signal("HUP");
     world.logged("hierarchy in force version=3 before=1 by=file");
-    assert_eq!(said(&world.feed)["number"], 3);
+    assert_eq!(reported(&world.feed)["number"], 3);
     drop(feed);
-    // A faulty one at the start ends it with a line.
+    // An invalid one at the start ends the program with an error.
     std::fs::write(&file, "(hierarchy (version . 1)").expect("written");
     let out = std::process::Command::new(env!("CARGO_BIN_EXE_sablecross-director"))
         .env("NODE_CONFIG", &world.config)
@@ -149,18 +149,18 @@
 }
 
 #[test]
-fn a_lookup_in_hand_keeps_the_version_that_it_came_under() {
+fn a_request_in_flight_keeps_the_version_that_it_was_routed_by() {
     let world = World::start();
     let (_, feed) = world.feed.call();
     tell(&feed, 2, &event(2, &version(2, &["parent-a"], Some("upper-y"))));
-    assert_eq!(said(&world.feed)["number"], 2);
+    assert_eq!(reported(&world.feed)["number"], 2);
     let mut client = world.client();
     client.ask(1, 1, 4_000);
     let first = world.cache.pull();
     assert_eq!(first.field("way"), Some("upper-y+origin"));
     tell(&feed, 3, &event(3, &version(3, &["parent-a"], Some("upper-z"))));
-    assert_eq!(said(&world.feed)["number"], 3);
-    // Its further send goes by the way of its version, what comes now by the new one.
+    assert_eq!(reported(&world.feed)["number"], 3);
+    // Its second attempt names the path of its version, a new request that of the new one.
     first.answer("EIO", "-", b"");
     let again = world.cache.pull();
     assert_eq!((again.name(), again.field("way")), (first.name(), Some("upper-y+origin")));
--- a/crates/hierarchy/benches/versions.rs
+++ b/crates/hierarchy/benches/versions.rs
@@ -1,4 +1,4 @@
-//! Versions beside plain maps that are cloned; a cycle found edge by edge beside a full search; plans.
+//! Versions against plain maps that are cloned; the incremental topological order against a full sort; plans.
 
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -25,7 +25,7 @@
 }
 
 /// Three tiers and an origin; each node fills from up to four of the tier before.
-fn grown(nodes: u32, rng: &mut Pcg32) -> Hierarchy {
+fn random_hierarchy(nodes: u32, rng: &mut Pcg32) -> Hierarchy {
     let upper = (nodes / 20).max(2);
     let tier = |n: u32| match n {
         0 => 0,
@@ -44,7 +44,7 @@
         };
         sources.sort_unstable();
         sources.dedup();
-        let member = HierarchyNode {
+        let node = HierarchyNode {
             name: format!("n{n}").into(),
             tier: t,
             sources: sources.into(),
@@ -54,31 +54,31 @@
             ring_share: FULL_SHARE,
             started_at: 0,
         };
-        h = h.with_node(n, member);
+        h = h.with_node(n, node);
     }
     h
 }
 
-fn changed(h: &Hierarchy, node: NodeId) -> HierarchyNode {
-    let m = h.get(node).unwrap();
-    HierarchyNode { capacity: m.capacity - 1.0, ..(**m).clone() }
+fn changed(h: &Hierarchy, id: NodeId) -> HierarchyNode {
+    let node = h.get(id).unwrap();
+    HierarchyNode { capacity: node.capacity - 1.0, ..(**node).clone() }
 }
 
 fn versions(c: &mut Criterion) {
     for nodes in [10, 1_000, 100_000] {
-        let h = grown(nodes, &mut Pcg32::seed_from_u64(1));
+        let h = random_hierarchy(nodes, &mut Pcg32::seed_from_u64(1));
         let plain: BTreeMap<NodeId, HierarchyNode> = h.iter().map(|(id, m)| (id, (**m).clone())).collect();
         let shared: BTreeMap<NodeId, Arc<HierarchyNode>> =
             h.iter().map(|(id, m)| (id, Arc::clone(m))).collect();
         let mut group = c.benchmark_group("versions");
         group.sample_size(20);
         let id = |name: &str| BenchmarkId::new(name, nodes);
-        group.bench_function(id("keep, persistent"), |b| b.iter(|| black_box(h.clone())));
-        group.bench_function(id("keep, plain map"), |b| b.iter_with_large_drop(|| black_box(plain.clone())));
+        group.bench_function(id("clone, persistent"), |b| b.iter(|| black_box(h.clone())));
+        group.bench_function(id("clone, plain map"), |b| b.iter_with_large_drop(|| black_box(plain.clone())));
         group.bench_function(id("change one, persistent"), |b| {
             b.iter(|| black_box(h.with_node(nodes / 2, changed(&h, nodes / 2))));
         });
-        group.bench_function(id("change one, map of shared members"), |b| {
+        group.bench_function(id("change one, map of shared nodes"), |b| {
             b.iter_with_large_drop(|| {
                 let mut next = shared.clone();
                 next.insert(nodes / 2, Arc::new(changed(&h, nodes / 2)));
@@ -86,7 +86,7 @@
             });
         });
         let next = h.with_node(nodes / 2, changed(&h, nodes / 2));
-        group.bench_function(id("what differs, persistent"), |b| b.iter(|| black_box(h.diff(&next).count())));
+        group.bench_function(id("differences, persistent"), |b| b.iter(|| black_box(h.diff(&next).count())));
         group.bench_function(id("get, persistent"), |b| b.iter(|| black_box(h.get(nodes / 3))));
         group.bench_function(id("get, plain map"), |b| b.iter(|| black_box(plain.get(&(nodes / 3)))));
         group.finish();
@@ -95,10 +95,10 @@
 
 fn cycles(c: &mut Criterion) {
     for nodes in [10u32, 1_000, 100_000] {
-        let h = grown(nodes, &mut Pcg32::seed_from_u64(1));
-        let out: Vec<Vec<u32>> = h.iter().map(|(_, m)| m.sources.to_vec()).collect();
+        let h = random_hierarchy(nodes, &mut Pcg32::seed_from_u64(1));
+        let sources: Vec<Vec<u32>> = h.iter().map(|(_, m)| m.sources.to_vec()).collect();
         let mut order = TopologicalOrder::new(nodes as usize);
-        for (a, sources) in out.iter().enumerate() {
+        for (a, sources) in sources.iter().enumerate() {
             sources.iter().for_each(|&s| order.insert_edge(a as u32, s).unwrap());
         }
         let mut rng = Pcg32::seed_from_u64(2);
@@ -112,7 +112,7 @@
             .collect();
         let mut group = c.benchmark_group("cycles");
         group.sample_size(20);
-        group.bench_function(BenchmarkId::new("an edge and back, kept order", nodes), |b| {
+        group.bench_function(BenchmarkId::new("an edge inserted and removed, incremental", nodes), |b| {
             let mut next = 0;
             b.iter(|| {
                 next = (next + 1) % edges.len();
@@ -121,9 +121,9 @@
                 order.remove_edge(x, y);
             });
         });
-        // Against the order: the source of an asker is moved before a node that stood before it.
+        // Against the order: nodes have to be reordered, or the edge closes a cycle.
         let against: Vec<(u32, u32)> = edges.iter().map(|(a, b)| (*b, *a)).collect();
-        group.bench_function(BenchmarkId::new("an edge against the order, kept order", nodes), |b| {
+        group.bench_function(BenchmarkId::new("an edge against the order, incremental", nodes), |b| {
             let mut next = 0;
             b.iter_batched_ref(
                 || order.clone(),
@@ -135,8 +135,8 @@
                 BatchSize::LargeInput,
             );
         });
-        group.bench_function(BenchmarkId::new("a full search", nodes), |b| {
-            b.iter(|| black_box(topological_sort(&out).is_ok()))
+        group.bench_function(BenchmarkId::new("a full sort", nodes), |b| {
+            b.iter(|| black_box(topological_sort(&sources).is_ok()))
         });
         group.finish();
     }
@@ -147,15 +147,15 @@
     group.sample_size(10);
     for (nodes, moves) in [(100, 3), (1_000, 50), (10_000, 500)] {
         let mut rng = Pcg32::seed_from_u64(3);
-        let h = grown(nodes, &mut rng);
-        let other = grown(nodes, &mut Pcg32::seed_from_u64(4));
-        let mut aim = h.clone();
+        let h = random_hierarchy(nodes, &mut rng);
+        let other = random_hierarchy(nodes, &mut Pcg32::seed_from_u64(4));
+        let mut target = h.clone();
         for _ in 0..moves {
             let n = rng.random_range(nodes / 20 + 1..nodes);
-            aim = aim.with_node(n, Arc::clone(other.get(n).unwrap()));
+            target = target.with_node(n, Arc::clone(other.get(n).unwrap()));
         }
         let name = format!("{nodes} nodes, {moves} moved");
-        group.bench_function(&name, |b| b.iter(|| black_box(plan(&h, &aim, 0).unwrap().steps.len())));
+        group.bench_function(&name, |b| b.iter(|| black_box(plan(&h, &target, 0).unwrap().steps.len())));
     }
     group.finish();
 }
