--- a/crates/director/src/coordination/agent/hierarchy.rs
+++ b/crates/director/src/coordination/agent/hierarchy.rs
@@ -87,8 +87,7 @@
 
     /// Passes a published version to the dispatcher.
     pub(super) fn announce_hierarchy(&self, bytes: &[u8]) {
-        let spec = sablecross_hierarchy_controller::decode_spec(bytes);
-        match spec.and_then(|spec| VersionAnnouncement::from_controller(&spec)) {
+        match VersionAnnouncement::from_controller(bytes) {
             Ok(announcement) => {
                 let event = DiscoveryEvent::Hierarchy(Box::new(announcement));
                 // The dispatcher outlives this thread, except at the end of the program.
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -14,8 +14,8 @@
 use sablecross_hierarchy::rollout::Participant;
 use sablecross_hierarchy::spec::HierarchySpec;
 use sablecross_hierarchy::{
-    Admission, FULL_SHARE, Hierarchy, HierarchyNode, HierarchyRules, NodeId, Rollout, RolloutAction,
-    RolloutInput, RolloutRecord,
+    Admission, FULL_SHARE, Hierarchy, HierarchyNode, HierarchyRules, NodeId, NumberedVersion, Rollout,
+    RolloutAction, RolloutInput, RolloutRecord,
 };
 
 use crate::client_load::{BUDGET_MS, Client, ClientStats, Purges};
@@ -309,13 +309,15 @@
         if now >= self.next_retry {
             self.next_retry = now + Duration::from_millis(500);
             if !self.rollout.missing_participants().is_empty() {
-                let (number, version) = (self.rollout.published().0, self.rollout.published().1.clone());
+                let NumberedVersion { number, version } = self.rollout.published();
+                let version = version.clone();
                 self.announce(number, &version);
             }
             let origin = lock(&self.common.seconds).iter().rev().nth(1).map_or(0, |s| s.origin);
-            let (down, told) = (self.parents.iter().filter(|u| u.is_down()), self.rollout.published().1);
+            let (down, told) =
+                (self.parents.iter().filter(|u| u.is_down()), self.rollout.published().version);
             let down: Vec<NodeId> = down.filter_map(|u| told.node_id(&u.name)).collect();
-            self.handle(RolloutInput::HealthReport { origin: origin as f64, down_nodes: down })?;
+            self.handle(RolloutInput::HealthReport { origin_load: origin as f64, down_nodes: down })?;
         }
         // An upper cache dies in the middle of a change now and then, for a second.
         if self.e.faults && self.rollout.progress().is_some() && self.rng.random::<f64>() < 0.000_5 {
@@ -323,10 +325,10 @@
             self.parents[n].fail_for(1_000);
             self.notes.push(format!("fault: {} fails for a second", self.parents[n].name));
         }
-        let (number, held) = self.rollout.committed();
-        if number != self.departures_announced_at || self.rollout.published().0 != number {
+        let NumberedVersion { number, version: held } = self.rollout.committed();
+        if number != self.departures_announced_at || self.rollout.published().number != number {
             let over = unix_ms() + BUDGET_MS + 100 + STRAY_GRACE;
-            let told = self.rollout.published().1;
+            let told = self.rollout.published().version;
             for upper in &self.parents {
                 let here = [held, told].iter().any(|h| h.node_id(&upper.name).is_some());
                 upper.reject_after((!here).then_some(over));
@@ -460,8 +462,8 @@
         let idle = control.rollout.progress().is_none();
         if asked < e.hierarchy_changes && Instant::now() >= next_change && (idle || second_due) {
             second = false; // The driver numbers nodes anew when it begins anew; here they keep their first numbers.
-            let told =
-                HierarchySpec::from_hierarchy(1, control.rollout.published().1).to_hierarchy(Some(&first));
+            let told = HierarchySpec::from_hierarchy(1, control.rollout.published().version)
+                .to_hierarchy(Some(&first));
             let from = told.map_or_else(|_| first.clone(), |(_, h)| h);
             let cold = |n: NodeId| nodes.get(&n).map_or(0, |(node, _)| node.restart_cold() * 1_000_000);
             if let Some(aim) = shape.next_shape(&from, cold) {
@@ -529,7 +531,7 @@
 impl RolloutDriver<'_> {
     /// All at once, without a plan: for comparison.
     fn apply_at_once(&mut self, aim: Hierarchy) -> Result<(), TrialError> {
-        let number = self.rollout.published().0 + 1;
+        let number = self.rollout.published().number + 1;
         self.common.count(|s| s.version = number);
         self.announce(number, &aim);
         // The driver begins anew with it, so that what comes next starts from there.
