--- a/crates/cli/src/relay.rs
+++ b/crates/cli/src/relay.rs
@@ -5,8 +5,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use clap::{Args, Subcommand};
-use sablecross_relay::subscribers::{AppliedStatus, MergedSubscriber};
-use sablecross_relay::{Event, RelayStatus, merge_statuses};
+use sablecross_relay::{AppliedStatus, Event, MergedSubscriber, RelayRole, RelayStatus, merge_statuses};
 use sablecross_relay_server::RelayServerConfig;
 use sablecross_relay_server::peer_client::PeerClient;
 use sablecross_relay_server::publisher::{PublishCallError, Publisher};
@@ -84,13 +83,13 @@
 }
 
 fn status(at: SocketAddr, time: Duration) -> Result<RelayStatus, String> {
-    let mut line = PeerClient::new(at, time, LONGEST);
-    let (code, body) =
-        line.request("GET", "/v1/status", "Connection: close\r\n", b"").map_err(|e| e.to_string())?;
-    if code != 200 {
-        return Err(format!("answer {code}"));
+    let mut client = PeerClient::new(at, time, LONGEST);
+    let response =
+        client.request("GET", "/v1/status", "Connection: close\r\n", b"").map_err(|e| e.to_string())?;
+    if response.code != 200 {
+        return Err(format!("answer {}", response.code));
     }
-    serde_json::from_slice(&body).map_err(|e| format!("its status can't be read: {e}"))
+    serde_json::from_slice(&response.body).map_err(|e| format!("its status can't be read: {e}"))
 }
 
 fn unix() -> u64 {
@@ -119,7 +118,7 @@
     let all: Vec<RelayStatus> = asked.into_iter().filter_map(|(_, s)| s.ok()).collect();
     let whole = merge_statuses(&all);
     let in_force = number.map(|n| whole.applied_status(n));
-    let owner = all.iter().any(|s| s.role == "owner");
+    let owner = all.iter().any(|s| s.role == RelayRole::Leader);
     let well = silent.is_empty() && (owner || setting.voters().next().is_none());
     let well = well && in_force.as_ref().is_none_or(|f| f.missing.is_empty() && f.since_unix_ms.is_some());
     if as_json {
@@ -226,7 +225,7 @@
             Ok(n) => println!("{n}"),
             Err(no) => {
                 eprintln!("event {} of {}: {no}", i + 1, bodies.len());
-                if let PublishCallError::TimedOut(..) = no {
+                if let PublishCallError::TimedOut { .. } = no {
                     eprintln!("whether it will be told is not known: publish it again with --mark {mark}");
                 }
                 return Ok(Verdict::Refused);
--- a/crates/relay-server/src/connection.rs
+++ b/crates/relay-server/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection that came in: what was read, what is owed, and how it ends.
+//! One connection that came in: what was read, what waits to be written, and how it ends.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{IpAddr, Shutdown};
@@ -7,188 +7,220 @@
 use mio::net::TcpStream;
 use sablecross_coordination::Ns;
 
-/// Bytes that are read of one connection before others have their turn.
-const TURN: usize = 256 << 10;
-/// A buffer that was larger is given back once it is empty.
-const KEPT: usize = 4_096;
-/// What a reader may send beside its call.
-const CHATTER: usize = 64 << 10;
+/// Bytes that are read of one connection before the others have their turn.
+const READ_BUDGET: usize = 256 << 10;
+const READ_CHUNK: usize = 16_384;
+/// A buffer with a larger capacity is freed once it is empty.
+const KEPT_CAPACITY: usize = 4_096;
+/// How many bytes a subscriber may send while it is sent events.
+const MAX_IGNORED_BYTES: usize = 64 << 10;
 
 /// A stream of events.
 #[derive(Debug)]
-pub struct Streaming {
-    pub reader: Arc<str>,
-    /// Up to which number it was told.
-    pub cursor: u64,
-    /// The most bytes that it is handed at a time.
-    pub batch: usize,
-    /// When it ends, so that its reader calls again.
-    pub ends: Ns,
-    pub comment: Ns,
+pub(crate) struct EventStream {
+    pub(crate) subscriber: Arc<str>,
+    /// The number up to which it was sent.
+    pub(crate) cursor: u64,
+    /// The most bytes that are handed to it at a time.
+    pub(crate) batch_bytes: usize,
+    /// When it ends, so that its subscriber calls again.
+    pub(crate) ends_at: Ns,
+    pub(crate) next_comment_at: Ns,
 }
 
 #[derive(Debug)]
-pub enum State {
-    /// A request is waited for.
-    Calls,
-    /// Its answer is owed; whether the connection ends with it.
-    Owed {
+pub(crate) enum ConnectionState {
+    AwaitingRequest,
+    /// A request was read and is to be answered.
+    Responding {
+        /// The connection ends with the answer.
         closes: bool,
     },
-    Streams(Streaming),
-    /// What is still to be written, then the write side is shut.
-    Ends,
-    /// All is written; the rest is read off, so that nothing is reset.
-    Drains,
+    Streaming(EventStream),
+    /// What waits is to be written, then the write side is shut.
+    Closing,
+    /// All is written; what comes in is read and dropped until the other side closes, so that nothing is reset.
+    Draining,
 }
 
 /// How far reading came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Came {
-    /// All there is.
-    All,
-    /// There may be more: it is to be read on, after others.
+pub(crate) enum ReadOutcome {
+    /// Nothing more is there now.
+    Drained,
+    /// There may be more, to be read after others have had their turn.
     More,
-    /// The other side has ended.
-    Over,
+    /// The other side has closed.
+    Closed,
 }
 
 #[derive(Debug)]
-pub struct Connection {
-    pub stream: TcpStream,
-    /// The listener it came in by, and from where.
-    pub listener: usize,
-    pub from: IpAddr,
-    pub state: State,
-    pub came: Vec<u8>,
-    /// Bytes read beside calls.
-    chatter: usize,
-    out: Vec<u8>,
-    sent: usize,
-    wide: bool,
+pub(crate) struct Connection {
+    stream: TcpStream,
+    /// Index of the listener that it came in by.
+    pub(crate) listener: usize,
+    pub(crate) peer: IpAddr,
+    pub(crate) state: ConnectionState,
+    /// What was read and not used.
+    pub(crate) input: Vec<u8>,
+    ignored_bytes: usize,
+    output: Vec<u8>,
+    /// How much of `output` is written.
+    written: usize,
+    has_wide_buffer: bool,
     /// When a byte last went either way, or the state changed.
-    pub moved: Ns,
+    pub(crate) last_active: Ns,
 }
 
 impl Connection {
-    pub fn new(stream: TcpStream, listener: usize, from: IpAddr, now: Ns) -> Connection {
-        let (state, came, out) = (State::Calls, Vec::new(), Vec::new());
-        Connection { stream, listener, from, state, came, chatter: 0, out, sent: 0, wide: false, moved: now }
+    pub(crate) fn new(stream: TcpStream, listener: usize, peer: IpAddr, now: Ns) -> Connection {
+        Connection {
+            stream,
+            listener,
+            peer,
+            state: ConnectionState::AwaitingRequest,
+            input: Vec::new(),
+            ignored_bytes: 0,
+            output: Vec::new(),
+            written: 0,
+            has_wide_buffer: false,
+            last_active: now,
+        }
     }
 
-    /// It belongs to another relay, which is sent much at a time.
-    pub fn widen(&mut self, bytes: usize) {
-        if !std::mem::replace(&mut self.wide, true) {
+    /// The name of the subscriber, if this is a stream.
+    pub(crate) fn streaming_to(&self) -> Option<Arc<str>> {
+        match &self.state {
+            ConnectionState::Streaming(stream) => Some(Arc::clone(&stream.subscriber)),
+            _ => None,
+        }
+    }
+
+    /// Gives the kernel a larger buffer: another relay is sent much at a time.
+    pub(crate) fn widen_buffer(&mut self, bytes: usize) {
+        if !std::mem::replace(&mut self.has_wide_buffer, true) {
             // With a small buffer it is slower, nothing more.
             let _ = socket2::SockRef::from(&self.stream).set_send_buffer_size(bytes);
         }
     }
 
-    /// Bytes that wait to be written.
-    fn waiting(&self) -> usize {
-        self.out.len() - self.sent
+    fn unwritten_len(&self) -> usize {
+        self.output.len() - self.written
     }
 
-    pub fn out_waits(&self) -> bool {
-        self.waiting() > 0
+    pub(crate) fn has_unwritten(&self) -> bool {
+        self.unwritten_len() > 0
     }
 
-    /// Reads what there is, `most` kept at a time; an error: it is to be dropped.
-    pub fn read(&mut self, most: usize, now: Ns) -> Result<Came, ErrorKind> {
-        let mut bytes = [0; 16_384];
-        let mut turn = 0;
-        while turn < TURN {
-            match self.stream.read(&mut bytes) {
-                Ok(0) => return Ok(Came::Over),
+    /// Reads what there is, and keeps up to `max_input` bytes of requests. After an error the connection is to be
+    /// dropped.
+    pub(crate) fn read(&mut self, max_input: usize, now: Ns) -> Result<ReadOutcome, ErrorKind> {
+        let mut chunk = [0; READ_CHUNK];
+        let mut total = 0;
+        while total < READ_BUDGET {
+            match self.stream.read(&mut chunk) {
+                Ok(0) => return Ok(ReadOutcome::Closed),
                 Ok(n) => {
-                    turn += n;
-                    match self.state {
-                        State::Calls | State::Owed { .. } => {
-                            self.moved = now;
-                            self.came.extend_from_slice(&bytes[..n]);
-                            if self.came.len() > most {
-                                return Err(ErrorKind::FileTooLarge);
-                            }
-                        }
-                        State::Streams(_) => {
-                            self.chatter += n;
-                            if self.chatter > CHATTER {
-                                return Err(ErrorKind::InvalidData);
-                            }
-                        }
-                        State::Ends | State::Drains => {}
-                    }
+                    total += n;
+                    self.take_input(&chunk[..n], max_input, now)?;
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(Came::All),
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(ReadOutcome::Drained),
                 Err(e) => return Err(e.kind()),
             }
         }
-        Ok(Came::More)
+        Ok(ReadOutcome::More)
+    }
+
+    fn take_input(&mut self, bytes: &[u8], max_input: usize, now: Ns) -> Result<(), ErrorKind> {
+        match self.state {
+            ConnectionState::AwaitingRequest | ConnectionState::Responding { .. } => {
+                self.last_active = now;
+                self.input.extend_from_slice(bytes);
+                if self.input.len() > max_input {
+                    return Err(ErrorKind::FileTooLarge);
+                }
+            }
+            ConnectionState::Streaming(_) => {
+                self.ignored_bytes += bytes.len();
+                if self.ignored_bytes > MAX_IGNORED_BYTES {
+                    return Err(ErrorKind::InvalidData);
+                }
+            }
+            ConnectionState::Closing | ConnectionState::Draining => {}
+        }
+        Ok(())
     }
 
-    /// What was asked is used up.
-    pub fn used(&mut self, bytes: usize) {
-        self.came.drain(..bytes.min(self.came.len()));
-        if self.came.is_empty() && self.came.capacity() > KEPT {
-            self.came = Vec::new();
+    /// Drops so many bytes of the input.
+    pub(crate) fn consume(&mut self, bytes: usize) {
+        self.input.drain(..bytes.min(self.input.len()));
+        if self.input.is_empty() && self.input.capacity() > KEPT_CAPACITY {
+            self.input = Vec::new();
         }
     }
 
-    /// Writes this behind what waits; what the connection does not take now is kept.
-    pub fn say(&mut self, bytes: &[u8], now: Ns) -> Result<(), ErrorKind> {
-        self.write(now)?;
-        let mut bytes = bytes;
-        while self.waiting() == 0 && !bytes.is_empty() {
-            match self.stream.write(bytes) {
+    /// Writes this behind what waits, and keeps what can't be written now.
+    pub(crate) fn send(&mut self, bytes: &[u8], now: Ns) -> Result<(), ErrorKind> {
+        self.flush(now)?;
+        let mut rest = bytes;
+        while !self.has_unwritten() && !rest.is_empty() {
+            match self.stream.write(rest) {
                 Ok(0) => return Err(ErrorKind::WriteZero),
                 Ok(n) => {
-                    self.moved = now;
-                    bytes = &bytes[n..];
+                    self.last_active = now;
+                    rest = &rest[n..];
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(e) => return Err(e.kind()),
             }
         }
-        self.out.extend_from_slice(bytes);
+        self.output.extend_from_slice(rest);
         Ok(())
     }
 
-    /// Writes on; shuts the write side once all is written and it is to end.
-    pub fn write(&mut self, now: Ns) -> Result<(), ErrorKind> {
-        while self.waiting() > 0 {
-            match self.stream.write(&self.out[self.sent..]) {
+    /// Writes what waits; once all is written, shuts the write side of a connection that is closing.
+    pub(crate) fn flush(&mut self, now: Ns) -> Result<(), ErrorKind> {
+        while self.has_unwritten() {
+            match self.stream.write(&self.output[self.written..]) {
                 Ok(0) => return Err(ErrorKind::WriteZero),
                 Ok(n) => {
-                    self.sent += n;
-                    self.moved = now;
+                    self.written += n;
+                    self.last_active = now;
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(e) => return Err(e.kind()),
             }
         }
-        if self.sent > 0 {
-            self.sent = 0;
-            self.out.clear();
-            if self.out.capacity() > KEPT {
-                self.out = Vec::new();
-            }
-        }
-        if matches!(self.state, State::Ends) {
+        self.clear_output();
+        if matches!(self.state, ConnectionState::Closing) {
             self.stream.shutdown(Shutdown::Write).map_err(|e| e.kind())?;
-            (self.state, self.moved) = (State::Drains, now);
+            self.state = ConnectionState::Draining;
+            self.last_active = now;
         }
         Ok(())
     }
 
-    /// Ends it once what waits is written.
-    pub fn end(&mut self, now: Ns) -> Result<(), ErrorKind> {
-        if !matches!(self.state, State::Drains) {
-            (self.state, self.moved) = (State::Ends, now);
-            self.came = Vec::new();
+    fn clear_output(&mut self) {
+        if self.written == 0 {
+            return;
+        }
+        self.written = 0;
+        self.output.clear();
+        if self.output.capacity() > KEPT_CAPACITY {
+            self.output = Vec::new();
+        }
+    }
+
+    /// Ends the connection once what waits is written.
+    pub(crate) fn close(&mut self, now: Ns) -> Result<(), ErrorKind> {
+        if !matches!(self.state, ConnectionState::Draining) {
+            self.state = ConnectionState::Closing;
+            self.last_active = now;
+            self.input = Vec::new();
         }
-        self.write(now)
+        self.flush(now)
     }
 }
--- a/crates/relay-server/src/http.rs
+++ b/crates/relay-server/src/http.rs
@@ -1,104 +1,169 @@
-//! Heads of requests, and answers.
+//! Heads of requests, and responses.
 
 use thiserror::Error;
 
-/// The longest head.
-pub const LONGEST: usize = 8_192;
-/// A publisher's mark.
-pub const LONGEST_MARK: usize = 128;
+/// The longest head of a request.
+pub(crate) const MAX_HEAD_BYTES: usize = 8_192;
+const MAX_HEADERS: usize = 48;
+const MAX_KEY_BYTES: usize = sablecross_relay::log::MAX_IDEMPOTENCY_KEY_BYTES;
 
-/// What a caller wants.
+/// What a client asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Want {
-    /// The feed, from after this number.
-    Events(u64),
+pub(crate) enum Operation {
+    /// `GET /v1/events`.
+    Subscribe {
+        /// The events after this number.
+        after: u64,
+    },
+    /// `GET /v1/status`.
     Status,
-    /// An event to publish, under its mark.
-    Publish(Option<String>),
-    /// A call of another voter.
-    Relay,
-    /// A reader's word on the hierarchy.
-    InForce,
+    /// `POST /v1/events`.
+    Publish {
+        /// From the header `Sablecross-Mark`.
+        idempotency_key: Option<String>,
+    },
+    /// `POST /v1/relay`: a call of another voter.
+    PeerCall,
+    /// `POST /v1/hierarchy/in-force`: a subscriber reports the hierarchy that it has applied.
+    ReportApplied,
 }
 
+/// The calling relay, as its headers tell.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct CallingRelay {
+    /// `Sablecross-Relay`: its number.
+    pub(crate) number: u32,
+    /// `Sablecross-In-Force`: what it and all its subscribers have applied.
+    pub(crate) applied_number: Option<u64>,
+}
+
+/// The head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Request {
-    pub want: Want,
-    /// The relay that calls, by its number, and what is in force at all below it.
-    pub relay: Option<u32>,
-    pub in_force: Option<u64>,
-    /// Bytes of its head and of its body.
-    pub head: usize,
-    pub body: usize,
-    /// The connection ends with the answer.
-    pub closes: bool,
+pub(crate) struct RequestHead {
+    pub(crate) operation: Operation,
+    pub(crate) relay: Option<CallingRelay>,
+    /// Bytes of the head.
+    pub(crate) head_len: usize,
+    /// Bytes of the body.
+    pub(crate) body_len: usize,
+    /// The connection ends with the response.
+    pub(crate) closes: bool,
 }
 
-/// A request that can't be served: the code it is answered, and why.
+/// Why a request is rejected, with the status code of the response.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("{code}: {why}")]
-pub struct Refused {
-    pub code: u16,
-    pub why: String,
+#[error("{code}: {reason}")]
+pub(crate) struct RequestError {
+    pub(crate) code: u16,
+    pub(crate) reason: String,
 }
 
-fn refused(code: u16, why: impl Into<String>) -> Refused {
-    Refused { code, why: why.into() }
+impl RequestError {
+    pub(crate) fn new(code: u16, reason: impl Into<String>) -> RequestError {
+        RequestError { code, reason: reason.into() }
+    }
 }
 
-/// The request that the bytes begin with; none while its head is not whole.
-pub fn request(bytes: &[u8]) -> Result<Option<Request>, Refused> {
-    let mut headers = [httparse::EMPTY_HEADER; 48];
-    let mut parsed = httparse::Request::new(&mut headers);
-    let head = match parsed.parse(bytes) {
-        Ok(httparse::Status::Complete(head)) if head <= LONGEST => head,
-        Ok(httparse::Status::Partial) if bytes.len() < LONGEST => return Ok(None),
-        Ok(_) => return Err(refused(431, format!("the head is longer than {LONGEST} bytes"))),
-        Err(e) => return Err(refused(400, format!("not HTTP: {e}"))),
-    };
-    let (mut body, mut last, mut mark, mut relay, mut in_force) = (0, 0, None, None, None);
-    let mut closes = parsed.version == Some(0);
-    for header in parsed.headers.iter() {
-        let value = std::str::from_utf8(header.value).unwrap_or("").trim();
-        let is = |name: &str| header.name.eq_ignore_ascii_case(name);
-        if is("content-length") {
-            body = value.parse().map_err(|_| refused(400, "Content-Length: not a length"))?;
-        } else if is("transfer-encoding") {
-            return Err(refused(411, "bodies come with Content-Length"));
-        } else if is("last-event-id") {
-            last = value.parse().map_err(|_| refused(400, "Last-Event-ID: not a number"))?;
-        } else if is("connection") && value.eq_ignore_ascii_case("close") {
-            closes = true;
-        } else if is("sablecross-relay") {
-            relay = value.parse().ok();
-        } else if is("sablecross-in-force") {
-            in_force = value.parse().ok();
-        } else if is("sablecross-mark") {
-            if value.is_empty() || value.len() > LONGEST_MARK {
-                let why = format!("Sablecross-Mark: between 1 and {LONGEST_MARK} bytes of UTF-8");
-                return Err(refused(400, why));
+/// What the headers of a request say.
+#[derive(Default)]
+struct Headers {
+    content_length: usize,
+    last_event_id: u64,
+    idempotency_key: Option<String>,
+    relay_number: Option<u32>,
+    applied_number: Option<u64>,
+    closes: bool,
+}
+
+impl Headers {
+    fn read(headers: &[httparse::Header]) -> Result<Headers, RequestError> {
+        let mut read = Headers::default();
+        for header in headers {
+            let value = std::str::from_utf8(header.value).unwrap_or("").trim();
+            read.set(&header.name.to_ascii_lowercase(), value)?;
+        }
+        Ok(read)
+    }
+
+    fn set(&mut self, name: &str, value: &str) -> Result<(), RequestError> {
+        let bad = |reason: &str| RequestError::new(400, reason);
+        match name {
+            "content-length" => {
+                self.content_length = value.parse().map_err(|_| bad("Content-Length: not a length"))?;
+            }
+            "transfer-encoding" => return Err(RequestError::new(411, "bodies come with Content-Length")),
+            "last-event-id" => {
+                self.last_event_id = value.parse().map_err(|_| bad("Last-Event-ID: not a number"))?;
             }
-            mark = Some(value.to_owned());
+            "connection" if value.eq_ignore_ascii_case("close") => self.closes = true,
+            "sablecross-relay" => self.relay_number = value.parse().ok(),
+            "sablecross-in-force" => self.applied_number = value.parse().ok(),
+            "sablecross-mark" => {
+                if value.is_empty() || value.len() > MAX_KEY_BYTES {
+                    return Err(bad(&format!(
+                        "Sablecross-Mark: between 1 and {MAX_KEY_BYTES} bytes of UTF-8"
+                    )));
+                }
+                self.idempotency_key = Some(value.to_owned());
+            }
+            _ => {}
         }
+        Ok(())
     }
+}
+
+/// Reads the head of the request that the bytes begin with; none while it is not complete.
+pub(crate) fn parse_head(bytes: &[u8]) -> Result<Option<RequestHead>, RequestError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut parsed = httparse::Request::new(&mut headers);
+    let head_len = match parsed.parse(bytes) {
+        Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
+        Ok(httparse::Status::Partial) if bytes.len() < MAX_HEAD_BYTES => return Ok(None),
+        Ok(_) => {
+            let reason = format!("the head is longer than {MAX_HEAD_BYTES} bytes");
+            return Err(RequestError::new(431, reason));
+        }
+        Err(e) => return Err(RequestError::new(400, format!("not HTTP: {e}"))),
+    };
+    let headers = Headers::read(parsed.headers)?;
+    let is_http_1_0 = parsed.version == Some(0);
     let path = parsed.path.unwrap_or("").split('?').next().unwrap_or("");
-    let want = match (parsed.method.unwrap_or(""), path) {
-        ("GET", "/v1/events") => Want::Events(last),
-        ("GET", "/v1/status") => Want::Status,
-        ("POST", "/v1/events") => Want::Publish(mark),
-        ("POST", "/v1/relay") => Want::Relay,
-        ("POST", "/v1/hierarchy/in-force") => Want::InForce,
+    let operation = match (parsed.method.unwrap_or(""), path) {
+        ("GET", "/v1/events") => Operation::Subscribe { after: headers.last_event_id },
+        ("GET", "/v1/status") => Operation::Status,
+        ("POST", "/v1/events") => Operation::Publish { idempotency_key: headers.idempotency_key },
+        ("POST", "/v1/relay") => Operation::PeerCall,
+        ("POST", "/v1/hierarchy/in-force") => Operation::ReportApplied,
         (_, "/v1/events" | "/v1/status" | "/v1/relay" | "/v1/hierarchy/in-force") => {
-            return Err(refused(405, "another method"));
+            return Err(RequestError::new(405, "another method"));
         }
-        _ => return Err(refused(404, "nothing is here")),
+        _ => return Err(RequestError::new(404, "nothing is here")),
     };
-    Ok(Some(Request { want, relay, in_force, head, body, closes }))
+    let applied_number = headers.applied_number;
+    Ok(Some(RequestHead {
+        operation,
+        relay: headers.relay_number.map(|number| CallingRelay { number, applied_number }),
+        head_len,
+        body_len: headers.content_length,
+        closes: headers.closes || is_http_1_0,
+    }))
+}
+
+/// A response with its body.
+pub(crate) fn response(code: u16, content_type: &str, body: &[u8], closes: bool) -> Vec<u8> {
+    let content_type =
+        if body.is_empty() { String::new() } else { format!("Content-Type: {content_type}\r\n") };
+    let connection = if closes { "Connection: close\r\n" } else { "" };
+    let (reason, length) = (reason_phrase(code), body.len());
+    let head =
+        format!("HTTP/1.1 {code} {reason}\r\n{content_type}Content-Length: {length}\r\n{connection}\r\n");
+    let mut response = head.into_bytes();
+    response.extend_from_slice(body);
+    response
 }
 
-/// An answer with its whole body.
-pub fn answer(code: u16, kind: &str, body: &[u8], closes: bool) -> Vec<u8> {
-    let word = match code {
+fn reason_phrase(code: u16) -> &'static str {
+    match code {
         200 => "OK",
         204 => "No Content",
         400 => "Bad Request",
@@ -110,16 +175,9 @@
         431 => "Request Header Fields Too Large",
         507 => "Insufficient Storage",
         _ => "Service Unavailable",
-    };
-    let end = if closes { "Connection: close\r\n" } else { "" };
-    let kind = if body.is_empty() { String::new() } else { format!("Content-Type: {kind}\r\n") };
-    let length = body.len();
-    let mut all =
-        format!("HTTP/1.1 {code} {word}\r\n{kind}Content-Length: {length}\r\n{end}\r\n").into_bytes();
-    all.extend_from_slice(body);
-    all
+    }
 }
 
-/// The head of a stream, which ends with its connection.
-pub const STREAM: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\
+/// The head of a stream of events, which ends with its connection.
+pub(crate) const STREAM_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\
     Cache-Control: no-store\r\nConnection: close\r\n\r\n";
--- a/crates/relay-server/src/lib.rs
+++ b/crates/relay-server/src/lib.rs
@@ -1,7 +1,7 @@
-//! The relay as a process: sockets, settings and life round `sablecross_relay`, which decides everything.
+//! The relay as a process: sockets, settings and signals around `sablecross_relay`, which decides everything.
 //!
-//! One thread serves all connections and never waits for one. Others wait for it: one for each voter that is called, one
-//! for the upstream, one for words that are passed on, one for signals.
+//! One thread serves all connections and never blocks on one. Others wait for other processes: one for each voter that
+//! is called, one for the upstream, one for reports that are forwarded, one for signals.
 
 mod connection;
 mod http;
--- a/crates/relay-server/src/log_rate_limiter.rs
+++ b/crates/relay-server/src/log_rate_limiter.rs
@@ -1,28 +1,30 @@
-//! Lines on what others do wrong: ten a second at most, so that nobody fills the log.
+//! Limits log lines on what others do wrong, so that nobody fills the log.
 
 use sablecross_coordination::Ns;
 
-const SPAN: Ns = 1_000_000_000;
-const MOST: u32 = 10;
+const PERIOD: Ns = 1_000_000_000;
+const MAX_LINES_PER_PERIOD: u32 = 10;
 
+/// Admits a few lines a second and counts the rest.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct LogRateLimiter {
-    since: Ns,
-    said: u32,
-    left_out: u64,
+pub(crate) struct LogRateLimiter {
+    period_start: Ns,
+    lines: u32,
+    suppressed: u64,
 }
 
 impl LogRateLimiter {
-    /// Whether one may be said now: with how many were left out since the last.
-    pub fn next(&mut self, now: Ns) -> Option<u64> {
-        if now >= self.since + SPAN {
-            (self.since, self.said) = (now, 0);
+    /// Whether a line may be logged now: if so, how many were suppressed since the last.
+    pub(crate) fn admit(&mut self, now: Ns) -> Option<u64> {
+        if now >= self.period_start + PERIOD {
+            self.period_start = now;
+            self.lines = 0;
         }
-        if self.said >= MOST {
-            self.left_out += 1;
+        if self.lines >= MAX_LINES_PER_PERIOD {
+            self.suppressed += 1;
             return None;
         }
-        self.said += 1;
-        Some(std::mem::take(&mut self.left_out))
+        self.lines += 1;
+        Some(std::mem::take(&mut self.suppressed))
     }
 }
--- a/crates/relay-server/src/peers.rs
+++ b/crates/relay-server/src/peers.rs
@@ -1,5 +1,5 @@
-//! Threads that wait for others, so that the loop never does: one for each voter that is called, one that follows the
-//! upstream, one that passes words of readers on.
+//! Threads that wait for other processes, so that the event loop never does: one for each voter that is called, one
+//! that follows the upstream, one that forwards subscribers' reports.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,248 +10,293 @@
 use mio::Waker;
 use sablecross_discovery::{EventStreamParser, StreamError, StreamItem};
 use sablecross_relay::{PeerReply, PeerRequest};
+use thiserror::Error;
 
-use crate::peer_client::PeerClient;
+use crate::peer_client::{CallError, PeerClient};
 
-/// Calls that wait for one voter; what comes on top is dropped, and told again by what it is part of.
-const WAITING: usize = 16;
-/// Words of readers that wait to be passed on.
-const WORDS: usize = 64;
-/// How often a follower looks whether another call is wanted.
-const LOOK: Duration = Duration::from_millis(100);
-/// After a call that came to nothing.
-const PAUSE: Duration = Duration::from_millis(200);
-const STACK: usize = 256 << 10;
+/// Calls that wait for one voter; further ones are dropped, and the relay sends what matters again.
+const CALL_QUEUE: usize = 16;
+/// Reports that wait to be forwarded.
+const REPORT_QUEUE: usize = 64;
+const MAX_REPORT_RESPONSE_BYTES: usize = 4_096;
+/// How often the follower looks for another order.
+const ORDER_POLL_INTERVAL: Duration = Duration::from_millis(100);
+const MAX_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Between two calls of upstreams, after one that brought nothing.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+const STACK_BYTES: usize = 256 << 10;
+const READ_CHUNK: usize = 16_384;
 
-/// What threads tell the loop.
+/// What threads report to the event loop.
 #[derive(Debug)]
-pub enum ServerEvent {
-    PeerReplied {
-        voter: u32,
-        number: u64,
-        reply: Box<PeerReply>,
-    },
-    /// Of the call of this number: what the upstream said, or that it is over; an error, if it was broken off.
-    UpstreamItems(u64, Vec<StreamItem>),
-    UpstreamEnded(u64, Result<(), String>),
-    /// A reader's word was passed on, or not.
-    ReportForwarded {
-        conn: usize,
-        is_accepted: bool,
-    },
+pub(crate) enum ServerEvent {
+    /// A voter has answered.
+    PeerReplied { voter: u32, call_id: u64, reply: Box<PeerReply> },
+    /// The upstream has sent something, on the call with this number.
+    UpstreamItems { call: u64, items: Vec<StreamItem> },
+    /// The call is over; an error if its stream broke.
+    UpstreamEnded { call: u64, result: Result<(), String> },
+    /// The report of the subscriber at this connection was forwarded.
+    ReportForwarded { connection: usize, is_accepted: bool },
+    /// The process is to stop.
     Stop,
+    /// The status is to be logged.
     LogStatus,
 }
 
-/// The loop's inbox, as threads have it.
+/// The event loop's inbox.
 #[derive(Clone)]
-pub struct Inbox {
-    pub to: Sender<ServerEvent>,
-    pub waker: Arc<Waker>,
+pub(crate) struct Inbox {
+    pub(crate) to: Sender<ServerEvent>,
+    pub(crate) waker: Arc<Waker>,
 }
 
 impl Inbox {
     /// False once the loop is gone.
-    pub fn tell(&self, what: ServerEvent) -> bool {
-        // A wake-up that fails is made up for by the loop's next tick.
-        self.to.send(what).is_ok() && self.waker.wake().is_ok()
+    pub(crate) fn send(&self, event: ServerEvent) -> bool {
+        // If the wake-up fails, the loop looks at its next tick.
+        self.to.send(event).is_ok() && self.waker.wake().is_ok()
     }
 }
 
-/// A thread with a small stack.
-pub fn spawn(name: String, run: impl FnOnce() + Send + 'static) -> std::io::Result<()> {
-    std::thread::Builder::new().name(name).stack_size(STACK).spawn(run).map(drop)
+/// Starts a thread with a small stack.
+pub(crate) fn spawn(name: String, run: impl FnOnce() + Send + 'static) -> std::io::Result<()> {
+    std::thread::Builder::new().name(name).stack_size(STACK_BYTES).spawn(run).map(drop)
 }
 
-/// Calls one voter for the loop: what is put in, comes back as `In::Answered`, or not at all.
-pub fn caller(
+/// Why a voter's answer can't be used.
+#[derive(Debug, Error)]
+enum PeerError {
+    #[error("the call can't be encoded: {0}")]
+    Encode(#[from] rmp_serde::encode::Error),
+    #[error(transparent)]
+    Call(#[from] CallError),
+    #[error("answer {0}: {1}")]
+    Status(u16, String),
+    #[error("its answer can't be read: {0}")]
+    Decode(#[from] rmp_serde::decode::Error),
+}
+
+/// A call that waits for its voter.
+#[derive(Debug)]
+pub(crate) struct QueuedCall {
+    pub(crate) call_id: u64,
+    pub(crate) request: PeerRequest,
+}
+
+/// Starts a thread that calls one voter: what is sent to it comes back as [`ServerEvent::PeerReplied`], or not at
+/// all.
+pub(crate) fn spawn_caller(
     voter: u32,
-    at: SocketAddr,
-    time: Duration,
-    most: usize,
+    address: SocketAddr,
+    timeout: Duration,
+    max_reply_bytes: usize,
     inbox: Inbox,
-) -> std::io::Result<Sender<(u64, PeerRequest)>> {
-    let (calls, waiting) = bounded::<(u64, PeerRequest)>(WAITING);
+) -> std::io::Result<Sender<QueuedCall>> {
+    let (sender, calls) = bounded::<QueuedCall>(CALL_QUEUE);
     spawn(format!("voter-{voter}"), move || {
-        let mut line = PeerClient::new(at, time, most);
-        let mut failing = false;
-        for (number, request) in &waiting {
-            match ask(&mut line, &request) {
+        let mut client = PeerClient::new(address, timeout, max_reply_bytes);
+        let mut is_failing = false;
+        for QueuedCall { call_id, request } in &calls {
+            match call_voter(&mut client, &request) {
                 Ok(reply) => {
-                    if std::mem::take(&mut failing) {
-                        tracing::info!("relay voter up voter={voter} at={at}");
+                    if std::mem::take(&mut is_failing) {
+                        tracing::info!("relay voter up voter={voter} at={address}");
                     }
-                    if !inbox.tell(ServerEvent::PeerReplied { voter, number, reply: Box::new(reply) }) {
+                    if !inbox.send(ServerEvent::PeerReplied { voter, call_id, reply: Box::new(reply) }) {
                         return;
                     }
                 }
-                Err(why) => {
-                    if !std::mem::replace(&mut failing, true) {
-                        tracing::warn!("relay voter lost voter={voter} at={at}: {why}");
+                Err(error) => {
+                    if !std::mem::replace(&mut is_failing, true) {
+                        tracing::warn!("relay voter lost voter={voter} at={address}: {error}");
                     }
-                    // What waited meanwhile is old.
-                    waiting.try_iter().for_each(drop);
+                    // What has waited meanwhile is old.
+                    calls.try_iter().for_each(drop);
                 }
             }
         }
     })?;
-    Ok(calls)
+    Ok(sender)
 }
 
-fn ask(line: &mut PeerClient, request: &PeerRequest) -> Result<PeerReply, String> {
-    let body = rmp_serde::to_vec(request).map_err(|e| e.to_string())?;
-    let (code, answer) = line.request("POST", "/v1/relay", "", &body).map_err(|e| e.to_string())?;
-    if code != 200 {
-        return Err(format!("answer {code}: {}", String::from_utf8_lossy(&answer)));
+fn call_voter(client: &mut PeerClient, request: &PeerRequest) -> Result<PeerReply, PeerError> {
+    let body = rmp_serde::to_vec(request)?;
+    let response = client.request("POST", "/v1/relay", "", &body)?;
+    if response.code != 200 {
+        let text = String::from_utf8_lossy(&response.body).into_owned();
+        return Err(PeerError::Status(response.code, text));
     }
-    rmp_serde::from_slice(&answer).map_err(|e| format!("its answer can't be read: {e}"))
+    Ok(rmp_serde::from_slice(&response.body)?)
 }
 
-/// A call of an upstream: its number here, whom, from after which event.
+/// A call of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Order {
-    pub number: u64,
-    pub at: SocketAddr,
-    pub after: u64,
-    /// What is in force here and at all below, if that is said beside.
-    pub in_force: Option<u64>,
+pub(crate) struct UpstreamOrder {
+    /// Number of the call.
+    pub(crate) call: u64,
+    pub(crate) address: SocketAddr,
+    /// Events after this number are asked for.
+    pub(crate) after: u64,
+    /// What this relay and all its subscribers have applied, if that is sent apart.
+    pub(crate) applied_number: Option<u64>,
 }
 
-/// Follows upstreams for the loop. A new order ends the call that is open.
-pub struct Follower {
+/// Follows upstreams for the event loop. A new order ends the call that is open.
+pub(crate) struct Follower {
     /// The number by which upstreams know this relay.
-    pub relay: u32,
-    /// An upstream that says nothing for so long is left.
-    pub silence: Duration,
-    pub most: usize,
-    pub orders: Receiver<Order>,
-    pub inbox: Inbox,
+    pub(crate) relay: u32,
+    /// An upstream that sends nothing for so long is left.
+    pub(crate) silence: Duration,
+    /// The longest event.
+    pub(crate) max_bytes: usize,
+    pub(crate) orders: Receiver<UpstreamOrder>,
+    pub(crate) inbox: Inbox,
 }
 
 /// Why a call of an upstream ended.
-enum End {
+enum CallEnd {
     Clean,
-    Flaw(String),
-    /// Another one is wanted.
-    Order(Order),
-    /// The loop is gone.
-    Gone,
+    Failed(String),
+    /// There is another order.
+    Replaced(UpstreamOrder),
+    /// The event loop is gone.
+    LoopGone,
 }
 
 impl Follower {
-    pub fn follow(self) {
+    /// Runs until the event loop is gone.
+    pub(crate) fn follow(self) {
         let mut next = self.orders.recv().ok();
         while let Some(order) = next.take() {
             let begun = Instant::now();
-            let (end, events) = self.call(order);
-            let over = match end {
-                End::Gone => return,
-                End::Order(later) => {
-                    if begun.elapsed() < PAUSE {
-                        std::thread::sleep(PAUSE);
+            let mut item_count = 0;
+            let end = self.call(order, &mut item_count).unwrap_or_else(|e| CallEnd::Failed(e.to_string()));
+            let result = match end {
+                CallEnd::LoopGone => return,
+                CallEnd::Replaced(later) => {
+                    if begun.elapsed() < RETRY_DELAY {
+                        std::thread::sleep(RETRY_DELAY);
                     }
                     next = Some(later);
                     continue;
                 }
-                End::Clean => Ok(()),
-                End::Flaw(why) => Err(why),
+                CallEnd::Clean => Ok(()),
+                CallEnd::Failed(reason) => Err(reason),
             };
-            // No loop without a pause.
-            if over.is_err() || (events == 0 && begun.elapsed() < PAUSE) {
-                std::thread::sleep(PAUSE);
+            // No loop without a delay.
+            if result.is_err() || (item_count == 0 && begun.elapsed() < RETRY_DELAY) {
+                std::thread::sleep(RETRY_DELAY);
             }
-            if !self.inbox.tell(ServerEvent::UpstreamEnded(order.number, over)) {
+            if !self.inbox.send(ServerEvent::UpstreamEnded { call: order.call, result }) {
                 return;
             }
             next = self.orders.recv().ok();
         }
     }
 
-    /// With the number of things that were said.
-    fn call(&self, order: Order) -> (End, usize) {
-        let mut count = 0;
-        let end = self.read(order, &mut count).unwrap_or_else(|e| End::Flaw(e.to_string()));
-        (end, count)
-    }
-
-    fn read(&self, order: Order, count: &mut usize) -> std::io::Result<End> {
-        let stream = TcpStream::connect_timeout(&order.at, self.silence.min(Duration::from_secs(1)))?;
-        stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(LOOK))?;
-        stream.set_write_timeout(Some(self.silence))?;
-        let in_force = order.in_force.map_or(String::new(), |n| format!("\r\nSablecross-In-Force: {n}"));
-        let own = format!("\r\nSablecross-Relay: {}{in_force}\r\n\r\n", self.relay);
-        let ask = sablecross_discovery::events_request(order.at, order.after).replacen("\r\n\r\n", &own, 1);
-        (&stream).write_all(ask.as_bytes())?;
-        let mut answer = EventStreamParser::new(self.most);
-        let (mut bytes, mut heard) = ([0; 16_384], Instant::now());
+    /// Reads the stream of one call to its end, and counts what came.
+    fn call(&self, order: UpstreamOrder, item_count: &mut usize) -> std::io::Result<CallEnd> {
+        let mut stream = self.connect(order)?;
+        let mut parser = EventStreamParser::new(self.max_bytes);
+        let mut chunk = [0; READ_CHUNK];
+        let mut last_read = Instant::now();
         loop {
             if let Ok(later) = self.orders.try_recv() {
-                return Ok(End::Order(later));
+                return Ok(CallEnd::Replaced(later));
             }
-            match (&stream).read(&mut bytes) {
+            match stream.read(&mut chunk) {
                 Ok(0) => {
-                    return Ok(answer.finish().map_or_else(|e| End::Flaw(e.to_string()), |()| End::Clean));
+                    let end = parser.finish();
+                    return Ok(end.map_or_else(|e| CallEnd::Failed(e.to_string()), |()| CallEnd::Clean));
                 }
                 Ok(n) => {
-                    heard = Instant::now();
-                    answer.push(&bytes[..n]);
-                    let (said, flaw) = whole(&mut answer);
-                    *count += said.len();
-                    if !said.is_empty() && !self.inbox.tell(ServerEvent::UpstreamItems(order.number, said)) {
-                        return Ok(End::Gone);
-                    }
-                    match flaw {
-                        Some(StreamError::Ended) => return Ok(End::Clean),
-                        Some(flaw) => return Ok(End::Flaw(flaw.to_string())),
-                        None => {}
+                    last_read = Instant::now();
+                    parser.push(&chunk[..n]);
+                    if let Some(end) = self.report_items(order.call, &mut parser, item_count) {
+                        return Ok(end);
                     }
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                    if heard.elapsed() > self.silence {
-                        return Ok(End::Flaw("silent".into()));
+                    if last_read.elapsed() > self.silence {
+                        return Ok(CallEnd::Failed("silent".into()));
                     }
                 }
                 Err(e) => return Err(e),
             }
         }
     }
+
+    fn connect(&self, order: UpstreamOrder) -> std::io::Result<TcpStream> {
+        let mut stream = TcpStream::connect_timeout(&order.address, self.silence.min(MAX_CONNECT_TIMEOUT))?;
+        stream.set_nodelay(true)?;
+        stream.set_read_timeout(Some(ORDER_POLL_INTERVAL))?;
+        stream.set_write_timeout(Some(self.silence))?;
+        stream.write_all(self.request(order).as_bytes())?;
+        Ok(stream)
+    }
+
+    /// The request for events, with the headers by which upstreams know a relay.
+    fn request(&self, order: UpstreamOrder) -> String {
+        let applied = order.applied_number.map_or(String::new(), |n| format!("Sablecross-In-Force: {n}\r\n"));
+        let headers = format!("\r\nSablecross-Relay: {}\r\n{applied}\r\n", self.relay);
+        sablecross_discovery::events_request(order.address, order.after).replacen("\r\n\r\n", &headers, 1)
+    }
+
+    /// Reports all that has come in full; returns how the call ends, if it does.
+    fn report_items(
+        &self,
+        call: u64,
+        parser: &mut EventStreamParser,
+        item_count: &mut usize,
+    ) -> Option<CallEnd> {
+        let (items, error) = complete_items(parser);
+        *item_count += items.len();
+        if !items.is_empty() && !self.inbox.send(ServerEvent::UpstreamItems { call, items }) {
+            return Some(CallEnd::LoopGone);
+        }
+        error.map(|error| match error {
+            StreamError::Ended => CallEnd::Clean,
+            error => CallEnd::Failed(error.to_string()),
+        })
+    }
 }
 
-/// All that has come whole, and what is wrong with what follows.
-fn whole(answer: &mut EventStreamParser) -> (Vec<StreamItem>, Option<StreamError>) {
-    let mut all = Vec::new();
+/// All that has come in full, and what is wrong with what follows.
+fn complete_items(parser: &mut EventStreamParser) -> (Vec<StreamItem>, Option<StreamError>) {
+    let mut items = Vec::new();
     loop {
-        match answer.next_item() {
-            Ok(Some(said)) => all.push(said),
-            Ok(None) => return (all, None),
-            Err(flaw) => return (all, Some(flaw)),
+        match parser.next_item() {
+            Ok(Some(item)) => items.push(item),
+            Ok(None) => return (items, None),
+            Err(error) => return (items, Some(error)),
         }
     }
 }
 
-/// A reader's word on the hierarchy, to be said where the upstream is.
+/// A subscriber's report of the hierarchy that it has applied, to be forwarded.
 #[derive(Debug)]
-pub struct AppliedReport {
-    pub conn: usize,
-    pub at: SocketAddr,
-    pub body: Vec<u8>,
+pub(crate) struct AppliedReport {
+    /// The connection that it came by.
+    pub(crate) connection: usize,
+    pub(crate) upstream: SocketAddr,
+    pub(crate) body: Vec<u8>,
 }
 
-/// Passes words on, each once: who said one repeats it until it is taken.
-pub fn passer(time: Duration, inbox: Inbox) -> std::io::Result<Sender<AppliedReport>> {
-    let (words, waiting) = bounded::<AppliedReport>(WORDS);
-    spawn("words".into(), move || {
-        for AppliedReport { conn, at, body } in &waiting {
-            let head = "Content-Type: application/json\r\nConnection: close\r\n";
-            let said =
-                PeerClient::new(at, time, 4_096).request("POST", "/v1/hierarchy/in-force", head, &body);
-            let taken = said.is_ok_and(|(code, _)| code / 100 == 2);
-            if !inbox.tell(ServerEvent::ReportForwarded { conn, is_accepted: taken }) {
+/// Starts a thread that forwards reports, each once: subscribers repeat one until it is accepted.
+pub(crate) fn spawn_forwarder(timeout: Duration, inbox: Inbox) -> std::io::Result<Sender<AppliedReport>> {
+    let (sender, reports) = bounded::<AppliedReport>(REPORT_QUEUE);
+    spawn("reports".into(), move || {
+        for AppliedReport { connection, upstream, body } in &reports {
+            let headers = "Content-Type: application/json\r\nConnection: close\r\n";
+            let mut client = PeerClient::new(upstream, timeout, MAX_REPORT_RESPONSE_BYTES);
+            let response = client.request("POST", "/v1/hierarchy/in-force", headers, &body);
+            let is_accepted = response.is_ok_and(|response| response.code / 100 == 2);
+            if !inbox.send(ServerEvent::ReportForwarded { connection, is_accepted }) {
                 return;
             }
         }
     })?;
-    Ok(words)
+    Ok(sender)
 }
--- a/crates/relay-server/src/publisher.rs
+++ b/crates/relay-server/src/publisher.rs
@@ -1,92 +1,150 @@
-//! The publisher's side: looks for the owner, and publishes there under a mark until it is answered.
+//! A publisher's client: looks for the leader among the voters, and sends it an event until that is answered.
 
 use std::time::{Duration, Instant};
 
 use serde::Deserialize;
 use thiserror::Error;
 
-use crate::peer_client::PeerClient;
+use crate::peer_client::{HttpResponse, PeerClient};
 use crate::settings::MemberForm;
 
-/// The longest answer.
-const LONGEST: usize = 64 << 10;
-/// Between two rounds of looking for the owner.
-const PAUSE: Duration = Duration::from_millis(50);
-/// For how long one voter is waited for, before another is asked: an owner that is stopped is to cost no more than the lease
-/// after which there is another. An answer takes some milliseconds; one that comes later is had again by the mark.
-const PATIENCE: Duration = Duration::from_secs(1);
+const MAX_RESPONSE_BYTES: usize = 64 << 10;
+/// Between two rounds of looking for the leader.
+const ROUND_DELAY: Duration = Duration::from_millis(50);
+/// How long one voter is waited for before another is called: a leader that is stopped is to cost no more than the
+/// lease after which there is another. A response takes some milliseconds; one that comes later is got again by the
+/// idempotency key.
+const VOTER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Why an event has no number.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PublishCallError {
-    /// Another voter would say the same.
+    /// A voter rejected the event, and any other would.
     #[error("{0}")]
     Rejected(String),
-    /// Whether it will be told is not known: publish it again under the same mark.
-    #[error("no answer in {0:?}; the last word was: {1}")]
-    TimedOut(Duration, String),
+    /// No voter has accepted it in time. It may be committed still: publish it again with the same key.
+    #[error("no answer in {timeout:?}; the last word was: {last_failure}")]
+    TimedOut {
+        /// How long a leader was looked for.
+        timeout: Duration,
+        /// What the last call came to.
+        last_failure: String,
+    },
+    /// No member votes, so nobody accepts events.
     #[error("no member votes: nobody takes events")]
     NoVoters,
 }
 
+/// The body of a response.
 #[derive(Deserialize)]
-struct Answer {
-    n: Option<u64>,
+struct ResponseBody {
+    #[serde(rename = "n")]
+    number: Option<u64>,
     error: Option<String>,
-    owner: Option<u32>,
+    #[serde(rename = "owner")]
+    leader: Option<u32>,
+}
+
+/// What a call of one voter came to.
+enum Attempt {
+    Accepted(u64),
+    Rejected(String),
+    /// Another voter may accept it.
+    Failed {
+        reason: String,
+        leader: Option<u32>,
+    },
 }
 
-/// Publishes, one event after another. It remembers who the owner was.
+#[derive(Debug)]
+struct VoterClient {
+    number: u32,
+    client: PeerClient,
+}
+
+/// Publishes one event after another, and remembers who the leader was.
 #[derive(Debug)]
 pub struct Publisher {
-    voters: Vec<(u32, PeerClient)>,
-    at: usize,
+    voters: Vec<VoterClient>,
+    /// Index of the voter to call next.
+    current: usize,
 }
 
 impl Publisher {
+    /// A publisher for these voters.
     pub fn new(voters: &[MemberForm]) -> Publisher {
-        let line = |m: &MemberForm| (m.number, PeerClient::new(m.address, PATIENCE, LONGEST));
-        Publisher { voters: voters.iter().map(line).collect(), at: 0 }
+        let client = |member: &MemberForm| VoterClient {
+            number: member.number,
+            client: PeerClient::new(member.address, VOTER_TIMEOUT, MAX_RESPONSE_BYTES),
+        };
+        Publisher { voters: voters.iter().map(client).collect(), current: 0 }
     }
 
-    /// Publishes the event's JSON; the number that it was told under. `time`: for how long an owner is looked for.
-    pub fn publish(&mut self, mark: &str, event: &[u8], time: Duration) -> Result<u64, PublishCallError> {
-        let by = Instant::now() + time;
-        let mark = format!("Sablecross-Mark: {mark}\r\n");
-        let mut asked = 0;
+    /// Publishes an event's JSON and returns its number. A leader is looked for as long as `timeout`.
+    pub fn publish(
+        &mut self,
+        idempotency_key: &str,
+        event: &[u8],
+        timeout: Duration,
+    ) -> Result<u64, PublishCallError> {
+        let deadline = Instant::now() + timeout;
+        let headers = format!("Sablecross-Mark: {idempotency_key}\r\n");
+        let mut calls = 0;
         loop {
-            let voters = self.voters.len();
-            let Some((number, line)) = self.voters.get_mut(self.at) else {
+            let Some(voter) = self.voters.get_mut(self.current) else {
                 return Err(PublishCallError::NoVoters);
             };
-            let (number, at) = (*number, line.address());
-            let said = line.request("POST", "/v1/events", &mark, event);
-            asked += 1;
-            let mut owner = None;
-            let why = match said {
-                Ok((code, body)) => match serde_json::from_slice::<Answer>(&body) {
-                    Ok(Answer { n: Some(n), .. }) if code == 200 => return Ok(n),
-                    Ok(Answer { error: Some(e), .. }) if code != 503 => {
-                        return Err(PublishCallError::Rejected(e));
-                    }
-                    Ok(Answer { error: Some(e), owner: other, .. }) => {
-                        owner = other.filter(|o| *o != number);
-                        format!("{at}: {e}")
-                    }
-                    _ => format!("{at}: answer {code}"),
-                },
-                Err(e) => format!("{at}: {e}"),
+            calls += 1;
+            let (reason, leader) = match voter.try_publish(&headers, event) {
+                Attempt::Accepted(number) => return Ok(number),
+                Attempt::Rejected(reason) => return Err(PublishCallError::Rejected(reason)),
+                Attempt::Failed { reason, leader } => (reason, leader),
             };
-            if Instant::now() >= by {
-                return Err(PublishCallError::TimedOut(time, why));
+            if Instant::now() >= deadline {
+                return Err(PublishCallError::TimedOut { timeout, last_failure: reason });
             }
-            // Whom it takes for the owner is asked next, but now and then the others are, too.
-            let named = owner.and_then(|o| self.voters.iter().position(|(n, _)| *n == o));
-            let next = (self.at + 1) % voters;
-            self.at = named.filter(|_| asked % voters != 0).unwrap_or(next);
-            if asked % voters == 0 {
-                std::thread::sleep(PAUSE);
+            let is_round_over = calls % self.voters.len() == 0;
+            self.select_next(leader, is_round_over);
+            if is_round_over {
+                std::thread::sleep(ROUND_DELAY);
             }
         }
     }
+
+    /// Calls whom the last voter takes for the leader; at the end of a round the next one in any case.
+    fn select_next(&mut self, leader: Option<u32>, is_round_over: bool) {
+        let next = (self.current + 1) % self.voters.len();
+        let leader = leader.and_then(|number| self.voters.iter().position(|voter| voter.number == number));
+        self.current = leader.filter(|_| !is_round_over).unwrap_or(next);
+    }
+}
+
+impl VoterClient {
+    fn try_publish(&mut self, headers: &str, event: &[u8]) -> Attempt {
+        let address = self.client.address();
+        match self.client.request("POST", "/v1/events", headers, event) {
+            Ok(response) => self.read_response(&response),
+            Err(error) => failed(format!("{address}: {error}")),
+        }
+    }
+
+    fn read_response(&self, response: &HttpResponse) -> Attempt {
+        let (address, code) = (self.client.address(), response.code);
+        let Ok(body) = serde_json::from_slice::<ResponseBody>(&response.body) else {
+            return failed(format!("{address}: answer {code}"));
+        };
+        match body {
+            ResponseBody { number: Some(number), .. } if code == 200 => Attempt::Accepted(number),
+            ResponseBody { error: Some(error), .. } if code != 503 => Attempt::Rejected(error),
+            ResponseBody { error: Some(error), leader, .. } => Attempt::Failed {
+                reason: format!("{address}: {error}"),
+                leader: leader.filter(|leader| *leader != self.number),
+            },
+            _ => failed(format!("{address}: answer {code}")),
+        }
+    }
+}
+
+fn failed(reason: String) -> Attempt {
+    Attempt::Failed { reason, leader: None }
 }
--- a/crates/relay-server/tests/processes/common.rs
+++ b/crates/relay-server/tests/processes/common.rs
@@ -11,7 +11,7 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 use sablecross_discovery::{EventCursor, EventStreamParser, EventVerdict, FeedSelector, StreamItem};
-use sablecross_relay::RelayStatus;
+use sablecross_relay::{RelayRole, RelayStatus};
 use sablecross_relay_server::peer_client::PeerClient;
 use sablecross_relay_server::publisher::{PublishCallError, Publisher};
 use sablecross_relay_server::settings::MemberForm;
@@ -235,17 +235,17 @@
     }
 
     pub fn status(&self, relay: u32) -> Option<RelayStatus> {
-        let (code, body) =
-            PeerClient::new(self.at(relay), ms(1_000), 1 << 24).request("GET", "/v1/status", "", b"").ok()?;
-        assert_eq!(code, 200);
-        Some(serde_json::from_slice(&body).expect("a status"))
+        let mut client = PeerClient::new(self.at(relay), ms(1_000), 1 << 24);
+        let response = client.request("GET", "/v1/status", "", b"").ok()?;
+        assert_eq!(response.code, 200);
+        Some(serde_json::from_slice(&response.body).expect("a status"))
     }
 
     /// The owner, once there is one beside those that are left out.
     pub fn owner_but(&self, out: &[u32]) -> u32 {
         let mut owner = None;
         let found = until(PATIENCE, || {
-            let owns = |n: &u32| self.status(*n).is_some_and(|s| s.role == "owner");
+            let owns = |n: &u32| self.status(*n).is_some_and(|s| s.role == RelayRole::Leader);
             owner = (0..self.voters).filter(|n| !out.contains(n) && self.children.contains_key(n)).find(owns);
             owner.is_some()
         });
@@ -501,5 +501,5 @@
 pub fn refuses(tier: &Tier, relay: u32, event: &str) -> bool {
     let member = MemberForm { number: relay, address: tier.at(relay), votes: true };
     let said = Publisher::new(&[member]).publish("once", event.as_bytes(), Duration::ZERO);
-    matches!(said, Err(PublishCallError::TimedOut(..)))
+    matches!(said, Err(PublishCallError::TimedOut { .. }))
 }
--- a/crates/relay-server/tests/processes/faults.rs
+++ b/crates/relay-server/tests/processes/faults.rs
@@ -2,6 +2,8 @@
 
 use std::time::Instant;
 
+use sablecross_relay::RelayRole;
+
 use crate::common::{LIST, Load, PATIENCE, Reader, Tier, complete, large, ms, purge, refuses, until};
 
 /// Kills the owner, then another voter, while purges are published and read.
@@ -155,7 +157,7 @@
     assert!(refuses(&tier, old, &purge(77)), "two sources at once");
     assert_ne!(old, new);
     std::thread::sleep(ms(800));
-    let owners = (0..3).filter(|n| tier.status(*n).is_some_and(|s| s.role == "owner")).count();
+    let owners = (0..3).filter(|n| tier.status(*n).is_some_and(|s| s.role == RelayRole::Leader)).count();
     assert!(owners <= 1, "two sources at once");
     published.0.extend(load.over().0);
     complete(&readers, &published, &tier);
@@ -220,7 +222,7 @@
     std::thread::sleep(ms(300));
     assert_eq!(tier.end(owner), Some(0), "{}", tier.log(owner));
     let next = tier.owner_but(&[owner]);
-    assert!(tier.log(next).contains("relay owns the feed"));
+    assert!(tier.log(next).contains("relay leadership gained"));
     std::thread::sleep(ms(300));
     published.0.extend(load.over().0);
     complete(&readers, &published, &tier);
--- a/crates/relay-server/tests/processes/horizon.rs
+++ b/crates/relay-server/tests/processes/horizon.rs
@@ -122,7 +122,7 @@
     published.0.extend(load.over().0);
     jumped(&inside[0], &published, before, bound, &tier);
     assert_eq!(names(&inside[0].got()), BTreeSet::from(["m1".into(), "n".into()]));
-    assert!(tier.log(3).contains("the whole list is taken"), "{}", tier.log(3));
+    assert!(tier.log(3).contains("the complete list is taken"), "{}", tier.log(3));
 }
 
 /// The whole list is larger than a batch by far, and more is published all the time: it is told once, then what follows it.
--- a/crates/relay-server/tests/processes/readers.rs
+++ b/crates/relay-server/tests/processes/readers.rs
@@ -7,7 +7,7 @@
 
 use crate::common::{LIST, Load, PATIENCE, Published, Reader, Tier, complete, dial, large, ms, purge, until};
 use sablecross_relay::{RelayStatus, merge_statuses};
-use sablecross_relay_server::peer_client::PeerClient;
+use sablecross_relay_server::peer_client::{HttpResponse, PeerClient};
 
 /// The most memory that a process held, in KB.
 fn most_memory(pid: u32) -> u64 {
@@ -136,7 +136,7 @@
     let readers = tier.readers(4);
     let at = tier.at(tier.owner());
     let said = |event: &[u8]| {
-        let (code, body) = PeerClient::new(at, PATIENCE, 1 << 20)
+        let HttpResponse { code, body } = PeerClient::new(at, PATIENCE, 1 << 20)
             .request("POST", "/v1/events", "", event)
             .expect("an answer");
         (code, String::from_utf8_lossy(&body).into_owned())
@@ -160,7 +160,7 @@
         let (got, why) = said(event);
         assert!(got == code && why.contains(what), "{got} {why}, where {code} {what} was due");
     }
-    assert!(tier.logs().contains("relay event refused"), "{}", tier.logs());
+    assert!(tier.logs().contains("relay event rejected"), "{}", tier.logs());
     for (text, what) in [
         ("GET /else HTTP/1.1\r\n\r\n", "404"),
         ("PUT /v1/events HTTP/1.1\r\n\r\n", "405"),
@@ -219,7 +219,7 @@
     let word = br#"{"party":"n","number":1,"digest":"00"}"#;
     let said =
         PeerClient::new(tier.at(0), PATIENCE, 1 << 10).request("POST", "/v1/hierarchy/in-force", "", word);
-    assert_eq!(said.expect("an answer").0, 204);
+    assert_eq!(said.expect("an answer").code, 204);
 }
 
 /// Readers are known by the addresses they come in by, and waited for: one that never came is named.
--- a/crates/relay-server/tests/wire_format.rs
+++ b/crates/relay-server/tests/wire_format.rs
@@ -4,8 +4,10 @@
 use std::fmt::Debug;
 
 use sablecross_coordination::{FencingToken, LeaseReply as Said, LeaseRequest, Member};
-use sablecross_relay::group::ReplicaState;
-use sablecross_relay::{LogEntry, PeerAnswer, PeerCall, PeerReply, PeerRequest, Snapshot};
+use sablecross_relay::log::HierarchyEvent;
+use sablecross_relay::{
+    EntryPosition, LogEntry, PeerAnswer, PeerCall, PeerReply, PeerRequest, ReplicaState, Snapshot,
+};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -50,14 +52,14 @@
         has_list: true,
         list_index: 2,
         members: [("n1".to_owned(), "{\"name\":\"n1\"}".to_owned())].into(),
-        hierarchy: Some((3, "{\"hierarchy\":{}}".to_owned())),
+        hierarchy: Some(HierarchyEvent { number: 3, body: "{\"hierarchy\":{}}".to_owned() }),
     }
 }
 
 fn held() -> ReplicaState {
     ReplicaState {
         epoch: 1_000,
-        last_entry: (300, token()),
+        last_entry: EntryPosition { number: 300, token: token() },
         committed: 6,
         snapshot: Some(base()),
         entries: entries(),
@@ -99,7 +101,7 @@
         PeerCall::Append {
             token: token(),
             epoch: 1_000,
-            previous_entry: (5, token()),
+            previous_entry: EntryPosition { number: 5, token: token() },
             snapshot: None,
             entries: entries(),
             committed: 6,
@@ -107,7 +109,7 @@
         PeerCall::Append {
             token: token(),
             epoch: 1_000,
-            previous_entry: (5, token()),
+            previous_entry: EntryPosition { number: 5, token: token() },
             snapshot: Some(base()),
             entries: Vec::new(),
             committed: 5,
--- /dev/null
+++ b/crates/relay/src/error.rs
@@ -0,0 +1,44 @@
+//! Why an event is not accepted from a publisher.
+
+use sablecross_coordination::Member;
+use thiserror::Error;
+
+use crate::event::EventError;
+use crate::log::{LogFull, MAX_IDEMPOTENCY_KEY_BYTES};
+
+/// Why an event was not accepted. Except after [`PublishError::LeadershipLost`], no subscriber gets it.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum PublishError {
+    /// This relay is not the leader; the value is the one that is, if known.
+    #[error("not the source: {}", describe_leader(.0))]
+    NotLeader(Option<Member>),
+    /// This relay lost its leadership before the event was committed; a later leader may commit it still.
+    #[error(
+        "no longer the source: whether it will be told is not known; publish it again with the same mark"
+    )]
+    LeadershipLost,
+    /// The event is malformed.
+    #[error(transparent)]
+    InvalidEvent(#[from] EventError),
+    /// The log has no room.
+    #[error(transparent)]
+    LogFull(#[from] LogFull),
+    /// The log has no complete list of endpoints to which the event could apply.
+    #[error("no whole list was published since the log began anew: publish that first")]
+    NoList,
+    /// The purge's timestamp is too far ahead of this clock.
+    #[error("the purge was made {lead_ms} ms ahead of this clock, more than {max_ms}")]
+    PurgeInFuture {
+        /// How far it is ahead.
+        lead_ms: u64,
+        /// How far it may be ahead.
+        max_ms: u64,
+    },
+    /// The idempotency key has this many bytes, which are too many.
+    #[error("the mark has {0} bytes, more than {MAX_IDEMPOTENCY_KEY_BYTES}")]
+    KeyTooLong(usize),
+}
+
+fn describe_leader(leader: &Option<Member>) -> String {
+    leader.map_or("nobody is for now".into(), |member| format!("member {} is", member.number))
+}
--- a/crates/relay/src/event.rs
+++ b/crates/relay/src/event.rs
@@ -1,36 +1,56 @@
-//! An event of the control feed: checked once when it is taken in, then kept and told as the bytes it came
-//! as.
+//! An event of the control feed: checked once when it comes in, then kept and sent as the bytes it came as.
 
 use std::net::SocketAddr;
 
 use sablecross_hierarchy::Admission;
-use sablecross_hierarchy::spec::HierarchySpec as Spec;
+use sablecross_hierarchy::spec::HierarchySpec;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use thiserror::Error;
 
-/// Numbers stay below this: past it no JSON number is exact.
+/// Numbers of events stay below this: past it no JSON number is exact.
 pub const MAX_EVENT_NUMBER: u64 = 1 << 53;
 
-/// An event that is refused: what is wrong with it, and where.
+/// Why an event is malformed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EventError {
-    #[error("the event has {bytes} bytes, more than {most}")]
-    TooLarge { bytes: usize, most: usize },
+    /// It has too many bytes.
+    #[error("the event has {bytes} bytes, more than {limit}")]
+    TooLarge {
+        /// Its bytes.
+        bytes: usize,
+        /// How many it may have.
+        limit: usize,
+    },
+    /// It isn't the JSON object that the protocol asks for.
     #[error("the event is no JSON as the feed has it: {0}")]
     InvalidJson(String),
+    /// Its number is not below [`MAX_EVENT_NUMBER`].
     #[error("the event's number {0} is past what JSON holds exactly")]
     NumberTooLarge(u64),
+    /// It is about nothing.
     #[error("the event has no members, purge or hierarchy")]
     Empty,
+    /// It is about several things.
     #[error("the event has more than one of members, purge and hierarchy")]
     MultipleKinds,
+    /// The list of endpoints is malformed.
     #[error("members: {0}")]
     InvalidMembers(String),
-    #[error("members: endpoint {place} ({name}): {why}")]
-    InvalidEndpoint { place: usize, name: String, why: String },
+    /// One endpoint of the list is malformed.
+    #[error("members: endpoint {index} ({name}): {reason}")]
+    InvalidEndpoint {
+        /// Its index in the list.
+        index: usize,
+        /// Its name, if that can be read.
+        name: String,
+        /// What is wrong.
+        reason: String,
+    },
+    /// The purge is malformed.
     #[error("purge: {0}")]
     InvalidPurge(String),
+    /// The hierarchy is malformed.
     #[error("hierarchy: {0}")]
     InvalidHierarchy(String),
 }
@@ -38,26 +58,132 @@
 /// What an event is about, as far as a relay has to know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventKind {
-    /// The whole list, or what has changed of it.
+    /// Endpoints.
     Members {
+        /// The complete list; else what has changed of it.
         is_snapshot: bool,
     },
-    /// Made at this Unix millisecond.
+    /// A purge of objects.
     Purge {
+        /// When it was made.
         created_unix_ms: u64,
     },
+    /// A hierarchy of cache nodes.
     Hierarchy,
 }
 
-/// One that was checked. Its bytes are those it came as, on one line and without its number.
+/// A well-formed event. Its bytes are those that it came as, on one line and without its number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
     kind: EventKind,
     body: String,
 }
 
+/// The endpoints of a list event.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct EndpointList {
+    /// The complete list; else what has changed of it.
+    pub is_snapshot: bool,
+    /// In the order of the event.
+    pub endpoints: Vec<Endpoint>,
+}
+
+/// An endpoint of a list event.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Endpoint {
+    /// Its name, which is unique in a list.
+    pub name: String,
+    /// Its status is `gone`: it is to be taken off the list.
+    pub is_gone: bool,
+    /// The JSON object as it came.
+    pub json: String,
+}
+
+impl Event {
+    /// Reads an event of at most `max_bytes`, and its number if it has one.
+    pub fn parse(text: &[u8], max_bytes: usize) -> Result<(Option<u64>, Event), EventError> {
+        if text.len() > max_bytes {
+            return Err(EventError::TooLarge { bytes: text.len(), limit: max_bytes });
+        }
+        let text = std::str::from_utf8(text).map_err(|e| EventError::InvalidJson(e.to_string()))?;
+        let raw: RawEvent = serde_json::from_str(text).map_err(|e| EventError::InvalidJson(e.to_string()))?;
+        if let Some(number) = raw.n.filter(|number| *number >= MAX_EVENT_NUMBER) {
+            return Err(EventError::NumberTooLarge(number));
+        }
+        let (key, value, kind) = match (raw.members, raw.purge, raw.hierarchy) {
+            (Some(members), None, None) => {
+                let is_snapshot = parse_members(members.get())?.is_snapshot;
+                ("members", members, EventKind::Members { is_snapshot })
+            }
+            (None, Some(purge), None) => ("purge", purge, check_purge(purge.get())?),
+            (None, None, Some(hierarchy)) => ("hierarchy", hierarchy, check_hierarchy(hierarchy.get())?),
+            (None, None, None) => return Err(EventError::Empty),
+            _ => return Err(EventError::MultipleKinds),
+        };
+        // Line ends stand between values alone: within strings JSON has none.
+        let body = format!("{{\"{key}\":{}}}", value.get().replace(['\n', '\r'], " "));
+        Ok((raw.n, Event { kind, body }))
+    }
+
+    /// A list event that changes nothing: the first entry of a leader, and what stands for an event that nobody
+    /// can read.
+    pub fn empty_update() -> Event {
+        let body = r#"{"members":{"index":0,"snapshot":false,"endpoints":[]}}"#.to_owned();
+        Event { kind: EventKind::Members { is_snapshot: false }, body }
+    }
+
+    /// The complete list of these endpoints, each a JSON object.
+    pub fn snapshot<'a>(index: u64, endpoints: impl Iterator<Item = &'a str>) -> Event {
+        let list = endpoints.collect::<Vec<_>>().join(",");
+        let body = format!(r#"{{"members":{{"index":{index},"snapshot":true,"endpoints":[{list}]}}}}"#);
+        Event { kind: EventKind::Members { is_snapshot: true }, body }
+    }
+
+    /// What it is about.
+    pub fn kind(&self) -> EventKind {
+        self.kind
+    }
+
+    /// `{"purge":{...}}`: without its number.
+    pub fn body(&self) -> &str {
+        &self.body
+    }
+
+    /// The endpoints of a list event.
+    pub fn endpoints(&self) -> Option<EndpointList> {
+        let raw: RawEvent = serde_json::from_str(&self.body).ok()?;
+        parse_members(raw.members?.get()).ok()
+    }
+
+    /// The index of a list event, as its publisher counts them.
+    pub fn index(&self) -> Option<u64> {
+        #[derive(Deserialize)]
+        struct ListIndex {
+            index: Option<u64>,
+        }
+        let raw: RawEvent = serde_json::from_str(&self.body).ok()?;
+        serde_json::from_str::<ListIndex>(raw.members?.get()).ok()?.index
+    }
+
+    /// The bytes that subscribers are sent for it under this number.
+    pub fn to_frame(&self, number: u64) -> Vec<u8> {
+        frame(number, &self.body)
+    }
+}
+
+/// The bytes for an event's body under this number.
+pub(crate) fn frame(number: u64, body: &str) -> Vec<u8> {
+    format!("id: {number}\ndata: {{\"n\":{number},{}\n\n", &body[1..]).into_bytes()
+}
+
+/// How many bytes of a frame precede what follows `{` in the body.
+pub(crate) fn frame_head_len(number: u64) -> usize {
+    let digits = number.checked_ilog10().map_or(1, |log| log as usize + 1);
+    "id: \ndata: {\"n\":,".len() + 2 * digits
+}
+
 #[derive(Deserialize)]
-struct Raw<'a> {
+struct RawEvent<'a> {
     n: Option<u64>,
     #[serde(borrow)]
     members: Option<&'a RawValue>,
@@ -68,14 +194,14 @@
 }
 
 #[derive(Deserialize)]
-struct Members<'a> {
+struct RawMembers<'a> {
     snapshot: bool,
     #[serde(borrow)]
     endpoints: Vec<&'a RawValue>,
 }
 
 #[derive(Deserialize)]
-struct Name {
+struct EndpointName {
     #[serde(default)]
     name: String,
 }
@@ -83,145 +209,67 @@
 /// What a director needs of an endpoint.
 #[derive(Deserialize)]
 #[allow(dead_code)]
-struct Line {
+struct EndpointFields {
     name: String,
     address: SocketAddr,
     zone: String,
     #[serde(rename = "type")]
     kind: String,
     group: usize,
-    status: Status,
+    status: EndpointStatus,
     since_ms: u64,
 }
 
 #[derive(Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-enum Status {
+enum EndpointStatus {
     Ready,
     Draining,
     Gone,
 }
 
 #[derive(Deserialize)]
-struct Purge {
+struct PurgeFields {
     key: Option<String>,
     group: Option<u32>,
-    at: u64,
+    #[serde(rename = "at")]
+    created_unix_ms: u64,
 }
 
-/// An endpoint of a list event: its name, whether it has gone, and its JSON as it came.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Endpoint {
-    pub name: String,
-    pub is_gone: bool,
-    pub json: String,
-}
-
-fn why(e: serde_json::Error) -> String {
-    e.to_string()
+fn parse_members(members: &str) -> Result<EndpointList, EventError> {
+    let raw: RawMembers =
+        serde_json::from_str(members).map_err(|e| EventError::InvalidMembers(e.to_string()))?;
+    let endpoints = raw.endpoints.into_iter().enumerate();
+    let endpoints = endpoints.map(|(index, endpoint)| parse_endpoint(index, endpoint.get()));
+    Ok(EndpointList { is_snapshot: raw.snapshot, endpoints: endpoints.collect::<Result<_, _>>()? })
 }
 
-fn endpoints(members: &str) -> Result<(bool, Vec<Endpoint>), EventError> {
-    let list: Members = serde_json::from_str(members).map_err(|e| EventError::InvalidMembers(why(e)))?;
-    let one = |(place, raw): (usize, &RawValue)| {
-        let line: Line = serde_json::from_str(raw.get()).map_err(|e| {
-            let name = serde_json::from_str::<Name>(raw.get()).map(|n| n.name).unwrap_or_default();
-            EventError::InvalidEndpoint { place, name, why: why(e) }
-        })?;
-        Ok(Endpoint { name: line.name, is_gone: line.status == Status::Gone, json: raw.get().to_owned() })
-    };
-    let all = list.endpoints.into_iter().enumerate().map(one).collect::<Result<Vec<_>, EventError>>()?;
-    Ok((list.snapshot, all))
+fn parse_endpoint(index: usize, json: &str) -> Result<Endpoint, EventError> {
+    let fields: EndpointFields = serde_json::from_str(json).map_err(|error| {
+        let name = serde_json::from_str::<EndpointName>(json).map(|named| named.name).unwrap_or_default();
+        EventError::InvalidEndpoint { index, name, reason: error.to_string() }
+    })?;
+    let is_gone = fields.status == EndpointStatus::Gone;
+    Ok(Endpoint { name: fields.name, is_gone, json: json.to_owned() })
 }
 
-fn purge(text: &str) -> Result<EventKind, EventError> {
-    let p: Purge = serde_json::from_str(text).map_err(|e| EventError::InvalidPurge(why(e)))?;
-    match (&p.key, p.group) {
-        (None, None) => return Err(EventError::InvalidPurge("it names neither a key nor a group".into())),
+fn check_purge(json: &str) -> Result<EventKind, EventError> {
+    let purge: PurgeFields =
+        serde_json::from_str(json).map_err(|e| EventError::InvalidPurge(e.to_string()))?;
+    match (&purge.key, purge.group) {
+        (None, None) => Err(EventError::InvalidPurge("it names neither a key nor a group".into())),
         (Some(key), _) if u64::from_str_radix(key, 16).is_err() => {
-            return Err(EventError::InvalidPurge(format!("key {key:?} is no object")));
+            Err(EventError::InvalidPurge(format!("key {key:?} is no object")))
         }
-        _ => {}
+        _ => Ok(EventKind::Purge { created_unix_ms: purge.created_unix_ms }),
     }
-    Ok(EventKind::Purge { created_unix_ms: p.at })
 }
 
-fn hierarchy(text: &str) -> Result<EventKind, EventError> {
-    let spec: Spec = serde_json::from_str(text).map_err(|e| EventError::InvalidHierarchy(why(e)))?;
-    let (_, version) = spec.to_hierarchy(None).map_err(EventError::InvalidHierarchy)?;
-    // As directors check it: one that they would pass over is not told.
+/// Checks a hierarchy as directors do: one that they would reject is not sent.
+fn check_hierarchy(json: &str) -> Result<EventKind, EventError> {
+    let spec: HierarchySpec =
+        serde_json::from_str(json).map_err(|e| EventError::InvalidHierarchy(e.to_string()))?;
+    let (_, version) = spec.to_hierarchy(None).map_err(|e| EventError::InvalidHierarchy(e.to_string()))?;
     Admission::check_structure(&version).map_err(|e| EventError::InvalidHierarchy(e.to_string()))?;
     Ok(EventKind::Hierarchy)
 }
-
-impl Event {
-    /// Reads an event, with its number if it has one. It may have `most` bytes.
-    pub fn parse(text: &[u8], most: usize) -> Result<(Option<u64>, Event), EventError> {
-        if text.len() > most {
-            return Err(EventError::TooLarge { bytes: text.len(), most });
-        }
-        let text = std::str::from_utf8(text).map_err(|e| EventError::InvalidJson(e.to_string()))?;
-        let raw: Raw = serde_json::from_str(text).map_err(|e| EventError::InvalidJson(why(e)))?;
-        if let Some(n) = raw.n.filter(|n| *n >= MAX_EVENT_NUMBER) {
-            return Err(EventError::NumberTooLarge(n));
-        }
-        let (name, value, kind) = match (raw.members, raw.purge, raw.hierarchy) {
-            (Some(m), None, None) => (
-                "members",
-                m,
-                endpoints(m.get()).map(|(whole, _)| EventKind::Members { is_snapshot: whole })?,
-            ),
-            (None, Some(p), None) => ("purge", p, purge(p.get())?),
-            (None, None, Some(h)) => ("hierarchy", h, hierarchy(h.get())?),
-            (None, None, None) => return Err(EventError::Empty),
-            _ => return Err(EventError::MultipleKinds),
-        };
-        // Ends of lines stand between values alone: within strings JSON has none.
-        let body = format!("{{\"{name}\":{}}}", value.get().replace(['\n', '\r'], " "));
-        Ok((raw.n, Event { kind, body }))
-    }
-
-    /// A list event that changes nothing: the first of an owner, and what stands for one that nobody can
-    /// read.
-    pub fn empty_update() -> Event {
-        let body = r#"{"members":{"index":0,"snapshot":false,"endpoints":[]}}"#.to_owned();
-        Event { kind: EventKind::Members { is_snapshot: false }, body }
-    }
-
-    /// A whole list of these endpoints.
-    pub fn snapshot<'a>(index: u64, raw: impl Iterator<Item = &'a str>) -> Event {
-        let list = raw.collect::<Vec<_>>().join(",");
-        let body = format!(r#"{{"members":{{"index":{index},"snapshot":true,"endpoints":[{list}]}}}}"#);
-        Event { kind: EventKind::Members { is_snapshot: true }, body }
-    }
-
-    pub fn kind(&self) -> EventKind {
-        self.kind
-    }
-
-    /// `{"purge":{...}}`: without its number.
-    pub fn body(&self) -> &str {
-        &self.body
-    }
-
-    /// The endpoints of a list event, and whether they are the whole list.
-    pub fn endpoints(&self) -> Option<(bool, Vec<Endpoint>)> {
-        let raw: Raw = serde_json::from_str(&self.body).ok()?;
-        endpoints(raw.members?.get()).ok()
-    }
-
-    /// The index of a list event, as its publisher counted it.
-    pub fn index(&self) -> Option<u64> {
-        #[derive(Deserialize)]
-        struct Index {
-            index: Option<u64>,
-        }
-        let raw: Raw = serde_json::from_str(&self.body).ok()?;
-        serde_json::from_str::<Index>(raw.members?.get()).ok()?.index
-    }
-
-    /// As it is on the wire.
-    pub fn to_frame(&self, number: u64) -> Vec<u8> {
-        format!("id: {number}\ndata: {{\"n\":{number},{}\n\n", &self.body[1..]).into_bytes()
-    }
-}
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,26 +1,42 @@
-//! What stands between one source of events and many directors: a numbered log that a group of voters keeps,
-//! relays that follow it and tell it on, and the numbers that are in force, summed upwards.
+//! Carries events from one publisher to many subscribers: a numbered log that a group of voters replicates, plain
+//! relays that follow it and send it on, and the number that every subscriber has applied.
 //!
-//! No I/O: times, calls, answers and events come in; calls, verdicts and bytes to be told go out. Times are
-//! whole nanoseconds of a clock that never goes back, of one program alone; where a moment has to mean the
-//! same in two programs it is a Unix time in milliseconds and named `unix`.
+//! No I/O: times, calls, replies and events come in; calls, results and bytes for subscribers go out. Times are
+//! whole nanoseconds of a clock of this program that never goes back; a moment that has to mean the same in two
+//! programs is a Unix time in milliseconds, and its name has `unix`.
 //!
-//! `Log` holds what is told, `Readers` who has it, `Group` keeps it at a majority of the voters, `Upstream`
-//! picks whom a plain relay follows, and `Relay` is all of it for one process.
+//! [`Relay`] is all of it for one process. [`Log`] holds the events, [`Subscribers`] who has applied which,
+//! `replica_group` replicates the log among the voters, [`UpstreamSelector`] picks the upstream of a plain relay.
+//! `docs/relay.md` has the design.
 
+mod action;
+mod config;
+mod error;
 pub mod event;
-pub mod group;
 pub mod log;
+pub mod messages;
+mod plain_relay;
 mod relay;
+mod replica_group;
 pub mod retention;
-pub mod subscribers;
-pub mod upstream;
+mod staleness;
+pub mod status;
+mod subscribers;
+mod upstream_selector;
 
+pub use action::Action;
+pub use config::{GroupConfig, RelayConfig, SafetyChecks};
+pub use error::PublishError;
 pub use event::{Event, EventError};
-pub use group::{GroupConfig, PeerAnswer, PeerCall, PeerReply, PeerRequest, ReplicaGroup, SafetyChecks};
 pub use log::{Log, LogEntry, Snapshot};
-pub use relay::{Action, ApplyOutcome, PublishError, Relay, RelayConfig, RelayStatus};
+pub use messages::{EntryPosition, PeerAnswer, PeerCall, PeerReply, PeerRequest, ReplicaState};
+pub use relay::{ApplyOutcome, Relay, UpstreamCall};
 pub use retention::RetentionWindow;
 pub use sablecross_coordination::{FencingToken, Member, Ns};
-pub use subscribers::{FleetView, SubscriberStatus, Subscribers, merge_statuses};
-pub use upstream::{Staleness, UpstreamSelector};
+pub use staleness::{Staleness, StalenessComment};
+pub use status::{
+    AppliedSince, AppliedStatus, FleetView, MergedSubscriber, RelayRole, RelayStatus, SubscriberStatus,
+    merge_statuses,
+};
+pub use subscribers::Subscribers;
+pub use upstream_selector::UpstreamSelector;
--- a/crates/relay/src/log.rs
+++ b/crates/relay/src/log.rs
@@ -1,4 +1,5 @@
-//! The numbered log: the list as it stands up to a number, and every event after that which may bind still.
+//! The numbered log: a snapshot, which is the list as it stands up to a number, and every later event that may
+//! still be active.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -6,36 +7,49 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::event::{Event, EventKind};
+use crate::event::{Event, EventKind, frame, frame_head_len};
 use crate::retention::RetentionWindow;
 
-/// Text by which a publisher knows its event again; longer ones are refused.
-pub const LONGEST_MARK: usize = 128;
+/// The longest idempotency key, by which a publisher's event is known if it is sent again.
+pub const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
 
-/// An event with its number and the token of the owner that made it, as voters hand it on.
+/// An event with its number, as voters send it to one another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
+    /// Its number.
     pub number: u64,
+    /// Token of the leader that appended it.
     #[serde(rename = "by")]
     pub token: FencingToken,
-    /// Without its number.
+    /// The event's JSON without its number.
     pub body: String,
+    /// The publisher's key, if it gave one.
     #[serde(rename = "mark")]
     pub idempotency_key: Option<String>,
 }
 
-/// All that was told up to a number, as far as it counts still.
+/// A hierarchy and the number of the event that brought it.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct HierarchyEvent {
+    /// Number of the event.
+    pub number: u64,
+    /// The event's JSON without its number.
+    pub body: String,
+}
+
+/// What all events up to a number come to, but for purges.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
+    /// The last number that it includes.
     pub number: u64,
-    /// The number that its era began with: nothing of that is told before a majority keeps what follows
-    /// (`Group`).
+    /// The number that its epoch began with: nothing of that is sent to subscribers before a majority stores
+    /// what follows.
     #[serde(rename = "began")]
     pub epoch_start: u64,
-    /// The token of the entry with this number.
+    /// Token of the entry with the snapshot's number.
     #[serde(rename = "by")]
     pub token: FencingToken,
-    /// A whole list is known. Until then nothing can be told to those who are behind.
+    /// A complete list is known. Until then nothing can be sent to subscribers that are behind.
     #[serde(rename = "listed")]
     pub has_list: bool,
     /// The latest index of the list, as its publisher counts.
@@ -43,59 +57,63 @@
     pub list_index: u64,
     /// The endpoints' JSON by their names.
     pub members: BTreeMap<String, String>,
-    /// The latest hierarchy: the number of its event, and its body.
-    pub hierarchy: Option<(u64, String)>,
+    /// The latest hierarchy.
+    pub hierarchy: Option<HierarchyEvent>,
 }
 
 impl Snapshot {
-    fn fold(&mut self, number: u64, by: FencingToken, event: &Event) {
-        (self.number, self.token) = (number, by);
+    fn apply(&mut self, number: u64, token: FencingToken, event: &Event) {
+        self.number = number;
+        self.token = token;
         match event.kind() {
             EventKind::Purge { .. } => {}
-            EventKind::Hierarchy => self.hierarchy = Some((number, event.body().to_owned())),
-            EventKind::Members { .. } => {
-                let Some((whole, endpoints)) = event.endpoints() else { return };
-                if whole {
-                    self.members.clear();
-                    self.has_list = true;
-                }
-                self.list_index = self.list_index.max(event.index().unwrap_or(0));
-                for e in endpoints {
-                    if e.is_gone {
-                        self.members.remove(&e.name);
-                    } else {
-                        self.members.insert(e.name, e.json);
-                    }
-                }
+            EventKind::Hierarchy => {
+                self.hierarchy = Some(HierarchyEvent { number, body: event.body().to_owned() });
             }
+            EventKind::Members { .. } => self.apply_members(event),
         }
     }
 
-    fn bytes(&self) -> usize {
-        let members: usize = self.members.iter().map(|(name, raw)| name.len() + raw.len()).sum();
-        members + self.hierarchy.as_ref().map_or(0, |(_, body)| body.len())
+    fn apply_members(&mut self, event: &Event) {
+        let Some(list) = event.endpoints() else { return };
+        if list.is_snapshot {
+            self.members.clear();
+            self.has_list = true;
+        }
+        self.list_index = self.list_index.max(event.index().unwrap_or(0));
+        for endpoint in list.endpoints {
+            if endpoint.is_gone {
+                self.members.remove(&endpoint.name);
+            } else {
+                self.members.insert(endpoint.name, endpoint.json);
+            }
+        }
+    }
+
+    fn size_bytes(&self) -> usize {
+        let members: usize = self.members.iter().map(|(name, json)| name.len() + json.len()).sum();
+        members + self.hierarchy.as_ref().map_or(0, |hierarchy| hierarchy.body.len())
     }
 
-    fn list(&self) -> Event {
+    fn to_list_event(&self) -> Event {
         Event::snapshot(self.list_index, self.members.values().map(String::as_str))
     }
 
-    /// What one is told that has this number, which is lower. A stream may break after each event and the
-    /// reader go on at another relay, whose base is lower: so it must miss nothing there, whichever of these
-    /// it had. The whole list goes under the base's number. A hierarchy that it has not goes under its own
-    /// before that, and before it the list once more, as it stands now: whoever has that is told of the
-    /// changes since then again, which changes nothing in the end.
-    fn frames(&self, cursor: u64) -> Vec<u8> {
-        let list = self.list();
-        let (mut out, mut cursor) = (Vec::new(), cursor);
-        if let Some((number, body)) = self.hierarchy.as_ref().filter(|(number, _)| *number > cursor) {
-            if cursor + 1 < *number {
-                out.extend_from_slice(&list.to_frame(number - 1));
+    /// What a subscriber is sent whose number is lower. Its stream may break after each event, and it may go on at
+    /// another relay, whose snapshot is lower: so it must miss nothing there, whichever of these it got. The
+    /// complete list goes under the snapshot's number. A hierarchy that the subscriber doesn't have goes under
+    /// its own number before that, and before it the list once more, as it stands now: who has got that is sent
+    /// the changes since then again, which changes nothing in the end.
+    fn to_frames(&self, cursor: u64) -> Vec<u8> {
+        let list = self.to_list_event();
+        let mut out = Vec::new();
+        let mut cursor = cursor;
+        if let Some(hierarchy) = self.hierarchy.as_ref().filter(|hierarchy| hierarchy.number > cursor) {
+            if cursor + 1 < hierarchy.number {
+                out.extend_from_slice(&list.to_frame(hierarchy.number - 1));
             }
-            out.extend_from_slice(
-                format!("id: {number}\ndata: {{\"n\":{number},{}\n\n", &body[1..]).as_bytes(),
-            );
-            cursor = *number;
+            out.extend_from_slice(&frame(hierarchy.number, &hierarchy.body));
+            cursor = hierarchy.number;
         }
         if cursor < self.number {
             out.extend_from_slice(&list.to_frame(self.number));
@@ -105,257 +123,321 @@
 }
 
 #[derive(Clone, Debug)]
-struct Kept {
+struct StoredEvent {
     kind: EventKind,
-    by: FencingToken,
-    mark: Option<String>,
-    /// When it came here, Unix ms.
-    taken: u64,
+    token: FencingToken,
+    idempotency_key: Option<String>,
+    /// When it was appended here.
+    appended_unix_ms: u64,
     frame: Box<[u8]>,
 }
 
-impl Kept {
+impl StoredEvent {
+    /// The event's JSON without its number; `number` is the event's.
     fn body(&self, number: u64) -> String {
-        let head = head(number);
-        let rest = self.frame.get(head..self.frame.len().saturating_sub(2)).unwrap_or_default();
+        let end = self.frame.len().saturating_sub(2);
+        let rest = self.frame.get(frame_head_len(number)..end).unwrap_or_default();
         format!("{{{}", String::from_utf8_lossy(rest))
     }
-}
 
-fn head(number: u64) -> usize {
-    "id: \ndata: {\"n\":,".len() + 2 * number.checked_ilog10().map_or(1, |l| l as usize + 1)
+    fn to_event(&self, number: u64) -> Option<Event> {
+        let (_, event) = Event::parse(self.body(number).as_bytes(), usize::MAX).ok()?;
+        Some(event)
+    }
+
+    fn is_purge(&self) -> bool {
+        matches!(self.kind, EventKind::Purge { .. })
+    }
 }
 
-/// Why the log takes no more.
+/// The log has no room for an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the log holds {bytes} bytes of {most}: it binds still, so no more is taken until that is over")]
+#[error("the log holds {bytes} bytes of {limit}: it binds still, so no more is taken until that is over")]
 pub struct LogFull {
+    /// Bytes of the log.
     pub bytes: usize,
-    pub most: usize,
+    /// How many it may have.
+    pub limit: usize,
 }
 
-/// What is told: consecutive numbers, never cut. Events that may be cut still are kept by `Group`.
+/// Events with consecutive numbers, never truncated. Entries that may be truncated still are kept apart by
+/// voters.
 #[derive(Clone, Debug)]
 pub struct Log {
-    base: Snapshot,
-    events: VecDeque<Kept>,
-    marks: BTreeMap<String, u64>,
-    horizon: RetentionWindow,
-    bytes: usize,
-    base_bytes: usize,
-    listed: bool,
+    snapshot: Snapshot,
+    events: VecDeque<StoredEvent>,
+    number_by_key: BTreeMap<String, u64>,
+    retention: RetentionWindow,
+    event_bytes: usize,
+    snapshot_bytes: usize,
+    has_list: bool,
     /// The endpoints of the list as it stands at the last number.
-    names: BTreeSet<String>,
-    /// The list of the base as it is told, for the number that it was made for.
-    told: Option<(u64, Vec<u8>)>,
+    endpoint_names: BTreeSet<String>,
+    /// The frames of the snapshot's list, with the snapshot's number.
+    cached_list: Option<(u64, Vec<u8>)>,
 }
 
 impl Log {
-    pub fn new(horizon: RetentionWindow) -> Log {
-        Log::from_snapshot(horizon, Snapshot::default())
+    /// An empty log.
+    pub fn new(retention: RetentionWindow) -> Log {
+        Log::from_snapshot(retention, Snapshot::default())
     }
 
-    pub fn from_snapshot(horizon: RetentionWindow, base: Snapshot) -> Log {
-        let (base_bytes, listed) = (base.bytes(), base.has_list);
-        let (events, marks) = (VecDeque::new(), BTreeMap::new());
-        let names = base.members.keys().cloned().collect();
-        Log { base, events, marks, horizon, bytes: 0, base_bytes, listed, names, told: None }
+    /// A log without events after this snapshot.
+    pub fn from_snapshot(retention: RetentionWindow, snapshot: Snapshot) -> Log {
+        Log {
+            events: VecDeque::new(),
+            number_by_key: BTreeMap::new(),
+            retention,
+            event_bytes: 0,
+            snapshot_bytes: snapshot.size_bytes(),
+            has_list: snapshot.has_list,
+            endpoint_names: snapshot.members.keys().cloned().collect(),
+            cached_list: None,
+            snapshot,
+        }
     }
 
+    /// For how long it keeps events.
     pub fn retention(&self) -> RetentionWindow {
-        self.horizon
+        self.retention
     }
 
+    /// What precedes the events that are kept one by one.
     pub fn snapshot(&self) -> &Snapshot {
-        &self.base
+        &self.snapshot
     }
 
     /// The number of its last event, 0 before the first.
     pub fn last_number(&self) -> u64 {
-        self.base.number + self.events.len() as u64
+        self.snapshot.number + self.events.len() as u64
     }
 
     /// The token of its last event.
     pub fn last_token(&self) -> FencingToken {
-        self.events.back().map_or(self.base.token, |e| e.by)
+        self.events.back().map_or(self.snapshot.token, |event| event.token)
     }
 
-    /// The token of a number that it holds.
+    /// The token of the event with this number, if the log has it.
     pub fn token_at(&self, number: u64) -> Option<FencingToken> {
-        match number.checked_sub(self.base.number + 1) {
-            Some(i) => self.events.get(usize::try_from(i).ok()?).map(|e| e.by),
-            None => (number == self.base.number).then_some(self.base.token),
+        match number.checked_sub(self.snapshot.number + 1) {
+            Some(index) => self.events.get(usize::try_from(index).ok()?).map(|event| event.token),
+            None => (number == self.snapshot.number).then_some(self.snapshot.token),
         }
     }
 
-    /// A whole list was told.
+    /// Whether it has a complete list.
     pub fn has_list(&self) -> bool {
-        self.listed
+        self.has_list
     }
 
-    /// How many endpoints the list has; none: no whole list was told.
+    /// How many endpoints the list has; none if there is no complete list.
     pub fn endpoint_count(&self) -> Option<usize> {
-        self.listed.then_some(self.names.len())
+        self.has_list.then_some(self.endpoint_names.len())
     }
 
-    /// Bytes of the base and all events.
+    /// Bytes of the snapshot and all events.
     pub fn size_bytes(&self) -> usize {
-        self.bytes + self.base_bytes
+        self.event_bytes + self.snapshot_bytes
     }
 
-    /// Whether so many bytes more are taken within `most`.
-    pub fn check_capacity(&self, more: usize, most: usize) -> Result<(), LogFull> {
+    /// Whether it has room for so many bytes more.
+    pub fn check_capacity(&self, additional_bytes: usize, limit: usize) -> Result<(), LogFull> {
         let bytes = self.size_bytes();
-        if bytes + more > most { Err(LogFull { bytes, most }) } else { Ok(()) }
+        if bytes + additional_bytes > limit { Err(LogFull { bytes, limit }) } else { Ok(()) }
     }
 
-    /// The number under which this mark was published, as far as the log reaches.
-    pub fn number_of_key(&self, mark: &str) -> Option<u64> {
-        self.marks.get(mark).copied()
+    /// The number of the event with this idempotency key, if that is kept still.
+    pub fn number_of_key(&self, key: &str) -> Option<u64> {
+        self.number_by_key.get(key).copied()
     }
 
-    /// Takes the next event, at this Unix ms, under the number that it gets.
-    pub fn append(&mut self, event: &Event, by: FencingToken, mark: Option<&str>, unix: u64) -> u64 {
+    /// Appends an event, at this Unix ms; returns its number.
+    pub fn append(
+        &mut self,
+        event: &Event,
+        token: FencingToken,
+        idempotency_key: Option<&str>,
+        unix_ms: u64,
+    ) -> u64 {
         let number = self.last_number() + 1;
         let frame = event.to_frame(number).into_boxed_slice();
-        self.bytes += frame.len();
+        self.event_bytes += frame.len();
         if matches!(event.kind(), EventKind::Members { .. }) {
-            let (whole, endpoints) = event.endpoints().unwrap_or_default();
-            if whole {
-                self.names.clear();
-                self.listed = true;
-            }
-            for e in endpoints {
-                if e.is_gone {
-                    self.names.remove(&e.name)
-                } else {
-                    self.names.insert(e.name)
-                };
-            }
+            self.update_endpoint_names(event);
         }
-        if let Some(mark) = mark {
-            self.marks.insert(mark.to_owned(), number);
+        if let Some(key) = idempotency_key {
+            self.number_by_key.insert(key.to_owned(), number);
         }
-        let mark = mark.map(str::to_owned);
-        self.events.push_back(Kept { kind: event.kind(), by, mark, taken: unix, frame });
+        self.events.push_back(StoredEvent {
+            kind: event.kind(),
+            token,
+            idempotency_key: idempotency_key.map(str::to_owned),
+            appended_unix_ms: unix_ms,
+            frame,
+        });
         number
     }
 
-    /// Folds what binds nobody any more into the base, at this Unix ms: all of it, once the first has been
-    /// over for a step.
-    pub fn compact(&mut self, unix: u64) {
-        let over = |log: &Log, e: &Kept, unix: u64| match e.kind {
-            // Nobody has the list, so nobody follows from here yet.
-            EventKind::Members { is_snapshot: false } if !log.base.has_list && log.base.number > 0 => true,
-            // One that was old as it came stays a little, for readers in step.
-            EventKind::Purge { created_unix_ms: at } => {
-                log.horizon.is_expired(at, unix) && unix >= e.taken + log.horizon.compaction_step_ms()
+    fn update_endpoint_names(&mut self, event: &Event) {
+        let list = event.endpoints().unwrap_or_default();
+        if list.is_snapshot {
+            self.endpoint_names.clear();
+            self.has_list = true;
+        }
+        for endpoint in list.endpoints {
+            if endpoint.is_gone {
+                self.endpoint_names.remove(&endpoint.name);
+            } else {
+                self.endpoint_names.insert(endpoint.name);
             }
-            _ => log.horizon.is_expired(e.taken, unix),
-        };
-        // A base that moves with each event would be told over and over to one that is behind it.
-        let step = self.horizon.compaction_step_ms();
+        }
+    }
+
+    /// Moves events that have expired at this Unix ms into the snapshot: all of them at once, when the first has
+    /// been expired for a step. A snapshot that moved with each event would be sent over and over to a subscriber
+    /// that is behind it.
+    pub fn compact(&mut self, unix_ms: u64) {
+        let step_ms = self.retention.compaction_step_ms();
         let first = self.events.front();
-        if first.is_none_or(|e| !over(self, e, unix.saturating_sub(step))) {
+        if first.is_none_or(|event| !self.is_expired(event, unix_ms.saturating_sub(step_ms))) {
             return;
         }
-        while let Some(e) = self.events.front().filter(|e| over(self, e, unix)) {
-            let number = self.base.number + 1;
-            self.bytes -= e.frame.len();
-            if let Some(mark) = e.mark.as_ref().filter(|m| self.marks.get(*m) == Some(&number)) {
-                self.marks.remove(mark);
-            }
-            (self.base.number, self.base.token) = (number, e.by);
-            if !matches!(e.kind, EventKind::Purge { .. })
-                && let Ok((_, event)) = Event::parse(e.body(number).as_bytes(), usize::MAX)
+        while self.events.front().is_some_and(|event| self.is_expired(event, unix_ms)) {
+            let Some(event) = self.events.pop_front() else { return };
+            self.move_into_snapshot(event);
+        }
+    }
+
+    fn is_expired(&self, event: &StoredEvent, unix_ms: u64) -> bool {
+        match event.kind {
+            // Without a list no subscriber follows from here yet.
+            EventKind::Members { is_snapshot: false }
+                if !self.snapshot.has_list && self.snapshot.number > 0 =>
             {
-                self.base.fold(number, e.by, &event);
-                self.base_bytes = self.base.bytes();
+                true
+            }
+            // One that was old as it came stays for a step, for subscribers that are nearly up to date.
+            EventKind::Purge { created_unix_ms } => {
+                let step_ms = self.retention.compaction_step_ms();
+                self.retention.is_expired(created_unix_ms, unix_ms)
+                    && unix_ms >= event.appended_unix_ms + step_ms
             }
-            self.events.pop_front();
+            _ => self.retention.is_expired(event.appended_unix_ms, unix_ms),
         }
     }
 
-    /// Appends to `out` what follows `cursor`, as it is on the wire: at least one event, and no further one
-    /// past `most` bytes of `out`. Returns the number up to which it was told; the same as `cursor` if there
-    /// is nothing to tell.
+    /// The event is the first one, already taken off.
+    fn move_into_snapshot(&mut self, event: StoredEvent) {
+        let number = self.snapshot.number + 1;
+        self.event_bytes -= event.frame.len();
+        if let Some(key) = &event.idempotency_key
+            && self.number_by_key.get(key) == Some(&number)
+        {
+            self.number_by_key.remove(key);
+        }
+        self.snapshot.number = number;
+        self.snapshot.token = event.token;
+        if !event.is_purge()
+            && let Some(parsed) = event.to_event(number)
+        {
+            self.snapshot.apply(number, event.token, &parsed);
+            self.snapshot_bytes = self.snapshot.size_bytes();
+        }
+    }
+
+    /// Appends to `out` the bytes that a subscriber is sent after `cursor`: at least one event, and no further one
+    /// once `out` would have over `max_bytes`. Returns the number up to which it goes; `cursor` if there is nothing to send.
     ///
-    /// One that is behind the base gets that, as one whole whose bytes do not count, and at least one event
-    /// more.
-    pub fn encode_after(&mut self, cursor: u64, most: usize, out: &mut Vec<u8>) -> u64 {
+    /// A subscriber that is behind the snapshot gets that, in full and not counted in `max_bytes`, and at least
+    /// one event more.
+    pub fn encode_after(&mut self, cursor: u64, max_bytes: usize, out: &mut Vec<u8>) -> u64 {
         let mut cursor = cursor;
-        let start = out.len();
-        if cursor < self.base.number && !self.base.has_list {
-            // The first list that is told is a base by itself.
-            if self.events.front().is_none_or(|e| e.kind != EventKind::Members { is_snapshot: true }) {
+        let len_before = out.len();
+        if cursor < self.snapshot.number {
+            if self.snapshot.has_list {
+                self.encode_snapshot(cursor, out);
+            } else if !self.begins_with_list() {
                 return cursor;
             }
-            cursor = self.base.number;
+            cursor = self.snapshot.number;
         }
-        if cursor < self.base.number {
-            let number = self.base.number;
-            if self.base.hierarchy.as_ref().is_some_and(|(h, _)| *h > cursor) {
-                out.extend_from_slice(&self.base.frames(cursor));
-            } else {
-                let told = self.told.take().filter(|(n, _)| *n == number);
-                let told = told.unwrap_or_else(|| (number, self.base.frames(cursor)));
-                out.extend_from_slice(&told.1);
-                self.told = Some(told);
-            }
-            cursor = number;
-        }
-        let (start, most) = (out.len(), most.saturating_add(out.len() - start));
-        let first = usize::try_from(cursor - self.base.number).unwrap_or(usize::MAX);
-        for e in self.events.iter().skip(first) {
-            if out.len() > start && out.len() + e.frame.len() > most {
+        let start = out.len();
+        let end = max_bytes.saturating_add(start - len_before);
+        let skipped = usize::try_from(cursor - self.snapshot.number).unwrap_or(usize::MAX);
+        for event in self.events.iter().skip(skipped) {
+            if out.len() > start && out.len() + event.frame.len() > end {
                 break;
             }
-            out.extend_from_slice(&e.frame);
+            out.extend_from_slice(&event.frame);
             cursor += 1;
         }
         cursor
     }
 
-    /// Entries after this number, none before the base, up to so many bytes and at least one.
-    pub fn entries_after(&self, after: u64, most: usize) -> Vec<LogEntry> {
-        let first = after.max(self.base.number);
-        let skip = usize::try_from(first - self.base.number).unwrap_or(usize::MAX);
+    /// Whether the first event is a complete list, which can be sent in place of a snapshot.
+    fn begins_with_list(&self) -> bool {
+        let list = EventKind::Members { is_snapshot: true };
+        self.events.front().is_some_and(|event| event.kind == list)
+    }
+
+    fn encode_snapshot(&mut self, cursor: u64, out: &mut Vec<u8>) {
+        let number = self.snapshot.number;
+        if self.snapshot.hierarchy.as_ref().is_some_and(|hierarchy| hierarchy.number > cursor) {
+            out.extend_from_slice(&self.snapshot.to_frames(cursor));
+            return;
+        }
+        let cached = self.cached_list.take().filter(|(cached_number, _)| *cached_number == number);
+        let (_, frames) =
+            self.cached_list.insert(cached.unwrap_or_else(|| (number, self.snapshot.to_frames(cursor))));
+        out.extend_from_slice(frames);
+    }
+
+    /// Entries after this number, none before the snapshot, up to so many bytes and at least one.
+    pub fn entries_after(&self, number: u64, max_bytes: usize) -> Vec<LogEntry> {
+        let start = number.max(self.snapshot.number);
         let mut bytes = 0;
         let mut entries = Vec::new();
-        for (i, e) in self.events.iter().enumerate().skip(skip) {
-            bytes += e.frame.len();
-            if bytes > most && !entries.is_empty() {
+        let skipped = usize::try_from(start - self.snapshot.number).unwrap_or(usize::MAX);
+        for (number, event) in (start + 1..).zip(self.events.iter().skip(skipped)) {
+            bytes += event.frame.len();
+            if bytes > max_bytes && !entries.is_empty() {
                 break;
             }
-            let number = self.base.number + 1 + i as u64;
             entries.push(LogEntry {
                 number,
-                token: e.by,
-                body: e.body(number),
-                idempotency_key: e.mark.clone(),
+                token: event.token,
+                body: event.body(number),
+                idempotency_key: event.idempotency_key.clone(),
             });
         }
         entries
     }
 
-    /// The list with all that was told, as a base at this number; none of its purges.
+    fn numbered(&self) -> impl Iterator<Item = (u64, &StoredEvent)> {
+        (self.snapshot.number + 1..).zip(&self.events)
+    }
+
+    /// All events as a snapshot with this number. It has none of the purges, and no token.
     pub fn snapshot_at(&self, number: u64) -> Snapshot {
-        let mut base = self.base.clone();
-        for (i, e) in
-            self.events.iter().enumerate().filter(|(_, e)| !matches!(e.kind, EventKind::Purge { .. }))
-        {
-            let of = self.base.number + 1 + i as u64;
-            if let Ok((_, event)) = Event::parse(e.body(of).as_bytes(), usize::MAX) {
-                base.fold(of, e.by, &event);
+        let mut snapshot = self.snapshot.clone();
+        for (number, event) in self.numbered().filter(|(_, event)| !event.is_purge()) {
+            if let Some(parsed) = event.to_event(number) {
+                snapshot.apply(number, event.token, &parsed);
             }
         }
-        Snapshot { number, token: FencingToken::default(), ..base }
+        Snapshot { number, token: FencingToken::default(), ..snapshot }
     }
 
-    /// Purges that may bind still at this Unix ms, as bodies with their marks, in their order.
-    pub fn active_purges(&self, unix: u64) -> Vec<(String, Option<String>)> {
-        let binds = |e: &Kept| matches!(e.kind, EventKind::Purge { created_unix_ms: made } if !self.horizon.is_expired(made, unix));
-        let numbered = (self.base.number + 1..).zip(&self.events);
-        numbered.filter(|(_, e)| binds(e)).map(|(n, e)| (e.body(n), e.mark.clone())).collect()
+    /// Purges that may still be active at this Unix ms, in their order: bodies with their idempotency keys.
+    pub fn active_purges(&self, unix_ms: u64) -> Vec<(String, Option<String>)> {
+        let is_active = |event: &StoredEvent| match event.kind {
+            EventKind::Purge { created_unix_ms } => !self.retention.is_expired(created_unix_ms, unix_ms),
+            _ => false,
+        };
+        self.numbered()
+            .filter(|(_, event)| is_active(event))
+            .map(|(number, event)| (event.body(number), event.idempotency_key.clone()))
+            .collect()
     }
 }
--- /dev/null
+++ b/crates/relay/src/plain_relay.rs
@@ -0,0 +1,111 @@
+//! The log of a plain relay, which follows another relay or a feed outside.
+
+use std::collections::BTreeMap;
+
+use sablecross_coordination::{FencingToken, Ns};
+
+use crate::action::Action;
+use crate::event::{Event, EventError, EventKind, MAX_EVENT_NUMBER};
+use crate::log::{Log, Snapshot};
+use crate::relay::ApplyOutcome;
+use crate::staleness::Staleness;
+use crate::upstream_selector::UpstreamSelector;
+
+#[derive(Debug)]
+pub(crate) struct PlainRelay {
+    pub(crate) log: Log,
+    pub(crate) upstream: UpstreamSelector,
+    pub(crate) staleness: Staleness,
+    /// The number after which events were missing or unreadable once already.
+    gap_after: Option<u64>,
+}
+
+impl PlainRelay {
+    pub(crate) fn new(log: Log, upstream: UpstreamSelector) -> PlainRelay {
+        PlainRelay { log, upstream, staleness: Staleness::unknown(), gap_after: None }
+    }
+
+    /// Changes the upstream if the current one is stale; returns the index of the new one.
+    pub(crate) fn check_upstream(&mut self, now: Ns) -> Option<usize> {
+        let age = self.staleness.age(now);
+        if !self.upstream.check(now, age) {
+            return None;
+        }
+        self.gap_after = None;
+        Some(self.upstream.current().unwrap_or_default())
+    }
+
+    /// Takes in an event of the upstream. One that is missing or unreadable is asked for once more; then, numbers
+    /// stay the same everywhere without it: an empty event takes the place of one that nobody can read, and a
+    /// complete list that of all before it.
+    pub(crate) fn on_event(
+        &mut self,
+        unix_ms: u64,
+        id: Option<u64>,
+        data: &[u8],
+        max_bytes: usize,
+        actions: &mut Vec<Action>,
+    ) -> ApplyOutcome {
+        let last = self.log.last_number();
+        if id.is_some_and(|id| id <= last) {
+            return ApplyOutcome::Duplicate;
+        }
+        let parsed = Event::parse(data, max_bytes);
+        let number = id.or(parsed.as_ref().ok().and_then(|(number, _)| *number));
+        let Some(number) = number else {
+            return ApplyOutcome::Resubscribe("an event has no number".into());
+        };
+        if number <= last {
+            return ApplyOutcome::Duplicate;
+        }
+        if number >= MAX_EVENT_NUMBER {
+            return ApplyOutcome::Resubscribe(EventError::NumberTooLarge(number).to_string());
+        }
+        let is_next = number == last + 1;
+        match parsed {
+            Ok((_, event)) if is_next => self.append(&event, unix_ms),
+            parsed if self.gap_after != Some(last) => {
+                // Lost or cut on the way, most likely: it is asked for once more.
+                self.gap_after = Some(last);
+                let reason = parsed.err().map(|error| error.to_string());
+                ApplyOutcome::Resubscribe(reason.unwrap_or_else(|| format!("event {number} follows {last}")))
+            }
+            Err(error) if is_next => {
+                let line = format!(
+                    "event {number} of the upstream can't be read, an empty one takes its place: {error}"
+                );
+                actions.push(Action::Log(line));
+                self.append(&Event::empty_update(), unix_ms)
+            }
+            Err(error) => ApplyOutcome::Resubscribe(error.to_string()),
+            Ok((_, event)) if event.kind() == (EventKind::Members { is_snapshot: true }) => {
+                let first = last + 1;
+                let line = format!("events {first} to {number} have expired: the complete list is taken");
+                actions.push(Action::Log(line));
+                self.replace_log(number, &event)
+            }
+            Ok(_) => {
+                ApplyOutcome::Resubscribe(format!("event {number} follows {last}, and is no complete list"))
+            }
+        }
+    }
+
+    fn append(&mut self, event: &Event, unix_ms: u64) -> ApplyOutcome {
+        self.log.append(event, FencingToken::default(), None, unix_ms);
+        self.gap_after = None;
+        ApplyOutcome::Applied
+    }
+
+    /// Begins the log with this complete list.
+    fn replace_log(&mut self, number: u64, list: &Event) -> ApplyOutcome {
+        let endpoints = list.endpoints().map(|list| list.endpoints).unwrap_or_default();
+        let present = endpoints.into_iter().filter(|endpoint| !endpoint.is_gone);
+        let members: BTreeMap<String, String> =
+            present.map(|endpoint| (endpoint.name, endpoint.json)).collect();
+        let list_index = list.index().unwrap_or(0);
+        let snapshot = Snapshot { has_list: true, list_index, members, ..self.log.snapshot_at(number) };
+        self.log = Log::from_snapshot(self.log.retention(), snapshot);
+        self.gap_after = None;
+        ApplyOutcome::Applied
+    }
+}
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -1,486 +1,340 @@
-//! One process of the tier: a voter, or a plain relay that follows another one. Both tell the same events on.
+//! One relay: a voter, or a plain relay that follows another one. Both send the same events on.
 
-use std::collections::BTreeMap;
-
-use serde::{Deserialize, Serialize};
-use thiserror::Error;
-
-use crate::event::{Event, EventError, EventKind, MAX_EVENT_NUMBER};
-use crate::group::{GroupConfig, PeerReply, PeerRequest, ReplicaGroup};
-use crate::log::{LONGEST_MARK, Log, LogFull, Snapshot};
-use crate::retention::RetentionWindow;
-use crate::subscribers::{SubscriberStatus, Subscribers};
-use crate::upstream::{Staleness, UpstreamSelector};
 use sablecross_coordination::{FencingToken, Member, Ns};
 
-/// The same kind of settings for voters and plain relays.
-#[derive(Clone, Debug, PartialEq)]
-pub struct RelayConfig {
-    /// Of this relay, as others know it as a reader.
-    pub name: String,
-    pub retention: RetentionWindow,
-    /// The largest event in bytes.
-    pub max_event_bytes: usize,
-    /// Past so many bytes of log nothing more is taken from publishers.
-    pub max_log_bytes: usize,
-    /// A reader that said no word (called) for longer holds no number back.
-    pub missing_after: Ns,
-    /// And after so long it is not known any more.
-    pub forget_after: Ns,
-    /// So many moments are kept of when a number was in force everywhere.
-    pub max_floor_history: usize,
-}
-
-/// Why an event is not taken from its publisher. It was not told to anybody, but for `Ended`.
-#[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum PublishError {
-    #[error("not the source: {}", whose(.0))]
-    NotLeader(Option<Member>),
-    #[error(
-        "no longer the source: whether it will be told is not known; publish it again with the same mark"
-    )]
-    LeadershipLost,
-    #[error(transparent)]
-    InvalidEvent(#[from] EventError),
-    #[error(transparent)]
-    LogFull(#[from] LogFull),
-    #[error("no whole list was published since the log began anew: publish that first")]
-    NoList,
-    #[error("the purge was made {0} ms ahead of this clock, more than {1}")]
-    PurgeInFuture(u64, u64),
-    #[error("the mark has {0} bytes, more than {LONGEST_MARK}")]
-    KeyTooLong(usize),
-}
-
-fn whose(owner: &Option<Member>) -> String {
-    owner.map_or("nobody is for now".into(), |m| format!("member {} is", m.number))
-}
-
-/// What the process is to do.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Action {
-    /// A call to a voter, by its place among them; what comes back goes to `answered` with this number.
-    Call {
-        voter: u32,
-        call_id: u64,
-        request: PeerRequest,
-    },
-    /// To the publisher with this ticket: the number that its event was told under, or why not.
-    Published {
-        ticket: u64,
-        result: Result<u64, PublishError>,
-    },
-    /// From here on it is the source, and from here on it is none.
-    LeadershipGained(FencingToken),
-    LeadershipLost(FencingToken),
-    /// A line for the log.
-    Log(String),
-}
+use crate::action::Action;
+use crate::config::{GroupConfig, RelayConfig};
+use crate::error::PublishError;
+use crate::event::Event;
+use crate::log::Log;
+use crate::messages::{PeerReply, PeerRequest};
+use crate::plain_relay::PlainRelay;
+use crate::replica_group::ReplicaGroup;
+use crate::staleness::Staleness;
+use crate::status::{RelayRole, RelayStatus};
+use crate::subscribers::Subscribers;
+use crate::upstream_selector::UpstreamSelector;
+
+const NS_PER_MS: Ns = 1_000_000;
+/// [`Relay::step`] is called at least this often.
+const MAX_STEP_INTERVAL: Ns = 1_000_000_000;
 
 /// What became of an event of the upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
+    /// It was appended to the log.
     Applied,
-    /// It was told before.
+    /// It was known already.
     Duplicate,
-    /// Events are missing or can't be read: the call is to be ended and made anew with the number of
-    /// `follows`.
+    /// Events are missing or unreadable, for this reason: the stream is to be ended, and the upstream called once
+    /// more as [`Relay::upstream_to_follow`] says.
     Resubscribe(String),
 }
 
-/// What operators see of a relay, as JSON.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RelayStatus {
-    pub name: String,
-    pub unix_ms: u64,
-    /// `owner`, `voter` or `plain`.
-    pub role: String,
-    /// The owner that was heard of last: number and term.
-    #[serde(rename = "owner")]
-    pub leader: Option<u32>,
-    pub term: u64,
-    /// Since the owner's last word came, along the chain.
-    #[serde(rename = "fresh_ms")]
-    pub staleness_ms: Option<u64>,
-    /// The number of the base, the last that may be told, the last that is kept.
-    #[serde(rename = "base")]
-    pub snapshot_number: u64,
-    #[serde(rename = "last")]
-    pub last_number: u64,
-    #[serde(rename = "kept")]
-    pub last_stored: u64,
-    pub log_bytes: usize,
-    /// Endpoints of the list; none: no whole list is known.
-    pub endpoints: Option<usize>,
-    pub floor: u64,
-    /// At the owner: numbers and since when they are in force everywhere, Unix ms.
-    #[serde(rename = "passed")]
-    pub floor_history: Vec<(u64, u64)>,
-    #[serde(rename = "readers")]
-    pub subscribers: Vec<SubscriberStatus>,
-    /// A voter that has not learned yet what it kept before its start, and how long it waits.
-    #[serde(rename = "learning_ms")]
-    pub recovering_ms: Option<u64>,
-    /// When the log began anew with what was left, Unix ms; 0: never. Publish the list and the purges that
-    /// bind once more.
-    #[serde(rename = "anew_unix_ms")]
-    pub reset_unix_ms: u64,
-    /// Words of old owners that were refused here.
-    #[serde(rename = "refused")]
-    pub rejected_tokens: u64,
+/// How to call an upstream.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct UpstreamCall {
+    /// Index of the upstream in the settings.
+    pub upstream: usize,
+    /// What this relay and all its subscribers that count have applied.
+    pub applied_number: u64,
 }
 
 #[derive(Debug)]
 enum Part {
     Voter(Box<ReplicaGroup>),
-    Plain(Box<Plain>),
-}
-
-#[derive(Debug)]
-struct Plain {
-    log: Log,
-    upstream: UpstreamSelector,
-    fresh: Staleness,
-    /// The number after which events were missing or unreadable once already.
-    gap: Option<u64>,
+    Plain(Box<PlainRelay>),
 }
 
+/// A relay. It does no I/O: times and messages come in, and [`Relay::take_actions`] gives what is to be done.
 #[derive(Debug)]
 pub struct Relay {
-    set: RelayConfig,
+    config: RelayConfig,
     part: Part,
-    readers: Subscribers,
-    acts: Vec<Action>,
+    subscribers: Subscribers,
+    actions: Vec<Action>,
 }
 
 impl Relay {
-    /// A voter at this place among all of them, beginning without memory. `life`: a number of this start,
-    /// later than of any start before (Unix ms will do). `chance`: any number, another at each.
+    /// A voter with this index among all of them, which begins without memory. The incarnation of `member` has to
+    /// be later than that of any earlier start (Unix ms will do); `seed` is any number, different at each voter.
     pub fn voter(
-        set: RelayConfig,
-        me: Member,
-        place: u32,
-        rules: GroupConfig,
-        chance: u64,
+        config: RelayConfig,
+        member: Member,
+        index: u32,
+        group: GroupConfig,
+        seed: u64,
         now: Ns,
     ) -> Relay {
-        let log = Log::new(set.retention);
-        let group = ReplicaGroup::new(me, place, rules, log, chance, now);
-        Relay::with(set, Part::Voter(Box::new(group)))
+        let log = Log::new(config.retention);
+        let group = ReplicaGroup::new(member, index, group, log, seed, now);
+        Relay::with_part(config, Part::Voter(Box::new(group)))
     }
 
-    /// A plain relay that follows one of so many upstreams, beginning without memory.
-    pub fn plain(set: RelayConfig, upstream: UpstreamSelector) -> Relay {
-        let (log, fresh) = (Log::new(set.retention), Staleness::unknown());
-        Relay::with(set, Part::Plain(Box::new(Plain { log, upstream, fresh, gap: None })))
+    /// A plain relay, which begins without memory.
+    pub fn plain(config: RelayConfig, upstream: UpstreamSelector) -> Relay {
+        let plain = PlainRelay::new(Log::new(config.retention), upstream);
+        Relay::with_part(config, Part::Plain(Box::new(plain)))
     }
 
-    fn with(set: RelayConfig, part: Part) -> Relay {
-        let readers = Subscribers::new(set.missing_after, set.forget_after, set.max_floor_history);
-        Relay { set, part, readers, acts: Vec::new() }
+    fn with_part(config: RelayConfig, part: Part) -> Relay {
+        let subscribers =
+            Subscribers::new(config.missing_after, config.forget_after, config.max_floor_history);
+        Relay { config, part, subscribers, actions: Vec::new() }
     }
 
+    /// The configuration that it was made with.
     pub fn config(&self) -> &RelayConfig {
-        &self.set
+        &self.config
     }
 
-    /// What is to be done since it was asked last.
+    /// What is to be done since the last call of this.
     pub fn take_actions(&mut self) -> Vec<Action> {
-        std::mem::take(&mut self.acts)
+        std::mem::take(&mut self.actions)
     }
 
-    /// A reader that is to come, as the settings name it: it counts as one with nothing until it does, and is
-    /// missing after a while. Without that a relay that begins anew knows of no readers until they call.
+    /// Makes a subscriber that the settings name count, as having applied nothing, until it comes or is missing
+    /// for too long. Without that, a relay knows no subscribers after a start until they call.
     pub fn expect_subscriber(&mut self, now: Ns, name: &str) {
-        self.readers.expect(now, name);
+        self.subscribers.expect(now, name);
     }
 
-    /// What may be told.
+    /// The events that subscribers may be sent.
     pub fn log(&self) -> &Log {
         match &self.part {
-            Part::Voter(g) => g.log(),
-            Part::Plain(p) => &p.log,
+            Part::Voter(group) => group.log(),
+            Part::Plain(plain) => &plain.log,
         }
     }
 
-    /// The last number that may be told.
+    /// The last number that subscribers may be sent.
     pub fn last_number(&self) -> u64 {
         self.log().last_number()
     }
 
-    /// When `step` is to be called next, at the latest a second from now.
+    /// When [`Relay::step`] is to be called next, at the latest a second from now.
     pub fn next_wakeup(&self, now: Ns) -> Ns {
         let own = match &self.part {
-            Part::Voter(g) => g.next_deadline(),
+            Part::Voter(group) => group.next_deadline(),
             Part::Plain(_) => Ns::MAX,
         };
-        own.min(now + 1_000_000_000)
+        own.min(now + MAX_STEP_INTERVAL)
     }
 
-    /// What time brings. `unix` in milliseconds.
-    pub fn step(&mut self, now: Ns, unix: u64) {
+    /// Does what is due. `unix_ms` is the Unix time.
+    pub fn step(&mut self, now: Ns, unix_ms: u64) {
         match &mut self.part {
-            Part::Voter(g) => {
-                let acts = g.step(now, unix);
-                self.done(now, acts);
+            Part::Voter(group) => {
+                let actions = group.step(now, unix_ms);
+                self.add_group_actions(now, actions);
             }
-            Part::Plain(p) => {
-                let age = p.fresh.age(now);
-                if p.upstream.check(now, age) {
-                    p.gap = None;
-                    let at = p.upstream.current().unwrap_or_default();
-                    self.acts.push(Action::Log(format!("upstream {at} is followed: the last one was stale")));
+            Part::Plain(plain) => {
+                if let Some(index) = plain.check_upstream(now) {
+                    let line = format!("upstream {index} is followed: the previous one was stale");
+                    self.actions.push(Action::Log(line));
                 }
-                p.log.compact(unix);
+                plain.log.compact(unix_ms);
             }
         }
-        self.count(now, unix);
+        self.update_floor(now, unix_ms);
     }
 
-    fn count(&mut self, now: Ns, unix: u64) {
-        self.readers.floor(now, self.last_number());
-        if let Part::Voter(g) = &self.part
-            && g.leader_token(now).is_some()
-        {
-            self.readers.record_floor(unix);
+    fn update_floor(&mut self, now: Ns, unix_ms: u64) {
+        self.subscribers.floor(now, self.last_number());
+        if self.leader_token(now).is_some() {
+            self.subscribers.record_floor(unix_ms);
         }
     }
 
-    /// What the group did. A new owner waits for the word of all voters.
-    fn done(&mut self, now: Ns, acts: Vec<Action>) {
-        if let Part::Voter(g) = &self.part
-            && acts.iter().any(|a| matches!(a, Action::LeadershipGained(_)))
+    /// A new leader waits for what all voters report.
+    fn add_group_actions(&mut self, now: Ns, actions: Vec<Action>) {
+        if let Part::Voter(group) = &self.part
+            && actions.iter().any(|action| matches!(action, Action::LeadershipGained(_)))
         {
-            self.readers.reset_floor();
-            for name in g.voter_names().iter().filter(|n| **n != self.set.name) {
-                self.readers.expect(now, name);
+            self.subscribers.reset_floor();
+            for name in group.voter_names().iter().filter(|name| **name != self.config.name) {
+                self.subscribers.expect(now, name);
             }
         }
-        self.acts.extend(acts);
+        self.actions.extend(actions);
     }
+}
 
-    // Voters.
-
-    /// A call of another voter, and what it is to be answered.
-    pub fn on_peer_request(&mut self, now: Ns, unix: u64, request: PeerRequest) -> PeerReply {
-        let floor = self.readers.floor(now, self.last_number());
+/// Voters.
+impl Relay {
+    /// Answers another voter's call.
+    pub fn on_peer_request(&mut self, now: Ns, unix_ms: u64, request: PeerRequest) -> PeerReply {
+        let floor = self.subscribers.floor(now, self.last_number());
         match &mut self.part {
-            Part::Voter(g) => {
-                let (reply, acts) = g.on_request(now, unix, request, floor);
-                self.acts.extend(acts);
+            Part::Voter(group) => {
+                let (reply, actions) = group.on_request(now, unix_ms, request, floor);
+                self.actions.extend(actions);
                 reply
             }
             Part::Plain(_) => PeerReply::default(),
         }
     }
 
-    /// What came back of a call.
-    pub fn on_peer_reply(&mut self, now: Ns, unix: u64, voter: u32, number: u64, reply: PeerReply) {
-        let Part::Voter(g) = &mut self.part else { return };
-        let (floor, acts) = g.on_reply(now, unix, voter, number, reply);
-        self.done(now, acts);
-        if let Some((name, floor)) = floor {
-            self.readers.reported(now, &name, floor);
-            self.count(now, unix);
+    /// Takes in what came back of [`Action::Call`].
+    pub fn on_peer_reply(&mut self, now: Ns, unix_ms: u64, voter: u32, call_id: u64, reply: PeerReply) {
+        let Part::Voter(group) = &mut self.part else { return };
+        let (applied, actions) = group.on_reply(now, unix_ms, voter, call_id, reply);
+        self.add_group_actions(now, actions);
+        if let Some(applied) = applied {
+            self.subscribers.reported(now, &applied.name, applied.number);
+            self.update_floor(now, unix_ms);
         }
     }
 
-    /// An event's JSON to be told, at best with a mark by which it is known again. The verdict comes as
-    /// `Do::Published`.
-    pub fn publish(&mut self, now: Ns, unix: u64, ticket: u64, mark: Option<&str>, text: &[u8]) {
-        let refused = |result| Action::Published { ticket, result: Err(result) };
-        let Part::Voter(g) = &mut self.part else {
-            self.acts.push(refused(PublishError::NotLeader(None)));
-            return;
-        };
-        let most = self.set.max_event_bytes;
-        let read = g.require_leader(now).and_then(|_| Ok(Event::parse(text, most)?));
-        match read.and_then(|(_, event)| g.publish(now, unix, ticket, mark, event, self.set.max_log_bytes)) {
-            Ok(acts) => self.acts.extend(acts),
-            Err(e) => self.acts.push(refused(e)),
+    /// Accepts an event's JSON from a publisher. The result comes as [`Action::Published`] with this ticket. An
+    /// event with an idempotency key is published once, however often it is sent.
+    pub fn publish(
+        &mut self,
+        now: Ns,
+        unix_ms: u64,
+        ticket: u64,
+        idempotency_key: Option<&str>,
+        json: &[u8],
+    ) {
+        match self.try_publish(now, unix_ms, ticket, idempotency_key, json) {
+            Ok(actions) => self.actions.extend(actions),
+            Err(error) => self.actions.push(Action::Published { ticket, result: Err(error) }),
         }
     }
 
-    /// The token under which it is the source now.
+    fn try_publish(
+        &mut self,
+        now: Ns,
+        unix_ms: u64,
+        ticket: u64,
+        idempotency_key: Option<&str>,
+        json: &[u8],
+    ) -> Result<Vec<Action>, PublishError> {
+        let Part::Voter(group) = &mut self.part else { return Err(PublishError::NotLeader(None)) };
+        group.require_leader(now)?;
+        let (_, event) = Event::parse(json, self.config.max_event_bytes)?;
+        group.publish(now, unix_ms, ticket, idempotency_key, event, self.config.max_log_bytes)
+    }
+
+    /// The token under which it is the leader now.
     pub fn leader_token(&self, now: Ns) -> Option<FencingToken> {
-        if let Part::Voter(g) = &self.part { g.leader_token(now) } else { None }
+        match &self.part {
+            Part::Voter(group) => group.leader_token(now),
+            Part::Plain(_) => None,
+        }
     }
 
-    /// Gives the source up, as at a planned stop.
+    /// Gives leadership up, as at a planned stop.
     pub fn hand_over(&mut self, now: Ns) {
-        if let Part::Voter(g) = &mut self.part {
-            self.acts.extend(g.hand_over(now));
+        if let Part::Voter(group) = &mut self.part {
+            self.actions.extend(group.hand_over(now));
         }
     }
+}
 
-    // Plain relays.
-
-    /// The upstream to follow now by its place, and the number to call it with: what is in force here and at
-    /// all that count here. To be asked before each call, and whether it is still the same one while a stream
-    /// is open.
-    pub fn upstream_to_follow(&mut self, now: Ns) -> Option<(usize, u64)> {
-        let floor = self.readers.floor(now, self.last_number());
-        let Part::Plain(p) = &self.part else { return None };
-        let at = p.upstream.current()?;
-        Some((at, floor.min(p.log.last_number())))
+/// Plain relays.
+impl Relay {
+    /// The upstream to follow now, and the number to call it with. Ask before each call, and while a stream is
+    /// open whether it is still the same upstream.
+    pub fn upstream_to_follow(&mut self, now: Ns) -> Option<UpstreamCall> {
+        let floor = self.subscribers.floor(now, self.last_number());
+        let Part::Plain(plain) = &self.part else { return None };
+        let upstream = plain.upstream.current()?;
+        Some(UpstreamCall { upstream, applied_number: floor.min(plain.log.last_number()) })
     }
 
-    /// The call failed, or its stream was broken off. A clean end is none.
+    /// The call of the upstream failed, or its stream broke. A clean end is no failure.
     pub fn on_upstream_failed(&mut self, now: Ns) {
-        if let Part::Plain(p) = &mut self.part {
-            p.upstream.on_failed(now);
+        if let Part::Plain(plain) = &mut self.part {
+            plain.upstream.on_failed(now);
         }
     }
 
-    /// A comment of the upstream, without its ends of lines.
+    /// Takes in a comment of the upstream, without its line ends.
     pub fn on_upstream_comment(&mut self, now: Ns, comment: &str) {
-        let Part::Plain(p) = &mut self.part else { return };
+        let Part::Plain(plain) = &mut self.part else { return };
         match Staleness::parse_comment(comment) {
-            Some((age, owner)) => p.fresh.record(now, age, owner),
-            // Not a relay's: it is the source itself.
-            None => p.fresh.record(now, 0, None),
+            Some(comment) => plain.staleness.record(now, comment.age, comment.leader),
+            // It is no relay, so it is the source itself.
+            None => plain.staleness.record(now, 0, None),
         }
     }
 
-    /// An event of the upstream: its data, and the number in its `id` if it has one.
-    pub fn on_upstream_event(&mut self, now: Ns, unix: u64, id: Option<u64>, data: &[u8]) -> ApplyOutcome {
-        let most = self.set.max_event_bytes.max(self.set.max_log_bytes);
-        let Part::Plain(p) = &mut self.part else { return ApplyOutcome::Duplicate };
-        let took = p.told(unix, id, data, most, &mut self.acts);
-        if took == ApplyOutcome::Applied {
-            p.log.compact(unix);
-            self.count(now, unix);
+    /// Takes in an event of the upstream: its data, and the number in its `id` if it has one.
+    pub fn on_upstream_event(&mut self, now: Ns, unix_ms: u64, id: Option<u64>, data: &[u8]) -> ApplyOutcome {
+        let max_bytes = self.config.max_event_bytes.max(self.config.max_log_bytes);
+        let Part::Plain(plain) = &mut self.part else { return ApplyOutcome::Duplicate };
+        let outcome = plain.on_event(unix_ms, id, data, max_bytes, &mut self.actions);
+        if outcome == ApplyOutcome::Applied {
+            plain.log.compact(unix_ms);
+            self.update_floor(now, unix_ms);
         }
-        took
+        outcome
     }
+}
 
-    // Readers.
-
-    /// A reader calls with this number: its stream begins with what `after` gives for it.
-    pub fn on_subscriber_connected(&mut self, now: Ns, unix: u64, name: &str, number: u64) {
-        self.readers.connected(now, name, number);
-        if let Part::Voter(g) = &mut self.part {
-            g.observe_number(number);
+/// Subscribers.
+impl Relay {
+    /// A subscriber calls and has applied this number; its stream is encoded with [`Relay::encode_after`].
+    pub fn on_subscriber_connected(&mut self, now: Ns, unix_ms: u64, name: &str, applied_number: u64) {
+        self.subscribers.connected(now, name, applied_number);
+        if let Part::Voter(group) = &mut self.part {
+            group.observe_number(applied_number);
         }
-        self.count(now, unix);
+        self.update_floor(now, unix_ms);
     }
 
-    /// A stream of a reader is over.
+    /// A stream of a subscriber is over.
     pub fn on_subscriber_disconnected(&mut self, name: &str) {
-        self.readers.disconnected(name);
+        self.subscribers.disconnected(name);
     }
 
-    /// As `Log::after`: what follows the cursor, appended to `out`; returns the new cursor.
-    pub fn encode_after(&mut self, cursor: u64, most: usize, out: &mut Vec<u8>) -> u64 {
+    /// As [`Log::encode_after`]: appends what follows the cursor to `out`, and returns the new cursor.
+    pub fn encode_after(&mut self, cursor: u64, max_bytes: usize, out: &mut Vec<u8>) -> u64 {
         match &mut self.part {
-            Part::Voter(g) => g.encode_after(cursor, most, out),
-            Part::Plain(p) => p.log.encode_after(cursor, most, out),
+            Part::Voter(group) => group.encode_after(cursor, max_bytes, out),
+            Part::Plain(plain) => plain.log.encode_after(cursor, max_bytes, out),
         }
     }
 
-    /// The comment for readers, with its empty line.
+    /// The comment for subscribers that says how stale this relay is, with its empty line.
     pub fn staleness_comment(&self, now: Ns) -> String {
-        self.fresh(now).to_comment(now)
+        self.staleness(now).to_comment(now)
     }
 
-    fn fresh(&self, now: Ns) -> Staleness {
+    fn staleness(&self, now: Ns) -> Staleness {
         match &self.part {
-            Part::Voter(g) => g.staleness(now),
-            Part::Plain(p) => p.fresh,
+            Part::Voter(group) => group.staleness(now),
+            Part::Plain(plain) => plain.staleness,
         }
     }
 
-    pub fn status(&mut self, now: Ns, unix: u64) -> RelayStatus {
-        let floor = self.readers.floor(now, self.last_number());
-        let fresh = self.fresh(now);
-        let age = fresh.age(now);
-        let base = self.log().snapshot();
+    /// What operators see.
+    pub fn status(&mut self, now: Ns, unix_ms: u64) -> RelayStatus {
+        let floor = self.subscribers.floor(now, self.last_number());
+        let staleness = self.staleness(now);
+        let age = staleness.age(now);
+        let log = self.log();
         let mut status = RelayStatus {
-            name: self.set.name.clone(),
-            unix_ms: unix,
-            role: "plain".into(),
-            leader: fresh.leader.map(|t| t.holder.number),
-            term: fresh.leader.map_or(0, |t| t.term),
-            staleness_ms: (age < Ns::MAX).then_some(age / 1_000_000),
-            snapshot_number: base.number,
-            last_number: self.last_number(),
-            last_stored: self.last_number(),
-            log_bytes: self.log().size_bytes(),
-            endpoints: self.log().endpoint_count(),
+            name: self.config.name.clone(),
+            unix_ms,
+            role: RelayRole::Plain,
+            leader: staleness.leader.map(|token| token.holder.number),
+            term: staleness.leader.map_or(0, |token| token.term),
+            staleness_ms: (age < Ns::MAX).then_some(age / NS_PER_MS),
+            snapshot_number: log.snapshot().number,
+            last_number: log.last_number(),
+            last_stored: log.last_number(),
+            log_bytes: log.size_bytes(),
+            endpoints: log.endpoint_count(),
             floor,
-            floor_history: self.readers.floor_history(),
-            subscribers: self.readers.statuses(now),
+            floor_history: self.subscribers.floor_history(),
+            subscribers: self.subscribers.statuses(now),
             ..RelayStatus::default()
         };
-        if let Part::Voter(g) = &self.part {
-            g.fill_status(now, &mut status);
+        if let Part::Voter(group) = &self.part {
+            group.fill_status(now, &mut status);
         }
         status
     }
 }
-
-impl Plain {
-    fn told(
-        &mut self,
-        unix: u64,
-        id: Option<u64>,
-        data: &[u8],
-        most: usize,
-        acts: &mut Vec<Action>,
-    ) -> ApplyOutcome {
-        let last = self.log.last_number();
-        if id.is_some_and(|n| n <= last) {
-            return ApplyOutcome::Duplicate;
-        }
-        let read = Event::parse(data, most);
-        let n = id.or(read.as_ref().ok().and_then(|(n, _)| *n));
-        let Some(n) = n else { return ApplyOutcome::Resubscribe("an event has no number".into()) };
-        if n <= last {
-            return ApplyOutcome::Duplicate;
-        }
-        if n >= MAX_EVENT_NUMBER {
-            return ApplyOutcome::Resubscribe(EventError::NumberTooLarge(n).to_string());
-        }
-        let fault = read.as_ref().err().map(ToString::to_string);
-        if n == last + 1 && fault.is_none() {
-            if let Ok((_, event)) = read {
-                self.log.append(&event, FencingToken::default(), None, unix);
-            }
-            self.gap = None;
-            return ApplyOutcome::Applied;
-        }
-        if self.gap != Some(last) {
-            // Lost or cut on the way, most likely: it is asked for once more.
-            self.gap = Some(last);
-            let why = fault.unwrap_or_else(|| format!("event {n} follows {last}"));
-            return ApplyOutcome::Resubscribe(why);
-        }
-        match read {
-            Err(e) if n == last + 1 => {
-                // Nobody can read it; the numbers stay the same everywhere.
-                acts.push(Action::Log(format!(
-                    "event {n} of the upstream is passed on as an empty one: {e}"
-                )));
-                self.log.append(&Event::empty_update(), FencingToken::default(), None, unix);
-                self.gap = None;
-                ApplyOutcome::Applied
-            }
-            Err(e) => ApplyOutcome::Resubscribe(e.to_string()),
-            Ok((_, event)) if event.kind() == (EventKind::Members { is_snapshot: true }) => {
-                let mut base = Snapshot { members: BTreeMap::new(), ..self.log.snapshot_at(n) };
-                (base.has_list, base.list_index) = (true, event.index().unwrap_or(0));
-                let endpoints = event.endpoints().map(|(_, all)| all).unwrap_or_default();
-                let here = endpoints.into_iter().filter(|e| !e.is_gone);
-                base.members = here.map(|e| (e.name, e.json)).collect();
-                acts.push(Action::Log(format!(
-                    "events {} to {n} are over: the whole list is taken",
-                    last + 1
-                )));
-                self.log = Log::from_snapshot(self.log.retention(), base);
-                self.gap = None;
-                ApplyOutcome::Applied
-            }
-            Ok(_) => ApplyOutcome::Resubscribe(format!("event {n} follows {last}, and is no whole list")),
-        }
-    }
-}
--- a/crates/relay/tests/cases.rs
+++ b/crates/relay/tests/cases.rs
@@ -111,12 +111,12 @@
 fn state<'a>(events: impl Iterator<Item = &'a (u64, String)>) -> (BTreeMap<String, String>, Option<String>) {
     let (mut members, mut hierarchy) = (BTreeMap::new(), None);
     for (_, body) in events {
-        let Some((whole, all)) = event(body).endpoints() else {
+        let Some(list) = event(body).endpoints() else {
             hierarchy = if body.starts_with("{\"hier") { Some(body.clone()) } else { hierarchy };
             continue;
         };
-        members.retain(|_, _| !whole);
-        for e in all {
+        members.retain(|_, _| !list.is_snapshot);
+        for e in list.endpoints {
             if e.is_gone {
                 members.remove(&e.name)
             } else {
@@ -218,7 +218,7 @@
     assert_eq!(theirs, all);
     assert_eq!(
         log.check_capacity(1, log.size_bytes()),
-        Err(LogFull { bytes: log.size_bytes(), most: log.size_bytes() })
+        Err(LogFull { bytes: log.size_bytes(), limit: log.size_bytes() })
     );
     assert_eq!(log.check_capacity(1, log.size_bytes() + 1), Ok(()));
 }
@@ -310,7 +310,7 @@
         name: name.into(),
         unix_ms: UNIX,
         last_number: last,
-        floor_history: passed.to_vec(),
+        floor_history: passed.iter().copied().map(AppliedSince::from).collect(),
         subscribers: readers,
         ..RelayStatus::default()
     };
@@ -349,8 +349,8 @@
     for s in 2..60 {
         for i in 0..3 {
             let told = ages[(i + 2) % 3].to_comment(s * SEC);
-            let (age, owner) = Staleness::parse_comment(&told).expect("a comment of a relay");
-            ages[i].record(s * SEC + 20 * MS, age, owner);
+            let comment = Staleness::parse_comment(&told).expect("a comment of a relay");
+            ages[i].record(s * SEC + 20 * MS, comment.age, comment.leader);
         }
     }
     for age in ages {
@@ -370,7 +370,7 @@
     let mut r = plain(3);
     let at = |r: &mut Relay, s: u64| {
         r.step(s * SEC, UNIX);
-        r.upstream_to_follow(s * SEC).map(|(at, _)| at)
+        r.upstream_to_follow(s * SEC).map(|call| call.upstream)
     };
     assert_eq!(at(&mut r, 4), Some(0), "it is given time");
     assert_eq!(at(&mut r, 6), Some(1), "it never said that it is fresh");
@@ -401,7 +401,7 @@
     assert_eq!(tell(&mut r, 5, &hierarchy(3)), ApplyOutcome::Applied);
     assert!(matches!(tell(&mut r, 9, &whole), ApplyOutcome::Resubscribe(_)));
     assert_eq!(tell(&mut r, 9, &whole), ApplyOutcome::Applied);
-    assert_eq!(r.log().snapshot().hierarchy.as_ref().map(|(n, _)| *n), Some(5));
+    assert_eq!(r.log().snapshot().hierarchy.as_ref().map(|h| h.number), Some(5));
     assert_eq!(tell(&mut r, 9, &whole), ApplyOutcome::Duplicate);
     assert_eq!(tell(&mut r, 10, &purge(1, UNIX)), ApplyOutcome::Applied);
     assert!(matches!(tell(&mut r, 12, &purge(3, UNIX)), ApplyOutcome::Resubscribe(_)));
@@ -426,8 +426,8 @@
     // It calls with what its readers have, and passes over what it is told again.
     r.on_subscriber_connected(2 * SEC, UNIX, "d", 12);
     assert_eq!(tell(&mut r, 13, &purge(4, UNIX)), ApplyOutcome::Applied);
-    assert_eq!(r.upstream_to_follow(2 * SEC), Some((0, 12)));
+    assert_eq!(r.upstream_to_follow(2 * SEC), Some(UpstreamCall { upstream: 0, applied_number: 12 }));
     assert_eq!(tell(&mut r, 13, &purge(4, UNIX)), ApplyOutcome::Duplicate);
     r.on_subscriber_connected(3 * SEC, UNIX, "d", 13);
-    assert_eq!(r.upstream_to_follow(3 * SEC), Some((0, 13)));
+    assert_eq!(r.upstream_to_follow(3 * SEC), Some(UpstreamCall { upstream: 0, applied_number: 13 }));
 }
--- a/crates/relay/tests/group.rs
+++ b/crates/relay/tests/group.rs
@@ -211,7 +211,7 @@
     assert_eq!(net.published.last(), Some(&(50, first)), "the same number");
     assert_eq!(net.told(at).len(), taken);
     net.publish(at, 51, "ahead", &purge(1, UNIX + 3_600_000));
-    assert!(matches!(net.published.last(), Some((51, Err(PublishError::PurgeInFuture(..))))));
+    assert!(matches!(net.published.last(), Some((51, Err(PublishError::PurgeInFuture { .. })))));
     // Once the purges bind no more there is room again.
     net.run(131_500, &all, |_, _, _| true);
     let at = net.source().expect("a source");
@@ -244,7 +244,10 @@
         }
         let source = net.source().filter(|s| *s != old).expect("another source");
         let passed = net.relays[source].status(net.now, UNIX).floor_history;
-        assert!(passed.last().is_some_and(|(n, _)| *n == first), "{behind}: {first} {last} {passed:?}");
+        assert!(
+            passed.last().is_some_and(|applied| applied.number == first),
+            "{behind}: {first} {last} {passed:?}"
+        );
     }
 }
 
--- a/crates/relay/tests/schedules.rs
+++ b/crates/relay/tests/schedules.rs
@@ -90,14 +90,14 @@
     if body.starts_with("{\"purge") {
         return;
     }
-    let Some((whole, all)) = event(body).endpoints() else {
+    let Some(endpoints) = event(body).endpoints() else {
         *hierarchy = Some(body.to_owned());
         return;
     };
-    if whole {
+    if endpoints.is_snapshot {
         list.clear();
     }
-    for e in all {
+    for e in endpoints.endpoints {
         if e.is_gone {
             list.remove(&e.name)
         } else {
@@ -239,7 +239,7 @@
             let whole = || Event::snapshot(base.list_index, base.members.values().map(String::as_str));
             let event = if base.has_list { whole() } else { Event::empty_update() };
             self.truth.insert(base.number - 1, event.body().to_owned());
-            let hierarchy = base.hierarchy.as_ref().map(|(_, body)| body.clone());
+            let hierarchy = base.hierarchy.as_ref().map(|h| h.body.clone());
             self.truth.insert(base.number, hierarchy.unwrap_or(event.body().to_owned()));
         }
         for e in self.all[of].relay.log().entries_after(from, usize::MAX) {
@@ -311,7 +311,8 @@
 
     fn plain(&mut self, of: usize) {
         let (now, unix) = (self.now + self.all[of].offset, self.unix());
-        let Some((at, number)) = self.all[of].relay.upstream_to_follow(now) else { return };
+        let Some(call) = self.all[of].relay.upstream_to_follow(now) else { return };
+        let (at, number) = (call.upstream, call.applied_number);
         let name = format!("r{of}");
         if let Some((old, _, since)) = self.all[of].stream
             && (old != at || self.now > since + 300 * MS || !self.stands(old))
@@ -420,7 +421,7 @@
         if !as_told {
             // A base, then: the list as it stands there, or later.
             let told = event.endpoints();
-            let told = told.map(|(whole, all)| (whole, all.into_iter().map(|e| e.name).collect()));
+            let told = told.map(|l| (l.is_snapshot, l.endpoints.into_iter().map(|e| e.name).collect()));
             let later = [n].into_iter().chain(self.truth.range(n + 1..).map(|(m, _)| *m));
             if !later.into_iter().any(|m| told == Some((true, self.stood(m).0))) {
                 self.wrong(format!("director {d} after {last}: {n} is {data} and {:?}", self.truth.get(&n)));
@@ -557,7 +558,7 @@
                 self.wrong(format!("{r:?} is said to have more than {}", self.directors[d].last));
             }
         }
-        for (n, _) in whole.floor_history.iter().rev().take(3) {
+        for n in whole.floor_history.iter().rev().take(3).map(|applied| &applied.number) {
             let known: BTreeSet<&str> = whole.subscribers.iter().map(|r| r.name.as_str()).collect();
             let behind = (0..self.directors.len())
                 .find(|d| known.contains(format!("d{d}").as_str()) && self.directors[*d].last < *n);
--- a/crates/relay/tests/status_format.rs
+++ b/crates/relay/tests/status_format.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Debug;
 
-use sablecross_relay::subscribers::{AppliedStatus, MergedSubscriber};
+use sablecross_relay::{AppliedSince, AppliedStatus, MergedSubscriber, RelayRole, StalenessComment};
 use sablecross_relay::{Event, FencingToken, FleetView, Member, RelayStatus, Staleness, SubscriberStatus};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -22,6 +22,10 @@
     }
 }
 
+fn applied(number: u64, unix_ms: u64) -> AppliedSince {
+    AppliedSince { number, unix_ms }
+}
+
 const SEEN: &str = r#"{"name":"n5","number":41,"heard_ms_ago":120,"connected":true,"missing":false}"#;
 const NEVER_SEEN: &str = r#"{"name":"n6","number":0,"heard_ms_ago":null,"connected":false,"missing":true}"#;
 
@@ -39,7 +43,7 @@
     let status = RelayStatus {
         name: "relay-0".into(),
         unix_ms: 1_700_000_000_000,
-        role: "owner".into(),
+        role: RelayRole::Leader,
         leader: Some(0),
         term: 3,
         staleness_ms: Some(2),
@@ -49,7 +53,7 @@
         log_bytes: 1_234,
         endpoints: Some(5),
         floor: 41,
-        floor_history: vec![(40, 1_699_999_999_000), (41, 1_699_999_999_500)],
+        floor_history: vec![applied(40, 1_699_999_999_000), applied(41, 1_699_999_999_500)],
         subscribers: vec![seen(), never],
         recovering_ms: Some(7),
         reset_unix_ms: 1_699_000_000_000,
@@ -64,7 +68,7 @@
     holds(&status, &text);
     holds(
         &RelayStatus::default(),
-        "{\"name\":\"\",\"unix_ms\":0,\"role\":\"\",\"owner\":null,\"term\":0,\"fresh_ms\":null,\
+        "{\"name\":\"\",\"unix_ms\":0,\"role\":\"plain\",\"owner\":null,\"term\":0,\"fresh_ms\":null,\
          \"base\":0,\"last\":0,\"kept\":0,\"log_bytes\":0,\"endpoints\":null,\"floor\":0,\
          \"passed\":[],\"readers\":[],\"learning_ms\":null,\"anew_unix_ms\":0,\"refused\":0}",
     );
@@ -75,6 +79,15 @@
 const NEVER_MERGED: &str =
     r#"{"name":"n6","number":0,"heard_unix_ms":null,"connected":false,"relay":"relay-0"}"#;
 
+#[test]
+fn roles() {
+    let roles = [(RelayRole::Leader, "owner"), (RelayRole::Voter, "voter"), (RelayRole::Plain, "plain")];
+    for (role, name) in roles {
+        holds(&role, &format!("\"{name}\""));
+        assert_eq!(format!("{role:6}|"), format!("{name:6}|"));
+    }
+}
+
 #[test]
 fn several_relays_together() {
     let merged = |name: &str, number, heard_unix_ms: Option<u64>| MergedSubscriber {
@@ -89,7 +102,7 @@
     holds(&never, NEVER_MERGED);
     let whole = FleetView {
         subscribers: vec![seen, never.clone()],
-        floor_history: vec![(41, 1_699_999_999_500)],
+        floor_history: vec![applied(41, 1_699_999_999_500)],
         last_number: 42,
     };
     let text =
@@ -125,8 +138,14 @@
     let token = FencingToken { term: 3, holder: Member { number: 7, incarnation: 0 } };
     known.record(12 * MS, 0, Some(token));
     assert_eq!(known.to_comment(14 * MS), ": fresh 2 owner 7 term 3\n\n");
-    assert_eq!(Staleness::parse_comment(" fresh 2 owner 7 term 3"), Some((2 * MS, Some(token))));
-    assert_eq!(Staleness::parse_comment("fresh - owner - term -"), Some((u64::MAX, None)));
+    assert_eq!(
+        Staleness::parse_comment(" fresh 2 owner 7 term 3"),
+        Some(StalenessComment { age: 2 * MS, leader: Some(token) })
+    );
+    assert_eq!(
+        Staleness::parse_comment("fresh - owner - term -"),
+        Some(StalenessComment { age: u64::MAX, leader: None })
+    );
     assert_eq!(Staleness::parse_comment(" tick"), None);
 }
 
--- a/crates/testbed/src/scale/source.rs
+++ b/crates/testbed/src/scale/source.rs
@@ -9,7 +9,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
-use sablecross_relay_server::peer_client::PeerClient;
+use sablecross_relay_server::peer_client::{HttpResponse, PeerClient};
 use sablecross_relay_server::publisher;
 use sablecross_relay_server::settings::MemberForm;
 use serde_json::{Value, json};
@@ -38,7 +38,7 @@
 pub fn status(at: SocketAddr) -> Option<Value> {
     let said =
         PeerClient::new(at, PATIENCE, LONGEST).request("GET", "/v1/status", "Connection: close\r\n", b"");
-    let (code, body) = said.ok()?;
+    let HttpResponse { code, body } = said.ok()?;
     serde_json::from_slice(&body).ok().filter(|_| code == 200)
 }
 
