--- a/crates/relay-server/src/server/mod.rs
+++ b/crates/relay-server/src/server/mod.rs
@@ -25,7 +25,7 @@
 use crate::connection::Connection;
 use crate::log_rate_limiter::LogRateLimiter;
 use crate::peers::{AppliedReport, QueuedCall, ServerEvent, UpstreamOrder};
-use crate::settings::RelayServerConfig;
+use crate::settings::{DescriptorLimitError, RelayServerConfig};
 use accept::Listener;
 use streams::SharedBatch;
 
@@ -49,8 +49,8 @@
 #[derive(Debug, Error)]
 pub enum ServerError {
     /// The limits of the machine don't allow what the settings ask for.
-    #[error("{0}")]
-    Limit(String),
+    #[error(transparent)]
+    Limit(#[from] DescriptorLimitError),
     /// An address can't be listened at.
     #[error("listening at {0}: {1}")]
     Listen(SocketAddr, io::Error),
--- a/crates/relay-server/src/server/startup.rs
+++ b/crates/relay-server/src/server/startup.rs
@@ -34,7 +34,7 @@
 impl Server {
     /// Listens and starts the threads. The inbox is for the caller's own events.
     pub(crate) fn new(config: RelayServerConfig) -> Result<(Server, Inbox), ServerError> {
-        config.check_descriptor_limit().map_err(ServerError::Limit)?;
+        config.check_descriptor_limit()?;
         let poll = Poll::new().map_err(ServerError::io("poll"))?;
         let waker = Waker::new(poll.registry(), INBOX_TOKEN).map_err(ServerError::io("poll"))?;
         let (sender, receiver) = bounded(INBOX_CAPACITY);
--- a/crates/relay-server/tests/http_format.rs
+++ b/crates/relay-server/tests/http_format.rs
@@ -29,7 +29,7 @@
         let dir = TempDir::new().expect("a folder");
         let file = dir.path().join("relay.scm");
         std::fs::write(&file, settings).expect("a settings file");
-        let child = Command::new(env!("CARGO_BIN_EXE_tier-relay"))
+        let child = Command::new(env!("CARGO_BIN_EXE_test-relay"))
             .arg(&file)
             .stdin(Stdio::piped())
             .stdout(Stdio::null())
--- a/crates/relay-server/tests/processes/common.rs
+++ b/crates/relay-server/tests/processes/common.rs
@@ -18,18 +18,18 @@
 use socket2::{Domain, Socket, Type};
 use tempfile::TempDir;
 
-pub const PATIENCE: Duration = Duration::from_secs(12);
+pub(crate) const PATIENCE: Duration = Duration::from_secs(12);
 
-pub fn ms(n: u64) -> Duration {
+pub(crate) fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-pub fn unix() -> u64 {
+pub(crate) fn unix() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock").as_millis() as u64
 }
 
 /// Waits until it is so; false if it does not come about.
-pub fn until(most: Duration, mut so: impl FnMut() -> bool) -> bool {
+pub(crate) fn until(most: Duration, mut so: impl FnMut() -> bool) -> bool {
     let begun = Instant::now();
     while !so() {
         if begun.elapsed() > most {
@@ -40,14 +40,14 @@
     true
 }
 
-pub const LIST: &str = r#"{"members":{"index":1,"snapshot":true,"endpoints":[{"name":"n","address":"127.0.0.1:9","zone":"e","type":"s","group":0,"status":"ready","weight":1,"since_ms":0}]}}"#;
+pub(crate) const LIST: &str = r#"{"members":{"index":1,"snapshot":true,"endpoints":[{"name":"n","address":"127.0.0.1:9","zone":"e","type":"s","group":0,"status":"ready","weight":1,"since_ms":0}]}}"#;
 
-pub fn purge(key: u64) -> String {
+pub(crate) fn purge(key: u64) -> String {
     format!(r#"{{"purge":{{"key":"{key:016x}","at":{}}}}}"#, unix())
 }
 
 /// A list event of about so many bytes.
-pub fn large(bytes: usize, index: u64) -> String {
+pub(crate) fn large(bytes: usize, index: u64) -> String {
     let one = |i| {
         format!(
             r#"{{"name":"n{index}-{i}","address":"127.0.0.1:9","zone":"e","type":"s","group":0,"status":"gone","weight":1,"since_ms":0}}"#
@@ -59,9 +59,9 @@
 
 /// A connection between two that can be held: what is on it stays on it.
 #[derive(Clone, Default)]
-pub struct Holds {
-    pub to: Arc<AtomicBool>,
-    pub from: Arc<AtomicBool>,
+pub(crate) struct Holds {
+    pub(crate) to: Arc<AtomicBool>,
+    pub(crate) from: Arc<AtomicBool>,
 }
 
 fn pump(mut from: TcpStream, mut to: TcpStream, holds: Arc<AtomicBool>) {
@@ -77,7 +77,7 @@
     let _ = to.shutdown(Shutdown::Write);
 }
 
-pub fn proxy(at: SocketAddr, target: SocketAddr) -> Holds {
+pub(crate) fn proxy(at: SocketAddr, target: SocketAddr) -> Holds {
     let listener = TcpListener::bind(at).expect("a proxy's address");
     let holds = Holds::default();
     let own = holds.clone();
@@ -110,7 +110,7 @@
 ];
 
 /// Relays on addresses of their own, so that trials beside one another never meet.
-pub struct Tier {
+pub(crate) struct Tier {
     dir: TempDir,
     block: [u8; 2],
     voters: u32,
@@ -123,49 +123,49 @@
 
 impl Tier {
     /// `trial`: another at each.
-    pub fn new(trial: u8, voters: u32, plain: u32, keys: &str) -> Tier {
+    pub(crate) fn new(trial: u8, voters: u32, plain: u32, keys: &str) -> Tier {
         let block = [100 + trial, (std::process::id() % 251) as u8];
         let dir = TempDir::new().expect("a folder");
         let (links, children) = (BTreeMap::new(), BTreeMap::new());
         Tier { dir, block, voters, many: voters + plain, keys: keys.into(), links, children }
     }
 
-    pub fn start(trial: u8, voters: u32, plain: u32, keys: &str) -> Tier {
+    pub(crate) fn start(trial: u8, voters: u32, plain: u32, keys: &str) -> Tier {
         let mut tier = Tier::new(trial, voters, plain, keys);
         (0..tier.many).for_each(|n| tier.begin(n));
         tier
     }
 
-    pub fn ip(&self, last: u8) -> IpAddr {
+    pub(crate) fn ip(&self, last: u8) -> IpAddr {
         Ipv4Addr::new(127, self.block[0], self.block[1], last).into()
     }
 
-    pub fn at(&self, relay: u32) -> SocketAddr {
+    pub(crate) fn at(&self, relay: u32) -> SocketAddr {
         (self.ip(200 + relay as u8), 7_070).into()
     }
 
-    pub fn all(&self) -> Vec<SocketAddr> {
+    pub(crate) fn all(&self) -> Vec<SocketAddr> {
         (0..self.many).map(|n| self.at(n)).collect()
     }
 
     /// An outside control feed for all; to be set before they begin.
-    pub fn upstream(&mut self, at: SocketAddr) {
+    pub(crate) fn upstream(&mut self, at: SocketAddr) {
         self.keys += &format!(") (upstream (address . \"{at}\")");
     }
 
     /// A further listening address of the only relay, that of the reader of this name.
-    pub fn listens(&mut self, name: &str, at: SocketAddr) {
+    pub(crate) fn listens(&mut self, name: &str, at: SocketAddr) {
         self.keys += &format!(") (reader (name . \"{name}\") (address . \"{at}\")");
     }
 
     /// What one sends another goes by a link that can be held; to be set before it begins.
-    pub fn link(&mut self, from: u32, to: u32) -> Holds {
+    pub(crate) fn link(&mut self, from: u32, to: u32) -> Holds {
         let at = (self.ip(220 + from as u8), 8_000 + to as u16).into();
         self.links.insert((from, to), at);
         proxy(at, self.at(to))
     }
 
-    pub fn begin(&mut self, relay: u32) {
+    pub(crate) fn begin(&mut self, relay: u32) {
         let mut text = format!("(relay (number . {relay}) (listen . \"{}\")", self.at(relay));
         for (key, value) in FAST {
             // What the trial sets itself goes before it.
@@ -182,7 +182,7 @@
         let file = self.dir.path().join(format!("{relay}.scm"));
         std::fs::write(&file, text).expect("a settings file");
         let log = std::fs::File::options().create(true).append(true).open(self.log_file(relay));
-        let child = Command::new(env!("CARGO_BIN_EXE_tier-relay"))
+        let child = Command::new(env!("CARGO_BIN_EXE_test-relay"))
             .arg(&file)
             .stdin(Stdio::piped())
             .stdout(Stdio::null())
@@ -197,15 +197,15 @@
         self.dir.path().join(format!("{relay}.log"))
     }
 
-    pub fn log(&self, relay: u32) -> String {
+    pub(crate) fn log(&self, relay: u32) -> String {
         std::fs::read_to_string(self.log_file(relay)).unwrap_or_default()
     }
 
-    pub fn logs(&self) -> String {
+    pub(crate) fn logs(&self) -> String {
         (0..self.many).map(|n| format!("--- relay {n}\n{}", self.log(n))).collect()
     }
 
-    pub fn pid(&self, relay: u32) -> u32 {
+    pub(crate) fn pid(&self, relay: u32) -> u32 {
         self.children[&relay].id()
     }
 
@@ -214,27 +214,27 @@
         kill_process(pid, signal).expect("a signal");
     }
 
-    pub fn kill(&mut self, relay: u32) {
+    pub(crate) fn kill(&mut self, relay: u32) {
         let mut child = self.children.remove(&relay).expect("it runs");
         child.kill().and_then(|()| child.wait()).expect("it ends");
     }
 
-    pub fn stop(&self, relay: u32) {
+    pub(crate) fn stop(&self, relay: u32) {
         self.signal(relay, Signal::STOP);
     }
 
-    pub fn go_on(&self, relay: u32) {
+    pub(crate) fn go_on(&self, relay: u32) {
         self.signal(relay, Signal::CONT);
     }
 
     /// SIGTERM, and how it ended.
-    pub fn end(&mut self, relay: u32) -> Option<i32> {
+    pub(crate) fn end(&mut self, relay: u32) -> Option<i32> {
         self.signal(relay, Signal::TERM);
         let mut child = self.children.remove(&relay).expect("it runs");
         child.wait().expect("it ends").code()
     }
 
-    pub fn status(&self, relay: u32) -> Option<RelayStatus> {
+    pub(crate) fn status(&self, relay: u32) -> Option<RelayStatus> {
         let mut client = PeerClient::new(self.at(relay), ms(1_000), 1 << 24);
         let response = client.request("GET", "/v1/status", "", b"").ok()?;
         assert_eq!(response.code, 200);
@@ -242,7 +242,7 @@
     }
 
     /// The owner, once there is one beside those that are left out.
-    pub fn owner_but(&self, out: &[u32]) -> u32 {
+    pub(crate) fn owner_but(&self, out: &[u32]) -> u32 {
         let mut owner = None;
         let found = until(PATIENCE, || {
             let owns = |n: &u32| self.status(*n).is_some_and(|s| s.role == RelayRole::Leader);
@@ -253,28 +253,28 @@
         owner.expect("found")
     }
 
-    pub fn owner(&self) -> u32 {
+    pub(crate) fn owner(&self) -> u32 {
         self.owner_but(&[])
     }
 
-    pub fn publisher(&self) -> Publisher {
+    pub(crate) fn publisher(&self) -> Publisher {
         let voter = |n| MemberForm { number: n, address: self.at(n), votes: true };
         Publisher::new(&(0..self.voters).map(voter).collect::<Vec<_>>())
     }
 
     /// The list, as the first event of all.
-    pub fn listed(&self) -> Published {
+    pub(crate) fn listed(&self) -> Published {
         let mut published = Published::default();
         published.tell(&mut self.publisher(), "list", LIST);
         published
     }
 
-    pub fn reader(&self, name: u8, home: u32) -> Reader {
+    pub(crate) fn reader(&self, name: u8, home: u32) -> Reader {
         Reader::start(self.ip(name), self.at(home), &self.all())
     }
 
     /// So many readers, spread over all relays.
-    pub fn readers(&self, many: u8) -> Vec<Reader> {
+    pub(crate) fn readers(&self, many: u8) -> Vec<Reader> {
         (0..many).map(|i| self.reader(i + 1, u32::from(i) % self.many)).collect()
     }
 }
@@ -290,10 +290,10 @@
 
 /// What was answered with a number.
 #[derive(Default)]
-pub struct Published(pub BTreeMap<u64, String>);
+pub(crate) struct Published(pub(crate) BTreeMap<u64, String>);
 
 impl Published {
-    pub fn tell(&mut self, publisher: &mut Publisher, mark: &str, event: &str) -> u64 {
+    pub(crate) fn tell(&mut self, publisher: &mut Publisher, mark: &str, event: &str) -> u64 {
         let n = publisher.publish(mark, event.as_bytes(), PATIENCE).unwrap_or_else(|e| panic!("{mark}: {e}"));
         let before = self.0.insert(n, event.into());
         assert_eq!(before, None, "number {n} was given twice");
@@ -302,13 +302,13 @@
 }
 
 /// Publishes purges one after another until it is told to stop.
-pub struct Load {
+pub(crate) struct Load {
     stop: Arc<AtomicBool>,
     thread: JoinHandle<Published>,
 }
 
 impl Load {
-    pub fn start(mut publisher: Publisher, name: u64, pause: Duration) -> Load {
+    pub(crate) fn start(mut publisher: Publisher, name: u64, pause: Duration) -> Load {
         let stop = Arc::new(AtomicBool::new(false));
         let over = stop.clone();
         let thread = spawn(move || {
@@ -325,34 +325,34 @@
         Load { stop, thread }
     }
 
-    pub fn over(self) -> Published {
+    pub(crate) fn over(self) -> Published {
         self.stop.store(true, Ordering::Relaxed);
         self.thread.join().expect("all is published")
     }
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Got {
+pub(crate) struct Got {
     /// In the order in which they were taken.
-    pub events: Vec<(u64, String)>,
-    pub calls: u64,
-    pub failed: u64,
-    pub again: u64,
-    pub skipped: u64,
+    pub(crate) events: Vec<(u64, String)>,
+    pub(crate) calls: u64,
+    pub(crate) failed: u64,
+    pub(crate) again: u64,
+    pub(crate) skipped: u64,
 }
 
 impl Got {
-    pub fn last(&self) -> u64 {
+    pub(crate) fn last(&self) -> u64 {
         self.events.last().map_or(0, |(n, _)| *n)
     }
 }
 
 /// Follows feeds, as a director does: by `sablecross_discovery`.
-pub struct Reader {
-    pub got: Arc<Mutex<Got>>,
+pub(crate) struct Reader {
+    pub(crate) got: Arc<Mutex<Got>>,
     stop: Arc<AtomicBool>,
     /// It is away: it calls nobody.
-    pub away: Arc<AtomicBool>,
+    pub(crate) away: Arc<AtomicBool>,
 }
 
 impl Drop for Reader {
@@ -361,7 +361,7 @@
     }
 }
 
-pub fn dial(from: IpAddr, at: SocketAddr) -> std::io::Result<TcpStream> {
+pub(crate) fn dial(from: IpAddr, at: SocketAddr) -> std::io::Result<TcpStream> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.bind(&SocketAddr::new(from, 0).into())?;
     socket.connect_timeout(&at.into(), ms(1_000))?;
@@ -369,7 +369,7 @@
 }
 
 impl Reader {
-    pub fn start(name: IpAddr, home: SocketAddr, all: &[SocketAddr]) -> Reader {
+    pub(crate) fn start(name: IpAddr, home: SocketAddr, all: &[SocketAddr]) -> Reader {
         let reader = Reader { got: Arc::default(), stop: Arc::default(), away: Arc::default() };
         let (got, stop, away) = (reader.got.clone(), reader.stop.clone(), reader.away.clone());
         let (mut feeds, mut cursor) =
@@ -397,15 +397,15 @@
         reader
     }
 
-    pub fn last(&self) -> u64 {
+    pub(crate) fn last(&self) -> u64 {
         self.got.lock().expect("a lock").last()
     }
 
-    pub fn got(&self) -> Got {
+    pub(crate) fn got(&self) -> Got {
         self.got.lock().expect("a lock").clone()
     }
 
-    pub fn goes(&self, away: bool) {
+    pub(crate) fn goes(&self, away: bool) {
         self.away.store(away, Ordering::Relaxed);
     }
 }
@@ -469,7 +469,7 @@
 
 /// All readers come to this number, then each has every published event from the list on, in order, once and as it was published,
 /// and nobody has under a number what another does not.
-pub fn complete(readers: &[Reader], published: &Published, tier: &Tier) {
+pub(crate) fn complete(readers: &[Reader], published: &Published, tier: &Tier) {
     let last = *published.0.keys().last().expect("something was published");
     let come = until(PATIENCE, || readers.iter().all(|r| r.last() >= last));
     let at: Vec<u64> = readers.iter().map(Reader::last).collect();
@@ -498,7 +498,7 @@
 }
 
 /// Whether a voter refuses an event as one that is not the source, or not any more.
-pub fn refuses(tier: &Tier, relay: u32, event: &str) -> bool {
+pub(crate) fn refuses(tier: &Tier, relay: u32, event: &str) -> bool {
     let member = MemberForm { number: relay, address: tier.at(relay), votes: true };
     let said = Publisher::new(&[member]).publish("once", event.as_bytes(), Duration::ZERO);
     matches!(said, Err(PublishCallError::TimedOut { .. }))
--- a/crates/relay-server/tests/settings.rs
+++ b/crates/relay-server/tests/settings.rs
@@ -63,7 +63,7 @@
     let setting = RelayServerConfig::parse("r.scm", &text).expect("settings");
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     if limit.is_some_and(|l| l < setting.max_descriptors() as u64) {
-        let why = setting.check_descriptor_limit().expect_err("it does not fit");
+        let why = setting.check_descriptor_limit().expect_err("it does not fit").to_string();
         assert!(why.contains("relay.connections") && why.contains("descriptors"), "{why}");
     } else {
         assert_eq!(setting.check_descriptor_limit(), Ok(()));
--- a/crates/relay/tests/help/mod.rs
+++ b/crates/relay/tests/help/mod.rs
@@ -3,11 +3,11 @@
 
 use sablecross_relay::*;
 
-pub const MS: Ns = 1_000_000;
-pub const SEC: Ns = 1_000 * MS;
-pub const UNIX: u64 = 1_700_000_000_000;
+pub(crate) const MS: Ns = 1_000_000;
+pub(crate) const SEC: Ns = 1_000 * MS;
+pub(crate) const UNIX: u64 = 1_700_000_000_000;
 
-pub fn settings(name: &str, horizon: RetentionWindow, most_log: usize) -> RelayConfig {
+pub(crate) fn settings(name: &str, horizon: RetentionWindow, most_log: usize) -> RelayConfig {
     let (missed, forgotten) = (SEC, 3_600 * SEC);
     RelayConfig {
         name: name.into(),
@@ -20,7 +20,7 @@
     }
 }
 
-pub fn rules(voters: usize, defences: SafetyChecks) -> GroupConfig {
+pub(crate) fn rules(voters: usize, defences: SafetyChecks) -> GroupConfig {
     let seat = sablecross_coordination::LeaseConfig {
         voter_count: voters as u32,
         duration: 400 * MS,
@@ -40,32 +40,32 @@
     }
 }
 
-pub fn event(body: &str) -> Event {
+pub(crate) fn event(body: &str) -> Event {
     Event::parse(body.as_bytes(), 1 << 20).expect(body).1
 }
 
-pub fn purge(key: u64, at: u64) -> Event {
+pub(crate) fn purge(key: u64, at: u64) -> Event {
     event(&format!(r#"{{"purge":{{"key":"{key:016x}","at":{at}}}}}"#))
 }
 
-pub fn line(name: &str, status: &str) -> String {
+pub(crate) fn line(name: &str, status: &str) -> String {
     let rest = r#""address":"10.0.0.1:1","zone":"z","type":"std","group":0,"weight":4,"since_ms":0"#;
     format!(r#"{{"name":"{name}","status":"{status}",{rest}}}"#)
 }
 
-pub fn list(index: u64, whole: bool, lines: &[String]) -> Event {
+pub(crate) fn list(index: u64, whole: bool, lines: &[String]) -> Event {
     let lines = lines.join(",");
     event(&format!(r#"{{"members":{{"index":{index},"snapshot":{whole},"endpoints":[{lines}]}}}}"#))
 }
 
-pub fn hierarchy(version: u64) -> Event {
+pub(crate) fn hierarchy(version: u64) -> Event {
     let nodes =
         r#"[{"name":"o","tier":0,"capacity":9.0},{"name":"p","tier":1,"sources":["o"],"capacity":9.0}]"#;
     event(&format!(r#"{{"hierarchy":{{"head":{{"version":{version},"ceiling":9.0}},"nodes":{nodes}}}}}"#))
 }
 
 /// The numbers and events of bytes on the wire.
-pub fn blocks(out: Vec<u8>) -> Vec<(u64, String)> {
+pub(crate) fn blocks(out: Vec<u8>) -> Vec<(u64, String)> {
     let text = String::from_utf8(out).expect("text");
     let block = |b: &str| {
         let (id, data) = b.split_once("\ndata: ").expect("two lines");
--- a/crates/relay/tests/retention.rs
+++ b/crates/relay/tests/retention.rs
@@ -1,7 +1,7 @@
 //! The horizon against the real decision module: an older purge changes nothing that it decides, a younger
 //! one does.
 
-#[allow(dead_code)]
+#[allow(dead_code, unreachable_pub)]
 #[path = "../../../tests/help/mod.rs"]
 mod help;
 
