--- a/crates/director/src/wire/discovery_client.rs
+++ b/crates/director/src/wire/discovery_client.rs
@@ -236,7 +236,7 @@
             EventVerdict::Duplicate => Ok(()),
             EventVerdict::Resubscribe(why) => {
                 counters::add(&self.shared.counters.feed_gaps, 1);
-                Err(Over::Again(why))
+                Err(Over::Again(why.to_string()))
             }
             EventVerdict::Skip { number, reason: why } => {
                 counters::add(&self.shared.counters.feed_skipped, 1);
--- a/crates/discovery/src/event_stream.rs
+++ b/crates/discovery/src/event_stream.rs
@@ -1,196 +1,231 @@
-//! The answer to one call: an HTTP head, a body plain or in chunks, blocks of lines that an empty line ends.
+//! The response to one call: an HTTP head, then a body, plain or in chunks, of blocks of lines that end with an empty
+//! line.
 
 use thiserror::Error;
 
-/// What a feed says.
+const MAX_HEADERS: usize = 32;
+/// The line end that follows the data of a chunk.
+const CHUNK_END_LEN: usize = 2;
+
+/// What a feed sends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamItem {
-    /// The call was answered: events follow.
+    /// The call was accepted: events follow.
     Connected,
-    /// An event, with the number that stands before it if one does.
-    Event { id: Option<u64>, data: String },
-    /// A comment, which shows that the feed lives.
+    /// An event.
+    Event {
+        /// The number that precedes it, if one does.
+        id: Option<u64>,
+        /// Its JSON.
+        data: String,
+    },
+    /// A comment, which shows that the feed is up.
     Comment(String),
 }
 
 /// Why a call is over.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StreamError {
+    /// The status code is not 200.
     #[error("answer {0}")]
     UnexpectedStatus(u16),
+    /// The head isn't HTTP.
     #[error("not HTTP: {0}")]
     NotHttp(httparse::Error),
+    /// The length of a chunk can't be read.
     #[error("bad chunk")]
     BadChunk,
+    /// The last chunk has come.
     #[error("stream ended")]
     Ended,
+    /// The head or an event has too many bytes.
     #[error("an event is too long")]
     TooLong,
+    /// The connection was closed within the head.
     #[error("ended in its head")]
     EndedInHead,
 }
 
 #[derive(Debug)]
-enum Body {
-    /// The head is not whole yet.
+enum BodyState {
+    /// The head is not complete yet.
     Head,
     Plain,
-    /// Bytes left of this chunk; whether one was read, so that a line's end stands before the next.
-    Chunks {
+    Chunked {
+        /// Bytes left of the current chunk.
         left: usize,
-        begun: bool,
+        /// A chunk was read, so that its line end precedes the next one.
+        has_begun: bool,
     },
 }
 
-/// Reads one answer, as its bytes come.
+/// Where a block of lines ends.
+struct BlockEnd {
+    at: usize,
+    /// Bytes of the line ends.
+    len: usize,
+}
+
+/// Reads one response as its bytes come.
 #[derive(Debug)]
 pub struct EventStreamParser {
-    /// What has come, as it came, where it is not text yet.
+    /// The head, or chunks that are not unpacked.
     raw: Vec<u8>,
+    /// The text of the body.
     text: Vec<u8>,
-    /// Of the text: what was said, and up to where no block ends.
-    used: usize,
-    seen: usize,
-    body: Body,
-    most: usize,
+    /// How much of the text was returned as items.
+    consumed: usize,
+    /// Up to here the text has no further end of a block.
+    searched: usize,
+    body: BodyState,
+    max_bytes: usize,
 }
 
 impl EventStreamParser {
-    /// No head and no event is longer than `most` bytes.
-    pub fn new(most: usize) -> EventStreamParser {
-        EventStreamParser { raw: Vec::new(), text: Vec::new(), used: 0, seen: 0, body: Body::Head, most }
+    /// Neither the head nor an event may be longer than `max_bytes`.
+    pub fn new(max_bytes: usize) -> EventStreamParser {
+        EventStreamParser {
+            raw: Vec::new(),
+            text: Vec::new(),
+            consumed: 0,
+            searched: 0,
+            body: BodyState::Head,
+            max_bytes,
+        }
     }
 
-    /// More bytes have come.
+    /// Adds bytes that have come.
     pub fn push(&mut self, bytes: &[u8]) {
-        if matches!(self.body, Body::Plain) {
-            self.text.extend_from_slice(bytes);
-        } else {
-            self.raw.extend_from_slice(bytes);
-        }
+        let target = if matches!(self.body, BodyState::Plain) { &mut self.text } else { &mut self.raw };
+        target.extend_from_slice(bytes);
     }
 
-    /// The connection has ended; an error if that was within the head.
+    /// The connection was closed; an error if that was within the head.
     pub fn finish(&self) -> Result<(), StreamError> {
-        if matches!(self.body, Body::Head) { Err(StreamError::EndedInHead) } else { Ok(()) }
+        if matches!(self.body, BodyState::Head) { Err(StreamError::EndedInHead) } else { Ok(()) }
     }
 
-    /// Bytes that are kept for what has not come whole.
+    /// Bytes that are kept of what is not complete.
     pub fn buffered_bytes(&self) -> usize {
-        self.raw.len() + self.text.len() - self.used
+        self.raw.len() + self.text.len() - self.consumed
     }
 
-    /// The next thing that is said, if it has come whole.
+    /// The next item, if it is complete.
     pub fn next_item(&mut self) -> Result<Option<StreamItem>, StreamError> {
-        if matches!(self.body, Body::Head) {
-            return self.head();
+        if matches!(self.body, BodyState::Head) {
+            return self.parse_head();
         }
-        self.unchunk()?;
-        while let Some((at, width)) = self.block() {
-            let block = &self.text[self.used..at];
-            if block.len() > self.most {
+        self.unpack_chunks()?;
+        while let Some(end) = self.find_block_end() {
+            let block = &self.text[self.consumed..end.at];
+            if block.len() > self.max_bytes {
                 return Err(StreamError::TooLong);
             }
-            let said = read(block);
-            self.used = at + width;
-            self.seen = self.used;
-            if said.is_some() {
-                return Ok(said);
+            let item = parse_block(block);
+            self.consumed = end.at + end.len;
+            self.searched = self.consumed;
+            if item.is_some() {
+                return Ok(item);
             }
         }
-        self.text.drain(..self.used);
-        (self.seen, self.used) = (self.seen - self.used, 0);
-        if self.text.len() > self.most { Err(StreamError::TooLong) } else { Ok(None) }
+        self.text.drain(..self.consumed);
+        self.searched -= self.consumed;
+        self.consumed = 0;
+        if self.text.len() > self.max_bytes { Err(StreamError::TooLong) } else { Ok(None) }
     }
 
-    fn head(&mut self) -> Result<Option<StreamItem>, StreamError> {
-        let mut headers = [httparse::EMPTY_HEADER; 32];
-        let mut answer = httparse::Response::new(&mut headers);
-        match answer.parse(&self.raw) {
-            Ok(httparse::Status::Complete(length)) => {
-                if answer.code != Some(200) {
-                    return Err(StreamError::UnexpectedStatus(answer.code.unwrap_or(0)));
-                }
-                let chunked = answer.headers.iter().any(|h| {
-                    h.name.eq_ignore_ascii_case("transfer-encoding")
-                        && h.value.to_ascii_lowercase().ends_with(b"chunked")
-                });
-                self.raw.drain(..length);
-                if chunked {
-                    self.body = Body::Chunks { left: 0, begun: false };
-                } else {
-                    self.body = Body::Plain;
-                    self.text = std::mem::take(&mut self.raw);
-                }
-                Ok(Some(StreamItem::Connected))
-            }
-            Ok(httparse::Status::Partial) if self.raw.len() > self.most => Err(StreamError::TooLong),
-            Ok(httparse::Status::Partial) => Ok(None),
-            Err(e) => Err(StreamError::NotHttp(e)),
+    fn parse_head(&mut self) -> Result<Option<StreamItem>, StreamError> {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut response = httparse::Response::new(&mut headers);
+        let length = match response.parse(&self.raw).map_err(StreamError::NotHttp)? {
+            httparse::Status::Complete(length) => length,
+            httparse::Status::Partial if self.raw.len() > self.max_bytes => return Err(StreamError::TooLong),
+            httparse::Status::Partial => return Ok(None),
+        };
+        if response.code != Some(200) {
+            return Err(StreamError::UnexpectedStatus(response.code.unwrap_or(0)));
         }
+        let is_chunked = response.headers.iter().any(is_chunked_encoding);
+        self.raw.drain(..length);
+        if is_chunked {
+            self.body = BodyState::Chunked { left: 0, has_begun: false };
+        } else {
+            self.body = BodyState::Plain;
+            self.text = std::mem::take(&mut self.raw);
+        }
+        Ok(Some(StreamItem::Connected))
     }
 
-    /// Moves what has come in chunks to the text.
-    fn unchunk(&mut self) -> Result<(), StreamError> {
-        let Body::Chunks { left, begun } = &mut self.body else { return Ok(()) };
-        let mut from = 0;
-        let done = loop {
-            let come = &self.raw[from..];
+    /// Moves the data of chunks to the text.
+    fn unpack_chunks(&mut self) -> Result<(), StreamError> {
+        let BodyState::Chunked { left, has_begun } = &mut self.body else { return Ok(()) };
+        let mut used = 0;
+        let result = loop {
+            let rest = &self.raw[used..];
             if *left > 0 {
-                let n = come.len().min(*left);
+                let n = rest.len().min(*left);
                 if n == 0 {
                     break Ok(());
                 }
-                self.text.extend_from_slice(&come[..n]);
-                (*left, from) = (*left - n, from + n);
+                self.text.extend_from_slice(&rest[..n]);
+                *left -= n;
+                used += n;
                 continue;
             }
-            let skip = if *begun { 2 } else { 0 };
-            let Some(line) = come.get(skip..) else { break Ok(()) };
-            match httparse::parse_chunk_size(line) {
+            let line_end_len = if *has_begun { CHUNK_END_LEN } else { 0 };
+            let Some(size_line) = rest.get(line_end_len..) else { break Ok(()) };
+            match httparse::parse_chunk_size(size_line) {
                 Ok(httparse::Status::Complete((_, 0))) => break Err(StreamError::Ended),
                 Ok(httparse::Status::Complete((length, size))) => {
                     *left = usize::try_from(size).map_err(|_| StreamError::BadChunk)?;
-                    *begun = true;
-                    from += skip + length;
+                    *has_begun = true;
+                    used += line_end_len + length;
                 }
                 Ok(httparse::Status::Partial) => break Ok(()),
                 Err(_) => break Err(StreamError::BadChunk),
             }
         };
-        self.raw.drain(..from);
-        // What came whole before the end is said first.
-        if done.is_err() && self.block().is_some() { Ok(()) } else { done }
+        self.raw.drain(..used);
+        // What was complete before the end is returned first.
+        if result.is_err() && self.find_block_end().is_some() { Ok(()) } else { result }
     }
 
-    /// Where the first block ends that was not said, and how wide its end is.
-    fn block(&mut self) -> Option<(usize, usize)> {
+    /// The end of the first block that was not returned.
+    fn find_block_end(&mut self) -> Option<BlockEnd> {
         let text = &self.text;
-        let mut at = self.seen;
-        while let Some(n) = text[at..].iter().position(|b| *b == b'\n') {
-            let line = at + n;
-            if text[line + 1..].starts_with(b"\n") {
-                return Some((line, 2));
+        let mut start = self.searched;
+        while let Some(offset) = text[start..].iter().position(|byte| *byte == b'\n') {
+            let line_end = start + offset;
+            let rest = &text[line_end + 1..];
+            if rest.starts_with(b"\n") {
+                return Some(BlockEnd { at: line_end, len: 2 });
             }
-            if line > self.used && text[line - 1] == b'\r' && text[line + 1..].starts_with(b"\r\n") {
-                return Some((line - 1, 4));
+            if line_end > self.consumed && text[line_end - 1] == b'\r' && rest.starts_with(b"\r\n") {
+                return Some(BlockEnd { at: line_end - 1, len: 4 });
             }
-            if text.len() - line < 3 {
-                // Its end may still come.
-                self.seen = line;
+            if rest.len() < 2 {
+                // The block's end may still come.
+                self.searched = line_end;
                 return None;
             }
-            at = line + 1;
+            start = line_end + 1;
         }
-        self.seen = text.len();
+        self.searched = text.len();
         None
     }
 }
 
-/// What a block of lines says; nothing, if it is empty.
-fn read(block: &[u8]) -> Option<StreamItem> {
+fn is_chunked_encoding(header: &httparse::Header) -> bool {
+    header.name.eq_ignore_ascii_case("transfer-encoding")
+        && header.value.to_ascii_lowercase().ends_with(b"chunked")
+}
+
+/// What a block of lines says; nothing if it has neither data nor a comment.
+fn parse_block(block: &[u8]) -> Option<StreamItem> {
     let block = String::from_utf8_lossy(block);
-    let (mut id, mut data, mut comment) = (None, String::new(), None);
+    let mut id = None;
+    let mut data = String::new();
+    let mut comment = None;
     for line in block.lines() {
         let (field, value) = line.split_once(':').unwrap_or((line, ""));
         let value = value.strip_prefix(' ').unwrap_or(value);
@@ -203,7 +238,7 @@
         }
     }
     if data.is_empty() {
-        return comment.map(|c| StreamItem::Comment(c.to_owned()));
+        return comment.map(|comment| StreamItem::Comment(comment.to_owned()));
     }
     Some(StreamItem::Event { id, data })
 }
--- a/crates/discovery/src/feed_selector.rs
+++ b/crates/discovery/src/feed_selector.rs
@@ -1,72 +1,77 @@
-//! Which of several feeds, all with the same events under the same numbers, a reader calls.
+//! Which of several feeds, all with the same events under the same numbers, a subscriber calls.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Away from home, home is tried after this, and up to as much again by the reader's name: not all come back at once.
-const AWAY: Duration = Duration::from_secs(20);
+/// While another feed is followed, the home feed is tried after this, and up to as much again by the subscriber's
+/// name: not all return at once.
+const RETURN_DELAY: Duration = Duration::from_secs(20);
 
-/// The feeds of one reader: home first, then the others in an order of its own, so that the readers of one that is lost
-/// spread over all that are left.
+/// The feeds of one subscriber: its home feed first, then the others in an order of its own, so that the subscribers
+/// of a feed that is lost spread over all that are left.
+///
+/// Times count from any moment, the same for all calls.
 #[derive(Clone, Debug)]
 pub struct FeedSelector {
-    all: Vec<SocketAddr>,
-    at: usize,
-    own: u64,
-    /// When home is tried next, while another is followed; times count from any moment, the same for all calls.
-    home_due: Duration,
-    /// Home is being tried, and this one is to go on with if it fails.
-    back_to: Option<usize>,
-}
-
-fn hash(of: impl Hash) -> u64 {
-    let mut hasher = DefaultHasher::new();
-    of.hash(&mut hasher);
-    hasher.finish()
+    feeds: Vec<SocketAddr>,
+    current: usize,
+    /// Hash of the subscriber's name.
+    name_hash: u64,
+    /// When the home feed is tried next, while another one is followed.
+    home_due_at: Duration,
+    /// The home feed is being tried; this is the index of the feed to return to if it fails.
+    fallback: Option<usize>,
 }
 
 impl FeedSelector {
-    /// `name`: the reader's, another at each.
+    /// Begins with the home feed. `name` is the subscriber's, different at each.
     pub fn new(name: &str, home: SocketAddr, others: &[SocketAddr]) -> FeedSelector {
-        let own = hash(name);
-        let mut rest: Vec<SocketAddr> = others.iter().copied().filter(|a| *a != home).collect();
-        rest.sort_by_key(|at| (hash((own, at)), *at));
+        let name_hash = hash(name);
+        let mut rest: Vec<SocketAddr> = others.iter().copied().filter(|feed| *feed != home).collect();
+        rest.sort_by_key(|feed| (hash((name_hash, feed)), *feed));
         rest.dedup();
-        let all = std::iter::once(home).chain(rest).collect();
-        FeedSelector { all, at: 0, own, home_due: Duration::ZERO, back_to: None }
+        let feeds = std::iter::once(home).chain(rest).collect();
+        FeedSelector { feeds, current: 0, name_hash, home_due_at: Duration::ZERO, fallback: None }
     }
 
-    /// Whom to call now.
+    /// The feed to call now.
     pub fn current(&self) -> SocketAddr {
-        self.all[self.at]
+        self.feeds[self.current]
     }
 
-    /// It could not be reached, said nothing or refused: the next one is called.
+    /// The feed could not be reached, sent nothing or rejected the call: the next one is called.
     pub fn on_failed(&mut self, now: Duration) {
-        let next = (self.at + 1) % self.all.len();
-        if self.at == 0 {
-            self.home_due = now + self.away();
+        if self.current == 0 {
+            self.home_due_at = now + self.return_delay();
         }
-        self.at = self.back_to.take().unwrap_or(next);
+        let next = (self.current + 1) % self.feeds.len();
+        self.current = self.fallback.take().unwrap_or(next);
     }
 
-    /// The stream came to its end: the same one is called again, or home once that is due.
+    /// The stream came to its end: the same feed is called again, or the home feed once that is due.
     pub fn on_stream_ended(&mut self, now: Duration) {
-        if self.at != 0 && now >= self.home_due {
-            self.home_due = now + self.away();
-            self.back_to = Some(self.at);
-            self.at = 0;
+        if self.current != 0 && now >= self.home_due_at {
+            self.home_due_at = now + self.return_delay();
+            self.fallback = Some(self.current);
+            self.current = 0;
         }
     }
 
-    /// It answers: this one is followed.
+    /// The feed answers: it is followed.
     pub fn on_connected(&mut self) {
-        self.back_to = None;
+        self.fallback = None;
     }
 
-    fn away(&self) -> Duration {
-        AWAY + AWAY.mul_f64((self.own >> 32) as f64 / f64::from(u32::MAX))
+    fn return_delay(&self) -> Duration {
+        let fraction = (self.name_hash >> 32) as f64 / f64::from(u32::MAX);
+        RETURN_DELAY + RETURN_DELAY.mul_f64(fraction)
     }
 }
+
+fn hash(value: impl Hash) -> u64 {
+    let mut hasher = DefaultHasher::new();
+    value.hash(&mut hasher);
+    hasher.finish()
+}
--- a/crates/discovery/tests/feed.rs
+++ b/crates/discovery/tests/feed.rs
@@ -6,7 +6,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use sablecross_discovery::{
-    EventCursor, EventStreamParser, EventVerdict, FeedSelector, StreamError, StreamItem, events_request,
+    EventCursor, EventStreamParser, EventVerdict, FeedSelector, ResubscribeReason, StreamError, StreamItem,
+    events_request,
 };
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
@@ -115,17 +116,25 @@
 #[test]
 fn each_event_is_taken_once_and_a_gap_is_asked_for_once_more() {
     let mut c = EventCursor::after_number(3);
-    let fine = |n: u64| Ok((n, n));
+    let fine = |n: u64| Ok::<(u64, u64), String>((n, n));
     assert_eq!(c.classify(Some(3), fine(3)), EventVerdict::Duplicate);
     assert_eq!(c.classify(Some(4), fine(4)), EventVerdict::New(4));
-    assert_eq!(c.classify(Some(6), fine(6)), EventVerdict::Resubscribe("gap before=6".into()));
+    assert_eq!(c.classify(Some(6), fine(6)), EventVerdict::Resubscribe(ResubscribeReason::Gap { before: 6 }));
     assert_eq!(c.classify(Some(5), fine(5)), EventVerdict::New(5));
-    assert_eq!(c.classify(Some(9), fine(9)), EventVerdict::Resubscribe("gap before=9".into()));
+    assert_eq!(c.classify(Some(9), fine(9)), EventVerdict::Resubscribe(ResubscribeReason::Gap { before: 9 }));
     assert_eq!(c.classify(Some(9), fine(9)), EventVerdict::New(9));
+    assert_eq!(ResubscribeReason::Gap { before: 6 }.to_string(), "gap before=6");
+    assert_eq!(ResubscribeReason::Unreadable { before: 10 }.to_string(), "unreadable before=10");
     let bad = || Err::<(u64, u64), _>("no".to_owned());
-    assert_eq!(c.classify(Some(10), bad()), EventVerdict::Resubscribe("unreadable before=10".into()));
+    assert_eq!(
+        c.classify(Some(10), bad()),
+        EventVerdict::Resubscribe(ResubscribeReason::Unreadable { before: 10 })
+    );
     assert_eq!(c.classify(Some(10), bad()), EventVerdict::Skip { number: 10, reason: "no".into() });
-    assert_eq!(c.classify(None, bad()), EventVerdict::Resubscribe("unreadable before=0".into()));
+    assert_eq!(
+        c.classify(None, bad()),
+        EventVerdict::Resubscribe(ResubscribeReason::Unreadable { before: 0 })
+    );
     assert_eq!(c.classify(None, bad()), EventVerdict::Skip { number: 0, reason: "no".into() });
     assert_eq!(
         (c.last_number(), c.advance_if_next(12), c.advance_if_next(11), c.last_number()),
--- a/crates/relay-server/tests/processes/common.rs
+++ b/crates/relay-server/tests/processes/common.rs
@@ -456,7 +456,7 @@
                         EventVerdict::Duplicate => {}
                         EventVerdict::Resubscribe(why) => {
                             got.again += 1;
-                            return Err(why);
+                            return Err(why.to_string());
                         }
                         EventVerdict::Skip { .. } => got.skipped += 1,
                     }
