--- a/crates/relay/src/error.rs
+++ b/crates/relay/src/error.rs
@@ -10,11 +10,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PublishError {
     /// This relay is not the leader; the value is the one that is, if known.
-    #[error("not the source: {}", describe_leader(.0))]
+    #[error("not the leader: {}", describe_leader(.0))]
     NotLeader(Option<Member>),
     /// This relay lost its leadership before the event was committed; a later leader may commit it still.
     #[error(
-        "no longer the source: whether it will be told is not known; publish it again with the same mark"
+        "no longer the leader: whether the event will be committed is not known; publish it again with the same mark"
     )]
     LeadershipLost,
     /// The event is malformed.
@@ -24,7 +24,7 @@
     #[error(transparent)]
     LogFull(#[from] LogFull),
     /// The log has no complete list of endpoints to which the event could apply.
-    #[error("no whole list was published since the log began anew: publish that first")]
+    #[error("no complete list was published since the log was reset: publish that first")]
     NoList,
     /// The purge's timestamp is too far ahead of this clock.
     #[error("the purge was made {lead_ms} ms ahead of this clock, more than {max_ms}")]
@@ -40,5 +40,5 @@
 }
 
 fn describe_leader(leader: &Option<Member>) -> String {
-    leader.map_or("nobody is for now".into(), |member| format!("member {} is", member.number))
+    leader.map_or("nobody is now".into(), |member| format!("member {} is", member.number))
 }
--- a/crates/relay/src/event.rs
+++ b/crates/relay/src/event.rs
@@ -79,6 +79,15 @@
     body: String,
 }
 
+/// An event as it came in.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ParsedEvent {
+    /// Its number, if it has one.
+    pub number: Option<u64>,
+    /// The event without its number.
+    pub event: Event,
+}
+
 /// The endpoints of a list event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EndpointList {
@@ -100,8 +109,8 @@
 }
 
 impl Event {
-    /// Reads an event of at most `max_bytes`, and its number if it has one.
-    pub fn parse(text: &[u8], max_bytes: usize) -> Result<(Option<u64>, Event), EventError> {
+    /// Reads an event of at most `max_bytes`.
+    pub fn parse(text: &[u8], max_bytes: usize) -> Result<ParsedEvent, EventError> {
         if text.len() > max_bytes {
             return Err(EventError::TooLarge { bytes: text.len(), limit: max_bytes });
         }
@@ -122,7 +131,7 @@
         };
         // Line ends stand between values alone: within strings JSON has none.
         let body = format!("{{\"{key}\":{}}}", value.get().replace(['\n', '\r'], " "));
-        Ok((raw.n, Event { kind, body }))
+        Ok(ParsedEvent { number: raw.n, event: Event { kind, body } })
     }
 
     /// A list event that changes nothing: the first entry of a leader, and what stands for an event that nobody
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -19,6 +19,7 @@
 mod relay;
 mod replica_group;
 pub mod retention;
+mod snapshot;
 mod staleness;
 pub mod status;
 mod subscribers;
@@ -27,12 +28,13 @@
 pub use action::Action;
 pub use config::{GroupConfig, RelayConfig, SafetyChecks};
 pub use error::PublishError;
-pub use event::{Event, EventError};
-pub use log::{Log, LogEntry, Snapshot};
+pub use event::{Event, EventError, ParsedEvent};
+pub use log::{Log, LogEntry, LogFull};
 pub use messages::{EntryPosition, PeerAnswer, PeerCall, PeerReply, PeerRequest, ReplicaState};
-pub use relay::{ApplyOutcome, Relay, UpstreamCall};
+pub use relay::{ApplyOutcome, Relay, ResubscribeReason, UpstreamCall};
 pub use retention::RetentionWindow;
 pub use sablecross_coordination::{FencingToken, Member, Ns};
+pub use snapshot::{HierarchyEvent, Snapshot};
 pub use staleness::{Staleness, StalenessComment};
 pub use status::{
     AppliedSince, AppliedStatus, FleetView, MergedSubscriber, RelayRole, RelayStatus, SubscriberStatus,
--- a/crates/relay/src/messages.rs
+++ b/crates/relay/src/messages.rs
@@ -6,7 +6,8 @@
 use sablecross_coordination::{FencingToken, LeaseReply, LeaseRequest};
 use serde::{Deserialize, Serialize};
 
-use crate::log::{LogEntry, Snapshot};
+use crate::log::LogEntry;
+use crate::snapshot::Snapshot;
 
 /// An entry of the log by its number and the token of the leader that appended it. Two voters that have the
 /// same position have the same log up to there.
--- a/crates/relay/src/plain_relay.rs
+++ b/crates/relay/src/plain_relay.rs
@@ -6,8 +6,9 @@
 
 use crate::action::Action;
 use crate::event::{Event, EventError, EventKind, MAX_EVENT_NUMBER};
-use crate::log::{Log, Snapshot};
-use crate::relay::ApplyOutcome;
+use crate::log::Log;
+use crate::relay::{ApplyOutcome, ResubscribeReason};
+use crate::snapshot::Snapshot;
 use crate::staleness::Staleness;
 use crate::upstream_selector::UpstreamSelector;
 
@@ -51,24 +52,27 @@
             return ApplyOutcome::Duplicate;
         }
         let parsed = Event::parse(data, max_bytes);
-        let number = id.or(parsed.as_ref().ok().and_then(|(number, _)| *number));
+        let number = id.or(parsed.as_ref().ok().and_then(|parsed| parsed.number));
         let Some(number) = number else {
-            return ApplyOutcome::Resubscribe("an event has no number".into());
+            return ApplyOutcome::Resubscribe(ResubscribeReason::NoNumber);
         };
         if number <= last {
             return ApplyOutcome::Duplicate;
         }
         if number >= MAX_EVENT_NUMBER {
-            return ApplyOutcome::Resubscribe(EventError::NumberTooLarge(number).to_string());
+            let error = EventError::NumberTooLarge(number);
+            return ApplyOutcome::Resubscribe(ResubscribeReason::Unreadable(error));
         }
         let is_next = number == last + 1;
         match parsed {
-            Ok((_, event)) if is_next => self.append(&event, unix_ms),
+            Ok(parsed) if is_next => self.append(&parsed.event, unix_ms),
             parsed if self.gap_after != Some(last) => {
                 // Lost or cut on the way, most likely: it is asked for once more.
                 self.gap_after = Some(last);
-                let reason = parsed.err().map(|error| error.to_string());
-                ApplyOutcome::Resubscribe(reason.unwrap_or_else(|| format!("event {number} follows {last}")))
+                ApplyOutcome::Resubscribe(match parsed {
+                    Ok(_) => ResubscribeReason::Gap { number, last },
+                    Err(error) => ResubscribeReason::Unreadable(error),
+                })
             }
             Err(error) if is_next => {
                 let line = format!(
@@ -77,16 +81,14 @@
                 actions.push(Action::Log(line));
                 self.append(&Event::empty_update(), unix_ms)
             }
-            Err(error) => ApplyOutcome::Resubscribe(error.to_string()),
-            Ok((_, event)) if event.kind() == (EventKind::Members { is_snapshot: true }) => {
+            Err(error) => ApplyOutcome::Resubscribe(ResubscribeReason::Unreadable(error)),
+            Ok(parsed) if parsed.event.kind() == (EventKind::Members { is_snapshot: true }) => {
                 let first = last + 1;
                 let line = format!("events {first} to {number} have expired: the complete list is taken");
                 actions.push(Action::Log(line));
-                self.replace_log(number, &event)
-            }
-            Ok(_) => {
-                ApplyOutcome::Resubscribe(format!("event {number} follows {last}, and is no complete list"))
+                self.replace_log(number, &parsed.event)
             }
+            Ok(_) => ApplyOutcome::Resubscribe(ResubscribeReason::GapWithoutList { number, last }),
         }
     }
 
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -1,11 +1,12 @@
 //! One relay: a voter, or a plain relay that follows another one. Both send the same events on.
 
 use sablecross_coordination::{FencingToken, Member, Ns};
+use thiserror::Error;
 
 use crate::action::Action;
 use crate::config::{GroupConfig, RelayConfig};
 use crate::error::PublishError;
-use crate::event::Event;
+use crate::event::{Event, EventError};
 use crate::log::Log;
 use crate::messages::{PeerReply, PeerRequest};
 use crate::plain_relay::PlainRelay;
@@ -28,7 +29,34 @@
     Duplicate,
     /// Events are missing or unreadable, for this reason: the stream is to be ended, and the upstream called once
     /// more as [`Relay::upstream_to_follow`] says.
-    Resubscribe(String),
+    Resubscribe(ResubscribeReason),
+}
+
+/// Why the upstream is to be called once more.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum ResubscribeReason {
+    /// An event has no number.
+    #[error("an event has no number")]
+    NoNumber,
+    /// Events between `last` and `number` are missing.
+    #[error("event {number} follows {last}")]
+    Gap {
+        /// Number of the event that came.
+        number: u64,
+        /// The last number that was applied.
+        last: u64,
+    },
+    /// They are missing the second time as well, and the event is no complete list, which could take their place.
+    #[error("event {number} follows {last}, and is no complete list")]
+    GapWithoutList {
+        /// Number of the event that came.
+        number: u64,
+        /// The last number that was applied.
+        last: u64,
+    },
+    /// An event can't be read.
+    #[error(transparent)]
+    Unreadable(#[from] EventError),
 }
 
 /// How to call an upstream.
@@ -212,7 +240,7 @@
     ) -> Result<Vec<Action>, PublishError> {
         let Part::Voter(group) = &mut self.part else { return Err(PublishError::NotLeader(None)) };
         group.require_leader(now)?;
-        let (_, event) = Event::parse(json, self.config.max_event_bytes)?;
+        let event = Event::parse(json, self.config.max_event_bytes)?.event;
         group.publish(now, unix_ms, ticket, idempotency_key, event, self.config.max_log_bytes)
     }
 
--- a/crates/relay/src/replica_group/peer_requests.rs
+++ b/crates/relay/src/replica_group/peer_requests.rs
@@ -5,8 +5,9 @@
 use super::ReplicaGroup;
 use crate::action::Action;
 use crate::event::MAX_EVENT_NUMBER;
-use crate::log::{LogEntry, Snapshot};
+use crate::log::LogEntry;
 use crate::messages::{EntryPosition, PeerAnswer, PeerCall, PeerReply, PeerRequest};
+use crate::snapshot::Snapshot;
 
 /// The content of [`PeerCall::Append`].
 struct AppendCall {
--- a/crates/relay/src/replica_group/recovery.rs
+++ b/crates/relay/src/replica_group/recovery.rs
@@ -9,8 +9,9 @@
 use crate::action::Action;
 use crate::error::PublishError;
 use crate::event::Event;
-use crate::log::{HierarchyEvent, LogEntry, Snapshot};
+use crate::log::LogEntry;
 use crate::messages::{PeerCall, ReplicaState};
+use crate::snapshot::{HierarchyEvent, Snapshot};
 
 /// A voter that takes part with an incomplete log asks the others this many times less often: answers hold
 /// whole logs.
@@ -155,11 +156,10 @@
     }
 
     /// The first entry of the epoch, and the purges that are left.
-    fn append_after_reset(&mut self, token: FencingToken, purges: Vec<(String, Option<String>)>) {
+    fn append_after_reset(&mut self, token: FencingToken, purges: Vec<LogEntry>) {
         self.log.append(token, Event::empty_update(), None);
-        for (body, idempotency_key) in purges {
-            let entry = LogEntry { number: 0, token, body, idempotency_key };
-            if let Err(error) = self.log.append_entry(&entry) {
+        for purge in purges {
+            if let Err(error) = self.log.append_entry(&LogEntry { token, ..purge }) {
                 self.log_line(format!("log reset: an entry can't be read: {error}"));
             }
         }
--- a/crates/relay/src/replica_group/replica_log.rs
+++ b/crates/relay/src/replica_group/replica_log.rs
@@ -6,8 +6,9 @@
 use sablecross_coordination::FencingToken;
 
 use crate::event::{Event, EventError, EventKind};
-use crate::log::{Log, LogEntry, Snapshot};
+use crate::log::{Log, LogEntry};
 use crate::messages::EntryPosition;
+use crate::snapshot::Snapshot;
 
 #[derive(Debug)]
 struct UncommittedEntry {
@@ -93,7 +94,7 @@
 
     /// Appends an entry of another voter under the next number.
     pub(super) fn append_entry(&mut self, entry: &LogEntry) -> Result<(), EventError> {
-        let (_, event) = Event::parse(entry.body.as_bytes(), usize::MAX)?;
+        let event = Event::parse(entry.body.as_bytes(), usize::MAX)?.event;
         self.append(entry.token, event, entry.idempotency_key.clone());
         Ok(())
     }
--- a/crates/relay/src/retention.rs
+++ b/crates/relay/src/retention.rs
@@ -2,7 +2,7 @@
 //!
 //! The router bounds the age of cached copies by a purge for the time that nodes take to clear, and for
 //! `PURGE_HOLD_TIME` more. After that, no decision differs by whether the purge was received
-//! (`tests/horizon.rs` shows it against the router), so a log need not keep it.
+//! (`tests/retention.rs` shows it against the router), so a log need not keep it.
 
 use sablecross_coordination::Ns;
 
