--- a/crates/relay-server/src/peers.rs
+++ b/crates/relay-server/src/peers.rs
@@ -35,7 +35,7 @@
     /// The upstream has sent something, on the call with this number.
     UpstreamItems { call: u64, items: Vec<StreamItem> },
     /// The call is over; an error if its stream broke.
-    UpstreamEnded { call: u64, result: Result<(), String> },
+    UpstreamEnded { call: u64, result: Result<(), UpstreamError> },
     /// The report of the subscriber at this connection was forwarded.
     ReportForwarded { connection: usize, is_accepted: bool },
     /// The process is to stop.
@@ -154,10 +154,20 @@
     pub(crate) inbox: Inbox,
 }
 
-/// Why a call of an upstream ended.
+/// Why the stream of an upstream broke.
+#[derive(Debug, Error)]
+pub(crate) enum UpstreamError {
+    #[error(transparent)]
+    Io(#[from] std::io::Error),
+    #[error(transparent)]
+    Stream(#[from] StreamError),
+    #[error("silent")]
+    Silent,
+}
+
+/// How a call of an upstream ended, if it didn't fail.
 enum CallEnd {
     Clean,
-    Failed(String),
     /// There is another order.
     Replaced(UpstreamOrder),
     /// The event loop is gone.
@@ -171,18 +181,17 @@
         while let Some(order) = next.take() {
             let begun = Instant::now();
             let mut item_count = 0;
-            let end = self.call(order, &mut item_count).unwrap_or_else(|e| CallEnd::Failed(e.to_string()));
-            let result = match end {
-                CallEnd::LoopGone => return,
-                CallEnd::Replaced(later) => {
+            let result = match self.call(order, &mut item_count) {
+                Ok(CallEnd::LoopGone) => return,
+                Ok(CallEnd::Replaced(later)) => {
                     if begun.elapsed() < RETRY_DELAY {
                         std::thread::sleep(RETRY_DELAY);
                     }
                     next = Some(later);
                     continue;
                 }
-                CallEnd::Clean => Ok(()),
-                CallEnd::Failed(reason) => Err(reason),
+                Ok(CallEnd::Clean) => Ok(()),
+                Err(error) => Err(error),
             };
             // No loop without a delay.
             if result.is_err() || (item_count == 0 && begun.elapsed() < RETRY_DELAY) {
@@ -196,7 +205,7 @@
     }
 
     /// Reads the stream of one call to its end, and counts what came.
-    fn call(&self, order: UpstreamOrder, item_count: &mut usize) -> std::io::Result<CallEnd> {
+    fn call(&self, order: UpstreamOrder, item_count: &mut usize) -> Result<CallEnd, UpstreamError> {
         let mut stream = self.connect(order)?;
         let mut parser = EventStreamParser::new(self.max_bytes);
         let mut chunk = [0; READ_CHUNK];
@@ -207,23 +216,23 @@
             }
             match stream.read(&mut chunk) {
                 Ok(0) => {
-                    let end = parser.finish();
-                    return Ok(end.map_or_else(|e| CallEnd::Failed(e.to_string()), |()| CallEnd::Clean));
+                    parser.finish()?;
+                    return Ok(CallEnd::Clean);
                 }
                 Ok(n) => {
                     last_read = Instant::now();
                     parser.push(&chunk[..n]);
-                    if let Some(end) = self.report_items(order.call, &mut parser, item_count) {
+                    if let Some(end) = self.report_items(order.call, &mut parser, item_count)? {
                         return Ok(end);
                     }
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
                     if last_read.elapsed() > self.silence {
-                        return Ok(CallEnd::Failed("silent".into()));
+                        return Err(UpstreamError::Silent);
                     }
                 }
-                Err(e) => return Err(e),
+                Err(e) => return Err(e.into()),
             }
         }
     }
@@ -250,16 +259,17 @@
         call: u64,
         parser: &mut EventStreamParser,
         item_count: &mut usize,
-    ) -> Option<CallEnd> {
+    ) -> Result<Option<CallEnd>, StreamError> {
         let (items, error) = complete_items(parser);
         *item_count += items.len();
         if !items.is_empty() && !self.inbox.send(ServerEvent::UpstreamItems { call, items }) {
-            return Some(CallEnd::LoopGone);
+            return Ok(Some(CallEnd::LoopGone));
+        }
+        match error {
+            None => Ok(None),
+            Some(StreamError::Ended) => Ok(Some(CallEnd::Clean)),
+            Some(error) => Err(error),
         }
-        error.map(|error| match error {
-            StreamError::Ended => CallEnd::Clean,
-            error => CallEnd::Failed(error.to_string()),
-        })
     }
 }
 
--- a/crates/relay-server/src/server/events.rs
+++ b/crates/relay-server/src/server/events.rs
@@ -6,7 +6,7 @@
 use sablecross_relay::{Action, ApplyOutcome};
 
 use super::{INBOX_CAPACITY, Server, unix_ms};
-use crate::peers::{QueuedCall, ServerEvent, UpstreamOrder};
+use crate::peers::{QueuedCall, ServerEvent, UpstreamError, UpstreamOrder};
 
 impl Server {
     /// Takes in what the threads have reported.
@@ -57,10 +57,10 @@
         tracing::info!(connections = self.connections.len(), "relay status {text}");
     }
 
-    fn on_upstream_ended(&mut self, now: Ns, result: Result<(), String>) {
-        if let (Err(reason), Some(open)) = (result, self.upstream_call) {
+    fn on_upstream_ended(&mut self, now: Ns, result: Result<(), UpstreamError>) {
+        if let (Err(error), Some(open)) = (result, self.upstream_call) {
             if self.lost_upstreams.insert(open.address) {
-                tracing::warn!("relay upstream lost at={}: {reason}", open.address);
+                tracing::warn!("relay upstream lost at={}: {error}", open.address);
             }
             self.relay.on_upstream_failed(now);
         }
