--- a/crates/cli/src/relay.rs
+++ b/crates/cli/src/relay.rs
@@ -1,4 +1,4 @@
-//! `sablecross relay ...`: runs a relay, shows what the tier knows, publishes events.
+//! `sablecross relay ...`: runs a relay, shows what all relays know, publishes events.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -15,14 +15,14 @@
 use crate::Verdict;
 
 /// The longest status that is read.
-const LONGEST: usize = 64 << 20;
+const MAX_STATUS_BYTES: usize = 64 << 20;
 
 #[derive(Args)]
 pub struct Whom {
     /// The settings of any relay: all members are asked.
     #[arg(long)]
     settings: PathBuf,
-    /// Seconds that each is waited for; `publish`: that an owner is looked for.
+    /// Seconds that each is waited for; `publish`: that a leader is looked for.
     #[arg(long, default_value_t = 5.0)]
     time: f64,
 }
@@ -46,12 +46,12 @@
         #[arg(long)]
         json: bool,
     },
-    /// Publishes events, each as JSON without its number, and prints the numbers under which they are told.
+    /// Publishes events, each as JSON without its number, and prints their numbers.
     Publish {
         #[command(flatten)]
         whom: Whom,
-        /// By which the event is known again, so that it is told once however often it is published; several events
-        /// get this with -1, -2 and so on. By itself one is made up.
+        /// Idempotency key: the event is sent once however often it is published with it; several events get it with -1,
+        /// -2 and so on. Without it one is generated.
         #[arg(long)]
         mark: Option<String>,
         /// JSON, or @FILE
@@ -61,7 +61,7 @@
 }
 
 impl Whom {
-    fn time(&self) -> Duration {
+    fn timeout(&self) -> Duration {
         Duration::from_secs_f64(self.time.clamp(0.01, 3_600.0))
     }
 }
@@ -69,11 +69,11 @@
 pub fn run(command: &Command) -> Result<Verdict, Vec<String>> {
     match command {
         Command::Run { file, with_parent } => {
-            let setting = RelayServerConfig::load(file)?;
+            let config = RelayServerConfig::load(file)?;
             if *with_parent {
                 sablecross_relay_server::process::exit_with_parent();
             }
-            sablecross_relay_server::process::run(setting)
+            sablecross_relay_server::process::run(config)
                 .map_err(|e| vec![format!("{}: {e}", file.display())])?;
             Ok(Verdict::Well)
         }
@@ -82,8 +82,37 @@
     }
 }
 
-fn status(at: SocketAddr, time: Duration) -> Result<RelayStatus, String> {
-    let mut client = PeerClient::new(at, time, LONGEST);
+/// What the relays have answered.
+struct Answers {
+    statuses: Vec<RelayStatus>,
+    /// Relays that have not, by their numbers, and why.
+    silent: Vec<(u32, String)>,
+}
+
+/// Asks all members at once: one that hangs holds nobody up.
+fn fetch_statuses(members: &[MemberForm], timeout: Duration) -> Answers {
+    let results: Vec<(u32, Result<RelayStatus, String>)> = std::thread::scope(|scope| {
+        let fetches: Vec<_> = members
+            .iter()
+            .map(|member| (member.number, scope.spawn(move || fetch_status(member.address, timeout))))
+            .collect();
+        let joined = fetches
+            .into_iter()
+            .map(|(number, fetch)| (number, fetch.join().unwrap_or(Err("no answer".into()))));
+        joined.collect()
+    });
+    let mut answers = Answers { statuses: Vec::new(), silent: Vec::new() };
+    for (number, result) in results {
+        match result {
+            Ok(status) => answers.statuses.push(status),
+            Err(reason) => answers.silent.push((number, reason)),
+        }
+    }
+    answers
+}
+
+fn fetch_status(address: SocketAddr, timeout: Duration) -> Result<RelayStatus, String> {
+    let mut client = PeerClient::new(address, timeout, MAX_STATUS_BYTES);
     let response =
         client.request("GET", "/v1/status", "Connection: close\r\n", b"").map_err(|e| e.to_string())?;
     if response.code != 200 {
@@ -92,141 +121,143 @@
     serde_json::from_slice(&response.body).map_err(|e| format!("its status can't be read: {e}"))
 }
 
-fn unix() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
+fn unix_ms() -> u64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
+}
+
+fn age(since_unix_ms: u64) -> String {
+    format!("{:.1} s ago", seconds(unix_ms().saturating_sub(since_unix_ms)))
 }
 
-fn ago(unix_ms: u64) -> String {
-    format!("{:.1} s ago", unix().saturating_sub(unix_ms) as f64 / 1e3)
+fn seconds(ms: u64) -> f64 {
+    ms as f64 / 1e3
 }
 
 fn show(whom: &Whom, number: Option<u64>, as_json: bool) -> Result<Verdict, Vec<String>> {
-    let setting = RelayServerConfig::load(&whom.settings)?;
-    let time = whom.time();
-    // All at once: one that hangs holds nobody up.
-    let asked: Vec<_> = std::thread::scope(|all| {
-        let one = |m: &MemberForm| {
-            let m = *m;
-            (m, all.spawn(move || status(m.address, time)))
-        };
-        let threads: Vec<_> = setting.members.iter().map(one).collect();
-        let joined = threads.into_iter().map(|(m, t)| (m, t.join().unwrap_or(Err("no answer".into()))));
-        joined.collect()
-    });
-    let silent: Vec<(u32, String)> =
-        asked.iter().filter_map(|(m, s)| Some((m.number, s.as_ref().err()?.clone()))).collect();
-    let all: Vec<RelayStatus> = asked.into_iter().filter_map(|(_, s)| s.ok()).collect();
-    let whole = merge_statuses(&all);
-    let in_force = number.map(|n| whole.applied_status(n));
-    let owner = all.iter().any(|s| s.role == RelayRole::Leader);
-    let well = silent.is_empty() && (owner || setting.voters().next().is_none());
-    let well = well && in_force.as_ref().is_none_or(|f| f.missing.is_empty() && f.since_unix_ms.is_some());
+    let config = RelayServerConfig::load(&whom.settings)?;
+    let Answers { statuses, silent } = fetch_statuses(&config.members, whom.timeout());
+    let fleet = merge_statuses(&statuses);
+    let applied = number.map(|number| fleet.applied_status(number));
+    let has_leader = statuses.iter().any(|status| status.role == RelayRole::Leader);
+    let needs_leader = config.voters().next().is_some();
+    let is_applied =
+        applied.as_ref().is_none_or(|applied| applied.missing.is_empty() && applied.since_unix_ms.is_some());
+    let is_well = silent.is_empty() && (has_leader || !needs_leader) && is_applied;
     if as_json {
-        let silent: Vec<Value> = silent.iter().map(|(n, why)| json!({"number": n, "why": why})).collect();
-        let shown = json!({"relays": all, "silent": silent, "whole": whole, "in_force": in_force});
-        println!("{shown}");
-        return Ok(if well { Verdict::Well } else { Verdict::Refused });
-    }
-    for s in &all {
-        let fresh = s.staleness_ms.map_or("never".into(), |ms| format!("{:.1} s", ms as f64 / 1e3));
-        let (connected, missing) = (
-            s.subscribers.iter().filter(|r| r.connected).count(),
-            s.subscribers.iter().filter(|r| r.missing).count(),
-        );
-        let owner = s.leader.map_or("-".into(), |o| o.to_string());
-        println!(
-            "{:10} {:6} owner {owner} term {} fresh {fresh}  events {}..{} floor {} log {} KB  readers {connected}, {missing} missing",
-            s.name,
-            s.role,
-            s.term,
-            s.snapshot_number,
-            s.last_number,
-            s.floor,
-            s.log_bytes / 1_000
-        );
-        if let Some(ms) = s.recovering_ms {
-            println!("{:10} has begun anew and learns what was kept, for {:.1} s still", "", ms as f64 / 1e3);
+        let silent: Vec<Value> =
+            silent.iter().map(|(number, reason)| json!({"number": number, "why": reason})).collect();
+        println!("{}", json!({"relays": statuses, "silent": silent, "whole": fleet, "in_force": applied}));
+    } else {
+        statuses.iter().for_each(print_status);
+        for (number, reason) in &silent {
+            println!("relay-{number:<4} no answer: {reason}");
         }
-        if s.reset_unix_ms > 0 {
-            println!("{:10} the log began anew {}", "", ago(s.reset_unix_ms));
+        if let Some(applied) = applied {
+            print_applied(&applied, fleet.last_number);
         }
     }
-    for (number, why) in &silent {
-        println!("relay-{number:<4} no answer: {why}");
+    Ok(if is_well { Verdict::Well } else { Verdict::Refused })
+}
+
+fn print_status(status: &RelayStatus) {
+    let staleness = status.staleness_ms.map_or("never".into(), |ms| format!("{:.1} s", seconds(ms)));
+    let connected = status.subscribers.iter().filter(|subscriber| subscriber.connected).count();
+    let missing = status.subscribers.iter().filter(|subscriber| subscriber.missing).count();
+    let leader = status.leader.map_or("-".into(), |number| number.to_string());
+    println!(
+        "{:10} {:6} owner {leader} term {} fresh {staleness}  events {}..{} floor {} log {} KB  readers {connected}, {missing} missing",
+        status.name,
+        status.role,
+        status.term,
+        status.snapshot_number,
+        status.last_number,
+        status.floor,
+        status.log_bytes / 1_000
+    );
+    if let Some(ms) = status.recovering_ms {
+        println!("{:10} has restarted and recovers its log, for {:.1} s so far", "", seconds(ms));
     }
-    if let Some(f) = in_force {
-        print_in_force(&f, whole.last_number);
+    if status.reset_unix_ms > 0 {
+        println!("{:10} the log was reset {}", "", age(status.reset_unix_ms));
     }
-    Ok(if well { Verdict::Well } else { Verdict::Refused })
 }
 
-fn print_in_force(f: &AppliedStatus, last: u64) {
-    let n = f.number;
-    if n > last {
-        println!("{n}: not told yet, the last is {last}");
+fn print_applied(applied: &AppliedStatus, last: u64) {
+    let number = applied.number;
+    if number > last {
+        println!("{number}: not told yet, the last is {last}");
     }
-    match f.since_unix_ms {
-        Some(since) => println!("{n}: in force everywhere that counts since {since} ({})", ago(since)),
-        None if f.missing.is_empty() => {
-            println!("{n}: in force at all that are known; since when is not known")
+    match applied.since_unix_ms {
+        Some(since) => println!("{number}: in force everywhere that counts since {since} ({})", age(since)),
+        None if applied.missing.is_empty() => {
+            println!("{number}: in force at all that are known; since when is not known")
         }
-        None => println!("{n}: not in force everywhere"),
+        None => println!("{number}: not in force everywhere"),
     }
-    for MergedSubscriber { name, number, last_seen_unix_ms: heard_unix_ms, connected, relay } in &f.missing {
-        let how = if *connected { "connected" } else { "gone" };
-        match heard_unix_ms {
-            Some(heard) => {
-                println!("  missing at {name}: has {number}, {how}, heard {} by {relay}", ago(*heard))
-            }
-            None => println!("  missing at {name}: never heard, expected by {relay}"),
+    applied.missing.iter().for_each(print_missing);
+}
+
+fn print_missing(subscriber: &MergedSubscriber) {
+    let MergedSubscriber { name, number, last_seen_unix_ms, connected, relay } = subscriber;
+    let state = if *connected { "connected" } else { "gone" };
+    match last_seen_unix_ms {
+        Some(seen) => {
+            println!("  missing at {name}: has {number}, {state}, last seen {} by {relay}", age(*seen))
         }
+        None => println!("  missing at {name}: never seen, expected by {relay}"),
     }
 }
 
-/// The text of an event, checked here before anything is published.
-fn event(place: usize, text: &str, most: usize) -> Result<Vec<u8>, String> {
+/// Reads an event of the command line and checks it before anything is published.
+fn read_event(index: usize, text: &str, max_bytes: usize) -> Result<Vec<u8>, String> {
     let (name, text) = match text.strip_prefix('@') {
         Some(file) => {
-            let read = std::fs::read(Path::new(file)).map_err(|e| format!("{file}: {e}"))?;
-            (file.to_owned(), read)
+            let text = std::fs::read(Path::new(file)).map_err(|e| format!("{file}: {e}"))?;
+            (file.to_owned(), text)
         }
-        None => (format!("event {}", place + 1), text.as_bytes().to_vec()),
+        None => (format!("event {}", index + 1), text.as_bytes().to_vec()),
     };
-    Event::parse(&text, most).map_err(|e| format!("{name}: {e}"))?;
+    Event::parse(&text, max_bytes).map_err(|e| format!("{name}: {e}"))?;
     Ok(text)
 }
 
-fn publish(whom: &Whom, mark: Option<&str>, events: &[String]) -> Result<Verdict, Vec<String>> {
-    let setting = RelayServerConfig::load(&whom.settings)?;
-    if setting.voters().next().is_none() {
-        return Err(vec![format!("{}: no member votes: nobody takes events", whom.settings.display())]);
-    }
-    let read = events.iter().enumerate().map(|(i, text)| event(i, text, setting.relay.event_bytes));
-    let (mut bodies, mut faults) = (Vec::new(), Vec::new());
-    for one in read {
-        match one {
-            Ok(body) => bodies.push(body),
-            Err(why) => faults.push(why),
+/// All events, or a line for each that can't be used.
+fn read_events(texts: &[String], max_bytes: usize) -> Result<Vec<Vec<u8>>, Vec<String>> {
+    let mut events = Vec::new();
+    let mut errors = Vec::new();
+    for (index, text) in texts.iter().enumerate() {
+        match read_event(index, text, max_bytes) {
+            Ok(event) => events.push(event),
+            Err(error) => errors.push(error),
         }
     }
-    if !faults.is_empty() {
-        return Err(faults);
+    if errors.is_empty() { Ok(events) } else { Err(errors) }
+}
+
+fn publish(whom: &Whom, mark: Option<&str>, texts: &[String]) -> Result<Verdict, Vec<String>> {
+    let config = RelayServerConfig::load(&whom.settings)?;
+    if config.voters().next().is_none() {
+        return Err(vec![format!("{}: no member votes: nobody takes events", whom.settings.display())]);
     }
-    let made = format!("{}-{}", unix(), std::process::id());
-    let voters: Vec<MemberForm> = setting.voters().copied().collect();
+    let events = read_events(texts, config.relay.event_bytes)?;
+    let generated = format!("{}-{}", unix_ms(), std::process::id());
+    let voters: Vec<MemberForm> = config.voters().copied().collect();
     let mut publisher = Publisher::new(&voters);
-    for (i, body) in bodies.iter().enumerate() {
-        let mark = match mark {
-            Some(mark) if bodies.len() == 1 => mark.to_owned(),
-            Some(mark) => format!("{mark}-{}", i + 1),
-            None => format!("{made}-{}", i + 1),
+    for (index, event) in events.iter().enumerate() {
+        let position = index + 1;
+        let key = match mark {
+            Some(mark) if events.len() == 1 => mark.to_owned(),
+            Some(mark) => format!("{mark}-{position}"),
+            None => format!("{generated}-{position}"),
         };
-        match publisher.publish(&mark, body, whom.time()) {
-            Ok(n) => println!("{n}"),
-            Err(no) => {
-                eprintln!("event {} of {}: {no}", i + 1, bodies.len());
-                if let PublishCallError::TimedOut { .. } = no {
-                    eprintln!("whether it will be told is not known: publish it again with --mark {mark}");
+        match publisher.publish(&key, event, whom.timeout()) {
+            Ok(number) => println!("{number}"),
+            Err(error) => {
+                eprintln!("event {position} of {}: {error}", events.len());
+                if let PublishCallError::TimedOut { .. } = error {
+                    eprintln!(
+                        "whether it will be committed is not known: publish it again with --mark {key}"
+                    );
                 }
                 return Ok(Verdict::Refused);
             }
