--- a/crates/relay/tests/cases.rs
+++ b/crates/relay/tests/cases.rs
@@ -1,4 +1,4 @@
-//! Single cases of the log, of readers and of a relay in a chain.
+//! Single cases of the log, of subscribers and of plain relays.
 
 mod help;
 
@@ -8,69 +8,70 @@
 use sablecross_relay::log::LogFull;
 use sablecross_relay::*;
 
-const HORIZON: RetentionWindow = RetentionWindow {
+const RETENTION: RetentionWindow = RetentionWindow {
     purge_propagation: 6 * SEC,
     hold_time: retention::PURGE_HOLD_TIME,
     clock_tolerance: 4 * SEC,
 };
-/// Past the horizon, in ms.
-const OVER: u64 = 130_000;
-const STEP: u64 = 10_000;
+/// After so many ms an event has expired.
+const EXPIRED_MS: u64 = 130_000;
+/// The snapshot moves in steps of so many ms.
+const STEP_MS: u64 = 10_000;
 
-fn push(log: &mut Log, event: &Event, unix: u64) -> u64 {
+fn append(log: &mut Log, event: &Event, unix: u64) -> u64 {
     log.append(event, FencingToken::default(), None, unix)
 }
 
-/// The numbers and bodies that a reader with this number is told in one go.
-fn told(log: &mut Log, cursor: u64, most: usize) -> (u64, Vec<(u64, String)>) {
+/// The numbers and bodies that a subscriber with this number is sent at once.
+fn sent(log: &mut Log, cursor: u64, max_bytes: usize) -> (u64, Vec<(u64, String)>) {
     let mut out = Vec::new();
-    let upto = log.encode_after(cursor, most, &mut out);
+    let up_to = log.encode_after(cursor, max_bytes, &mut out);
     let read = |(n, data): (u64, String)| {
         let ParsedEvent { number, event } = Event::parse(data.as_bytes(), 1 << 20).expect("an event");
         assert_eq!(number, Some(n));
         (n, event.body().to_owned())
     };
-    (upto, blocks(out).into_iter().map(read).collect())
+    (up_to, parse_frames(out).into_iter().map(read).collect())
 }
 
-/// Five list events and a hierarchy, then a purge that binds for longer.
+/// List events, purges and a hierarchy; the purge with number 6 expires 50 s after the rest.
 fn aged() -> Log {
-    let mut log = Log::new(HORIZON);
-    push(&mut log, &list(1, true, &[line("a", "ready"), line("b", "ready")]), UNIX);
-    push(&mut log, &purge(1, UNIX), UNIX);
-    push(&mut log, &list(2, false, &[line("c", "ready")]), UNIX);
-    push(&mut log, &list(3, false, &[line("a", "draining"), line("b", "gone")]), UNIX);
-    push(&mut log, &hierarchy(7), UNIX);
-    push(&mut log, &purge(2, UNIX + 50_000), UNIX);
-    push(&mut log, &purge(3, UNIX), UNIX);
+    let mut log = Log::new(RETENTION);
+    append(&mut log, &list(1, true, &[line("a", "ready"), line("b", "ready")]), UNIX);
+    append(&mut log, &purge(1, UNIX), UNIX);
+    append(&mut log, &list(2, false, &[line("c", "ready")]), UNIX);
+    append(&mut log, &list(3, false, &[line("a", "draining"), line("b", "gone")]), UNIX);
+    append(&mut log, &hierarchy(7), UNIX);
+    append(&mut log, &purge(2, UNIX + 50_000), UNIX);
+    append(&mut log, &purge(3, UNIX), UNIX);
     log
 }
 
 #[test]
 fn the_bytes_on_the_wire_are_those_of_the_protocol() {
-    let mut log = Log::new(HORIZON);
-    push(&mut log, &event("{\"purge\" : {\"group\":17,\n \"at\":5}}"), UNIX);
+    let mut log = Log::new(RETENTION);
+    append(&mut log, &event("{\"purge\" : {\"group\":17,\n \"at\":5}}"), UNIX);
     let mut out = b"before".to_vec();
     assert_eq!(log.encode_after(0, 0, &mut out), 1);
     assert_eq!(
         String::from_utf8_lossy(&out),
         "beforeid: 1\ndata: {\"n\":1,\"purge\":{\"group\":17,  \"at\":5}}\n\n"
     );
-    assert_eq!(log.encode_after(1, 0, &mut out), 1, "nothing to tell");
-    assert_eq!(log.encode_after(9, 0, &mut out), 9, "a reader that is ahead waits");
+    assert_eq!(log.encode_after(1, 0, &mut out), 1, "nothing to send");
+    assert_eq!(log.encode_after(9, 0, &mut out), 9, "a subscriber that is ahead waits");
 }
 
 #[test]
-fn the_base_moves_past_what_is_over() {
+fn compaction_moves_expired_events_into_the_snapshot() {
     let mut log = aged();
-    log.compact(UNIX + OVER - 1);
-    assert_eq!((log.snapshot().number, log.endpoint_count()), (0, Some(2)), "all binds still");
-    log.compact(UNIX + OVER + STEP - 1);
+    log.compact(UNIX + EXPIRED_MS - 1);
+    assert_eq!((log.snapshot().number, log.endpoint_count()), (0, Some(2)), "nothing has expired");
+    log.compact(UNIX + EXPIRED_MS + STEP_MS - 1);
     assert_eq!(log.snapshot().number, 0, "it moves in steps");
-    log.compact(UNIX + OVER + STEP);
-    // 6 binds for 50 s more.
+    log.compact(UNIX + EXPIRED_MS + STEP_MS);
+    // 6 is active for 50 s more.
     assert_eq!((log.snapshot().number, log.last_number()), (5, 7));
-    log.compact(UNIX + OVER + 50_000 + STEP);
+    log.compact(UNIX + EXPIRED_MS + 50_000 + STEP_MS);
     assert_eq!((log.snapshot().number, log.last_number()), (7, 7));
     let members: Vec<&String> = log.snapshot().members.keys().collect();
     assert_eq!(members, ["a", "c"], "b has gone");
@@ -78,17 +79,17 @@
 }
 
 #[test]
-fn one_that_is_behind_the_base_gets_list_and_hierarchy_and_what_binds() {
+fn one_that_is_behind_the_snapshot_gets_list_hierarchy_and_active_purges() {
     let mut log = aged();
-    log.compact(UNIX + OVER + 50_000 + STEP);
-    push(&mut log, &purge(4, UNIX + OVER), UNIX + OVER + 50_000);
-    let whole = list(3, true, &[line("a", "draining"), line("c", "ready")]).body().to_owned();
+    log.compact(UNIX + EXPIRED_MS + 50_000 + STEP_MS);
+    append(&mut log, &purge(4, UNIX + EXPIRED_MS), UNIX + EXPIRED_MS + 50_000);
+    let complete = list(3, true, &[line("a", "draining"), line("c", "ready")]).body().to_owned();
     let at = |n: u64| match n {
         5 => (5, hierarchy(7).body().to_owned()),
-        8 => (8, purge(4, UNIX + OVER).body().to_owned()),
-        n => (n, whole.clone()),
+        8 => (8, purge(4, UNIX + EXPIRED_MS).body().to_owned()),
+        n => (n, complete.clone()),
     };
-    // (it has, it is told): the list once more under 4, so that who has no more of it misses nothing at a
+    // What it has, what it is sent: the list once more under 4, so that who gets no further misses nothing at a
     // relay that is behind.
     let cases: [(u64, &[u64]); 7] = [
         (0, &[4, 5, 7, 8]),
@@ -101,13 +102,13 @@
     ];
     for (cursor, numbers) in cases {
         let all: Vec<_> = numbers.iter().map(|n| at(*n)).collect();
-        assert_eq!(told(&mut log, cursor, 1 << 20), (8, all), "after {cursor}");
+        assert_eq!(sent(&mut log, cursor, 1 << 20), (8, all), "after {cursor}");
     }
-    // In small batches the base comes as one whole, and not alone.
-    assert_eq!(told(&mut log, 0, 10).0, 8);
+    // In small batches the snapshot comes in one piece, and not alone.
+    assert_eq!(sent(&mut log, 0, 10).0, 8);
 }
 
-/// List and hierarchy of a reader that took these.
+/// List and hierarchy of a subscriber that applied these.
 fn state<'a>(events: impl Iterator<Item = &'a (u64, String)>) -> (BTreeMap<String, String>, Option<String>) {
     let (mut members, mut hierarchy) = (BTreeMap::new(), None);
     for (_, body) in events {
@@ -128,91 +129,94 @@
 }
 
 #[test]
-fn wherever_a_base_breaks_off_a_relay_with_a_lower_one_tells_the_rest() {
+fn wherever_a_snapshot_breaks_off_a_relay_with_a_lower_one_sends_the_rest() {
     let mut behind = aged();
-    push(&mut behind, &list(4, false, &[line("d", "ready"), line("a", "gone")]), UNIX);
+    append(&mut behind, &list(4, false, &[line("d", "ready"), line("a", "gone")]), UNIX);
     let mut ahead = behind.clone();
-    ahead.compact(UNIX + OVER + 50_000 + STEP);
+    ahead.compact(UNIX + EXPIRED_MS + 50_000 + STEP_MS);
     assert_eq!((behind.snapshot().number, ahead.snapshot().number), (0, 8));
-    let all = told(&mut behind, 0, 1 << 20).1;
+    let all = sent(&mut behind, 0, 1 << 20).1;
     for has in 0..all.len() {
-        let base = told(&mut ahead, has as u64, 1 << 20).1;
-        for breaks in 0..=base.len() {
-            let some = || all[..has].iter().chain(&base[..breaks]);
-            let rest = told(&mut behind, some().last().map_or(0, |e| e.0), 1 << 20).1;
+        let snapshot = sent(&mut ahead, has as u64, 1 << 20).1;
+        for breaks in 0..=snapshot.len() {
+            let some = || all[..has].iter().chain(&snapshot[..breaks]);
+            let rest = sent(&mut behind, some().last().map_or(0, |e| e.0), 1 << 20).1;
             assert_eq!(
                 state(some().chain(&rest)),
                 state(all.iter()),
-                "{has} events, base breaks at {breaks}"
+                "{has} events, snapshot breaks at {breaks}"
             );
         }
     }
 }
 
 #[test]
-fn what_was_old_as_it_came_goes_after_two_steps() {
-    // An hour that a region was cut off: told again at once, most of it binds nobody.
-    let mut log = Log::new(HORIZON);
-    push(&mut log, &list(1, true, &[]), UNIX - 3_600_000);
-    (0..3_600).for_each(|i| assert!(push(&mut log, &purge(i, UNIX - 3_600_000 + i * 1_000), UNIX) > 1));
+fn what_was_expired_as_it_came_goes_after_two_steps() {
+    // An hour that a region was cut off comes at once: most of it has expired.
+    let mut log = Log::new(RETENTION);
+    append(&mut log, &list(1, true, &[]), UNIX - 3_600_000);
+    (0..3_600).for_each(|i| assert!(append(&mut log, &purge(i, UNIX - 3_600_000 + i * 1_000), UNIX) > 1));
     log.compact(UNIX);
-    log.compact(UNIX + 2 * STEP - 1);
-    assert_eq!(log.snapshot().number, 1, "readers in step are told");
-    log.compact(UNIX + 2 * STEP);
-    assert_eq!(log.last_number() - log.snapshot().number, 109, "what binds");
+    log.compact(UNIX + 2 * STEP_MS - 1);
+    assert_eq!(log.snapshot().number, 1, "subscribers that are nearly up to date are sent it");
+    log.compact(UNIX + 2 * STEP_MS);
+    assert_eq!(log.last_number() - log.snapshot().number, 109, "the active ones are left");
 }
 
 #[test]
-fn one_that_is_behind_the_base_catches_up_while_purges_go_on() {
-    let mut log = Log::new(HORIZON);
+fn one_that_is_behind_the_snapshot_catches_up_while_purges_go_on() {
+    let mut log = Log::new(RETENTION);
     let lines: Vec<String> = (0..490).map(|i| line(&format!("s{i}"), "ready")).collect();
-    push(&mut log, &list(1, true, &lines), UNIX);
-    // 35 purges a second, batches of 16 KB every 100 ms, each of which the base is larger than.
-    let (mut cursor, mut bases, mut bytes, mut caught_up) = (0, 0, 0, None);
+    append(&mut log, &list(1, true, &lines), UNIX);
+    // 35 purges a second, batches of 16 KB every 100 ms, each smaller than the snapshot.
+    let (mut cursor, mut snapshots, mut bytes, mut caught_up) = (0, 0, 0, None);
     for tick in 0..2_000 {
         let unix = UNIX + tick * 100;
-        (0..3 + tick % 2).for_each(|i| assert!(push(&mut log, &purge(tick * 9 + i, unix), unix) > 1));
+        (0..3 + tick % 2).for_each(|i| assert!(append(&mut log, &purge(tick * 9 + i, unix), unix) > 1));
         log.compact(unix);
         if tick < 1_600 || caught_up.is_some() {
             continue;
         }
-        let (upto, events) = told(&mut log, cursor, 16_384);
-        cursor = upto;
-        bases += events.iter().filter(|(_, b)| b.starts_with("{\"members")).count();
+        let (up_to, events) = sent(&mut log, cursor, 16_384);
+        cursor = up_to;
+        snapshots += events.iter().filter(|(_, b)| b.starts_with("{\"members")).count();
         bytes += events.iter().map(|(_, b)| b.len()).sum::<usize>();
         caught_up = (cursor == log.last_number()).then_some(tick - 1_600);
     }
-    assert!(bases <= 2 && caught_up.is_some_and(|t| t < 40), "{bases} bases, {bytes} bytes, {caught_up:?}");
+    assert!(
+        snapshots <= 2 && caught_up.is_some_and(|t| t < 40),
+        "{snapshots} snapshots, {bytes} bytes, {caught_up:?}"
+    );
 }
 
 #[test]
-fn bursts_and_large_events_go_out_in_batches_to_fast_and_slow_readers() {
-    let mut log = Log::new(HORIZON);
-    push(&mut log, &list(1, true, &[]), UNIX);
+fn bursts_and_large_events_go_out_in_batches_to_fast_and_slow_subscribers() {
+    let mut log = Log::new(RETENTION);
+    append(&mut log, &list(1, true, &[]), UNIX);
     for key in 0..1_000 {
-        push(&mut log, &purge(key, UNIX), UNIX);
+        append(&mut log, &purge(key, UNIX), UNIX);
     }
     let large: Vec<String> = (0..300).map(|i| line(&format!("s{i}"), "ready")).collect();
-    push(&mut log, &list(2, false, &large), UNIX);
-    push(&mut log, &purge(1, UNIX), UNIX);
-    // In step all get the same bytes, whoever is behind gets them later.
+    append(&mut log, &list(2, false, &large), UNIX);
+    append(&mut log, &purge(1, UNIX), UNIX);
+    // All get the same bytes, whoever is behind gets them later.
     let (mut slow, mut fast, mut all) = (1, 1, Vec::new());
     let mut largest = 0;
     while fast < log.last_number() {
-        let (upto, events) = told(&mut log, fast, 16_384);
+        let (up_to, events) = sent(&mut log, fast, 16_384);
         let bytes: usize = events.iter().map(|(_, b)| b.len()).sum();
         assert!(bytes <= 16_384 || events.len() == 1, "{} of {bytes} bytes", events.len());
         largest = largest.max(bytes);
-        fast = upto;
+        fast = up_to;
         all.extend(events);
     }
     assert!(largest > 30_000, "the large one goes alone: {largest}");
     assert_eq!(all.iter().map(|e| e.0).collect::<Vec<_>>(), (2..=1_003).collect::<Vec<_>>());
     let mut theirs = Vec::new();
     while slow < log.last_number() {
-        let (upto, events) = told(&mut log, slow, 1);
+        let (up_to, events) = sent(&mut log, slow, 1);
         assert_eq!(events.len(), 1);
-        slow = upto;
+        slow = up_to;
         theirs.extend(events);
     }
     assert_eq!(theirs, all);
@@ -224,17 +228,17 @@
 }
 
 #[test]
-fn a_mark_is_known_as_long_as_its_event_is_kept() {
-    let mut log = Log::new(HORIZON);
-    push(&mut log, &list(1, true, &[]), UNIX);
+fn an_idempotency_key_is_known_as_long_as_its_event_is_kept() {
+    let mut log = Log::new(RETENTION);
+    append(&mut log, &list(1, true, &[]), UNIX);
     assert_eq!(log.append(&purge(1, UNIX), FencingToken::default(), Some("m"), UNIX), 2);
     assert_eq!(log.number_of_key("m"), Some(2));
-    log.compact(UNIX + OVER + STEP);
+    log.compact(UNIX + EXPIRED_MS + STEP_MS);
     assert_eq!(log.number_of_key("m"), None);
 }
 
 #[test]
-fn faulty_events_are_refused_with_what_and_where() {
+fn malformed_events_are_rejected_with_what_and_where() {
     let endpoint = |l: &str| {
         format!(r#"{{"members":{{"index":1,"snapshot":true,"endpoints":[{},{l}]}}}}"#, line("a", "ready"))
     };
@@ -253,16 +257,16 @@
         (r#"{"hierarchy":{"head":{}}}"#.to_owned(), "hierarchy: missing field"),
         (format!(r#"{{"purge":{{"key":"12","at":5}}}}{}"#, " ".repeat(200)), "has 229 bytes, more than 200"),
     ];
-    for (text, why) in cases {
-        let most = if text.len() == 229 { 200 } else { 1 << 16 };
-        let fault = Event::parse(text.as_bytes(), most).expect_err(&text).to_string();
-        assert!(fault.contains(why), "{text}: {fault}");
+    for (text, reason) in cases {
+        let max_bytes = if text.len() == 229 { 200 } else { 1 << 16 };
+        let error = Event::parse(text.as_bytes(), max_bytes).expect_err(&text).to_string();
+        assert!(error.contains(reason), "{text}: {error}");
     }
     assert!(matches!(Event::parse(b"{\"purge\":{\"key\":\"\xff\"}}", 100), Err(EventError::InvalidJson(_))));
 }
 
 #[test]
-fn the_floor_waits_for_all_that_speak_and_never_falls() {
+fn the_floor_waits_for_all_that_report_and_never_falls() {
     let mut r = Subscribers::new(10 * SEC, 3_600 * SEC, 3);
     r.expect(0, "c");
     r.connected(0, "a", 5);
@@ -283,7 +287,7 @@
         (missing[0].name.as_str(), missing[0].number, missing[0].last_seen_age_ms),
         ("a", 5, Some(11_000))
     );
-    // One that comes anew lowers nothing, and is waited for before the floor rises.
+    // A new one lowers nothing, and is waited for before the floor rises.
     r.connected(11 * SEC, "d", 0);
     assert_eq!(r.floor(11 * SEC, 12), 9);
     r.connected(12 * SEC, "d", 12);
@@ -294,62 +298,62 @@
         (0..20).for_each(|_| r.disconnected(name));
     }
     r.floor(4_000 * SEC, 12);
-    assert!(r.statuses(4_000 * SEC).is_empty(), "forgotten");
+    assert!(r.statuses(4_000 * SEC).is_empty(), "removed");
 }
 
 #[test]
-fn a_reader_that_moves_counts_where_it_was_heard_last() {
-    let view = |name: &str, number, ago| SubscriberStatus {
+fn a_subscriber_that_moves_counts_where_it_was_last_seen() {
+    let seen = |name: &str, number, age| SubscriberStatus {
         name: name.into(),
         number,
-        last_seen_age_ms: ago,
+        last_seen_age_ms: age,
         connected: false,
         missing: false,
     };
-    let status = |name: &str, last, passed: &[(u64, u64)], readers| RelayStatus {
+    let status = |name: &str, last, history: &[(u64, u64)], subscribers| RelayStatus {
         name: name.into(),
         unix_ms: UNIX,
         last_number: last,
-        floor_history: passed.iter().copied().map(AppliedSince::from).collect(),
-        subscribers: readers,
+        floor_history: history.iter().copied().map(AppliedSince::from).collect(),
+        subscribers,
         ..RelayStatus::default()
     };
-    let whole = merge_statuses(&[
+    let fleet = merge_statuses(&[
         status(
             "r0",
             20,
             &[(10, 100), (20, 200)],
-            vec![view("d1", 9, Some(5_000)), view("r1", 3, Some(1)), view("d2", 0, None)],
+            vec![seen("d1", 9, Some(5_000)), seen("r1", 3, Some(1)), seen("d2", 0, None)],
         ),
         status(
             "r1",
             20,
             &[(12, 90)],
-            vec![view("d1", 20, Some(10)), view("d2", 20, Some(60_000)), view("d3", 4, Some(9_000))],
+            vec![seen("d1", 20, Some(10)), seen("d2", 20, Some(60_000)), seen("d3", 4, Some(9_000))],
         ),
     ]);
     let names: Vec<(&str, u64, &str)> =
-        whole.subscribers.iter().map(|r| (r.name.as_str(), r.number, r.relay.as_str())).collect();
+        fleet.subscribers.iter().map(|r| (r.name.as_str(), r.number, r.relay.as_str())).collect();
     assert_eq!(
         names,
         [("d1", 20, "r1"), ("d2", 20, "r1"), ("d3", 4, "r1"), ("r0", 20, "r0"), ("r1", 20, "r1")]
     );
-    assert_eq!(whole.applied_status(4).missing, []);
-    assert_eq!(whole.applied_status(11).since_unix_ms, Some(90));
-    let late = whole.applied_status(20);
+    assert_eq!(fleet.applied_status(4).missing, []);
+    assert_eq!(fleet.applied_status(11).since_unix_ms, Some(90));
+    let late = fleet.applied_status(20);
     assert_eq!((late.since_unix_ms, late.missing.len()), (Some(200), 1));
     assert_eq!(late.missing[0].last_seen_unix_ms, Some(UNIX - 9_000));
-    assert_eq!(whole.applied_status(21).since_unix_ms, None);
+    assert_eq!(fleet.applied_status(21).since_unix_ms, None);
 }
 
 #[test]
-fn relays_that_follow_one_another_in_a_circle_grow_old_together() {
+fn relays_that_follow_one_another_in_a_circle_grow_stale_together() {
     let mut ages = [Staleness::unknown(); 3];
     ages[0].record(SEC, 0, Some(FencingToken { term: 4, holder: Member { number: 2, incarnation: 9 } }));
     for s in 2..60 {
         for i in 0..3 {
-            let told = ages[(i + 2) % 3].to_comment(s * SEC);
-            let comment = Staleness::parse_comment(&told).expect("a comment of a relay");
+            let comment = ages[(i + 2) % 3].to_comment(s * SEC);
+            let comment = Staleness::parse_comment(&comment).expect("a comment of a relay");
             ages[i].record(s * SEC + 20 * MS, comment.age, comment.leader);
         }
     }
@@ -361,55 +365,58 @@
     assert_eq!(Staleness::unknown().to_comment(5), ": fresh - owner - term -\n\n");
 }
 
-fn plain(many: usize) -> Relay {
-    Relay::plain(settings("p", HORIZON, 1 << 20), UpstreamSelector::new(many, 3 * SEC, 5 * SEC, 60 * SEC, 0))
+fn plain(upstreams: usize) -> Relay {
+    Relay::plain(
+        relay_config("p", RETENTION, 1 << 20),
+        UpstreamSelector::new(upstreams, 3 * SEC, 5 * SEC, 60 * SEC, 0),
+    )
 }
 
 #[test]
-fn a_plain_relay_turns_from_a_stale_upstream_and_home_again() {
+fn a_plain_relay_leaves_a_stale_upstream_and_returns_to_the_first() {
     let mut r = plain(3);
     let at = |r: &mut Relay, s: u64| {
         r.step(s * SEC, UNIX);
         r.upstream_to_follow(s * SEC).map(|call| call.upstream)
     };
     assert_eq!(at(&mut r, 4), Some(0), "it is given time");
-    assert_eq!(at(&mut r, 6), Some(1), "it never said that it is fresh");
+    assert_eq!(at(&mut r, 6), Some(1), "it has not shown that it is up to date");
     r.on_upstream_comment(7 * SEC, ": fresh 100 owner 1 term 3");
     assert_eq!(at(&mut r, 10), Some(1));
     r.on_upstream_comment(11 * SEC, ": fresh 4000 owner 1 term 3");
-    assert_eq!(at(&mut r, 12), Some(2), "its word is old");
+    assert_eq!(at(&mut r, 12), Some(2), "it is stale");
     r.on_upstream_failed(13 * SEC);
     assert_eq!(at(&mut r, 13), Some(0));
     r.on_upstream_failed(13 * SEC);
     for s in 14..=74 {
-        r.on_upstream_comment(s * SEC, ": a word of an outside feed");
+        r.on_upstream_comment(s * SEC, ": a comment of an outside feed");
         assert_eq!(at(&mut r, s), Some(if s <= 73 { 1 } else { 0 }), "at {s} s");
     }
 }
 
 #[test]
-fn a_plain_relay_takes_a_gap_the_second_time_and_keeps_numbers_past_what_it_cannot_read() {
+fn a_plain_relay_accepts_a_gap_the_second_time_and_keeps_numbers_past_what_it_cannot_read() {
     let mut r = plain(1);
-    let tell = |r: &mut Relay, n: u64, e: &Event| {
+    let receive = |r: &mut Relay, n: u64, e: &Event| {
         let frame = String::from_utf8(e.to_frame(n)).expect("text");
         let data = frame.split_once("data: ").expect("data").1.trim_end().to_owned();
         r.on_upstream_event(SEC, UNIX, Some(n), data.as_bytes())
     };
-    let whole = list(9, true, &[line("a", "ready")]);
-    assert!(matches!(tell(&mut r, 4, &whole), ApplyOutcome::Resubscribe(_)));
-    assert_eq!(tell(&mut r, 4, &whole), ApplyOutcome::Applied);
-    assert_eq!(tell(&mut r, 5, &hierarchy(3)), ApplyOutcome::Applied);
-    assert!(matches!(tell(&mut r, 9, &whole), ApplyOutcome::Resubscribe(_)));
-    assert_eq!(tell(&mut r, 9, &whole), ApplyOutcome::Applied);
+    let complete = list(9, true, &[line("a", "ready")]);
+    assert!(matches!(receive(&mut r, 4, &complete), ApplyOutcome::Resubscribe(_)));
+    assert_eq!(receive(&mut r, 4, &complete), ApplyOutcome::Applied);
+    assert_eq!(receive(&mut r, 5, &hierarchy(3)), ApplyOutcome::Applied);
+    assert!(matches!(receive(&mut r, 9, &complete), ApplyOutcome::Resubscribe(_)));
+    assert_eq!(receive(&mut r, 9, &complete), ApplyOutcome::Applied);
     assert_eq!(r.log().snapshot().hierarchy.as_ref().map(|h| h.number), Some(5));
-    assert_eq!(tell(&mut r, 9, &whole), ApplyOutcome::Duplicate);
-    assert_eq!(tell(&mut r, 10, &purge(1, UNIX)), ApplyOutcome::Applied);
-    assert!(matches!(tell(&mut r, 12, &purge(3, UNIX)), ApplyOutcome::Resubscribe(_)));
+    assert_eq!(receive(&mut r, 9, &complete), ApplyOutcome::Duplicate);
+    assert_eq!(receive(&mut r, 10, &purge(1, UNIX)), ApplyOutcome::Applied);
+    assert!(matches!(receive(&mut r, 12, &purge(3, UNIX)), ApplyOutcome::Resubscribe(_)));
     assert!(
-        matches!(tell(&mut r, 12, &purge(3, UNIX)), ApplyOutcome::Resubscribe(_)),
-        "no whole list: never past a purge"
+        matches!(receive(&mut r, 12, &purge(3, UNIX)), ApplyOutcome::Resubscribe(_)),
+        "no complete list: never past a purge"
     );
-    assert_eq!(tell(&mut r, 11, &purge(2, UNIX)), ApplyOutcome::Applied);
+    assert_eq!(receive(&mut r, 11, &purge(2, UNIX)), ApplyOutcome::Applied);
     assert!(matches!(
         r.on_upstream_event(SEC, UNIX, Some(12), b"{\"n\":12,\"pur"),
         ApplyOutcome::Resubscribe(_)
@@ -421,13 +428,13 @@
     );
     let mut out = Vec::new();
     assert_eq!(r.encode_after(9, 1 << 20, &mut out), 12);
-    let nothing = String::from_utf8(Event::empty_update().to_frame(12)).expect("text");
-    assert!(String::from_utf8_lossy(&out).ends_with(&nothing));
-    // It calls with what its readers have, and passes over what it is told again.
+    let empty = String::from_utf8(Event::empty_update().to_frame(12)).expect("text");
+    assert!(String::from_utf8_lossy(&out).ends_with(&empty));
+    // It calls with what its subscribers have applied, and skips what it is sent again.
     r.on_subscriber_connected(2 * SEC, UNIX, "d", 12);
-    assert_eq!(tell(&mut r, 13, &purge(4, UNIX)), ApplyOutcome::Applied);
+    assert_eq!(receive(&mut r, 13, &purge(4, UNIX)), ApplyOutcome::Applied);
     assert_eq!(r.upstream_to_follow(2 * SEC), Some(UpstreamCall { upstream: 0, applied_number: 12 }));
-    assert_eq!(tell(&mut r, 13, &purge(4, UNIX)), ApplyOutcome::Duplicate);
+    assert_eq!(receive(&mut r, 13, &purge(4, UNIX)), ApplyOutcome::Duplicate);
     r.on_subscriber_connected(3 * SEC, UNIX, "d", 13);
     assert_eq!(r.upstream_to_follow(3 * SEC), Some(UpstreamCall { upstream: 0, applied_number: 13 }));
 }
--- a/crates/relay/tests/schedules.rs
+++ b/crates/relay/tests/schedules.rs
@@ -115,7 +115,7 @@
             batch_interval: rng.random_range(0..=20) * MS,
             max_call_bytes: if rng.random_bool(0.5) { 300 } else { 1 << 16 },
             reset_timeout: if forgetful { 2 * SEC } else { Ns::MAX },
-            ..rules(voters, defences)
+            ..group_config(voters, defences)
         };
         let (loss, double, late) =
             (0.2 * rng.random::<f64>(), 0.15 * rng.random::<f64>(), 0.3 * rng.random::<f64>());
@@ -151,7 +151,7 @@
         let life = self.lives;
         let offset = self.rng.random_range(0..1_000_000) * MS;
         let now = self.now + offset;
-        let set = settings(&format!("r{place}"), HORIZON, 1 << 20);
+        let set = relay_config(&format!("r{place}"), HORIZON, 1 << 20);
         let relay = if place < self.voters {
             let me = Member { number: place as u32, incarnation: life };
             Relay::voter(set, me, place as u32, self.rules.clone(), self.rng.random(), now)
@@ -306,7 +306,7 @@
             return (cursor, Vec::new());
         }
         let upto = self.all[from].relay.encode_after(cursor, most, &mut out);
-        (upto, blocks(out))
+        (upto, parse_frames(out))
     }
 
     fn plain(&mut self, of: usize) {
