--- a/crates/relay/tests/schedules.rs
+++ b/crates/relay/tests/schedules.rs
@@ -1,7 +1,7 @@
-//! Schedules by chance: voters, plain relays, publishers and directors, with messages late, lost, doubled and
-//! out of order, links cut one way, processes stopped that wake late, and restarts without memory.
+//! Random schedules: voters, plain relays, publishers and directors, with messages late, lost, duplicated and out of
+//! order, links cut one way, processes stopped that wake late, and restarts without memory.
 //!
-//! `SABLECROSS_RELAY_SCHEDULES=N` plays so many.
+//! `SABLECROSS_RELAY_SCHEDULES=N` runs so many.
 
 mod help;
 
@@ -12,55 +12,62 @@
 use rand_pcg::Pcg32;
 use sablecross_relay::*;
 
-/// The Unix clock runs so much faster, so that horizons are short.
-const FAST: u64 = 20;
+/// The Unix clock runs so many times faster, so that the retention time is short.
+const UNIX_CLOCK_FACTOR: u64 = 20;
 /// Some 1.2 simulated seconds.
-const HORIZON: RetentionWindow =
+const RETENTION: RetentionWindow =
     RetentionWindow { purge_propagation: 0, hold_time: 24 * SEC, clock_tolerance: 0 };
 const TICK: Ns = 5 * MS;
 const FAULTS_END: Ns = 4_000 * MS;
-/// Whatever happened, all is well again by then.
+/// Whatever happened, all have recovered by then.
 const END: Ns = 14_000 * MS;
 
+/// The relay that is read, the cursor, and since when.
+type Stream = (usize, u64, Ns);
+
 #[derive(Clone, Debug)]
 enum Message {
     Request(PeerRequest),
     Reply(PeerReply),
 }
 
-struct Letter {
+/// A message on its way.
+struct Envelope {
     from: usize,
     to: usize,
-    /// The life of the caller: what comes back to another one is lost with its connection.
-    life: u64,
-    number: u64,
+    /// The incarnation of the caller: a reply to an earlier one is lost with its connection.
+    incarnation: u64,
+    call_id: u64,
     message: Message,
 }
 
 struct Process {
     relay: Relay,
-    life: u64,
+    incarnation: u64,
+    /// How far its clock is ahead.
     offset: Ns,
-    stopped: Ns,
+    stopped_until: Ns,
     /// For plain relays: the upstream that is called, and the cursor of that stream.
-    stream: Option<(usize, u64, Ns)>,
-    told: u64,
+    stream: Option<Stream>,
+    /// Up to here its committed entries are checked.
+    checked: u64,
 }
 
 #[derive(Default)]
 struct Director {
     last: u64,
-    at: Option<(usize, u64, Ns)>,
-    gap: Option<u64>,
+    stream: Option<Stream>,
+    gap_after: Option<u64>,
     list: BTreeSet<String>,
     hierarchy: Option<String>,
-    heard: Ns,
+    last_seen: Ns,
 }
 
-struct Order {
+/// An event that is published until it has a number.
+struct Publication {
     body: String,
-    mark: String,
-    asked: Option<Ns>,
+    key: String,
+    sent_at: Option<Ns>,
     number: Option<u64>,
 }
 
@@ -68,25 +75,29 @@
     rng: Pcg32,
     now: Ns,
     voters: usize,
-    rules: GroupConfig,
-    all: Vec<Process>,
-    letters: BTreeMap<(Ns, u64), Letter>,
-    sent: u64,
+    config: GroupConfig,
+    processes: Vec<Process>,
+    /// Messages by the time at which they arrive.
+    in_flight: BTreeMap<(Ns, u64), Envelope>,
+    messages_sent: u64,
+    /// Links that are cut, and until when.
     cut: BTreeMap<(usize, usize), Ns>,
     directors: Vec<Director>,
-    orders: Vec<Order>,
-    truth: BTreeMap<u64, String>,
-    loss: f64,
-    double: f64,
-    late: f64,
+    publications: Vec<Publication>,
+    /// What each number means: what the first voter committed under it.
+    committed: BTreeMap<u64, String>,
+    loss_rate: f64,
+    duplicate_rate: f64,
+    delay_rate: f64,
     /// Majorities may forget too.
     forgetful: bool,
-    lives: u64,
-    fault: Option<String>,
-    harm: bool,
+    incarnations: u64,
+    failure: Option<String>,
+    injects_faults: bool,
 }
 
-fn fold(list: &mut BTreeSet<String>, hierarchy: &mut Option<String>, body: &str) {
+/// Applies an event to a list and a hierarchy.
+fn apply(list: &mut BTreeSet<String>, hierarchy: &mut Option<String>, body: &str) {
     if body.starts_with("{\"purge") {
         return;
     }
@@ -107,111 +118,114 @@
 }
 
 impl World {
-    fn new(seed: u64, defences: SafetyChecks, forgetful: bool) -> World {
+    fn new(seed: u64, safety_checks: SafetyChecks, forgetful: bool) -> World {
         let mut rng = Pcg32::seed_from_u64(seed);
         let voters = rng.random_range(3..=5usize);
         let plain = rng.random_range(1..=2usize);
-        let rules = GroupConfig {
+        let config = GroupConfig {
             batch_interval: rng.random_range(0..=20) * MS,
             max_call_bytes: if rng.random_bool(0.5) { 300 } else { 1 << 16 },
             reset_timeout: if forgetful { 2 * SEC } else { Ns::MAX },
-            ..group_config(voters, defences)
+            ..group_config(voters, safety_checks)
         };
-        let (loss, double, late) =
+        let (loss_rate, duplicate_rate, delay_rate) =
             (0.2 * rng.random::<f64>(), 0.15 * rng.random::<f64>(), 0.3 * rng.random::<f64>());
         let mut w = World {
             now: 0,
             voters,
-            rules,
-            all: Vec::new(),
-            letters: BTreeMap::new(),
-            sent: 0,
+            config,
+            processes: Vec::new(),
+            in_flight: BTreeMap::new(),
+            messages_sent: 0,
             cut: BTreeMap::new(),
             directors: (0..4).map(|_| Director::default()).collect(),
-            orders: Vec::new(),
-            truth: BTreeMap::new(),
-            loss,
-            double,
-            late,
+            publications: Vec::new(),
+            committed: BTreeMap::new(),
+            loss_rate,
+            duplicate_rate,
+            delay_rate,
             forgetful,
-            lives: 0,
-            fault: None,
-            harm: true,
+            incarnations: 0,
+            failure: None,
+            injects_faults: true,
             rng,
         };
-        for place in 0..voters + plain {
-            let process = w.begin(place);
-            w.all.push(process);
+        for index in 0..voters + plain {
+            let process = w.start(index);
+            w.processes.push(process);
         }
         w
     }
 
-    fn begin(&mut self, place: usize) -> Process {
-        self.lives += 1;
-        let life = self.lives;
+    fn start(&mut self, index: usize) -> Process {
+        self.incarnations += 1;
+        let incarnation = self.incarnations;
         let offset = self.rng.random_range(0..1_000_000) * MS;
         let now = self.now + offset;
-        let set = relay_config(&format!("r{place}"), HORIZON, 1 << 20);
-        let relay = if place < self.voters {
-            let me = Member { number: place as u32, incarnation: life };
-            Relay::voter(set, me, place as u32, self.rules.clone(), self.rng.random(), now)
+        let relay_config = relay_config(&format!("r{index}"), RETENTION, 1 << 20);
+        let relay = if index < self.voters {
+            let member = Member { number: index as u32, incarnation };
+            Relay::voter(relay_config, member, index as u32, self.config.clone(), self.rng.random(), now)
         } else {
             let upstream = UpstreamSelector::new(self.voters, 600 * MS, 500 * MS, 5_000 * MS, now);
-            Relay::plain(set, upstream)
+            Relay::plain(relay_config, upstream)
         };
-        Process { relay, life, offset, stopped: 0, stream: None, told: 0 }
+        Process { relay, incarnation, offset, stopped_until: 0, stream: None, checked: 0 }
     }
 
     fn unix(&self) -> u64 {
-        UNIX + self.now / MS * FAST
+        UNIX + self.now / MS * UNIX_CLOCK_FACTOR
     }
 
-    fn wrong(&mut self, what: String) {
-        if self.fault.is_none() {
-            self.fault = Some(format!("at {} ms: {what}", self.now / MS));
+    fn fail(&mut self, what: String) {
+        if self.failure.is_none() {
+            self.failure = Some(format!("at {} ms: {what}", self.now / MS));
         }
     }
 
-    fn send(&mut self, letter: Letter) {
-        let cut = self.cut.get(&(letter.from, letter.to)).is_some_and(|until| self.now < *until);
-        if cut || self.harm && self.rng.random_bool(self.loss) {
+    fn send(&mut self, envelope: Envelope) {
+        let cut = self.cut.get(&(envelope.from, envelope.to)).is_some_and(|until| self.now < *until);
+        if cut || self.injects_faults && self.rng.random_bool(self.loss_rate) {
             return;
         }
-        let many = if self.harm && self.rng.random_bool(self.double) { 2 } else { 1 };
-        for _ in 0..many {
-            let late = self.harm && self.rng.random_bool(self.late);
-            let delay = if late { self.rng.random_range(50..2_000) } else { self.rng.random_range(1..25) };
-            let Letter { from, to, life, number, .. } = letter;
-            let message = letter.message.clone();
-            self.sent += 1;
-            self.letters
-                .insert((self.now + delay * MS, self.sent), Letter { from, to, life, number, message });
+        let copies = if self.injects_faults && self.rng.random_bool(self.duplicate_rate) { 2 } else { 1 };
+        for _ in 0..copies {
+            let is_late = self.injects_faults && self.rng.random_bool(self.delay_rate);
+            let delay = if is_late { self.rng.random_range(50..2_000) } else { self.rng.random_range(1..25) };
+            let Envelope { from, to, incarnation, call_id, .. } = envelope;
+            let message = envelope.message.clone();
+            self.messages_sent += 1;
+            let copy = Envelope { from, to, incarnation, call_id, message };
+            self.in_flight.insert((self.now + delay * MS, self.messages_sent), copy);
         }
     }
 
-    fn acts(&mut self, of: usize) {
-        for act in self.all[of].relay.take_actions() {
-            match act {
-                Action::Call { voter, call_id: number, request } => {
-                    let (life, to) = (self.all[of].life, voter as usize);
+    fn run_actions(&mut self, of: usize) {
+        for action in self.processes[of].relay.take_actions() {
+            match action {
+                Action::Call { voter, call_id, request } => {
+                    let (incarnation, to) = (self.processes[of].incarnation, voter as usize);
                     let message = Message::Request(request);
-                    self.send(Letter { from: of, to, life, number, message });
+                    self.send(Envelope { from: of, to, incarnation, call_id, message });
                 }
                 Action::Published { ticket, result: Ok(n) } => {
-                    let order = &mut self.orders[ticket as usize];
-                    let before = order.number.replace(n);
-                    let body = order.body.clone();
-                    if self.truth.get(&n) != Some(&body) {
-                        self.wrong(format!("answered {n}, where {:?} is and not {body}", self.truth.get(&n)));
+                    let publication = &mut self.publications[ticket as usize];
+                    let before = publication.number.replace(n);
+                    let body = publication.body.clone();
+                    if self.committed.get(&n) != Some(&body) {
+                        self.fail(format!(
+                            "answered {n}, where {:?} is and not {body}",
+                            self.committed.get(&n)
+                        ));
                     } else if before.is_some_and(|b| b != n) && !self.forgetful {
-                        self.wrong(format!("{body} has the numbers {before:?} and {n}"));
+                        self.fail(format!("{body} has the numbers {before:?} and {n}"));
                     }
                 }
                 Action::Published { ticket, result: Err(e) } => {
-                    self.orders[ticket as usize].asked = None;
+                    self.publications[ticket as usize].sent_at = None;
                     if e == PublishError::NoList {
-                        self.orders[0].number = None;
-                        self.orders[0].asked = None;
+                        self.publications[0].number = None;
+                        self.publications[0].sent_at = None;
                     }
                 }
                 Action::LeadershipGained(_) | Action::LeadershipLost(_) | Action::Log(_) => {}
@@ -219,245 +233,257 @@
         }
     }
 
-    /// What a voter may tell is what all voters may tell under that number.
-    fn committed(&mut self, of: usize) {
+    /// What a voter has committed is what all voters have committed under that number.
+    fn check_committed(&mut self, of: usize) {
         if of >= self.voters {
             return;
         }
-        let p = &mut self.all[of];
-        let (from, last) = (p.told, p.relay.last_number());
-        p.told = last;
+        let p = &mut self.processes[of];
+        let (from, last) = (p.checked, p.relay.last_number());
+        p.checked = last;
         if last < from {
-            self.wrong(format!("voter {of} goes back from {from} to {last}"));
+            self.fail(format!("voter {of} goes back from {from} to {last}"));
         }
         if last == from {
             return;
         }
-        // A log that began anew has a base that nobody published.
-        let base = self.all[of].relay.log().snapshot();
-        if base.number > 0 && last > base.number && !self.truth.contains_key(&base.number) {
-            let whole = || Event::snapshot(base.list_index, base.members.values().map(String::as_str));
-            let event = if base.has_list { whole() } else { Event::empty_update() };
-            self.truth.insert(base.number - 1, event.body().to_owned());
-            let hierarchy = base.hierarchy.as_ref().map(|h| h.body.clone());
-            self.truth.insert(base.number, hierarchy.unwrap_or(event.body().to_owned()));
-        }
-        for e in self.all[of].relay.log().entries_after(from, usize::MAX) {
-            let known = self.truth.entry(e.number).or_insert(e.body.clone());
+        // A log that was reset has a snapshot that nobody published.
+        let snapshot = self.processes[of].relay.log().snapshot();
+        if snapshot.number > 0 && last > snapshot.number && !self.committed.contains_key(&snapshot.number) {
+            let list = || Event::snapshot(snapshot.list_index, snapshot.members.values().map(String::as_str));
+            let event = if snapshot.has_list { list() } else { Event::empty_update() };
+            self.committed.insert(snapshot.number - 1, event.body().to_owned());
+            let hierarchy = snapshot.hierarchy.as_ref().map(|h| h.body.clone());
+            self.committed.insert(snapshot.number, hierarchy.unwrap_or(event.body().to_owned()));
+        }
+        for e in self.processes[of].relay.log().entries_after(from, usize::MAX) {
+            let known = self.committed.entry(e.number).or_insert(e.body.clone());
             if *known != e.body {
                 let what = format!("voter {of}: {} is {} and was {known}", e.number, e.body);
-                self.wrong(what);
+                self.fail(what);
             }
         }
     }
 
-    fn deliver(&mut self, letter: Letter) {
-        let Letter { from, to, life, number, message } = letter;
+    fn deliver(&mut self, envelope: Envelope) {
+        let Envelope { from, to, incarnation, call_id, message } = envelope;
         let unix = self.unix();
-        let now = self.now + self.all[to].offset;
+        let now = self.now + self.processes[to].offset;
         match message {
             Message::Request(request) => {
-                let reply = self.all[to].relay.on_peer_request(now, unix, request);
-                self.committed(to);
-                self.acts(to);
-                self.send(Letter { from: to, to: from, life, number, message: Message::Reply(reply) });
+                let reply = self.processes[to].relay.on_peer_request(now, unix, request);
+                self.check_committed(to);
+                self.run_actions(to);
+                let message = Message::Reply(reply);
+                self.send(Envelope { from: to, to: from, incarnation, call_id, message });
             }
-            Message::Reply(reply) if self.all[to].life == life => {
-                self.all[to].relay.on_peer_reply(now, unix, from as u32, number, reply);
-                self.committed(to);
-                self.acts(to);
+            Message::Reply(reply) if self.processes[to].incarnation == incarnation => {
+                self.processes[to].relay.on_peer_reply(now, unix, from as u32, call_id, reply);
+                self.check_committed(to);
+                self.run_actions(to);
             }
             Message::Reply(..) => {}
         }
     }
 
-    fn stands(&self, of: usize) -> bool {
-        self.now >= self.all[of].stopped
+    fn is_running(&self, of: usize) -> bool {
+        self.now >= self.processes[of].stopped_until
     }
 
     fn tick(&mut self) {
-        let due: Vec<(Ns, u64)> = self.letters.range(..=(self.now, u64::MAX)).map(|(k, _)| *k).collect();
+        let due: Vec<(Ns, u64)> = self.in_flight.range(..=(self.now, u64::MAX)).map(|(k, _)| *k).collect();
         for key in due {
-            let Some(letter) = self.letters.remove(&key) else { continue };
-            if self.stands(letter.to) {
-                self.deliver(letter);
+            let Some(envelope) = self.in_flight.remove(&key) else { continue };
+            if self.is_running(envelope.to) {
+                self.deliver(envelope);
             } else {
-                // It is there when the process wakes, before anything else.
-                let at = self.all[letter.to].stopped;
-                self.letters.insert((at, key.1), letter);
+                // It arrives when the process wakes, before anything else.
+                let at = self.processes[envelope.to].stopped_until;
+                self.in_flight.insert((at, key.1), envelope);
             }
         }
-        for of in 0..self.all.len() {
-            let now = self.now + self.all[of].offset;
-            if self.stands(of) && (of >= self.voters || now >= self.all[of].relay.next_wakeup(now)) {
+        for of in 0..self.processes.len() {
+            let now = self.now + self.processes[of].offset;
+            if self.is_running(of) && (of >= self.voters || now >= self.processes[of].relay.next_wakeup(now))
+            {
                 let unix = self.unix();
-                self.all[of].relay.step(now, unix);
-                self.committed(of);
-                self.acts(of);
+                self.processes[of].relay.step(now, unix);
+                self.check_committed(of);
+                self.run_actions(of);
             }
         }
     }
 
-    // Streams: bytes come whole and in order, or the stream breaks.
+    // Streams: bytes come complete and in order, or the stream breaks.
 
-    fn pull(&mut self, from: usize, cursor: u64, most: usize) -> (u64, Vec<(u64, String)>) {
+    fn pull(&mut self, from: usize, cursor: u64, max_bytes: usize) -> (u64, Vec<(u64, String)>) {
         let mut out = Vec::new();
-        if self.all[from].relay.last_number() <= cursor {
+        if self.processes[from].relay.last_number() <= cursor {
             return (cursor, Vec::new());
         }
-        let upto = self.all[from].relay.encode_after(cursor, most, &mut out);
-        (upto, parse_frames(out))
+        let up_to = self.processes[from].relay.encode_after(cursor, max_bytes, &mut out);
+        (up_to, parse_frames(out))
     }
 
-    fn plain(&mut self, of: usize) {
-        let (now, unix) = (self.now + self.all[of].offset, self.unix());
-        let Some(call) = self.all[of].relay.upstream_to_follow(now) else { return };
+    /// A plain relay reads at its upstream.
+    fn read_upstream(&mut self, of: usize) {
+        let (now, unix) = (self.now + self.processes[of].offset, self.unix());
+        let Some(call) = self.processes[of].relay.upstream_to_follow(now) else { return };
         let (at, number) = (call.upstream, call.applied_number);
         let name = format!("r{of}");
-        if let Some((old, _, since)) = self.all[of].stream
-            && (old != at || self.now > since + 300 * MS || !self.stands(old))
+        if let Some((old, _, since)) = self.processes[of].stream
+            && (old != at || self.now > since + 300 * MS || !self.is_running(old))
         {
-            self.all[old].relay.on_subscriber_disconnected(&name);
-            self.all[of].stream = None;
-            if !self.stands(old) {
-                self.all[of].relay.on_upstream_failed(now);
+            self.processes[old].relay.on_subscriber_disconnected(&name);
+            self.processes[of].stream = None;
+            if !self.is_running(old) {
+                self.processes[of].relay.on_upstream_failed(now);
                 return;
             }
         }
-        if !self.stands(at) || self.cut.get(&(at, of)).is_some_and(|until| self.now < *until) {
-            self.all[of].relay.on_upstream_failed(now);
+        if !self.is_running(at) || self.cut.get(&(at, of)).is_some_and(|until| self.now < *until) {
+            self.processes[of].relay.on_upstream_failed(now);
             return;
         }
-        let theirs = self.now + self.all[at].offset;
-        if self.all[of].stream.is_none() {
-            self.all[at].relay.on_subscriber_connected(theirs, unix, &name, number);
-            self.all[of].stream = Some((at, number, self.now));
-        }
-        let Some((_, cursor, since)) = self.all[of].stream else { return };
-        let (upto, blocks) = self.pull(at, cursor, 4_000);
-        self.all[of].stream = Some((at, upto, since));
-        let comment = self.all[at].relay.staleness_comment(theirs);
-        self.all[of].relay.on_upstream_comment(now, &comment);
-        for (n, data) in blocks {
+        let theirs = self.now + self.processes[at].offset;
+        if self.processes[of].stream.is_none() {
+            self.processes[at].relay.on_subscriber_connected(theirs, unix, &name, number);
+            self.processes[of].stream = Some((at, number, self.now));
+        }
+        let Some((_, cursor, since)) = self.processes[of].stream else { return };
+        let (up_to, frames) = self.pull(at, cursor, 4_000);
+        self.processes[of].stream = Some((at, up_to, since));
+        let comment = self.processes[at].relay.staleness_comment(theirs);
+        self.processes[of].relay.on_upstream_comment(now, &comment);
+        for (n, data) in frames {
             if let ApplyOutcome::Resubscribe(_) =
-                self.all[of].relay.on_upstream_event(now, unix, Some(n), data.as_bytes())
+                self.processes[of].relay.on_upstream_event(now, unix, Some(n), data.as_bytes())
             {
-                self.all[at].relay.on_subscriber_disconnected(&name);
-                self.all[of].stream = None;
+                self.processes[at].relay.on_subscriber_disconnected(&name);
+                self.processes[of].stream = None;
                 return;
             }
         }
     }
 
-    /// A director: the rules of its follower (`crates/director/src/wire/feed.rs`).
-    fn direct(&mut self, d: usize) {
+    /// A director reads at a relay, by the rules of its client (`crates/director/src/wire/discovery_client.rs`).
+    fn run_director(&mut self, d: usize) {
         let unix = self.unix();
         let name = format!("d{d}");
-        if let Some((at, _, since)) = self.directors[d].at {
-            let silent = !self.stands(at) && self.now > self.directors[d].heard + 400 * MS;
-            let breaks = self.harm && self.rng.random_bool(0.01);
+        if let Some((at, _, since)) = self.directors[d].stream {
+            let silent = !self.is_running(at) && self.now > self.directors[d].last_seen + 400 * MS;
+            let breaks = self.injects_faults && self.rng.random_bool(0.01);
             if silent || breaks || self.now > since + 300 * MS {
-                self.all[at].relay.on_subscriber_disconnected(&name);
-                self.directors[d].at = None;
-                if !silent && !breaks && self.stands(at) {
+                self.processes[at].relay.on_subscriber_disconnected(&name);
+                self.directors[d].stream = None;
+                if !silent && !breaks && self.is_running(at) {
                     self.call(d, at);
                 }
             }
         } else {
-            let at = self.rng.random_range(0..self.all.len());
+            let at = self.rng.random_range(0..self.processes.len());
             self.call(d, at);
         }
-        let Some((at, cursor, since)) = self.directors[d].at else { return };
-        if !self.stands(at) {
+        let Some((at, cursor, since)) = self.directors[d].stream else { return };
+        if !self.is_running(at) {
             return;
         }
-        let (upto, blocks) = self.pull(at, cursor, 400);
-        self.directors[d].at = Some((at, upto, since));
-        self.directors[d].heard = self.now;
-        for (n, data) in blocks {
+        let (up_to, frames) = self.pull(at, cursor, 400);
+        self.directors[d].stream = Some((at, up_to, since));
+        self.directors[d].last_seen = self.now;
+        for (n, data) in frames {
             let last = self.directors[d].last;
             if n <= last {
                 continue;
             }
-            if self.harm && self.rng.random_bool(0.02) {
+            if self.injects_faults && self.rng.random_bool(0.02) {
                 // The stream breaks in the middle.
-                self.all[at].relay.on_subscriber_disconnected(&name);
-                self.directors[d].at = None;
+                self.processes[at].relay.on_subscriber_disconnected(&name);
+                self.directors[d].stream = None;
                 return;
             }
-            if n > last + 1 && self.directors[d].gap != Some(last) {
-                self.directors[d].gap = Some(last);
-                self.all[at].relay.on_subscriber_disconnected(&name);
-                self.directors[d].at = None;
+            if n > last + 1 && self.directors[d].gap_after != Some(last) {
+                self.directors[d].gap_after = Some(last);
+                self.processes[at].relay.on_subscriber_disconnected(&name);
+                self.directors[d].stream = None;
                 return;
             }
-            self.takes(d, n, &data, unix);
+            self.apply_at_director(d, n, &data, unix);
         }
     }
 
     fn call(&mut self, d: usize, at: usize) {
-        if self.stands(at) {
-            let (theirs, unix) = (self.now + self.all[at].offset, self.unix());
+        if self.is_running(at) {
+            let (theirs, unix) = (self.now + self.processes[at].offset, self.unix());
             let last = self.directors[d].last;
-            self.all[at].relay.on_subscriber_connected(theirs, unix, &format!("d{d}"), last);
-            self.directors[d].at = Some((at, last, self.now));
-            self.directors[d].heard = self.now;
+            self.processes[at].relay.on_subscriber_connected(theirs, unix, &format!("d{d}"), last);
+            self.directors[d].stream = Some((at, last, self.now));
+            self.directors[d].last_seen = self.now;
         }
     }
 
-    fn takes(&mut self, d: usize, n: u64, data: &str, unix: u64) {
+    fn apply_at_director(&mut self, d: usize, n: u64, data: &str, unix: u64) {
         let last = self.directors[d].last;
-        let purge = self.truth.get(&n).filter(|b| n == last + 1 && b.starts_with("{\"purge"));
+        let purge = self.committed.get(&n).filter(|b| n == last + 1 && b.starts_with("{\"purge"));
         if purge.is_some_and(|b| data.strip_prefix(&format!("{{\"n\":{n},")) == Some(&b[1..])) {
-            (self.directors[d].last, self.directors[d].gap) = (n, None);
+            (self.directors[d].last, self.directors[d].gap_after) = (n, None);
             return;
         }
         let ParsedEvent { number, event } = Event::parse(data.as_bytes(), usize::MAX).expect("an event");
         let body = event.body();
         if number != Some(n) {
-            self.wrong(format!("director {d}: {number:?} under {n}"));
-        }
-        let as_told = self.truth.get(&n).is_some_and(|t| t == body);
-        if !as_told {
-            // A base, then: the list as it stands there, or later.
-            let told = event.endpoints();
-            let told = told.map(|l| (l.is_snapshot, l.endpoints.into_iter().map(|e| e.name).collect()));
-            let later = [n].into_iter().chain(self.truth.range(n + 1..).map(|(m, _)| *m));
-            if !later.into_iter().any(|m| told == Some((true, self.stood(m).0))) {
-                self.wrong(format!("director {d} after {last}: {n} is {data} and {:?}", self.truth.get(&n)));
+            self.fail(format!("director {d}: {number:?} under {n}"));
+        }
+        let is_committed = self.committed.get(&n).is_some_and(|t| t == body);
+        if !is_committed {
+            // A snapshot, then: the list as it stands there, or later.
+            let received = event.endpoints();
+            let received =
+                received.map(|l| (l.is_snapshot, l.endpoints.into_iter().map(|e| e.name).collect()));
+            let later = [n].into_iter().chain(self.committed.range(n + 1..).map(|(m, _)| *m));
+            if !later.into_iter().any(|m| received == Some((true, self.state_at(m).0))) {
+                self.fail(format!(
+                    "director {d} after {last}: {n} is {data} and {:?}",
+                    self.committed.get(&n)
+                ));
             }
         }
         if n > last + 1 && !self.forgetful {
-            let over = |b: &str| match Event::parse(b.as_bytes(), usize::MAX).map(|e| e.event.kind()) {
-                Ok(event::EventKind::Purge { created_unix_ms: at }) => unix >= at + HORIZON.hold_time / MS,
+            let is_expired = |b: &str| match Event::parse(b.as_bytes(), usize::MAX).map(|e| e.event.kind()) {
+                Ok(event::EventKind::Purge { created_unix_ms }) => {
+                    unix >= created_unix_ms + RETENTION.hold_time / MS
+                }
                 _ => true,
             };
-            let missed =
-                self.truth.range(last + 1..n).find(|(_, b)| !over(b)).map(|(m, b)| format!("{m} {b}"));
+            let missed = self
+                .committed
+                .range(last + 1..n)
+                .find(|(_, b)| !is_expired(b))
+                .map(|(m, b)| format!("{m} {b}"));
             if let Some(missed) = missed {
-                self.wrong(format!("director {d} goes from {last} to {n} past {missed}, which binds"));
+                self.fail(format!("director {d} goes from {last} to {n} past {missed}, which is active"));
             }
-            if as_told && event.kind() != (event::EventKind::Members { is_snapshot: true }) {
-                self.wrong(format!("director {d} goes from {last} to {n} with no whole list"));
+            if is_committed && event.kind() != (event::EventKind::Members { is_snapshot: true }) {
+                self.fail(format!("director {d} goes from {last} to {n} with no complete list"));
             }
         }
         self.directors[d].last = n;
-        self.directors[d].gap = None;
+        self.directors[d].gap_after = None;
         let Director { list, hierarchy, .. } = &mut self.directors[d];
-        fold(list, hierarchy, body);
+        apply(list, hierarchy, body);
     }
 
-    /// List and hierarchy after all that was told up to a number.
-    fn stood(&self, n: u64) -> (BTreeSet<String>, Option<String>) {
+    /// List and hierarchy after all events up to a number.
+    fn state_at(&self, n: u64) -> (BTreeSet<String>, Option<String>) {
         let (mut list, mut hierarchy) = Default::default();
-        self.truth.range(..=n).for_each(|(_, body)| fold(&mut list, &mut hierarchy, body));
+        self.committed.range(..=n).for_each(|(_, body)| apply(&mut list, &mut hierarchy, body));
         (list, hierarchy)
     }
 
     // Publishing.
 
     fn publish(&mut self) {
-        let i = self.orders.len();
+        let i = self.publications.len();
         if self.now < FAULTS_END && self.rng.random_bool(0.1) {
             let name = format!("s{}", self.rng.random_range(0..6));
             let n = i as u64;
@@ -470,57 +496,58 @@
                 _ => purge(n, self.unix()),
             };
             let body = event.body().to_owned();
-            self.orders.push(Order { body, mark: format!("m{i}"), asked: None, number: None });
+            self.publications.push(Publication { body, key: format!("m{i}"), sent_at: None, number: None });
         }
         let (now, unix) = (self.now, self.unix());
-        let waits = |o: &Order| o.number.is_none() && o.asked.is_none_or(|at| now > at + 700 * MS);
-        let due: Vec<usize> = (0..self.orders.len()).filter(|i| waits(&self.orders[*i])).take(3).collect();
+        let waits = |p: &Publication| p.number.is_none() && p.sent_at.is_none_or(|at| now > at + 700 * MS);
+        let due: Vec<usize> =
+            (0..self.publications.len()).filter(|i| waits(&self.publications[*i])).take(3).collect();
         for i in due {
-            // Whoever says that it is the source; else any.
-            let owner = (0..self.voters).find(|v| {
-                let theirs = now + self.all[*v].offset;
-                self.stands(*v) && self.all[*v].relay.leader_token(theirs).is_some()
+            // Whoever says that it is the leader; else any.
+            let leader = (0..self.voters).find(|v| {
+                let theirs = now + self.processes[*v].offset;
+                self.is_running(*v) && self.processes[*v].relay.leader_token(theirs).is_some()
             });
-            let at = owner.unwrap_or_else(|| self.rng.random_range(0..self.voters));
-            if !self.stands(at) {
+            let at = leader.unwrap_or_else(|| self.rng.random_range(0..self.voters));
+            if !self.is_running(at) {
                 continue;
             }
-            self.orders[i].asked = Some(now);
-            let theirs = now + self.all[at].offset;
-            let (body, mark) = (self.orders[i].body.clone(), self.orders[i].mark.clone());
-            self.all[at].relay.publish(theirs, unix, i as u64, Some(&mark), body.as_bytes());
-            self.committed(at);
-            self.acts(at);
+            self.publications[i].sent_at = Some(now);
+            let theirs = now + self.processes[at].offset;
+            let (body, key) = (self.publications[i].body.clone(), self.publications[i].key.clone());
+            self.processes[at].relay.publish(theirs, unix, i as u64, Some(&key), body.as_bytes());
+            self.check_committed(at);
+            self.run_actions(at);
         }
     }
 
     // Faults.
 
-    fn hurt(&mut self) {
-        let many = self.all.len();
-        let one = self.rng.random_range(0..many);
+    fn inject_fault(&mut self) {
+        let count = self.processes.len();
+        let one = self.rng.random_range(0..count);
         let until = self.now + self.rng.random_range(100..2_500) * MS;
         match self.rng.random_range(0..6) {
             0 | 1 => self.restart(one),
-            2 => self.all[one].stopped = until,
+            2 => self.processes[one].stopped_until = until,
             3 => {
-                let other = self.rng.random_range(0..many);
+                let other = self.rng.random_range(0..count);
                 self.cut.insert((one, other), until);
             }
             4 => {
-                for other in 0..many {
+                for other in 0..count {
                     self.cut.insert((one, other), until);
                     self.cut.insert((other, one), until);
                 }
             }
             _ => {
-                let now = self.now + self.all[one].offset;
-                // The owner, most of all, is stopped and wakes late.
-                if self.all[one].relay.leader_token(now).is_some() {
-                    self.all[one].stopped = until;
-                } else if self.stands(one) {
-                    self.all[one].relay.hand_over(now);
-                    self.acts(one);
+                let now = self.now + self.processes[one].offset;
+                // The leader, most of all, is stopped and wakes late.
+                if self.processes[one].relay.leader_token(now).is_some() {
+                    self.processes[one].stopped_until = until;
+                } else if self.is_running(one) {
+                    self.processes[one].relay.hand_over(now);
+                    self.run_actions(one);
                 }
             }
         }
@@ -528,98 +555,98 @@
 
     fn restart(&mut self, one: usize) {
         if one < self.voters && !self.forgetful {
-            // Those that have learned nothing yet count as lost: a majority besides is needed that remembers.
+            // Those that have not recovered yet count as lost: a majority besides is needed that remembers.
             let (now, unix) = (self.now, self.unix());
-            let unsure = (0..self.voters).filter(|v| *v != one).filter(|v| {
-                let theirs = now + self.all[*v].offset;
-                self.all[*v].relay.status(theirs, unix).recovering_ms.is_some()
+            let recovering = (0..self.voters).filter(|v| *v != one).filter(|v| {
+                let theirs = now + self.processes[*v].offset;
+                self.processes[*v].relay.status(theirs, unix).recovering_ms.is_some()
             });
-            if (self.voters - 1 - unsure.count()) * 2 <= self.voters || now < 2_000 * MS {
+            if (self.voters - 1 - recovering.count()) * 2 <= self.voters || now < 2_000 * MS {
                 return;
             }
         }
-        let process = self.begin(one);
-        self.all[one] = process;
+        let process = self.start(one);
+        self.processes[one] = process;
         let gone = |at: &Option<(usize, u64, Ns)>| at.is_some_and(|(of, ..)| of == one);
-        self.directors.iter_mut().filter(|d| gone(&d.at)).for_each(|d| d.at = None);
-        self.all.iter_mut().filter(|p| gone(&p.stream)).for_each(|p| p.stream = None);
+        self.directors.iter_mut().filter(|d| gone(&d.stream)).for_each(|d| d.stream = None);
+        self.processes.iter_mut().filter(|p| gone(&p.stream)).for_each(|p| p.stream = None);
     }
 
-    /// What is said to be in force everywhere is so at each reader that any relay knows.
-    fn claims(&mut self) {
+    /// What relays call applied everywhere is so at each subscriber that any relay knows.
+    fn check_statuses(&mut self) {
         let (now, unix) = (self.now, self.unix());
         let statuses: Vec<RelayStatus> =
-            self.all.iter_mut().map(|p| p.relay.status(now + p.offset, unix)).collect();
-        let whole = merge_statuses(&statuses);
-        for r in &whole.subscribers {
+            self.processes.iter_mut().map(|p| p.relay.status(now + p.offset, unix)).collect();
+        let fleet = merge_statuses(&statuses);
+        for r in &fleet.subscribers {
             if let Some(d) = r.name.strip_prefix('d').and_then(|d| d.parse::<usize>().ok())
                 && r.number > self.directors[d].last
             {
-                self.wrong(format!("{r:?} is said to have more than {}", self.directors[d].last));
+                self.fail(format!("{r:?} is said to have more than {}", self.directors[d].last));
             }
         }
-        for n in whole.floor_history.iter().rev().take(3).map(|applied| &applied.number) {
-            let known: BTreeSet<&str> = whole.subscribers.iter().map(|r| r.name.as_str()).collect();
+        for n in fleet.floor_history.iter().rev().take(3).map(|applied| &applied.number) {
+            let known: BTreeSet<&str> = fleet.subscribers.iter().map(|r| r.name.as_str()).collect();
             let behind = (0..self.directors.len())
                 .find(|d| known.contains(format!("d{d}").as_str()) && self.directors[*d].last < *n);
             if let Some(d) = behind
-                && whole.applied_status(*n).missing.is_empty()
+                && fleet.applied_status(*n).missing.is_empty()
             {
                 let last = self.directors[d].last;
-                self.wrong(format!("{n} is said to be in force everywhere, director {d} has {last}"));
+                self.fail(format!("{n} is said to be applied everywhere, director {d} has {last}"));
             }
         }
     }
 
-    fn play(mut self) -> Result<World, String> {
-        while self.now < END && self.fault.is_none() && !self.settled() {
+    fn run(mut self) -> Result<World, String> {
+        while self.now < END && self.failure.is_none() && !self.settled() {
             self.now += TICK;
-            self.harm = self.now < FAULTS_END;
-            if !self.harm {
+            self.injects_faults = self.now < FAULTS_END;
+            if !self.injects_faults {
                 self.cut.clear();
-                self.all.iter_mut().for_each(|p| p.stopped = p.stopped.min(FAULTS_END));
+                self.processes.iter_mut().for_each(|p| p.stopped_until = p.stopped_until.min(FAULTS_END));
             }
             self.tick();
             if self.now.is_multiple_of(10 * TICK) {
-                (0..self.directors.len()).for_each(|d| self.direct(d));
-                for p in self.voters..self.all.len() {
-                    if self.stands(p) {
-                        self.plain(p);
+                (0..self.directors.len()).for_each(|d| self.run_director(d));
+                for p in self.voters..self.processes.len() {
+                    if self.is_running(p) {
+                        self.read_upstream(p);
                     }
                 }
             }
             if self.now > 1_000 * MS {
                 self.publish();
             }
-            if self.harm && self.now > 1_000 * MS && self.rng.random_bool(0.013) {
-                self.hurt();
+            if self.injects_faults && self.now > 1_000 * MS && self.rng.random_bool(0.013) {
+                self.inject_fault();
             }
             if self.now.is_multiple_of(80 * TICK) {
-                self.claims();
+                self.check_statuses();
             }
         }
-        if self.fault.is_none() {
-            self.ends();
+        if self.failure.is_none() {
+            self.check_end();
         }
-        self.fault.take().map_or(Ok(self), Err)
+        self.failure.take().map_or(Ok(self), Err)
     }
 
-    /// All that was published is told, and all have it.
+    /// All that was published is committed, and all have it.
     fn settled(&self) -> bool {
-        let last = self.truth.last_key_value().map_or(0, |(n, _)| *n);
-        !self.harm
+        let last = self.committed.last_key_value().map_or(0, |(n, _)| *n);
+        !self.injects_faults
             && self.now.is_multiple_of(20 * TICK)
-            && self.orders.iter().all(|o| o.number.is_some())
-            && self.all.iter().all(|p| p.relay.last_number() == last)
+            && self.publications.iter().all(|o| o.number.is_some())
+            && self.processes.iter().all(|p| p.relay.last_number() == last)
             && self.directors.iter().all(|d| d.last == last)
     }
 
-    fn ends(&mut self) {
-        let last = self.truth.last_key_value().map_or(0, |(n, _)| *n);
-        let (list, hierarchy) = self.stood(last);
-        let behind = (0..self.all.len()).find(|p| self.all[*p].relay.last_number() != last);
+    fn check_end(&mut self) {
+        let last = self.committed.last_key_value().map_or(0, |(n, _)| *n);
+        let (list, hierarchy) = self.state_at(last);
+        let behind = (0..self.processes.len()).find(|p| self.processes[*p].relay.last_number() != last);
         if let Some(p) = behind {
-            self.wrong(format!("relay {p} ends at {}, not at {last}", self.all[p].relay.last_number()));
+            self.fail(format!("relay {p} ends at {}, not at {last}", self.processes[p].relay.last_number()));
         }
         for d in 0..self.directors.len() {
             let Director { last: ends, list: theirs, hierarchy: known, .. } = &self.directors[d];
@@ -628,44 +655,44 @@
             if (*ends, theirs) != (last, &list) || !same {
                 let what =
                     format!("director {d} ends at {ends} {theirs:?}, not at {last} {list:?}, {known:?}");
-                self.wrong(what);
+                self.fail(what);
             }
         }
-        if let Some(o) = self.orders.iter().find(|o| o.number.is_none()) {
-            let what = format!("{} was never taken", o.body);
-            self.wrong(what);
+        if let Some(o) = self.publications.iter().find(|o| o.number.is_none()) {
+            let what = format!("{} was never accepted", o.body);
+            self.fail(what);
         }
         let mut once = BTreeSet::new();
-        let twice = self.truth.values().find(|b| b.starts_with("{\"purge") && !once.insert(b.as_str()));
+        let twice = self.committed.values().find(|b| b.starts_with("{\"purge") && !once.insert(b.as_str()));
         if let Some(twice) = twice.cloned().filter(|_| !self.forgetful) {
-            self.wrong(format!("{twice} is told twice"));
+            self.fail(format!("{twice} is sent twice"));
         }
     }
 }
 
-fn many() -> u64 {
+fn schedule_count() -> u64 {
     std::env::var("SABLECROSS_RELAY_SCHEDULES").ok().and_then(|n| n.parse().ok()).unwrap_or(10_000)
 }
 
-/// The faults found in these seeds, the first of them with its seed.
-fn found(
+/// How many of these seeds fail, the first of them with its failure, and how many events were committed.
+fn run_seeds(
     seeds: std::ops::Range<u64>,
-    defences: SafetyChecks,
+    safety_checks: SafetyChecks,
     forgetful: bool,
 ) -> (u64, Option<(u64, String)>, u64) {
     const THREADS: u64 = 4;
     let one = |t: u64| {
-        let (mut wrong, mut first, mut told) = (0, None, 0);
+        let (mut failed, mut first, mut events) = (0, None, 0);
         for seed in seeds.clone().filter(|s| s % THREADS == t) {
-            match World::new(seed, defences, forgetful).play() {
-                Ok(w) => told += w.truth.len() as u64,
+            match World::new(seed, safety_checks, forgetful).run() {
+                Ok(w) => events += w.committed.len() as u64,
                 Err(e) => {
-                    wrong += 1;
+                    failed += 1;
                     first = first.or(Some((seed, e)));
                 }
             }
         }
-        (wrong, first, told)
+        (failed, first, events)
     };
     std::thread::scope(|s| {
         let all: Vec<_> = (0..THREADS).map(|t| s.spawn(move || one(t))).collect();
@@ -675,33 +702,33 @@
 }
 
 #[test]
-fn nothing_told_is_lost_doubled_reordered_or_changed() {
-    let (wrong, first, told) = found(0..many(), SafetyChecks::default(), false);
-    println!("{} schedules, {told} events told", many());
-    assert_eq!(first, None, "{wrong} in all");
-    assert!(told > 10 * many(), "{told} events");
+fn no_committed_event_is_lost_duplicated_reordered_or_changed() {
+    let (failed, first, events) = run_seeds(0..schedule_count(), SafetyChecks::default(), false);
+    println!("{} schedules, {events} events told", schedule_count());
+    assert_eq!(first, None, "{failed} in all");
+    assert!(events > 10 * schedule_count(), "{events} events");
 }
 
 #[test]
-fn when_no_majority_remembers_numbers_go_on_and_all_readers_follow() {
-    let (wrong, first, told) = found(0..many() / 10, SafetyChecks::default(), true);
-    println!("{} schedules, {told} events told", many() / 10);
-    assert_eq!(first, None, "{wrong} in all");
+fn when_no_majority_remembers_numbers_go_on_and_all_subscribers_follow() {
+    let (failed, first, events) = run_seeds(0..schedule_count() / 10, SafetyChecks::default(), true);
+    println!("{} schedules, {events} events told", schedule_count() / 10);
+    assert_eq!(first, None, "{failed} in all");
 }
 
 #[test]
-fn each_defence_that_is_left_out_is_found() {
+fn each_safety_check_that_is_left_out_is_noticed() {
     let all = SafetyChecks::default();
-    // The gate seldom shows: what is told already is not touched by late calls, whoever made them.
+    // Fencing seldom shows: what is committed already is not touched by late calls, whoever made them.
     let left_out = [
-        ("gate", 800, SafetyChecks { fencing: false, ..all }),
-        ("previous", 100, SafetyChecks { previous_entry: false, ..all }),
-        ("majority", 100, SafetyChecks { quorum: false, ..all }),
-        ("learning", 100, SafetyChecks { recovery: false, ..all }),
+        ("fencing", 800, SafetyChecks { fencing: false, ..all }),
+        ("previous entry", 100, SafetyChecks { previous_entry: false, ..all }),
+        ("quorum", 100, SafetyChecks { quorum: false, ..all }),
+        ("recovery", 100, SafetyChecks { recovery: false, ..all }),
     ];
-    for (name, seeds, defences) in left_out {
-        let (wrong, first, _) = found(0..seeds, defences, false);
-        println!("without {name}: {wrong} of {seeds}, {first:?}");
-        assert!(wrong > 0, "{name} was left out and nothing found");
+    for (name, seeds, safety_checks) in left_out {
+        let (failed, first, _) = run_seeds(0..seeds, safety_checks, false);
+        println!("without {name}: {failed} of {seeds}, {first:?}");
+        assert!(failed > 0, "{name} was left out and nothing noticed");
     }
 }
