--- a/crates/cli/src/relay.rs
+++ b/crates/cli/src/relay.rs
@@ -1,12 +1,11 @@
-//! `sablecross relay ...`: runs a relay, shows what the tier knows, publishes events.
+//! `sablecross relay ...`: runs a relay, shows what all relays know, publishes events.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use clap::{Args, Subcommand};
-use sablecross_relay::subscribers::{AppliedStatus, MergedSubscriber};
-use sablecross_relay::{Event, RelayStatus, merge_statuses};
+use sablecross_relay::{AppliedStatus, Event, MergedSubscriber, RelayRole, RelayStatus, merge_statuses};
 use sablecross_relay_server::RelayServerConfig;
 use sablecross_relay_server::peer_client::PeerClient;
 use sablecross_relay_server::publisher::{PublishCallError, Publisher};
@@ -16,15 +15,14 @@
 use crate::CommandOutcome;
 
 /// The longest status that is read.
-const MAX_REPLY_BYTES: usize = 64 << 20;
+const MAX_STATUS_BYTES: usize = 64 << 20;
 
-/// Which relays are asked.
 #[derive(Args)]
 pub(crate) struct Target {
     /// The settings of any relay: all members are asked.
     #[arg(long)]
     settings: PathBuf,
-    /// Seconds that each is waited for; `publish`: that an owner is looked for.
+    /// Seconds that each is waited for; `publish`: that a leader is looked for.
     #[arg(long, default_value_t = 5.0)]
     time: f64,
 }
@@ -39,7 +37,7 @@
         #[arg(long, hide = true)]
         with_parent: bool,
     },
-    /// All relays and their readers; for a number, since when it is in force everywhere or at whom it is missing. Changes nothing.
+    /// All relays and their readers; for a number, since when it is in force everywhere or at target it is missing. Changes nothing.
     Show {
         #[command(flatten)]
         target: Target,
@@ -48,12 +46,12 @@
         #[arg(long)]
         json: bool,
     },
-    /// Publishes events, each as JSON without its number, and prints the numbers under which they are told.
+    /// Publishes events, each as JSON without its number, and prints their numbers.
     Publish {
         #[command(flatten)]
         target: Target,
-        /// By which the event is known again, so that it is told once however often it is published; several events
-        /// get this with -1, -2 and so on. By itself one is made up.
+        /// Idempotency key: the event is sent once however often it is published with it; several events get it with -1,
+        /// -2 and so on. Without it one is generated.
         #[arg(long)]
         mark: Option<String>,
         /// JSON, or @FILE
@@ -71,11 +69,11 @@
 pub(crate) fn run(command: &Command) -> Result<CommandOutcome, Vec<String>> {
     match command {
         Command::Run { file, with_parent } => {
-            let setting = RelayServerConfig::load(file)?;
+            let config = RelayServerConfig::load(file)?;
             if *with_parent {
                 sablecross_relay_server::process::exit_with_parent();
             }
-            sablecross_relay_server::process::run(setting)
+            sablecross_relay_server::process::run(config)
                 .map_err(|e| vec![format!("{}: {e}", file.display())])?;
             Ok(CommandOutcome::Success)
         }
@@ -84,40 +82,43 @@
     }
 }
 
-fn relay_status(address: SocketAddr, timeout: Duration) -> Result<RelayStatus, String> {
-    let mut client = PeerClient::new(address, timeout, MAX_REPLY_BYTES);
-    let (code, body) =
-        client.request("GET", "/v1/status", "Connection: close\r\n", b"").map_err(|e| e.to_string())?;
-    if code != 200 {
-        return Err(format!("answer {code}"));
-    }
-    serde_json::from_slice(&body).map_err(|e| format!("its status can't be read: {e}"))
+/// What the relays have answered.
+struct Answers {
+    statuses: Vec<RelayStatus>,
+    /// Relays that have not, by their numbers, and why.
+    silent: Vec<(u32, String)>,
 }
 
-/// A relay that did not answer, and why.
-struct SilentRelay {
-    number: u32,
-    why: String,
+/// Asks all members at once: one that hangs holds nobody up.
+fn fetch_statuses(members: &[MemberForm], timeout: Duration) -> Answers {
+    let results: Vec<(u32, Result<RelayStatus, String>)> = std::thread::scope(|scope| {
+        let fetches: Vec<_> = members
+            .iter()
+            .map(|member| (member.number, scope.spawn(move || fetch_status(member.address, timeout))))
+            .collect();
+        let joined = fetches
+            .into_iter()
+            .map(|(number, fetch)| (number, fetch.join().unwrap_or(Err("no answer".into()))));
+        joined.collect()
+    });
+    let mut answers = Answers { statuses: Vec::new(), silent: Vec::new() };
+    for (number, result) in results {
+        match result {
+            Ok(status) => answers.statuses.push(status),
+            Err(reason) => answers.silent.push((number, reason)),
+        }
+    }
+    answers
 }
 
-/// Asks all relays at the same time, so that one that hangs delays no other.
-fn relay_statuses(config: &RelayServerConfig, timeout: Duration) -> (Vec<RelayStatus>, Vec<SilentRelay>) {
-    let mut statuses = Vec::new();
-    let mut silent = Vec::new();
-    std::thread::scope(|scope| {
-        let ask = |member: &MemberForm| {
-            let address = member.address;
-            (member.number, scope.spawn(move || relay_status(address, timeout)))
-        };
-        let threads: Vec<_> = config.members.iter().map(ask).collect();
-        for (number, thread) in threads {
-            match thread.join().unwrap_or(Err("no answer".into())) {
-                Ok(status) => statuses.push(status),
-                Err(why) => silent.push(SilentRelay { number, why }),
-            }
-        }
-    });
-    (statuses, silent)
+fn fetch_status(address: SocketAddr, timeout: Duration) -> Result<RelayStatus, String> {
+    let mut client = PeerClient::new(address, timeout, MAX_STATUS_BYTES);
+    let response =
+        client.request("GET", "/v1/status", "Connection: close\r\n", b"").map_err(|e| e.to_string())?;
+    if response.code != 200 {
+        return Err(format!("answer {}", response.code));
+    }
+    serde_json::from_slice(&response.body).map_err(|e| format!("its status can't be read: {e}"))
 }
 
 fn unix_ms() -> u64 {
@@ -125,26 +126,31 @@
 }
 
 fn age(since_unix_ms: u64) -> String {
-    format!("{:.1} s ago", unix_ms().saturating_sub(since_unix_ms) as f64 / 1e3)
+    format!("{:.1} s ago", seconds(unix_ms().saturating_sub(since_unix_ms)))
+}
+
+fn seconds(ms: u64) -> f64 {
+    ms as f64 / 1e3
 }
 
 fn show(target: &Target, number: Option<u64>, as_json: bool) -> Result<CommandOutcome, Vec<String>> {
     let config = RelayServerConfig::load(&target.settings)?;
-    let (statuses, silent) = relay_statuses(&config, target.timeout());
+    let Answers { statuses, silent } = fetch_statuses(&config.members, target.timeout());
     let fleet = merge_statuses(&statuses);
     let applied = number.map(|number| fleet.applied_status(number));
-    let has_leader = statuses.iter().any(|status| status.role == "owner");
-    let is_served = has_leader || config.voters().next().is_none();
-    let is_applied = applied.as_ref().is_none_or(|a| a.missing.is_empty() && a.since_unix_ms.is_some());
-    let is_well = silent.is_empty() && is_served && is_applied;
+    let has_leader = statuses.iter().any(|status| status.role == RelayRole::Leader);
+    let needs_leader = config.voters().next().is_some();
+    let is_applied =
+        applied.as_ref().is_none_or(|applied| applied.missing.is_empty() && applied.since_unix_ms.is_some());
+    let is_well = silent.is_empty() && (has_leader || !needs_leader) && is_applied;
     if as_json {
         let silent: Vec<Value> =
-            silent.iter().map(|relay| json!({"number": relay.number, "why": relay.why})).collect();
+            silent.iter().map(|(number, reason)| json!({"number": number, "why": reason})).collect();
         println!("{}", json!({"relays": statuses, "silent": silent, "whole": fleet, "in_force": applied}));
     } else {
-        statuses.iter().for_each(print_relay);
-        for relay in &silent {
-            println!("relay-{:<4} no answer: {}", relay.number, relay.why);
+        statuses.iter().for_each(print_status);
+        for (number, reason) in &silent {
+            println!("relay-{number:<4} no answer: {reason}");
         }
         if let Some(applied) = applied {
             print_applied(&applied, fleet.last_number);
@@ -153,13 +159,13 @@
     Ok(if is_well { CommandOutcome::Success } else { CommandOutcome::Rejected })
 }
 
-fn print_relay(status: &RelayStatus) {
-    let staleness = status.staleness_ms.map_or("never".into(), |ms| format!("{:.1} s", ms as f64 / 1e3));
+fn print_status(status: &RelayStatus) {
+    let staleness = status.staleness_ms.map_or("never".into(), |ms| format!("{:.1} s", seconds(ms)));
     let connected = status.subscribers.iter().filter(|subscriber| subscriber.connected).count();
     let missing = status.subscribers.iter().filter(|subscriber| subscriber.missing).count();
-    let leader = status.leader.map_or("-".into(), |leader| leader.to_string());
+    let leader = status.leader.map_or("-".into(), |number| number.to_string());
     println!(
-        "{:10} {:6} leader {leader} term {} last heard {staleness}  events {}..{} floor {} log {} KB  readers {connected}, {missing} missing",
+        "{:10} {:6} owner {leader} term {} fresh {staleness}  events {}..{} floor {} log {} KB  readers {connected}, {missing} missing",
         status.name,
         status.role,
         status.term,
@@ -169,7 +175,7 @@
         status.log_bytes / 1_000
     );
     if let Some(ms) = status.recovering_ms {
-        println!("{:10} has restarted and recovers the log, for {:.1} s so far", "", ms as f64 / 1e3);
+        println!("{:10} has restarted and recovers its log, for {:.1} s so far", "", seconds(ms));
     }
     if status.reset_unix_ms > 0 {
         println!("{:10} the log was reset {}", "", age(status.reset_unix_ms));
@@ -195,59 +201,62 @@
     let MergedSubscriber { name, number, last_seen_unix_ms, connected, relay } = subscriber;
     let state = if *connected { "connected" } else { "gone" };
     match last_seen_unix_ms {
-        Some(seen) => println!("  missing at {name}: has {number}, {state}, heard {} by {relay}", age(*seen)),
-        None => println!("  missing at {name}: never heard, expected by {relay}"),
+        Some(seen) => {
+            println!("  missing at {name}: has {number}, {state}, last seen {} by {relay}", age(*seen))
+        }
+        None => println!("  missing at {name}: never seen, expected by {relay}"),
     }
 }
 
-/// The body of an event, checked before anything is published. `@FILE` reads it from a file.
-fn event_body(index: usize, text: &str, max_bytes: usize) -> Result<Vec<u8>, String> {
-    let (name, body) = match text.strip_prefix('@') {
+/// Reads an event of the command line and checks it before anything is published.
+fn read_event(index: usize, text: &str, max_bytes: usize) -> Result<Vec<u8>, String> {
+    let (name, text) = match text.strip_prefix('@') {
         Some(file) => {
-            let body = std::fs::read(Path::new(file)).map_err(|e| format!("{file}: {e}"))?;
-            (file.to_owned(), body)
+            let text = std::fs::read(Path::new(file)).map_err(|e| format!("{file}: {e}"))?;
+            (file.to_owned(), text)
         }
         None => (format!("event {}", index + 1), text.as_bytes().to_vec()),
     };
-    Event::parse(&body, max_bytes).map_err(|e| format!("{name}: {e}"))?;
-    Ok(body)
+    Event::parse(&text, max_bytes).map_err(|e| format!("{name}: {e}"))?;
+    Ok(text)
 }
 
-/// The bodies of all events, or all that is wrong with them.
-fn event_bodies(events: &[String], max_bytes: usize) -> Result<Vec<Vec<u8>>, Vec<String>> {
-    let mut bodies = Vec::new();
+/// All events, or a line for each that can't be used.
+fn read_events(texts: &[String], max_bytes: usize) -> Result<Vec<Vec<u8>>, Vec<String>> {
+    let mut events = Vec::new();
     let mut errors = Vec::new();
-    for (index, text) in events.iter().enumerate() {
-        match event_body(index, text, max_bytes) {
-            Ok(body) => bodies.push(body),
+    for (index, text) in texts.iter().enumerate() {
+        match read_event(index, text, max_bytes) {
+            Ok(event) => events.push(event),
             Err(error) => errors.push(error),
         }
     }
-    if errors.is_empty() { Ok(bodies) } else { Err(errors) }
+    if errors.is_empty() { Ok(events) } else { Err(errors) }
 }
 
-fn publish(target: &Target, mark: Option<&str>, events: &[String]) -> Result<CommandOutcome, Vec<String>> {
+fn publish(target: &Target, mark: Option<&str>, texts: &[String]) -> Result<CommandOutcome, Vec<String>> {
     let config = RelayServerConfig::load(&target.settings)?;
     if config.voters().next().is_none() {
         return Err(vec![format!("{}: no member votes: nobody takes events", target.settings.display())]);
     }
-    let bodies = event_bodies(events, config.relay.event_bytes)?;
+    let events = read_events(texts, config.relay.event_bytes)?;
     let generated = format!("{}-{}", unix_ms(), std::process::id());
     let voters: Vec<MemberForm> = config.voters().copied().collect();
     let mut publisher = Publisher::new(&voters);
-    for (index, body) in bodies.iter().enumerate() {
-        let idempotency_key = match mark {
-            Some(mark) if bodies.len() == 1 => mark.to_owned(),
-            Some(mark) => format!("{mark}-{}", index + 1),
-            None => format!("{generated}-{}", index + 1),
+    for (index, event) in events.iter().enumerate() {
+        let position = index + 1;
+        let key = match mark {
+            Some(mark) if events.len() == 1 => mark.to_owned(),
+            Some(mark) => format!("{mark}-{position}"),
+            None => format!("{generated}-{position}"),
         };
-        match publisher.publish(&idempotency_key, body, target.timeout()) {
+        match publisher.publish(&key, event, target.timeout()) {
             Ok(number) => println!("{number}"),
             Err(error) => {
-                eprintln!("event {} of {}: {error}", index + 1, bodies.len());
-                if let PublishCallError::TimedOut(..) = error {
+                eprintln!("event {position} of {}: {error}", events.len());
+                if let PublishCallError::TimedOut { .. } = error {
                     eprintln!(
-                        "whether it was taken is not known: publish it again with --mark {idempotency_key}"
+                        "whether it will be committed is not known: publish it again with --mark {key}"
                     );
                 }
                 return Ok(CommandOutcome::Rejected);
--- a/crates/relay-server/tests/http_format.rs
+++ b/crates/relay-server/tests/http_format.rs
@@ -29,7 +29,7 @@
         let dir = TempDir::new().expect("a folder");
         let file = dir.path().join("relay.scm");
         std::fs::write(&file, settings).expect("a settings file");
-        let child = Command::new(env!("CARGO_BIN_EXE_tier-relay"))
+        let child = Command::new(env!("CARGO_BIN_EXE_test-relay"))
             .arg(&file)
             .stdin(Stdio::piped())
             .stdout(Stdio::null())
@@ -205,7 +205,7 @@
         )
     };
     // Not before every lease that it may have granted in an earlier life is over.
-    let nobody = r#"{"error":"not the source: nobody is for now","owner":null}"#;
+    let nobody = r#"{"error":"not the leader: nobody is now","owner":null}"#;
     assert_eq!(post("", list), json("503 Service Unavailable", nobody));
     let begun = Instant::now();
     while post("Sablecross-Mark: m-1\r\n", list) == json("503 Service Unavailable", nobody) {
