--- a/crates/relay-server/tests/processes/common.rs
+++ b/crates/relay-server/tests/processes/common.rs
@@ -1,4 +1,4 @@
-//! Relays as processes, readers that follow them by the product's own code, faults between them.
+//! Relays as processes, subscribers that follow them by the product's own code, faults between them.
 
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
@@ -18,21 +18,21 @@
 use socket2::{Domain, Socket, Type};
 use tempfile::TempDir;
 
-pub(crate) const PATIENCE: Duration = Duration::from_secs(12);
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(12);
 
 pub(crate) fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-pub(crate) fn unix() -> u64 {
+pub(crate) fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock").as_millis() as u64
 }
 
-/// Waits until it is so; false if it does not come about.
-pub(crate) fn until(most: Duration, mut so: impl FnMut() -> bool) -> bool {
+/// Waits for a condition; false if it does not come about in time.
+pub(crate) fn wait_until(timeout: Duration, mut condition: impl FnMut() -> bool) -> bool {
     let begun = Instant::now();
-    while !so() {
-        if begun.elapsed() > most {
+    while !condition() {
+        if begun.elapsed() > timeout {
             return false;
         }
         sleep(ms(20));
@@ -43,7 +43,7 @@
 pub(crate) const LIST: &str = r#"{"members":{"index":1,"snapshot":true,"endpoints":[{"name":"n","address":"127.0.0.1:9","zone":"e","type":"s","group":0,"status":"ready","weight":1,"since_ms":0}]}}"#;
 
 pub(crate) fn purge(key: u64) -> String {
-    format!(r#"{{"purge":{{"key":"{key:016x}","at":{}}}}}"#, unix())
+    format!(r#"{{"purge":{{"key":"{key:016x}","at":{}}}}}"#, unix_ms())
 }
 
 /// A list event of about so many bytes.
@@ -57,9 +57,9 @@
     format!(r#"{{"members":{{"index":{index},"snapshot":false,"endpoints":[{}]}}}}"#, all.join(","))
 }
 
-/// A connection between two that can be held: what is on it stays on it.
+/// A link between two relays that can be held: what is on it stays on it.
 #[derive(Clone, Default)]
-pub(crate) struct Holds {
+pub(crate) struct LinkHold {
     pub(crate) to: Arc<AtomicBool>,
     pub(crate) from: Arc<AtomicBool>,
 }
@@ -77,9 +77,9 @@
     let _ = to.shutdown(Shutdown::Write);
 }
 
-pub(crate) fn proxy(at: SocketAddr, target: SocketAddr) -> Holds {
+pub(crate) fn proxy(at: SocketAddr, target: SocketAddr) -> LinkHold {
     let listener = TcpListener::bind(at).expect("a proxy's address");
-    let holds = Holds::default();
+    let holds = LinkHold::default();
     let own = holds.clone();
     spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
@@ -96,7 +96,7 @@
     holds
 }
 
-/// Settings that make trials short.
+/// Settings that make tests short.
 const FAST: [(&str, u64); 9] = [
     ("batch-ms", 20),
     ("ack-ms", 400),
@@ -109,31 +109,31 @@
     ("connections", 1_000),
 ];
 
-/// Relays on addresses of their own, so that trials beside one another never meet.
-pub(crate) struct Tier {
+/// Relays on addresses of their own, so that tests beside one another never meet.
+pub(crate) struct RelayFleet {
     dir: TempDir,
     block: [u8; 2],
     voters: u32,
-    many: u32,
+    count: u32,
     keys: String,
     /// Between this one and that one, where a link is held.
     links: BTreeMap<(u32, u32), SocketAddr>,
     children: BTreeMap<u32, Child>,
 }
 
-impl Tier {
-    /// `trial`: another at each.
-    pub(crate) fn new(trial: u8, voters: u32, plain: u32, keys: &str) -> Tier {
-        let block = [100 + trial, (std::process::id() % 251) as u8];
+impl RelayFleet {
+    /// `test`: a number of the test's own.
+    pub(crate) fn new(test: u8, voters: u32, plain: u32, keys: &str) -> RelayFleet {
+        let block = [100 + test, (std::process::id() % 251) as u8];
         let dir = TempDir::new().expect("a folder");
         let (links, children) = (BTreeMap::new(), BTreeMap::new());
-        Tier { dir, block, voters, many: voters + plain, keys: keys.into(), links, children }
+        RelayFleet { dir, block, voters, count: voters + plain, keys: keys.into(), links, children }
     }
 
-    pub(crate) fn start(trial: u8, voters: u32, plain: u32, keys: &str) -> Tier {
-        let mut tier = Tier::new(trial, voters, plain, keys);
-        (0..tier.many).for_each(|n| tier.begin(n));
-        tier
+    pub(crate) fn start(test: u8, voters: u32, plain: u32, keys: &str) -> RelayFleet {
+        let mut fleet = RelayFleet::new(test, voters, plain, keys);
+        (0..fleet.count).for_each(|n| fleet.start_relay(n));
+        fleet
     }
 
     pub(crate) fn ip(&self, last: u8) -> IpAddr {
@@ -145,7 +145,7 @@
     }
 
     pub(crate) fn all(&self) -> Vec<SocketAddr> {
-        (0..self.many).map(|n| self.at(n)).collect()
+        (0..self.count).map(|n| self.at(n)).collect()
     }
 
     /// An outside control feed for all; to be set before they begin.
@@ -153,28 +153,28 @@
         self.keys += &format!(") (upstream (address . \"{at}\")");
     }
 
-    /// A further listening address of the only relay, that of the reader of this name.
+    /// A further listening address of the only relay, that of the subscriber of this name.
     pub(crate) fn listens(&mut self, name: &str, at: SocketAddr) {
         self.keys += &format!(") (reader (name . \"{name}\") (address . \"{at}\")");
     }
 
-    /// What one sends another goes by a link that can be held; to be set before it begins.
-    pub(crate) fn link(&mut self, from: u32, to: u32) -> Holds {
+    /// What one sends another goes by a link that can be held; to be set before it starts.
+    pub(crate) fn link(&mut self, from: u32, to: u32) -> LinkHold {
         let at = (self.ip(220 + from as u8), 8_000 + to as u16).into();
         self.links.insert((from, to), at);
         proxy(at, self.at(to))
     }
 
-    pub(crate) fn begin(&mut self, relay: u32) {
+    pub(crate) fn start_relay(&mut self, relay: u32) {
         let mut text = format!("(relay (number . {relay}) (listen . \"{}\")", self.at(relay));
         for (key, value) in FAST {
-            // What the trial sets itself goes before it.
+            // What the test sets itself goes before it.
             if !self.keys.contains(&format!("({key} ")) {
                 text += &format!(" ({key} . {value})");
             }
         }
         text += &format!(" {})\n", self.keys);
-        for m in 0..self.many {
+        for m in 0..self.count {
             let at = self.links.get(&(relay, m)).copied().unwrap_or(self.at(m));
             let votes = if m < self.voters { "#t" } else { "#f" };
             text += &format!("(member (number . {m}) (address . \"{at}\") (votes . {votes}))\n");
@@ -189,7 +189,7 @@
             .stderr(log.expect("a log"))
             .spawn();
         self.children.insert(relay, child.expect("a relay"));
-        let up = until(PATIENCE, || TcpStream::connect(self.at(relay)).is_ok());
+        let up = wait_until(TIMEOUT, || TcpStream::connect(self.at(relay)).is_ok());
         assert!(up, "relay {relay} does not serve: {}", self.log(relay));
     }
 
@@ -202,7 +202,7 @@
     }
 
     pub(crate) fn logs(&self) -> String {
-        (0..self.many).map(|n| format!("--- relay {n}\n{}", self.log(n))).collect()
+        (0..self.count).map(|n| format!("--- relay {n}\n{}", self.log(n))).collect()
     }
 
     pub(crate) fn pid(&self, relay: u32) -> u32 {
@@ -223,12 +223,12 @@
         self.signal(relay, Signal::STOP);
     }
 
-    pub(crate) fn go_on(&self, relay: u32) {
+    pub(crate) fn resume(&self, relay: u32) {
         self.signal(relay, Signal::CONT);
     }
 
     /// SIGTERM, and how it ended.
-    pub(crate) fn end(&mut self, relay: u32) -> Option<i32> {
+    pub(crate) fn terminate(&mut self, relay: u32) -> Option<i32> {
         self.signal(relay, Signal::TERM);
         let mut child = self.children.remove(&relay).expect("it runs");
         child.wait().expect("it ends").code()
@@ -241,20 +241,22 @@
         Some(serde_json::from_slice(&response.body).expect("a status"))
     }
 
-    /// The owner, once there is one beside those that are left out.
-    pub(crate) fn owner_but(&self, out: &[u32]) -> u32 {
-        let mut owner = None;
-        let found = until(PATIENCE, || {
-            let owns = |n: &u32| self.status(*n).is_some_and(|s| s.role == RelayRole::Leader);
-            owner = (0..self.voters).filter(|n| !out.contains(n) && self.children.contains_key(n)).find(owns);
-            owner.is_some()
+    /// The leader, once there is one beside those that are left out.
+    pub(crate) fn leader_except(&self, excluded: &[u32]) -> u32 {
+        let mut leader = None;
+        let found = wait_until(TIMEOUT, || {
+            let is_leader = |n: &u32| self.status(*n).is_some_and(|s| s.role == RelayRole::Leader);
+            leader = (0..self.voters)
+                .filter(|n| !excluded.contains(n) && self.children.contains_key(n))
+                .find(is_leader);
+            leader.is_some()
         });
-        assert!(found, "nobody owns the feed: {}", self.logs());
-        owner.expect("found")
+        assert!(found, "there is no leader: {}", self.logs());
+        leader.expect("found")
     }
 
-    pub(crate) fn owner(&self) -> u32 {
-        self.owner_but(&[])
+    pub(crate) fn leader(&self) -> u32 {
+        self.leader_except(&[])
     }
 
     pub(crate) fn publisher(&self) -> Publisher {
@@ -263,23 +265,23 @@
     }
 
     /// The list, as the first event of all.
-    pub(crate) fn listed(&self) -> Published {
+    pub(crate) fn publish_list(&self) -> Published {
         let mut published = Published::default();
-        published.tell(&mut self.publisher(), "list", LIST);
+        published.publish(&mut self.publisher(), "list", LIST);
         published
     }
 
-    pub(crate) fn reader(&self, name: u8, home: u32) -> Reader {
-        Reader::start(self.ip(name), self.at(home), &self.all())
+    pub(crate) fn subscriber(&self, name: u8, home: u32) -> Subscriber {
+        Subscriber::start(self.ip(name), self.at(home), &self.all())
     }
 
-    /// So many readers, spread over all relays.
-    pub(crate) fn readers(&self, many: u8) -> Vec<Reader> {
-        (0..many).map(|i| self.reader(i + 1, u32::from(i) % self.many)).collect()
+    /// So many subscribers, spread over all relays.
+    pub(crate) fn subscribers(&self, many: u8) -> Vec<Subscriber> {
+        (0..many).map(|i| self.subscriber(i + 1, u32::from(i) % self.count)).collect()
     }
 }
 
-impl Drop for Tier {
+impl Drop for RelayFleet {
     fn drop(&mut self) {
         for child in self.children.values_mut() {
             let _ = child.kill();
@@ -288,20 +290,20 @@
     }
 }
 
-/// What was answered with a number.
+/// Events that were accepted, by their numbers.
 #[derive(Default)]
 pub(crate) struct Published(pub(crate) BTreeMap<u64, String>);
 
 impl Published {
-    pub(crate) fn tell(&mut self, publisher: &mut Publisher, mark: &str, event: &str) -> u64 {
-        let n = publisher.publish(mark, event.as_bytes(), PATIENCE).unwrap_or_else(|e| panic!("{mark}: {e}"));
+    pub(crate) fn publish(&mut self, publisher: &mut Publisher, key: &str, event: &str) -> u64 {
+        let n = publisher.publish(key, event.as_bytes(), TIMEOUT).unwrap_or_else(|e| panic!("{key}: {e}"));
         let before = self.0.insert(n, event.into());
         assert_eq!(before, None, "number {n} was given twice");
         n
     }
 }
 
-/// Publishes purges one after another until it is told to stop.
+/// Publishes purges one after another until it is stopped.
 pub(crate) struct Load {
     stop: Arc<AtomicBool>,
     thread: JoinHandle<Published>,
@@ -310,14 +312,14 @@
 impl Load {
     pub(crate) fn start(mut publisher: Publisher, name: u64, pause: Duration) -> Load {
         let stop = Arc::new(AtomicBool::new(false));
-        let over = stop.clone();
+        let is_stopped = stop.clone();
         let thread = spawn(move || {
             let mut published = Published::default();
             for i in 0.. {
-                if over.load(Ordering::Relaxed) {
+                if is_stopped.load(Ordering::Relaxed) {
                     break;
                 }
-                published.tell(&mut publisher, &format!("{name}-{i}"), &purge(name << 32 | i));
+                published.publish(&mut publisher, &format!("{name}-{i}"), &purge(name << 32 | i));
                 sleep(pause);
             }
             published
@@ -325,53 +327,53 @@
         Load { stop, thread }
     }
 
-    pub(crate) fn over(self) -> Published {
+    pub(crate) fn finish(self) -> Published {
         self.stop.store(true, Ordering::Relaxed);
         self.thread.join().expect("all is published")
     }
 }
 
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Got {
-    /// In the order in which they were taken.
+pub(crate) struct Received {
+    /// In the order in which they were applied.
     pub(crate) events: Vec<(u64, String)>,
     pub(crate) calls: u64,
     pub(crate) failed: u64,
-    pub(crate) again: u64,
+    pub(crate) resubscribed: u64,
     pub(crate) skipped: u64,
 }
 
-impl Got {
+impl Received {
     pub(crate) fn last(&self) -> u64 {
         self.events.last().map_or(0, |(n, _)| *n)
     }
 }
 
 /// Follows feeds, as a director does: by `sablecross_discovery`.
-pub(crate) struct Reader {
-    pub(crate) got: Arc<Mutex<Got>>,
+pub(crate) struct Subscriber {
+    pub(crate) got: Arc<Mutex<Received>>,
     stop: Arc<AtomicBool>,
-    /// It is away: it calls nobody.
+    /// While it is set, it calls nobody.
     pub(crate) away: Arc<AtomicBool>,
 }
 
-impl Drop for Reader {
+impl Drop for Subscriber {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
     }
 }
 
-pub(crate) fn dial(from: IpAddr, at: SocketAddr) -> std::io::Result<TcpStream> {
+pub(crate) fn connect_from(from: IpAddr, at: SocketAddr) -> std::io::Result<TcpStream> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.bind(&SocketAddr::new(from, 0).into())?;
     socket.connect_timeout(&at.into(), ms(1_000))?;
     Ok(socket.into())
 }
 
-impl Reader {
-    pub(crate) fn start(name: IpAddr, home: SocketAddr, all: &[SocketAddr]) -> Reader {
-        let reader = Reader { got: Arc::default(), stop: Arc::default(), away: Arc::default() };
-        let (got, stop, away) = (reader.got.clone(), reader.stop.clone(), reader.away.clone());
+impl Subscriber {
+    pub(crate) fn start(name: IpAddr, home: SocketAddr, all: &[SocketAddr]) -> Subscriber {
+        let subscriber = Subscriber { got: Arc::default(), stop: Arc::default(), away: Arc::default() };
+        let (got, stop, away) = (subscriber.got.clone(), subscriber.stop.clone(), subscriber.away.clone());
         let (mut feeds, mut cursor) =
             (FeedSelector::new(&name.to_string(), home, all), EventCursor::after_number(0));
         spawn(move || {
@@ -394,18 +396,18 @@
                 }
             }
         });
-        reader
+        subscriber
     }
 
     pub(crate) fn last(&self) -> u64 {
         self.got.lock().expect("a lock").last()
     }
 
-    pub(crate) fn got(&self) -> Got {
+    pub(crate) fn got(&self) -> Received {
         self.got.lock().expect("a lock").clone()
     }
 
-    pub(crate) fn goes(&self, away: bool) {
+    pub(crate) fn set_away(&self, away: bool) {
         self.away.store(away, Ordering::Relaxed);
     }
 }
@@ -419,34 +421,35 @@
     name: IpAddr,
     feeds: &mut FeedSelector,
     cursor: &mut EventCursor,
-    got: &Mutex<Got>,
+    got: &Mutex<Received>,
     away: &AtomicBool,
     stop: &AtomicBool,
 ) -> Result<(), String> {
     let at = feeds.current();
-    let stream = dial(name, at).map_err(|e| e.to_string())?;
+    let stream = connect_from(name, at).map_err(|e| e.to_string())?;
     stream.set_read_timeout(Some(ms(20))).map_err(|e| e.to_string())?;
     (&stream)
         .write_all(sablecross_discovery::events_request(at, cursor.last_number()).as_bytes())
         .map_err(|e| e.to_string())?;
     got.lock().expect("a lock").calls += 1;
-    let (mut answer, mut bytes, mut heard) = (EventStreamParser::new(1 << 22), [0; 8_192], Instant::now());
+    let (mut parser, mut bytes, mut last_read) =
+        (EventStreamParser::new(1 << 22), [0; 8_192], Instant::now());
     while !away.load(Ordering::Relaxed) && !stop.load(Ordering::Relaxed) {
         match (&stream).read(&mut bytes) {
-            Ok(0) => return answer.finish().map_err(|e| e.to_string()),
+            Ok(0) => return parser.finish().map_err(|e| e.to_string()),
             Ok(n) => {
-                heard = Instant::now();
-                answer.push(&bytes[..n]);
+                last_read = Instant::now();
+                parser.push(&bytes[..n]);
             }
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                if heard.elapsed() > ms(2_000) {
+                if last_read.elapsed() > ms(2_000) {
                     return Err("silent".into());
                 }
             }
             Err(e) => return Err(e.to_string()),
         }
-        while let Some(said) = answer.next_item().map_err(|e| e.to_string())? {
-            match said {
+        while let Some(item) = parser.next_item().map_err(|e| e.to_string())? {
+            match item {
                 StreamItem::Connected => feeds.on_connected(),
                 StreamItem::Comment(_) => {}
                 StreamItem::Event { id, data } => {
@@ -454,9 +457,9 @@
                     match cursor.classify(id, number(&data)) {
                         EventVerdict::New(_) => got.events.push((cursor.last_number(), data)),
                         EventVerdict::Duplicate => {}
-                        EventVerdict::Resubscribe(why) => {
-                            got.again += 1;
-                            return Err(why.to_string());
+                        EventVerdict::Resubscribe(reason) => {
+                            got.resubscribed += 1;
+                            return Err(reason.to_string());
                         }
                         EventVerdict::Skip { .. } => got.skipped += 1,
                     }
@@ -467,39 +470,39 @@
     Ok(())
 }
 
-/// All readers come to this number, then each has every published event from the list on, in order, once and as it was published,
-/// and nobody has under a number what another does not.
-pub(crate) fn complete(readers: &[Reader], published: &Published, tier: &Tier) {
+/// All subscribers reach the last number, then each has every published event from the list on, in order, once and as it
+/// was published, and nobody has under a number what another does not.
+pub(crate) fn assert_complete(subscribers: &[Subscriber], published: &Published, fleet: &RelayFleet) {
     let last = *published.0.keys().last().expect("something was published");
-    let come = until(PATIENCE, || readers.iter().all(|r| r.last() >= last));
-    let at: Vec<u64> = readers.iter().map(Reader::last).collect();
-    assert!(come, "of {last} readers have {at:?}\n{}", tier.logs());
+    let have_all = wait_until(TIMEOUT, || subscribers.iter().all(|r| r.last() >= last));
+    let at: Vec<u64> = subscribers.iter().map(Subscriber::last).collect();
+    assert!(have_all, "of {last} subscribers have {at:?}\n{}", fleet.logs());
     let mut known: BTreeMap<u64, String> = BTreeMap::new();
-    for (i, reader) in readers.iter().enumerate() {
-        let got = reader.got();
-        assert_eq!(got.skipped, 0, "reader {i} skipped events");
+    for (i, subscriber) in subscribers.iter().enumerate() {
+        let got = subscriber.got();
+        assert_eq!(got.skipped, 0, "subscriber {i} skipped events");
         let numbers: Vec<u64> = got.events.iter().map(|(n, _)| *n).collect();
         assert!(
             numbers.windows(2).all(|w| w[1] == w[0] + 1),
-            "reader {i}: {:?}\n{}",
+            "subscriber {i}: {:?}\n{}",
             numbers.windows(2).find(|w| w[1] != w[0] + 1),
-            tier.logs()
+            fleet.logs()
         );
         let of: BTreeMap<u64, &String> = got.events.iter().map(|(n, e)| (*n, e)).collect();
         for (n, event) in &published.0 {
-            let told = of.get(n).unwrap_or_else(|| panic!("reader {i} misses {n}\n{}", tier.logs()));
-            assert_eq!(**told, format!("{{\"n\":{n},{}", &event[1..]), "reader {i}");
+            let received = of.get(n).unwrap_or_else(|| panic!("subscriber {i} misses {n}\n{}", fleet.logs()));
+            assert_eq!(**received, format!("{{\"n\":{n},{}", &event[1..]), "subscriber {i}");
         }
         for (n, event) in got.events {
             let first = known.entry(n).or_insert_with(|| event.clone());
-            assert_eq!(*first, event, "reader {i} has another event under {n}");
+            assert_eq!(*first, event, "subscriber {i} has another event under {n}");
         }
     }
 }
 
-/// Whether a voter refuses an event as one that is not the source, or not any more.
-pub(crate) fn refuses(tier: &Tier, relay: u32, event: &str) -> bool {
-    let member = MemberForm { number: relay, address: tier.at(relay), votes: true };
-    let said = Publisher::new(&[member]).publish("once", event.as_bytes(), Duration::ZERO);
-    matches!(said, Err(PublishCallError::TimedOut { .. }))
+/// Whether a voter rejects an event as one that is not the leader, or not any more.
+pub(crate) fn rejects(fleet: &RelayFleet, relay: u32, event: &str) -> bool {
+    let member = MemberForm { number: relay, address: fleet.at(relay), votes: true };
+    let result = Publisher::new(&[member]).publish("once", event.as_bytes(), Duration::ZERO);
+    matches!(result, Err(PublishCallError::TimedOut { .. }))
 }
--- a/crates/relay-server/tests/processes/main.rs
+++ b/crates/relay-server/tests/processes/main.rs
@@ -2,5 +2,5 @@
 
 mod common;
 mod faults;
-mod horizon;
-mod readers;
+mod retention;
+mod subscribers;
--- a/crates/relay-server/tests/settings.rs
+++ b/crates/relay-server/tests/settings.rs
@@ -2,9 +2,9 @@
 
 use sablecross_relay_server::RelayServerConfig;
 
-fn fault(text: &str) -> String {
-    let faults = RelayServerConfig::parse("r.scm", text).expect_err("a fault");
-    faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
+fn errors(text: &str) -> String {
+    let errors = RelayServerConfig::parse("r.scm", text).expect_err("an error");
+    errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
 }
 
 const MEMBER: &str = "(member (number . 0) (address . \"127.0.0.1:7070\") (votes . #t))\n";
@@ -12,18 +12,18 @@
 #[test]
 fn the_sample_is_read() {
     let text = include_str!("../../../deploy/relay.scm");
-    let setting = RelayServerConfig::parse("relay.scm", text).expect("the sample");
-    assert_eq!(setting.voters().count(), 3);
-    assert_eq!(setting.listen, "127.0.0.1:7070".parse().expect("an address"));
-    assert!(setting.is_voter() && setting.upstreams.is_empty());
-    assert_eq!(setting.subscribers[0].name, "n5");
+    let config = RelayServerConfig::parse("relay.scm", text).expect("the sample");
+    assert_eq!(config.voters().count(), 3);
+    assert_eq!(config.listen, "127.0.0.1:7070".parse().expect("an address"));
+    assert!(config.is_voter() && config.upstreams.is_empty());
+    assert_eq!(config.subscribers[0].name, "n5");
     // What the sample says is what is taken by itself.
     let short = format!("(relay (number . 0))\n{MEMBER}");
-    assert_eq!(RelayServerConfig::parse("short", &short).expect("short").relay, setting.relay);
+    assert_eq!(RelayServerConfig::parse("short", &short).expect("short").relay, config.relay);
 }
 
 #[test]
-fn faults_name_file_line_and_key() {
+fn errors_name_file_line_and_key() {
     for (text, what) in [
         (MEMBER.to_owned(), "r.scm:1:1: relay: no (relay ...) form"),
         (format!("{MEMBER}(relay (number . 0)\n"), "r.scm:2:1: "),
@@ -52,20 +52,20 @@
         (format!("{MEMBER}(relay (number . 0) {})\n", "(x . 1)".repeat(3_000)), "r.scm:2:1: "),
         (format!("{MEMBER}(relay (number . 0) (listen . \"localhost\"))\n"), "r.scm:2:22: relay.listen: "),
     ] {
-        let said = fault(&text);
-        assert!(said.contains(what), "{said}, where {what} was due");
+        let found = errors(&text);
+        assert!(found.contains(what), "{found}, where {what} was due");
     }
 }
 
 #[test]
-fn what_does_not_fit_the_limit_is_said() {
+fn descriptors_past_the_limit_are_an_error() {
     let text = format!("(relay (number . 0) (connections . 100000))\n{MEMBER}");
-    let setting = RelayServerConfig::parse("r.scm", &text).expect("settings");
+    let config = RelayServerConfig::parse("r.scm", &text).expect("settings");
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
-    if limit.is_some_and(|l| l < setting.max_descriptors() as u64) {
-        let why = setting.check_descriptor_limit().expect_err("it does not fit").to_string();
-        assert!(why.contains("relay.connections") && why.contains("descriptors"), "{why}");
+    if limit.is_some_and(|l| l < config.max_descriptors() as u64) {
+        let error = config.check_descriptor_limit().expect_err("it does not fit").to_string();
+        assert!(error.contains("relay.connections") && error.contains("descriptors"), "{error}");
     } else {
-        assert_eq!(setting.check_descriptor_limit(), Ok(()));
+        assert_eq!(config.check_descriptor_limit(), Ok(()));
     }
 }
--- a/crates/relay/tests/retention.rs
+++ b/crates/relay/tests/retention.rs
@@ -1,4 +1,4 @@
-//! The horizon against the real decision module: an older purge changes nothing that it decides, a younger
+//! The retention time against the real router: an older purge changes nothing that it decides, a younger
 //! one does.
 
 #[allow(dead_code, unreachable_pub)]
@@ -12,14 +12,13 @@
 use sablecross_relay::RetentionWindow;
 use sablecross_relay::retention::PURGE_HOLD_TIME;
 
-fn with(cleared: Ns, fresh_time: Ns, grace_time: Ns) -> Settings {
-    let kinds =
-        vec![RequestClass { fresh_for: fresh_time, stale_for: grace_time, ..kind(Effect::Idempotent) }];
-    Settings { purge_propagation_window: cleared, request_classes: kinds, ..settings() }
+fn with(purge_propagation: Ns, fresh_for: Ns, stale_for: Ns) -> Settings {
+    let classes = vec![RequestClass { fresh_for, stale_for, ..kind(Effect::Idempotent) }];
+    Settings { purge_propagation_window: purge_propagation, request_classes: classes, ..settings() }
 }
 
-/// What a director decides from `from` on for a few objects of two groups, as it was told or not told of a
-/// purge.
+/// What a director decides from `from` on for a few objects of two groups, as it has received a purge or not
+/// (object and time).
 fn decides(set: &Settings, told: Option<(Option<u64>, Ns)>, from: Ns, seed: u64) -> Vec<RouteDecision> {
     let mut c = Router::new(set.clone(), seed, START);
     c.update_endpoints(START, &list(4, 2), true);
@@ -46,24 +45,21 @@
     routes
 }
 
-/// For purges of an object and of a group, kinds that are good until purged, that age, and that age with a
-/// grace.
+/// For purges of an object and of a group, classes that are fresh until purged, that age, and that may then be
+/// served stale. How many decisions are the same, and how many differ.
 fn differ(before: Ns, of: impl Fn(&RetentionWindow) -> Ns) -> (usize, usize) {
     let at = START + SEC;
     let (mut same, mut other) = (0, 0);
-    for cleared in [0, 6 * SEC, 90 * SEC] {
-        for (fresh, grace) in [(0, 0), (3_600 * SEC, 0), (3_600 * SEC, 600 * SEC)] {
+    for purge_propagation in [0, 6 * SEC, 90 * SEC] {
+        for (fresh_for, stale_for) in [(0, 0), (3_600 * SEC, 0), (3_600 * SEC, 600 * SEC)] {
             for (object, seed) in (0..40).map(|s| ((s % 2 == 0).then_some(s % 4), s)) {
-                let set = with(cleared, fresh, grace);
-                let horizon = RetentionWindow {
-                    purge_propagation: cleared,
-                    hold_time: PURGE_HOLD_TIME,
-                    clock_tolerance: 0,
-                };
-                let from = at + of(&horizon) - before;
-                let told = decides(&set, Some((object, at)), from, seed);
-                let untold = decides(&set, None, from, seed);
-                if told == untold { same += 1 } else { other += 1 }
+                let set = with(purge_propagation, fresh_for, stale_for);
+                let window =
+                    RetentionWindow { purge_propagation, hold_time: PURGE_HOLD_TIME, clock_tolerance: 0 };
+                let from = at + of(&window) - before;
+                let received = decides(&set, Some((object, at)), from, seed);
+                let missed = decides(&set, None, from, seed);
+                if received == missed { same += 1 } else { other += 1 }
             }
         }
     }
@@ -71,16 +67,16 @@
 }
 
 #[test]
-fn a_purge_past_the_horizon_changes_no_decision_and_one_before_it_does() {
-    assert_eq!(differ(0, RetentionWindow::purge_lifetime), (360, 0), "at the horizon");
+fn a_purge_past_its_lifetime_changes_no_decision_and_a_younger_one_does() {
+    assert_eq!(differ(0, RetentionWindow::purge_lifetime), (360, 0), "at the end of its lifetime");
     let (same, other) = differ(50 * MS, RetentionWindow::purge_lifetime);
     assert!(other > 250, "50 ms before it: {other} of {} differ", same + other);
     // Of the log's own rule in Unix milliseconds, which rounds up.
-    let horizon = RetentionWindow {
+    let window = RetentionWindow {
         purge_propagation: 6 * SEC + 1,
         hold_time: PURGE_HOLD_TIME,
         clock_tolerance: 2 * SEC,
     };
-    assert_eq!(horizon.retention_time(), 128 * SEC + 1);
-    assert!(!horizon.is_expired(1_000, 129_000) && horizon.is_expired(1_000, 129_001));
+    assert_eq!(window.retention_time(), 128 * SEC + 1);
+    assert!(!window.is_expired(1_000, 129_000) && window.is_expired(1_000, 129_001));
 }
