--- a/crates/relay-server/src/process.rs
+++ b/crates/relay-server/src/process.rs
@@ -36,7 +36,7 @@
 /// status.
 pub fn run(config: RelayServerConfig) -> Result<(), ServerError> {
     start_logging();
-    let mut signals = Signals::new([SIGTERM, SIGUSR1]).map_err(ServerError::io("signals"))?;
+    let mut signals = Signals::new([SIGTERM, SIGUSR1]).map_err(ServerError::io("handling signals"))?;
     let (server, inbox) = Server::new(config)?;
     let forward_signals = move || {
         for signal in signals.forever() {
@@ -46,7 +46,7 @@
             }
         }
     };
-    spawn("signals".into(), forward_signals).map_err(ServerError::io("a thread"))?;
+    spawn("signals".into(), forward_signals).map_err(ServerError::io("starting a thread"))?;
     server.serve()
 }
 
--- a/crates/relay-server/src/server/accept.rs
+++ b/crates/relay-server/src/server/accept.rs
@@ -39,7 +39,7 @@
     for (address, subscriber) in own.chain(single) {
         let mut socket = listen(address).map_err(|e| ServerError::Listen(address, e))?;
         let token = Token(listeners.len());
-        registry.register(&mut socket, token, Interest::READABLE).map_err(ServerError::io("poll"))?;
+        registry.register(&mut socket, token, Interest::READABLE).map_err(ServerError::io("polling"))?;
         listeners.push(Listener { socket, subscriber, retries: false });
     }
     Ok(listeners)
--- a/crates/relay-server/src/server/mod.rs
+++ b/crates/relay-server/src/server/mod.rs
@@ -144,7 +144,7 @@
             let deadline = if self.unread.is_empty() { next_tick.min(next_step) } else { now };
             let timeout = Duration::from_nanos(deadline.saturating_sub(self.clock.now()));
             match self.poll.poll(&mut ready, Some(timeout)) {
-                Err(e) if e.kind() != ErrorKind::Interrupted => return Err(ServerError::Io("poll", e)),
+                Err(e) if e.kind() != ErrorKind::Interrupted => return Err(ServerError::Io("polling", e)),
                 _ => {}
             }
             let now = self.clock.now();
--- a/crates/relay-server/src/server/startup.rs
+++ b/crates/relay-server/src/server/startup.rs
@@ -35,8 +35,8 @@
     /// Listens and starts the threads. The inbox is for the caller's own events.
     pub(crate) fn new(config: RelayServerConfig) -> Result<(Server, Inbox), ServerError> {
         config.check_descriptor_limit()?;
-        let poll = Poll::new().map_err(ServerError::io("poll"))?;
-        let waker = Waker::new(poll.registry(), INBOX_TOKEN).map_err(ServerError::io("poll"))?;
+        let poll = Poll::new().map_err(ServerError::io("polling"))?;
+        let waker = Waker::new(poll.registry(), INBOX_TOKEN).map_err(ServerError::io("polling"))?;
         let (sender, receiver) = bounded(INBOX_CAPACITY);
         let inbox = Inbox { to: sender, waker: Arc::new(waker) };
         let listeners = listen_at_all(&config, poll.registry())?;
@@ -54,10 +54,10 @@
             let max_bytes = max_reply_bytes(&config);
             let follower = Follower { relay: form.number, silence, max_bytes, orders, inbox: inbox.clone() };
             let run = move || follower.follow();
-            peers::spawn("upstream".into(), run).map_err(ServerError::io("a thread"))?;
+            peers::spawn("upstream".into(), run).map_err(ServerError::io("starting a thread"))?;
         }
         let applied_reports =
-            peers::spawn_forwarder(silence, inbox.clone()).map_err(ServerError::io("a thread"))?;
+            peers::spawn_forwarder(silence, inbox.clone()).map_err(ServerError::io("starting a thread"))?;
         log_start(&config);
         let server = Server {
             batch_interval: form.batch_ms * NS_PER_MS,
@@ -121,7 +121,7 @@
         }
         let max_bytes = max_reply_bytes(config);
         let caller = peers::spawn_caller(index, member.address, timeout, max_bytes, inbox.clone());
-        callers.push(Some(caller.map_err(ServerError::io("a thread"))?));
+        callers.push(Some(caller.map_err(ServerError::io("starting a thread"))?));
     }
     Ok(callers)
 }
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -68,8 +68,9 @@
     pub applied_number: u64,
 }
 
+/// What the relay does.
 #[derive(Debug)]
-enum Part {
+enum RelayMode {
     Voter(Box<ReplicaGroup>),
     Plain(Box<PlainRelay>),
 }
@@ -78,7 +79,7 @@
 #[derive(Debug)]
 pub struct Relay {
     config: RelayConfig,
-    part: Part,
+    mode: RelayMode,
     subscribers: Subscribers,
     actions: Vec<Action>,
 }
@@ -96,24 +97,19 @@
     ) -> Relay {
         let log = Log::new(config.retention);
         let group = ReplicaGroup::new(member, index, group, log, seed, now);
-        Relay::with_part(config, Part::Voter(Box::new(group)))
+        Relay::with_mode(config, RelayMode::Voter(Box::new(group)))
     }
 
     /// A plain relay, which begins without memory.
     pub fn plain(config: RelayConfig, upstream: UpstreamSelector) -> Relay {
         let plain = PlainRelay::new(Log::new(config.retention), upstream);
-        Relay::with_part(config, Part::Plain(Box::new(plain)))
+        Relay::with_mode(config, RelayMode::Plain(Box::new(plain)))
     }
 
-    fn with_part(config: RelayConfig, part: Part) -> Relay {
+    fn with_mode(config: RelayConfig, mode: RelayMode) -> Relay {
         let subscribers =
             Subscribers::new(config.missing_after, config.forget_after, config.max_floor_history);
-        Relay { config, part, subscribers, actions: Vec::new() }
-    }
-
-    /// The configuration that it was made with.
-    pub fn config(&self) -> &RelayConfig {
-        &self.config
+        Relay { config, mode, subscribers, actions: Vec::new() }
     }
 
     /// What is to be done since the last call of this.
@@ -129,9 +125,9 @@
 
     /// The events that subscribers may be sent.
     pub fn log(&self) -> &Log {
-        match &self.part {
-            Part::Voter(group) => group.log(),
-            Part::Plain(plain) => &plain.log,
+        match &self.mode {
+            RelayMode::Voter(group) => group.log(),
+            RelayMode::Plain(plain) => &plain.log,
         }
     }
 
@@ -142,21 +138,21 @@
 
     /// When [`Relay::step`] is to be called next, at the latest a second from now.
     pub fn next_wakeup(&self, now: Ns) -> Ns {
-        let own = match &self.part {
-            Part::Voter(group) => group.next_deadline(),
-            Part::Plain(_) => Ns::MAX,
+        let own = match &self.mode {
+            RelayMode::Voter(group) => group.next_deadline(),
+            RelayMode::Plain(_) => Ns::MAX,
         };
         own.min(now + MAX_STEP_INTERVAL)
     }
 
     /// Does what is due. `unix_ms` is the Unix time.
     pub fn step(&mut self, now: Ns, unix_ms: u64) {
-        match &mut self.part {
-            Part::Voter(group) => {
+        match &mut self.mode {
+            RelayMode::Voter(group) => {
                 let actions = group.step(now, unix_ms);
                 self.add_group_actions(now, actions);
             }
-            Part::Plain(plain) => {
+            RelayMode::Plain(plain) => {
                 if let Some(index) = plain.check_upstream(now) {
                     let line = format!("upstream {index} is followed: the previous one was stale");
                     self.actions.push(Action::Log(line));
@@ -176,7 +172,7 @@
 
     /// A new leader waits for what all voters report.
     fn add_group_actions(&mut self, now: Ns, actions: Vec<Action>) {
-        if let Part::Voter(group) = &self.part
+        if let RelayMode::Voter(group) = &self.mode
             && actions.iter().any(|action| matches!(action, Action::LeadershipGained(_)))
         {
             self.subscribers.reset_floor();
@@ -193,19 +189,19 @@
     /// Answers another voter's call.
     pub fn on_peer_request(&mut self, now: Ns, unix_ms: u64, request: PeerRequest) -> PeerReply {
         let floor = self.subscribers.floor(now, self.last_number());
-        match &mut self.part {
-            Part::Voter(group) => {
+        match &mut self.mode {
+            RelayMode::Voter(group) => {
                 let (reply, actions) = group.on_request(now, unix_ms, request, floor);
                 self.actions.extend(actions);
                 reply
             }
-            Part::Plain(_) => PeerReply::default(),
+            RelayMode::Plain(_) => PeerReply::default(),
         }
     }
 
     /// Takes in what came back of [`Action::Call`].
     pub fn on_peer_reply(&mut self, now: Ns, unix_ms: u64, voter: u32, call_id: u64, reply: PeerReply) {
-        let Part::Voter(group) = &mut self.part else { return };
+        let RelayMode::Voter(group) = &mut self.mode else { return };
         let (applied, actions) = group.on_reply(now, unix_ms, voter, call_id, reply);
         self.add_group_actions(now, actions);
         if let Some(applied) = applied {
@@ -238,7 +234,7 @@
         idempotency_key: Option<&str>,
         json: &[u8],
     ) -> Result<Vec<Action>, PublishError> {
-        let Part::Voter(group) = &mut self.part else { return Err(PublishError::NotLeader(None)) };
+        let RelayMode::Voter(group) = &mut self.mode else { return Err(PublishError::NotLeader(None)) };
         group.require_leader(now)?;
         let event = Event::parse(json, self.config.max_event_bytes)?.event;
         group.publish(now, unix_ms, ticket, idempotency_key, event, self.config.max_log_bytes)
@@ -246,15 +242,15 @@
 
     /// The token under which it is the leader now.
     pub fn leader_token(&self, now: Ns) -> Option<FencingToken> {
-        match &self.part {
-            Part::Voter(group) => group.leader_token(now),
-            Part::Plain(_) => None,
+        match &self.mode {
+            RelayMode::Voter(group) => group.leader_token(now),
+            RelayMode::Plain(_) => None,
         }
     }
 
     /// Gives leadership up, as at a planned stop.
     pub fn hand_over(&mut self, now: Ns) {
-        if let Part::Voter(group) = &mut self.part {
+        if let RelayMode::Voter(group) = &mut self.mode {
             self.actions.extend(group.hand_over(now));
         }
     }
@@ -266,21 +262,21 @@
     /// open whether it is still the same upstream.
     pub fn upstream_to_follow(&mut self, now: Ns) -> Option<UpstreamCall> {
         let floor = self.subscribers.floor(now, self.last_number());
-        let Part::Plain(plain) = &self.part else { return None };
+        let RelayMode::Plain(plain) = &self.mode else { return None };
         let upstream = plain.upstream.current()?;
         Some(UpstreamCall { upstream, applied_number: floor.min(plain.log.last_number()) })
     }
 
     /// The call of the upstream failed, or its stream broke. A clean end is no failure.
     pub fn on_upstream_failed(&mut self, now: Ns) {
-        if let Part::Plain(plain) = &mut self.part {
+        if let RelayMode::Plain(plain) = &mut self.mode {
             plain.upstream.on_failed(now);
         }
     }
 
     /// Takes in a comment of the upstream, without its line ends.
     pub fn on_upstream_comment(&mut self, now: Ns, comment: &str) {
-        let Part::Plain(plain) = &mut self.part else { return };
+        let RelayMode::Plain(plain) = &mut self.mode else { return };
         match Staleness::parse_comment(comment) {
             Some(comment) => plain.staleness.record(now, comment.age, comment.leader),
             // It is no relay, so it is the source itself.
@@ -291,7 +287,7 @@
     /// Takes in an event of the upstream: its data, and the number in its `id` if it has one.
     pub fn on_upstream_event(&mut self, now: Ns, unix_ms: u64, id: Option<u64>, data: &[u8]) -> ApplyOutcome {
         let max_bytes = self.config.max_event_bytes.max(self.config.max_log_bytes);
-        let Part::Plain(plain) = &mut self.part else { return ApplyOutcome::Duplicate };
+        let RelayMode::Plain(plain) = &mut self.mode else { return ApplyOutcome::Duplicate };
         let outcome = plain.on_event(unix_ms, id, data, max_bytes, &mut self.actions);
         if outcome == ApplyOutcome::Applied {
             plain.log.compact(unix_ms);
@@ -306,7 +302,7 @@
     /// A subscriber calls and has applied this number; its stream is encoded with [`Relay::encode_after`].
     pub fn on_subscriber_connected(&mut self, now: Ns, unix_ms: u64, name: &str, applied_number: u64) {
         self.subscribers.connected(now, name, applied_number);
-        if let Part::Voter(group) = &mut self.part {
+        if let RelayMode::Voter(group) = &mut self.mode {
             group.observe_number(applied_number);
         }
         self.update_floor(now, unix_ms);
@@ -319,9 +315,9 @@
 
     /// As [`Log::encode_after`]: appends what follows the cursor to `out`, and returns the new cursor.
     pub fn encode_after(&mut self, cursor: u64, max_bytes: usize, out: &mut Vec<u8>) -> u64 {
-        match &mut self.part {
-            Part::Voter(group) => group.encode_after(cursor, max_bytes, out),
-            Part::Plain(plain) => plain.log.encode_after(cursor, max_bytes, out),
+        match &mut self.mode {
+            RelayMode::Voter(group) => group.encode_after(cursor, max_bytes, out),
+            RelayMode::Plain(plain) => plain.log.encode_after(cursor, max_bytes, out),
         }
     }
 
@@ -331,9 +327,9 @@
     }
 
     fn staleness(&self, now: Ns) -> Staleness {
-        match &self.part {
-            Part::Voter(group) => group.staleness(now),
-            Part::Plain(plain) => plain.staleness,
+        match &self.mode {
+            RelayMode::Voter(group) => group.staleness(now),
+            RelayMode::Plain(plain) => plain.staleness,
         }
     }
 
@@ -360,7 +356,7 @@
             subscribers: self.subscribers.statuses(now),
             ..RelayStatus::default()
         };
-        if let Part::Voter(group) = &self.part {
+        if let RelayMode::Voter(group) = &self.mode {
             group.fill_status(now, &mut status);
         }
         status
--- a/crates/relay/src/subscribers.rs
+++ b/crates/relay/src/subscribers.rs
@@ -135,9 +135,4 @@
         };
         self.by_name.iter().map(status).collect()
     }
-
-    /// How many have a stream now.
-    pub fn connected_count(&self) -> usize {
-        self.by_name.values().filter(|subscriber| subscriber.streams > 0).count()
-    }
 }
