--- a/crates/relay-server/src/publisher.rs
+++ b/crates/relay-server/src/publisher.rs
@@ -23,7 +23,7 @@
     #[error("{0}")]
     Rejected(String),
     /// No voter has accepted it in time. It may be committed still: publish it again with the same key.
-    #[error("no answer in {timeout:?}; the last word was: {last_failure}")]
+    #[error("no answer in {timeout:?}; the last failure was: {last_failure}")]
     TimedOut {
         /// How long a leader was looked for.
         timeout: Duration,
--- a/crates/relay/src/log.rs
+++ b/crates/relay/src/log.rs
@@ -264,7 +264,8 @@
     }
 
     /// Appends to `out` the bytes that a subscriber is sent after `cursor`: at least one event, and no further one
-    /// once `out` would have over `max_bytes`. Returns the number up to which it goes; `cursor` if there is nothing to send.
+    /// once `out` would have over `max_bytes`. Returns the number up to which it goes; `cursor` if there is nothing
+    /// to send.
     ///
     /// A subscriber that is behind the snapshot gets that, in full and not counted in `max_bytes`, and at least
     /// one event more.
