--- a/crates/relay/tests/retention.rs
+++ b/crates/relay/tests/retention.rs
@@ -12,9 +12,10 @@
 use sablecross_relay::RetentionWindow;
 use sablecross_relay::retention::PURGE_HOLD_TIME;
 
-fn with(purge_propagation: Ns, fresh_for: Ns, stale_for: Ns) -> Settings {
-    let classes = vec![RequestClass { fresh_for, stale_for, ..kind(Effect::Idempotent) }];
-    Settings { purge_propagation_window: purge_propagation, request_classes: classes, ..settings() }
+fn with(cleared: Ns, fresh_time: Ns, grace_time: Ns) -> Settings {
+    let kinds =
+        vec![RequestClass { fresh_for: fresh_time, stale_for: grace_time, ..kind(Effect::Idempotent) }];
+    Settings { purge_propagation_window: cleared, request_classes: kinds, ..settings() }
 }
 
 /// What a director decides from `from` on for a few objects of two groups, as it has received a purge or not
