--- a/crates/director/src/parent_hierarchy.rs
+++ b/crates/director/src/parent_hierarchy.rs
@@ -46,7 +46,7 @@
         /// What the system reports.
         cause: std::io::Error,
     },
-    /// The settings file is faulty.
+    /// The settings file is invalid.
     #[error("{}", join_errors(.0))]
     Settings(Vec<ConfigError>),
     /// The version contains a loop, or a node without a path to the origin.
--- a/crates/hierarchy-controller/src/controller.rs
+++ b/crates/hierarchy-controller/src/controller.rs
@@ -13,7 +13,7 @@
 use crate::register_log::{DecodeError, EncodeError, RegisterLog, encode_spec};
 
 /// The name of a proposal in the errors of its settings.
-const PROPOSAL_FILE: &str = "wish";
+const PROPOSAL_FILE: &str = "proposal";
 
 /// Something that the caller has to do.
 #[derive(Clone, Debug, PartialEq)]
@@ -45,7 +45,7 @@
     #[error(transparent)]
     Rollout(#[from] RolloutError),
     /// The register has not been read yet.
-    #[error("what the register holds is being read: ask again")]
+    #[error("the register is being read: propose again")]
     NotReady,
 }
 
@@ -129,7 +129,7 @@
     /// One line for operators. The command line looks for `no change runs`, `0 missing` and `last refused` in it.
     pub fn status(&self) -> String {
         let status = match &self.state {
-            State::ReadingRegister => "reads the register".into(),
+            State::ReadingRegister => "reading the register".into(),
             State::Empty => "no version yet".into(),
             State::Running(rollout) => rollout_status(rollout),
         };
@@ -338,13 +338,13 @@
 fn rollout_status(rollout: &Rollout) -> String {
     let change = match rollout.progress() {
         Some(progress) => {
-            let back = if progress.is_rollback { " back" } else { "" };
+            let back = if progress.is_rollback { " as a rollback" } else { "" };
             format!("change {} runs{back}, {} steps left", progress.change, progress.remaining_steps)
         }
         None => "no change runs".into(),
     };
     format!(
-        "version {} told, {} in force everywhere, {change}, {} missing",
+        "version {} published, {} committed, {change}, {} missing",
         rollout.published().number,
         rollout.committed().number,
         rollout.missing_participants().len()
--- a/crates/hierarchy-controller/tests/stored_format.rs
+++ b/crates/hierarchy-controller/tests/stored_format.rs
@@ -92,7 +92,7 @@
 fn the_register_begins_with_its_format() {
     let mut controller = new_controller();
     controller.on_persisted(0, &entry(Vec::new()));
-    controller.propose(0, TEXT.as_bytes()).expect("taken");
+    controller.propose(0, TEXT.as_bytes()).expect("accepted");
     let start = "81a57374617274930301SPEC".replace("SPEC", SPEC);
     let register = format!("0191{start}");
     let actions = controller.take_actions();
--- a/crates/hierarchy/tests/model.rs
+++ b/crates/hierarchy/tests/model.rs
@@ -348,10 +348,10 @@
 #[test]
 fn every_change_ends_and_no_fill_passes_a_node_twice() {
     // Of three nodes and the origin one triple in so many is searched; of fewer nodes all are.
-    let asked = std::env::var("SABLECROSS_MODEL").unwrap_or_else(|_| "997".into());
-    let (each, part) = match asked.split_once(':') {
-        _ if asked == "all" => (1, 0),
-        None => (asked.parse().expect("SABLECROSS_MODEL: all, N, or N:PART"), 0),
+    let selection = std::env::var("SABLECROSS_MODEL").unwrap_or_else(|_| "997".into());
+    let (each, part) = match selection.split_once(':') {
+        _ if selection == "all" => (1, 0),
+        None => (selection.parse().expect("SABLECROSS_MODEL: all, N, or N:PART"), 0),
         Some((n, part)) => (n.parse().expect("one in how many"), part.parse().expect("which part")),
     };
     let mut triples = Vec::new();
--- a/crates/hierarchy/tests/stored_format.rs
+++ b/crates/hierarchy/tests/stored_format.rs
@@ -16,7 +16,7 @@
 const LEAST: &str =
     r#"{"head":{"version":1,"ceiling":100.0},"nodes":[{"name":"o","tier":0,"capacity":9.0}]}"#;
 
-/// The same with what is taken where nothing is given.
+/// The same with the defaults.
 const DEFAULTS: &str = r#"{"head":{"version":1,"ceiling":100.0,"margin":0.2,"cold-from":0.25,"warm-after-ms":20000,"fall-multiple":2.0,"siblings":false,"hold-ms":3000,"settle-ms":5000,"give-up-ms":30000},"nodes":[{"name":"o","tier":0,"sources":[],"capacity":9.0,"demand":0.0,"hit":0.0,"share":256,"since-ms":0}]}"#;
 
 fn event(settings: &str) -> String {
@@ -131,7 +131,7 @@
         ("(knot)".into(), "f.scm:1:1: unknown variant `knot`, expected `hierarchy` or `node`"),
     ];
     for (text, expected) in cases {
-        let errors = spec::parse_settings("f.scm", &text, None).expect_err("faulty");
+        let errors = spec::parse_settings("f.scm", &text, None).expect_err("invalid");
         let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
         assert_eq!(lines.join(" | "), expected, "{text}");
     }
--- a/crates/hierarchy/tests/versions.rs
+++ b/crates/hierarchy/tests/versions.rs
@@ -264,7 +264,7 @@
         assert_eq!(down.iter().map(|n| h.get(*n).unwrap().tier).collect::<Vec<_>>(), [1, 0]);
     }
     assert!(met.len() > 50);
-    // A share of nothing is asked for nothing; a quarter for about a quarter of its slice.
+    // A node without virtual nodes gets no objects; one with a quarter of them about a quarter of its objects.
     let of = |share: u16| {
         let m = (**h.get(1).unwrap()).clone();
         let h = h.with_node(1, HierarchyNode { ring_share: share, ..m });
--- a/crates/sexpr-config/tests/parse_forms.rs
+++ b/crates/sexpr-config/tests/parse_forms.rs
@@ -78,8 +78,8 @@
     assert!(errors(&long)[0].contains("too long"));
     let many = "(node (name . \"a\") (tier . 1))\n".repeat(100_000);
     assert_eq!(parse_forms::<Form>("f", &many).unwrap().len(), 100_000);
-    let faulty = "(node (tier . 1))\n".repeat(100_000);
-    assert_eq!(errors(&faulty).len(), 20);
+    let invalid = "(node (tier . 1))\n".repeat(100_000);
+    assert_eq!(errors(&invalid).len(), 20);
     let cut = "(node (name . \"ä\") (tier . 1))";
     for end in cut.char_indices().map(|(i, _)| i) {
         assert_eq!(parse_forms::<Form>("f", &cut[..end]).is_ok(), end == 0, "{}", &cut[..end]);
--- a/crates/sexpr-config/tests/settings_format.rs
+++ b/crates/sexpr-config/tests/settings_format.rs
@@ -96,7 +96,7 @@
         (&long, "f:1:1: a form too long (split it: a form has 16 KiB at most)"),
     ];
     for (text, expected) in cases {
-        let errors = parse_forms::<Form>("f", text).expect_err("faulty");
+        let errors = parse_forms::<Form>("f", text).expect_err("invalid");
         let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
         assert_eq!(lines.join(" | "), expected, "{text}");
     }
