--- a/crates/cli/src/hierarchy.rs
+++ b/crates/cli/src/hierarchy.rs
@@ -373,7 +373,7 @@
         let steps = self.steps().map(|(step, changes)| {
             let warm = step.required_warmth.iter();
             let warm: Vec<Value> = warm
-                .map(|(node, warmth)| json!({"node": step.target.node_name(*node), "warmth": warmth}))
+                .map(|required| json!({"node": step.target.node_name(required.node), "warmth": required.warmth}))
                 .collect();
             json!({"changes": changes, "origin_peak": step.origin_peak, "origin_before": step.origin_before,
                 "moved": step.moved_load, "wait_ms": step.min_delay / NANOS_PER_MILLI, "warm": warm})
@@ -404,9 +404,9 @@
                 step.origin_peak,
                 step.origin_before
             );
-            for (node, warmth) in &step.required_warmth {
-                let name = step.target.node_name(*node);
-                let _ = writeln!(out, "  once {name} is warm by {:.0}%", 100.0 * warmth);
+            for required in &step.required_warmth {
+                let name = step.target.node_name(required.node);
+                let _ = writeln!(out, "  once {name} is warm by {:.0}%", 100.0 * required.warmth);
             }
             for change in changes {
                 let _ = writeln!(out, "  {change}");
--- a/crates/hierarchy/src/lib.rs
+++ b/crates/hierarchy/src/lib.rs
@@ -23,7 +23,7 @@
 pub mod version_holder;
 
 pub use admission::{Admission, AdmissionError};
-pub use plan::{Plan, PlanError, PlanStep, plan};
+pub use plan::{Plan, PlanError, PlanStep, RequiredWarmth, plan};
 pub use rollout::{
     ChangeProgress, NumberedVersion, Rollout, RolloutAction, RolloutInput, RolloutOutcome, RolloutRecord,
 };
--- a/crates/hierarchy/src/plan/mod.rs
+++ b/crates/hierarchy/src/plan/mod.rs
@@ -4,14 +4,14 @@
 //! no fill may run in a loop, no cold node may get more load than it can take, and the origin has to stay below its
 //! ceiling.
 //!
-//! Each node that changes has a [track](tracks): the states that it passes through. A node that joins the ring of its
+//! Each node that changes has a track (`tracks`): the states that it passes through. A node that joins the ring of its
 //! tier takes its virtual nodes in quarters, one that leaves gives them up in quarters, and one that changes its tier
 //! does both, with its sources changed in between, when no one fills from it. A step advances any number of tracks by
 //! any number of states.
 //!
-//! For small changes a breadth-first [search] finds the fewest steps that there are. For large ones a [sweep] advances
-//! as many tracks as a step can take, those nearest to the origin first: a node whose new sources are all in place
-//! can't close a loop, so that loops alone never stop the sweep.
+//! For small changes a breadth-first search (`search`) finds the fewest steps that there are. For large ones a sweep
+//! (`sweep`) advances as many tracks as a step can take, those nearest to the origin first: a node whose new sources
+//! are all in place can't close a loop, so that loops alone never stop the sweep.
 
 mod schedule;
 mod search;
@@ -48,12 +48,21 @@
     pub origin_before: f64,
     /// Requests a second that go to another node than before.
     pub moved_load: f64,
-    /// The warmth, from 0 to 1, that these nodes need before the step.
-    pub required_warmth: Vec<(NodeId, f64)>,
+    /// The warmth that nodes need before the step.
+    pub required_warmth: Vec<RequiredWarmth>,
     /// How long after the previous step this one may start at the earliest.
     pub min_delay: Ns,
 }
 
+/// The warmth that a node needs before a step.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct RequiredWarmth {
+    /// The node.
+    pub node: NodeId,
+    /// The warmth, from 0 to 1.
+    pub warmth: f64,
+}
+
 /// The steps of a change.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
--- a/crates/hierarchy/src/plan/schedule.rs
+++ b/crates/hierarchy/src/plan/schedule.rs
@@ -5,8 +5,8 @@
 
 use sablecross::Ns;
 
-use super::PlanStep;
 use super::tracks::{PlanSpace, Position};
+use super::{PlanStep, RequiredWarmth};
 use crate::load_flow::{TransitionLoad, warmth};
 use crate::version::{Hierarchy, HierarchyNode, NodeId};
 
@@ -61,15 +61,17 @@
         self.position = position.clone();
 
         let ids = &self.space.index.ids;
-        let required_warmth =
-            load.required_warmth.iter().map(|&(node, warmth)| (ids[node as usize], warmth)).collect();
+        let required_warmth = load
+            .required_warmth
+            .iter()
+            .map(|&(index, warmth)| RequiredWarmth { node: ids[index as usize], warmth });
         PlanStep {
             target,
             changed_nodes,
             origin_peak: load.origin_peak,
             origin_before: load.origin_before,
             moved_load: load.moved_load,
-            required_warmth,
+            required_warmth: required_warmth.collect(),
             min_delay,
         }
     }
--- a/crates/hierarchy/tests/plans.rs
+++ b/crates/hierarchy/tests/plans.rs
@@ -149,7 +149,7 @@
     assert!(found.steps.iter().any(|s| (1..FULL_SHARE).contains(&share(&s.target))));
     let last = found.steps.last().unwrap();
     assert!(
-        last.required_warmth.iter().any(|(n, warmth)| *n == 5 && *warmth > 0.8),
+        last.required_warmth.iter().any(|required| required.node == 5 && required.warmth > 0.8),
         "{:?}",
         last.required_warmth
     );
--- a/crates/sexpr-config/src/lib.rs
+++ b/crates/sexpr-config/src/lib.rs
@@ -29,7 +29,7 @@
 /// Reads all forms of a file, whose name is only used in errors.
 ///
 /// # Errors
-/// All errors found; after about [`MAX_ERRORS`] the rest of the file is not read.
+/// All errors found; after about 20 the rest of the file is not read.
 pub fn parse_forms<T>(file: &str, text: &str) -> Result<Vec<Located<T>>, Vec<ConfigError>>
 where
     T: DeserializeOwned + Validate<Context = ()>,
