--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -12,7 +12,9 @@
 mod nodes;
 mod run;
 
+pub use faults::{Fault, plan as plan_faults};
 pub use judge::{Rule, Violation};
+pub use nodes::Misbehavior;
 pub use run::{SoakReport, run};
 
 use std::path::PathBuf;
--- /dev/null
+++ b/crates/testbed/tests/soak_plan.rs
@@ -0,0 +1,119 @@
+//! A seed draws the same faults at the same times, whatever the code that draws them looks like.
+
+use std::path::PathBuf;
+
+use sablecross_testbed::soak::{Fault, Misbehavior, Options, plan_faults};
+
+fn options(seed: u64, fault_library: Option<PathBuf>) -> Options {
+    Options { seed, seconds: 12, directors: 6, caches: 3, clients_per_director: 2, fault_library }
+}
+
+/// Words of this test, which do not follow the names of the code.
+fn describe(fault: &Fault) -> String {
+    match *fault {
+        Fault::Restart(n) => format!("restart {n}"),
+        Fault::Kill(n) => format!("kill {n}"),
+        Fault::StandStill(n, lasts) => format!("pause {n} for {lasts:.6}"),
+        Fault::Reload(n) => format!("reload {n}"),
+        Fault::Fault(n, rule, lasts) => format!("system calls {n} {rule:?} for {lasts:.6}"),
+        Fault::ClockStep(n, ms) => format!("clock {n} by {ms}"),
+        Fault::KillUnderClock(n, ms) => format!("kill {n} clock {ms}"),
+        Fault::DiscoveryDown(lasts) => format!("discovery down for {lasts:.6}"),
+        Fault::DiscoverySilent(lasts) => format!("discovery silent for {lasts:.6}"),
+        Fault::Purge(object) => format!("purge {object}"),
+        Fault::Replace(n) => format!("replace {n}"),
+        Fault::Misbehave(n, mode, lasts) => format!("node {n} {} for {lasts:.6}", describe_misbehavior(mode)),
+        Fault::DropConnections(n, by_reset) => format!("drop connections {n} reset {by_reset}"),
+        Fault::ConnectLate(n, lasts) => format!("late connections {n} for {lasts:.6}"),
+    }
+}
+
+fn describe_misbehavior(mode: Misbehavior) -> &'static str {
+    match mode {
+        Misbehavior::Normal => "normal",
+        Misbehavior::Hangs => "hangs",
+        Misbehavior::Stuck => "stuck",
+        Misbehavior::Resets => "resets",
+        Misbehavior::Full => "full",
+        Misbehavior::Errors => "errors",
+        Misbehavior::Garbage => "garbage",
+        Misbehavior::Twice => "twice",
+        Misbehavior::WrongTag => "wrong tag",
+    }
+}
+
+fn printed(options: &Options) -> String {
+    plan_faults(options).iter().map(|(at, fault)| format!("{at:.6} {}\n", describe(fault))).collect()
+}
+
+#[test]
+fn seed_3_draws_its_plan_without_the_fault_library() {
+    assert_eq!(printed(&options(3, None)), SEED_3);
+}
+
+#[test]
+fn seed_77_draws_its_plan_with_the_fault_library() {
+    assert_eq!(printed(&options(77, Some("library".into()))), SEED_77);
+}
+
+const SEED_3: &str = r#"2.260747 purge 41
+2.289586 restart 3
+2.797541 late connections 4 for 1.149726
+2.918908 discovery silent for 2.993730
+4.358077 purge 15
+4.403283 restart 3
+4.621032 node 2 full for 1.792010
+4.721976 reload 5
+5.258461 purge 34
+5.313114 kill 0
+5.480990 node 0 errors for 1.847152
+6.183412 kill 4
+6.425811 node 2 resets for 1.681604
+6.531072 late connections 1 for 0.599089
+6.567294 reload 0
+6.677420 pause 3 for 1.035417
+8.042289 node 4 stuck for 0.892815
+8.065933 node 0 garbage for 0.874616
+8.313474 replace 2
+8.413405 discovery silent for 3.577477
+9.405946 restart 4
+9.438352 discovery silent for 1.960841
+9.734876 reload 3
+10.409942 restart 3
+10.508773 node 0 hangs for 0.356108
+10.888570 reload 0
+11.009875 pause 4 for 0.135802
+11.014818 kill 4
+"#;
+
+const SEED_77: &str = r#"2.251385 reload 5
+2.441188 restart 5
+2.450627 discovery down for 1.031416
+3.169405 late connections 4 for 0.881666
+3.312300 purge 46
+3.787719 discovery silent for 2.832356
+3.811790 replace 1
+3.924513 node 4 full for 2.020325
+4.199690 restart 2
+4.261081 system calls 2 "short send 9" for 0.281446
+4.515263 discovery down for 3.297512
+5.347027 restart 0
+5.660399 reload 0
+5.747428 discovery silent for 3.153354
+5.808667 purge 43
+5.818564 node 1 twice for 0.404679
+7.146254 purge 40
+7.447742 restart 2
+7.724006 discovery down for 1.605884
+7.946841 restart 4
+9.028388 purge 19
+9.186969 restart 1
+9.226203 reload 5
+9.422448 discovery silent for 1.551239
+9.465069 discovery silent for 1.090906
+9.998328 discovery down for 2.781744
+10.181286 system calls 3 "short send 9" for 0.305571
+10.285740 replace 1
+10.381102 node 4 stuck for 1.050714
+10.577228 restart 4
+"#;
