--- a/crates/testbed/tests/soak_plan.rs
+++ b/crates/testbed/tests/soak_plan.rs
@@ -56,6 +56,12 @@
     assert_eq!(printed(&options(77, Some("library".into()))), SEED_77);
 }
 
+/// This one has faults of system calls and both kinds of clock steps.
+#[test]
+fn seed_111_draws_its_plan_with_the_fault_library() {
+    assert_eq!(printed(&options(111, Some("library".into()))), SEED_111);
+}
+
 const SEED_3: &str = r#"2.260747 purge 41
 2.289586 restart 3
 2.797541 late connections 4 for 1.149726
@@ -117,3 +123,32 @@
 10.381102 node 4 stuck for 1.050714
 10.577228 restart 4
 "#;
+
+const SEED_111: &str = r#"2.839704 restart 1
+2.883311 discovery silent for 3.528283
+3.531400 system calls 4 "fail epoll_ctl ENOMEM" for 0.223799
+3.866006 pause 4 for 1.073143
+4.625464 kill 0
+4.633472 restart 0
+4.698166 discovery down for 1.230614
+5.574811 clock 5 by 3600000
+5.825995 purge 57
+6.419205 pause 1 for 0.377541
+6.475907 purge 51
+6.518230 restart 1
+7.531986 purge 20
+7.656584 node 3 errors for 1.923571
+7.758885 drop connections 0 reset true
+7.801230 pause 3 for 0.372583
+7.988814 restart 3
+8.007357 node 1 wrong tag for 1.808263
+8.820056 node 3 resets for 2.294453
+8.999943 late connections 3 for 1.289234
+9.049420 system calls 3 "fail accept EMFILE" for 0.136749
+9.095313 purge 39
+10.858224 restart 2
+10.886388 reload 0
+10.930751 purge 22
+10.947926 purge 56
+10.962747 system calls 0 "fail receive ECONNRESET" for 0.187899
+"#;
