--- a/crates/capacity/src/real.rs
+++ b/crates/capacity/src/real.rs
@@ -422,7 +422,7 @@
                     while (asked as f64) < begun.elapsed().as_secs_f64() * rate / CLIENTS as f64 {
                         asked += 1;
                         let drawn = mix(client << 40 | asked);
-                        link.write_all(&encode_request(drawn, asked as u32, drawn % 20_000)?)?;
+                        link.write_all(&encode_request(drawn, asked as u32, drawn % 20_000))?;
                     }
                     thread::sleep(Duration::from_millis(1));
                 }
--- a/crates/testbed/src/client_load.rs
+++ b/crates/testbed/src/client_load.rs
@@ -12,7 +12,9 @@
 use rmp::{decode, encode};
 use sablecross::parent_position;
 
-use crate::node_stub::{TrialState, lock, unix_ms};
+use crate::clock::unix_ms;
+use crate::node_stub::TrialState;
+use crate::threads::lock;
 
 /// How long a client waits; the directors' settings say the same.
 pub const BUDGET_MS: u64 = 800;
@@ -115,36 +117,41 @@
     }
 
     fn write(&self, link: &mut TcpStream, call: u32, object: u64, number: u64) -> std::io::Result<()> {
-        link.write_all(&encode_request(self.number << 32 | number, call, object)?)
+        link.write_all(&encode_request(self.number << 32 | number, call, object))
     }
 }
 
-/// A lookup, as a client writes it.
-pub fn encode_request(name: u64, call: u32, object: u64) -> std::io::Result<Vec<u8>> {
-    let name = format!("{name:016x}");
+/// Encodes a lookup of an object, as a client writes it.
+pub fn encode_request(request: u64, call: u32, object: u64) -> Vec<u8> {
+    let request = format!("{request:016x}");
     let budget = BUDGET_MS.to_string();
-    // Sizes of 4 to 16 KB: what lookups bring for their sending time differs, and so does what they stand for.
-    let size = (4 + parent_position(object) % 13).to_string();
+    // Sizes of 4 to 16 KB: lookups differ in the cost of their transfer, and so in what they are worth.
+    let size_kb = (4 + parent_position(object) % 13).to_string();
     let object = format!("{object:016x}");
     let fields = [
-        ("rid", &*name),
+        ("rid", &*request),
         ("budget", &*budget),
         ("obj", &*object),
         ("piece", "0"),
         ("lot", "1"),
-        ("mem", &*size),
+        ("mem", &*size_kb),
     ];
-    let mut out = vec![0x94, 0];
-    let told = encode::write_uint(&mut out, u64::from(call))
-        .and_then(|_| encode::write_str(&mut out, "footage"))
-        .and_then(|()| encode::write_array_len(&mut out, 2).map(drop))
-        .and_then(|()| encode::write_map_len(&mut out, fields.len() as u32).map(drop));
-    told.map_err(std::io::Error::from)?;
+    encode_call(call, "footage", &fields)
+}
+
+/// Encodes a MessagePack-RPC request: its method is the request class, its arguments are the fields and no body.
+pub(crate) fn encode_call(call: u32, class: &str, fields: &[(&str, &str)]) -> Vec<u8> {
+    let mut message = vec![0x94, 0];
+    // Writing into memory does not fail.
+    let _ = encode::write_uint(&mut message, u64::from(call));
+    let _ = encode::write_str(&mut message, class);
+    let _ = encode::write_array_len(&mut message, 2);
+    let _ = encode::write_map_len(&mut message, fields.len() as u32);
     for text in fields.iter().flat_map(|(name, value)| [name, value]) {
-        encode::write_str(&mut out, text).map_err(std::io::Error::from)?;
+        let _ = encode::write_str(&mut message, text);
     }
-    out.extend([0xc4, 0]);
-    Ok(out)
+    message.extend([0xc4, 0]);
+    message
 }
 
 fn invalid_data<E>(_: E) -> std::io::Error {
--- a/crates/testbed/src/discovery_stub.rs
+++ b/crates/testbed/src/discovery_stub.rs
@@ -8,7 +8,8 @@
 
 use serde::Deserialize;
 
-use crate::node_stub::{TrialState, lock, spawn};
+use crate::node_stub::TrialState;
+use crate::threads::{lock, spawn};
 
 #[derive(Default)]
 struct EventLog {
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -19,15 +19,17 @@
 };
 
 use crate::client_load::{BUDGET_MS, Client, ClientStats, Purges};
+use crate::clock::unix_ms;
 use crate::director_process::{
     NodeModel, PortAllocator, director_config, endpoint_json, members_event, spawn_director,
     wait_until_serving,
 };
 use crate::discovery_stub::{AppliedReport, DiscoveryStub};
-use crate::node_stub::{Node, Role, TrialState, lock, spawn, unix_ms};
+use crate::node_stub::{Node, Role, TrialState};
 use crate::process::{TrialError, io_error};
 use crate::report::Report;
 use crate::settings::Experiment;
+use crate::threads::{lock, spawn};
 
 const SEC: u64 = 1_000_000_000;
 /// The lab's times, short so that many changes fit an experiment.
--- a/crates/testbed/src/fleet/link_proxy.rs
+++ b/crates/testbed/src/fleet/link_proxy.rs
@@ -12,7 +12,7 @@
 use mio::{Events, Interest, Poll, Token};
 use socket2::{Domain, Protocol, Socket, Type};
 
-use crate::node_stub::{lock, spawn};
+use crate::threads::{lock, spawn};
 
 /// A member and the place of a voter.
 pub type Pair = (usize, usize);
--- a/crates/testbed/src/fleet/load.rs
+++ b/crates/testbed/src/fleet/load.rs
@@ -13,8 +13,8 @@
 
 use super::node::Seconds;
 use crate::client_load::{BUDGET_MS, Response, encode_request, read_any_response};
-use crate::node_stub::{lock, spawn};
 use crate::schedule::exponential_interval;
+use crate::threads::{lock, spawn};
 
 /// An answer that comes within this after the client's time has earned nothing, a later one is none.
 const SLACK: f64 = 0.5;
@@ -136,7 +136,7 @@
             let Some(link) = self.link() else { continue };
             call += 1;
             let name = (self.number as u64) << 32 | u64::from(call);
-            let Ok(bytes) = encode_request(name, call, object) else { continue };
+            let bytes = encode_request(name, call, object);
             let now = self.now();
             {
                 let mut open = lock(&self.open);
--- a/crates/testbed/src/fleet/node.rs
+++ b/crates/testbed/src/fleet/node.rs
@@ -2,7 +2,7 @@
 //! and by director, and is slowed, stopped, cut off, reset and begun anew.
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
-use std::io::{self, BufRead, BufReader, Read, Write};
+use std::io::{self, BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -12,7 +12,9 @@
 use sablecross_coordination::{FencingGuard, FencingToken as Duty};
 use sablecross_director::coordination::HealthCheckTag;
 
-use crate::node_stub::{lock, spawn, unix_ms};
+use crate::clock::unix_ms;
+use crate::pull_request::{PullRequest, PullRequestError};
+use crate::threads::{lock, spawn};
 
 /// Seconds from the start of the load.
 pub type Seconds = f64;
@@ -216,25 +218,22 @@
             if reader.read_line(&mut line)? == 0 || self.over.load(Ordering::Relaxed) {
                 return Ok(());
             }
-            let mut words = line.trim_end().split(' ');
-            match words.next() {
-                Some("PULL") => {}
-                Some("METER") => {
-                    if let Some(answer) = words.next().and_then(|tag| self.answer_health_check(tag)) {
+            let request = match PullRequest::parse(&line) {
+                Ok(request) => request,
+                Err(PullRequestError::OtherCommand) => {
+                    let mut words = line.trim_end().split(' ');
+                    if words.next() == Some("METER")
+                        && let Some(answer) = words.next().and_then(|tag| self.answer_health_check(tag))
+                    {
                         (&**stream).write_all(answer.as_bytes())?;
                     }
                     continue;
                 }
-                _ => continue,
-            }
-            let (Some(id), Some(fields), Some(length)) = (words.next(), words.next(), words.next()) else {
-                return Ok(());
-            };
-            let field = |name: &str| {
-                fields.split(',').filter_map(|f| f.split_once('=')).find(|f| f.0 == name).map(|f| f.1)
+                Err(PullRequestError::Malformed) => return Ok(()),
             };
-            let warms = field("duty").and_then(|tag| tag.parse::<HealthCheckTag>().ok());
-            let object = field("key").and_then(|k| u64::from_str_radix(k, 16).ok()).unwrap_or(0);
+            let id = request.tag;
+            let warms = request.field("duty").and_then(|tag| tag.parse::<HealthCheckTag>().ok());
+            let object = request.object().unwrap_or(0);
             let director = id.get(..8).and_then(|d| u64::from_str_radix(d, 16).ok()).unwrap_or(0) as usize;
             // A stopped program reads on when it is continued.
             let stopped = lock(&self.inner).stopped_until - self.now();
@@ -246,7 +245,7 @@
             let done = match refused {
                 Some(_) => PullOutcome::Silence,
                 None => {
-                    let source = field("miss").and_then(|m| others.get(m));
+                    let source = request.source().and_then(|name| others.get(name));
                     self.serve_pull(director, object, source, warms.is_some())
                 }
             };
@@ -266,8 +265,7 @@
                 PullOutcome::Silence => (Seconds::INFINITY, "", String::new(), String::new()),
             };
             let bytes = format!("{id} {word} {said} {}\r\n{body}\r\n", body.len()).into_bytes();
-            let length: usize = length.parse().unwrap_or(0);
-            reader.read_exact(&mut vec![0; length + 2])?;
+            request.skip_body(&mut reader)?;
             number += 1;
             if at.is_finite() {
                 let due = DelayedAnswer { at, number: lane | number, to: Arc::clone(stream), bytes };
--- a/crates/testbed/src/fleet/run.rs
+++ b/crates/testbed/src/fleet/run.rs
@@ -294,7 +294,7 @@
         director.clients = Some(Clients::start(number, director.at, wants, zero, &over));
     }
 
-    let zero_ms = crate::node_stub::unix_ms();
+    let zero_ms = crate::clock::unix_ms();
     let used: f64 = fleet.iter().map(|d| d.process.cpu_seconds()).sum();
     let faults: Vec<Fault> = t.faults.iter().cloned().chain(random_faults(t, &mut rng)).collect();
     let mut acts: Vec<(f64, ScheduledAction)> = Vec::new();
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -3,17 +3,20 @@
 //! protocol. Nothing here decides for directors: the driver and its plans are those of `sablecross-hierarchy`.
 
 pub mod client_load;
+mod clock;
 mod director_process;
 pub mod discovery_stub;
 pub mod experiment;
 pub mod fleet;
 pub mod node_stub;
 mod process;
+mod pull_request;
 pub mod report;
 pub mod scale;
 mod schedule;
 pub mod settings;
 pub mod soak;
+mod threads;
 mod trial_report;
 
 pub use experiment::run;
--- a/crates/testbed/src/node_stub.rs
+++ b/crates/testbed/src/node_stub.rs
@@ -5,20 +5,16 @@
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard, RwLock};
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::sync::{Arc, Mutex, RwLock};
+use std::time::{Duration, Instant};
 
 use sablecross::parent_position;
 use sablecross_hierarchy::fill_path::{FillPaths, check_fill_path};
 use sablecross_hierarchy::{Hierarchy, VersionHolder};
 
-pub fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(|e| e.into_inner())
-}
-
-pub fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
-}
+use crate::clock::unix_ms;
+use crate::pull_request::{PullRequest, PullRequestError};
+use crate::threads::{lock, spawn};
 
 /// What one second of the experiment came to.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
@@ -114,7 +110,7 @@
 }
 
 /// A request, as far as a stand-in reads it.
-struct PullRequest {
+struct Pull {
     id: String,
     object: u64,
     within: u64,
@@ -218,16 +214,13 @@
             if reader.read_line(&mut line)? == 0 || self.common.is_over() {
                 return Ok(());
             }
-            let mut words = line.trim_end().split(' ');
-            if words.next() != Some("PULL") {
-                continue;
-            }
-            let (Some(id), Some(fields), Some(length)) = (words.next(), words.next(), words.next()) else {
-                return Ok(());
+            let request = match PullRequest::parse(&line) {
+                Ok(request) => request,
+                Err(PullRequestError::OtherCommand) => continue,
+                Err(PullRequestError::Malformed) => return Ok(()),
             };
-            let Some(pull) = PullRequest::of(id, fields) else { return Ok(()) };
-            let length: usize = length.parse().unwrap_or(0);
-            reader.read_exact(&mut vec![0; length + 2])?;
+            let Some(pull) = Pull::from_request(&request) else { return Ok(()) };
+            request.skip_body(&mut reader)?;
             let out = match self.answer(&pull) {
                 PullOutcome::Copy { issued, hit } => {
                     let how = if hit { "HIT" } else { "MISS" };
@@ -242,7 +235,7 @@
         }
     }
 
-    fn answer(&self, pull: &PullRequest) -> PullOutcome {
+    fn answer(&self, pull: &Pull) -> PullOutcome {
         let now = unix_ms();
         if self.role == Role::Origin {
             self.common.count(|s| s.origin += 1);
@@ -309,7 +302,7 @@
     }
 
     /// The source that the asker named, the next of the way, or what the own version says.
-    fn source(&self, pull: &PullRequest) -> Option<String> {
+    fn source(&self, pull: &Pull) -> Option<String> {
         if let Some(miss) = &pull.miss {
             return Some(miss.clone());
         }
@@ -333,7 +326,7 @@
         }
     }
 
-    fn fill(&self, pull: &PullRequest, source: &str) -> io::Result<Option<u64>> {
+    fn fill(&self, pull: &Pull, source: &str) -> io::Result<Option<u64>> {
         let link = lock(&self.idle_connections).get_mut(source).and_then(Vec::pop);
         let mut link = match link {
             Some(link) => link,
@@ -380,33 +373,24 @@
     }
 }
 
-impl PullRequest {
-    fn of(id: &str, fields: &str) -> Option<PullRequest> {
-        let mut pull = PullRequest {
-            id: id.into(),
-            object: 0,
-            within: 0,
-            miss: None,
-            way: Vec::new(),
-            came: Vec::new(),
+impl Pull {
+    /// None if a field that is there is no number.
+    fn from_request(request: &PullRequest) -> Option<Pull> {
+        let object = match request.field("key") {
+            Some(_) => request.object()?,
+            None => 0,
         };
-        let names = |list: &str| list.split('+').map(str::to_owned).collect::<Vec<_>>();
-        for (name, value) in fields.split(',').filter_map(|f| f.split_once('=')) {
-            match name {
-                "key" => pull.object = u64::from_str_radix(value, 16).ok()?,
-                "within" => pull.within = value.parse().ok()?,
-                "miss" => pull.miss = Some(value.into()),
-                "way" => pull.way = names(value),
-                "came" => pull.came = names(value),
-                _ => {}
-            }
-        }
-        Some(pull)
+        let within = match request.field("within") {
+            Some(within) => within.parse().ok()?,
+            None => 0,
+        };
+        Some(Pull {
+            id: request.tag.to_owned(),
+            object,
+            within,
+            miss: request.source().map(str::to_owned),
+            way: request.path(),
+            came: request.visited(),
+        })
     }
 }
-
-/// A thread with a small stack; without one there is no lab.
-pub fn spawn(run: impl FnOnce() + Send + 'static) {
-    let made = std::thread::Builder::new().stack_size(256 << 10).spawn(run);
-    made.expect("a thread can be made");
-}
--- a/crates/testbed/src/scale/pool.rs
+++ b/crates/testbed/src/scale/pool.rs
@@ -12,7 +12,7 @@
 
 use super::pool_messages::{Finished, PoolCommand, PoolProgress, PoolReport, shared_ns};
 use super::simulated_director::{Shared, SimulatedDirector};
-use crate::node_stub::spawn;
+use crate::threads::spawn;
 
 const WAKER: Token = Token(0);
 /// How often what is due by the clock is looked for, and how often the trial hears of it.
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -20,14 +20,16 @@
 use super::settings::{Fault, FaultKind, Scale};
 use super::source::{Outlet, Source, status, whole};
 use super::tier::{Program, Tier, binds_ms};
+use crate::clock::unix_ms;
 use crate::director_process::{
     NodeModel, PortAllocator, director_config, spawn_director, wait_until_serving,
 };
 use crate::discovery_stub::DiscoveryStub;
 use crate::fleet::link_proxy::{HeldDirections, LinkProxies, PlannedLink};
-use crate::node_stub::{TrialState, spawn, unix_ms};
+use crate::node_stub::TrialState;
 use crate::process::{ChildProcess, TrialError, io_error, machine_memory_mb};
 use crate::schedule::{sample, take_due};
+use crate::threads::spawn;
 
 /// MB that a hollow director and a known purge of it, a real one and a relay are taken to need before a start, by
 /// measurement with some to spare.
--- a/crates/testbed/src/scale/source.rs
+++ b/crates/testbed/src/scale/source.rs
@@ -16,9 +16,10 @@
 
 use super::pool_messages::{PublishedEvent, shared_ns};
 use super::settings::Scale;
+use crate::clock::unix_ms;
 use crate::discovery_stub::DiscoveryStub;
-use crate::node_stub::{lock, spawn, unix_ms};
 use crate::schedule::exponential_interval;
+use crate::threads::{lock, spawn};
 
 const PATIENCE: Duration = Duration::from_secs(2);
 /// The longest status that is read.
--- /dev/null
+++ b/crates/testbed/src/soak/client.rs
@@ -0,0 +1,391 @@
+//! Stand-in clients: they send requests in all the ways that the protocol allows, and in some that it does not.
+
+use std::collections::HashMap;
+use std::io::{ErrorKind, Read, Write};
+use std::net::{Shutdown, TcpStream};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::time::Duration;
+
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg32;
+use rmp::encode;
+
+use super::Seconds;
+use super::director::Director;
+use super::invariants::{CLASSES, LOST_AFTER, Rule};
+use super::judge::{Judge, Request};
+use crate::client_load::{Response, encode_call, read_any_response};
+
+/// The number of objects that clients ask for.
+pub(crate) const OBJECTS: u64 = 60;
+/// A request that is written so shortly before its connection ends crosses that end, and is asked again elsewhere.
+const CROSSING: f64 = 0.15;
+/// How much later than a lost request's time its client gives it up.
+const LOST_TOLERANCE: f64 = 0.3;
+/// How many reads look for answers that came before the end of a connection.
+const LAST_READS: usize = 20;
+const READ_POLL: Duration = Duration::from_millis(20);
+const READ_BYTES: usize = 16 << 10;
+const NOT_ACCEPTING_WAIT: Duration = Duration::from_millis(20);
+const CONNECT_RETRY_WAIT: Duration = Duration::from_millis(30);
+/// How often a client that rests looks whether the soak is over.
+const REST_POLL: Duration = Duration::from_millis(50);
+/// The copy that a client says it has.
+const HELD_TAG: &str = "t1";
+
+/// How a client uses one connection.
+#[derive(Clone, Copy, PartialEq)]
+enum Behavior {
+    Plain,
+    /// Its requests come in pieces.
+    Slow,
+    /// It sends requests and ends the connection, by FIN or by RST.
+    Leaves,
+    Cancels,
+    /// It gives very little time.
+    ShortBudget,
+    /// It sends what is no request, or half of one.
+    Garbage,
+    /// It rests between requests until the director ends the connection.
+    Idles,
+}
+
+/// How often each behavior is drawn, in percent.
+const BEHAVIOR_WEIGHTS: [(Behavior, u32); 7] = [
+    (Behavior::Plain, 40),
+    (Behavior::Slow, 14),
+    (Behavior::Leaves, 14),
+    (Behavior::Cancels, 12),
+    (Behavior::ShortBudget, 8),
+    (Behavior::Garbage, 6),
+    (Behavior::Idles, 6),
+];
+
+/// One client of one director; it opens one connection after another.
+pub(crate) struct Client {
+    pub(crate) director: Arc<Director>,
+    pub(crate) judge: Arc<Judge>,
+    /// Set at the end of the soak.
+    pub(crate) over: Arc<AtomicBool>,
+    /// The next request's id, shared by all clients.
+    pub(crate) next_id: Arc<AtomicU64>,
+    pub(crate) seed: u64,
+}
+
+/// A connection and the requests on it, by their call numbers.
+struct Session {
+    stream: TcpStream,
+    /// What was read and is not yet a whole answer.
+    received: Vec<u8>,
+    /// Requests without an answer.
+    open: HashMap<u32, u64>,
+    /// Requests that were cancelled or given up, whose answers may still come.
+    abandoned: HashMap<u32, u64>,
+    last_call: u32,
+}
+
+impl Session {
+    fn new(stream: TcpStream) -> Session {
+        Session {
+            stream,
+            received: Vec::new(),
+            open: HashMap::new(),
+            abandoned: HashMap::new(),
+            last_call: 0,
+        }
+    }
+}
+
+/// Whether a connection is still there after it was used.
+#[derive(Clone, Copy, PartialEq)]
+enum Connection {
+    Open,
+    Ended,
+}
+
+/// Encodes a request; `held_tag` names the copy that the client has.
+fn encode_request(
+    id: u64,
+    call: u32,
+    class: &str,
+    object: u64,
+    budget_ms: u64,
+    held_tag: Option<&str>,
+) -> Vec<u8> {
+    let (request, budget, object) = (format!("{id:016x}"), budget_ms.to_string(), format!("{object:016x}"));
+    let idempotency_key = format!("k{id:x}");
+    let mut fields = vec![
+        ("rid", &*request),
+        ("budget", &*budget),
+        ("obj", &*object),
+        ("piece", "0"),
+        ("lot", "1"),
+        ("mem", "4"),
+        ("token", &*idempotency_key),
+    ];
+    fields.extend(held_tag.map(|tag| ("ver", tag)));
+    encode_call(call, class, &fields)
+}
+
+fn draw_behavior(rng: &mut Pcg32) -> Behavior {
+    let mut drawn = rng.random_range(0..100);
+    for (behavior, weight) in BEHAVIOR_WEIGHTS {
+        if drawn < weight {
+            return behavior;
+        }
+        drawn -= weight;
+    }
+    Behavior::Plain
+}
+
+/// The object that the bytes of an answer name.
+fn object_of(answer: &Response) -> Option<u64> {
+    let Response::Success(body) = answer else { return None };
+    let text = std::str::from_utf8(body.get(..16).unwrap_or_default()).ok()?;
+    u64::from_str_radix(text, 16).ok()
+}
+
+impl Client {
+    /// Works until the soak is over.
+    pub(crate) fn run(self) {
+        let mut rng = Pcg32::seed_from_u64(self.seed);
+        while !self.is_over() {
+            if !self.director.accepts_requests() {
+                std::thread::sleep(NOT_ACCEPTING_WAIT);
+                continue;
+            }
+            let Ok(stream) = TcpStream::connect(self.director.address) else {
+                std::thread::sleep(CONNECT_RETRY_WAIT);
+                continue;
+            };
+            if stream.set_read_timeout(Some(READ_POLL)).is_err() || stream.set_nodelay(true).is_err() {
+                continue;
+            }
+            self.use_connection(Session::new(stream), &mut rng);
+            std::thread::sleep(Duration::from_millis(rng.random_range(1..40)));
+        }
+    }
+
+    fn is_over(&self) -> bool {
+        self.over.load(Ordering::Relaxed)
+    }
+
+    /// Uses one connection from its beginning to its end.
+    fn use_connection(&self, mut session: Session, rng: &mut Pcg32) {
+        let behavior = draw_behavior(rng);
+        for _ in 0..rng.random_range(1..6) {
+            if self.is_over() || !self.director.accepts_requests() {
+                break;
+            }
+            if behavior == Behavior::Garbage {
+                return send_garbage(&mut session, rng);
+            }
+            if self.send_requests(&mut session, behavior, rng) == Connection::Ended {
+                return self.on_connection_end(&mut session);
+            }
+            match behavior {
+                Behavior::Leaves => {
+                    std::thread::sleep(Duration::from_millis(rng.random_range(0..30)));
+                    return self.leave(&session, rng.random());
+                }
+                Behavior::Cancels => {
+                    std::thread::sleep(Duration::from_millis(rng.random_range(0..20)));
+                    self.cancel_all(&mut session);
+                }
+                _ => {}
+            }
+            if self.wait_for_answers(&mut session) == Connection::Ended {
+                return self.on_connection_end(&mut session);
+            }
+            let rest_ms = if behavior == Behavior::Idles { 3_000..9_000 } else { 1..60 };
+            self.rest(Duration::from_millis(rng.random_range(rest_ms)));
+        }
+        self.leave(&session, false);
+    }
+
+    /// Sends nothing for a while, or until the soak is over.
+    fn rest(&self, duration: Duration) {
+        let pauses = duration.as_millis() / REST_POLL.as_millis();
+        for _ in 0..=pauses {
+            if self.is_over() {
+                return;
+            }
+            std::thread::sleep(duration.min(REST_POLL));
+        }
+    }
+
+    /// Writes one request, or now and then several at once.
+    fn send_requests(&self, session: &mut Session, behavior: Behavior, rng: &mut Pcg32) -> Connection {
+        let count = if rng.random_range(0..5) == 0 { rng.random_range(2..9) } else { 1 };
+        for _ in 0..count {
+            if self.send_request(session, behavior, rng) == Connection::Ended {
+                return Connection::Ended;
+            }
+        }
+        Connection::Open
+    }
+
+    fn send_request(&self, session: &mut Session, behavior: Behavior, rng: &mut Pcg32) -> Connection {
+        let (class, effect) = CLASSES[rng.random_range(0..CLASSES.len())];
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
+        let object = 1 + (OBJECTS as f64 * rng.random::<f64>().powi(2)) as u64;
+        let budget_ms = match behavior {
+            Behavior::ShortBudget => rng.random_range(1..80),
+            _ => rng.random_range(600..2_000),
+        };
+        session.last_call += 1;
+        let call = session.last_call;
+        let held_tag = (rng.random_range(0..8) == 0).then_some(HELD_TAG);
+        let bytes = encode_request(id, call, class, object, budget_ms, held_tag);
+        self.judge.on_request(id, self.director.number, effect, object, budget_ms as f64 / 1_000.0);
+        session.open.insert(call, id);
+        let written = match behavior {
+            Behavior::Slow => self.write_in_pieces(session, id, &bytes, rng),
+            _ => session.stream.write_all(&bytes),
+        };
+        if written.is_ok() { Connection::Open } else { Connection::Ended }
+    }
+
+    /// Writes a request in two pieces; it counts as written with the second one.
+    fn write_in_pieces(
+        &self,
+        session: &mut Session,
+        id: u64,
+        bytes: &[u8],
+        rng: &mut Pcg32,
+    ) -> std::io::Result<()> {
+        let cut = rng.random_range(1..bytes.len() - 1);
+        let (first, rest) = bytes.split_at(cut);
+        session.stream.write_all(first)?;
+        std::thread::sleep(Duration::from_millis(rng.random_range(5..200)));
+        self.judge.on_request_written(id);
+        session.stream.write_all(rest)
+    }
+
+    /// Ends the connection under what is open on it.
+    fn leave(&self, session: &Session, by_reset: bool) {
+        if by_reset {
+            let _ = socket2::SockRef::from(&session.stream).set_linger(Some(Duration::ZERO));
+        }
+        let _ = session.stream.shutdown(Shutdown::Both);
+        session.open.values().for_each(|id| self.judge.on_client_gone(*id));
+    }
+
+    /// Cancels all that is open.
+    fn cancel_all(&self, session: &mut Session) {
+        for (call, id) in session.open.drain() {
+            let mut message = b"\x93\x02\xadcancelRequest\x91".to_vec();
+            // Writing into memory does not fail; a connection that has ended shows when it is read.
+            let _ = encode::write_uint(&mut message, u64::from(call));
+            let _ = session.stream.write_all(&message);
+            self.judge.on_client_gone(id);
+            session.abandoned.insert(call, id);
+        }
+    }
+
+    /// Reads until nothing is open or the connection ends. Requests whose time is long over are lost.
+    fn wait_for_answers(&self, session: &mut Session) -> Connection {
+        while !session.open.is_empty() {
+            if self.read_answers(session) == Connection::Ended {
+                return Connection::Ended;
+            }
+            let now = self.judge.now();
+            let is_overdue =
+                |request: Request| now > request.written_at + request.budget + LOST_AFTER + LOST_TOLERANCE;
+            let overdue: Vec<u32> = session
+                .open
+                .iter()
+                .filter(|(_, id)| self.judge.request(**id).is_none_or(is_overdue))
+                .map(|(call, _)| *call)
+                .collect();
+            for call in overdue {
+                if let Some(id) = session.open.remove(&call) {
+                    self.on_lost(id, "no answer");
+                    session.abandoned.insert(call, id);
+                }
+            }
+        }
+        Connection::Open
+    }
+
+    /// Reads once and takes in the answers that are whole.
+    fn read_answers(&self, session: &mut Session) -> Connection {
+        let mut bytes = [0; READ_BYTES];
+        match session.stream.read(&mut bytes) {
+            Ok(0) => return Connection::Ended,
+            Ok(n) => session.received.extend(&bytes[..n]),
+            Err(e) => match e.kind() {
+                ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted => {}
+                _ => return Connection::Ended,
+            },
+        }
+        loop {
+            let mut rest = &session.received[..];
+            let Ok((call, answer)) = read_any_response(&mut rest) else { return Connection::Open };
+            let used = session.received.len() - rest.len();
+            session.received.drain(..used);
+            self.on_answer(session, call, &answer);
+        }
+    }
+
+    fn on_answer(&self, session: &mut Session, call: u32, answer: &Response) {
+        self.judge.count(match answer {
+            Response::Success(_) => "succeeded",
+            Response::Rejected => "rejected",
+            Response::Failed => "failed",
+        });
+        if let Some(id) = session.open.remove(&call) {
+            self.judge.on_answer(id, object_of(answer));
+        } else if session.abandoned.remove(&call).is_none() {
+            let detail = format!("director {}: an answer to call {call}", self.director.number);
+            self.judge.record_violation(Rule::Stray, detail);
+        }
+    }
+
+    /// The connection has ended under what is open on it.
+    fn on_connection_end(&self, session: &mut Session) {
+        // What came before the end counts.
+        for _ in 0..LAST_READS {
+            if session.open.is_empty() || self.read_answers(session) == Connection::Ended {
+                break;
+            }
+        }
+        let now: Seconds = self.judge.now();
+        for id in std::mem::take(&mut session.open).into_values() {
+            let Some(request) = self.judge.request(id) else { continue };
+            if now < request.written_at + CROSSING {
+                self.judge.on_client_gone(id);
+                self.judge.count("requests that crossed the end of their connection");
+            } else if self.director.may_break_connections() {
+                self.judge.count("requests on connections that broke by themselves");
+            } else {
+                self.on_lost(id, "its connection was closed");
+            }
+        }
+    }
+
+    /// A request has no answer: a violation, unless its director was killed or paused.
+    fn on_lost(&self, id: u64, why: &str) {
+        let Some(request) = self.judge.request(id) else { return };
+        if self.director.excuses(request.written_at, request.budget) {
+            self.judge.count("requests at a director that was killed or paused");
+            return;
+        }
+        let number = self.director.number;
+        let after = self.judge.now() - request.written_at;
+        let budget = request.budget;
+        let detail = format!(
+            "request {id:016x} at director {number}: {why}, {after:.3} s after it was written, budget {budget:.3}"
+        );
+        self.judge.record_violation(Rule::Lost, detail);
+    }
+}
+
+/// Sends what is no request, or half of one, and ends the connection after a while.
+fn send_garbage(session: &mut Session, rng: &mut Pcg32) {
+    let request = encode_request(1, 1, CLASSES[0].0, 1, 500, None);
+    let bytes = if rng.random() { &request[..30] } else { &b"what is this"[..] };
+    let _ = session.stream.write_all(bytes);
+    std::thread::sleep(Duration::from_millis(rng.random_range(10..300)));
+}
--- /dev/null
+++ b/crates/testbed/src/soak/director.rs
@@ -0,0 +1,265 @@
+//! The directors of a soak: their processes, configurations and fault rules, and what was done to each.
+
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::process::Command;
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+
+use rustix::process::Signal;
+use serde_json::{Value, json};
+
+use super::discovery::Discovery;
+use super::invariants::{
+    CLASSES, COLLAPSE_MULTIPLE, DEDUPLICATION_WINDOW, LOST_AFTER, Rule, SLOW_START_INITIAL_SHARE,
+    SLOW_START_WINDOW,
+};
+use super::judge::Judge;
+use super::{Options, Seconds};
+use crate::director_process::{NodeModel, director_config, spawn_director};
+use crate::process::{ChildProcess, TrialError, io_error};
+use crate::threads::lock;
+
+/// How long clients still send requests after the director was asked to stop.
+const STOP_ACCEPTS_FOR: f64 = 0.4;
+/// A process handles no signal in the first moment of its life, before its own code runs.
+const SIGNALS_AFTER: f64 = 0.2;
+/// A fault that breaks connections may show this much before it is noted, and this much after its end.
+const BREAKING_BEFORE: f64 = 0.1;
+const BREAKING_AFTER: f64 = 0.3;
+/// A request that was written so shortly after an excused span is still excused.
+const EXCUSED_AFTER: f64 = 0.1;
+const EXIT_POLL: Duration = Duration::from_millis(5);
+/// The rate of one transfer from a node.
+const STREAM_KB_PER_S: f64 = 4_000.0;
+
+/// A span of time; it may have no end yet.
+#[derive(Clone, Copy, Debug)]
+struct Span {
+    from: Seconds,
+    to: Seconds,
+}
+
+#[derive(Default)]
+struct DirectorState {
+    process: Option<ChildProcess>,
+    /// New requests are sent to it until then.
+    accepts_until: Option<Seconds>,
+    /// When no answer is owed in time: it was killed, or stopped by a signal.
+    excused: Vec<Span>,
+    /// When its connections may break by themselves.
+    breaking: Vec<Span>,
+    /// Which of the addresses of discovery it uses.
+    discovery_address: usize,
+    started_at: Seconds,
+}
+
+/// One director.
+pub(crate) struct Director {
+    pub(crate) number: usize,
+    /// Where it listens.
+    pub(crate) address: SocketAddr,
+    config: PathBuf,
+    pub(crate) log: PathBuf,
+    /// The file of its rules for the fault library.
+    fault_rules: PathBuf,
+    judge: Arc<Judge>,
+    state: Mutex<DirectorState>,
+}
+
+impl Director {
+    pub(crate) fn new(number: usize, address: SocketAddr, folder: &Path, judge: &Arc<Judge>) -> Director {
+        let file = |extension: &str| folder.join(format!("director-{number}.{extension}"));
+        Director {
+            number,
+            address,
+            config: file("json"),
+            log: file("log"),
+            fault_rules: file("plan"),
+            judge: Arc::clone(judge),
+            state: Mutex::default(),
+        }
+    }
+
+    /// Writes its configuration, which holds all events up to now, and returns their number.
+    fn configure(&self, options: &Options, discovery: &Discovery) -> Result<usize, TrialError> {
+        let model = NodeModel {
+            slow_start_initial_share: SLOW_START_INITIAL_SHARE,
+            slow_start_us: (SLOW_START_WINDOW * 1e6) as u64,
+            collapse_multiple: COLLAPSE_MULTIPLE,
+            stream_kb_per_s: STREAM_KB_PER_S,
+        };
+        let feed = discovery.addresses[lock(&self.state).discovery_address];
+        let seed = options.seed.wrapping_mul(1_000).wrapping_add(self.judge.now() as u64) >> 1;
+        let mut config =
+            director_config(self.number, options.directors, seed, self.address, (feed, &[]), &model);
+        let known = discovery.known_events();
+        config["known"] = json!({"n": known.len(), "events": known});
+        config["settings"]["ceilings"]["dialTimeoutUs"] = json!(1_500_000);
+        config["limits"]["sockets"] = json!(256);
+        set_classes(&mut config);
+        // Replaced in one step: a reload may read it at any time.
+        let new = self.config.with_extension("new");
+        std::fs::write(&new, config.to_string()).map_err(io_error(new.display().to_string()))?;
+        std::fs::rename(&new, &self.config).map_err(io_error(self.config.display().to_string()))?;
+        Ok(known.len())
+    }
+
+    /// Starts its process; `program` is the director's command without environment.
+    pub(crate) fn start(
+        &self,
+        options: &Options,
+        program: &dyn Fn() -> Command,
+        discovery: &Discovery,
+    ) -> Result<(), TrialError> {
+        let known_events = self.configure(options, discovery)?;
+        let command = || {
+            let mut command = program();
+            if let Some(library) = &options.fault_library {
+                command.env("LD_PRELOAD", library).env("SABLECROSS_FAULTS", &self.fault_rules);
+            }
+            command.env("RUST_LOG", "info");
+            command
+        };
+        let process = spawn_director(&command, &self.config, &self.log, None)?;
+        discovery.note_known_at_start(self.number, known_events);
+        let mut state = lock(&self.state);
+        state.process = Some(process);
+        state.started_at = self.judge.now();
+        state.accepts_until = None;
+        Ok(())
+    }
+
+    /// Replaces the rules for its system calls.
+    pub(crate) fn set_fault_rules(&self, rules: &str) {
+        let new = self.fault_rules.with_extension("plan-new");
+        // Rules that can't be written cause no fault; the report counts the fault all the same.
+        let _ = std::fs::write(&new, rules).and_then(|()| std::fs::rename(&new, &self.fault_rules));
+    }
+
+    /// Its connections may break by themselves for so many seconds.
+    pub(crate) fn expect_broken_connections(&self, seconds: f64) {
+        let now = self.judge.now();
+        let span = Span { from: now - BREAKING_BEFORE, to: now + seconds + BREAKING_AFTER };
+        lock(&self.state).breaking.push(span);
+    }
+
+    /// Sends a signal, unless the process is too young to handle it.
+    pub(crate) fn signal(&self, signal: Signal) {
+        let state = lock(&self.state);
+        if let Some(process) =
+            state.process.as_ref().filter(|_| self.judge.now() > state.started_at + SIGNALS_AFTER)
+        {
+            process.signal(signal);
+        }
+    }
+
+    /// Lets it reload a configuration with the other address of discovery.
+    pub(crate) fn move_discovery(&self, options: &Options, discovery: &Discovery) -> Result<(), TrialError> {
+        {
+            let mut state = lock(&self.state);
+            state.discovery_address = 1 - state.discovery_address;
+        }
+        self.configure(options, discovery)?;
+        self.signal(Signal::HUP);
+        Ok(())
+    }
+
+    /// Kills it, if it runs. Its requests are excused until `end_excuse`.
+    pub(crate) fn kill(&self) {
+        let now = self.judge.now();
+        let mut state = lock(&self.state);
+        if let Some(mut process) = state.process.take() {
+            let _ = process.kill();
+        }
+        state.excused.push(Span { from: now, to: Seconds::INFINITY });
+    }
+
+    /// It runs again.
+    pub(crate) fn end_excuse(&self) {
+        let now = self.judge.now();
+        if let Some(last) = lock(&self.state).excused.last_mut() {
+            last.to = last.to.min(now);
+        }
+    }
+
+    /// It is stopped by a signal for so many seconds.
+    pub(crate) fn excuse_pause(&self, seconds: f64) {
+        let now = self.judge.now();
+        lock(&self.state).excused.push(Span { from: now, to: now + seconds });
+    }
+
+    /// Asks it to stop. Clients still send requests for a moment.
+    pub(crate) fn terminate(&self) {
+        let started_at = lock(&self.state).started_at;
+        let too_early = started_at + SIGNALS_AFTER + 0.01 - self.judge.now();
+        if too_early > 0.0 {
+            std::thread::sleep(Duration::from_secs_f64(too_early));
+        }
+        let now = self.judge.now();
+        lock(&self.state).accepts_until = Some(now + STOP_ACCEPTS_FOR);
+        self.signal(Signal::TERM);
+    }
+
+    /// Waits for its exit as long as a platform would; a failure or none is a crash.
+    pub(crate) fn wait_for_exit(&self, timeout: Duration) {
+        let start = Instant::now();
+        while start.elapsed() < timeout {
+            let exited = lock(&self.state).process.as_mut().map(|process| process.0.try_wait());
+            match exited {
+                None => return,
+                Some(Ok(Some(status))) if status.success() => return,
+                Some(Ok(Some(status))) => return self.record_crash(&format!(": {status}")),
+                Some(_) => std::thread::sleep(EXIT_POLL),
+            }
+        }
+        self.record_crash(" did not exit when it was asked to");
+    }
+
+    fn record_crash(&self, what: &str) {
+        self.judge.record_violation(Rule::Crash, format!("director {}{what}", self.number));
+    }
+
+    /// Whether it has exited by itself.
+    pub(crate) fn has_crashed(&self) -> bool {
+        lock(&self.state).process.as_mut().is_some_and(ChildProcess::has_exited)
+    }
+
+    /// Whether clients send new requests to it.
+    pub(crate) fn accepts_requests(&self) -> bool {
+        let state = lock(&self.state);
+        state.process.is_some() && state.accepts_until.is_none_or(|until| self.judge.now() < until)
+    }
+
+    /// Whether a request that was written then is owed no answer in time.
+    pub(crate) fn excuses(&self, written_at: Seconds, budget: f64) -> bool {
+        let lost_at = written_at + budget + LOST_AFTER;
+        let excuses = |span: &Span| span.from < lost_at && span.to > written_at - EXCUSED_AFTER;
+        lock(&self.state).excused.iter().any(excuses)
+    }
+
+    /// Whether a connection may have broken by itself about now.
+    pub(crate) fn may_break_connections(&self) -> bool {
+        let now = self.judge.now();
+        lock(&self.state).breaking.iter().any(|span| (span.from..span.to).contains(&now))
+    }
+}
+
+/// Sets the request classes in a configuration.
+fn set_classes(config: &mut Value) {
+    let class = |name: &str, effect: &str| {
+        json!({"name": name, "effect": effect, "group": "all", "memorySpanUs": (DEDUPLICATION_WINDOW * 1e6) as u64,
+            "aimUs": 300_000, "aimStretch": 1.6, "deadlineUs": 2_000_000, "worth": 2.0})
+    };
+    let effects = ["idempotent", "deduplicated", "at_most_once"];
+    let classes: Vec<Value> =
+        CLASSES.iter().zip(effects).map(|((name, _), effect)| class(name, effect)).collect();
+    let settings = &mut config["settings"];
+    settings["classes"] = json!(classes);
+    for key in ["freshForUs", "usableAfterUs"] {
+        settings["extra"][key] = json!([0, 0, 0]);
+    }
+    for key in ["multiPart", "neverKept"] {
+        settings["extra"][key] = json!([false, false, false]);
+    }
+}
--- a/crates/testbed/src/soak/discovery.rs
+++ b/crates/testbed/src/soak/discovery.rs
@@ -1,4 +1,4 @@
-//! Stand-in discovery: numbered events to each director, with outages, silences and moves to another address.
+//! Stand-in discovery: numbered events to each director, with outages, silences and a second address.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -9,92 +9,109 @@
 
 use super::Seconds;
 use super::judge::Judge;
-use crate::node_stub::{lock, spawn};
+use crate::threads::{lock, spawn};
 
-/// What an event tells, for the judge.
+const POLL: Duration = Duration::from_millis(20);
+/// How often a comment is sent where there are no events, in seconds.
+const KEEPALIVE_INTERVAL: f64 = 0.5;
+/// All directors count as notified of an event so many seconds after it was published, ...
+const NOTIFIED_AFTER: f64 = 7.0;
+/// ... and no earlier than this after the end of the last outage or silence.
+const NOTIFIED_AFTER_OUTAGE: f64 = 3.0;
+
+/// What the judge has to know of an event.
 #[derive(Clone, Debug)]
-pub enum Notification {
+pub(crate) enum Notification {
+    /// A node drains or has gone.
     Drained(usize),
+    /// A node serves.
     Ready(usize),
+    /// An object was purged, at this Unix time.
     Purge { object: u64, made_ms: u64 },
 }
 
 #[derive(Clone)]
 struct Event {
     text: String,
-    news: Option<Notification>,
+    notification: Option<Notification>,
 }
 
 #[derive(Default)]
-struct State {
+struct DiscoveryState {
     events: Vec<Event>,
     down_until: Seconds,
     silent_until: Seconds,
-    links: Vec<Arc<TcpStream>>,
+    connections: Vec<Arc<TcpStream>>,
 }
 
 /// One source of events with two addresses.
-pub struct Discovery {
-    pub addresses: [SocketAddr; 2],
+pub(crate) struct Discovery {
+    pub(crate) addresses: [SocketAddr; 2],
     judge: Arc<Judge>,
-    state: Mutex<State>,
+    state: Mutex<DiscoveryState>,
 }
 
-const POLL: Duration = Duration::from_millis(20);
-const TICK: f64 = 0.5;
-
 impl Discovery {
-    pub fn start(judge: &Arc<Judge>) -> io::Result<Arc<Discovery>> {
+    /// Listens on both addresses.
+    pub(crate) fn start(judge: &Arc<Judge>) -> io::Result<Arc<Discovery>> {
         let listeners = [TcpListener::bind("127.0.0.1:0")?, TcpListener::bind("127.0.0.1:0")?];
         let addresses = [listeners[0].local_addr()?, listeners[1].local_addr()?];
         let discovery = Arc::new(Discovery { addresses, judge: Arc::clone(judge), state: Mutex::default() });
         for listener in listeners {
             let own = Arc::clone(&discovery);
+            spawn(move || own.accept_connections(&listener));
+        }
+        Ok(discovery)
+    }
+
+    fn accept_connections(self: &Arc<Discovery>, listener: &TcpListener) {
+        for stream in listener.incoming().map_while(Result::ok) {
+            let (own, stream) = (Arc::clone(self), Arc::new(stream));
             spawn(move || {
-                for stream in listener.incoming().map_while(Result::ok) {
-                    let (own, stream) = (Arc::clone(&own), Arc::new(stream));
-                    spawn(move || {
-                        // A director that goes ends its connection.
-                        let _ = own.serve(&stream);
-                    });
-                }
+                // A director that goes ends its connection.
+                let _ = own.serve(&stream);
             });
         }
-        Ok(discovery)
     }
 
-    /// An event without its number, which is added.
-    pub fn publish(&self, event: &str, news: Option<Notification>) {
+    /// Publishes an event. `fields` is its JSON without the braces and the number, which is added.
+    pub(crate) fn publish(&self, fields: &str, notification: Option<Notification>) {
         let mut state = lock(&self.state);
         let number = state.events.len() + 1;
-        state.events.push(Event { text: format!("{{\"n\":{number},{event}}}"), news });
+        state.events.push(Event { text: format!("{{\"n\":{number},{fields}}}"), notification });
     }
 
-    pub fn known(&self) -> Vec<Value> {
+    /// All events up to now, as a director's configuration holds them.
+    pub(crate) fn known_events(&self) -> Vec<Value> {
         let state = lock(&self.state);
-        state.events.iter().filter_map(|e| serde_json::from_str(&e.text).ok()).collect()
+        state.events.iter().filter_map(|event| serde_json::from_str(&event.text).ok()).collect()
     }
 
-    /// A director knows so many events from its start.
-    pub fn known_at_start(&self, director: usize, many: usize) {
+    /// A director has started with the first `count` events in its configuration.
+    pub(crate) fn note_known_at_start(&self, director: usize, count: usize) {
         let events = lock(&self.state).events.clone();
-        events.iter().take(many).filter_map(|e| e.news.as_ref()).for_each(|news| self.note(director, news));
+        for notification in events.iter().take(count).filter_map(|event| event.notification.as_ref()) {
+            self.note(director, notification);
+        }
     }
 
-    pub fn interrupt(&self, lasts: f64) {
+    /// Ends all connections and accepts none for so many seconds.
+    pub(crate) fn interrupt(&self, seconds: f64) {
         let mut state = lock(&self.state);
-        state.down_until = self.judge.now() + lasts;
-        for link in std::mem::take(&mut state.links) {
-            let _ = link.shutdown(Shutdown::Both);
+        state.down_until = self.judge.now() + seconds;
+        for connection in std::mem::take(&mut state.connections) {
+            let _ = connection.shutdown(Shutdown::Both);
         }
     }
 
-    pub fn fall_silent(&self, lasts: f64) {
-        lock(&self.state).silent_until = self.judge.now() + lasts;
+    /// Sends nothing for so many seconds.
+    pub(crate) fn fall_silent(&self, seconds: f64) {
+        lock(&self.state).silent_until = self.judge.now() + seconds;
     }
 
-    fn note(&self, director: usize, news: &Notification) {
-        match news {
+    /// Notes for the judge that a director knows this.
+    fn note(&self, director: usize, notification: &Notification) {
+        match notification {
             Notification::Drained(node) => self.judge.on_notified_drained(director, *node),
             Notification::Ready(node) => self.judge.on_notified_ready(director, *node),
             Notification::Purge { object, made_ms } => {
@@ -107,38 +124,30 @@
         if self.judge.now() < lock(&self.state).down_until {
             return stream.shutdown(Shutdown::Both);
         }
-        lock(&self.state).links.push(Arc::clone(stream));
-        let mut reader = BufReader::new(&**stream);
-        let mut next = 0;
-        loop {
-            let mut line = String::new();
-            if reader.read_line(&mut line)? == 0 {
-                return Ok(());
-            }
-            if let Some(last) = line.strip_prefix("Last-Event-ID: ") {
-                next = last.trim_end().parse().unwrap_or(0);
-            }
-            if line == "\r\n" {
-                break;
-            }
-        }
-        let mut out = &**stream;
-        out.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")?;
-        let mut ticked = 0.0;
+        lock(&self.state).connections.push(Arc::clone(stream));
+        let Some(last_event) = read_request(stream)? else { return Ok(()) };
+        self.send_events(stream, last_event)
+    }
+
+    /// Sends the events after `last_event` as they are published, until the connection ends.
+    fn send_events(&self, mut stream: &TcpStream, last_event: usize) -> io::Result<()> {
+        stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")?;
+        let mut sent = last_event;
+        let mut kept_alive_at = 0.0;
         loop {
             let now = self.judge.now();
-            let (events, silent) = {
+            let (events, is_silent) = {
                 let state = lock(&self.state);
-                (state.events.get(next..).unwrap_or_default().to_vec(), now < state.silent_until)
+                (state.events.get(sent..).unwrap_or_default().to_vec(), now < state.silent_until)
             };
-            if !silent {
+            if !is_silent {
                 for event in events {
-                    next += 1;
-                    out.write_all(format!("id: {next}\ndata: {}\n\n", event.text).as_bytes())?;
+                    sent += 1;
+                    stream.write_all(format!("id: {sent}\ndata: {}\n\n", event.text).as_bytes())?;
                 }
-                if now > ticked + TICK {
-                    ticked = now;
-                    out.write_all(b": tick\n\n")?;
+                if now > kept_alive_at + KEEPALIVE_INTERVAL {
+                    kept_alive_at = now;
+                    stream.write_all(b": tick\n\n")?;
                 }
             }
             std::thread::sleep(POLL);
@@ -146,27 +155,45 @@
     }
 }
 
-/// When all directors count as having been told of an event, unless discovery was away for much of that time.
-const TOLD_AFTER: f64 = 7.0;
-const TELLS_AFTER: f64 = 3.0;
+/// Reads the header of a request: the last event that the director has, 0 for none. None: the connection has ended.
+fn read_request(stream: &TcpStream) -> io::Result<Option<usize>> {
+    let mut reader = BufReader::new(stream);
+    let mut last_event = 0;
+    let mut line = String::new();
+    loop {
+        line.clear();
+        if reader.read_line(&mut line)? == 0 {
+            return Ok(None);
+        }
+        if let Some(number) = line.strip_prefix("Last-Event-ID: ") {
+            last_event = number.trim_end().parse().unwrap_or(0);
+        }
+        if line == "\r\n" {
+            return Ok(Some(last_event));
+        }
+    }
+}
 
-/// Notes for every director, at the latest moment at which an event counts as told, what it says.
-pub fn note_all(discovery: &Arc<Discovery>, directors: usize) {
+/// Notes each event for every director at the latest moment at which it has to know it.
+pub(crate) fn note_events_for_all(discovery: &Arc<Discovery>, directors: usize) {
     let discovery = Arc::clone(discovery);
     spawn(move || {
-        let mut heard: Vec<Seconds> = Vec::new();
-        let (mut noted, mut away) = (0, 0.0f64);
+        let mut published_at: Vec<Seconds> = Vec::new();
+        let mut noted = 0;
+        let mut away_until: Seconds = 0.0;
         loop {
             let now = discovery.judge.now();
             let (events, until) = {
                 let state = lock(&discovery.state);
                 (state.events.clone(), state.down_until.max(state.silent_until))
             };
-            away = away.max(until);
-            heard.resize(events.len(), now);
-            while noted < events.len() && now > (heard[noted] + TOLD_AFTER).max(away + TELLS_AFTER) {
-                if let Some(news) = &events[noted].news {
-                    (0..directors).for_each(|director| discovery.note(director, news));
+            away_until = away_until.max(until);
+            published_at.resize(events.len(), now);
+            while noted < events.len()
+                && now > (published_at[noted] + NOTIFIED_AFTER).max(away_until + NOTIFIED_AFTER_OUTAGE)
+            {
+                if let Some(notification) = &events[noted].notification {
+                    (0..directors).for_each(|director| discovery.note(director, notification));
                 }
                 noted += 1;
             }
--- /dev/null
+++ b/crates/testbed/src/soak/fault_injection.rs
@@ -0,0 +1,169 @@
+//! Injects the planned faults into directors, nodes and discovery.
+
+use std::sync::Mutex;
+use std::thread;
+use std::time::Duration;
+
+use rustix::process::Signal;
+
+use super::Seconds;
+use super::director::Director;
+use super::discovery::Notification;
+use super::fault_plan::{Fault, breaks_connections, plan_faults};
+use super::invariants::{DRAIN_GRACE, Rule};
+use super::run::{STOP_TIMEOUT, Soak};
+use crate::clock::unix_ms;
+use crate::process::TrialError;
+use crate::threads::lock;
+
+/// Requests a second that a cold cache bears once it is warm.
+const CACHE_CAPACITY: f64 = 100.0;
+/// A node goes so long after it was listed as draining, and its successor comes then.
+const DRAIN_SECONDS: f64 = 2.5;
+/// How long after a pause requests are still excused.
+const PAUSE_TOLERANCE: f64 = 0.2;
+const CLOCK_STEP_LASTS: Duration = Duration::from_millis(1_500);
+/// The time span of a rule of the fault library (all of the process's life, milliseconds), and how often it strikes in
+/// percent.
+const ALWAYS_MOSTLY: &str = "0 1000000000 80";
+
+/// How a director is ended before it is started again.
+#[derive(Clone, Copy, PartialEq)]
+enum Stop {
+    Asked,
+    Killed,
+}
+
+impl Soak<'_> {
+    /// Injects the faults at their times, each on a thread of its own, until `end`. Restarts of one director take
+    /// turns. Returns once all are over.
+    pub(super) fn inject_faults(&self, end: Seconds) {
+        let restarts: Vec<Mutex<()>> = self.directors.iter().map(|_| Mutex::default()).collect();
+        let restarts = &restarts;
+        thread::scope(|scope| {
+            for scheduled in plan_faults(self.options) {
+                let wait = scheduled.at - self.judge.now();
+                if wait > 0.0 {
+                    thread::sleep(Duration::from_secs_f64(wait));
+                }
+                if self.judge.now() > end {
+                    return;
+                }
+                let fault = scheduled.fault;
+                scope.spawn(move || {
+                    let _turn = restarted_director(&fault).map(|director| lock(&restarts[director]));
+                    if let Err(e) = self.inject(&fault) {
+                        self.judge.record_violation(Rule::Crash, format!("{fault:?}: {e}"));
+                    }
+                });
+            }
+        });
+    }
+
+    fn inject(&self, fault: &Fault) -> Result<(), TrialError> {
+        match *fault {
+            Fault::Restart { director } => self.restart(&self.directors[director], Stop::Asked, ""),
+            Fault::Kill { director } => self.restart(&self.directors[director], Stop::Killed, ""),
+            Fault::KillWithClockOffset { director, offset_ms } => {
+                let rules = format!("clock 0 {offset_ms}\nclock 2000 0");
+                self.restart(&self.directors[director], Stop::Killed, &rules);
+            }
+            Fault::Pause { director, seconds } => pause(&self.directors[director], seconds),
+            Fault::Reload { director } => {
+                self.directors[director].move_discovery(self.options, &self.discovery)?
+            }
+            Fault::SystemCalls { director, rule, seconds } => {
+                fail_system_calls(&self.directors[director], rule, seconds);
+            }
+            Fault::ClockStep { director, offset_ms } => step_clock(&self.directors[director], offset_ms),
+            Fault::DiscoveryOutage { seconds } => self.discovery.interrupt(seconds),
+            Fault::DiscoverySilence { seconds } => self.discovery.fall_silent(seconds),
+            Fault::Purge { object } => self.purge(object),
+            Fault::ReplaceNode { place } => self.replace_node(place)?,
+            Fault::Misbehave { place, behavior, seconds } => {
+                if let Some(node) = self.node_at(place) {
+                    node.misbehave(behavior, seconds);
+                }
+            }
+            Fault::DelayConnections { place, seconds } => {
+                if let Some(node) = self.node_at(place) {
+                    node.delay_connections(seconds);
+                }
+            }
+            Fault::DropConnections { place, by_reset } => {
+                if let Some(node) = self.node_at(place) {
+                    node.drop_connections(by_reset);
+                }
+            }
+        }
+        Ok(())
+    }
+
+    /// Ends a director and starts it again with these rules of the fault library.
+    fn restart(&self, director: &Director, stop: Stop, fault_rules: &str) {
+        if stop == Stop::Asked {
+            director.terminate();
+            director.wait_for_exit(STOP_TIMEOUT);
+        }
+        director.kill();
+        director.set_fault_rules(fault_rules);
+        if let Err(e) = self.start_director(director) {
+            self.judge.record_violation(Rule::Crash, e.to_string());
+        }
+        director.end_excuse();
+    }
+
+    fn purge(&self, object: u64) {
+        let made_ms = unix_ms();
+        let fields = format!("\"purge\":{{\"key\":\"{object:016x}\",\"at\":{made_ms}}}");
+        self.discovery.publish(&fields, Some(Notification::Purge { object, made_ms }));
+    }
+
+    /// Drains the node at this place and lets a cold one take it.
+    fn replace_node(&self, place: usize) -> Result<(), TrialError> {
+        let Some(old) = self.node_at(place) else { return Ok(()) };
+        self.announce(&old, "draining", 0);
+        thread::sleep(Duration::from_secs_f64(DRAIN_SECONDS));
+        self.announce(&old, "gone", 0);
+        let number = lock(&self.nodes_by_number).len();
+        let new = self.add_node(&format!("cache-{number}"), "small")?;
+        self.judge.on_cold_start(new.number, CACHE_CAPACITY);
+        lock(&self.places)[place] = new.number;
+        self.announce(&new, "ready", unix_ms());
+        thread::sleep(Duration::from_secs_f64(DRAIN_GRACE));
+        old.drop_connections(false);
+        Ok(())
+    }
+}
+
+/// The director that a fault starts again.
+fn restarted_director(fault: &Fault) -> Option<usize> {
+    match *fault {
+        Fault::Restart { director }
+        | Fault::Kill { director }
+        | Fault::KillWithClockOffset { director, .. } => Some(director),
+        _ => None,
+    }
+}
+
+fn pause(director: &Director, seconds: f64) {
+    director.excuse_pause(seconds + PAUSE_TOLERANCE);
+    director.signal(Signal::STOP);
+    thread::sleep(Duration::from_secs_f64(seconds));
+    director.signal(Signal::CONT);
+}
+
+fn fail_system_calls(director: &Director, rule: &str, seconds: f64) {
+    if breaks_connections(rule) {
+        director.expect_broken_connections(seconds);
+    }
+    director.set_fault_rules(&format!("{rule} {ALWAYS_MOSTLY}"));
+    thread::sleep(Duration::from_secs_f64(seconds));
+    director.set_fault_rules("");
+}
+
+fn step_clock(director: &Director, offset_ms: i64) {
+    director.set_fault_rules(&format!("clock 0 {offset_ms}"));
+    thread::sleep(CLOCK_STEP_LASTS);
+    director.set_fault_rules("");
+}
--- /dev/null
+++ b/crates/testbed/src/soak/judge/tests.rs
@@ -0,0 +1,162 @@
+//! What the judge finds and what it lets pass, with each bound as a literal.
+
+use super::*;
+
+const REQUEST: u64 = 7;
+const DIRECTOR: usize = 2;
+const NODE: usize = 4;
+const SOURCE: usize = 5;
+const OBJECT: u64 = 9;
+
+fn request(written_at: Seconds, budget: f64) -> Request {
+    Request {
+        director: DIRECTOR,
+        effect: Effect::Idempotent,
+        object: OBJECT,
+        written_at,
+        budget,
+        client_gone_at: None,
+        answered: false,
+        executed_at: Vec::new(),
+    }
+}
+
+fn attempt(wait_ms: u64) -> Attempt {
+    Attempt { request: REQUEST, node: NODE, source: Some(SOURCE), wait_ms, read_late: false }
+}
+
+fn rules(findings: &[Finding]) -> Vec<Rule> {
+    findings.iter().map(|finding| finding.rule).collect()
+}
+
+fn found(judge: &Judge) -> Vec<Rule> {
+    judge.finish().0.iter().map(|violation| violation.rule).collect()
+}
+
+#[test]
+fn an_attempt_for_no_request_is_unknown() {
+    let findings = JudgeState::default().check_attempt(&attempt(0), 1.0);
+    assert_eq!(rules(&findings), [Rule::Unknown]);
+}
+
+#[test]
+fn a_node_is_told_a_quarter_second_more_than_is_left_at_most() {
+    let mut state = JudgeState::default();
+    state.requests.insert(REQUEST, request(1.0, 1.0));
+    // Half a second is left.
+    assert_eq!(rules(&state.check_attempt(&attempt(749), 1.5)), []);
+    assert_eq!(rules(&state.check_attempt(&attempt(751), 1.5)), [Rule::WaitTooLong]);
+    // Nothing is left.
+    assert_eq!(rules(&state.check_attempt(&attempt(249), 9.0)), []);
+    assert_eq!(rules(&state.check_attempt(&attempt(251), 9.0)), [Rule::WaitTooLong]);
+    let late = Attempt { read_late: true, ..attempt(5_000) };
+    assert_eq!(rules(&state.check_attempt(&late, 9.0)), []);
+}
+
+#[test]
+fn an_attempt_begins_a_fifth_of_a_second_after_its_client_left_at_most() {
+    let mut state = JudgeState::default();
+    state.requests.insert(REQUEST, Request { client_gone_at: Some(3.0), ..request(1.0, 9.0) });
+    assert_eq!(rules(&state.check_attempt(&attempt(0), 3.19)), []);
+    assert_eq!(rules(&state.check_attempt(&attempt(0), 3.21)), [Rule::ClientGone]);
+    let late = Attempt { read_late: true, ..attempt(0) };
+    assert_eq!(rules(&state.check_attempt(&late, 3.21)), []);
+}
+
+#[test]
+fn nothing_comes_to_a_draining_node_or_from_one_after_the_grace() {
+    for node in [NODE, SOURCE] {
+        let mut state = JudgeState::default();
+        state.requests.insert(REQUEST, request(1.0, 9.0));
+        state.directors.entry(DIRECTOR).or_default().drained.insert(node, 1.0);
+        assert_eq!(rules(&state.check_attempt(&attempt(0), 3.09)), []);
+        assert_eq!(rules(&state.check_attempt(&attempt(0), 3.11)), [Rule::Drained]);
+        let late = Attempt { read_late: true, ..attempt(0) };
+        assert_eq!(rules(&state.check_attempt(&late, 3.11)), []);
+        // Another director was not notified.
+        state.requests.insert(REQUEST, Request { director: DIRECTOR + 1, ..request(1.0, 9.0) });
+        assert_eq!(rules(&state.check_attempt(&attempt(0), 3.11)), []);
+    }
+}
+
+#[test]
+fn a_cold_node_gets_what_slow_start_allows() {
+    let mut state = JudgeState::default();
+    let cold = ColdNode { since: 10.0, capacity: 100.0, ..ColdNode::default() };
+    state.cold_nodes.insert(NODE, cold);
+    // 2 * 0.25 * 100 calls are allowed at first, with a scatter of 2 * sqrt(50) + 2.
+    let calls = |state: &mut JudgeState, count: usize| -> usize {
+        (0..count).filter_map(|_| state.check_slow_start(NODE, 10.0)).count()
+    };
+    assert_eq!(calls(&mut state, 66), 0);
+    assert_eq!(calls(&mut state, 1), 1);
+    // Once for a node.
+    assert_eq!(calls(&mut state, 100), 0);
+    let warm = ColdNode { since: 10.0, capacity: 1.0, ..ColdNode::default() };
+    state.cold_nodes.insert(NODE, warm);
+    assert_eq!((0..100).filter_map(|_| state.check_slow_start(NODE, 16.1)).count(), 0);
+}
+
+#[test]
+fn an_effect_runs_once() {
+    for (effect, expected) in [
+        (Effect::Idempotent, vec![]),
+        (Effect::AtMostOnce, vec![Rule::EffectTwice]),
+        // Nodes still recognize a repeat that comes at once.
+        (Effect::Deduplicated, vec![]),
+    ] {
+        let judge = Judge::new();
+        judge.on_request(REQUEST, DIRECTOR, effect, OBJECT, 1.0);
+        judge.on_executed(REQUEST);
+        judge.on_executed(REQUEST);
+        assert_eq!(found(&judge), expected, "{effect:?}");
+    }
+}
+
+#[test]
+fn a_deduplicated_effect_does_not_run_again_after_the_window() {
+    for (first, expected) in [(-1.4, vec![]), (-1.61, vec![Rule::EffectTwice])] {
+        let judge = Judge::new();
+        judge.on_request(REQUEST, DIRECTOR, Effect::Deduplicated, OBJECT, 1.0);
+        let executed_at = vec![judge.now() + first];
+        lock(&judge.state).requests.get_mut(&REQUEST).unwrap().executed_at = executed_at;
+        judge.on_executed(REQUEST);
+        assert_eq!(found(&judge), expected, "{first}");
+    }
+}
+
+#[test]
+fn a_second_answer_and_other_bytes_are_found() {
+    let judge = Judge::new();
+    judge.on_request(REQUEST, DIRECTOR, Effect::Idempotent, OBJECT, 1.0);
+    judge.on_answer(REQUEST, Some(OBJECT));
+    assert_eq!(found(&judge), []);
+    judge.on_answer(REQUEST, None);
+    assert_eq!(found(&judge), [Rule::Stray]);
+    judge.on_answer(REQUEST, Some(OBJECT + 1));
+    assert_eq!(found(&judge), [Rule::Stray, Rule::WrongBytes]);
+}
+
+#[test]
+fn no_older_copy_is_served_after_a_purge_and_its_grace() {
+    let judge = Judge::new();
+    judge.on_request(REQUEST, DIRECTOR, Effect::Idempotent, OBJECT, 1.0);
+    let purge = NotifiedPurge { notified_at: 5.0, made_ms: 1_000 };
+    lock(&judge.state).directors.entry(DIRECTOR).or_default().purged.insert(OBJECT, purge);
+    judge.on_served(REQUEST, 6.11, 1_000);
+    judge.on_served(REQUEST, 6.09, 999);
+    assert_eq!(found(&judge), []);
+    judge.on_served(REQUEST, 6.11, 999);
+    assert_eq!(found(&judge), [Rule::Purged]);
+}
+
+#[test]
+fn the_newest_purge_counts() {
+    let judge = Judge::new();
+    judge.on_notified_purge(DIRECTOR, OBJECT, 1_000);
+    judge.on_notified_purge(DIRECTOR, OBJECT, 500);
+    let made_ms = |judge: &Judge| lock(&judge.state).directors[&DIRECTOR].purged[&OBJECT].made_ms;
+    assert_eq!(made_ms(&judge), 1_000);
+    judge.on_notified_purge(DIRECTOR, OBJECT, 2_000);
+    assert_eq!(made_ms(&judge), 2_000);
+}
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -1,35 +1,45 @@
-//! A soak test: real directors as processes on loopback under overlapping troubles, judged from outside.
+//! A soak test: real directors as processes on loopback under overlapping faults, checked from outside.
 //!
-//! Stand-in clients, nodes and discovery speak the operators' published protocol and note what they see; signals and a
-//! preloaded fault library make trouble, two or three kinds at a time, as a seed draws it. `judge` holds the
-//! invariants. What the directors count themselves (violations, panics) is read from their logs at the end.
+//! Stand-in clients, nodes and discovery speak the operators' published protocol and report what they see to the
+//! `Judge`, which holds the invariants. Signals and a preloaded fault library cause the faults, two or three at a
+//! time, as the seed draws them. What the directors count themselves (violations, panics) is read from their logs at
+//! the end.
 
-mod clients;
+mod client;
+mod director;
 mod discovery;
-mod faults;
-mod fleet;
+mod fault_injection;
+mod fault_plan;
+mod invariants;
 mod judge;
-mod nodes;
+mod node;
+mod report;
 mod run;
 
-pub use faults::{Fault, plan as plan_faults};
-pub use judge::{Rule, Violation};
-pub use nodes::Misbehavior;
-pub use run::{SoakReport, run};
-
 use std::path::PathBuf;
 
-/// What is played.
+pub use fault_plan::{Fault, ScheduledFault, plan_faults};
+pub use invariants::{Rule, Violation};
+pub use node::Misbehavior;
+pub use report::SoakReport;
+pub use run::run;
+
+/// What a soak consists of.
 #[derive(Clone, Debug)]
 pub struct Options {
+    /// The seed of the plan of faults and of the clients' requests.
     pub seed: u64,
+    /// How long the load lasts.
     pub seconds: u64,
+    /// The number of directors.
     pub directors: usize,
+    /// The number of cache nodes; a parent and an origin stand beside them.
     pub caches: usize,
+    /// The number of clients of each director.
     pub clients_per_director: usize,
-    /// The fault library; none: no faults of system calls.
+    /// The fault library; without one no system calls fail.
     pub fault_library: Option<PathBuf>,
 }
 
 /// Seconds since the soak began.
-pub(crate) type Seconds = f64;
+pub type Seconds = f64;
--- /dev/null
+++ b/crates/testbed/src/soak/node.rs
@@ -0,0 +1,348 @@
+//! Stand-in nodes: caches, parents and an origin that keep copies, and that misbehave when they are told to.
+
+use std::collections::HashMap;
+use std::io::{self, BufRead, BufReader, Write};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::mpsc::channel;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use socket2::{Domain, SockRef, Socket, Type};
+
+use super::Seconds;
+use super::judge::{Attempt, Judge};
+use crate::clock::unix_ms;
+use crate::pull_request::PullRequest;
+use crate::threads::{lock, spawn};
+
+/// Connections that may wait to be accepted.
+const BACKLOG: i32 = 128;
+/// The same while connections are accepted late: so few that others find no room.
+const DELAYED_BACKLOG: i32 = 0;
+/// How long after it read or accepted nothing a node may find bytes that lay unread.
+const LATE_READS_AFTER: f64 = 1.0;
+/// What a node answers that is no answer.
+const GARBAGE: &[u8] = b"what is this\r\n";
+const SECOND_ANSWER_AFTER: Duration = Duration::from_millis(3);
+
+/// How a node behaves.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum Misbehavior {
+    /// It does not misbehave.
+    #[default]
+    Normal,
+    /// It does the work and never answers.
+    Hangs,
+    /// It reads nothing.
+    Stuck,
+    /// It resets the connection under the request, before or after the work.
+    Resets,
+    /// It refuses everything as overloaded.
+    Full,
+    /// It fails everything, after the work.
+    Errors,
+    /// It answers with bytes that are no answer.
+    Garbage,
+    /// It answers twice.
+    Twice,
+    /// It names another copy than the client's as unchanged.
+    WrongTag,
+}
+
+#[derive(Default)]
+struct NodeState {
+    behavior: Misbehavior,
+    misbehaves_until: Seconds,
+    /// When each copy was made, in Unix milliseconds.
+    copies: HashMap<u64, u64>,
+    connections: Vec<Arc<TcpStream>>,
+    /// Nothing is read until then.
+    stuck_until: Seconds,
+    /// No connection is accepted until then.
+    accepts_from: Seconds,
+}
+
+/// One node.
+pub(crate) struct Node {
+    pub(crate) number: usize,
+    pub(crate) name: String,
+    /// Its type in the endpoint list.
+    pub(crate) kind: &'static str,
+    pub(crate) address: SocketAddr,
+    judge: Arc<Judge>,
+    state: Mutex<NodeState>,
+}
+
+/// All nodes by name.
+pub(crate) type Nodes = Arc<Mutex<HashMap<String, Arc<Node>>>>;
+
+/// What a node needs of an attempt.
+struct Pull {
+    request: u64,
+    tag: String,
+    object: u64,
+    source: Option<String>,
+    wait_ms: u64,
+    max_age_ms: Option<u64>,
+    held_tag: Option<String>,
+}
+
+impl Pull {
+    fn from_request(request: &PullRequest) -> Option<Pull> {
+        Some(Pull {
+            request: u64::from_str_radix(request.tag, 16).ok()?,
+            tag: request.tag.to_owned(),
+            object: request.object()?,
+            source: request.source().map(str::to_owned),
+            wait_ms: request.wait_ms()?,
+            max_age_ms: request.max_age_ms(),
+            held_tag: request.held_tag().map(str::to_owned),
+        })
+    }
+
+    /// An answer without a body.
+    fn empty_answer(&self, word: &str) -> String {
+        format!("{} {word} - 0\r\n\r\n", self.tag)
+    }
+
+    /// The answer with a copy, or that the client's is unchanged.
+    fn copy_answer(&self, issued_ms: u64, behavior: Misbehavior) -> String {
+        let (tag, copy_tag) = (&self.tag, format!("t{issued_ms:x}"));
+        if behavior == Misbehavior::WrongTag && self.held_tag.is_some() {
+            return format!("{tag} NOMOD how=HIT,entity=other,issued={issued_ms} 0\r\n\r\n");
+        }
+        if self.held_tag.as_ref() == Some(&copy_tag) {
+            return format!("{tag} NOMOD how=HIT,entity={copy_tag},issued={issued_ms} 0\r\n\r\n");
+        }
+        let padding = "x".repeat((self.object % 3_000) as usize);
+        let body = format!("{:016x}{issued_ms:016x}{padding}", self.object);
+        let length = body.len();
+        format!("{tag} ACK how=HIT,entity={copy_tag},issued={issued_ms} {length}\r\n{body}\r\n")
+    }
+}
+
+/// An attempt that was read and waits for its turn.
+struct QueuedPull {
+    pull: Pull,
+    received_at: Seconds,
+}
+
+/// Whether a connection is still in use after an attempt.
+#[derive(Clone, Copy, PartialEq)]
+enum Connection {
+    Open,
+    Closed,
+}
+
+fn listen() -> io::Result<TcpListener> {
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
+    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
+    socket.listen(BACKLOG)?;
+    Ok(socket.into())
+}
+
+impl Node {
+    /// Listens on a port of its own and joins the nodes.
+    pub(crate) fn start(
+        number: usize,
+        name: &str,
+        kind: &'static str,
+        judge: &Arc<Judge>,
+        nodes: &Nodes,
+    ) -> io::Result<Arc<Node>> {
+        let listener = listen()?;
+        let node = Arc::new(Node {
+            number,
+            name: name.to_owned(),
+            kind,
+            address: listener.local_addr()?,
+            judge: Arc::clone(judge),
+            state: Mutex::default(),
+        });
+        lock(nodes).insert(name.to_owned(), Arc::clone(&node));
+        let (own, nodes) = (Arc::clone(&node), Arc::clone(nodes));
+        spawn(move || own.accept_connections(&listener, &nodes));
+        Ok(node)
+    }
+
+    /// Misbehaves for so many seconds.
+    pub(crate) fn misbehave(&self, behavior: Misbehavior, seconds: f64) {
+        let until = self.judge.now() + seconds;
+        let mut state = lock(&self.state);
+        (state.behavior, state.misbehaves_until) = (behavior, until);
+        if behavior == Misbehavior::Stuck {
+            state.stuck_until = state.stuck_until.max(until);
+        }
+    }
+
+    /// Accepts no connection for so many seconds.
+    pub(crate) fn delay_connections(&self, seconds: f64) {
+        let until = self.judge.now() + seconds;
+        let mut state = lock(&self.state);
+        state.accepts_from = state.accepts_from.max(until);
+    }
+
+    /// Closes or resets all its connections, idle ones as well.
+    pub(crate) fn drop_connections(&self, by_reset: bool) {
+        for connection in std::mem::take(&mut lock(&self.state).connections) {
+            if by_reset {
+                let _ = SockRef::from(&*connection).set_linger(Some(Duration::ZERO));
+            }
+            let _ = connection.shutdown(Shutdown::Both);
+        }
+    }
+
+    /// Whether what it reads now may have lain unread for a while, through no fault of its sender.
+    fn is_reading_late(&self) -> bool {
+        let state = lock(&self.state);
+        state.stuck_until.max(state.accepts_from) > self.judge.now() - LATE_READS_AFTER
+    }
+
+    fn behavior(&self) -> Misbehavior {
+        let state = lock(&self.state);
+        if self.judge.now() < state.misbehaves_until { state.behavior } else { Misbehavior::Normal }
+    }
+
+    fn accept_connections(self: &Arc<Node>, listener: &TcpListener, nodes: &Nodes) {
+        for stream in listener.incoming().map_while(Result::ok) {
+            let early = lock(&self.state).accepts_from - self.judge.now();
+            if early > 0.0 {
+                // A listener that listens again takes the new length of its queue.
+                let _ = SockRef::from(listener).listen(DELAYED_BACKLOG);
+                std::thread::sleep(Duration::from_secs_f64(early));
+                let _ = SockRef::from(listener).listen(BACKLOG);
+            }
+            let (own, nodes, stream) = (Arc::clone(self), Arc::clone(nodes), Arc::new(stream));
+            lock(&self.state).connections.push(Arc::clone(&stream));
+            spawn(move || {
+                // A director that goes ends its connection.
+                let _ = own.read_attempts(&stream, &nodes);
+            });
+        }
+    }
+
+    /// Reads attempts as they come; a thread beside it executes them, one after another.
+    fn read_attempts(self: &Arc<Node>, stream: &Arc<TcpStream>, nodes: &Nodes) -> io::Result<()> {
+        stream.set_nodelay(true)?;
+        let (queue, queued_pulls) = channel::<QueuedPull>();
+        let (own, output, sources) = (Arc::clone(self), Arc::clone(stream), Arc::clone(nodes));
+        spawn(move || {
+            for queued in queued_pulls {
+                if !own.execute(&queued, &output, &sources).is_ok_and(|after| after == Connection::Open) {
+                    return;
+                }
+            }
+        });
+        let mut reader = BufReader::new(&**stream);
+        let mut line = String::new();
+        loop {
+            let stuck = lock(&self.state).stuck_until - self.judge.now();
+            if stuck > 0.0 {
+                std::thread::sleep(Duration::from_secs_f64(stuck));
+            }
+            line.clear();
+            if reader.read_line(&mut line)? == 0 {
+                return Ok(());
+            }
+            let Ok(request) = PullRequest::parse(&line) else { continue };
+            let pull = Pull::from_request(&request);
+            request.skip_body(&mut reader)?;
+            let Some(pull) = pull else { continue };
+            let received_at = self.report_attempt(&pull, nodes);
+            if queue.send(QueuedPull { pull, received_at }).is_err() {
+                return Ok(());
+            }
+        }
+    }
+
+    /// Reports an attempt to the judge. Returns when it came: 0 if it may have come at any time, as nothing was read.
+    fn report_attempt(&self, pull: &Pull, nodes: &Nodes) -> Seconds {
+        let source = pull.source.as_ref().and_then(|name| lock(nodes).get(name).map(|node| node.number));
+        let read_late = self.is_reading_late();
+        let (request, node, wait_ms) = (pull.request, self.number, pull.wait_ms);
+        self.judge.on_attempt(&Attempt { request, node, source, wait_ms, read_late });
+        if read_late { 0.0 } else { self.judge.now() }
+    }
+
+    /// Executes one attempt and answers it, as the behavior of this moment has it.
+    fn execute(&self, queued: &QueuedPull, mut stream: &TcpStream, nodes: &Nodes) -> io::Result<Connection> {
+        let QueuedPull { pull, received_at } = queued;
+        let source = pull.source.as_ref().and_then(|name| lock(nodes).get(name).cloned());
+        std::thread::sleep(Duration::from_micros(1_000 + pull.object % 7_000));
+        let behavior = self.behavior();
+        if let Some(connection) = misbehave_before_work(behavior, pull, stream)? {
+            return Ok(connection);
+        }
+        let Some(issued_ms) = self.copy(pull, source.as_deref()) else {
+            stream.write_all(pull.empty_answer("NOENT").as_bytes())?;
+            return Ok(Connection::Open);
+        };
+        self.judge.on_executed(pull.request);
+        if let Some(connection) = misbehave_after_work(behavior, pull, stream)? {
+            return Ok(connection);
+        }
+        self.judge.on_served(pull.request, *received_at, issued_ms);
+        let answer = pull.copy_answer(issued_ms, behavior);
+        stream.write_all(answer.as_bytes())?;
+        if behavior == Misbehavior::Twice {
+            std::thread::sleep(SECOND_ANSWER_AFTER);
+            stream.write_all(answer.as_bytes())?;
+        }
+        Ok(Connection::Open)
+    }
+
+    /// When the copy that is served was made (Unix milliseconds): its own if it is young enough, or one that it fills.
+    fn copy(&self, pull: &Pull, source: Option<&Node>) -> Option<u64> {
+        let now = unix_ms();
+        let is_young_enough =
+            |issued: &u64| pull.max_age_ms.is_none_or(|max_age| now.saturating_sub(*issued) <= max_age);
+        let own = lock(&self.state).copies.get(&pull.object).copied();
+        if let Some(issued) = own.filter(is_young_enough) {
+            return Some(issued);
+        }
+        let filled = match source {
+            Some(source) => source.copy(pull, None)?,
+            None if self.kind == "origin" || self.kind == "parent" => now,
+            None => return None,
+        };
+        lock(&self.state).copies.insert(pull.object, filled);
+        Some(filled)
+    }
+}
+
+/// What replaces the work, if anything does.
+fn misbehave_before_work(
+    behavior: Misbehavior,
+    pull: &Pull,
+    mut stream: &TcpStream,
+) -> io::Result<Option<Connection>> {
+    match behavior {
+        Misbehavior::Full => stream.write_all(pull.empty_answer("AGAIN").as_bytes())?,
+        Misbehavior::Garbage => stream.write_all(GARBAGE)?,
+        Misbehavior::Resets if pull.request.is_multiple_of(2) => {
+            let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
+            stream.shutdown(Shutdown::Both)?;
+            return Ok(Some(Connection::Closed));
+        }
+        _ => return Ok(None),
+    }
+    Ok(Some(Connection::Open))
+}
+
+/// What replaces the answer, if anything does.
+fn misbehave_after_work(
+    behavior: Misbehavior,
+    pull: &Pull,
+    mut stream: &TcpStream,
+) -> io::Result<Option<Connection>> {
+    match behavior {
+        Misbehavior::Hangs => {}
+        Misbehavior::Errors => stream.write_all(pull.empty_answer("EIO").as_bytes())?,
+        Misbehavior::Resets => {
+            stream.shutdown(Shutdown::Both)?;
+            return Ok(Some(Connection::Closed));
+        }
+        _ => return Ok(None),
+    }
+    Ok(Some(Connection::Open))
+}
--- a/crates/testbed/tests/soak_plan.rs
+++ b/crates/testbed/tests/soak_plan.rs
@@ -11,20 +11,24 @@
 /// Words of this test, which do not follow the names of the code.
 fn describe(fault: &Fault) -> String {
     match *fault {
-        Fault::Restart(n) => format!("restart {n}"),
-        Fault::Kill(n) => format!("kill {n}"),
-        Fault::StandStill(n, lasts) => format!("pause {n} for {lasts:.6}"),
-        Fault::Reload(n) => format!("reload {n}"),
-        Fault::Fault(n, rule, lasts) => format!("system calls {n} {rule:?} for {lasts:.6}"),
-        Fault::ClockStep(n, ms) => format!("clock {n} by {ms}"),
-        Fault::KillUnderClock(n, ms) => format!("kill {n} clock {ms}"),
-        Fault::DiscoveryDown(lasts) => format!("discovery down for {lasts:.6}"),
-        Fault::DiscoverySilent(lasts) => format!("discovery silent for {lasts:.6}"),
-        Fault::Purge(object) => format!("purge {object}"),
-        Fault::Replace(n) => format!("replace {n}"),
-        Fault::Misbehave(n, mode, lasts) => format!("node {n} {} for {lasts:.6}", describe_misbehavior(mode)),
-        Fault::DropConnections(n, by_reset) => format!("drop connections {n} reset {by_reset}"),
-        Fault::ConnectLate(n, lasts) => format!("late connections {n} for {lasts:.6}"),
+        Fault::Restart { director } => format!("restart {director}"),
+        Fault::Kill { director } => format!("kill {director}"),
+        Fault::Pause { director, seconds } => format!("pause {director} for {seconds:.6}"),
+        Fault::Reload { director } => format!("reload {director}"),
+        Fault::SystemCalls { director, rule, seconds } => {
+            format!("system calls {director} {rule:?} for {seconds:.6}")
+        }
+        Fault::ClockStep { director, offset_ms } => format!("clock {director} by {offset_ms}"),
+        Fault::KillWithClockOffset { director, offset_ms } => format!("kill {director} clock {offset_ms}"),
+        Fault::DiscoveryOutage { seconds } => format!("discovery down for {seconds:.6}"),
+        Fault::DiscoverySilence { seconds } => format!("discovery silent for {seconds:.6}"),
+        Fault::Purge { object } => format!("purge {object}"),
+        Fault::ReplaceNode { place } => format!("replace {place}"),
+        Fault::Misbehave { place, behavior, seconds } => {
+            format!("node {place} {} for {seconds:.6}", describe_misbehavior(behavior))
+        }
+        Fault::DropConnections { place, by_reset } => format!("drop connections {place} reset {by_reset}"),
+        Fault::DelayConnections { place, seconds } => format!("late connections {place} for {seconds:.6}"),
     }
 }
 
@@ -43,7 +47,10 @@
 }
 
 fn printed(options: &Options) -> String {
-    plan_faults(options).iter().map(|(at, fault)| format!("{at:.6} {}\n", describe(fault))).collect()
+    plan_faults(options)
+        .iter()
+        .map(|planned| format!("{:.6} {}\n", planned.at, describe(&planned.fault)))
+        .collect()
 }
 
 #[test]
