--- a/crates/testbed/src/client_load.rs
+++ b/crates/testbed/src/client_load.rs
@@ -1,7 +1,7 @@
-//! Clients: each has a connection to one director and asks by the clock, one lookup at a time.
+//! Clients of the stand-in load: each has a connection to one director and sends one lookup at a time, by the clock.
 
 use std::collections::HashMap;
-use std::io::{Read, Write};
+use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -13,114 +13,160 @@
 use sablecross::parent_position;
 
 use crate::clock::unix_ms;
-use crate::node_stub::TrialState;
 use crate::threads::lock;
+use crate::trial_state::TrialState;
 
 /// How long a client waits; the directors' settings say the same.
-pub const BUDGET_MS: u64 = 800;
-/// A purge is known everywhere this much later.
-pub const GRACE_MS: u64 = 2_500;
+pub(crate) const BUDGET_MS: u64 = 800;
+/// How long after a purge older copies may still come.
+const PURGE_GRACE_MS: u64 = 2_500;
+/// How much longer than its budget a client waits before it counts a lookup as unanswered.
+const ANSWER_TOLERANCE_MS: u64 = 3_000;
+/// The request class of all lookups.
+const REQUEST_CLASS: &str = "footage";
+/// Bytes of an answer that hold the time at which its copy was made, hexadecimal.
+const ISSUED_DIGITS: usize = 16;
+
+/// When a lookup succeeded, and after how long.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct TimedLatency {
+    /// The second of the trial in which the answer came.
+    pub(crate) second: u64,
+    pub(crate) micros: u64,
+}
 
 /// What one client saw.
 #[derive(Default)]
-pub struct ClientStats {
-    pub requests: u64,
-    pub succeeded: u64,
-    pub rejected: u64,
-    pub failed: u64,
-    /// Ended with no answer, and answered what was not asked or twice.
-    pub unanswered: u64,
-    pub unexpected: u64,
-    /// Answered with a copy from before a purge, after its grace.
-    pub stale: u64,
-    /// By the second of the experiment, microseconds.
-    pub latencies: Vec<(u64, u64)>,
-}
-
-/// When each object was purged last.
-pub type Purges = Arc<Mutex<HashMap<u64, u64>>>;
-
-pub struct Client {
-    pub director: SocketAddr,
-    pub number: u64,
-    pub seed: u64,
-    pub objects: u64,
-    pub every: Duration,
-    pub purges: Purges,
-    pub common: Arc<TrialState>,
+pub(crate) struct ClientStats {
+    pub(crate) requests: u64,
+    pub(crate) succeeded: u64,
+    pub(crate) rejected: u64,
+    pub(crate) failed: u64,
+    /// Requests that ended without an answer.
+    pub(crate) unanswered: u64,
+    /// Answers to nothing that was asked, second answers, and bytes that are no answer.
+    pub(crate) unexpected: u64,
+    /// Answers with a copy from before a purge, after its grace.
+    pub(crate) stale: u64,
+    /// Of the requests that succeeded.
+    pub(crate) latencies: Vec<TimedLatency>,
+}
+
+/// When each object was purged last, in Unix milliseconds.
+pub(crate) type Purges = Arc<Mutex<HashMap<u64, u64>>>;
+
+/// One client.
+pub(crate) struct Client {
+    pub(crate) director: SocketAddr,
+    /// Its number, from 1.
+    pub(crate) number: u64,
+    pub(crate) seed: u64,
+    /// How many objects there are to ask for.
+    pub(crate) objects: u64,
+    /// The time between two lookups.
+    pub(crate) interval: Duration,
+    pub(crate) purges: Purges,
+    pub(crate) trial: Arc<TrialState>,
 }
 
+/// A director's answer.
 pub enum Response {
+    /// The object's bytes.
     Success(Vec<u8>),
+    /// The request is refused and may be asked again.
     Rejected,
+    /// The request has failed.
     Failed,
 }
 
 impl Client {
-    pub fn run(self) -> ClientStats {
-        let mut seen = ClientStats::default();
+    /// Sends lookups until the trial is over.
+    pub(crate) fn run(self) -> ClientStats {
+        let mut stats = ClientStats::default();
         let mut rng = Pcg32::seed_from_u64(self.seed ^ self.number.wrapping_mul(0x9e37_79b9));
-        let mut stream = None;
+        let mut connection = None;
         let mut call = 0u32;
-        let mut next = Instant::now() + self.every.mul_f64(rng.random());
-        while !self.common.is_over() {
+        let mut next = Instant::now() + self.interval.mul_f64(rng.random());
+        while !self.trial.is_over() {
             std::thread::sleep(next.saturating_duration_since(Instant::now()));
             // No backlog: a slow answer does not make a burst of the next ones.
-            next = (next + self.every).max(Instant::now());
+            next = (next + self.interval).max(Instant::now());
             let object = (self.objects as f64 * rng.random::<f64>().powi(3)) as u64;
-            if stream.is_none() {
-                stream = TcpStream::connect(self.director).ok();
+            if connection.is_none() {
+                connection = TcpStream::connect(self.director).ok();
                 call = 0;
             }
-            let Some(link) = stream.as_mut() else { continue };
+            let Some(stream) = connection.as_mut() else { continue };
             call += 1;
-            let (sent, sent_ms) = (Instant::now(), unix_ms());
-            seen.requests += 1;
-            let answer = link
-                .set_read_timeout(Some(Duration::from_millis(BUDGET_MS + 3_000)))
-                .and_then(|()| link.set_nodelay(true))
-                .and_then(|()| self.write(link, call, object, seen.requests))
-                .and_then(|()| read_response(link, call));
-            let took = sent.elapsed();
-            match answer {
-                Ok(Response::Success(body)) => {
-                    seen.succeeded += 1;
-                    self.common.count(|s| s.satisfied += 1);
-                    let issued = std::str::from_utf8(body.get(..16).unwrap_or_default());
-                    let issued = issued.ok().and_then(|i| u64::from_str_radix(i, 16).ok());
-                    let purged = lock(&self.purges).get(&object).copied();
-                    let bound = purged.filter(|at| sent_ms > at + GRACE_MS);
-                    seen.unexpected += u64::from(issued.is_none());
-                    seen.stale += u64::from(bound.zip(issued).is_some_and(|(at, issued)| issued < at));
-                    let at = self.common.begun.elapsed().as_secs();
-                    seen.latencies.push((at, took.as_micros() as u64));
-                }
-                Ok(Response::Rejected) => {
-                    seen.rejected += 1;
-                    self.common.count(|s| s.nacked += 1);
-                }
-                Ok(Response::Failed) => {
-                    seen.failed += 1;
-                    self.common.count(|s| s.failed += 1);
-                }
-                Err(e) => {
-                    if e.kind() == std::io::ErrorKind::InvalidData {
-                        seen.unexpected += 1;
-                    } else {
-                        seen.unanswered += 1;
-                    }
-                    stream = None;
+            if self.look_up(stream, call, object, &mut stats).is_err() {
+                connection = None;
+            }
+        }
+        stats
+    }
+
+    /// Sends one lookup, waits for its answer and counts it. After an error the connection is of no more use.
+    fn look_up(
+        &self,
+        stream: &mut TcpStream,
+        call: u32,
+        object: u64,
+        stats: &mut ClientStats,
+    ) -> io::Result<()> {
+        let (sent, sent_ms) = (Instant::now(), unix_ms());
+        stats.requests += 1;
+        let answer = self.exchange(stream, call, object, stats.requests);
+        let latency = sent.elapsed();
+        match answer {
+            Ok(Response::Success(body)) => {
+                self.on_success(object, &body, sent_ms, latency, stats);
+            }
+            Ok(Response::Rejected) => {
+                stats.rejected += 1;
+                self.trial.count(|second| second.rejected += 1);
+            }
+            Ok(Response::Failed) => {
+                stats.failed += 1;
+                self.trial.count(|second| second.failed += 1);
+            }
+            Err(e) => {
+                if e.kind() == ErrorKind::InvalidData {
+                    stats.unexpected += 1;
+                } else {
+                    stats.unanswered += 1;
                 }
+                return Err(e);
             }
         }
-        seen
+        Ok(())
     }
 
-    fn write(&self, link: &mut TcpStream, call: u32, object: u64, number: u64) -> std::io::Result<()> {
-        link.write_all(&encode_request(self.number << 32 | number, call, object))
+    fn exchange(&self, stream: &mut TcpStream, call: u32, object: u64, number: u64) -> io::Result<Response> {
+        stream.set_read_timeout(Some(Duration::from_millis(BUDGET_MS + ANSWER_TOLERANCE_MS)))?;
+        stream.set_nodelay(true)?;
+        stream.write_all(&encode_request(self.number << 32 | number, call, object))?;
+        read_response(stream, call)
+    }
+
+    fn on_success(&self, object: u64, body: &[u8], sent_ms: u64, latency: Duration, stats: &mut ClientStats) {
+        stats.succeeded += 1;
+        self.trial.count(|second| second.satisfied += 1);
+        let issued_ms = issued_ms_of(body);
+        let purged_ms = lock(&self.purges).get(&object).copied();
+        let oldest_ms = purged_ms.filter(|purged| sent_ms > purged + PURGE_GRACE_MS);
+        stats.unexpected += u64::from(issued_ms.is_none());
+        stats.stale += u64::from(oldest_ms.zip(issued_ms).is_some_and(|(oldest, issued)| issued < oldest));
+        let second = self.trial.started.elapsed().as_secs();
+        stats.latencies.push(TimedLatency { second, micros: latency.as_micros() as u64 });
     }
 }
 
+/// When the copy in an answer was made, in Unix milliseconds.
+fn issued_ms_of(body: &[u8]) -> Option<u64> {
+    let digits = std::str::from_utf8(body.get(..ISSUED_DIGITS).unwrap_or_default()).ok()?;
+    u64::from_str_radix(digits, 16).ok()
+}
+
 /// Encodes a lookup of an object, as a client writes it.
 pub fn encode_request(request: u64, call: u32, object: u64) -> Vec<u8> {
     let request = format!("{request:016x}");
@@ -136,7 +182,7 @@
         ("lot", "1"),
         ("mem", &*size_kb),
     ];
-    encode_call(call, "footage", &fields)
+    encode_call(call, REQUEST_CLASS, &fields)
 }
 
 /// Encodes a MessagePack-RPC request: its method is the request class, its arguments are the fields and no body.
@@ -154,63 +200,79 @@
     message
 }
 
-fn invalid_data<E>(_: E) -> std::io::Error {
-    std::io::ErrorKind::InvalidData.into()
+fn invalid_data<E>(_: E) -> io::Error {
+    ErrorKind::InvalidData.into()
 }
 
-/// Reads the answer to this call. Any other is strange; a reset or a silence is the connection's error.
-fn read_response(link: &mut TcpStream, call: u32) -> std::io::Result<Response> {
-    let (number, answer) = read_any_response(link)?;
+/// Reads the answer to this call. An answer to any other is invalid data.
+fn read_response(stream: &mut TcpStream, call: u32) -> io::Result<Response> {
+    let (number, answer) = read_any_response(stream)?;
     if number == call { Ok(answer) } else { Err(invalid_data(())) }
 }
 
 /// Reads the next answer and the number of its call.
-pub fn read_any_response(link: &mut impl Read) -> std::io::Result<(u32, Response)> {
-    let mut first = [0; 1];
-    link.read_exact(&mut first)?;
-    if first != [0x94] {
+///
+/// # Errors
+///
+/// Bytes that are no answer are `ErrorKind::InvalidData`; all else is the connection's error.
+pub fn read_any_response(stream: &mut impl Read) -> io::Result<(u32, Response)> {
+    let mut byte = [0; 1];
+    stream.read_exact(&mut byte)?;
+    if byte != [0x94] {
         return Err(invalid_data(()));
     }
-    let kind: u8 = decode::read_int(link).map_err(invalid_data)?;
-    let number: u32 = decode::read_int(link).map_err(invalid_data)?;
+    let kind: u8 = decode::read_int(stream).map_err(invalid_data)?;
+    let call: u32 = decode::read_int(stream).map_err(invalid_data)?;
     if kind != 1 {
         return Err(invalid_data(()));
     }
-    link.read_exact(&mut first)?;
-    if first == [0x92] {
-        let word = read_text(link)?;
-        skip_fields(link)?;
-        decode::read_nil(link).map_err(invalid_data)?;
-        return Ok((number, if word == "Rejected" { Response::Rejected } else { Response::Failed }));
+    stream.read_exact(&mut byte)?;
+    match byte {
+        // An error and no result.
+        [0x92] => Ok((call, read_failure(stream)?)),
+        // No error and a result.
+        [0xc0] => Ok((call, read_success(stream)?)),
+        _ => Err(invalid_data(())),
     }
-    if first != [0xc0] || decode::read_array_len(link).map_err(invalid_data)? != 2 {
+}
+
+fn read_failure(stream: &mut impl Read) -> io::Result<Response> {
+    let word = read_text(stream)?;
+    skip_fields(stream)?;
+    decode::read_nil(stream).map_err(invalid_data)?;
+    Ok(if word == "Rejected" { Response::Rejected } else { Response::Failed })
+}
+
+fn read_success(stream: &mut impl Read) -> io::Result<Response> {
+    if decode::read_array_len(stream).map_err(invalid_data)? != 2 {
         return Err(invalid_data(()));
     }
-    let length = decode::read_bin_len(link).map_err(invalid_data)?;
+    let length = decode::read_bin_len(stream).map_err(invalid_data)?;
     let mut body = vec![0; length as usize];
-    link.read_exact(&mut body)?;
-    skip_fields(link)?;
-    Ok((number, Response::Success(body)))
+    stream.read_exact(&mut body)?;
+    skip_fields(stream)?;
+    Ok(Response::Success(body))
 }
 
-fn read_text(link: &mut impl Read) -> std::io::Result<String> {
-    let length = decode::read_str_len(link).map_err(invalid_data)?;
+fn read_text(stream: &mut impl Read) -> io::Result<String> {
+    let length = decode::read_str_len(stream).map_err(invalid_data)?;
     let mut text = vec![0; length as usize];
-    link.read_exact(&mut text)?;
+    stream.read_exact(&mut text)?;
     String::from_utf8(text).map_err(invalid_data)
 }
 
-fn skip_fields(link: &mut impl Read) -> std::io::Result<()> {
-    for _ in 0..decode::read_map_len(link).map_err(invalid_data)? {
-        read_text(link)?;
-        read_text(link)?;
+fn skip_fields(stream: &mut impl Read) -> io::Result<()> {
+    for _ in 0..decode::read_map_len(stream).map_err(invalid_data)? {
+        read_text(stream)?;
+        read_text(stream)?;
     }
     Ok(())
 }
 
-/// Percentiles of latencies, in microseconds.
-pub fn histogram(of: impl Iterator<Item = u64>) -> Histogram<u64> {
-    let mut all = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that a histogram can have");
-    of.for_each(|us| all.saturating_record(us.max(1)));
-    all
+/// A histogram of latencies in microseconds, for its percentiles.
+pub(crate) fn histogram(micros: impl Iterator<Item = u64>) -> Histogram<u64> {
+    let mut histogram =
+        Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that a histogram can have");
+    micros.for_each(|us| histogram.saturating_record(us.max(1)));
+    histogram
 }
--- a/crates/testbed/src/director_process.rs
+++ b/crates/testbed/src/director_process.rs
@@ -1,7 +1,8 @@
-//! Directors on loopback as processes of their own: their ports, configurations, starts, and what a list says of nodes.
+//! Directors on loopback as processes of their own: ports, configurations, starts, and lines of the endpoint list.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::ops::Range;
 use std::path::Path;
 use std::process::{Command, Stdio};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,94 +15,109 @@
 use crate::client_load::BUDGET_MS;
 use crate::process::{ChildProcess, TrialError};
 
-/// Ports that are free, below those that connections are given by themselves: a director that was killed finds its own
-/// again, and installations beside one another seldom meet.
-pub struct PortAllocator(Pcg32);
+/// Ports of directors lie below those that the system gives to connections.
+const DIRECTOR_PORTS: Range<u16> = 12_000..32_000;
+/// How many ports are tried before there is none.
+const PORT_ATTEMPTS: usize = 100;
+const SERVING_POLL: Duration = Duration::from_millis(20);
+/// Names the file of a director's coordination settings to it.
+const COORDINATION_VARIABLE: &str = "SABLECROSS_DUTY";
+
+/// Finds free ports. A director that was killed finds its own again, and trials beside one another seldom meet.
+pub(crate) struct PortAllocator(Pcg32);
 
 impl PortAllocator {
-    pub fn new() -> PortAllocator {
-        // Installations of one program, as tests are, choose apart as well.
-        static CHOSEN: AtomicU64 = AtomicU64::new(0);
-        let own = CHOSEN.fetch_add(1, Ordering::Relaxed) << 32;
+    pub(crate) fn new() -> PortAllocator {
+        // Trials of one program, as tests are, draw apart as well.
+        static ALLOCATORS: AtomicU64 = AtomicU64::new(0);
+        let own = ALLOCATORS.fetch_add(1, Ordering::Relaxed) << 32;
         PortAllocator(Pcg32::seed_from_u64(own | u64::from(std::process::id())))
     }
 
-    /// One that was free a moment ago; the director says so if it is not any more.
-    pub fn allocate(&mut self) -> io::Result<SocketAddr> {
-        let mut last = io::ErrorKind::AddrInUse.into();
-        for _ in 0..100 {
-            let port = self.0.random_range(12_000..32_000);
-            match TcpListener::bind(("127.0.0.1", port)).and_then(|l| l.local_addr()) {
-                Ok(at) => return Ok(at),
-                Err(e) => last = e,
+    /// A port that was free a moment ago; a director that finds it taken says so.
+    pub(crate) fn allocate(&mut self) -> io::Result<SocketAddr> {
+        let mut last_error = io::ErrorKind::AddrInUse.into();
+        for _ in 0..PORT_ATTEMPTS {
+            let port = self.0.random_range(DIRECTOR_PORTS);
+            match TcpListener::bind(("127.0.0.1", port)).and_then(|listener| listener.local_addr()) {
+                Ok(address) => return Ok(address),
+                Err(e) => last_error = e,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 }
 
-/// Starts a director; what it logs is added to the file.
-pub fn spawn_director(
+/// Starts a director, whose log is appended to `log`. `coordination` is the file of its coordination settings.
+pub(crate) fn spawn_director(
     program: &dyn Fn() -> Command,
     config: &Path,
     log: &Path,
-    duty: Option<&Path>,
+    coordination: Option<&Path>,
 ) -> Result<ChildProcess, TrialError> {
     let mut command = program();
-    command.env_remove("SABLECROSS_DUTY");
-    command.envs(duty.map(|file| ("SABLECROSS_DUTY", file)));
+    command.env_remove(COORDINATION_VARIABLE);
+    command.envs(coordination.map(|file| (COORDINATION_VARIABLE, file)));
     command.env("NODE_CONFIG", config).stdout(Stdio::null());
     ChildProcess::start(&mut command, log, "a director")
 }
 
-/// Waits until it takes connections, so long after `since` at most.
-pub fn wait_until_serving(
+/// Waits until a process accepts connections, for `timeout` after `since` at most.
+pub(crate) fn wait_until_serving(
     name: &str,
-    at: SocketAddr,
+    address: SocketAddr,
     log: &Path,
     since: Instant,
-    most: Duration,
+    timeout: Duration,
 ) -> Result<(), TrialError> {
-    while TcpStream::connect(at).is_err() {
-        if since.elapsed() > most {
+    while TcpStream::connect(address).is_err() {
+        if since.elapsed() > timeout {
             return Err(TrialError::NotServing {
                 name: name.into(),
-                within: most.as_secs(),
+                within: timeout.as_secs(),
                 log: log.display().to_string(),
             });
         }
-        std::thread::sleep(Duration::from_millis(20));
+        std::thread::sleep(SERVING_POLL);
     }
     Ok(())
 }
 
-/// A line of the list: caches stand at the edge, all else at the hub.
-pub fn endpoint_json(name: &str, address: SocketAddr, kind: &str, status: &str, since: u64) -> Value {
+/// An entry of the endpoint list. Caches are in the zone `edge`, all other nodes in `hub`.
+pub(crate) fn endpoint_json(
+    name: &str,
+    address: SocketAddr,
+    kind: &str,
+    status: &str,
+    since_ms: u64,
+) -> Value {
     let zone = if kind == "small" { "edge" } else { "hub" };
     json!({"name": name, "address": address, "zone": zone, "type": kind, "group": 0, "status": status,
-        "weight": 1, "since_ms": since})
+        "weight": 1, "since_ms": since_ms})
 }
 
-pub fn members_event(endpoints: &[Value], whole: bool) -> String {
-    format!("\"members\":{}", json!({"index": 1, "snapshot": whole, "endpoints": endpoints}))
+/// The fields of an event with these entries; a snapshot replaces all entries before it.
+pub(crate) fn members_event(endpoints: &[Value], is_snapshot: bool) -> String {
+    format!("\"members\":{}", json!({"index": 1, "snapshot": is_snapshot, "endpoints": endpoints}))
 }
 
-/// What its nodes are like: the rule on cold ones, and how fast one transfer runs.
-pub struct NodeModel {
-    pub slow_start_initial_share: f64,
-    pub slow_start_us: u64,
-    pub collapse_multiple: f64,
-    pub stream_kb_per_s: f64,
+/// What a director is told of its nodes.
+pub(crate) struct NodeModel {
+    pub(crate) slow_start_initial_share: f64,
+    pub(crate) slow_start_us: u64,
+    pub(crate) collapse_multiple: f64,
+    /// The rate of one transfer.
+    pub(crate) stream_kb_per_s: f64,
 }
 
-/// One of so many directors of the only location, with what the feed has told up to now.
-pub fn director_config(
+/// The configuration of one of `directors` directors of the only location. `known` holds the events up to now.
+pub(crate) fn director_config(
     number: usize,
     directors: usize,
     seed: u64,
     listen: SocketAddr,
     (feed, known): (SocketAddr, &[String]),
-    like: &NodeModel,
+    model: &NodeModel,
 ) -> Value {
     let known: Vec<Value> = known.iter().filter_map(|event| serde_json::from_str(event).ok()).collect();
     json!({
@@ -115,14 +131,14 @@
                 "aimUs": 300_000, "aimStretch": 1.6, "deadlineUs": BUDGET_MS * 1_000, "worth": 2.0}],
             "ceilings": {"mayCancel": true, "parallelTries": true, "retryAfter": true, "maxRetryAfterUs": 500_000,
                 "sendCap": 6, "dialTimeoutUs": 400_000, "keepaliveUs": 30_000_000},
-            "guarantees": {"coldFrom": like.slow_start_initial_share, "warmAfterUs": like.slow_start_us, "fallMultiple": like.collapse_multiple,
+            "guarantees": {"coldFrom": model.slow_start_initial_share, "warmAfterUs": model.slow_start_us, "fallMultiple": model.collapse_multiple,
                 "fallUs": 1_000_000, "drainGraceUs": 2_000_000, "answerSlackUs": 5_000},
             "report": {"how": "none", "names": []},
             "extra": {"freshForUs": [0], "usableAfterUs": [0], "multiPart": [false], "neverKept": [false],
                 "midKind": 1, "masterKind": 2, "direct": true, "joins": true,
-                "streamKbPerS": like.stream_kb_per_s, "clearedWithinUs": 1_000_000,
-                "parentStartsAt": like.slow_start_initial_share, "parentColdUs": like.slow_start_us,
-                "upperFallMultiple": like.collapse_multiple, "zoneBalancers": [0, directors]}
+                "streamKbPerS": model.stream_kb_per_s, "clearedWithinUs": 1_000_000,
+                "parentStartsAt": model.slow_start_initial_share, "parentColdUs": model.slow_start_us,
+                "upperFallMultiple": model.collapse_multiple, "zoneBalancers": [0, directors]}
         }
     })
 }
--- a/crates/testbed/src/discovery_stub.rs
+++ b/crates/testbed/src/discovery_stub.rs
@@ -1,6 +1,7 @@
-//! The stand-in control feed: events to all directors, as server-sent events, and their word of what is in force.
+//! Stand-in discovery: publishes events to all directors as server-sent events, and hears which version of the
+//! hierarchy each has applied.
 
-use std::io::{BufRead, BufReader, Read, Write};
+use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::Sender;
 use std::sync::{Arc, Condvar, Mutex};
@@ -8,108 +9,142 @@
 
 use serde::Deserialize;
 
-use crate::node_stub::TrialState;
 use crate::threads::{lock, spawn};
+use crate::trial_state::TrialState;
+
+/// Where directors report the version that they have applied.
+const APPLIED_REQUEST: &str = "POST /v1/hierarchy/in-force";
+const MAX_REPORT_BYTES: usize = 4_096;
+/// How often a comment is sent where there are no events.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Default)]
 struct EventLog {
-    all: Mutex<Vec<String>>,
-    more: Condvar,
+    events: Mutex<Vec<String>>,
+    published: Condvar,
 }
 
+/// The stand-in; clones share the events.
 #[derive(Clone)]
-pub struct DiscoveryStub {
-    events: Arc<EventLog>,
-    pub address: SocketAddr,
+pub(crate) struct DiscoveryStub {
+    log: Arc<EventLog>,
+    pub(crate) address: SocketAddr,
 }
 
-/// What a director says that it has in force.
+/// A director's report of the version that it has applied.
 #[derive(Debug, Deserialize)]
-pub struct AppliedReport {
-    pub party: String,
-    pub number: u64,
-    pub digest: String,
+pub(crate) struct AppliedReport {
+    #[serde(rename = "party")]
+    pub(crate) participant: String,
+    pub(crate) number: u64,
+    /// The version's digest, hexadecimal.
+    pub(crate) digest: String,
+}
+
+/// The header of a request, as far as it is needed.
+#[derive(Default)]
+struct RequestHeader {
+    request_line: String,
+    last_event: usize,
+    content_length: usize,
+}
+
+impl RequestHeader {
+    fn read(reader: &mut impl BufRead) -> io::Result<RequestHeader> {
+        let mut header = RequestHeader::default();
+        reader.read_line(&mut header.request_line)?;
+        loop {
+            let mut line = String::new();
+            reader.read_line(&mut line)?;
+            let line = line.trim_end();
+            if line.is_empty() {
+                return Ok(header);
+            }
+            match line.split_once(": ") {
+                Some(("Last-Event-ID", value)) => header.last_event = value.parse().unwrap_or(0),
+                Some(("Content-Length", value)) => header.content_length = value.parse().unwrap_or(0),
+                _ => {}
+            }
+        }
+    }
 }
 
 impl DiscoveryStub {
-    pub fn start(common: &Arc<TrialState>, heard: Sender<AppliedReport>) -> std::io::Result<DiscoveryStub> {
+    /// Listens on a port of its own until the trial is over.
+    pub(crate) fn start(
+        trial: &Arc<TrialState>,
+        reports: Sender<AppliedReport>,
+    ) -> io::Result<DiscoveryStub> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let feed = DiscoveryStub { events: Arc::default(), address: listener.local_addr()? };
-        let (own, common) = (feed.clone(), Arc::clone(common));
+        let stub = DiscoveryStub { log: Arc::default(), address: listener.local_addr()? };
+        let (own, trial) = (stub.clone(), Arc::clone(trial));
         spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                if common.is_over() {
+                if trial.is_over() {
                     return;
                 }
-                let (own, heard, common) = (own.clone(), heard.clone(), Arc::clone(&common));
+                let (own, reports, trial) = (own.clone(), reports.clone(), Arc::clone(&trial));
                 spawn(move || {
                     // A director that goes ends its connection.
-                    let _ = own.serve(&stream, &heard, &common);
+                    let _ = own.serve(&stream, &reports, &trial);
                 });
             }
         });
-        Ok(feed)
+        Ok(stub)
     }
 
-    /// An event without its number, which is added: `"members":{...}`.
-    pub fn publish(&self, event: &str) -> u64 {
-        let mut all = lock(&self.events.all);
-        let n = all.len() as u64 + 1;
-        all.push(format!("{{\"n\":{n},{event}}}"));
-        self.events.more.notify_all();
-        n
+    /// Publishes an event and returns its number. `fields` is its JSON without the braces and the number, as in
+    /// `"members":{...}`.
+    pub(crate) fn publish(&self, fields: &str) -> u64 {
+        let mut events = lock(&self.log.events);
+        let number = events.len() as u64 + 1;
+        events.push(format!("{{\"n\":{number},{fields}}}"));
+        self.log.published.notify_all();
+        number
     }
 
-    pub fn events(&self) -> Vec<String> {
-        lock(&self.events.all).clone()
+    /// All events up to now.
+    pub(crate) fn events(&self) -> Vec<String> {
+        lock(&self.log.events).clone()
     }
 
     fn serve(
         &self,
         mut stream: &TcpStream,
-        heard: &Sender<AppliedReport>,
-        common: &TrialState,
-    ) -> std::io::Result<()> {
+        reports: &Sender<AppliedReport>,
+        trial: &TrialState,
+    ) -> io::Result<()> {
         let mut reader = BufReader::new(stream);
-        let (mut first, mut last, mut length) = (String::new(), 0usize, 0usize);
-        reader.read_line(&mut first)?;
-        loop {
-            let mut line = String::new();
-            reader.read_line(&mut line)?;
-            let line = line.trim_end();
-            if line.is_empty() {
-                break;
-            }
-            if let Some((name, value)) = line.split_once(": ") {
-                match name {
-                    "Last-Event-ID" => last = value.parse().unwrap_or(0),
-                    "Content-Length" => length = value.parse().unwrap_or(0),
-                    _ => {}
-                }
-            }
-        }
-        if first.starts_with("POST /v1/hierarchy/in-force") {
-            let mut body = vec![0; length.min(4_096)];
+        let header = RequestHeader::read(&mut reader)?;
+        if header.request_line.starts_with(APPLIED_REQUEST) {
+            let mut body = vec![0; header.content_length.min(MAX_REPORT_BYTES)];
             reader.read_exact(&mut body)?;
-            if let Ok(said) = serde_json::from_slice(&body) {
-                let _ = heard.send(said);
+            if let Ok(report) = serde_json::from_slice(&body) {
+                // Nobody listens any more at the end of the trial.
+                let _ = reports.send(report);
             }
             return stream.write_all(b"HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n");
         }
+        self.send_events(stream, header.last_event, trial)
+    }
+
+    /// Sends the events after `last_event` as they are published.
+    fn send_events(&self, mut stream: &TcpStream, last_event: usize, trial: &TrialState) -> io::Result<()> {
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")?;
-        while !common.is_over() {
-            let mut all = lock(&self.events.all);
-            if all.len() <= last {
-                let waited = self.events.more.wait_timeout(all, Duration::from_millis(500));
-                all = waited.unwrap_or_else(|e| e.into_inner()).0;
+        let mut sent = last_event;
+        while !trial.is_over() {
+            let mut events = lock(&self.log.events);
+            if events.len() <= sent {
+                let waited = self.log.published.wait_timeout(events, KEEPALIVE_INTERVAL);
+                events = waited.unwrap_or_else(|e| e.into_inner()).0;
             }
-            let mut out = String::from(": tick\n\n");
-            for (i, event) in all.iter().enumerate().skip(last) {
-                out += &format!("id: {}\ndata: {event}\n\n", i + 1);
+            let mut output = String::from(": tick\n\n");
+            for (i, event) in events.iter().enumerate().skip(sent) {
+                output += &format!("id: {}\ndata: {event}\n\n", i + 1);
             }
-            last = all.len().max(last);
-            drop(all);
-            stream.write_all(out.as_bytes())?;
+            sent = events.len().max(sent);
+            drop(events);
+            stream.write_all(output.as_bytes())?;
         }
         Ok(())
     }
--- a/crates/testbed/src/fleet/run.rs
+++ b/crates/testbed/src/fleet/run.rs
@@ -28,9 +28,9 @@
     wait_until_serving,
 };
 use crate::discovery_stub::DiscoveryStub;
-use crate::node_stub::TrialState;
 use crate::process::{ChildProcess, TrialError, io_error};
 use crate::schedule::{sample, take_due};
+use crate::trial_state::TrialState;
 
 /// Copies of the feed, each told at its own time.
 const DISCOVERY_COPIES: usize = 3;
@@ -384,7 +384,7 @@
     let asked = shared.as_ref().map_or(&[][..], |s| &s.voters[..]);
     let views: Vec<_> = asked.iter().filter_map(|at| coordination_watch::member_status(*at)).collect();
     over.store(true, Ordering::Relaxed);
-    common.over.store(true, Ordering::Relaxed);
+    common.finish();
     std::thread::sleep(Duration::from_millis(BUDGET_MS + 600));
     let tallies: Vec<_> = fleet.iter().filter_map(|d| d.clients.as_ref()).map(|c| c.tally()).collect();
     let skip = (shift * 10.0).round() as usize;
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,27 +1,35 @@
-//! A small installation on loopback: real directors as processes of their own, stand-in caches, upper caches, origin
-//! and feed in this one, load, changes of the hierarchy, faults; a report. Stand-ins follow the operators' published
-//! protocol. Nothing here decides for directors: the driver and its plans are those of `sablecross-hierarchy`.
+//! Trials on loopback: real directors as processes of their own among stand-ins, under load and faults; a report.
+//!
+//! Stand-in nodes, discovery and clients run in this process and follow the operators' published protocol. Nothing here
+//! decides for directors: changes of the hierarchy are planned and carried out by `sablecross-hierarchy`.
+//!
+//! - [`run`]: an experiment with changes of the hierarchy ([`settings`], [`Report`])
+//! - [`fleet`]: many directors, even load, coordination between them
+//! - [`scale`]: thousands of directors behind relays
+//! - [`soak`]: overlapping faults, checked by invariants
 
 pub mod client_load;
 mod clock;
 mod director_process;
-pub mod discovery_stub;
-pub mod experiment;
+mod discovery_stub;
+mod experiment;
 pub mod fleet;
-pub mod node_stub;
+mod node_stub;
 mod process;
 mod pull_request;
-pub mod report;
+mod report;
 pub mod scale;
 mod schedule;
 pub mod settings;
 pub mod soak;
 mod threads;
 mod trial_report;
+mod trial_state;
 
 pub use experiment::run;
 pub use process::TrialError;
 pub use report::Report;
 pub use sablecross_relay_server::process::exit_with_parent;
 pub use settings::Experiment;
-pub use trial_report::TrialReport;
+pub use trial_report::{Chart, ReportError, TrialReport};
+pub use trial_state::Second;
--- a/crates/testbed/src/node_stub.rs
+++ b/crates/testbed/src/node_stub.rs
@@ -1,217 +1,277 @@
-//! Stand-in caches, upper caches and origin: they keep copies, fill from named sources, are cold and warm up, fall
-//! over when pushed, and count each fill with the way it came.
+//! Stand-in caches, parents and origin of an experiment: they keep copies, fill from named sources, collapse under too
+//! much load while they are cold, and count each fill with the path it came by.
 
-use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::collections::{HashMap, VecDeque};
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, RwLock};
-use std::time::{Duration, Instant};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
 
 use sablecross::parent_position;
 use sablecross_hierarchy::fill_path::{FillPaths, check_fill_path};
-use sablecross_hierarchy::{Hierarchy, VersionHolder};
+use sablecross_hierarchy::{Hierarchy, OfferOutcome, VersionHolder};
 
 use crate::clock::unix_ms;
 use crate::pull_request::{PullRequest, PullRequestError};
 use crate::threads::{lock, spawn};
+use crate::trial_state::TrialState;
 
-/// What one second of the experiment came to.
-#[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct Second {
-    pub origin: u64,
-    pub hits: u64,
-    pub fills: u64,
-    pub loops: u64,
-    pub falls: u64,
-    /// Requests that came to a node after it had left the hierarchy and its grace was over.
-    pub strays: u64,
-    pub satisfied: u64,
-    pub nacked: u64,
-    pub failed: u64,
-    /// The last version that was told.
-    pub version: u64,
-    /// 99th percentile of the latency, in microseconds.
-    pub p99: u64,
-}
+/// How long the origin and the other nodes work on a request.
+const ORIGIN_WORK: Duration = Duration::from_millis(4);
+const NODE_WORK: Duration = Duration::from_millis(1);
+/// How long a cold node that collapsed fails everything.
+const COLLAPSED_MS: u64 = 2_000;
+const FILL_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+const FILL_READ_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// The length of a body beyond the time at which its copy was made.
+const BODY_PADDING: usize = 240;
 
-/// What all stand-ins have in common.
-pub struct TrialState {
-    pub begun: Instant,
-    pub over: AtomicBool,
-    pub seconds: Mutex<Vec<Second>>,
-    pub addresses: RwLock<BTreeMap<String, SocketAddr>>,
+/// Where a node stands in the hierarchy.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Role {
+    Cache,
+    Parent,
+    Origin,
 }
 
-impl TrialState {
-    pub fn new(begun: Instant) -> TrialState {
-        let over = AtomicBool::new(false);
-        TrialState { begun, over, seconds: Mutex::default(), addresses: RwLock::default() }
-    }
-
-    pub fn count(&self, what: impl FnOnce(&mut Second)) {
-        let at = self.begun.elapsed().as_secs() as usize;
-        let mut seconds = lock(&self.seconds);
-        if seconds.len() <= at {
-            let version = seconds.last().map_or(0, |s| s.version);
-            seconds.resize(at + 1, Second { version, ..Second::default() });
+impl Role {
+    /// Its type in the endpoint list.
+    pub(crate) fn kind(self) -> &'static str {
+        match self {
+            Role::Cache => "small",
+            Role::Parent => "parent",
+            Role::Origin => "origin",
         }
-        what(&mut seconds[at]);
     }
+}
 
-    pub fn is_over(&self) -> bool {
-        self.over.load(Ordering::Relaxed)
+/// Copies by object, with when the origin issued them; the oldest goes first.
+#[derive(Default)]
+struct Copies {
+    issued_ms: HashMap<u64, u64>,
+    insertion_order: VecDeque<u64>,
+}
+
+impl Copies {
+    fn keep(&mut self, object: u64, issued_ms: u64, max_copies: usize) {
+        if self.issued_ms.insert(object, issued_ms).is_none() {
+            self.insertion_order.push_back(object);
+        }
+        while self.issued_ms.len() > max_copies {
+            let Some(oldest) = self.insertion_order.pop_front() else { return };
+            self.issued_ms.remove(&oldest);
+        }
     }
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Role {
-    Edge,
-    Upper,
-    Origin,
+/// The version of the hierarchy that a node has applied.
+#[derive(Default)]
+struct AppliedVersion {
+    holder: VersionHolder,
+    paths: Arc<FillPaths>,
 }
 
-/// Copies by object, with when the origin gave them out; the oldest goes first.
+/// The requests in the current second of the wall clock.
 #[derive(Default)]
-struct Copies {
-    issued: HashMap<u64, u64>,
-    insertion_order: VecDeque<u64>,
+struct SecondCount {
+    second: u64,
+    requests: u64,
 }
 
-impl Role {
-    /// As the list says it.
-    pub fn kind(self) -> &'static str {
-        match self {
-            Role::Edge => "small",
-            Role::Upper => "parent",
-            Role::Origin => "origin",
+impl SecondCount {
+    fn add(&mut self, now_ms: u64) -> u64 {
+        let second = now_ms / 1_000;
+        if self.second != second {
+            *self = SecondCount { second, requests: 0 };
         }
+        self.requests += 1;
+        self.requests
     }
 }
 
-pub struct Node {
-    pub name: String,
-    pub role: Role,
-    common: Arc<TrialState>,
+/// One node.
+pub(crate) struct Node {
+    pub(crate) name: String,
+    pub(crate) role: Role,
+    trial: Arc<TrialState>,
     max_copies: usize,
-    /// Whether it passes on the way that the director named.
+    /// Whether it fills along the path that the director named.
     follows_named_path: bool,
     copies: Mutex<Copies>,
-    hierarchy: Mutex<(VersionHolder, Arc<FillPaths>)>,
+    hierarchy: Mutex<AppliedVersion>,
     idle_connections: Mutex<HashMap<String, Vec<TcpStream>>>,
-    /// Unix milliseconds of a cold start; 0: long ago.
-    since: AtomicU64,
-    down_until: AtomicU64,
-    /// Unix milliseconds after which nothing is to come here, as it has left; 0: it has not.
-    gone_from: AtomicU64,
-    /// The open second and what came in it.
-    second_and_count: Mutex<(u64, u64)>,
-    numbers: AtomicU64,
+    /// When it was last started cold, in Unix milliseconds; 0: long ago.
+    cold_since_ms: AtomicU64,
+    /// It fails everything until then.
+    down_until_ms: AtomicU64,
+    /// It has left the hierarchy, and nothing is to come here after this; 0: it has not.
+    left_at_ms: AtomicU64,
+    load: Mutex<SecondCount>,
+    next_fill: AtomicU64,
 }
 
-/// A request, as far as a stand-in reads it.
+/// What a node needs of an attempt.
 struct Pull {
-    id: String,
+    tag: String,
     object: u64,
-    within: u64,
-    miss: Option<String>,
-    way: Vec<String>,
-    came: Vec<String>,
+    /// How old a copy may be; 0: of any age.
+    max_age_ms: u64,
+    source: Option<String>,
+    /// The sources beyond the first one.
+    path: Vec<String>,
+    /// The nodes that a fill has come through.
+    visited: Vec<String>,
+}
+
+impl Pull {
+    /// None if a field that is there is no number.
+    fn from_request(request: &PullRequest) -> Option<Pull> {
+        let object = match request.field("key") {
+            Some(_) => request.object()?,
+            None => 0,
+        };
+        let max_age_ms = match request.field("within") {
+            Some(within) => within.parse().ok()?,
+            None => 0,
+        };
+        Some(Pull {
+            tag: request.tag.to_owned(),
+            object,
+            max_age_ms,
+            source: request.source().map(str::to_owned),
+            path: request.path(),
+            visited: request.visited(),
+        })
+    }
+
+    fn accepts(&self, issued_ms: u64, now_ms: u64) -> bool {
+        self.max_age_ms == 0 || now_ms.saturating_sub(issued_ms) < self.max_age_ms
+    }
 }
 
-/// How a request ended.
+/// How an attempt ended.
 enum PullOutcome {
-    Copy { issued: u64, hit: bool },
+    Copy { issued_ms: u64, is_hit: bool },
     Miss,
     Error,
 }
 
+impl PullOutcome {
+    /// The answer on the wire.
+    fn encode(&self, tag: &str) -> String {
+        match self {
+            PullOutcome::Copy { issued_ms, is_hit } => {
+                let how = if *is_hit { "HIT" } else { "MISS" };
+                let body = format!("{issued_ms:016x}{:x<BODY_PADDING$}", "");
+                let length = body.len();
+                format!(
+                    "{tag} ACK how={how},entity={issued_ms:016x},issued={issued_ms} {length}\r\n{body}\r\n"
+                )
+            }
+            PullOutcome::Miss => format!("{tag} NOENT - 0\r\n\r\n"),
+            PullOutcome::Error => format!("{tag} EIO - 0\r\n\r\n"),
+        }
+    }
+}
+
+/// Where a node listens, and what it is.
+pub(crate) struct StartedNode {
+    pub(crate) node: Arc<Node>,
+    pub(crate) address: SocketAddr,
+}
+
 impl Node {
-    pub fn start(
+    /// Listens on a port of its own until the trial is over.
+    pub(crate) fn start(
         name: &str,
         role: Role,
-        kept: usize,
-        follow: bool,
-        common: &Arc<TrialState>,
-    ) -> io::Result<(Arc<Node>, SocketAddr)> {
+        max_copies: usize,
+        follows_named_path: bool,
+        trial: &Arc<TrialState>,
+    ) -> io::Result<StartedNode> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let node = Arc::new(Node {
             name: name.into(),
             role,
-            common: Arc::clone(common),
-            max_copies: kept,
-            follows_named_path: follow,
+            trial: Arc::clone(trial),
+            max_copies,
+            follows_named_path,
             copies: Mutex::default(),
             hierarchy: Mutex::default(),
             idle_connections: Mutex::default(),
-            since: AtomicU64::new(0),
-            down_until: AtomicU64::new(0),
-            gone_from: AtomicU64::new(0),
-            second_and_count: Mutex::default(),
-            numbers: AtomicU64::new(0),
+            cold_since_ms: AtomicU64::new(0),
+            down_until_ms: AtomicU64::new(0),
+            left_at_ms: AtomicU64::new(0),
+            load: Mutex::default(),
+            next_fill: AtomicU64::new(0),
         });
         let own = Arc::clone(&node);
-        spawn(move || {
-            for stream in listener.incoming().map_while(Result::ok) {
-                if own.common.is_over() {
-                    return;
-                }
-                let own = Arc::clone(&own);
-                spawn(move || {
-                    // A connection that ends in the middle is its peer's matter.
-                    let _ = own.serve(&stream);
-                });
-            }
-        });
-        Ok((node, address))
+        spawn(move || own.accept_connections(&listener));
+        Ok(StartedNode { node, address })
     }
 
-    /// Takes a version; the number and digest in force then.
-    pub fn offer(&self, number: u64, version: &Hierarchy) -> (u64, u64) {
-        let mut held = lock(&self.hierarchy);
-        if held.0.offer(number, version) == sablecross_hierarchy::OfferOutcome::Accepted {
-            held.1 = Arc::new(FillPaths::from_hierarchy(version));
+    /// Offers a version of the hierarchy. Returns the number and digest of the one that is applied then.
+    pub(crate) fn offer(&self, number: u64, version: &Hierarchy) -> (u64, u64) {
+        let mut applied = lock(&self.hierarchy);
+        if applied.holder.offer(number, version) == OfferOutcome::Accepted {
+            applied.paths = Arc::new(FillPaths::from_hierarchy(version));
         }
-        (held.0.number(), held.0.version().map_or(0, Hierarchy::digest))
+        (applied.holder.number(), applied.holder.version().map_or(0, Hierarchy::digest))
     }
 
-    /// From when nothing is to come here any more; none: it may.
-    pub fn reject_after(&self, from: Option<u64>) {
-        self.gone_from.store(from.unwrap_or(0), Ordering::Relaxed);
+    /// Counts what comes after this time (Unix milliseconds) as stray; none: nothing is.
+    pub(crate) fn set_left_at(&self, left_at_ms: Option<u64>) {
+        self.left_at_ms.store(left_at_ms.unwrap_or(0), Ordering::Relaxed);
     }
 
-    /// Fails all that comes for a while.
-    pub fn fail_for(&self, ms: u64) {
-        self.down_until.store(unix_ms() + ms, Ordering::Relaxed);
+    /// Fails everything for a while.
+    pub(crate) fn fail_for(&self, ms: u64) {
+        self.down_until_ms.store(unix_ms() + ms, Ordering::Relaxed);
     }
 
-    pub fn is_down(&self) -> bool {
-        unix_ms() < self.down_until.load(Ordering::Relaxed)
+    pub(crate) fn is_down(&self) -> bool {
+        unix_ms() < self.down_until_ms.load(Ordering::Relaxed)
     }
 
-    /// Begins anew, cold and empty.
-    pub fn restart_cold(&self) -> u64 {
+    /// Begins anew, cold and empty. Returns when, in Unix milliseconds.
+    pub(crate) fn restart_cold(&self) -> u64 {
         *lock(&self.copies) = Copies::default();
-        let now = unix_ms();
-        self.since.store(now, Ordering::Relaxed);
-        now
+        let now_ms = unix_ms();
+        self.cold_since_ms.store(now_ms, Ordering::Relaxed);
+        now_ms
     }
 
-    pub fn purge(&self, object: u64, at: u64) {
+    /// Drops the copy of an object if it is from before the purge.
+    pub(crate) fn purge(&self, object: u64, purged_ms: u64) {
         let mut copies = lock(&self.copies);
-        if copies.issued.get(&object).is_some_and(|issued| *issued < at) {
-            copies.issued.remove(&object);
+        if copies.issued_ms.get(&object).is_some_and(|issued| *issued < purged_ms) {
+            copies.issued_ms.remove(&object);
+        }
+    }
+
+    fn accept_connections(self: &Arc<Node>, listener: &TcpListener) {
+        for stream in listener.incoming().map_while(Result::ok) {
+            if self.trial.is_over() {
+                return;
+            }
+            let own = Arc::clone(self);
+            spawn(move || {
+                // A connection that ends in the middle is its peer's matter.
+                let _ = own.serve(&stream);
+            });
         }
     }
 
-    fn serve(&self, stream: &TcpStream) -> io::Result<()> {
+    /// Answers the attempts of one connection, one after another.
+    fn serve(&self, mut stream: &TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let mut reader = BufReader::new(stream);
         let mut line = String::new();
         loop {
             line.clear();
-            if reader.read_line(&mut line)? == 0 || self.common.is_over() {
+            if reader.read_line(&mut line)? == 0 || self.trial.is_over() {
                 return Ok(());
             }
             let request = match PullRequest::parse(&line) {
@@ -221,176 +281,148 @@
             };
             let Some(pull) = Pull::from_request(&request) else { return Ok(()) };
             request.skip_body(&mut reader)?;
-            let out = match self.answer(&pull) {
-                PullOutcome::Copy { issued, hit } => {
-                    let how = if hit { "HIT" } else { "MISS" };
-                    let body = format!("{issued:016x}{:x<240}", "");
-                    let (id, n) = (&pull.id, body.len());
-                    format!("{id} ACK how={how},entity={issued:016x},issued={issued} {n}\r\n{body}\r\n")
-                }
-                PullOutcome::Miss => format!("{} NOENT - 0\r\n\r\n", pull.id),
-                PullOutcome::Error => format!("{} EIO - 0\r\n\r\n", pull.id),
-            };
-            (&*stream).write_all(out.as_bytes())?;
+            let answer = self.answer(&pull).encode(&pull.tag);
+            stream.write_all(answer.as_bytes())?;
         }
     }
 
     fn answer(&self, pull: &Pull) -> PullOutcome {
-        let now = unix_ms();
+        let now_ms = unix_ms();
         if self.role == Role::Origin {
-            self.common.count(|s| s.origin += 1);
-            std::thread::sleep(Duration::from_millis(4));
-            return PullOutcome::Copy { issued: unix_ms(), hit: false };
+            self.trial.count(|second| second.origin_fetches += 1);
+            std::thread::sleep(ORIGIN_WORK);
+            return PullOutcome::Copy { issued_ms: unix_ms(), is_hit: false };
         }
-        if check_fill_path(&self.name, pull.came.iter().map(String::as_str)).is_err() {
-            self.common.count(|s| s.loops += 1);
+        if check_fill_path(&self.name, pull.visited.iter().map(String::as_str)).is_err() {
+            self.trial.count(|second| second.loops += 1);
             return PullOutcome::Error;
         }
-        let gone = self.gone_from.load(Ordering::Relaxed);
-        if gone > 0 && now > gone {
-            self.common.count(|s| s.strays += 1);
+        let left_at_ms = self.left_at_ms.load(Ordering::Relaxed);
+        if left_at_ms > 0 && now_ms > left_at_ms {
+            self.trial.count(|second| second.stray_requests += 1);
         }
-        if self.is_overloaded(now) {
+        if self.is_overloaded(now_ms) {
             return PullOutcome::Error;
         }
-        std::thread::sleep(Duration::from_millis(1));
-        let fresh = |issued: u64| pull.within == 0 || now.saturating_sub(issued) < pull.within;
-        if let Some(issued) = lock(&self.copies).issued.get(&pull.object).copied().filter(|i| fresh(*i)) {
-            self.common.count(|s| s.hits += 1);
-            return PullOutcome::Copy { issued, hit: true };
+        std::thread::sleep(NODE_WORK);
+        let copy = lock(&self.copies).issued_ms.get(&pull.object).copied();
+        if let Some(issued_ms) = copy.filter(|issued_ms| pull.accepts(*issued_ms, now_ms)) {
+            self.trial.count(|second| second.hits += 1);
+            return PullOutcome::Copy { issued_ms, is_hit: true };
         }
+        self.answer_by_fill(pull)
+    }
+
+    fn answer_by_fill(&self, pull: &Pull) -> PullOutcome {
         let Some(source) = self.source(pull) else { return PullOutcome::Miss };
-        self.common.count(|s| s.fills += 1);
+        self.trial.count(|second| second.fills += 1);
         match self.fill(pull, &source) {
-            Ok(Some(issued)) => {
-                self.keep(pull.object, issued);
-                PullOutcome::Copy { issued, hit: false }
+            Ok(Some(issued_ms)) => {
+                lock(&self.copies).keep(pull.object, issued_ms, self.max_copies);
+                PullOutcome::Copy { issued_ms, is_hit: false }
             }
             Ok(None) | Err(_) => PullOutcome::Error,
         }
     }
 
-    /// A cold node falls when it is pushed past the multiple of what its warmth bears.
-    fn is_overloaded(&self, now: u64) -> bool {
-        let since = self.since.load(Ordering::Relaxed);
-        if now < self.down_until.load(Ordering::Relaxed) {
+    /// Counts a request. A cold node collapses at a multiple of what its warmth bears.
+    fn is_overloaded(&self, now_ms: u64) -> bool {
+        if now_ms < self.down_until_ms.load(Ordering::Relaxed) {
             return true;
         }
-        let mut pace = lock(&self.second_and_count);
-        if pace.0 != now / 1_000 {
-            *pace = (now / 1_000, 0);
-        }
-        pace.1 += 1;
-        let bears = {
-            let held = lock(&self.hierarchy);
-            let Some(h) = held.0.version().filter(|_| since > 0) else { return false };
-            let Some(m) = h.node_id(&self.name).and_then(|id| h.get(id)) else { return false };
-            let age = (now - since) as f64 * 1e6 / h.rules.slow_start_window.max(1) as f64;
-            let warmth =
-                (h.rules.slow_start_initial_share + (1.0 - h.rules.slow_start_initial_share) * age).min(1.0);
-            if warmth >= 1.0 {
-                return false;
-            }
-            m.capacity * warmth * h.rules.collapse_multiple
-        };
-        if (pace.1 as f64) < bears {
+        let requests = lock(&self.load).add(now_ms);
+        let Some(limit) = self.collapse_limit(now_ms) else { return false };
+        if (requests as f64) < limit {
             return false;
         }
-        self.common.count(|s| s.falls += 1);
-        self.down_until.store(now + 2_000, Ordering::Relaxed);
+        self.trial.count(|second| second.collapses += 1);
+        self.down_until_ms.store(now_ms + COLLAPSED_MS, Ordering::Relaxed);
         true
     }
 
-    /// The source that the asker named, the next of the way, or what the own version says.
-    fn source(&self, pull: &Pull) -> Option<String> {
-        if let Some(miss) = &pull.miss {
-            return Some(miss.clone());
-        }
-        if self.role == Role::Edge {
+    /// Requests a second at which it collapses; none once it is warm.
+    fn collapse_limit(&self, now_ms: u64) -> Option<f64> {
+        let cold_since_ms = self.cold_since_ms.load(Ordering::Relaxed);
+        if cold_since_ms == 0 {
             return None;
         }
-        let held = lock(&self.hierarchy);
-        let h = held.0.version()?;
-        let next = held.1.next_source(h, h.node_id(&self.name)?, parent_position(pull.object), |_| true)?;
-        Some(h.node_name(next).to_owned())
+        let applied = lock(&self.hierarchy);
+        let hierarchy = applied.holder.version()?;
+        let node = hierarchy.get(hierarchy.node_id(&self.name)?)?;
+        let rules = &hierarchy.rules;
+        let age = now_ms.saturating_sub(cold_since_ms) as f64 * 1e6 / rules.slow_start_window.max(1) as f64;
+        let initial = rules.slow_start_initial_share;
+        let share = (initial + (1.0 - initial) * age).min(1.0);
+        (share < 1.0).then_some(node.capacity * share * rules.collapse_multiple)
     }
 
-    fn keep(&self, object: u64, issued: u64) {
-        let mut copies = lock(&self.copies);
-        if copies.issued.insert(object, issued).is_none() {
-            copies.insertion_order.push_back(object);
+    /// The source that the asker named, or what the applied version says.
+    fn source(&self, pull: &Pull) -> Option<String> {
+        if let Some(source) = &pull.source {
+            return Some(source.clone());
         }
-        while copies.issued.len() > self.max_copies {
-            let Some(first) = copies.insertion_order.pop_front() else { return };
-            copies.issued.remove(&first);
+        if self.role == Role::Cache {
+            return None;
         }
+        let applied = lock(&self.hierarchy);
+        let hierarchy = applied.holder.version()?;
+        let own = hierarchy.node_id(&self.name)?;
+        let source = applied.paths.next_source(hierarchy, own, parent_position(pull.object), |_| true)?;
+        Some(hierarchy.node_name(source).to_owned())
     }
 
+    /// Fetches a copy. Returns when it was issued; none if the source has none.
     fn fill(&self, pull: &Pull, source: &str) -> io::Result<Option<u64>> {
-        let link = lock(&self.idle_connections).get_mut(source).and_then(Vec::pop);
-        let mut link = match link {
-            Some(link) => link,
-            None => {
-                let address = {
-                    let addresses = self.common.addresses.read().unwrap_or_else(|e| e.into_inner());
-                    addresses.get(source).copied()
-                };
-                let Some(address) = address else { return Ok(None) };
-                let link = TcpStream::connect_timeout(&address, Duration::from_millis(500))?;
-                link.set_nodelay(true)?;
-                link.set_read_timeout(Some(Duration::from_millis(1_500)))?;
-                link
-            }
-        };
-        let mut came = pull.came.clone();
-        came.push(self.name.clone());
-        let number = self.numbers.fetch_add(1, Ordering::Relaxed);
+        let Some(mut stream) = self.connect(source)? else { return Ok(None) };
+        let number = self.next_fill.fetch_add(1, Ordering::Relaxed);
+        let fields = self.fill_fields(pull);
+        stream.write_all(format!("PULL {number:016x} {fields} 0\r\n\r\n").as_bytes())?;
+        let issued_ms = read_fill_answer(&stream)?;
+        lock(&self.idle_connections).entry(source.to_owned()).or_default().push(stream);
+        Ok(issued_ms)
+    }
+
+    /// An idle connection to a node or a new one; none if nobody has this name.
+    fn connect(&self, source: &str) -> io::Result<Option<TcpStream>> {
+        let idle = lock(&self.idle_connections).get_mut(source).and_then(Vec::pop);
+        if idle.is_some() {
+            return Ok(idle);
+        }
+        let Some(address) = self.trial.address(source) else { return Ok(None) };
+        let stream = TcpStream::connect_timeout(&address, FILL_CONNECT_TIMEOUT)?;
+        stream.set_nodelay(true)?;
+        stream.set_read_timeout(Some(FILL_READ_TIMEOUT))?;
+        Ok(Some(stream))
+    }
+
+    /// The fields of a fill: with the path up to here and, where the director named one, the rest of its path.
+    fn fill_fields(&self, pull: &Pull) -> String {
+        let mut visited = pull.visited.clone();
+        visited.push(self.name.clone());
         let mut fields =
-            format!("class=footage,key={:016x},part=0,wait=1000,came={}", pull.object, came.join("+"));
-        if pull.within > 0 {
-            fields += &format!(",within={}", pull.within);
+            format!("class=footage,key={:016x},part=0,wait=1000,came={}", pull.object, visited.join("+"));
+        if pull.max_age_ms > 0 {
+            fields += &format!(",within={}", pull.max_age_ms);
         }
-        // The rest of the way, where the director named one.
-        if let Some((first, rest)) = pull.way.split_first().filter(|_| self.follows_named_path) {
+        if let Some((first, rest)) = pull.path.split_first().filter(|_| self.follows_named_path) {
             fields += &format!(",miss={first}");
             if !rest.is_empty() {
                 fields += &format!(",way={}", rest.join("+"));
             }
         }
-        link.write_all(format!("PULL {number:016x} {fields} 0\r\n\r\n").as_bytes())?;
-        let mut reader = BufReader::new(&link);
-        let mut line = String::new();
-        reader.read_line(&mut line)?;
-        let mut words = line.trim_end().split(' ').skip(1);
-        let (word, said) = (words.next().unwrap_or_default(), words.next().unwrap_or_default());
-        let length: usize = words.next().and_then(|l| l.parse().ok()).unwrap_or(0);
-        let issued = said.split(',').find_map(|f| f.strip_prefix("issued=")).and_then(|i| i.parse().ok());
-        let found = if word == "ACK" { issued } else { None };
-        let mut body = vec![0; length + 2];
-        reader.read_exact(&mut body)?;
-        lock(&self.idle_connections).entry(source.to_owned()).or_default().push(link);
-        Ok(found)
+        fields
     }
 }
 
-impl Pull {
-    /// None if a field that is there is no number.
-    fn from_request(request: &PullRequest) -> Option<Pull> {
-        let object = match request.field("key") {
-            Some(_) => request.object()?,
-            None => 0,
-        };
-        let within = match request.field("within") {
-            Some(within) => within.parse().ok()?,
-            None => 0,
-        };
-        Some(Pull {
-            id: request.tag.to_owned(),
-            object,
-            within,
-            miss: request.source().map(str::to_owned),
-            way: request.path(),
-            came: request.visited(),
-        })
-    }
+/// Reads the answer to a fill: when the copy was issued, if there is one.
+fn read_fill_answer(stream: &TcpStream) -> io::Result<Option<u64>> {
+    let mut reader = BufReader::new(stream);
+    let mut line = String::new();
+    reader.read_line(&mut line)?;
+    let mut words = line.trim_end().split(' ').skip(1);
+    let (word, fields) = (words.next().unwrap_or_default(), words.next().unwrap_or_default());
+    let length: usize = words.next().and_then(|length| length.parse().ok()).unwrap_or(0);
+    let issued_ms = fields.split(',').find_map(|f| f.strip_prefix("issued=")).and_then(|i| i.parse().ok());
+    reader.read_exact(&mut vec![0; length + 2])?;
+    Ok(if word == "ACK" { issued_ms } else { None })
 }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,4 +1,4 @@
-//! What an experiment came to: a table, JSON, a plot over time.
+//! The result of an experiment: a table, JSON, charts over time.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,110 +6,171 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::client_load::{ClientStats, histogram};
-use crate::node_stub::Second;
+use crate::client_load::{ClientStats, TimedLatency, histogram};
 use crate::settings::Experiment;
 use crate::trial_report::{Chart, TrialReport};
+use crate::trial_state::Second;
 
+/// The result of an experiment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Report {
+    /// The settings.
     pub experiment: Experiment,
+    /// All lookups.
     pub lookups: u64,
+    /// Lookups that succeeded.
     pub satisfied: u64,
-    pub nacked: u64,
+    /// Lookups that were rejected.
+    #[serde(rename = "nacked")]
+    pub rejected: u64,
+    /// Lookups that failed.
     pub failed: u64,
-    /// Lookups without an answer, with one that was not asked for, with a copy from before a purge.
-    pub lost: u64,
-    pub strange: u64,
-    pub old: u64,
+    /// Lookups without an answer.
+    #[serde(rename = "lost")]
+    pub unanswered: u64,
+    /// Answers to nothing that was asked, and bytes that are no answer.
+    #[serde(rename = "strange")]
+    pub unexpected: u64,
+    /// Answers with a copy from before a purge, after its grace.
+    #[serde(rename = "old")]
+    pub stale: u64,
     /// Clients that did not come to an end.
-    pub missing: usize,
-    /// Of satisfied lookups, in microseconds.
-    pub p50: u64,
-    pub p99: u64,
+    #[serde(rename = "missing")]
+    pub unfinished_clients: usize,
+    /// The median latency of lookups that succeeded, in microseconds.
+    #[serde(rename = "p50")]
+    pub p50_us: u64,
+    /// Its 99th percentile.
+    #[serde(rename = "p99")]
+    pub p99_us: u64,
     /// The most fetches at the origin in a second.
-    pub origin_most: u64,
+    #[serde(rename = "origin_most")]
+    pub origin_max: u64,
+    /// Fetches at the origin a second, on average.
     pub origin_mean: f64,
+    /// Requests that nodes answered from their copies.
     pub hits: u64,
+    /// Requests for which nodes fetched a copy.
     pub fills: u64,
-    /// Fills that came to a node twice, and cold nodes that fell.
+    /// Fills that came to a node that they had come through before.
     pub loops: u64,
-    pub falls: u64,
-    /// Requests to nodes that had left, after their grace.
-    pub strays: u64,
+    /// Cold nodes that collapsed under their load.
+    #[serde(rename = "falls")]
+    pub collapses: u64,
+    /// Requests to nodes that had left the hierarchy, after their grace.
+    #[serde(rename = "strays")]
+    pub stray_requests: u64,
+    /// Changes of the hierarchy that were proposed.
     pub changes: usize,
-    pub endings: BTreeMap<String, u64>,
-    pub kills: u64,
+    /// How many changes ended in which way.
+    #[serde(rename = "endings")]
+    pub change_outcomes: BTreeMap<String, u64>,
+    /// How often the driver of the changes was killed.
+    #[serde(rename = "kills")]
+    pub driver_kills: u64,
+    /// The counts of each second.
     pub seconds: Vec<Second>,
+    /// Lines of the driver's log, and faults.
     pub notes: Vec<String>,
 }
 
-impl Report {
-    pub fn of(
-        e: &Experiment,
-        mut seconds: Vec<Second>,
-        seen: Vec<ClientStats>,
-        missing: usize,
-        window: Range<u64>,
-        (endings, kills, changes): (BTreeMap<String, u64>, u64, usize),
-        notes: Vec<String>,
-    ) -> Report {
-        let sum = |of: fn(&ClientStats) -> u64| seen.iter().map(of).sum();
-        let timed = || seen.iter().flat_map(|s| &s.latencies);
-        let all = histogram(timed().filter(|(at, _)| window.contains(at)).map(|(_, us)| *us));
-        for (at, second) in seconds.iter_mut().enumerate() {
-            let of = histogram(timed().filter(|(s, _)| *s == at as u64).map(|(_, us)| *us));
-            second.p99 = of.value_at_quantile(0.99);
+/// What an experiment counted, from which its report is made.
+pub(crate) struct ExperimentOutcome {
+    pub(crate) seconds: Vec<Second>,
+    pub(crate) client_stats: Vec<ClientStats>,
+    pub(crate) unfinished_clients: usize,
+    /// The seconds whose figures count, which leaves the warm-up out.
+    pub(crate) window: Range<u64>,
+    pub(crate) changes: usize,
+    pub(crate) change_outcomes: BTreeMap<String, u64>,
+    pub(crate) driver_kills: u64,
+    pub(crate) notes: Vec<String>,
+}
+
+impl ExperimentOutcome {
+    fn sum(&self, field: fn(&ClientStats) -> u64) -> u64 {
+        self.client_stats.iter().map(field).sum()
+    }
+
+    fn latencies(&self) -> impl Iterator<Item = &TimedLatency> {
+        self.client_stats.iter().flat_map(|stats| &stats.latencies)
+    }
+
+    /// Sets the 99th percentile of each second.
+    fn set_percentiles(&mut self) {
+        for number in 0..self.seconds.len() {
+            let latencies = self.latencies().filter(|latency| latency.second == number as u64);
+            let p99_us = histogram(latencies.map(|latency| latency.micros)).value_at_quantile(0.99);
+            self.seconds[number].p99_us = p99_us;
         }
-        let from = (window.start as usize).min(seconds.len());
+    }
+
+    /// The seconds in the window, as far as there are.
+    fn measured_seconds(&self) -> &[Second] {
+        let from = (self.window.start as usize).min(self.seconds.len());
         // The last second is cut short.
-        let measured = &seconds[from..(window.end as usize).min(seconds.len()).max(from)];
+        let to = (self.window.end as usize).min(self.seconds.len()).max(from);
+        &self.seconds[from..to]
+    }
+}
+
+impl Report {
+    pub(crate) fn new(experiment: &Experiment, mut outcome: ExperimentOutcome) -> Report {
+        outcome.set_percentiles();
+        let in_window = outcome.latencies().filter(|latency| outcome.window.contains(&latency.second));
+        let latencies = histogram(in_window.map(|latency| latency.micros));
+        let measured = outcome.measured_seconds();
+        let measured_sum = |field: fn(&Second) -> u64| -> u64 { measured.iter().map(field).sum() };
+        let total = |field: fn(&Second) -> u64| -> u64 { outcome.seconds.iter().map(field).sum() };
         Report {
-            experiment: e.clone(),
-            lookups: sum(|s| s.requests),
-            satisfied: sum(|s| s.succeeded),
-            nacked: sum(|s| s.rejected),
-            failed: sum(|s| s.failed),
-            lost: sum(|s| s.unanswered),
-            strange: sum(|s| s.unexpected),
-            old: sum(|s| s.stale),
-            missing,
-            p50: all.value_at_quantile(0.5),
-            p99: all.value_at_quantile(0.99),
-            origin_most: measured.iter().map(|s| s.origin).max().unwrap_or(0),
-            origin_mean: measured.iter().map(|s| s.origin).sum::<u64>() as f64 / measured.len().max(1) as f64,
-            hits: measured.iter().map(|s| s.hits).sum(),
-            fills: measured.iter().map(|s| s.fills).sum(),
-            loops: seconds.iter().map(|s| s.loops).sum(),
-            falls: seconds.iter().map(|s| s.falls).sum(),
-            strays: seconds.iter().map(|s| s.strays).sum(),
-            changes,
-            endings,
-            kills,
-            seconds,
-            notes,
+            experiment: experiment.clone(),
+            lookups: outcome.sum(|stats| stats.requests),
+            satisfied: outcome.sum(|stats| stats.succeeded),
+            rejected: outcome.sum(|stats| stats.rejected),
+            failed: outcome.sum(|stats| stats.failed),
+            unanswered: outcome.sum(|stats| stats.unanswered),
+            unexpected: outcome.sum(|stats| stats.unexpected),
+            stale: outcome.sum(|stats| stats.stale),
+            unfinished_clients: outcome.unfinished_clients,
+            p50_us: latencies.value_at_quantile(0.5),
+            p99_us: latencies.value_at_quantile(0.99),
+            origin_max: measured.iter().map(|second| second.origin_fetches).max().unwrap_or(0),
+            origin_mean: measured_sum(|second| second.origin_fetches) as f64 / measured.len().max(1) as f64,
+            hits: measured_sum(|second| second.hits),
+            fills: measured_sum(|second| second.fills),
+            loops: total(|second| second.loops),
+            collapses: total(|second| second.collapses),
+            stray_requests: total(|second| second.stray_requests),
+            changes: outcome.changes,
+            change_outcomes: outcome.change_outcomes,
+            driver_kills: outcome.driver_kills,
+            seconds: outcome.seconds,
+            notes: outcome.notes,
         }
     }
+
+    fn all_unanswered(&self) -> u64 {
+        self.unanswered + self.unfinished_clients as u64
+    }
 }
 
 impl TrialReport for Report {
     fn violations(&self) -> Vec<String> {
-        let mut found = Vec::new();
-        let mut none = |what: &str, n: u64| {
-            if n > 0 {
-                found.push(format!("{what}: {n}"));
-            }
-        };
-        none("fills that came to a node twice", self.loops);
-        none("cold nodes that fell", self.falls);
-        none("requests to nodes that had left", self.strays);
-        none("lookups without an answer", self.lost + self.missing as u64);
-        none("answers that were not asked for", self.strange);
-        none("copies from before a purge", self.old);
-        if self.origin_most as f64 > self.experiment.ceiling {
-            found.push(format!("origin: {} in a second, of {}", self.origin_most, self.experiment.ceiling));
+        let must_be_zero = [
+            ("fills that came to a node twice", self.loops),
+            ("cold nodes that collapsed", self.collapses),
+            ("requests to nodes that had left", self.stray_requests),
+            ("lookups without an answer", self.all_unanswered()),
+            ("answers that were not asked for", self.unexpected),
+            ("copies from before a purge", self.stale),
+        ];
+        let found = must_be_zero.iter().filter(|(_, count)| *count > 0);
+        let mut violations: Vec<String> = found.map(|(what, count)| format!("{what}: {count}")).collect();
+        let ceiling = self.experiment.ceiling;
+        if self.origin_max as f64 > ceiling {
+            violations.push(format!("origin: {} in a second, of {ceiling}", self.origin_max));
         }
-        found
+        violations
     }
 
     fn title(&self) -> String {
@@ -117,56 +178,61 @@
     }
 
     fn charts(&self) -> Vec<Chart> {
-        let panel = |name, of: fn(&Second) -> u64, line| Chart {
+        let chart = |name, field: fn(&Second) -> u64, line| Chart {
             name,
-            curves: vec![self.seconds.iter().map(of).collect()],
+            curves: vec![self.seconds.iter().map(field).collect()],
             line,
         };
         let ceiling = Some(self.experiment.ceiling as u64);
         vec![
-            panel("fetches at the origin, a second (line: ceiling)", |s| s.origin, ceiling),
-            panel("hits, a second", |s| s.hits, None),
-            panel("99th percentile of the latency, ms", |s| s.p99 / 1_000, None),
-            panel("version told", |s| s.version, None),
+            chart("fetches at the origin, a second (line: ceiling)", |second| second.origin_fetches, ceiling),
+            chart("hits, a second", |second| second.hits, None),
+            chart("99th percentile of the latency, ms", |second| second.p99_us / 1_000, None),
+            chart("published version", |second| second.version, None),
         ]
     }
 }
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let e = &self.experiment;
-        let all = self.lookups.max(1) as f64;
+        let settings = &self.experiment;
         writeln!(
             f,
-            "{}: {} directors, {} caches, {} upper caches, seed {}",
-            e.name, e.directors, e.caches, e.parents, e.seed
+            "{}: {} directors, {} caches, {} parents, seed {}",
+            settings.name, settings.directors, settings.caches, settings.parents, settings.seed
         )?;
         writeln!(
             f,
-            "lookups {}  satisfied {} ({:.2}%)  nacked {}  failed {}  without an answer {}",
+            "lookups {}  satisfied {} ({:.2}%)  rejected {}  failed {}  without an answer {}",
             self.lookups,
             self.satisfied,
-            100.0 * self.satisfied as f64 / all,
-            self.nacked,
+            100.0 * self.satisfied as f64 / self.lookups.max(1) as f64,
+            self.rejected,
             self.failed,
-            self.lost + self.missing as u64
+            self.all_unanswered()
         )?;
-        writeln!(f, "latency p50 {:.1} ms  p99 {:.1} ms", self.p50 as f64 / 1e3, self.p99 as f64 / 1e3)?;
+        let (p50_ms, p99_ms) = (self.p50_us as f64 / 1e3, self.p99_us as f64 / 1e3);
+        writeln!(f, "latency p50 {p50_ms:.1} ms  p99 {p99_ms:.1} ms")?;
         writeln!(
             f,
             "origin {:.0} a second, {} at most, ceiling {}  hits {}  fills {}",
-            self.origin_mean, self.origin_most, e.ceiling, self.hits, self.fills
+            self.origin_mean, self.origin_max, settings.ceiling, self.hits, self.fills
+        )?;
+        writeln!(
+            f,
+            "changes {} {:?}  driver killed {} times",
+            self.changes, self.change_outcomes, self.driver_kills
         )?;
         writeln!(
             f,
-            "changes {} {:?}  driver killed {} times  fills twice at a node {}  cold nodes fallen {}  strays {}  old copies {}",
-            self.changes, self.endings, self.kills, self.loops, self.falls, self.strays, self.old
+            "fills twice at a node {}  cold nodes collapsed {}  stray requests {}  stale copies {}",
+            self.loops, self.collapses, self.stray_requests, self.stale
         )?;
-        let breaches = self.violations();
-        if breaches.is_empty() {
-            writeln!(f, "all is well")
+        let violations = self.violations();
+        if violations.is_empty() {
+            writeln!(f, "no violations")
         } else {
-            writeln!(f, "BROKEN: {}", breaches.join("; "))
+            writeln!(f, "violations: {}", violations.join("; "))
         }
     }
 }
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -26,10 +26,10 @@
 };
 use crate::discovery_stub::DiscoveryStub;
 use crate::fleet::link_proxy::{HeldDirections, LinkProxies, PlannedLink};
-use crate::node_stub::TrialState;
 use crate::process::{ChildProcess, TrialError, io_error, machine_memory_mb};
 use crate::schedule::{sample, take_due};
 use crate::threads::spawn;
+use crate::trial_state::TrialState;
 
 /// MB that a hollow director and a known purge of it, a real one and a relay are taken to need before a start, by
 /// measurement with some to spare.
@@ -267,7 +267,7 @@
     };
     let names: Vec<String> = trial.tier.relays.iter().map(|r| r.name.clone()).collect();
     over.store(true, Ordering::Relaxed);
-    common.over.store(true, Ordering::Relaxed);
+    common.finish();
     Ok(Report::of(s, &counted, &from, &to, &names, &struck))
 }
 
--- a/crates/testbed/src/schedule.rs
+++ b/crates/testbed/src/schedule.rs
@@ -1,28 +1,28 @@
-//! What is to be done at its time, and whom it strikes.
+//! When something is to be done, and whom it concerns.
 
 use rand::RngExt;
 use rand_pcg::Pcg32;
 
-/// Takes the earliest one whose time has come.
-pub fn take_due<T>(acts: &mut Vec<(f64, T)>, now: f64) -> Option<T> {
-    let all = acts.iter().enumerate().filter(|(_, (at, _))| *at <= now);
-    let first = all.min_by(|a, b| a.1.0.total_cmp(&b.1.0)).map(|(n, _)| n)?;
-    Some(acts.remove(first).1)
+/// Removes and returns the earliest action whose time has come. Times are in seconds.
+pub(crate) fn take_due<T>(actions: &mut Vec<(f64, T)>, now: f64) -> Option<T> {
+    let due = actions.iter().enumerate().filter(|(_, (at, _))| *at <= now);
+    let (earliest, _) = due.min_by(|a, b| a.1.0.total_cmp(&b.1.0))?;
+    Some(actions.remove(earliest).1)
 }
 
-/// Some of so many, by chance: the part of them, and one at least.
-pub fn sample(rng: &mut Pcg32, of: usize, part: f64) -> Vec<usize> {
-    let mut all: Vec<usize> = (0..of).collect();
-    let n = ((of as f64 * part).round() as usize).clamp(1, of);
-    for i in 0..n {
-        let other = rng.random_range(i..of);
-        all.swap(i, other);
+/// Draws this share of the numbers below `count`, but one at least.
+pub(crate) fn sample(rng: &mut Pcg32, count: usize, share: f64) -> Vec<usize> {
+    let mut numbers: Vec<usize> = (0..count).collect();
+    let drawn = ((count as f64 * share).round() as usize).clamp(1, count);
+    for i in 0..drawn {
+        let other = rng.random_range(i..count);
+        numbers.swap(i, other);
     }
-    all.truncate(n);
-    all
+    numbers.truncate(drawn);
+    numbers
 }
 
-/// Seconds until the next of so many a second.
-pub fn exponential_interval(rng: &mut Pcg32, rate: f64) -> f64 {
+/// Seconds until the next event of a Poisson process with this rate a second.
+pub(crate) fn exponential_interval(rng: &mut Pcg32, rate: f64) -> f64 {
     -(1.0 - rng.random::<f64>()).ln() / rate
 }
--- a/crates/testbed/src/settings.rs
+++ b/crates/testbed/src/settings.rs
@@ -1,4 +1,4 @@
-//! An experiment, from its settings file.
+//! The settings of an experiment, and what the settings files of all trials have in common.
 
 use garde::Validate;
 use sablecross_sexpr_config::{ConfigError, Located};
@@ -11,66 +11,75 @@
     Experiment(#[garde(dive)] Experiment),
 }
 
+/// An experiment.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Experiment {
+    /// What the report is headed with.
     #[garde(length(min = 1, max = 40))]
     pub name: String,
+    /// The seed of all that is drawn: lookups, changes, faults.
     #[garde(skip)]
     #[serde(default)]
     pub seed: u64,
-    /// How long the load lasts, and how much of its start is left out of the figures.
+    /// How long the load lasts.
     #[garde(range(min = 2, max = 3600))]
     pub seconds: u64,
+    /// How many seconds at the start of the load are left out of the figures.
     #[garde(range(max = 600))]
     #[serde(default = "default_warm_up")]
     pub warm_up: u64,
+    /// The number of directors.
     #[garde(range(min = 1, max = 16))]
     pub directors: usize,
+    /// The number of caches.
     #[garde(range(min = 1, max = 64))]
     pub caches: usize,
+    /// The number of parents.
     #[garde(range(min = 1, max = 32))]
     #[serde(rename = "uppers")]
     pub parents: usize,
-    /// Lookups a second of all clients together, and objects that they ask for.
+    /// Lookups a second of all clients together.
     #[garde(range(min = 1, max = 20_000))]
     pub rate: u64,
+    /// The number of objects that they ask for.
     #[garde(range(min = 1, max = 10_000_000))]
     pub objects: u64,
-    /// Copies that a cache, and an upper cache, keeps.
+    /// How many copies each cache and parent keeps.
     #[garde(range(min = 1, max = 1_000_000))]
     #[serde(rename = "kept")]
     pub copies_per_cache: usize,
+    /// How many fetches the origin bears in a second.
     #[garde(range(min = 1.0, max = 1e6))]
     pub ceiling: f64,
-    /// The part of what it is asked for that each cache is said to answer itself, which plans go by.
+    /// The hit ratio of each cache that plans assume.
     #[garde(range(min = 0.0, max = 1.0))]
     #[serde(default = "default_half")]
     pub hit: f64,
-    /// Changes of the hierarchy, one after another; 0: none.
+    /// The number of changes of the hierarchy, one after another.
     #[garde(range(max = 1_000))]
     #[serde(default)]
     #[serde(rename = "rewirings")]
     pub hierarchy_changes: usize,
-    /// Whether upper caches of the tier at the origin may fill from one another, which makes ways longer.
+    /// Whether parents of the tier at the origin may fill from one another, which makes fill paths longer.
     #[garde(skip)]
     #[serde(default = "default_true")]
     #[serde(rename = "chains")]
     pub parent_chains: bool,
-    /// Whether they are carried out by a plan, or each in one jump.
+    /// Whether changes are carried out by a plan; else each in one step.
     #[garde(skip)]
     #[serde(default = "default_true")]
     pub plan: bool,
-    /// Whether versions come late, doubled and out of order, the driver is killed and changes follow closely.
+    /// Whether versions come late, doubled and out of order, the driver is killed and changes overlap.
     #[garde(skip)]
     #[serde(default)]
     pub faults: bool,
-    /// Whether upper caches follow the way that directors name, or each its own version.
+    /// Whether parents fill along the path that directors name; else by the version that each has applied.
     #[garde(skip)]
     #[serde(default)]
     #[serde(rename = "ways")]
     pub follow_named_path: bool,
-    /// Purges of an object a second.
+    /// Purges a second.
     #[garde(range(max = 100))]
     #[serde(default)]
     pub purges: u64,
@@ -88,33 +97,37 @@
     true
 }
 
-/// The only form of a file, under this word.
-pub(crate) fn parse_single_form<T>(file: &str, text: &str, word: &str) -> Result<Located<T>, Vec<ConfigError>>
+/// Reads a file that holds a single form with this name.
+pub(crate) fn parse_single_form<T>(file: &str, text: &str, name: &str) -> Result<Located<T>, Vec<ConfigError>>
 where
     T: DeserializeOwned + Validate<Context = ()>,
 {
     let mut forms = sablecross_sexpr_config::parse_forms::<T>(file, text)?;
-    let Some(first) = forms.pop() else {
-        let (key, what) = (word.into(), format!("no ({word} ...) form"));
+    let Some(last) = forms.pop() else {
         return Err(vec![ConfigError {
             file: file.into(),
             line: 1,
             column: 1,
-            key,
-            problem: what,
+            key: name.into(),
+            problem: format!("no ({name} ...) form"),
             remedy: String::new(),
         }]);
     };
     if !forms.is_empty() {
-        return Err(vec![first.error(file, word, format!("a second {word}"), "keep one a file")]);
+        return Err(vec![last.error(file, name, format!("a second {name}"), "keep one a file")]);
     }
-    Ok(first)
+    Ok(last)
 }
 
+/// Reads the settings of an experiment. `file` names them in errors.
+///
+/// # Errors
+///
+/// One for each fault, with file, line and key.
 pub fn parse(file: &str, text: &str) -> Result<Experiment, Vec<ConfigError>> {
     let first = parse_single_form(file, text, "experiment")?;
-    let Form::Experiment(e) = &first.value;
-    if e.warm_up >= e.seconds {
+    let Form::Experiment(experiment) = &first.value;
+    if experiment.warm_up >= experiment.seconds {
         return Err(vec![first.error(
             file,
             "experiment.warm-up",
@@ -122,5 +135,5 @@
             "leave time after it",
         )]);
     }
-    Ok(e.clone())
+    Ok(experiment.clone())
 }
--- a/crates/testbed/src/trial_report.rs
+++ b/crates/testbed/src/trial_report.rs
@@ -1,66 +1,105 @@
-//! What every report has: what must not have been found, files, curves.
+//! What the reports of all trials have in common: violations, files, charts.
 
-use std::error::Error;
 use std::fmt::Display;
+use std::io;
 use std::path::Path;
 
 use plotters::coord::Shift;
 use plotters::prelude::*;
 use serde::Serialize;
+use thiserror::Error;
 
+/// Why a report could not be written.
+#[derive(Debug, Error)]
+pub enum ReportError {
+    /// A file can't be written.
+    #[error("{file}: {why}")]
+    File {
+        /// Its name in the folder.
+        file: &'static str,
+        /// What the system said.
+        why: io::Error,
+    },
+    /// The report is no JSON.
+    #[error("report.json: {0}")]
+    Json(#[from] serde_json::Error),
+    /// The charts can't be drawn.
+    #[error("plot.svg: {0}")]
+    Plot(String),
+}
+
+fn plot_error(error: impl Display) -> ReportError {
+    ReportError::Plot(error.to_string())
+}
+
+/// The result of a trial. Printed, it is report.txt.
 pub trait TrialReport: Display + Serialize {
-    /// What must not have been shown; empty when all is well.
+    /// What must not have happened and did; empty if all is well.
     fn violations(&self) -> Vec<String>;
 
+    /// The heading of its charts.
     fn title(&self) -> String;
 
-    /// Curves over the seconds, by what they are named.
+    /// Charts over the seconds of the trial.
     fn charts(&self) -> Vec<Chart>;
 
-    /// Writes report.json, report.txt and, where there are curves, plot.svg to a folder.
-    fn write(&self, folder: &Path) -> Result<(), Box<dyn Error>> {
-        std::fs::write(folder.join("report.json"), serde_json::to_string_pretty(self)?)?;
-        std::fs::write(folder.join("report.txt"), self.to_string())?;
-        let panels = self.charts();
-        if panels.is_empty() {
+    /// Writes report.json, report.txt and, where there are charts, plot.svg to a folder.
+    ///
+    /// # Errors
+    ///
+    /// If a file can't be written or the charts can't be drawn.
+    fn write(&self, folder: &Path) -> Result<(), ReportError> {
+        write_file(folder, "report.json", &serde_json::to_string_pretty(self)?)?;
+        write_file(folder, "report.txt", &self.to_string())?;
+        let charts = self.charts();
+        if charts.is_empty() {
             return Ok(());
         }
         let file = folder.join("plot.svg");
         let area = SVGBackend::new(&file, (900, 720)).into_drawing_area();
-        area.fill(&WHITE)?;
-        let area = area.titled(&self.title(), ("sans-serif", 20))?;
-        for (part, panel) in area.split_evenly((panels.len(), 1)).iter().zip(&panels) {
-            panel.draw(part)?;
+        area.fill(&WHITE).map_err(plot_error)?;
+        let area = area.titled(&self.title(), ("sans-serif", 20)).map_err(plot_error)?;
+        for (part, chart) in area.split_evenly((charts.len(), 1)).iter().zip(&charts) {
+            chart.draw(part)?;
         }
-        area.present()?;
-        Ok(())
+        area.present().map_err(plot_error)
     }
 }
 
+fn write_file(folder: &Path, file: &'static str, text: &str) -> Result<(), ReportError> {
+    std::fs::write(folder.join(file), text).map_err(|why| ReportError::File { file, why })
+}
+
+/// Curves over the seconds of a trial.
 pub struct Chart {
+    /// The caption.
     pub name: &'static str,
+    /// The values of each curve by second.
     pub curves: Vec<Vec<u64>>,
-    /// A line across it.
+    /// A horizontal line, such as a bound.
     pub line: Option<u64>,
 }
 
 impl Chart {
-    fn draw(&self, part: &DrawingArea<SVGBackend, Shift>) -> Result<(), Box<dyn Error>> {
-        let curves = self.curves.iter();
-        let most = curves.flatten().max().copied().unwrap_or(0).max(self.line.unwrap_or(0)) * 11 / 10 + 1;
+    fn draw(&self, area: &DrawingArea<SVGBackend, Shift>) -> Result<(), ReportError> {
+        let highest = self.curves.iter().flatten().max().copied().unwrap_or(0).max(self.line.unwrap_or(0));
+        let top = highest * 11 / 10 + 1;
         let length = self.curves.iter().map(Vec::len).max().unwrap_or(0).max(1);
-        let mut chart = ChartBuilder::on(part)
+        let mut chart = ChartBuilder::on(area)
             .caption(self.name, ("sans-serif", 14))
             .margin(4)
             .x_label_area_size(20)
             .y_label_area_size(48)
-            .build_cartesian_2d(0..length, 0..most)?;
-        chart.configure_mesh().y_labels(4).draw()?;
+            .build_cartesian_2d(0..length, 0..top)
+            .map_err(plot_error)?;
+        chart.configure_mesh().y_labels(4).draw().map_err(plot_error)?;
         for (i, curve) in self.curves.iter().enumerate() {
-            chart.draw_series(LineSeries::new(curve.iter().copied().enumerate(), &Palette99::pick(i)))?;
+            let points = curve.iter().copied().enumerate();
+            chart.draw_series(LineSeries::new(points, &Palette99::pick(i))).map_err(plot_error)?;
         }
         if let Some(line) = self.line {
-            chart.draw_series(LineSeries::new([(0, line), (length, line)], &RED))?;
+            let points = [(0, line), (length, line)];
+            chart.draw_series(LineSeries::new(points, &RED)).map_err(plot_error)?;
         }
         Ok(())
     }
--- a/crates/testbed/tests/small.rs
+++ b/crates/testbed/tests/small.rs
@@ -20,8 +20,8 @@
     let report = run(&e, &director, folder.path(), |_| {}).unwrap();
     assert_eq!(report.violations(), [] as [&str; 0], "{report}\n{:#?}", report.notes);
     assert!(report.satisfied > 200 && report.satisfied * 100 > report.lookups * 90, "{report}");
-    assert_eq!(report.lookups, report.satisfied + report.nacked + report.failed);
-    assert!(report.changes > 0 && report.endings.values().sum::<u64>() > 0, "{:?}", report.notes);
+    assert_eq!(report.lookups, report.satisfied + report.rejected + report.failed);
+    assert!(report.changes > 0 && report.change_outcomes.values().sum::<u64>() > 0, "{:?}", report.notes);
     // Directors have taken what the driver told, and said so.
     let log = std::fs::read_to_string(folder.path().join("director-0.log")).unwrap();
     assert!(log.contains("hierarchy in force version=2"), "{log}");
