--- a/crates/cli/src/relay.rs
+++ b/crates/cli/src/relay.rs
@@ -37,7 +37,7 @@
         #[arg(long, hide = true)]
         with_parent: bool,
     },
-    /// All relays and their readers; for a number, since when it is in force everywhere or at target it is missing. Changes nothing.
+    /// All relays and their readers; for a number, since when it is in force everywhere or at whom it is missing. Changes nothing.
     Show {
         #[command(flatten)]
         target: Target,
--- /dev/null
+++ b/crates/testbed/tests/soak_plan.rs
@@ -0,0 +1,161 @@
+//! A seed draws the same faults at the same times, whatever the code that draws them looks like.
+
+use std::path::PathBuf;
+
+use sablecross_testbed::soak::{Fault, Misbehavior, Options, plan_faults};
+
+fn options(seed: u64, fault_library: Option<PathBuf>) -> Options {
+    Options { seed, seconds: 12, directors: 6, caches: 3, clients_per_director: 2, fault_library }
+}
+
+/// Words of this test, which do not follow the names of the code.
+fn describe(fault: &Fault) -> String {
+    match *fault {
+        Fault::Restart { director } => format!("restart {director}"),
+        Fault::Kill { director } => format!("kill {director}"),
+        Fault::Pause { director, seconds } => format!("pause {director} for {seconds:.6}"),
+        Fault::Reload { director } => format!("reload {director}"),
+        Fault::SystemCalls { director, rule, seconds } => {
+            format!("system calls {director} {rule:?} for {seconds:.6}")
+        }
+        Fault::ClockStep { director, offset_ms } => format!("clock {director} by {offset_ms}"),
+        Fault::KillWithClockOffset { director, offset_ms } => format!("kill {director} clock {offset_ms}"),
+        Fault::DiscoveryOutage { seconds } => format!("discovery down for {seconds:.6}"),
+        Fault::DiscoverySilence { seconds } => format!("discovery silent for {seconds:.6}"),
+        Fault::Purge { object } => format!("purge {object}"),
+        Fault::ReplaceNode { place } => format!("replace {place}"),
+        Fault::Misbehave { place, behavior, seconds } => {
+            format!("node {place} {} for {seconds:.6}", describe_misbehavior(behavior))
+        }
+        Fault::DropConnections { place, by_reset } => format!("drop connections {place} reset {by_reset}"),
+        Fault::DelayConnections { place, seconds } => format!("late connections {place} for {seconds:.6}"),
+    }
+}
+
+fn describe_misbehavior(mode: Misbehavior) -> &'static str {
+    match mode {
+        Misbehavior::Normal => "normal",
+        Misbehavior::Hangs => "hangs",
+        Misbehavior::Stuck => "stuck",
+        Misbehavior::Resets => "resets",
+        Misbehavior::Full => "full",
+        Misbehavior::Errors => "errors",
+        Misbehavior::Garbage => "garbage",
+        Misbehavior::Twice => "twice",
+        Misbehavior::WrongTag => "wrong tag",
+    }
+}
+
+fn printed(options: &Options) -> String {
+    plan_faults(options)
+        .iter()
+        .map(|planned| format!("{:.6} {}\n", planned.at, describe(&planned.fault)))
+        .collect()
+}
+
+#[test]
+fn seed_3_draws_its_plan_without_the_fault_library() {
+    assert_eq!(printed(&options(3, None)), SEED_3);
+}
+
+#[test]
+fn seed_77_draws_its_plan_with_the_fault_library() {
+    assert_eq!(printed(&options(77, Some("library".into()))), SEED_77);
+}
+
+/// This one has faults of system calls and both kinds of clock steps.
+#[test]
+fn seed_111_draws_its_plan_with_the_fault_library() {
+    assert_eq!(printed(&options(111, Some("library".into()))), SEED_111);
+}
+
+const SEED_3: &str = r#"2.260747 purge 41
+2.289586 restart 3
+2.797541 late connections 4 for 1.149726
+2.918908 discovery silent for 2.993730
+4.358077 purge 15
+4.403283 restart 3
+4.621032 node 2 full for 1.792010
+4.721976 reload 5
+5.258461 purge 34
+5.313114 kill 0
+5.480990 node 0 errors for 1.847152
+6.183412 kill 4
+6.425811 node 2 resets for 1.681604
+6.531072 late connections 1 for 0.599089
+6.567294 reload 0
+6.677420 pause 3 for 1.035417
+8.042289 node 4 stuck for 0.892815
+8.065933 node 0 garbage for 0.874616
+8.313474 replace 2
+8.413405 discovery silent for 3.577477
+9.405946 restart 4
+9.438352 discovery silent for 1.960841
+9.734876 reload 3
+10.409942 restart 3
+10.508773 node 0 hangs for 0.356108
+10.888570 reload 0
+11.009875 pause 4 for 0.135802
+11.014818 kill 4
+"#;
+
+const SEED_77: &str = r#"2.251385 reload 5
+2.441188 restart 5
+2.450627 discovery down for 1.031416
+3.169405 late connections 4 for 0.881666
+3.312300 purge 46
+3.787719 discovery silent for 2.832356
+3.811790 replace 1
+3.924513 node 4 full for 2.020325
+4.199690 restart 2
+4.261081 system calls 2 "short send 9" for 0.281446
+4.515263 discovery down for 3.297512
+5.347027 restart 0
+5.660399 reload 0
+5.747428 discovery silent for 3.153354
+5.808667 purge 43
+5.818564 node 1 twice for 0.404679
+7.146254 purge 40
+7.447742 restart 2
+7.724006 discovery down for 1.605884
+7.946841 restart 4
+9.028388 purge 19
+9.186969 restart 1
+9.226203 reload 5
+9.422448 discovery silent for 1.551239
+9.465069 discovery silent for 1.090906
+9.998328 discovery down for 2.781744
+10.181286 system calls 3 "short send 9" for 0.305571
+10.285740 replace 1
+10.381102 node 4 stuck for 1.050714
+10.577228 restart 4
+"#;
+
+const SEED_111: &str = r#"2.839704 restart 1
+2.883311 discovery silent for 3.528283
+3.531400 system calls 4 "fail epoll_ctl ENOMEM" for 0.223799
+3.866006 pause 4 for 1.073143
+4.625464 kill 0
+4.633472 restart 0
+4.698166 discovery down for 1.230614
+5.574811 clock 5 by 3600000
+5.825995 purge 57
+6.419205 pause 1 for 0.377541
+6.475907 purge 51
+6.518230 restart 1
+7.531986 purge 20
+7.656584 node 3 errors for 1.923571
+7.758885 drop connections 0 reset true
+7.801230 pause 3 for 0.372583
+7.988814 restart 3
+8.007357 node 1 wrong tag for 1.808263
+8.820056 node 3 resets for 2.294453
+8.999943 late connections 3 for 1.289234
+9.049420 system calls 3 "fail accept EMFILE" for 0.136749
+9.095313 purge 39
+10.858224 restart 2
+10.886388 reload 0
+10.930751 purge 22
+10.947926 purge 56
+10.962747 system calls 0 "fail receive ECONNRESET" for 0.187899
+"#;
