--- a/crates/capacity/src/feed.rs
+++ b/crates/capacity/src/feed.rs
@@ -67,8 +67,8 @@
         while let Ok(Some(said)) = stream.next_item() {
             let StreamItem::Event { id, data } = said else { continue };
             let parsed = serde_json::from_str(&data).map_err(|e| e.to_string());
-            let parsed =
-                parsed.and_then(|v: Value| NumberedEvent::from_json(&v)).map(|e| (e.number, e.event));
+            let parsed = parsed.and_then(|v: Value| NumberedEvent::from_json(&v).map_err(|e| e.to_string()));
+            let parsed = parsed.map(|e| (e.number, e.event));
             if let EventVerdict::New(fact) = cursor.classify(id, parsed) {
                 black_box(fact);
                 taken += 1;
--- a/crates/capacity/src/real.rs
+++ b/crates/capacity/src/real.rs
@@ -535,7 +535,7 @@
         match rpc::decode_response(&bytes, limits) {
             Ok((_, Some(body), _)) => return rmp_serde::from_slice(body).map_err(|e| bad(e.to_string())),
             Ok((_, None, _)) => return Err(io::ErrorKind::Unsupported.into()),
-            Err(rpc::DecodeError::Invalid(why)) => return Err(bad(why.into())),
+            Err(rpc::DecodeError::Invalid(why)) => return Err(bad(why.to_string())),
             Err(rpc::DecodeError::Incomplete) => match link.read(&mut more)? {
                 0 => return Err(io::ErrorKind::UnexpectedEof.into()),
                 n => bytes.extend_from_slice(&more[..n]),
--- a/crates/director/src/coordination/mod.rs
+++ b/crates/director/src/coordination/mod.rs
@@ -143,7 +143,7 @@
             Ok((_, None, _)) => {
                 return Err(bad("it answers no calls of duties (is SABLECROSS_DUTY set there?)".into()));
             }
-            Err(DecodeError::Invalid(why)) => return Err(bad(why.into())),
+            Err(DecodeError::Invalid(error)) => return Err(bad(error.to_string())),
             Err(DecodeError::Incomplete) if Instant::now() >= until => return Err(ErrorKind::TimedOut.into()),
             Err(DecodeError::Incomplete) => {}
         }
--- a/crates/director/src/discovery_event.rs
+++ b/crates/director/src/discovery_event.rs
@@ -1,56 +1,115 @@
-//! What the control feed tells, as plain values, decoded from its events.
+//! The events of discovery, decoded.
 
 use std::net::SocketAddr;
 
 use sablecross::{EndpointState, Ns};
 use serde::Deserialize;
 use serde_json::Value;
+use thiserror::Error;
 
 use crate::clock::NS_PER_MS;
 use crate::parent_hierarchy::VersionAnnouncement;
 
-/// What an event of the feed says.
+/// What an event says.
 #[derive(Debug, PartialEq)]
 pub enum DiscoveryEvent {
+    /// The endpoints, or changes of them.
     Endpoints {
+        /// Those that are listed.
         endpoints: Vec<Endpoint>,
+        /// Whether all others are gone.
         is_snapshot: bool,
     },
-    /// Of an object, or with none of a whole group. When it was made is not read: it is measured by another clock.
+    /// Copies from before it may not be served any more. The time at which it was made is not read: it is measured by
+    /// another clock.
     Purge {
+        /// The object that is purged; none: all objects of the group.
         object: Option<u64>,
+        /// The group of objects.
         group: u32,
     },
-    /// A version of the hierarchy of upper caches, where this program knows them.
+    /// A version of the hierarchy of parents, for programs that are built with hierarchies.
     Hierarchy(Box<VersionAnnouncement>),
 }
 
-/// A line of the list of nodes, as the feed names it.
+/// A node, as discovery lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
+    /// Its name, which no other node has.
     pub name: String,
+    /// Where it listens.
     pub address: SocketAddr,
+    /// The name of its zone.
     pub zone: String,
+    /// The name of its kind.
     pub kind: String,
+    /// Its cell within the zone.
     pub cell: usize,
+    /// Whether it takes requests.
     pub state: EndpointState,
-    /// The Unix time of its start, by the clock of whoever lists it; 0: long ago.
+    /// The Unix time of its start in nanoseconds, by the clock of whoever lists it; 0: long ago.
     pub started_at: Ns,
 }
 
+/// An event with its number. Numbers rise by one from event to event.
 #[derive(Debug)]
 pub struct NumberedEvent {
+    /// The number.
     pub number: u64,
+    /// What the event says.
     pub event: DiscoveryEvent,
 }
 
-/// The events of the start.
+/// The events that a configuration holds.
 #[derive(Debug)]
 pub struct KnownEvents {
+    /// The number of the last one up to which they tell everything.
     pub last: u64,
+    /// The events.
     pub events: Vec<NumberedEvent>,
 }
 
+/// Why an event can't be used.
+#[derive(Debug, Error)]
+pub enum DiscoveryEventError {
+    /// It can't be told which event it is.
+    #[error("an event has no number")]
+    NoNumber,
+    /// The event with this number can't be used.
+    #[error("event {number}: {cause}")]
+    Unusable {
+        /// The number of the event.
+        number: u64,
+        /// What is wrong with it.
+        cause: EventCause,
+    },
+}
+
+/// What is wrong with an event.
+#[derive(Debug, Error)]
+pub enum EventCause {
+    /// It says nothing that is known.
+    #[error("neither members nor a purge")]
+    UnknownKind,
+    /// A field is missing, or not of its type.
+    #[error(transparent)]
+    Fields(#[from] serde_json::Error),
+    /// The key of a purge is no number in hexadecimal digits.
+    #[error("key is no object")]
+    NoObject,
+    /// An endpoint has a status that is not known.
+    #[error("{endpoint}: unknown status {status}")]
+    UnknownStatus {
+        /// The name of the endpoint.
+        endpoint: String,
+        /// The status.
+        status: String,
+    },
+    /// The version of the hierarchy can't be used.
+    #[error("{0}")]
+    Hierarchy(String),
+}
+
 #[derive(Deserialize)]
 struct RawMembers {
     snapshot: bool,
@@ -77,46 +136,52 @@
 }
 
 impl NumberedEvent {
-    pub fn from_json(event: &Value) -> Result<NumberedEvent, String> {
-        let n = event.get("n").and_then(Value::as_u64).ok_or("an event has no number")?;
-        let bad = |e: serde_json::Error| format!("event {n}: {e}");
-        let fact = if let Some(raw) = event.get("members") {
-            let raw = RawMembers::deserialize(raw).map_err(bad)?;
-            let members = raw.endpoints.into_iter().map(member).collect::<Result<_, _>>();
-            DiscoveryEvent::Endpoints {
-                endpoints: members.map_err(|e| format!("event {n}: {e}"))?,
-                is_snapshot: raw.snapshot,
-            }
-        } else if let Some(raw) = event.get("purge") {
-            let raw = RawPurge::deserialize(raw).map_err(bad)?;
-            let object = raw.key.map(|k| u64::from_str_radix(&k, 16)).transpose();
-            let object = object.map_err(|_| format!("event {n}: key is no object"))?;
-            DiscoveryEvent::Purge { object, group: raw.group }
-        } else if let Some(raw) = event.get("hierarchy") {
-            DiscoveryEvent::Hierarchy(Box::new(
-                VersionAnnouncement::from_event(raw).map_err(|e| format!("event {n}: {e}"))?,
-            ))
+    /// Reads an event.
+    ///
+    /// # Errors
+    /// Names the number of the event, if it has one, and what is wrong.
+    pub fn from_json(event: &Value) -> Result<NumberedEvent, DiscoveryEventError> {
+        let number = event.get("n").and_then(Value::as_u64).ok_or(DiscoveryEventError::NoNumber)?;
+        let event = DiscoveryEvent::from_json(event)
+            .map_err(|cause| DiscoveryEventError::Unusable { number, cause })?;
+        Ok(NumberedEvent { number, event })
+    }
+}
+
+impl DiscoveryEvent {
+    fn from_json(event: &Value) -> Result<DiscoveryEvent, EventCause> {
+        if let Some(members) = event.get("members") {
+            let members = RawMembers::deserialize(members)?;
+            let endpoints = members.endpoints.into_iter().map(endpoint).collect::<Result<_, _>>()?;
+            Ok(DiscoveryEvent::Endpoints { endpoints, is_snapshot: members.snapshot })
+        } else if let Some(purge) = event.get("purge") {
+            let purge = RawPurge::deserialize(purge)?;
+            let object = purge.key.map(|key| u64::from_str_radix(&key, 16)).transpose();
+            let object = object.map_err(|_| EventCause::NoObject)?;
+            Ok(DiscoveryEvent::Purge { object, group: purge.group })
+        } else if let Some(hierarchy) = event.get("hierarchy") {
+            let version = VersionAnnouncement::from_event(hierarchy)
+                .map_err(|error| EventCause::Hierarchy(error.to_string()))?;
+            Ok(DiscoveryEvent::Hierarchy(Box::new(version)))
         } else {
-            return Err(format!("event {n}: neither members nor a purge"));
-        };
-        Ok(NumberedEvent { number: n, event: fact })
+            Err(EventCause::UnknownKind)
+        }
     }
 }
 
-fn member(raw: RawMember) -> Result<Endpoint, String> {
+fn endpoint(raw: RawMember) -> Result<Endpoint, EventCause> {
     let state = match raw.status.as_str() {
         "ready" => EndpointState::Ready,
         "draining" => EndpointState::Draining,
         "gone" => EndpointState::Gone,
-        other => return Err(format!("{}: unknown status {other}", raw.name)),
+        _ => return Err(EventCause::UnknownStatus { endpoint: raw.name, status: raw.status }),
     };
-    let (name, address, zone, kind, cell) = (raw.name, raw.address, raw.zone, raw.kind, raw.group);
     Ok(Endpoint {
-        name,
-        address,
-        zone,
-        kind,
-        cell,
+        name: raw.name,
+        address: raw.address,
+        zone: raw.zone,
+        kind: raw.kind,
+        cell: raw.group,
         state,
         started_at: raw.since_ms.saturating_mul(NS_PER_MS),
     })
--- /dev/null
+++ b/crates/director/src/dispatch/inflight_requests.rs
@@ -0,0 +1,167 @@
+//! What is kept of the requests in flight beside the router's view of them.
+
+use std::collections::{BTreeMap, HashMap};
+use std::sync::Arc;
+
+use sablecross::Ns;
+
+use crate::events::{ClientId, IncomingRequest, NodeConnectionId, RequestId, RequestKey};
+use crate::parent_hierarchy::ActiveHierarchy;
+use crate::wire::node_protocol::request_id_text;
+
+/// A request in flight.
+pub(super) struct InflightRequest {
+    pub(super) incoming: Box<IncomingRequest>,
+    /// The client's own deadline less the answer margin.
+    pub(super) deadline: Ns,
+    /// Whether the one final answer was given, or none is owed any more.
+    pub(super) is_answered: bool,
+    /// The hierarchy by which its fills go: the one that was active when it arrived.
+    pub(super) hierarchy: Option<Arc<ActiveHierarchy>>,
+    /// By attempt, the connection on which it is outstanding.
+    outstanding_on: Vec<Option<NodeConnectionId>>,
+    /// All connections that carried an attempt. None carries a second one: a late answer to the first would be taken
+    /// for that of the second.
+    used_connections: Vec<NodeConnectionId>,
+}
+
+impl InflightRequest {
+    fn new(
+        incoming: Box<IncomingRequest>,
+        deadline: Ns,
+        hierarchy: Option<Arc<ActiveHierarchy>>,
+    ) -> InflightRequest {
+        InflightRequest {
+            incoming,
+            deadline,
+            is_answered: false,
+            hierarchy,
+            outstanding_on: Vec::new(),
+            used_connections: Vec::new(),
+        }
+    }
+
+    /// Its id, as it stands in the log.
+    pub(super) fn id_text(&self) -> &str {
+        request_id_text(&self.incoming.request_id)
+    }
+
+    pub(super) fn used_connections(&self) -> &[NodeConnectionId] {
+        &self.used_connections
+    }
+
+    pub(super) fn attempt_count(&self) -> usize {
+        self.outstanding_on.len()
+    }
+
+    /// Notes the next attempt and its connection; none if it could not be sent.
+    pub(super) fn record_attempt(&mut self, connection: Option<NodeConnectionId>) {
+        self.outstanding_on.push(connection);
+        self.used_connections.extend(connection);
+    }
+
+    /// An attempt is no longer outstanding; the connection on which it was.
+    pub(super) fn end_attempt(&mut self, attempt: usize) -> Option<NodeConnectionId> {
+        self.outstanding_on.get_mut(attempt).and_then(Option::take)
+    }
+
+    fn has_same_target(&self, other: &IncomingRequest) -> bool {
+        let own = &self.incoming;
+        (own.object, own.part, own.class) == (other.object, other.part, other.class)
+    }
+}
+
+/// The requests in flight: by key, by the client's call and by request id.
+#[derive(Default)]
+pub(super) struct InflightRequests {
+    requests: BTreeMap<RequestKey, InflightRequest>,
+    /// By client, the requests of its calls that are open, by the number of the call.
+    by_call: HashMap<ClientId, HashMap<u32, RequestKey>>,
+    /// The first request in flight with each id.
+    by_request_id: HashMap<RequestId, RequestKey>,
+    next_key: RequestKey,
+}
+
+impl InflightRequests {
+    pub(super) fn len(&self) -> usize {
+        self.requests.len()
+    }
+
+    pub(super) fn is_empty(&self) -> bool {
+        self.requests.is_empty()
+    }
+
+    pub(super) fn contains(&self, key: RequestKey) -> bool {
+        self.requests.contains_key(&key)
+    }
+
+    pub(super) fn get(&self, key: RequestKey) -> Option<&InflightRequest> {
+        self.requests.get(&key)
+    }
+
+    pub(super) fn get_mut(&mut self, key: RequestKey) -> Option<&mut InflightRequest> {
+        self.requests.get_mut(&key)
+    }
+
+    /// The key of the next request that is inserted.
+    pub(super) fn next_key(&self) -> RequestKey {
+        self.next_key
+    }
+
+    /// The key of the oldest request in flight, or of the next one if there is none.
+    pub(super) fn oldest_key(&self) -> RequestKey {
+        self.requests.first_key_value().map_or(self.next_key, |(key, _)| *key)
+    }
+
+    pub(super) fn unanswered_count(&self) -> usize {
+        self.requests.values().filter(|request| !request.is_answered).count()
+    }
+
+    pub(super) fn open_calls(&self, client: ClientId) -> usize {
+        self.by_call.get(&client).map_or(0, HashMap::len)
+    }
+
+    /// Whether a request for something else is in flight under the same id: an answer to one could be taken for that
+    /// of the other.
+    pub(super) fn has_conflicting_id(&self, incoming: &IncomingRequest) -> bool {
+        let first = self.by_request_id.get(&incoming.request_id).and_then(|key| self.requests.get(key));
+        first.is_some_and(|request| !request.has_same_target(incoming))
+    }
+
+    /// Inserts a request under a new key.
+    pub(super) fn insert(
+        &mut self,
+        incoming: Box<IncomingRequest>,
+        deadline: Ns,
+        hierarchy: Option<Arc<ActiveHierarchy>>,
+    ) -> RequestKey {
+        let key = self.next_key;
+        self.next_key += 1;
+        self.by_call.entry(incoming.client).or_default().insert(incoming.call.number, key);
+        self.by_request_id.entry(incoming.request_id).or_insert(key);
+        self.requests.insert(key, InflightRequest::new(incoming, deadline, hierarchy));
+        key
+    }
+
+    /// A request is released.
+    pub(super) fn remove(&mut self, key: RequestKey) {
+        if let Some(request) = self.requests.remove(&key)
+            && self.by_request_id.get(&request.incoming.request_id) == Some(&key)
+        {
+            self.by_request_id.remove(&request.incoming.request_id);
+        }
+    }
+
+    /// A client's call is answered or cancelled; the request it made, if it is one.
+    pub(super) fn close_call(&mut self, client: ClientId, number: u32) -> Option<RequestKey> {
+        self.by_call.get_mut(&client)?.remove(&number)
+    }
+
+    /// A client has gone; the requests of its open calls, oldest first.
+    pub(super) fn close_client(&mut self, client: ClientId) -> Vec<RequestKey> {
+        let calls = self.by_call.remove(&client).unwrap_or_default();
+        let mut keys: Vec<RequestKey> = calls.into_values().collect();
+        keys.sort_unstable();
+        keys
+    }
+}
--- a/crates/director/src/dispatch/mod.rs
+++ b/crates/director/src/dispatch/mod.rs
@@ -1,3 +1,11 @@
-//! What is kept in memory.
+//! The dispatcher thread: it owns the router, the requests in flight, the timers and the pools of node connections,
+//! and handles one event after the other. It never touches a socket.
 
-pub mod dispatcher;
+mod action_executor;
+mod discovery;
+mod dispatcher;
+mod event_handlers;
+mod inflight_requests;
+mod timers;
+
+pub use dispatcher::{DispatchError, Dispatcher};
--- a/crates/director/src/events.rs
+++ b/crates/director/src/events.rs
@@ -14,6 +14,9 @@
 pub type ClientId = u64;
 pub type NodeConnectionId = u64;
 
+/// The dispatcher's number of a request in flight. Numbers rise, and none is used twice.
+pub type RequestKey = u64;
+
 /// One request on a client's connection: its number, and the use of it, as a client may use a number again.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallId {
--- a/crates/director/src/name_table.rs
+++ b/crates/director/src/name_table.rs
@@ -1,38 +1,50 @@
-//! The names that clients, nodes and the feed use, and what the module numbers.
+//! The names that clients, nodes and discovery use for what the router numbers.
 
 use std::collections::HashMap;
 
-use sablecross_inflight::settings::{Result, SettingsMap};
+use sablecross_inflight::settings::{Result, SettingsError, SettingsMap};
 use serde_json::Value;
 
-/// The method by which members of a fleet call one another.
+/// The method by which directors call one another.
 pub const PEER_CALL_METHOD: &str = "duty";
 
-/// The names by which the outside calls what the module numbers.
+/// The names of request classes, zones and kinds of nodes.
 #[derive(Debug, Default)]
 pub struct NameTable {
+    /// By the router's index of the request class: the method by which clients call it.
     pub classes: Vec<String>,
+    /// The router's index of each zone.
     pub zones: HashMap<String, usize>,
+    /// The router's index of each kind of node.
     pub node_kinds: HashMap<String, usize>,
-    /// Whether other members of the fleet are answered.
+    /// Whether calls of other directors are answered.
     pub answers_peers: bool,
 }
 
 impl NameTable {
-    /// `raw` are the same settings as they were told: lists call zones and machines by the very names.
-    pub fn from_settings(p: &SettingsMap, raw: &Value) -> Result<NameTable> {
-        let count: usize = p.get("classes.count")?;
-        let kinds = (0..count).map(|i| p.text(&format!("classes.{i}.name")).map(str::to_owned));
-        let numbered = |key: &str| -> Result<HashMap<String, usize>> {
-            let names = raw[key].as_array().ok_or(format!("bad setting: {key}: not a list"))?;
-            let name = |v: &Value| v.as_str().map(str::to_owned).ok_or(format!("bad setting: {key}: {v}"));
-            names.iter().enumerate().map(|(i, v)| Ok((name(v)?, i))).collect()
-        };
+    /// Reads the names. `raw` are the same settings as JSON: lists of endpoints call zones and kinds by the very names.
+    ///
+    /// # Errors
+    /// Names the first key that is missing or faulty.
+    pub fn from_settings(settings: &SettingsMap, raw: &Value) -> Result<NameTable> {
+        let class_count: usize = settings.get("classes.count")?;
+        let class = |index| settings.text(&format!("classes.{index}.name")).map(str::to_owned);
         Ok(NameTable {
-            classes: kinds.collect::<Result<_>>()?,
-            zones: numbered("zones")?,
-            node_kinds: numbered("kinds")?,
+            classes: (0..class_count).map(class).collect::<Result<_>>()?,
+            zones: numbered_names(raw, "zones")?,
+            node_kinds: numbered_names(raw, "kinds")?,
             answers_peers: false,
         })
     }
 }
+
+fn numbered_names(raw: &Value, key: &str) -> Result<HashMap<String, usize>> {
+    let names = raw[key].as_array().ok_or_else(|| SettingsError::NotAList { key: key.to_owned() })?;
+    let numbered = names.iter().enumerate().map(|(number, name)| {
+        let text = name
+            .as_str()
+            .ok_or_else(|| SettingsError::NotAName { key: key.to_owned(), value: name.to_string() })?;
+        Ok((text.to_owned(), number))
+    });
+    numbered.collect()
+}
--- a/crates/director/src/process/config.rs
+++ b/crates/director/src/process/config.rs
@@ -1,45 +1,71 @@
-//! The one place where the configuration is read and checked.
+//! Reads and checks the configuration, a JSON file that `NODE_CONFIG` names.
 
 use std::io;
 use std::net::SocketAddr;
 
 use sablecross::Settings;
-use sablecross_inflight::settings::{self, SettingsMap};
+use sablecross_inflight::settings::{self, SettingsError, SettingsMap};
 use serde_json::Value;
 use thiserror::Error;
 
-use crate::discovery_event::{KnownEvents, NumberedEvent};
+use crate::discovery_event::{DiscoveryEventError, KnownEvents, NumberedEvent};
 use crate::limits::Limits;
 use crate::name_table::NameTable;
 
-type Result<T> = std::result::Result<T, String>;
+/// The variable that names the file.
+const FILE_VARIABLE: &str = "NODE_CONFIG";
 
+/// A director's configuration.
 #[derive(Debug)]
 pub struct Config {
+    /// The director's name.
     pub name: String,
+    /// Where it listens for clients.
     pub listen: SocketAddr,
-    /// The control feed, then others with the same events, for when it is down.
+    /// The event stream of discovery, then others with the same events, for when it is down.
     pub feeds: Vec<SocketAddr>,
+    /// For the router's random choices.
     pub seed: u64,
+    /// The router's settings.
     pub settings: Settings,
+    /// The names that clients, nodes and discovery use.
     pub names: NameTable,
+    /// The bounds of this program.
     pub limits: Limits,
+    /// The events of discovery that are known at the start.
     pub known: KnownEvents,
 }
 
-/// Why there is no configuration.
+/// Why there is no configuration. Each error names the file.
 #[derive(Debug, Error)]
 pub enum ConfigLoadError {
-    #[error("NODE_CONFIG: not set")]
+    /// No file is named.
+    #[error("{FILE_VARIABLE}: not set")]
     NotSet,
-    #[error("NODE_CONFIG: {path}: {why}")]
-    Unreadable { path: String, why: io::Error },
-    /// Not JSON, or not all of it.
-    #[error("configuration: {why} (NODE_CONFIG: {path})")]
-    InvalidJson { path: String, why: serde_json::Error },
-    /// Names the key at fault.
-    #[error("{why} (NODE_CONFIG: {path})")]
-    InvalidSetting { path: String, why: String },
+    /// The file can't be read.
+    #[error("{FILE_VARIABLE}: {path}: {cause}")]
+    Unreadable {
+        /// The file.
+        path: String,
+        /// Why it can't be read.
+        cause: io::Error,
+    },
+    /// It is not JSON, or not all of it is there.
+    #[error("{cause} ({FILE_VARIABLE}: {path})")]
+    InvalidJson {
+        /// The file.
+        path: String,
+        /// Where it is not.
+        cause: ConfigError,
+    },
+    /// A key is missing or faulty.
+    #[error("{cause} ({FILE_VARIABLE}: {path})")]
+    InvalidSetting {
+        /// The file.
+        path: String,
+        /// Names the key.
+        cause: ConfigError,
+    },
 }
 
 impl ConfigLoadError {
@@ -49,101 +75,199 @@
     }
 }
 
+/// What is wrong with a configuration. Each error but the first names the key.
+#[derive(Debug, Error)]
+pub enum ConfigError {
+    /// It is not JSON.
+    #[error("configuration: {0}")]
+    Json(#[from] serde_json::Error),
+    /// The key must be there.
+    #[error("{key}: missing")]
+    Missing {
+        /// The key.
+        key: String,
+    },
+    /// Its value must be a string.
+    #[error("{key}: not a string")]
+    NotAString {
+        /// The key.
+        key: String,
+    },
+    /// Its value must be an address with a port.
+    #[error("{key}: not an address: {value}")]
+    NotAnAddress {
+        /// The key.
+        key: String,
+        /// The value.
+        value: String,
+    },
+    /// Its value must be a list.
+    #[error("{key}: not a list")]
+    NotAList {
+        /// The key.
+        key: &'static str,
+    },
+    /// The seed must be hexadecimal digits.
+    #[error("seed: not hexadecimal: {value}")]
+    NotHexadecimal {
+        /// The value.
+        value: String,
+    },
+    /// Its value must be a whole number.
+    #[error("{key}: not a whole number")]
+    NotANumber {
+        /// The key.
+        key: &'static str,
+    },
+    /// Its value must be a whole number above 0.
+    #[error("{key}: not a count: {value}")]
+    NotACount {
+        /// The key.
+        key: String,
+        /// The value.
+        value: Value,
+    },
+    /// Its value is larger than this machine can count.
+    #[error("{key}: too large: {value}")]
+    TooLarge {
+        /// The key.
+        key: String,
+        /// The value.
+        value: u64,
+    },
+    /// An event of discovery that is known at the start can't be used.
+    #[error("known.events: {0}")]
+    Event(#[from] DiscoveryEventError),
+    /// The settings can't be used.
+    #[error("settings: {0}")]
+    Settings(#[from] SettingsError),
+}
+
+fn missing(key: &str) -> ConfigError {
+    ConfigError::Missing { key: key.to_owned() }
+}
+
 impl Config {
-    /// From the file that `NODE_CONFIG` names.
-    pub fn load() -> std::result::Result<Config, ConfigLoadError> {
-        let path = std::env::var("NODE_CONFIG").map_err(|_| ConfigLoadError::NotSet)?;
+    /// Reads the file that `NODE_CONFIG` names.
+    ///
+    /// # Errors
+    /// Names the file, and the key at fault.
+    pub fn load() -> Result<Config, ConfigLoadError> {
+        let path = std::env::var(FILE_VARIABLE).map_err(|_| ConfigLoadError::NotSet)?;
         let text = match std::fs::read_to_string(&path) {
             Ok(text) => text,
-            Err(why) => return Err(ConfigLoadError::Unreadable { path, why }),
+            Err(cause) => return Err(ConfigLoadError::Unreadable { path, cause }),
         };
-        match serde_json::from_str(&text) {
-            Ok(all) => Config::of(&all).map_err(|why| ConfigLoadError::InvalidSetting { path, why }),
-            Err(why) => Err(ConfigLoadError::InvalidJson { path, why }),
-        }
-    }
-
-    pub fn parse(text: &str) -> Result<Config> {
-        let all: Value = serde_json::from_str(text).map_err(|e| format!("configuration: {e}"))?;
-        Config::of(&all)
+        Config::parse(&text).map_err(|cause| match cause {
+            ConfigError::Json(_) => ConfigLoadError::InvalidJson { path, cause },
+            _ => ConfigLoadError::InvalidSetting { path, cause },
+        })
     }
 
-    fn of(all: &Value) -> Result<Config> {
-        let seed = string(all, "seed")?;
-        let known = all.get("known").ok_or("known: missing")?;
-        let events = known.get("events").and_then(Value::as_array).ok_or("known.events: not a list")?;
-        let events =
-            events.iter().map(|e| NumberedEvent::from_json(e).map_err(|e| format!("known.events: {e}")));
-        let events = events.collect::<Result<_>>()?;
-        let last = known.get("n").and_then(Value::as_u64).ok_or("known.n: not a whole number")?;
-        let mut pairs = Vec::new();
-        flatten(String::new(), all.get("settings").ok_or("settings: missing")?, &mut pairs);
-        let pairs: SettingsMap = pairs.into_iter().collect();
-        let in_settings = |e: String| format!("settings: {e}");
-        let count = |key: &str| -> Result<usize> {
-            let value = all.pointer(&format!("/limits/{key}")).ok_or(format!("limits.{key}: missing"))?;
-            let n = value.as_u64().filter(|&n| n > 0).ok_or(format!("limits.{key}: not a count: {value}"))?;
-            usize::try_from(n).map_err(|_| format!("limits.{key}: too large: {n}"))
-        };
-        let time = |key: &str| pairs.nanoseconds(key).map_err(in_settings);
+    /// Reads a configuration.
+    ///
+    /// # Errors
+    /// Names the key at fault.
+    pub fn parse(text: &str) -> Result<Config, ConfigError> {
+        let root: Value = serde_json::from_str(text)?;
+        let seed = string(&root, "seed")?;
+        let known = known_events(&root)?;
+        let raw_settings = root.get("settings").ok_or_else(|| missing("settings"))?;
+        let settings = settings_map(raw_settings);
         Ok(Config {
-            name: string(all, "name")?.to_owned(),
-            listen: address(all, "listen")?,
-            feeds: feeds(all)?,
-            seed: u64::from_str_radix(seed, 16).map_err(|_| format!("seed: not hexadecimal: {seed}"))?,
-            settings: settings::decode(&pairs).map_err(in_settings)?,
-            names: NameTable::from_settings(&pairs, &all["settings"]).map_err(in_settings)?,
+            name: string(&root, "name")?.to_owned(),
+            listen: address(&root, "listen")?,
+            feeds: feeds(&root)?,
+            seed: u64::from_str_radix(seed, 16)
+                .map_err(|_| ConfigError::NotHexadecimal { value: seed.to_owned() })?,
+            settings: settings::decode(&settings)?,
+            names: NameTable::from_settings(&settings, raw_settings)?,
             limits: Limits::new(
-                count("sockets")?,
-                count("memory_mb")?,
-                time("ceilings.dialTimeoutUs")?,
-                time("ceilings.keepaliveUs")?,
+                limit(&root, "sockets")?,
+                limit(&root, "memory_mb")?,
+                settings.nanoseconds("ceilings.dialTimeoutUs")?,
+                settings.nanoseconds("ceilings.keepaliveUs")?,
             ),
-            known: KnownEvents { last, events },
+            known,
         })
     }
 }
 
-fn string<'a>(all: &'a Value, key: &str) -> Result<&'a str> {
-    all.get(key).ok_or(format!("{key}: missing"))?.as_str().ok_or(format!("{key}: not a string"))
+fn string<'a>(root: &'a Value, key: &str) -> Result<&'a str, ConfigError> {
+    let value = root.get(key).ok_or_else(|| missing(key))?;
+    value.as_str().ok_or_else(|| ConfigError::NotAString { key: key.to_owned() })
+}
+
+fn address(root: &Value, key: &str) -> Result<SocketAddr, ConfigError> {
+    parse_address(key, string(root, key)?)
+}
+
+fn parse_address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
+    text.parse().map_err(|_| ConfigError::NotAnAddress { key: key.to_owned(), value: text.to_owned() })
 }
 
 /// `feed`, and `feeds` where the installation has more than one; the platform names none.
-fn feeds(all: &Value) -> Result<Vec<SocketAddr>> {
-    let mut feeds = vec![address(all, "feed")?];
-    if let Some(more) = all.get("feeds") {
-        for (i, at) in more.as_array().ok_or("feeds: not a list")?.iter().enumerate() {
-            let text = at.as_str().ok_or(format!("feeds.{i}: not a string"))?;
-            feeds.push(text.parse().map_err(|_| format!("feeds.{i}: not an address: {text}"))?);
+fn feeds(root: &Value) -> Result<Vec<SocketAddr>, ConfigError> {
+    let mut feeds = vec![address(root, "feed")?];
+    if let Some(more) = root.get("feeds") {
+        let more = more.as_array().ok_or(ConfigError::NotAList { key: "feeds" })?;
+        for (index, value) in more.iter().enumerate() {
+            let key = format!("feeds.{index}");
+            let text = value.as_str().ok_or_else(|| ConfigError::NotAString { key: key.clone() })?;
+            feeds.push(parse_address(&key, text)?);
         }
     }
     Ok(feeds)
 }
 
-fn address(all: &Value, key: &str) -> Result<SocketAddr> {
-    let text = string(all, key)?;
-    text.parse().map_err(|_| format!("{key}: not an address: {text}"))
+fn known_events(root: &Value) -> Result<KnownEvents, ConfigError> {
+    let known = root.get("known").ok_or_else(|| missing("known"))?;
+    let events = known.get("events").and_then(Value::as_array);
+    let events = events.ok_or(ConfigError::NotAList { key: "known.events" })?;
+    let events = events.iter().map(NumberedEvent::from_json).collect::<Result<_, _>>()?;
+    let last = known.get("n").and_then(Value::as_u64).ok_or(ConfigError::NotANumber { key: "known.n" })?;
+    Ok(KnownEvents { last, events })
 }
 
-/// Nested settings as the pairs of a path and a value in which the module's decoder reads them.
-fn flatten(path: String, value: &Value, to: &mut Vec<(String, String)>) {
-    let under = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+/// One of the machine's limits.
+fn limit(root: &Value, name: &str) -> Result<usize, ConfigError> {
+    let key = format!("limits.{name}");
+    let value = root.pointer(&format!("/limits/{name}")).ok_or_else(|| missing(&key))?;
+    let count = value.as_u64().filter(|&count| count > 0);
+    let count = count.ok_or_else(|| ConfigError::NotACount { key: key.clone(), value: value.clone() })?;
+    usize::try_from(count).map_err(|_| ConfigError::TooLarge { key, value: count })
+}
+
+/// Nested settings as values by their paths, as the decoder reads them.
+fn settings_map(settings: &Value) -> SettingsMap {
+    let mut pairs = Vec::new();
+    flatten(String::new(), settings, &mut pairs);
+    pairs.into_iter().collect()
+}
+
+fn flatten(path: String, value: &Value, pairs: &mut Vec<(String, String)>) {
+    let child = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
     match value {
-        Value::Object(fields) => fields.iter().for_each(|(name, v)| flatten(under(name), v, to)),
+        Value::Object(fields) => {
+            fields.iter().for_each(|(name, value)| flatten(child(name), value, pairs));
+        }
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            to.push((under("count"), items.len().to_string()));
-            items.iter().enumerate().for_each(|(i, v)| flatten(under(&i.to_string()), v, to));
+            pairs.push((child("count"), items.len().to_string()));
+            for (index, value) in items.iter().enumerate() {
+                flatten(child(&index.to_string()), value, pairs);
+            }
         }
         Value::Array(items) => {
-            let items: Vec<String> = items.iter().map(plain).collect();
-            to.push((path, items.join(",")));
+            let items: Vec<String> = items.iter().map(leaf_text).collect();
+            pairs.push((path, items.join(",")));
         }
-        other => to.push((path, plain(other))),
+        other => pairs.push((path, leaf_text(other))),
     }
 }
 
-fn plain(value: &Value) -> String {
+fn leaf_text(value: &Value) -> String {
     match value {
+        // A comma divides the items of a list.
         Value::String(text) => text.replace([' ', ','], "_"),
         other => other.to_string(),
     }
--- a/crates/director/src/process/signals.rs
+++ b/crates/director/src/process/signals.rs
@@ -1,9 +1,9 @@
-//! What signals ask for: to stop, to report, to read the configuration again.
+//! What signals ask for: to stop, to log the counters, to read the configuration again.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use crossbeam_channel::{Receiver, Sender, TrySendError};
+use crossbeam_channel::{Receiver, SendError, Sender, TrySendError};
 use sablecross::Settings;
 use signal_hook::consts::{SIGHUP, SIGTERM, SIGUSR1};
 use signal_hook::iterator::Signals;
@@ -15,105 +15,141 @@
 use crate::parent_hierarchy::VersionAnnouncement;
 use crate::wire::discovery_client::FeedMove;
 
-pub const HANDLED_SIGNALS: [i32; 3] = [SIGHUP, SIGTERM, SIGUSR1];
+/// The signals that are handled.
+pub(super) const HANDLED_SIGNALS: [i32; 3] = [SIGHUP, SIGTERM, SIGUSR1];
 
-/// What of the configuration stays as it was at the start.
-pub struct ReloadContext {
+/// How long a configuration that can't be read, or not all of it, is read again, and how often.
+const RELOAD_TIMEOUT: Duration = Duration::from_secs(3);
+const RELOAD_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+
+/// What of the configuration can't change while the director runs.
+pub(super) struct FixedConfig {
     name: String,
     listen: SocketAddr,
     settings: Settings,
-    /// Moves that the feed's thread has not come to yet: a later one takes the place of the oldest, so that no
+}
+
+impl FixedConfig {
+    pub(super) fn new(config: &Config) -> FixedConfig {
+        FixedConfig { name: config.name.clone(), listen: config.listen, settings: config.settings.clone() }
+    }
+}
+
+/// Handles signals.
+pub(super) struct SignalHandler {
+    signals: Signals,
+    fixed: FixedConfig,
+    events: Sender<Event>,
+    moves: Sender<FeedMove>,
+    /// Moves that the discovery client has not come to yet: a later one takes the place of the oldest, so that no
     /// signal waits behind a feed that is down.
-    overtaken: Receiver<FeedMove>,
+    superseded_moves: Receiver<FeedMove>,
+    /// Until when a reload that failed is tried again.
+    reload_until: Option<Instant>,
 }
 
-impl ReloadContext {
-    pub fn new(config: &Config, overtaken: Receiver<FeedMove>) -> ReloadContext {
-        let Config { name, listen, settings, .. } = config;
-        ReloadContext { name: name.clone(), listen: *listen, settings: settings.clone(), overtaken }
+impl SignalHandler {
+    /// `superseded_moves` is the other end of `moves`.
+    pub(super) fn new(
+        signals: Signals,
+        fixed: FixedConfig,
+        events: Sender<Event>,
+        moves: Sender<FeedMove>,
+        superseded_moves: Receiver<FeedMove>,
+    ) -> SignalHandler {
+        SignalHandler { signals, fixed, events, moves, superseded_moves, reload_until: None }
+    }
+
+    /// Handles signals until the dispatcher is gone. A reload that fails is tried again for a while, during which
+    /// other signals are handled: the file may just be being written, or no descriptor be left to read it.
+    pub(super) fn run(mut self) {
+        loop {
+            for signal in self.next_signals() {
+                if self.on_signal(signal).is_err() {
+                    return;
+                }
+            }
+            if let Some(until) = self.reload_until {
+                self.reload(until);
+            }
+        }
+    }
+
+    fn next_signals(&mut self) -> Vec<i32> {
+        if self.reload_until.is_some() {
+            std::thread::sleep(RELOAD_RETRY_INTERVAL);
+            self.signals.pending().collect()
+        } else {
+            self.signals.wait().collect()
+        }
+    }
+
+    fn on_signal(&mut self, signal: i32) -> Result<(), SendError<Event>> {
+        match signal {
+            SIGHUP => {
+                self.reload_until = Some(Instant::now() + RELOAD_TIMEOUT);
+                self.reload_coordination()?;
+                self.reload_hierarchy()
+            }
+            SIGTERM => self.events.send(Event::Shutdown),
+            _ => self.events.send(Event::LogCounters),
+        }
+    }
+
+    fn reload(&mut self, until: Instant) {
+        match self.reload_config() {
+            Ok(()) => self.reload_until = None,
+            Err(e) if Instant::now() < until && e.is_transient() => tracing::debug!("reload waits: {e}"),
+            Err(e) => {
+                tracing::error!("reload failed, the old configuration stays: {e}");
+                self.reload_until = None;
+            }
+        }
     }
 
-    /// Reads the configuration again: the feed moves, all else takes a restart. A faulty one changes nothing.
-    fn reload(&self, moves: &Sender<FeedMove>) -> Result<(), ConfigLoadError> {
+    /// Reads the configuration again: discovery moves, all else takes a restart. A faulty one changes nothing.
+    fn reload_config(&self) -> Result<(), ConfigLoadError> {
         let config = Config::load()?;
-        let same = [
-            ("name", self.name == config.name),
-            ("listen", self.listen == config.listen),
-            ("settings", self.settings == config.settings),
+        let unchanged = [
+            ("name", self.fixed.name == config.name),
+            ("listen", self.fixed.listen == config.listen),
+            ("settings", self.fixed.settings == config.settings),
         ];
-        for (key, _) in same.iter().filter(|(_, same)| !same) {
+        for (key, _) in unchanged.iter().filter(|(_, is_unchanged)| !is_unchanged) {
             tracing::warn!("reload: {key}: has changed, which takes a restart");
         }
         tracing::info!("reload feed={} known={}", config.feeds[0], config.known.last);
-        let mut latest = (config.feeds, config.known);
-        while let Err(TrySendError::Full(back)) = moves.try_send(latest) {
-            latest = back;
-            let _ = self.overtaken.try_recv();
+        let mut latest = FeedMove { feeds: config.feeds, known: config.known };
+        while let Err(TrySendError::Full(returned)) = self.moves.try_send(latest) {
+            latest = returned;
+            let _ = self.superseded_moves.try_recv();
         }
         Ok(())
     }
-}
 
-/// How long a configuration that can't be read, or not whole, is read again, and how often.
-const RELOAD_PATIENCE: Duration = Duration::from_secs(3);
-const RELOAD_PAUSE: Duration = Duration::from_millis(50);
-
-/// Reads the files of the duties and the hierarchy again; false once the desk is gone.
-fn reload_more(events: &Sender<Event>) -> bool {
-    let setting = CoordinationSettings::from_env()
-        .and_then(|read| read.map_err(|e| tracing::error!("reload failed, the old duties stay: {e}")).ok());
-    if let Some(setting) = setting
-        && events.send(Event::CoordinationReloaded(Box::new(setting))).is_err()
-    {
-        return false;
+    /// Reads the coordination's settings file again; an error once the dispatcher is gone.
+    fn reload_coordination(&self) -> Result<(), SendError<Event>> {
+        match CoordinationSettings::from_env() {
+            Some(Ok(settings)) => self.events.send(Event::CoordinationReloaded(Box::new(settings))),
+            Some(Err(e)) => {
+                tracing::error!("reload failed, the old duties stay: {e}");
+                Ok(())
+            }
+            None => Ok(()),
+        }
     }
-    let told = VersionAnnouncement::from_settings_file().and_then(|read| {
-        read.map_err(|e| tracing::error!("reload failed, the old hierarchy stays: {e}")).ok()
-    });
-    told.is_none_or(|told| events.send(Event::Discovery(DiscoveryEvent::Hierarchy(Box::new(told)))).is_ok())
-}
 
-/// Hears signals for ever, or until the desk is gone. A reload that fails is tried again for a while, during which
-/// other signals are heard: the file may be in the midst of being written, or no descriptor be left to read it.
-pub fn handle_signals(
-    mut signals: Signals,
-    fixed: &ReloadContext,
-    events: &Sender<Event>,
-    moves: &Sender<FeedMove>,
-) {
-    let mut reload_by: Option<Instant> = None;
-    loop {
-        let heard: Vec<i32> = if reload_by.is_some() {
-            std::thread::sleep(RELOAD_PAUSE);
-            signals.pending().collect()
-        } else {
-            signals.wait().collect()
-        };
-        for signal in heard {
-            let told = match signal {
-                SIGHUP => {
-                    reload_by = Some(Instant::now() + RELOAD_PATIENCE);
-                    if !reload_more(events) {
-                        return;
-                    }
-                    Ok(())
-                }
-                SIGTERM => events.send(Event::Shutdown),
-                _ => events.send(Event::LogCounters),
-            };
-            if told.is_err() {
-                return;
+    /// Reads the hierarchy's settings file again; an error once the dispatcher is gone.
+    fn reload_hierarchy(&self) -> Result<(), SendError<Event>> {
+        match VersionAnnouncement::from_settings_file() {
+            Some(Ok(version)) => {
+                self.events.send(Event::Discovery(DiscoveryEvent::Hierarchy(Box::new(version))))
             }
-        }
-        if let Some(by) = reload_by {
-            match fixed.reload(moves) {
-                Ok(()) => reload_by = None,
-                Err(e) if Instant::now() < by && e.is_transient() => tracing::debug!("reload waits: {e}"),
-                Err(e) => {
-                    tracing::error!("reload failed, the old configuration stays: {e}");
-                    reload_by = None;
-                }
+            Some(Err(e)) => {
+                tracing::error!("reload failed, the old hierarchy stays: {e}");
+                Ok(())
             }
+            None => Ok(()),
         }
     }
 }
--- a/crates/director/src/wire/client_connection.rs
+++ b/crates/director/src/wire/client_connection.rs
@@ -7,11 +7,12 @@
 
 use mio::net::TcpStream;
 use sablecross::Ns;
-use sablecross::invariants::{self, CloseDenied};
+use sablecross::invariants::{ClientConnectionState, CloseDenied};
+use thiserror::Error;
 
 use super::read_buffer::ReadBuffer;
 use super::response::{PendingResponse, ResponseWriter};
-use super::rpc::{self, DecodeError, Message};
+use super::rpc::{self, DecodeError, Message, MessageError};
 use crate::clock::NS_PER_MS;
 use crate::counters;
 use crate::events::{CallId, CancellationFlag, ClientId, Event, IncomingRequest};
@@ -19,6 +20,27 @@
 use crate::os_error::is_would_block;
 use crate::shared::SharedContext;
 
+/// What a client did that ends its connection.
+#[derive(Clone, Copy, Debug, Error, PartialEq)]
+pub(super) enum ClientFault {
+    #[error(transparent)]
+    Message(MessageError),
+    #[error("message too long")]
+    MessageTooLong,
+    #[error("no room for its message")]
+    NoRoomForMessage,
+    #[error("too much that can't be used")]
+    TooManyUnusableMessages,
+    #[error("a number that is open already")]
+    CallAlreadyOpen,
+    #[error("an answer not taken in time")]
+    ResponseNotTakenInTime,
+    #[error("half a message")]
+    PartialMessage,
+    #[error("half a message, and no place left")]
+    PartialMessageEvicted,
+}
+
 /// Why a connection ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum CloseReason {
@@ -26,32 +48,40 @@
     Disconnected,
     /// Nothing is open on it: its time or its place is up, or the program ends.
     Idle,
-    ProtocolError(&'static str),
+    Fault(ClientFault),
 }
 
+/// A call that is not answered yet.
+pub(super) struct OpenCall {
+    /// Tells this use of the call's number from others.
+    pub(super) generation: u64,
+    cancellation: CancellationFlag,
+}
+
+/// A connection of a client.
 pub(super) struct ClientConnection {
     pub(super) stream: TcpStream,
-    pub(super) read_buffer: ReadBuffer,
     pub(super) peer: SocketAddr,
-    /// What it waits for, by its numbers.
-    pub(super) open_calls: HashMap<u32, (u64, CancellationFlag)>,
-    pub(super) next_generation: u64,
+    /// The calls that are not answered yet, by their numbers.
+    pub(super) open_calls: HashMap<u32, OpenCall>,
     pub(super) queued_responses: VecDeque<PendingResponse>,
     pub(super) current_response: Option<ResponseWriter>,
-    /// When it came, said something whole or was answered last.
+    /// When it came, sent its last complete message or took its last response.
     pub(super) last_activity: Ns,
-    /// Whether it ever said something whole.
+    /// Whether it ever sent a complete message.
     pub(super) has_sent_message: bool,
-    /// By when the message that has begun must be whole.
-    pub(super) message_deadline: Option<Ns>,
     /// Since when what is read next may have lain unread.
     pub(super) unread_since: Option<Ns>,
-    /// It has so many open requests that no more is read of it until some are answered.
+    /// It has so many open calls that no more is read of it until some are answered.
     pub(super) is_throttled: bool,
-    pub(super) unusable_messages: usize,
-    /// It was told that no more comes. What it says still is read off until then or its own end, as a close over
-    /// unread bytes would reset it, and with it the answers that are under way.
+    /// Its write side is shut. What it still sends is discarded until then or its own end, as a close over unread
+    /// bytes would reset it, and with it the responses that are under way.
     pub(super) closing_until: Option<Ns>,
+    read_buffer: ReadBuffer,
+    next_generation: u64,
+    /// By when the message that has begun must be complete.
+    message_deadline: Option<Ns>,
+    unusable_messages: usize,
 }
 
 impl ClientConnection {
@@ -60,47 +90,50 @@
         stream: TcpStream,
         peer: SocketAddr,
         unread_since: Option<Ns>,
-        of: &SharedContext,
+        shared: &SharedContext,
     ) -> ClientConnection {
-        let limits = &of.limits;
+        let limits = &shared.limits;
+        let max_message = limits.max_head_bytes + limits.max_body_bytes;
         ClientConnection {
             stream,
-            read_buffer: ReadBuffer::new(
-                limits.initial_read_bytes,
-                limits.max_head_bytes + limits.max_body_bytes,
-                &of.memory_budget,
-            ),
             peer,
             open_calls: HashMap::new(),
-            next_generation: 0,
             queued_responses: VecDeque::new(),
             current_response: None,
-            last_activity: of.clock.now(),
+            last_activity: shared.clock.now(),
             has_sent_message: false,
-            message_deadline: None,
             unread_since,
             is_throttled: false,
-            unusable_messages: 0,
             closing_until: None,
+            read_buffer: ReadBuffer::new(limits.initial_read_bytes, max_message, &shared.memory_budget),
+            next_generation: 0,
+            message_deadline: None,
+            unusable_messages: 0,
         }
     }
 
-    /// Its client has been told that no more comes: nothing is kept of it but its end, until then.
-    pub(super) fn begin_closing(&mut self, until: Ns, of: &SharedContext) {
+    /// Its write side is shut: nothing is kept of it but its end, until then.
+    pub(super) fn begin_closing(&mut self, until: Ns, shared: &SharedContext) {
         self.open_calls.clear();
         self.queued_responses.clear();
-        (self.current_response, self.message_deadline) = (None, None);
-        self.read_buffer = ReadBuffer::new(0, 0, &of.memory_budget);
+        self.current_response = None;
+        self.message_deadline = None;
+        self.read_buffer = ReadBuffer::new(0, 0, &shared.memory_budget);
         self.closing_until = Some(until);
     }
 
-    pub(super) fn may_close(&self) -> Result<(), CloseDenied> {
-        let under_way = invariants::ClientConnectionState {
+    fn may_close(&self) -> Result<(), CloseDenied> {
+        let state = ClientConnectionState {
             open_requests: self.open_calls.len(),
-            unwritten_responses: self.queued_responses.len() + usize::from(self.current_response.is_some()),
+            unwritten_responses: self.unwritten_responses(),
             has_partial_request: !self.read_buffer.unread().is_empty(),
         };
-        under_way.may_close()
+        state.may_close()
+    }
+
+    /// Responses that are not written to their end.
+    pub(super) fn unwritten_responses(&self) -> usize {
+        self.queued_responses.len() + usize::from(self.current_response.is_some())
     }
 
     /// Whether the director may end it of its own accord, and has not begun to.
@@ -115,62 +148,62 @@
             && self.may_close() == Err(CloseDenied::RequestIncomplete)
     }
 
-    /// Passes on what it asks, up to a share; whether there may be more at once. Ends at bytes that are no
-    /// message, or after too many messages that can't be used.
+    /// Its client is no longer waited for: what it asked is cancelled.
+    pub(super) fn cancel_open_calls(&self) {
+        self.open_calls.values().for_each(|call| call.cancellation.cancel());
+    }
+
+    /// Passes on what it asks, up to a share; whether there may be more at once. Ends at bytes that are no message,
+    /// or after too many messages that can't be used.
     pub(super) fn read(
         &mut self,
         client: ClientId,
-        of: &SharedContext,
+        shared: &SharedContext,
         log: &mut LogRateLimiter,
     ) -> Result<bool, CloseReason> {
         if self.closing_until.is_some() {
-            return self.discard_input(of);
+            return self.discard_input(shared);
         }
-        for _ in 0..of.limits.max_messages_per_turn {
-            self.is_throttled = self.open_calls.len() >= of.limits.max_unanswered_per_client;
+        for _ in 0..shared.limits.max_messages_per_turn {
+            self.is_throttled = self.open_calls.len() >= shared.limits.max_unanswered_per_client;
             if self.is_throttled {
                 return Ok(false);
             }
-            match rpc::decode(self.read_buffer.unread(), &of.names, &of.limits) {
+            match rpc::decode(self.read_buffer.unread(), &shared.names, &shared.limits) {
                 Ok((message, length)) => {
-                    let arrived = self.unread_since.unwrap_or_else(|| of.clock.now());
-                    let withdrawn = CancellationFlag::default();
-                    let said = match &message {
-                        Message::Unusable { call, cause: why } => Some((*call, *why)),
+                    let arrived_at = self.unread_since.unwrap_or_else(|| shared.clock.now());
+                    let cancellation = CancellationFlag::default();
+                    let unusable = match &message {
+                        Message::Unusable { call, cause } => Some((*call, *cause)),
                         _ => None,
                     };
-                    let event = event(client, self.next_generation, message, &withdrawn, arrived, of);
+                    let source = MessageSource {
+                        client,
+                        generation: self.next_generation,
+                        cancellation: &cancellation,
+                        arrived_at,
+                    };
+                    let event = source.event(message, shared);
                     self.read_buffer.consume(length);
-                    (self.last_activity, self.has_sent_message, self.message_deadline) =
-                        (of.clock.now(), true, None);
-                    if let Some((call, why)) = said {
-                        counters::add(&of.counters.bad_messages, 1);
-                        log.warn(self.last_activity, || format!("client {}, call {call}: {why}", self.peer));
+                    self.last_activity = shared.clock.now();
+                    self.has_sent_message = true;
+                    self.message_deadline = None;
+                    if let Some((call, cause)) = unusable {
+                        counters::add(&shared.counters.bad_messages, 1);
+                        log.warn(self.last_activity, || {
+                            format!("client {}, call {call}: {cause}", self.peer)
+                        });
                     }
-                    self.record_event(&event, withdrawn, of)?;
-                    // The desk outlives all connections, but for the end of the program.
-                    of.events.send(event).map_err(|_| CloseReason::Disconnected)?;
+                    self.record_event(&event, cancellation, shared)?;
+                    // The dispatcher outlives all connections, but for the end of the program.
+                    shared.events.send(event).map_err(|_| CloseReason::Disconnected)?;
+                }
+                Err(DecodeError::Invalid(error)) => {
+                    return Err(CloseReason::Fault(ClientFault::Message(error)));
                 }
-                Err(DecodeError::Invalid(why)) => return Err(CloseReason::ProtocolError(why)),
                 Err(DecodeError::Incomplete) => {
-                    if self.message_deadline.is_none() && !self.read_buffer.unread().is_empty() {
-                        self.message_deadline = Some(of.clock.now() + of.limits.partial_message_timeout);
-                    }
-                    match self.read_buffer.fill(&self.stream) {
-                        Ok(true) => {}
-                        Ok(false) => return Err(CloseReason::Disconnected),
-                        Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                        Err(e) if is_would_block(&e) => {
-                            self.unread_since = None;
-                            return Ok(false);
-                        }
-                        Err(e) if e.kind() == ErrorKind::InvalidData => {
-                            return Err(CloseReason::ProtocolError("message too long"));
-                        }
-                        Err(e) if e.kind() == ErrorKind::OutOfMemory => {
-                            return Err(CloseReason::ProtocolError("no room for its message"));
-                        }
-                        Err(_) => return Err(CloseReason::Disconnected),
+                    if !self.read_more(shared)? {
+                        return Ok(false);
                     }
                 }
             }
@@ -178,10 +211,33 @@
         Ok(true)
     }
 
-    /// Reads off what an ended connection says still, up to a share; whether there may be more at once.
-    pub(super) fn discard_input(&mut self, of: &SharedContext) -> Result<bool, CloseReason> {
+    /// Reads more of a message that is not complete; false if nothing more has come yet.
+    fn read_more(&mut self, shared: &SharedContext) -> Result<bool, CloseReason> {
+        if self.message_deadline.is_none() && !self.read_buffer.unread().is_empty() {
+            self.message_deadline = Some(shared.clock.now() + shared.limits.partial_message_timeout);
+        }
+        match self.read_buffer.fill(&self.stream) {
+            Ok(true) => Ok(true),
+            Ok(false) => Err(CloseReason::Disconnected),
+            Err(e) if e.kind() == ErrorKind::Interrupted => Ok(true),
+            Err(e) if is_would_block(&e) => {
+                self.unread_since = None;
+                Ok(false)
+            }
+            Err(e) if e.kind() == ErrorKind::InvalidData => {
+                Err(CloseReason::Fault(ClientFault::MessageTooLong))
+            }
+            Err(e) if e.kind() == ErrorKind::OutOfMemory => {
+                Err(CloseReason::Fault(ClientFault::NoRoomForMessage))
+            }
+            Err(_) => Err(CloseReason::Disconnected),
+        }
+    }
+
+    /// Reads and drops what a closing connection still sends, up to a share; whether there may be more at once.
+    fn discard_input(&mut self, shared: &SharedContext) -> Result<bool, CloseReason> {
         let mut bytes = [0; 4 << 10];
-        for _ in 0..of.limits.max_messages_per_turn {
+        for _ in 0..shared.limits.max_messages_per_turn {
             match (&self.stream).read(&mut bytes) {
                 Ok(n) if n > 0 => {}
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
@@ -192,28 +248,28 @@
         Ok(true)
     }
 
-    /// Keeps count of what is open. Two answers with one number could not be told apart.
-    pub(super) fn record_event(
+    /// Keeps count of the calls that are open.
+    fn record_event(
         &mut self,
         event: &Event,
-        withdrawn: CancellationFlag,
-        of: &SharedContext,
+        cancellation: CancellationFlag,
+        shared: &SharedContext,
     ) -> Result<(), CloseReason> {
         match event {
-            Event::Request(asked) => self.open_call(asked.call, withdrawn),
-            Event::Unusable { call, is_overload: crowded, .. } => {
-                self.unusable_messages += usize::from(!crowded);
-                if self.unusable_messages >= of.limits.max_unusable_messages {
-                    return Err(CloseReason::ProtocolError("too much that can't be used"));
+            Event::Request(request) => self.open_call(request.call, cancellation),
+            Event::Unusable { call, is_overload, .. } => {
+                self.unusable_messages += usize::from(!is_overload);
+                if self.unusable_messages >= shared.limits.max_unusable_messages {
+                    return Err(CloseReason::Fault(ClientFault::TooManyUnusableMessages));
                 }
-                self.open_call(*call, withdrawn)
+                self.open_call(*call, cancellation)
             }
             Event::HealthCheck { call, .. } | Event::PeerCalled { call, .. } => {
-                self.open_call(*call, withdrawn)
+                self.open_call(*call, cancellation)
             }
             Event::Cancelled { call, .. } => {
-                if let Some((_, withdrawn)) = self.open_calls.remove(call) {
-                    withdrawn.cancel();
+                if let Some(open) = self.open_calls.remove(call) {
+                    open.cancellation.cancel();
                 }
                 Ok(())
             }
@@ -221,44 +277,47 @@
         }
     }
 
-    pub(super) fn open_call(&mut self, call: CallId, withdrawn: CancellationFlag) -> Result<(), CloseReason> {
+    /// Two responses with one number could not be told apart: such a client has to go.
+    fn open_call(&mut self, call: CallId, cancellation: CancellationFlag) -> Result<(), CloseReason> {
         self.next_generation += 1;
-        match self.open_calls.insert(call.number, (call.generation, withdrawn)) {
+        let open = OpenCall { generation: call.generation, cancellation };
+        match self.open_calls.insert(call.number, open) {
             None => Ok(()),
-            Some((_, first)) => {
-                first.cancel();
-                Err(CloseReason::ProtocolError("a number that is open already"))
+            Some(first) => {
+                first.cancellation.cancel();
+                Err(CloseReason::Fault(ClientFault::CallAlreadyOpen))
             }
         }
     }
 
-    /// Writes answers in the order in which the desk gives them, as far as there is room. An answer past its time
-    /// is still the one that is owed: a client may give a millisecond, less than the way through the director
-    /// takes. Long after its time it is left out; what is begun is finished a little later at most, as a cut
-    /// ends all beside it.
-    pub(super) fn write(&mut self, of: &SharedContext) -> Result<(), CloseReason> {
+    /// Writes responses in the order in which the dispatcher gives them, as far as there is room.
+    ///
+    /// A response past its deadline is still the one that is owed: a client may wait a millisecond, less than the way
+    /// through the director takes. Long after its deadline it is left out; what is begun is finished a little later at
+    /// most, as a cut ends all beside it.
+    pub(super) fn write(&mut self, shared: &SharedContext) -> Result<(), CloseReason> {
         loop {
-            let now = of.clock.now();
-            let Some(writing) = self.current_response.as_mut() else {
-                let Some(reply) = self.queued_responses.pop_front() else { return Ok(()) };
-                if now < reply.deadline.saturating_add(of.limits.max_answer_lateness) {
-                    self.current_response = Some(ResponseWriter::new(PendingResponse {
-                        deadline: reply.deadline.max(now),
-                        ..reply
-                    }));
+            let now = shared.clock.now();
+            let Some(writer) = self.current_response.as_mut() else {
+                let Some(response) = self.queued_responses.pop_front() else { return Ok(()) };
+                if now < response.deadline.saturating_add(shared.limits.max_answer_lateness) {
+                    let deadline = response.deadline.max(now);
+                    self.current_response =
+                        Some(ResponseWriter::new(PendingResponse { deadline, ..response }));
                 } else {
-                    counters::add(&of.counters.unsent_answers, 1);
+                    counters::add(&shared.counters.unsent_answers, 1);
                 }
                 continue;
             };
-            if now >= writing.deadline + of.limits.write_finish_grace {
-                return Err(CloseReason::ProtocolError("an answer not taken in time"));
+            if now >= writer.deadline + shared.limits.write_finish_grace {
+                return Err(CloseReason::Fault(ClientFault::ResponseNotTakenInTime));
             }
-            match writing.write_to(&self.stream) {
+            match writer.write_to(&self.stream) {
                 Ok(true) => {
-                    counters::add(&of.counters.answers, 1);
-                    counters::add(&of.counters.answer_bytes, writing.body().len());
-                    (self.last_activity, self.current_response) = (now, None);
+                    counters::add(&shared.counters.answers, 1);
+                    counters::add(&shared.counters.answer_bytes, writer.body().len());
+                    self.last_activity = now;
+                    self.current_response = None;
                 }
                 Ok(false) => {}
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
@@ -268,62 +327,67 @@
         }
     }
 
-    /// What its time is over for.
-    pub(super) fn overdue_reason(&self, now: Ns, of: &SharedContext) -> Option<CloseReason> {
-        let limits = &of.limits;
-        let time =
-            if self.has_sent_message { limits.client_idle_timeout } else { limits.partial_message_timeout };
+    /// Why it is to be closed now, if one of its times is over.
+    pub(super) fn overdue_reason(&self, now: Ns, shared: &SharedContext) -> Option<CloseReason> {
+        let limits = &shared.limits;
         if let Some(until) = self.closing_until {
             return (now >= until).then_some(CloseReason::Disconnected);
         }
-        if self.message_deadline.is_some_and(|by| now >= by) {
-            return Some(CloseReason::ProtocolError("half a message"));
+        if self.message_deadline.is_some_and(|deadline| now >= deadline) {
+            return Some(CloseReason::Fault(ClientFault::PartialMessage));
         }
-        (self.is_idle() && now >= self.last_activity + time).then_some(CloseReason::Idle)
+        let idle_timeout =
+            if self.has_sent_message { limits.client_idle_timeout } else { limits.partial_message_timeout };
+        (self.is_idle() && now >= self.last_activity + idle_timeout).then_some(CloseReason::Idle)
     }
 }
 
-fn event(
+/// Where a message came from, and when.
+struct MessageSource<'a> {
     client: ClientId,
-    turn: u64,
-    message: Message,
-    withdrawn: &CancellationFlag,
-    arrived: Ns,
-    of: &SharedContext,
-) -> Event {
-    let call = |number| CallId { number, generation: turn };
-    match message {
-        Message::HealthCheck { call: number } => Event::HealthCheck { client, call: call(number) },
-        Message::Cancel { call } => Event::Cancelled { client, call },
-        Message::PeerCall { call: number, body } => {
-            Event::PeerCalled { client, call: call(number), body: body.to_vec() }
-        }
-        Message::Unusable { call: number, .. } => {
-            Event::Unusable { client, call: call(number), is_overload: false }
-        }
-        Message::Request { call: number, fields, body: bytes } => {
-            let call = call(number);
-            let Some(mut body) = of.memory_budget.allocate_body(bytes.len()) else {
-                return Event::Unusable { client, call, is_overload: true };
-            };
-            body.bytes_mut().copy_from_slice(bytes);
-            Event::Request(Box::new(IncomingRequest {
-                client,
-                call,
-                cancellation: withdrawn.clone(),
-                request_id: fields.request_id,
-                class: fields.class,
-                object: fields.object,
-                part: fields.part,
-                group: fields.group,
-                size_kb: fields.size_kb,
-                client_tag: fields.client_tag.map(Into::into),
-                idempotency_key: fields.idempotency_key.map(Into::into),
-                is_client_retry: fields.is_client_retry,
-                body: Arc::new(body),
-                arrived_at: arrived,
-                budget: fields.budget_ms * NS_PER_MS,
-            }))
+    generation: u64,
+    cancellation: &'a CancellationFlag,
+    arrived_at: Ns,
+}
+
+impl MessageSource<'_> {
+    /// The event by which the dispatcher hears of a message.
+    fn event(&self, message: Message, shared: &SharedContext) -> Event {
+        let client = self.client;
+        let call_id = |number| CallId { number, generation: self.generation };
+        match message {
+            Message::HealthCheck { call } => Event::HealthCheck { client, call: call_id(call) },
+            Message::Cancel { call } => Event::Cancelled { client, call },
+            Message::PeerCall { call, body } => {
+                Event::PeerCalled { client, call: call_id(call), body: body.to_vec() }
+            }
+            Message::Unusable { call, .. } => {
+                Event::Unusable { client, call: call_id(call), is_overload: false }
+            }
+            Message::Request { call, fields, body: bytes } => {
+                let call = call_id(call);
+                let Some(mut body) = shared.memory_budget.allocate_body(bytes.len()) else {
+                    return Event::Unusable { client, call, is_overload: true };
+                };
+                body.bytes_mut().copy_from_slice(bytes);
+                Event::Request(Box::new(IncomingRequest {
+                    client,
+                    call,
+                    cancellation: self.cancellation.clone(),
+                    request_id: fields.request_id,
+                    class: fields.class,
+                    object: fields.object,
+                    part: fields.part,
+                    group: fields.group,
+                    size_kb: fields.size_kb,
+                    client_tag: fields.client_tag.map(Into::into),
+                    idempotency_key: fields.idempotency_key.map(Into::into),
+                    is_client_retry: fields.is_client_retry,
+                    body: Arc::new(body),
+                    arrived_at: self.arrived_at,
+                    budget: fields.budget_ms * NS_PER_MS,
+                }))
+            }
         }
     }
 }
--- a/crates/director/src/wire/client_server.rs
+++ b/crates/director/src/wire/client_server.rs
@@ -1,391 +1,400 @@
-//! The client side: one thread holds all connections of clients. It waits for any of them to have something to
-//! say or room for an answer, and never for one alone.
+//! The thread that holds all connections of clients. It waits for any of them to have sent something or to have room
+//! for a response, and never for one alone.
 
 use std::collections::BTreeMap;
-use std::io::{self, ErrorKind};
+use std::io;
 use std::net::{Shutdown, SocketAddr};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use crossbeam_channel::{Receiver, Sender, TrySendError, bounded};
-use mio::net::{TcpListener, TcpStream};
+use crossbeam_channel::{Receiver, Sender, TryRecvError, TrySendError, bounded};
+use mio::net::TcpStream;
 use mio::{Events, Interest, Poll, Token, Waker};
 use sablecross::Ns;
 
-use super::client_connection::{ClientConnection, CloseReason};
+use super::client_acceptor::ClientAcceptor;
+use super::client_connection::{ClientConnection, ClientFault, CloseReason};
 pub use super::response::{PendingResponse, Response};
 use crate::clock::NS_PER_MS;
 use crate::counters;
-use crate::events::{CallId, ClientId, Event};
+use crate::events::{ClientId, Event};
 use crate::log_rate_limiter::LogRateLimiter;
-use crate::os_error::{is_failed_connection, is_would_block};
+use crate::os_error::is_would_block;
 use crate::shared::SharedContext;
 use crate::stall_detector::StallDetector;
 
 const LISTENER: Token = Token(usize::MAX);
-const REPLIES: Token = Token(usize::MAX - 1);
+const RESPONSES: Token = Token(usize::MAX - 1);
 
-/// The desk's way to the clients.
+/// The dispatcher's way to the clients.
 pub struct ResponseSender {
-    replies: Sender<PendingResponse>,
+    responses: Sender<PendingResponse>,
     waker: Waker,
-    finishing: Arc<AtomicBool>,
+    is_shutting_down: Arc<AtomicBool>,
 }
 
 impl ResponseSender {
-    /// Hands an answer over; it comes back if there are more than can be kept just now.
-    pub fn send(&self, reply: PendingResponse) -> Result<(), PendingResponse> {
-        let told = match self.replies.try_send(reply) {
-            Err(TrySendError::Full(reply)) => Err(reply),
+    /// Hands a response over; it comes back if the queue is full.
+    pub fn send(&self, response: PendingResponse) -> Result<(), PendingResponse> {
+        let sent = match self.responses.try_send(response) {
+            Err(TrySendError::Full(response)) => Err(response),
             // Without the clients' thread nobody is owed anything.
             Ok(()) | Err(TrySendError::Disconnected(_)) => Ok(()),
         };
-        // It wakes by itself before long.
+        // The thread wakes by itself before long.
         let _ = self.waker.wake();
-        told
+        sent
     }
 
-    /// No more clients are taken; each connection ends once nothing is open on it.
+    /// No more clients are accepted; each connection ends once nothing is open on it.
     pub fn begin_shutdown(&self) {
-        self.finishing.store(true, Ordering::Release);
+        self.is_shutting_down.store(true, Ordering::Release);
         let _ = self.waker.wake();
     }
 }
 
+/// All connections of clients.
 pub struct ClientServer {
     poll: Poll,
-    /// None once the program ends.
-    listener: Option<TcpListener>,
-    replies: Receiver<PendingResponse>,
-    of: Arc<SharedContext>,
-    open: BTreeMap<ClientId, ClientConnection>,
-    /// How many of those are ending.
-    ending: usize,
-    next: ClientId,
-    finishing: Arc<AtomicBool>,
-    /// Connections that have more to say than their share.
-    more: Vec<ClientId>,
-    /// When connections are taken again, after that could not be done.
-    accept_at: Option<Ns>,
-    /// One that was taken and can't be watched yet.
-    unwatched: Option<(TcpStream, SocketAddr)>,
-    /// Since when connections may wait to be taken.
-    untaken_since: Option<Ns>,
+    acceptor: ClientAcceptor,
+    responses: Receiver<PendingResponse>,
+    shared: Arc<SharedContext>,
+    connections: BTreeMap<ClientId, ClientConnection>,
+    /// How many of those are closing.
+    closing_count: usize,
+    next_id: ClientId,
+    is_shutting_down: Arc<AtomicBool>,
+    /// Connections of which no more than their share was read.
+    readable: Vec<ClientId>,
     stalls: StallDetector,
     /// Since when what is read now may have lain unread.
-    heard_at: Ns,
-    /// When it was first told to finish.
-    finishing_since: Option<Ns>,
+    unread_since: Ns,
+    /// When it was first seen that the program ends.
+    shutdown_seen_at: Option<Ns>,
     log: LogRateLimiter,
 }
 
 impl ClientServer {
-    pub fn bind(at: SocketAddr, of: &Arc<SharedContext>) -> io::Result<(ClientServer, ResponseSender)> {
+    /// Listens at an address; the server, and the way to it.
+    pub fn bind(
+        address: SocketAddr,
+        shared: &Arc<SharedContext>,
+    ) -> io::Result<(ClientServer, ResponseSender)> {
         let poll = Poll::new()?;
-        let mut listener = TcpListener::bind(at)?;
-        poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
-        let (replies, from_desk) = bounded(of.limits.response_queue_length);
-        let finishing = Arc::new(AtomicBool::new(false));
-        let waker = Waker::new(poll.registry(), REPLIES)?;
-        let outlet = ResponseSender { replies, waker, finishing: Arc::clone(&finishing) };
-        let clients = ClientServer {
+        let acceptor = ClientAcceptor::bind(address, poll.registry(), LISTENER, shared)?;
+        let (responses, from_dispatcher) = bounded(shared.limits.response_queue_length);
+        let is_shutting_down = Arc::new(AtomicBool::new(false));
+        let waker = Waker::new(poll.registry(), RESPONSES)?;
+        let sender = ResponseSender { responses, waker, is_shutting_down: Arc::clone(&is_shutting_down) };
+        let server = ClientServer {
             poll,
-            listener: Some(listener),
-            replies: from_desk,
-            of: Arc::clone(of),
-            open: BTreeMap::new(),
-            ending: 0,
-            next: 0,
-            finishing,
-            more: Vec::new(),
-            accept_at: None,
-            unwatched: None,
-            untaken_since: None,
-            stalls: StallDetector::new(of.clock.now()),
-            heard_at: of.clock.now(),
-            finishing_since: None,
+            acceptor,
+            responses: from_dispatcher,
+            shared: Arc::clone(shared),
+            connections: BTreeMap::new(),
+            closing_count: 0,
+            next_id: 0,
+            is_shutting_down,
+            readable: Vec::new(),
+            stalls: StallDetector::new(shared.clock.now()),
+            unread_since: shared.clock.now(),
+            shutdown_seen_at: None,
             log: LogRateLimiter::default(),
         };
-        Ok((clients, outlet))
+        Ok((server, sender))
     }
 
+    /// The address at which it listens.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
-        self.listener.as_ref().ok_or(ErrorKind::NotConnected)?.local_addr()
+        self.acceptor.local_addr()
     }
 
-    /// Serves until it has finished, or the desk is gone.
+    /// Serves until a shutdown is complete, or the dispatcher is gone.
     pub fn run(mut self) {
-        let limits = &Arc::clone(&self.of).limits;
-        let mut events = Events::with_capacity(limits.max_messages_per_turn);
-        let mut sweep = self.of.clock.now();
+        let mut events = Events::with_capacity(self.shared.limits.max_messages_per_turn);
+        let mut next_sweep = self.shared.clock.now();
         loop {
-            let next = self.accept_at.map_or(sweep, |at| at.min(sweep));
-            let wait = if self.more.is_empty() { self.of.clock.until(next) } else { Default::default() };
-            let wait = wait.min(Duration::from_nanos(limits.max_poll_wait));
-            let entered = self.of.clock.now();
+            let wait = self.poll_timeout(next_sweep);
+            let entered = self.shared.clock.now();
             let polled = self.poll.poll(&mut events, Some(wait));
             if let Err(e) = &polled
                 && !is_would_block(e)
             {
                 return tracing::error!("connections of clients: {e}");
             }
-            let woke = self.woken(entered, wait, polled.is_err());
-            let mut again = std::mem::take(&mut self.more);
-            for event in &events {
-                match event.token() {
-                    LISTENER => self.accept(),
-                    REPLIES => {}
-                    Token(client) => {
-                        if event.is_writable() {
-                            self.write(client as ClientId);
-                        }
-                        again.push(client as ClientId);
-                    }
-                }
-            }
-            if !self.replied() {
+            let woke = self.on_wakeup(entered, wait, polled.is_err());
+            let readable = self.handle_socket_events(&events);
+            if !self.handle_responses() {
                 return;
             }
-            again.sort_unstable();
-            again.dedup();
-            again.into_iter().for_each(|client| self.read(client));
+            self.read_all(readable);
             // With more events than one wait tells, others may have gone that were not looked at.
-            if polled.is_ok() && events.iter().count() < limits.max_messages_per_turn {
-                self.of.record_clients_checked(woke);
+            if polled.is_ok() && events.iter().count() < self.shared.limits.max_messages_per_turn {
+                self.shared.record_clients_checked(woke);
             }
-            let now = self.of.clock.now();
-            if self.accept_at.is_some_and(|at| now >= at) {
+            let now = self.shared.clock.now();
+            if self.acceptor.retry_at().is_some_and(|at| now >= at) {
                 self.accept();
             }
-            let finishing = self.finishing.load(Ordering::Acquire);
-            if now >= sweep || finishing {
-                sweep = now + if finishing { limits.shutdown_poll_interval } else { limits.sweep_interval };
+            let is_shutting_down = self.is_shutting_down.load(Ordering::Acquire);
+            if now >= next_sweep || is_shutting_down {
+                let limits = &self.shared.limits;
+                let interval =
+                    if is_shutting_down { limits.shutdown_poll_interval } else { limits.sweep_interval };
+                next_sweep = now + interval;
                 self.sweep(now);
                 self.accept();
             }
-            if finishing && self.finished() {
-                let _ = self.of.events.send(Event::ClientsFinished);
+            if is_shutting_down && self.advance_shutdown() {
+                let _ = self.shared.events.send(Event::ClientsFinished);
                 return;
             }
         }
     }
 
+    fn poll_timeout(&self, next_sweep: Ns) -> Duration {
+        if !self.readable.is_empty() {
+            return Duration::ZERO;
+        }
+        let next = self.acceptor.retry_at().map_or(next_sweep, |at| at.min(next_sweep));
+        self.shared.clock.until(next).min(Duration::from_nanos(self.shared.limits.max_poll_wait))
+    }
+
     /// A wait is over: since when what is read now may have lain unread. The time now.
-    fn woken(&mut self, entered: Ns, wait: Duration, interrupted: bool) -> Ns {
-        let now = self.of.clock.now();
-        let unread = self.stalls.on_wakeup(entered, wait, now, interrupted);
-        self.heard_at = now.saturating_sub(unread);
+    fn on_wakeup(&mut self, entered: Ns, wait: Duration, was_interrupted: bool) -> Ns {
+        let now = self.shared.clock.now();
+        let unread = self.stalls.on_wakeup(entered, wait, now, was_interrupted);
+        self.unread_since = now.saturating_sub(unread);
         if unread > 0 {
-            counters::add(&self.of.counters.stalls, 1);
-            tracing::debug!("stood still for up to {} ms", unread / NS_PER_MS);
+            counters::add(&self.shared.counters.stalls, 1);
+            tracing::debug!("stalled for up to {} ms", unread / NS_PER_MS);
         }
         now
     }
 
-    /// Takes no more connections and ends those on which nothing is open; whether none is left.
-    fn finished(&mut self) -> bool {
-        let now = self.of.clock.now();
-        let since = *self.finishing_since.get_or_insert(now);
-        // Those that wait to be taken are owed an answer, as long as they can be taken before long.
-        if self.accept_at.is_none() || now >= since + self.of.limits.partial_message_timeout {
-            self.listener = None;
-            self.unwatched = None;
-        }
-        let resting = self.open.iter().filter(|(_, c)| c.is_idle());
-        for client in resting.map(|(id, _)| *id).collect::<Vec<ClientId>>() {
-            self.rest(client);
+    /// Accepts and writes where there is room; the connections that are to be read.
+    fn handle_socket_events(&mut self, events: &Events) -> Vec<ClientId> {
+        let mut readable = std::mem::take(&mut self.readable);
+        for event in events {
+            match event.token() {
+                LISTENER => self.accept(),
+                RESPONSES => {}
+                Token(client) => {
+                    if event.is_writable() {
+                        self.write(client as ClientId);
+                    }
+                    readable.push(client as ClientId);
+                }
+            }
         }
-        self.open.is_empty() && self.listener.is_none()
+        readable
     }
 
-    /// Ends a connection on which nothing is open, unless something has come on it that is not read yet: that
-    /// would be owed an answer.
-    fn rest(&mut self, client: ClientId) {
-        self.read(client);
-        if self.open.get(&client).is_some_and(ClientConnection::is_idle) {
-            self.close(client, CloseReason::Idle);
-        }
+    fn read_all(&mut self, mut clients: Vec<ClientId>) {
+        clients.sort_unstable();
+        clients.dedup();
+        clients.into_iter().for_each(|client| self.read(client));
     }
 
-    /// The next connection that waits to come in. Where none can be taken for a moment, the next try is set.
-    fn next_connection(&mut self) -> Option<(TcpStream, SocketAddr)> {
-        if let Some(taken) = self.unwatched.take() {
-            return Some(taken);
+    /// Accepts no more connections and ends those on which nothing is open; whether none is left.
+    fn advance_shutdown(&mut self) -> bool {
+        let now = self.shared.clock.now();
+        let since = *self.shutdown_seen_at.get_or_insert(now);
+        // Those that wait to be accepted are owed an answer, as long as they can be accepted before long.
+        let may_retry = self.acceptor.retry_at().is_some();
+        if !may_retry || now >= since + self.shared.limits.partial_message_timeout {
+            self.acceptor.close();
         }
-        let listener = self.listener.as_ref()?;
-        for _ in 0..self.of.limits.max_messages_per_turn {
-            match listener.accept() {
-                Ok(taken) => return Some(taken),
-                Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    self.untaken_since = None;
-                    return None;
-                }
-                // That one has failed already; others may wait behind it.
-                Err(e) if is_failed_connection(&e) => {}
-                Err(e) => {
-                    self.log.warn(self.of.clock.now(), || format!("accept failed: {e}"));
-                    break;
-                }
-            }
+        let idle = self.connections.iter().filter(|(_, connection)| connection.is_idle());
+        for client in idle.map(|(id, _)| *id).collect::<Vec<ClientId>>() {
+            self.close_if_idle(client);
         }
-        self.accept_later();
-        None
+        self.connections.is_empty() && self.acceptor.is_closed()
     }
 
-    fn accept_later(&mut self) {
-        counters::add(&self.of.counters.shortages, 1);
-        self.untaken_since.get_or_insert(self.heard_at);
-        self.accept_at = Some(self.of.clock.now() + self.of.limits.shortage_retry_interval);
+    /// Ends a connection on which nothing is open, unless something has come on it that is not read yet: that would be
+    /// owed an answer.
+    fn close_if_idle(&mut self, client: ClientId) {
+        self.read(client);
+        if self.connections.get(&client).is_some_and(ClientConnection::is_idle) {
+            self.close(client, CloseReason::Idle);
+        }
     }
 
-    /// Takes all that wait to come in. With all slots taken the longest idle connection makes room: of those that
-    /// never said anything whole, but had the time to, before all others. One that waits for an answer never
-    /// does; with none idle the newcomer has to go. Guards against clients that hold slots; harms one that
-    /// would have asked again just then.
+    /// Accepts all connections that wait. One for which there is no place is closed.
     fn accept(&mut self) {
-        self.accept_at = None;
-        while let Some((mut stream, peer)) = self.next_connection() {
-            let (now, client) = (self.of.clock.now(), self.next);
-            if !self.has_place(now) {
-                counters::add(&self.of.counters.rejected_connections, 1);
+        self.acceptor.begin_accepting();
+        while let Some((stream, peer)) = self.acceptor.accept(self.unread_since, &mut self.log) {
+            if !self.make_place(self.shared.clock.now()) {
+                counters::add(&self.shared.counters.rejected_connections, 1);
                 continue;
             }
-            let interest = Interest::READABLE | Interest::WRITABLE;
-            let token = Token(client as usize);
-            if let Err(e) = self.poll.registry().register(&mut stream, token, interest) {
-                // What it asks is owed an answer: it is kept until it can be watched.
-                self.log.warn(now, || format!("client {peer} waits: {e}"));
-                let unregistered = TcpStream::from_std(stream.into());
-                self.unwatched = Some((unregistered, peer));
-                return self.accept_later();
+            if !self.register(stream, peer) {
+                return;
             }
-            // Without it answers are but slower.
-            let _ = stream.set_nodelay(true);
-            let connection = ClientConnection::new(stream, peer, self.untaken_since, &self.of);
-            counters::add(&self.of.counters.clients, 1);
-            self.next += 1;
-            self.open.insert(client, connection);
         }
     }
 
-    /// Whether there is a place for one more, made if need be.
-    fn has_place(&mut self, now: Ns) -> bool {
-        let settled = now.saturating_sub(self.of.limits.new_client_grace);
-        while self.open.len() - self.ending >= self.of.limits.max_client_connections {
-            let resting = self.open.iter().filter(|(_, c)| c.is_idle());
-            let longest = resting
-                .map(|(id, c)| (c.has_sent_message || c.last_activity > settled, c.last_activity, *id))
-                .min();
-            let half_heard = self.open.iter().filter(|(_, c)| c.has_only_partial_message());
-            let half_heard = half_heard.map(|(id, c)| (c.last_activity, *id)).min();
-            let longest = match (longest, half_heard) {
-                (Some((_, _, longest)), _) => {
-                    // One that has just said something stays, and the next one is looked at.
-                    self.rest(longest);
-                    longest
-                }
-                (None, Some((_, half))) => {
-                    self.close(half, CloseReason::ProtocolError("half a message, and no place left"));
-                    half
-                }
-                (None, None) => return false,
+    /// Takes a connection in; false if it can't be watched for a moment.
+    fn register(&mut self, mut stream: TcpStream, peer: SocketAddr) -> bool {
+        let client = self.next_id;
+        let interest = Interest::READABLE | Interest::WRITABLE;
+        let token = Token(client as usize);
+        if let Err(e) = self.poll.registry().register(&mut stream, token, interest) {
+            self.log.warn(self.shared.clock.now(), || format!("client {peer} waits: {e}"));
+            self.acceptor.keep_unregistered(stream, peer, self.unread_since);
+            return false;
+        }
+        // Without it responses are but slower.
+        let _ = stream.set_nodelay(true);
+        let unread_since = self.acceptor.waiting_since();
+        let connection = ClientConnection::new(stream, peer, unread_since, &self.shared);
+        counters::add(&self.shared.counters.clients, 1);
+        self.next_id += 1;
+        self.connections.insert(client, connection);
+        true
+    }
+
+    /// Whether there is a place for one more connection, made if need be: by closing the one that has been idle for
+    /// longest, of those that never sent a complete message but had the time to before all others; then one that sent
+    /// only a part of its first message. One that waits for an answer never makes room.
+    ///
+    /// Guards against clients that hold places; harms one that would have asked again just then.
+    fn make_place(&mut self, now: Ns) -> bool {
+        while self.connections.len() - self.closing_count >= self.shared.limits.max_client_connections {
+            let evicted = if let Some(idle) = self.longest_idle(now) {
+                // One that has just sent something stays, and the next one is looked at.
+                self.close_if_idle(idle);
+                idle
+            } else if let Some(partial) = self.oldest_partial() {
+                self.close(partial, CloseReason::Fault(ClientFault::PartialMessageEvicted));
+                partial
+            } else {
+                return false;
             };
-            let stays = self.open.get(&longest).is_some_and(|c| c.closing_until.is_none());
-            counters::add(&self.of.counters.evicted_for_room, usize::from(!stays));
+            counters::add(&self.shared.counters.evicted_for_room, usize::from(!self.is_open(evicted)));
         }
         true
     }
 
-    /// Takes answers over from the desk; false once that is gone.
-    fn replied(&mut self) -> bool {
+    fn longest_idle(&self, now: Ns) -> Option<ClientId> {
+        let settled = now.saturating_sub(self.shared.limits.new_client_grace);
+        let idle = self.connections.iter().filter(|(_, connection)| connection.is_idle());
+        let order = |(id, connection): (&ClientId, &ClientConnection)| {
+            let is_late_choice = connection.has_sent_message || connection.last_activity > settled;
+            (is_late_choice, connection.last_activity, *id)
+        };
+        idle.map(order).min().map(|(_, _, id)| id)
+    }
+
+    fn oldest_partial(&self) -> Option<ClientId> {
+        let partial = self.connections.iter().filter(|(_, connection)| connection.has_only_partial_message());
+        partial.map(|(id, connection)| (connection.last_activity, *id)).min().map(|(_, id)| id)
+    }
+
+    fn is_open(&self, client: ClientId) -> bool {
+        self.connections.get(&client).is_some_and(|connection| connection.closing_until.is_none())
+    }
+
+    /// Takes responses over from the dispatcher; false once that is gone.
+    fn handle_responses(&mut self) -> bool {
         loop {
-            let reply = match self.replies.try_recv() {
-                Ok(reply) => reply,
-                Err(e) => return e.is_empty(),
-            };
-            let client = reply.client;
-            // What was withdrawn meanwhile is not owed any more.
-            let open = self.open.get_mut(&client);
-            let CallId { number, generation: turn } = reply.call;
-            let owed =
-                |c: &ClientConnection| c.open_calls.get(&number).is_some_and(|(open, _)| *open == turn);
-            let Some(connection) = open.filter(|c| owed(c)) else { continue };
-            connection.open_calls.remove(&number);
-            connection.queued_responses.push_back(reply);
-            if connection.is_throttled && connection.open_calls.len() < self.of.limits.max_open_per_client {
-                connection.is_throttled = false;
-                self.more.push(client);
+            match self.responses.try_recv() {
+                Ok(response) => self.queue_response(response),
+                Err(TryRecvError::Empty) => return true,
+                Err(TryRecvError::Disconnected) => return false,
             }
-            self.write(client);
         }
     }
 
+    /// Queues and writes a response, unless its call was cancelled meanwhile.
+    fn queue_response(&mut self, response: PendingResponse) {
+        let (client, call) = (response.client, response.call);
+        let Some(connection) = self.connections.get_mut(&client) else { return };
+        let open = connection.open_calls.get(&call.number);
+        if open.is_none_or(|open| open.generation != call.generation) {
+            return;
+        }
+        connection.open_calls.remove(&call.number);
+        connection.queued_responses.push_back(response);
+        if connection.is_throttled && connection.open_calls.len() < self.shared.limits.max_open_per_client {
+            connection.is_throttled = false;
+            self.readable.push(client);
+        }
+        self.write(client);
+    }
+
     fn read(&mut self, client: ClientId) {
-        let Some(connection) = self.open.get_mut(&client) else { return };
-        connection.unread_since.get_or_insert(self.heard_at);
-        match connection.read(client, &self.of, &mut self.log) {
-            Ok(true) => self.more.push(client),
+        let Some(connection) = self.connections.get_mut(&client) else { return };
+        connection.unread_since.get_or_insert(self.unread_since);
+        match connection.read(client, &self.shared, &mut self.log) {
+            Ok(true) => self.readable.push(client),
             Ok(false) => {}
-            Err(why) => self.close(client, why),
+            Err(reason) => self.close(client, reason),
         }
     }
 
     fn write(&mut self, client: ClientId) {
-        let Some(connection) = self.open.get_mut(&client) else { return };
-        if let Err(why) = connection.write(&self.of) {
-            self.close(client, why);
+        let Some(connection) = self.connections.get_mut(&client) else { return };
+        if let Err(reason) = connection.write(&self.shared) {
+            self.close(client, reason);
         }
     }
 
-    /// Closes what says nothing whole in its time, or nothing more, and what takes no answers.
+    /// Closes what sends nothing complete in its time, or nothing more, and what takes no responses.
     fn sweep(&mut self, now: Ns) {
-        let late: Vec<(ClientId, CloseReason)> =
-            self.open.iter().filter_map(|(id, c)| Some((*id, c.overdue_reason(now, &self.of)?))).collect();
-        for (client, why) in late {
-            if why == CloseReason::Idle {
-                self.rest(client);
+        let overdue = self
+            .connections
+            .iter()
+            .filter_map(|(id, connection)| Some((*id, connection.overdue_reason(now, &self.shared)?)));
+        for (client, reason) in overdue.collect::<Vec<(ClientId, CloseReason)>>() {
+            if reason == CloseReason::Idle {
+                self.close_if_idle(client);
             } else {
-                self.close(client, why);
+                self.close(client, reason);
             }
-            let stays = self.open.get(&client).is_some_and(|c| c.closing_until.is_none());
-            counters::add(
-                &self.of.counters.idle_closed,
-                usize::from(!stays && why != CloseReason::Disconnected),
-            );
+            let is_counted = !self.is_open(client) && reason != CloseReason::Disconnected;
+            counters::add(&self.shared.counters.idle_closed, usize::from(is_counted));
         }
-        let waiting = self.open.iter().filter(|(_, c)| c.current_response.is_some()).map(|(id, _)| *id);
-        waiting.collect::<Vec<ClientId>>().into_iter().for_each(|client| self.write(client));
+        let writing = self.connections.iter().filter(|(_, connection)| connection.current_response.is_some());
+        let writing: Vec<ClientId> = writing.map(|(id, _)| *id).collect();
+        writing.into_iter().for_each(|client| self.write(client));
     }
 
-    /// Ends a connection. Unless its client has gone, it is told that no more comes and has some time to take what
-    /// is under way; past a bound of such connections the one that has had most of it is cut.
-    fn close(&mut self, client: ClientId, why: CloseReason) {
-        let Some(connection) = self.open.get_mut(&client) else { return };
+    /// Ends a connection. Unless its client has gone, its write side is shut and it has some time to take what is
+    /// under way; past a bound of such connections the one that has had most of its time is cut.
+    fn close(&mut self, client: ClientId, reason: CloseReason) {
+        let Some(connection) = self.connections.get_mut(&client) else { return };
         if connection.closing_until.is_some() {
-            self.ending -= 1;
-            self.open.remove(&client);
+            self.closing_count -= 1;
+            self.connections.remove(&client);
             return;
         }
-        let now = self.of.clock.now();
-        if let CloseReason::ProtocolError(why) = why {
-            counters::add(&self.of.counters.bad_messages, 1);
-            self.log.warn(now, || format!("client {}: closed: {why}", connection.peer));
+        let now = self.shared.clock.now();
+        if let CloseReason::Fault(fault) = reason {
+            counters::add(&self.shared.counters.bad_messages, 1);
+            self.log.warn(now, || format!("client {}: closed: {fault}", connection.peer));
         }
-        let unsent = connection.queued_responses.len() + usize::from(connection.current_response.is_some());
-        counters::add(&self.of.counters.unsent_answers, unsent);
-        connection.open_calls.values().for_each(|(_, withdrawn)| withdrawn.cancel());
-        let _ = self.of.events.send(Event::ClientDisconnected { client });
-        if why == CloseReason::Disconnected || connection.stream.shutdown(Shutdown::Write).is_err() {
-            self.open.remove(&client);
+        counters::add(&self.shared.counters.unsent_answers, connection.unwritten_responses());
+        connection.cancel_open_calls();
+        let _ = self.shared.events.send(Event::ClientDisconnected { client });
+        let has_gone = reason == CloseReason::Disconnected;
+        if has_gone || connection.stream.shutdown(Shutdown::Write).is_err() {
+            self.connections.remove(&client);
             return;
         }
-        connection.begin_closing(now + self.of.limits.closing_timeout, &self.of);
-        self.ending += 1;
-        let all = self.open.iter().filter_map(|(id, c)| Some((c.closing_until?, *id)));
-        if self.ending > self.of.limits.max_closing_clients
-            && let Some((_, first)) = all.min()
-        {
+        connection.begin_closing(now + self.shared.limits.closing_timeout, &self.shared);
+        self.closing_count += 1;
+        if self.closing_count > self.shared.limits.max_closing_clients {
+            self.cut_first_closing();
+        }
+    }
+
+    fn cut_first_closing(&mut self) {
+        let closing =
+            self.connections.iter().filter_map(|(id, connection)| Some((connection.closing_until?, *id)));
+        if let Some((_, first)) = closing.min() {
             self.close(first, CloseReason::Disconnected);
         }
     }
--- a/crates/director/src/wire/discovery_client.rs
+++ b/crates/director/src/wire/discovery_client.rs
@@ -1,7 +1,7 @@
-//! The control feed: numbered events over HTTP, each taken once and in order. What its bytes say, which events are news and
-//! which feed is called is decided in `sablecross-discovery`; here are its sockets.
+//! The event stream of discovery: numbered events over HTTP, each taken once and in order. What its bytes say, which
+//! events are new and which feed is called is decided in `sablecross-discovery`; here are the sockets.
 
-use std::io::{self, ErrorKind, Read, Write};
+use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,8 +11,9 @@
     EventCursor, EventStreamParser, EventVerdict, FeedSelector, StreamError, StreamItem, events_request,
 };
 use serde_json::Value;
+use thiserror::Error;
 
-use super::read_buffer::ReadBuffer;
+use super::applied_version_reporter::AppliedVersionReporter;
 use crate::counters;
 use crate::discovery_event::{DiscoveryEvent, KnownEvents, NumberedEvent};
 use crate::events::Event;
@@ -20,229 +21,228 @@
 use crate::parent_hierarchy::AppliedVersion;
 use crate::shared::SharedContext;
 
-/// Where the feed is from now on, home first, and what was known there.
-pub type FeedMove = (Vec<SocketAddr>, KnownEvents);
+/// Bytes that are read at once.
+const READ_LENGTH: usize = 16 << 10;
 
-/// Follows the feed for ever, or until the desk is gone.
-pub struct DiscoveryClient {
-    pub cursor: EventCursor,
-    pub feeds: FeedSelector,
-    pub shared: Arc<SharedContext>,
-    pub moves: Receiver<FeedMove>,
-    /// It answered last time; it has not been called yet.
-    pub is_up: bool,
-    pub is_first_call: bool,
-    /// The name under which it says what it has in force.
-    pub director_name: String,
-    pub applied_versions: Receiver<AppliedVersion>,
-    /// What it has to say, until the feed has heard it; when it was said last.
-    pub pending_report: Option<(AppliedVersion, Instant)>,
+/// Where discovery is from now on, and what was known there.
+pub struct FeedMove {
+    /// The feeds, the home one first.
+    pub feeds: Vec<SocketAddr>,
+    /// The events that the new configuration holds.
+    pub known: KnownEvents,
+}
+
+/// Why a call of a feed failed.
+#[derive(Debug, Error)]
+enum CallError {
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error(transparent)]
+    Stream(#[from] StreamError),
+    /// Nothing came in the time in which something must.
+    #[error("silent")]
+    Silent,
 }
 
-enum Over {
-    /// The call failed or the stream broke off; the next feed is called.
-    Call(String),
-    /// What it said is asked for once more.
-    Again(String),
+/// Why a call ended.
+enum CallEnd {
+    /// The call failed or the stream broke off: the next feed is called.
+    Failed(CallError),
+    /// An event is asked for once more.
+    RetryEvent(String),
     /// The stream came to its end, as it may at any time.
     Ended,
-    /// The feed is to be followed elsewhere.
+    /// Discovery is elsewhere from now on.
     Moved(FeedMove),
-    Desk,
+    DispatcherGone,
 }
 
-impl From<io::Error> for Over {
-    fn from(e: io::Error) -> Over {
-        Over::Call(e.to_string())
+impl From<io::Error> for CallEnd {
+    fn from(error: io::Error) -> CallEnd {
+        CallEnd::Failed(error.into())
     }
 }
 
-impl From<StreamError> for Over {
-    fn from(flaw: StreamError) -> Over {
-        Over::Call(flaw.to_string())
+impl From<StreamError> for CallEnd {
+    fn from(error: StreamError) -> CallEnd {
+        CallEnd::Failed(error.into())
     }
 }
 
-/// Read at once.
-const READ: usize = 16 << 10;
+/// Follows the event stream.
+pub struct DiscoveryClient {
+    shared: Arc<SharedContext>,
+    cursor: EventCursor,
+    feeds: FeedSelector,
+    moves: Receiver<FeedMove>,
+    reporter: AppliedVersionReporter,
+    /// Whether the last call was answered. True before the first one: only a change is logged.
+    is_up: bool,
+    has_been_up: bool,
+}
 
 impl DiscoveryClient {
+    /// A client that follows the first of the feeds from behind the event with the number `after`.
+    pub fn new(
+        director_name: String,
+        feeds: FeedSelector,
+        after: u64,
+        moves: Receiver<FeedMove>,
+        applied_versions: Receiver<AppliedVersion>,
+        shared: Arc<SharedContext>,
+    ) -> DiscoveryClient {
+        DiscoveryClient {
+            cursor: EventCursor::after_number(after),
+            feeds,
+            moves,
+            reporter: AppliedVersionReporter::new(director_name, applied_versions, Arc::clone(&shared)),
+            is_up: true,
+            has_been_up: false,
+            shared,
+        }
+    }
+
+    /// Follows the stream until the dispatcher is gone.
     pub fn run(mut self) {
         let began = Instant::now();
         loop {
-            let (start, before) = (Instant::now(), self.cursor.last_number());
-            match self.call().err().unwrap_or(Over::Ended) {
-                Over::Desk => return,
-                Over::Moved(to) => {
-                    if self.moved(to).is_err() {
+            let (call_began, last_before) = (Instant::now(), self.cursor.last_number());
+            match self.call().err().unwrap_or(CallEnd::Ended) {
+                CallEnd::DispatcherGone => return,
+                CallEnd::Moved(feed_move) => {
+                    if self.follow_move(feed_move).is_err() {
                         return;
                     }
                     continue;
                 }
-                // It is over only if the next call fails: relays end streams all the time.
-                Over::Ended => {
+                // It counts as down only if the next call fails: relays end streams all the time.
+                CallEnd::Ended => {
                     tracing::debug!("feed ended after={}", self.cursor.last_number());
                     self.feeds.on_stream_ended(began.elapsed());
                 }
-                Over::Again(why) => self.over(&why),
-                Over::Call(why) => {
-                    self.over(&why);
+                CallEnd::RetryEvent(reason) => self.mark_down(&reason),
+                CallEnd::Failed(error) => {
+                    self.mark_down(&error.to_string());
                     self.feeds.on_failed(began.elapsed());
                 }
             }
             // Called again at once, but for one that fails or ends at once: no loop without a pause.
-            if self.cursor.last_number() == before && start.elapsed() < self.shared.limits.feed_retry_delay {
-                std::thread::sleep(self.shared.limits.feed_retry_delay);
+            let retry_delay = self.shared.limits.feed_retry_delay;
+            if self.cursor.last_number() == last_before && call_began.elapsed() < retry_delay {
+                std::thread::sleep(retry_delay);
             }
         }
     }
 
-    fn over(&mut self, why: &str) {
+    fn mark_down(&mut self, reason: &str) {
         if std::mem::take(&mut self.is_up) {
-            tracing::info!("feed over after={} why={why}", self.cursor.last_number());
+            tracing::info!("feed over after={} why={reason}", self.cursor.last_number());
+        }
+    }
+
+    fn mark_up(&mut self) {
+        self.feeds.on_connected();
+        let was_up = std::mem::replace(&mut self.is_up, true);
+        let had_been_up = std::mem::replace(&mut self.has_been_up, true);
+        if !was_up || !had_been_up {
+            tracing::info!("feed up after={}", self.cursor.last_number());
         }
     }
 
-    /// The numbers go on: of what was known there, only what follows the last one is news.
-    fn moved(&mut self, (to, known): FeedMove) -> Result<(), Over> {
-        let Some((home, others)) = to.split_first() else { return Ok(()) };
+    /// The numbers go on: of what was known there, only what follows the last one is new.
+    fn follow_move(&mut self, feed_move: FeedMove) -> Result<(), CallEnd> {
+        let Some((home, others)) = feed_move.feeds.split_first() else { return Ok(()) };
         let from = self.feeds.current();
         tracing::info!("feed moved after={} from={from} to={home}", self.cursor.last_number());
-        self.feeds = FeedSelector::new(&self.director_name, *home, others);
-        for event in known.events {
+        self.feeds = FeedSelector::new(self.reporter.director_name(), *home, others);
+        for event in feed_move.known.events {
             if self.cursor.advance_if_next(event.number) {
-                self.take(event.event)?;
+                self.pass_on(event.event)?;
             }
         }
         Ok(())
     }
 
-    fn take(&mut self, fact: DiscoveryEvent) -> Result<(), Over> {
-        self.shared.events.send(Event::Discovery(fact)).map_err(|_| Over::Desk)
+    fn pass_on(&mut self, event: DiscoveryEvent) -> Result<(), CallEnd> {
+        self.shared.events.send(Event::Discovery(event)).map_err(|_| CallEnd::DispatcherGone)
     }
 
-    /// An error if the feed is to be followed elsewhere.
-    fn stays(&self) -> Result<(), Over> {
-        self.moves.try_recv().map_or(Ok(()), |to| Err(Over::Moved(to)))
+    /// An error if discovery is elsewhere from now on.
+    fn check_moved(&self) -> Result<(), CallEnd> {
+        self.moves.try_recv().map_or(Ok(()), |feed_move| Err(CallEnd::Moved(feed_move)))
     }
 
-    /// Says what is in force, where a hierarchy is: again after a while until it is heard.
-    fn say(&mut self) {
-        let now = Instant::now();
-        for in_force in self.applied_versions.try_iter() {
-            self.pending_report = Some((in_force, now));
-        }
-        let Some((word, at)) = self.pending_report.filter(|(_, at)| *at <= now) else { return };
-        match self.said(word) {
-            Ok(()) => self.pending_report = None,
-            Err(e) => {
-                tracing::debug!("feed: in force not heard: {e}");
-                self.pending_report = Some((word, at.max(now) + self.shared.limits.feed_silence_timeout));
-            }
-        }
-    }
-
-    fn said(&self, word: AppliedVersion) -> io::Result<()> {
-        let body = format!(
-            r#"{{"party":"{}","number":{},"digest":"{:016x}"}}"#,
-            self.director_name, word.number, word.digest
-        );
-        let (at, dial) = (self.feeds.current(), Duration::from_nanos(self.shared.limits.connect_timeout));
-        let stream = TcpStream::connect_timeout(&at, dial)?;
-        stream.set_read_timeout(Some(dial))?;
-        stream.set_write_timeout(Some(dial))?;
-        let request = format!(
-            "POST /v1/hierarchy/in-force HTTP/1.1\r\nHost: {}\r\nContent-Type: application/json\r\n\
-             Content-Length: {}\r\nConnection: close\r\n\r\n{body}",
-            at,
-            body.len()
-        );
-        (&stream).write_all(request.as_bytes())?;
-        let mut intake = ReadBuffer::new(
-            self.shared.limits.max_head_bytes,
-            self.shared.limits.max_feed_event_bytes,
-            &self.shared.memory_budget,
-        );
+    /// One connection, read until its end.
+    fn call(&mut self) -> Result<(), CallEnd> {
+        self.check_moved()?;
+        counters::add(&self.shared.counters.feed_calls, 1);
+        let socket = self.connect()?;
+        let mut parser = EventStreamParser::new(self.shared.limits.max_feed_event_bytes);
         loop {
-            let mut headers = [httparse::EMPTY_HEADER; 32];
-            let mut answer = httparse::Response::new(&mut headers);
-            match answer.parse(intake.unread()) {
-                Ok(httparse::Status::Complete(_)) if answer.code.is_some_and(|c| c / 100 == 2) => {
-                    return Ok(());
+            while let Some(item) = parser.next_item()? {
+                match item {
+                    StreamItem::Connected => self.mark_up(),
+                    StreamItem::Event { id, data } => self.on_event(id, &data)?,
+                    StreamItem::Comment(_) => {}
                 }
-                Ok(httparse::Status::Partial) if intake.fill(&stream)? => {}
-                _ => return Err(io::Error::new(ErrorKind::InvalidData, "not taken")),
+            }
+            if !self.read(&mut parser, &socket)? {
+                return Ok(parser.finish()?);
             }
         }
     }
 
-    /// Reads more; false at the end. Silence past its time is an error, and so is news of another address.
-    fn hear(&mut self, stream: &mut EventStreamParser, socket: &TcpStream) -> Result<bool, Over> {
-        let (start, mut bytes) = (Instant::now(), [0; READ]);
+    fn connect(&self) -> io::Result<TcpStream> {
+        let (feed, limits) = (self.feeds.current(), &self.shared.limits);
+        let socket = TcpStream::connect_timeout(&feed, Duration::from_nanos(limits.connect_timeout))?;
+        socket.set_read_timeout(Some(limits.feed_poll_interval))?;
+        socket.set_write_timeout(Some(limits.feed_silence_timeout))?;
+        (&socket).write_all(events_request(feed, self.cursor.last_number()).as_bytes())?;
+        Ok(socket)
+    }
+
+    /// Reads more; false at the end. Silence past its time is an error, and so is a move.
+    fn read(&mut self, parser: &mut EventStreamParser, mut socket: &TcpStream) -> Result<bool, CallEnd> {
+        let (began, mut bytes) = (Instant::now(), [0; READ_LENGTH]);
         loop {
-            self.say();
-            self.stays()?;
-            match (&mut &*socket).read(&mut bytes) {
-                Err(e) if is_would_block(&e) && start.elapsed() < self.shared.limits.feed_silence_timeout => {
+            self.reporter.report_if_due(self.feeds.current());
+            self.check_moved()?;
+            match socket.read(&mut bytes) {
+                Err(e) if is_would_block(&e) => {
+                    if began.elapsed() >= self.shared.limits.feed_silence_timeout {
+                        return Err(CallEnd::Failed(CallError::Silent));
+                    }
                 }
-                Err(e) if is_would_block(&e) => return Err(Over::Call("silent".into())),
                 Err(e) => return Err(e.into()),
                 Ok(0) => return Ok(false),
-                Ok(n) => {
-                    stream.push(&bytes[..n]);
+                Ok(count) => {
+                    parser.push(&bytes[..count]);
                     return Ok(true);
                 }
             }
         }
     }
 
-    /// One connection, read until its end.
-    fn call(&mut self) -> Result<(), Over> {
-        self.stays()?;
-        counters::add(&self.shared.counters.feed_calls, 1);
-        let at = self.feeds.current();
-        let socket =
-            TcpStream::connect_timeout(&at, Duration::from_nanos(self.shared.limits.connect_timeout))?;
-        socket.set_read_timeout(Some(self.shared.limits.feed_poll_interval))?;
-        socket.set_write_timeout(Some(self.shared.limits.feed_silence_timeout))?;
-        (&socket).write_all(events_request(at, self.cursor.last_number()).as_bytes())?;
-        let mut stream = EventStreamParser::new(self.shared.limits.max_feed_event_bytes);
-        loop {
-            while let Some(said) = stream.next_item()? {
-                match said {
-                    StreamItem::Connected => {
-                        self.feeds.on_connected();
-                        if !std::mem::replace(&mut self.is_up, true) || self.is_first_call {
-                            tracing::info!("feed up after={}", self.cursor.last_number());
-                        }
-                        self.is_first_call = false;
-                    }
-                    StreamItem::Event { id, data } => self.event(id, &data)?,
-                    StreamItem::Comment(_) => {}
-                }
-            }
-            if !self.hear(&mut stream, &socket)? {
-                return Ok(stream.finish()?);
-            }
-        }
-    }
-
     /// Takes one event in, unless it is a repeat or others are missing before it.
-    fn event(&mut self, id: Option<u64>, data: &str) -> Result<(), Over> {
-        let parsed = serde_json::from_str(data).map_err(|e| e.to_string());
-        let parsed = parsed.and_then(|v: Value| NumberedEvent::from_json(&v));
-        match self.cursor.classify(id, parsed.map(|e| (e.number, e.event))) {
-            EventVerdict::New(fact) => self.take(fact),
+    fn on_event(&mut self, id: Option<u64>, data: &str) -> Result<(), CallEnd> {
+        match self.cursor.classify(id, parse_event(data)) {
+            EventVerdict::New(event) => self.pass_on(event),
             EventVerdict::Duplicate => Ok(()),
-            EventVerdict::Resubscribe(why) => {
+            EventVerdict::Resubscribe(reason) => {
                 counters::add(&self.shared.counters.feed_gaps, 1);
-                Err(Over::Again(why))
+                Err(CallEnd::RetryEvent(reason))
             }
-            EventVerdict::Skip { number, reason: why } => {
+            EventVerdict::Skip { number, reason } => {
                 counters::add(&self.shared.counters.feed_skipped, 1);
-                tracing::warn!("feed skipped n={number}: {why}");
+                tracing::warn!("feed skipped n={number}: {reason}");
                 Ok(())
             }
         }
     }
 }
+
+fn parse_event(data: &str) -> Result<(u64, DiscoveryEvent), String> {
+    let value: Value = serde_json::from_str(data).map_err(|e| e.to_string())?;
+    let event = NumberedEvent::from_json(&value).map_err(|e| e.to_string())?;
+    Ok((event.number, event.event))
+}
--- /dev/null
+++ b/crates/director/src/wire/incoming_answer.rs
@@ -0,0 +1,90 @@
+//! An answer of a node, whose head has come and whose body is coming in.
+
+use std::io::{self, Read};
+use std::sync::Arc;
+
+use mio::net::TcpStream;
+use sablecross::{Ns, Outcome};
+
+use super::node_protocol::{AnswerHead, LINE_END};
+use super::read_buffer::ReadBuffer;
+use crate::events::{AttemptEnded, CachedCopy};
+use crate::memory_budget::{Body, MemoryBudget};
+
+/// An answer whose body is read.
+pub(super) struct IncomingAnswer {
+    ended: AttemptEnded,
+    tag: Box<str>,
+    is_unchanged: bool,
+    /// None if there is no room for it: it is read and dropped.
+    body: Option<Body>,
+    body_length: usize,
+    received: usize,
+}
+
+impl IncomingAnswer {
+    /// An answer of which the head has come.
+    pub(super) fn new(head: &AnswerHead<'_>, memory_budget: &Arc<MemoryBudget>) -> IncomingAnswer {
+        IncomingAnswer {
+            ended: AttemptEnded {
+                request_id: head.request_id,
+                outcome: head.outcome,
+                is_cache_hit: head.is_cache_hit,
+                load: head.load,
+                copy: None,
+                ended_at: 0,
+            },
+            tag: head.tag.unwrap_or_default().into(),
+            is_unchanged: head.is_unchanged,
+            body: memory_budget.allocate_body(head.body_length),
+            body_length: head.body_length,
+            received: 0,
+        }
+    }
+
+    pub(super) fn body_length(&self) -> usize {
+        self.body_length
+    }
+
+    /// Whether all of its body has come.
+    pub(super) fn has_body(&self) -> bool {
+        self.received == self.body_length
+    }
+
+    /// Takes in what has come; with all of the body there, the end of its line. False at the end of the stream.
+    pub(super) fn read(&mut self, buffer: &mut ReadBuffer, mut stream: &TcpStream) -> io::Result<bool> {
+        let buffered = buffer.unread().len().min(self.body_length - self.received);
+        if let Some(body) = self.body.as_mut() {
+            let to = &mut body.bytes_mut()[self.received..self.received + buffered];
+            to.copy_from_slice(&buffer.unread()[..buffered]);
+        }
+        buffer.consume(buffered);
+        self.received += buffered;
+        let is_missing_more = self.received < self.body_length;
+        match self.body.as_mut() {
+            Some(body) if is_missing_more => {
+                let read = stream.read(&mut body.bytes_mut()[self.received..])?;
+                self.received += read;
+                Ok(read > 0)
+            }
+            None if is_missing_more => buffer.fill(stream),
+            _ if buffer.unread().len() >= LINE_END.len() => Ok(true),
+            _ => buffer.fill(stream),
+        }
+    }
+
+    /// The end of the attempt, at the time at which all of the answer had come.
+    pub(super) fn into_result(self, ended_at: Ns) -> AttemptEnded {
+        let IncomingAnswer { mut ended, tag, is_unchanged, body, .. } = self;
+        ended.ended_at = ended_at;
+        match body {
+            // Without room for its body it counts as cancelled.
+            None => ended.outcome = Outcome::Cancelled,
+            Some(body) if ended.outcome == Outcome::Success => {
+                ended.copy = Some(CachedCopy { tag, body: (!is_unchanged).then(|| Arc::new(body)) });
+            }
+            Some(_) => {}
+        }
+        ended
+    }
+}
--- a/crates/director/src/wire/node_connections.rs
+++ b/crates/director/src/wire/node_connections.rs
@@ -1,280 +1,328 @@
-//! The connections to nodes: one thread holds them all, makes them, writes sends and reads answers. It waits for
-//! any of them, and never for one alone.
+//! The thread that holds all connections to nodes: it makes them, writes messages and reads answers. It waits for any
+//! of them, and never for one alone.
 
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
+use std::time::Duration;
 
-use crossbeam_channel::{Receiver, Sender, bounded};
+use crossbeam_channel::{Receiver, Sender, TryRecvError, bounded};
 use mio::net::TcpStream;
 use mio::{Events, Interest, Poll, Token, Waker};
 use sablecross::Ns;
 
 use super::node_connection::{CloseReason, NodeConnection};
-pub use super::node_connection::{Content, OutgoingMessage};
+use super::outgoing_message::OutgoingMessage;
 use crate::counters;
-use crate::events::{CancellationFlag, ConnectionLoss, Event, NodeConnectionId, RequestId};
+use crate::events::{ConnectionLoss, Event, NodeConnectionId, RequestId};
 use crate::log_rate_limiter::LogRateLimiter;
 use crate::os_error::{is_local_shortage, is_network_trouble, is_would_block};
 use crate::shared::SharedContext;
 
+/// What the dispatcher has a connection do.
 pub enum ConnectionCommand {
+    /// Makes a connection.
     Connect {
+        /// The number under which it is named from then on.
         connection: NodeConnectionId,
+        /// The node's address.
         address: SocketAddr,
+        /// By when it must be established.
         deadline: Ns,
     },
+    /// Writes a message, once those before it are written.
     Send {
+        /// The connection.
         connection: NodeConnectionId,
+        /// The message.
         message: OutgoingMessage,
     },
+    /// Tells the node that an attempt is not wanted any more.
     Kill {
+        /// The connection that carried it.
         connection: NodeConnectionId,
+        /// The request of the attempt.
         request_id: RequestId,
     },
-    /// Some of its sends were withdrawn: what is not begun of them is not to be.
+    /// Some of its messages were withdrawn: those that are not begun are dropped.
     Withdraw(NodeConnectionId),
+    /// Closes a connection without a word of it.
     Close(NodeConnectionId),
 }
 
-/// The desk's way to the connections.
+/// The dispatcher's way to the connections.
 pub struct CommandSender {
-    orders: Sender<ConnectionCommand>,
+    commands: Sender<ConnectionCommand>,
     waker: Waker,
 }
 
 impl CommandSender {
-    /// False if there are more than can be kept.
-    pub fn send(&self, order: ConnectionCommand) -> bool {
-        let given = self.orders.try_send(order).is_ok();
-        // It wakes by itself before long.
+    /// Queues a command; false if the queue is full.
+    pub fn send(&self, command: ConnectionCommand) -> bool {
+        let is_sent = self.commands.try_send(command).is_ok();
+        // The thread wakes by itself before long.
         let _ = self.waker.wake();
-        given
+        is_sent
     }
 }
 
-const ORDERS: Token = Token(usize::MAX);
+const COMMANDS: Token = Token(usize::MAX);
 
+/// All connections to nodes.
 pub struct NodeConnectionServer {
     poll: Poll,
-    orders: Receiver<ConnectionCommand>,
-    of: Arc<SharedContext>,
-    wires: BTreeMap<NodeConnectionId, NodeConnection>,
-    /// Connections that have more to say than their share.
-    more: Vec<NodeConnectionId>,
-    sweep_at: Ns,
+    commands: Receiver<ConnectionCommand>,
+    shared: Arc<SharedContext>,
+    connections: BTreeMap<NodeConnectionId, NodeConnection>,
+    /// Connections of which no more than their share was read.
+    readable: Vec<NodeConnectionId>,
+    next_sweep: Ns,
     log: LogRateLimiter,
 }
 
+/// What some connection waits for.
+#[derive(Clone, Copy, Debug, Default)]
+struct PendingWork {
+    /// It could not be made yet.
+    needs_retry: bool,
+    /// It is not established yet.
+    is_connecting: bool,
+    /// Its client is to be looked at.
+    awaits_client_check: bool,
+}
+
 impl NodeConnectionServer {
-    pub fn new(of: &Arc<SharedContext>) -> io::Result<(NodeConnectionServer, CommandSender)> {
+    /// A server without connections, and the way to it.
+    pub fn new(shared: &Arc<SharedContext>) -> io::Result<(NodeConnectionServer, CommandSender)> {
         let poll = Poll::new()?;
-        let (orders, from_desk) = bounded(of.limits.command_queue_length);
-        let orders = CommandSender { orders, waker: Waker::new(poll.registry(), ORDERS)? };
-        Ok((
-            NodeConnectionServer {
-                poll,
-                orders: from_desk,
-                of: Arc::clone(of),
-                wires: BTreeMap::new(),
-                more: Vec::new(),
-                sweep_at: 0,
-                log: LogRateLimiter::default(),
-            },
-            orders,
-        ))
+        let (commands, from_dispatcher) = bounded(shared.limits.command_queue_length);
+        let sender = CommandSender { commands, waker: Waker::new(poll.registry(), COMMANDS)? };
+        let server = NodeConnectionServer {
+            poll,
+            commands: from_dispatcher,
+            shared: Arc::clone(shared),
+            connections: BTreeMap::new(),
+            readable: Vec::new(),
+            next_sweep: 0,
+            log: LogRateLimiter::default(),
+        };
+        Ok((server, sender))
     }
 
-    /// Serves for ever, or until the desk is gone.
+    /// Serves until the dispatcher is gone.
     pub fn run(mut self) {
-        let limits = &Arc::clone(&self.of).limits;
-        let mut events = Events::with_capacity(limits.max_messages_per_turn);
+        let mut events = Events::with_capacity(self.shared.limits.max_messages_per_turn);
         loop {
-            let wait =
-                if self.more.is_empty() { self.of.clock.until(self.sweep_at) } else { Default::default() };
+            let wait = if self.readable.is_empty() {
+                self.shared.clock.until(self.next_sweep)
+            } else {
+                Duration::ZERO
+            };
             if let Err(e) = self.poll.poll(&mut events, Some(wait))
                 && !is_would_block(&e)
             {
                 return tracing::error!("connections to nodes: {e}");
             }
-            let mut again = std::mem::take(&mut self.more);
-            let mut writable = Vec::new();
-            for event in events.iter().filter(|event| event.token() != ORDERS) {
-                let link = event.token().0 as NodeConnectionId;
-                if event.is_writable() {
-                    self.with(link, |wire, _| wire.check_connected());
-                    writable.push(link);
-                }
-                again.push(link);
+            self.handle_socket_events(&events);
+            if !self.handle_commands() {
+                return;
             }
-            again.sort_unstable();
-            again.dedup();
-            // What has come first: nothing is begun on a connection whose end is here already.
-            again.into_iter().for_each(|link| self.read(link));
-            for link in writable {
-                self.with(link, |wire, of| wire.write(of));
+            self.sweep_if_due();
+        }
+    }
+
+    /// What has come is read before anything is written: nothing is begun on a connection whose end is here already.
+    fn handle_socket_events(&mut self, events: &Events) {
+        let mut readable = std::mem::take(&mut self.readable);
+        let mut writable = Vec::new();
+        for event in events.iter().filter(|event| event.token() != COMMANDS) {
+            let id = event.token().0 as NodeConnectionId;
+            if event.is_writable() {
+                self.with_connection(id, |connection, _| connection.check_connected());
+                writable.push(id);
             }
-            loop {
-                match self.orders.try_recv() {
-                    Ok(order) => self.order(order),
-                    Err(e) if e.is_empty() => break,
-                    Err(_) => return,
-                }
+            readable.push(id);
+        }
+        readable.sort_unstable();
+        readable.dedup();
+        readable.into_iter().for_each(|id| self.read(id));
+        writable.into_iter().for_each(|id| self.write(id));
+    }
+
+    /// Carries out the commands that wait; false if the dispatcher is gone.
+    fn handle_commands(&mut self) -> bool {
+        loop {
+            match self.commands.try_recv() {
+                Ok(command) => self.handle_command(command),
+                Err(TryRecvError::Empty) => return true,
+                Err(TryRecvError::Disconnected) => return false,
+            }
+        }
+    }
+
+    fn handle_command(&mut self, command: ConnectionCommand) {
+        match command {
+            ConnectionCommand::Connect { connection, address, deadline } => {
+                self.open(connection, address, deadline);
             }
-            let now = self.of.clock.now();
-            if now >= self.sweep_at {
-                self.sweep(now);
-                let dialing = self.wires.values().any(|wire| !wire.is_up);
-                let unmade = self.wires.values().any(|wire| wire.stream.is_none());
-                self.sweep_at = now
-                    + match (unmade, dialing) {
-                        (true, _) => limits.shortage_retry_interval,
-                        (false, true) => limits.answer_margin,
-                        (false, false) => limits.sweep_interval,
-                    };
+            ConnectionCommand::Close(id) => drop(self.connections.remove(&id)),
+            ConnectionCommand::Withdraw(id) => self.write(id),
+            ConnectionCommand::Send { connection, message } => {
+                // Its end may have come since it was looked at: what is not begun on it has never run.
+                if self.connections.get(&connection).is_some_and(|connection| connection.is_up) {
+                    self.read(connection);
+                }
+                self.send(connection, message);
             }
-            if self.wires.values().any(|wire| wire.awaits_client_check) {
-                self.sweep_at = self.sweep_at.min(now + limits.client_check_interval);
+            ConnectionCommand::Kill { connection, request_id } => {
+                let deadline = self.shared.clock.now() + self.shared.limits.default_write_timeout;
+                self.send(connection, OutgoingMessage::kill(request_id, deadline));
             }
         }
     }
 
-    fn with<T>(
+    /// Runs something on a connection, which ends if that fails.
+    fn with_connection<T>(
         &mut self,
-        link: NodeConnectionId,
+        id: NodeConnectionId,
         run: impl FnOnce(&mut NodeConnection, &SharedContext) -> Result<T, CloseReason>,
     ) -> Option<T> {
-        let wire = self.wires.get_mut(&link)?;
-        run(wire, &self.of).map_err(|why| self.lose(link, why)).ok()
+        let connection = self.connections.get_mut(&id)?;
+        run(connection, &self.shared).map_err(|reason| self.close(id, reason)).ok()
     }
 
-    fn read(&mut self, link: NodeConnectionId) {
-        if self.with(link, |wire, of| wire.read(of)) == Some(true) {
-            self.more.push(link);
+    fn read(&mut self, id: NodeConnectionId) {
+        if self.with_connection(id, |connection, shared| connection.read(shared)) == Some(true) {
+            self.readable.push(id);
         }
     }
 
-    fn order(&mut self, order: ConnectionCommand) {
-        let (link, send) = match order {
-            ConnectionCommand::Connect { connection: link, address, deadline: by } => {
-                return self.dial(link, address, by);
-            }
-            ConnectionCommand::Close(link) => return drop(self.wires.remove(&link)),
-            ConnectionCommand::Withdraw(link) => {
-                self.with(link, |wire, of| wire.write(of));
-                return;
-            }
-            ConnectionCommand::Send { connection: link, message: send } => {
-                // Its end may have come since it was looked at: what is not begun on it has never run.
-                if self.wires.get(&link).is_some_and(|wire| wire.is_up) {
-                    self.read(link);
-                }
-                (link, send)
-            }
-            ConnectionCommand::Kill { connection: link, request_id: name } => {
-                let until = self.of.clock.now() + self.of.limits.default_write_timeout;
-                let (off, withdrawn) = (CancellationFlag::default(), CancellationFlag::default());
-                (
-                    link,
-                    OutgoingMessage {
-                        request_id: name,
-                        content: Content::Kill { deadline: until },
-                        withdrawal: off,
-                        client_cancellation: withdrawn,
-                    },
-                )
-            }
-        };
-        self.with(link, |wire, of| {
-            wire.queue.push_back(send);
-            wire.write(of)
+    fn write(&mut self, id: NodeConnectionId) {
+        self.with_connection(id, |connection, shared| connection.write(shared));
+    }
+
+    fn send(&mut self, id: NodeConnectionId, message: OutgoingMessage) {
+        self.with_connection(id, |connection, shared| {
+            connection.queue.push_back(message);
+            connection.write(shared)
         });
     }
 
-    fn dial(&mut self, link: NodeConnectionId, address: SocketAddr, by: Ns) {
-        let wire = NodeConnection::new(link, address, by, &self.of);
-        self.wires.insert(link, wire);
-        self.connect(link);
-        // It must be given up in its time, if it does not come up.
-        self.sweep_at = self.sweep_at.min(self.of.clock.now() + self.of.limits.answer_margin);
+    fn open(&mut self, id: NodeConnectionId, address: SocketAddr, deadline: Ns) {
+        self.connections.insert(id, NodeConnection::new(id, address, deadline, &self.shared));
+        self.connect(id);
+        // It must be abandoned in its time, if it is not established.
+        self.next_sweep = self.next_sweep.min(self.shared.clock.now() + self.shared.limits.answer_margin);
     }
 
-    /// Makes a connection. What this machine is short of passes: it is tried again for as long as it may take to
-    /// come up, and its sends wait.
-    fn connect(&mut self, link: NodeConnectionId) {
-        let Some(wire) = self.wires.get_mut(&link) else { return };
-        let made = TcpStream::connect(wire.address).and_then(|mut stream| {
+    /// Makes a connection. What this machine is short of passes: it is tried again for as long as it may take to be
+    /// established, and its messages wait.
+    fn connect(&mut self, id: NodeConnectionId) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let made = TcpStream::connect(connection.address).and_then(|mut stream| {
             let interest = Interest::READABLE | Interest::WRITABLE;
-            self.poll.registry().register(&mut stream, Token(link as usize), interest)?;
-            // Without it sends are but slower.
+            self.poll.registry().register(&mut stream, Token(id as usize), interest)?;
+            // Without it messages are but slower.
             let _ = stream.set_nodelay(true);
             Ok(stream)
         });
         match made {
-            Ok(stream) => wire.stream = Some(stream),
+            Ok(stream) => connection.stream = Some(stream),
             Err(e) if is_local_shortage(&e) => {
-                let lasting = if is_network_trouble(&e) {
-                    CloseReason::Unreachable
+                connection.shortage_reason = if is_network_trouble(&e) {
+                    ConnectionLoss::Unreachable
                 } else {
-                    CloseReason::LocalShortage
+                    ConnectionLoss::LocalShortage
                 };
-                wire.shortage_reason = lasting;
-                wire.next_connect_at = self.of.clock.now() + self.of.limits.shortage_retry_interval;
-                self.sweep_at = self.sweep_at.min(wire.next_connect_at);
-                counters::add(&self.of.counters.shortages, 1);
-                let address = wire.address;
-                self.log.warn(self.of.clock.now(), || format!("link {link} to {address} waits: {e}"));
+                connection.next_connect_at =
+                    self.shared.clock.now() + self.shared.limits.shortage_retry_interval;
+                self.next_sweep = self.next_sweep.min(connection.next_connect_at);
+                counters::add(&self.shared.counters.shortages, 1);
+                let address = connection.address;
+                self.log.warn(self.shared.clock.now(), || format!("connection {id} to {address} waits: {e}"));
             }
             Err(e) => {
-                tracing::debug!("link {link} to {}: {e}", wire.address);
-                self.lose(link, CloseReason::Unreachable);
+                tracing::debug!("connection {id} to {}: {e}", connection.address);
+                self.close(id, CloseReason::Lost(ConnectionLoss::Unreachable));
             }
         }
     }
 
-    /// Makes what could not be made; ends what did not come up, or does not take what it is given, in time.
+    fn sweep_if_due(&mut self) {
+        let now = self.shared.clock.now();
+        let is_due = now >= self.next_sweep;
+        if is_due {
+            self.sweep(now);
+        }
+        let limits = &self.shared.limits;
+        let pending = self.pending_work();
+        if is_due {
+            let interval = match pending {
+                PendingWork { needs_retry: true, .. } => limits.shortage_retry_interval,
+                PendingWork { is_connecting: true, .. } => limits.answer_margin,
+                _ => limits.sweep_interval,
+            };
+            self.next_sweep = now + interval;
+        }
+        if pending.awaits_client_check {
+            self.next_sweep = self.next_sweep.min(now + limits.client_check_interval);
+        }
+    }
+
+    fn pending_work(&self) -> PendingWork {
+        let mut pending = PendingWork::default();
+        for connection in self.connections.values() {
+            pending.needs_retry |= connection.stream.is_none();
+            pending.is_connecting |= !connection.is_up;
+            pending.awaits_client_check |= connection.awaits_client_check;
+        }
+        pending
+    }
+
+    /// Makes what could not be made; ends what is not established, or does not take what it is given, in time.
     fn sweep(&mut self, now: Ns) {
-        let unmade = self
-            .wires
-            .iter()
-            .filter(|(_, w)| w.stream.is_none() && now >= w.next_connect_at && now < w.connect_deadline);
-        let unmade: Vec<NodeConnectionId> = unmade.map(|(link, _)| *link).collect();
-        unmade.into_iter().for_each(|link| self.connect(link));
-        let late = self.wires.values().filter(|w| !w.is_up && now >= w.connect_deadline);
-        let late: Vec<(NodeConnectionId, CloseReason)> = late
-            .map(|w| (w.id, if w.stream.is_none() { w.shortage_reason } else { CloseReason::Unreachable }))
-            .collect();
-        late.into_iter().for_each(|(link, why)| self.lose(link, why));
-        let waiting = self.wires.iter().filter(|(_, w)| !w.queue.is_empty()).map(|(link, _)| *link);
-        for link in waiting.collect::<Vec<NodeConnectionId>>() {
-            self.with(link, |wire, of| wire.write(of));
+        let unmade = self.connections.values().filter(|connection| {
+            connection.stream.is_none()
+                && now >= connection.next_connect_at
+                && now < connection.connect_deadline
+        });
+        let unmade: Vec<NodeConnectionId> = unmade.map(|connection| connection.id).collect();
+        unmade.into_iter().for_each(|id| self.connect(id));
+        let overdue = self
+            .connections
+            .values()
+            .filter(|connection| !connection.is_up && now >= connection.connect_deadline);
+        let overdue: Vec<(NodeConnectionId, ConnectionLoss)> =
+            overdue.map(|connection| (connection.id, connection.connect_failure())).collect();
+        for (id, loss) in overdue {
+            self.close(id, CloseReason::Lost(loss));
         }
+        let waiting = self.connections.values().filter(|connection| !connection.queue.is_empty());
+        let waiting: Vec<NodeConnectionId> = waiting.map(|connection| connection.id).collect();
+        waiting.into_iter().for_each(|id| self.write(id));
     }
 
     /// A connection is over. What was not begun to be written on it never ran.
-    fn lose(&mut self, link: NodeConnectionId, why: CloseReason) {
-        let Some(mut wire) = self.wires.remove(&link) else { return };
-        // Whole answers may have come before the end: they are owed.
-        for _ in 0..self.of.limits.max_messages_per_turn {
-            if !wire.is_up || wire.read(&self.of) != Ok(true) {
+    fn close(&mut self, id: NodeConnectionId, reason: CloseReason) {
+        let Some(mut connection) = self.connections.remove(&id) else { return };
+        // Complete answers may have come before the end: they count.
+        for _ in 0..self.shared.limits.max_messages_per_turn {
+            if !connection.is_up || connection.read(&self.shared) != Ok(true) {
                 break;
             }
         }
-        if let CloseReason::ProtocolError(why) = why {
-            counters::add(&self.of.counters.bad_lines, 1);
-            let address = wire.address;
-            self.log.warn(self.of.clock.now(), || format!("link {link} to {address}: {why}"));
+        if let CloseReason::Fault(fault) = reason {
+            counters::add(&self.shared.counters.bad_lines, 1);
+            let address = connection.address;
+            self.log.warn(self.shared.clock.now(), || format!("connection {id} to {address}: {fault}"));
         }
-        let why = match why {
-            _ if wire.is_up => ConnectionLoss::Broken,
-            CloseReason::LocalShortage => ConnectionLoss::LocalShortage,
-            _ => ConnectionLoss::Unreachable,
+        let loss = match reason {
+            _ if connection.is_up => ConnectionLoss::Broken,
+            CloseReason::Lost(ConnectionLoss::LocalShortage) => ConnectionLoss::LocalShortage,
+            CloseReason::Lost(_) | CloseReason::Fault(_) => ConnectionLoss::Unreachable,
         };
-        let _ = self.of.events.send(Event::ConnectionLost {
-            connection: link,
-            loss: why,
-            begun_requests: wire.begun,
-        });
+        let begun_requests = connection.begun;
+        let _ = self.shared.events.send(Event::ConnectionLost { connection: id, loss, begun_requests });
     }
 }
--- a/crates/director/src/wire/node_pool.rs
+++ b/crates/director/src/wire/node_pool.rs
@@ -1,317 +1,364 @@
-//! The node side, as the desk sees it: a small pool of connections to each node, opened when they are wanted. No
-//! call here waits for a socket: `links` serves them.
+//! The nodes as the dispatcher sees them: a small pool of connections to each, made when they are wanted. No call here
+//! waits for a socket: `node_connections` serves them.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use sablecross::{EndpointState, EndpointUpdate, Ns, Outcome};
+use sablecross::{AttemptSpec, EndpointState, EndpointUpdate, Ns, Outcome};
 
 use super::node_connections::{CommandSender, ConnectionCommand};
-use super::{node_connections, node_protocol};
+use super::node_protocol;
+use super::outgoing_message::{Content, OutgoingMessage};
 use crate::discovery_event::Endpoint;
-use crate::events::{CancellationFlag, IncomingRequest, NodeConnectionId, RequestId};
+use crate::events::{CancellationFlag, IncomingRequest, NodeConnectionId, RequestId, RequestKey};
 use crate::node_registry::NodeRegistry;
 use crate::shared::SharedContext;
 
-/// One send on a connection.
+/// An attempt that is outstanding on a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct InflightAttempt {
-    pub id: u64,
+    /// The request in flight.
+    pub key: RequestKey,
+    /// The index of the attempt among those of the request.
     pub attempt: usize,
+    /// When it was given to the connection.
     pub sent_at: Ns,
 }
 
-/// A send that is out, and the word between desk and writer that it is not to be written any more.
-struct Flight {
-    out: InflightAttempt,
+struct OutstandingAttempt {
+    attempt: InflightAttempt,
+    /// The node from which a miss is filled.
     source: Option<usize>,
-    off: CancellationFlag,
+    /// Tells the connection's thread that it is not to be begun any more.
+    withdrawal: CancellationFlag,
 }
 
-struct Open {
+struct PooledConnection {
     node: usize,
-    out: BTreeMap<RequestId, Flight>,
-    /// When it was opened or last heard of.
-    heard: Ns,
-    /// When its last send was made or ended.
-    used: Ns,
-    /// Nothing more goes here; it closes once nothing is out.
-    retired: bool,
+    outstanding: BTreeMap<RequestId, OutstandingAttempt>,
+    /// When it was made or last answered.
+    last_received: Ns,
+    /// When its last attempt was sent or answered.
+    last_used: Ns,
+    /// Nothing more is sent on it; it is closed once nothing is outstanding.
+    is_retired: bool,
 }
 
 struct Pool {
     address: SocketAddr,
-    links: Vec<NodeConnectionId>,
+    connections: Vec<NodeConnectionId>,
 }
 
+/// How a connection ranks for the next attempt: the fewest outstanding first, then the one used last.
+type Rank = (usize, Ns, NodeConnectionId);
+
+/// The pools of connections to all nodes.
 pub struct NodePool {
-    common: Arc<SharedContext>,
-    /// By the module's numbers.
+    shared: Arc<SharedContext>,
+    /// By the router's index of the node.
     pools: Vec<Pool>,
-    roster: NodeRegistry,
-    links: HashMap<NodeConnectionId, Open>,
-    next: NodeConnectionId,
-    orders: CommandSender,
-    /// Connections to be closed, for which there was no room among the orders.
-    closing: VecDeque<NodeConnectionId>,
+    registry: NodeRegistry,
+    connections: HashMap<NodeConnectionId, PooledConnection>,
+    next_id: NodeConnectionId,
+    commands: CommandSender,
+    /// Connections that are to be closed, for which there was no room among the commands.
+    unsent_closes: VecDeque<NodeConnectionId>,
 }
 
 impl NodePool {
-    pub fn new(orders: CommandSender, common: Arc<SharedContext>) -> NodePool {
+    /// Without nodes.
+    pub fn new(commands: CommandSender, shared: Arc<SharedContext>) -> NodePool {
         NodePool {
-            common,
+            shared,
             pools: Vec::new(),
-            roster: NodeRegistry::default(),
-            links: HashMap::new(),
-            next: 0,
-            orders,
-            closing: VecDeque::new(),
+            registry: NodeRegistry::default(),
+            connections: HashMap::new(),
+            next_id: 0,
+            commands,
+            unsent_closes: VecDeque::new(),
         }
     }
 
+    /// The connections that are open or being made.
     pub fn open_connections(&self) -> usize {
-        self.links.len()
+        self.connections.len()
     }
 
+    /// The connections made since the start.
     pub fn opened_connections(&self) -> u64 {
-        self.next
+        self.next_id
     }
 
+    /// The router's index of a node.
     pub fn index_of(&self, name: &str) -> Option<usize> {
-        self.roster.index_of(name)
+        self.registry.index_of(name)
     }
 
+    /// The name of a node.
     pub fn name(&self, node: usize) -> &str {
-        self.roster.name(node)
+        self.registry.name(node)
     }
 
-    /// What the list says of a node.
+    /// What discovery says of a node.
     pub fn state(&self, node: usize) -> EndpointState {
-        self.roster.state(node)
+        self.registry.state(node)
     }
 
-    /// Starts of nodes that are to be listed, before the first of them is.
-    pub fn observe_starts(&mut self, members: &[Endpoint]) {
-        self.roster.observe_starts(members, self.common.clock.now());
+    /// Takes in the starts of nodes, before the first of these endpoints is listed.
+    pub fn observe_starts(&mut self, endpoints: &[Endpoint]) {
+        self.registry.observe_starts(endpoints, self.shared.clock.now());
     }
 
-    /// Lines of the list as the module reads them.
+    /// The endpoints as the router reads them. Connections to nodes that have gone are closed, attempts that wait for
+    /// a node that drains are withdrawn.
     ///
-    /// `oldest` is the oldest lookup in hand, `next` the one to come: numbers of nodes that are gone are given out
-    /// again, so that what is kept by them is bounded by the nodes there are and the lookups in hand.
+    /// `oldest` is the key of the oldest request in flight, `next` that of the one to come: indexes of nodes that are
+    /// gone are given out again, so that what is kept by them is bounded by the nodes there are and the requests in
+    /// flight.
     pub fn update_endpoints(
         &mut self,
-        members: &[Endpoint],
-        whole: bool,
-        oldest: u64,
-        next: u64,
+        endpoints: &[Endpoint],
+        is_snapshot: bool,
+        oldest: RequestKey,
+        next: RequestKey,
     ) -> Vec<EndpointUpdate> {
-        let now = self.common.clock.now();
-        self.roster.observe_starts(members, now);
+        let now = self.shared.clock.now();
+        self.registry.observe_starts(endpoints, now);
         let pools = &self.pools;
-        self.roster.release_unused(oldest, |node| pools[node].links.is_empty());
-        let lines: Vec<EndpointUpdate> = members.iter().filter_map(|m| self.line(m, now)).collect();
-        let states: HashMap<usize, EndpointState> = lines.iter().map(|l| (l.node, l.state)).collect();
+        self.registry.release_unused(oldest, |node| pools[node].connections.is_empty());
+        let updates: Vec<EndpointUpdate> =
+            endpoints.iter().filter_map(|endpoint| self.update_endpoint(endpoint, now)).collect();
+        let states: HashMap<usize, EndpointState> =
+            updates.iter().map(|update| (update.node, update.state)).collect();
         // What still waits to be written must not begin after the grace, however late its connection comes up.
-        let stays = |node| states.get(&node).map_or(!whole, |s| *s == EndpointState::Ready);
-        self.withdraw(|_, node, source| !stays(node) || source.is_some_and(|s| !stays(s)));
-        for node in self.roster.mark_gone(&lines, whole, next) {
+        let stays = |node| states.get(&node).map_or(!is_snapshot, |state| *state == EndpointState::Ready);
+        self.withdraw(|_, node, source| !stays(node) || source.is_some_and(|source| !stays(source)));
+        for node in self.registry.mark_gone(&updates, is_snapshot, next) {
             self.retire_all(node);
         }
-        lines
+        updates
     }
 
-    fn line(&mut self, m: &Endpoint, now: Ns) -> Option<EndpointUpdate> {
-        let line = self.roster.endpoint_update(&self.common.names, m, now)?;
-        if line.node == self.pools.len() {
-            self.pools.push(Pool { address: m.address, links: Vec::new() });
-        } else if self.pools[line.node].address != m.address {
-            self.retire_all(line.node);
-            self.pools[line.node].address = m.address;
+    fn update_endpoint(&mut self, endpoint: &Endpoint, now: Ns) -> Option<EndpointUpdate> {
+        let update = self.registry.endpoint_update(&self.shared.names, endpoint, now)?;
+        if update.node == self.pools.len() {
+            self.pools.push(Pool { address: endpoint.address, connections: Vec::new() });
+        } else if self.pools[update.node].address != endpoint.address {
+            self.retire_all(update.node);
+            self.pools[update.node].address = endpoint.address;
         }
-        Some(line)
+        Some(update)
     }
 
     fn retire_all(&mut self, node: usize) {
-        for link in self.pools[node].links.clone() {
-            self.retire(link);
+        for id in self.pools[node].connections.clone() {
+            self.retire(id);
         }
     }
 
-    /// No more goes to this connection; it closes once nothing is out.
-    fn retire(&mut self, link: NodeConnectionId) {
-        let Some(open) = self.links.get_mut(&link) else { return };
-        open.retired = true;
-        if open.out.is_empty() {
-            self.forget(link);
+    /// Nothing more is sent on this connection; it is closed once nothing is outstanding.
+    fn retire(&mut self, id: NodeConnectionId) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        connection.is_retired = true;
+        if connection.outstanding.is_empty() {
+            self.remove(id);
         }
     }
 
-    fn forget(&mut self, link: NodeConnectionId) -> Option<Open> {
-        let open = self.links.remove(&link)?;
-        self.closing.push_back(link);
-        while let Some(link) = self.closing.pop_front() {
-            if !self.orders.send(ConnectionCommand::Close(link)) {
-                self.closing.push_front(link);
+    fn remove(&mut self, id: NodeConnectionId) -> Option<PooledConnection> {
+        let connection = self.connections.remove(&id)?;
+        self.unsent_closes.push_back(id);
+        while let Some(id) = self.unsent_closes.pop_front() {
+            if !self.commands.send(ConnectionCommand::Close(id)) {
+                self.unsent_closes.push_front(id);
                 break;
             }
         }
-        if let Some(pool) = self.pools.get_mut(open.node) {
-            pool.links.retain(|&l| l != link);
+        if let Some(pool) = self.pools.get_mut(connection.node) {
+            pool.connections.retain(|&other| other != id);
         }
-        Some(open)
+        Some(connection)
     }
 
-    /// Writes a send to a connection of its node; else the outcome that this stands for. One that carried
-    /// this lookup before is left out: a late answer could be taken for that of this send.
+    /// Gives an attempt to a connection of its node; else the outcome that this stands for. A connection that carried
+    /// this request before is left out: a late answer could be taken for that of this attempt.
     pub fn send(
         &mut self,
-        out: InflightAttempt,
-        asked: &IncomingRequest,
-        send: &sablecross::AttemptSpec,
-        way: Option<&str>,
-        before: &[NodeConnectionId],
+        attempt: InflightAttempt,
+        request: &IncomingRequest,
+        spec: &AttemptSpec,
+        fill_path: Option<&str>,
+        used: &[NodeConnectionId],
     ) -> Result<NodeConnectionId, Outcome> {
-        let kind = self.common.names.classes.get(asked.class).ok_or(Outcome::NotSent)?;
-        let head = node_protocol::pull_head(asked, send, kind, send.source.map(|s| self.name(s)), way);
-        let link = self.choose(send.node, &asked.request_id, before, out.sent_at)?;
-        let open = self.links.get_mut(&link).ok_or(Outcome::NotSent)?;
-        let content = node_connections::Content::Pull {
-            head,
-            body: Arc::clone(&asked.body),
-            begin_by: send.begin_by,
-            answer_by: out.sent_at + send.timeout,
-        };
-        let (off, withdrawn) = (CancellationFlag::default(), asked.cancellation.clone());
-        let written = node_connections::OutgoingMessage {
-            request_id: asked.request_id,
-            content,
-            withdrawal: off.clone(),
-            client_cancellation: withdrawn,
+        let class = self.shared.names.classes.get(request.class).ok_or(Outcome::NotSent)?;
+        let source = spec.source.map(|source| self.name(source));
+        let head = node_protocol::pull_head(request, spec, class, source, fill_path);
+        let id = self.select_connection(spec.node, &request.request_id, used, attempt.sent_at)?;
+        let connection = self.connections.get_mut(&id).ok_or(Outcome::NotSent)?;
+        let withdrawal = CancellationFlag::default();
+        let message = OutgoingMessage {
+            request_id: request.request_id,
+            content: Content::Pull {
+                head,
+                body: Arc::clone(&request.body),
+                begin_by: spec.begin_by,
+                answer_by: attempt.sent_at + spec.timeout,
+            },
+            withdrawal: withdrawal.clone(),
+            client_cancellation: request.cancellation.clone(),
         };
-        if !self.orders.send(ConnectionCommand::Send { connection: link, message: written }) {
+        if !self.commands.send(ConnectionCommand::Send { connection: id, message }) {
             return Err(Outcome::NotSent);
         }
-        open.out.insert(asked.request_id, Flight { out, source: send.source, off });
-        open.used = out.sent_at;
-        Ok(link)
+        let outstanding = OutstandingAttempt { attempt, source: spec.source, withdrawal };
+        connection.outstanding.insert(request.request_id, outstanding);
+        connection.last_used = attempt.sent_at;
+        Ok(id)
     }
 
-    /// An idle connection, as one body blocks those behind it; else a new one; else the least laden.
-    fn choose(
+    /// An idle connection, as one body blocks those behind it; else a new one; else the one with the fewest attempts
+    /// outstanding.
+    fn select_connection(
         &mut self,
         node: usize,
-        name: &RequestId,
-        before: &[NodeConnectionId],
+        request_id: &RequestId,
+        used: &[NodeConnectionId],
         now: Ns,
     ) -> Result<NodeConnectionId, Outcome> {
-        let common = Arc::clone(&self.common);
-        let limits = &common.limits;
+        let shared = Arc::clone(&self.shared);
+        let limits = &shared.limits;
         let pool = self.pools.get(node).ok_or(Outcome::NotSent)?;
-        let mut best: Option<(usize, Ns, NodeConnectionId)> = None;
-        let mut stale = Vec::new();
-        for &link in &pool.links {
-            let Some(open) = self.links.get(&link).filter(|o| !o.retired) else { continue };
-            if open.out.is_empty() && now > open.used + limits.node_idle_timeout {
-                stale.push(link);
+        let mut best: Option<Rank> = None;
+        let mut idle_too_long = Vec::new();
+        for &id in &pool.connections {
+            let Some(connection) = self.connections.get(&id).filter(|connection| !connection.is_retired)
+            else {
+                continue;
+            };
+            let outstanding = connection.outstanding.len();
+            if outstanding == 0 && now > connection.last_used + limits.node_idle_timeout {
+                idle_too_long.push(id);
                 continue;
             }
-            let fits = open.out.len() < limits.max_open_per_connection
-                && !open.out.contains_key(name)
-                && !before.contains(&link);
-            let rank = (open.out.len(), now.saturating_sub(open.used), link);
-            if fits && best.is_none_or(|b| rank < b) {
+            let is_usable = outstanding < limits.max_open_per_connection
+                && !connection.outstanding.contains_key(request_id)
+                && !used.contains(&id);
+            let rank = (outstanding, now.saturating_sub(connection.last_used), id);
+            if is_usable && best.is_none_or(|best| rank < best) {
                 best = Some(rank);
             }
         }
-        let (count, address) = (pool.links.len() - stale.len(), pool.address);
-        stale.into_iter().for_each(|link| self.retire(link));
-        let room = count < limits.max_connections_per_node && self.links.len() < limits.max_node_connections;
+        let (count, address) = (pool.connections.len() - idle_too_long.len(), pool.address);
+        idle_too_long.into_iter().for_each(|id| self.retire(id));
+        let has_room =
+            count < limits.max_connections_per_node && self.connections.len() < limits.max_node_connections;
         match best {
-            Some((0, _, link)) => Ok(link),
-            _ if room => self.dial(node, address, now),
-            Some((_, _, link)) => Ok(link),
+            Some((0, _, id)) => Ok(id),
+            _ if has_room => self.connect(node, address, now),
+            Some((_, _, id)) => Ok(id),
             None => Err(Outcome::NotSent),
         }
     }
 
-    fn dial(&mut self, node: usize, address: SocketAddr, now: Ns) -> Result<NodeConnectionId, Outcome> {
-        let link = self.next;
-        let by = now + self.common.limits.connect_timeout;
-        if !self.orders.send(ConnectionCommand::Connect { connection: link, address, deadline: by }) {
+    fn connect(&mut self, node: usize, address: SocketAddr, now: Ns) -> Result<NodeConnectionId, Outcome> {
+        let id = self.next_id;
+        let deadline = now + self.shared.limits.connect_timeout;
+        if !self.commands.send(ConnectionCommand::Connect { connection: id, address, deadline }) {
             return Err(Outcome::NotSent);
         }
-        self.next += 1;
-        let open = Open { node, out: BTreeMap::new(), heard: now, used: now, retired: false };
-        self.links.insert(link, open);
-        self.pools[node].links.push(link);
-        Ok(link)
+        self.next_id += 1;
+        let connection = PooledConnection {
+            node,
+            outstanding: BTreeMap::new(),
+            last_received: now,
+            last_used: now,
+            is_retired: false,
+        };
+        self.connections.insert(id, connection);
+        self.pools[node].connections.push(id);
+        Ok(id)
     }
 
-    /// The node at the other end.
-    pub fn node_of(&self, link: NodeConnectionId) -> Option<usize> {
-        self.links.get(&link).map(|open| open.node)
+    /// The node at the other end of a connection.
+    pub fn node_of(&self, connection: NodeConnectionId) -> Option<usize> {
+        self.connections.get(&connection).map(|connection| connection.node)
     }
 
-    /// The send that an answer ends; a late answer to one that was given up ends none.
-    pub fn on_answer(&mut self, link: NodeConnectionId, name: &RequestId, at: Ns) -> Option<InflightAttempt> {
-        let open = self.links.get_mut(&link)?;
-        open.heard = open.heard.max(at);
-        open.used = open.used.max(at);
-        let out = open.out.remove(name).map(|flight| flight.out);
-        if open.retired && open.out.is_empty() {
-            self.forget(link);
+    /// The attempt that an answer ends; a late answer to one that was abandoned ends none.
+    pub fn on_answer(
+        &mut self,
+        id: NodeConnectionId,
+        request_id: &RequestId,
+        at: Ns,
+    ) -> Option<InflightAttempt> {
+        let connection = self.connections.get_mut(&id)?;
+        connection.last_received = connection.last_received.max(at);
+        connection.last_used = connection.last_used.max(at);
+        let answered = connection.outstanding.remove(request_id).map(|outstanding| outstanding.attempt);
+        if connection.is_retired && connection.outstanding.is_empty() {
+            self.remove(id);
         }
-        out
+        answered
     }
 
-    /// Gives a send up. A connection that was silent since it took the send, past the time that is usual, is not
-    /// used again: an answer that stopped short or never comes leaves it stuck, for all that follows.
-    pub fn abandon(&mut self, link: NodeConnectionId, name: &RequestId, now: Ns) -> Option<InflightAttempt> {
-        let open = self.links.get_mut(&link)?;
-        let Flight { out, off, .. } = open.out.remove(name)?;
+    /// Abandons an attempt. A connection that was silent since it took the attempt, past the usual time, is not used
+    /// again: an answer that stopped short or never comes leaves it stuck, for all that follows.
+    pub fn abandon(
+        &mut self,
+        id: NodeConnectionId,
+        request_id: &RequestId,
+        now: Ns,
+    ) -> Option<InflightAttempt> {
+        let connection = self.connections.get_mut(&id)?;
+        let OutstandingAttempt { attempt, withdrawal, .. } = connection.outstanding.remove(request_id)?;
         // What is not written yet never will be: a node must not see it after its client had an answer.
-        off.cancel();
-        let told = self.orders.send(ConnectionCommand::Kill { connection: link, request_id: *name });
-        let quiet = open.heard <= out.sent_at && now >= out.sent_at + self.common.limits.silence_threshold;
-        if !told || quiet || open.retired {
-            self.retire(link);
+        withdrawal.cancel();
+        let kill = ConnectionCommand::Kill { connection: id, request_id: *request_id };
+        let is_killed = self.commands.send(kill);
+        let is_silent = connection.last_received <= attempt.sent_at
+            && now >= attempt.sent_at + self.shared.limits.silence_threshold;
+        if !is_killed || is_silent || connection.is_retired {
+            self.retire(id);
         }
-        Some(out)
+        Some(attempt)
     }
 
-    /// Sends that are not to begin any more, if they have not: of each such one the end comes by an event.
-    pub fn withdraw(&mut self, which: impl Fn(&InflightAttempt, usize, Option<usize>) -> bool) {
-        let mut links: Vec<NodeConnectionId> = Vec::new();
-        for (&link, open) in &self.links {
-            let gone = open.out.values().filter(|f| which(&f.out, open.node, f.source));
-            if gone.map(|flight| flight.off.cancel()).count() > 0 {
-                links.push(link);
+    /// Withdraws attempts, chosen by themselves, their node and their source: those that are not begun never are, and
+    /// an event tells of the end of each.
+    pub fn withdraw(&mut self, is_withdrawn: impl Fn(&InflightAttempt, usize, Option<usize>) -> bool) {
+        let mut affected: Vec<NodeConnectionId> = Vec::new();
+        for (&id, connection) in &self.connections {
+            let withdrawn = connection.outstanding.values().filter(|outstanding| {
+                is_withdrawn(&outstanding.attempt, connection.node, outstanding.source)
+            });
+            if withdrawn.map(|outstanding| outstanding.withdrawal.cancel()).count() > 0 {
+                affected.push(id);
             }
         }
-        links.sort_unstable();
-        for link in links {
-            // With no room for the order it is seen at the next sweep.
-            self.orders.send(ConnectionCommand::Withdraw(link));
+        affected.sort_unstable();
+        for id in affected {
+            // With no room for the command it is seen at the next sweep.
+            self.commands.send(ConnectionCommand::Withdraw(id));
         }
     }
 
-    /// A send that was never begun; none if it was given up before that was heard.
-    pub fn on_not_sent(&mut self, link: NodeConnectionId, name: &RequestId) -> Option<InflightAttempt> {
-        let open = self.links.get_mut(&link)?;
-        let out = open.out.remove(name)?.out;
-        // The connection passes the kill over as it did the send.
-        if !self.orders.send(ConnectionCommand::Kill { connection: link, request_id: *name }) || open.retired
-        {
-            self.retire(link);
+    /// An attempt was never begun; none if it was abandoned before that was known here.
+    pub fn on_not_sent(&mut self, id: NodeConnectionId, request_id: &RequestId) -> Option<InflightAttempt> {
+        let connection = self.connections.get_mut(&id)?;
+        let attempt = connection.outstanding.remove(request_id)?.attempt;
+        // The connection drops the kill as it did the attempt.
+        let kill = ConnectionCommand::Kill { connection: id, request_id: *request_id };
+        if !self.commands.send(kill) || connection.is_retired {
+            self.retire(id);
         }
-        Some(out)
+        Some(attempt)
     }
 
-    /// A connection is over: the sends that were out on it.
-    pub fn on_connection_lost(&mut self, link: NodeConnectionId) -> Vec<InflightAttempt> {
-        self.forget(link)
-            .map_or_else(Vec::new, |open| open.out.into_values().map(|flight| flight.out).collect())
+    /// A connection is over: the attempts that were outstanding on it.
+    pub fn on_connection_lost(&mut self, id: NodeConnectionId) -> Vec<InflightAttempt> {
+        self.remove(id).map_or_else(Vec::new, |connection| {
+            connection.outstanding.into_values().map(|outstanding| outstanding.attempt).collect()
+        })
     }
 }
--- a/crates/director/src/wire/node_protocol.rs
+++ b/crates/director/src/wire/node_protocol.rs
@@ -1,6 +1,6 @@
 //! The lines that nodes speak.
 
-use std::io::Write;
+use std::fmt::Write;
 
 use sablecross::{AttemptSpec, LoadReport, Ns, Outcome};
 use sablecross_inflight::settings;
@@ -8,31 +8,40 @@
 use crate::clock::NS_PER_MS;
 use crate::events::{IncomingRequest, RequestId};
 
+/// The end of each line, and of each body.
+pub(super) const LINE_END: &[u8] = b"\r\n";
+
+/// The notes by which a node says where an answer came from, by their numbers, from 1.
+const CACHE_NOTES: [&str; 5] = ["HIT", "MISS", "MISS_ORIGIN", "COLLAPSED", "STALE"];
+
 /// The head of an answer, parsed where it lies.
 #[derive(Debug, PartialEq)]
 pub struct AnswerHead<'a> {
+    /// The request that it answers.
     pub request_id: RequestId,
+    /// How the attempt ended.
     pub outcome: Outcome,
+    /// Whether it came from a cached copy, where the node says so.
     pub is_cache_hit: Option<bool>,
+    /// The node's load report.
     pub load: Option<LoadReport>,
+    /// The tag of the copy.
     pub tag: Option<&'a str>,
-    /// The client's copy is the one that would be served.
+    /// The copy that the client holds is the current one.
     pub is_unchanged: bool,
+    /// The length of the body that follows, in bytes.
     pub body_length: usize,
 }
 
-/// The notes by their numbers, from 1.
-const NOTES: [&str; 5] = ["HIT", "MISS", "MISS_ORIGIN", "COLLAPSED", "STALE"];
-
-/// An answer's head in a line without its end; none where it is none.
+/// The head of an answer in a line without its end; none if it is none.
 pub fn parse_answer_head(line: &[u8]) -> Option<AnswerHead<'_>> {
     let mut words = std::str::from_utf8(line).ok()?.split(' ');
-    let (name, word, fields, length) = (words.next()?, words.next()?, words.next()?, words.next()?);
+    let (id, status, fields, length) = (words.next()?, words.next()?, words.next()?, words.next()?);
     if words.next().is_some() {
         return None;
     }
-    let name = name.as_bytes().try_into().ok()?;
-    let (outcome, unchanged) = match word {
+    let request_id = id.as_bytes().try_into().ok()?;
+    let (outcome, is_unchanged) = match status {
         "ACK" => (Outcome::Success, false),
         "NOMOD" => (Outcome::Success, true),
         "NOENT" => (Outcome::Miss, false),
@@ -41,26 +50,20 @@
         "STALE" => (Outcome::NotSent, false),
         _ => return None,
     };
+    let body_length = length.parse().ok().filter(|&length| length == 0 || !is_unchanged)?;
     let mut head = AnswerHead {
-        request_id: name,
+        request_id,
         outcome,
         is_cache_hit: None,
         load: None,
         tag: None,
-        is_unchanged: unchanged,
-        body_length: length.parse().ok().filter(|&n| n == 0 || !unchanged)?,
+        is_unchanged,
+        body_length,
     };
     for field in fields.split(',').filter(|_| fields != "-") {
         match field.split_once('=')? {
-            ("how", note) => {
-                let number = NOTES.iter().position(|n| *n == note).map_or(0, |i| i as u32 + 1);
-                head.is_cache_hit = settings::is_cache_hit(number);
-            }
-            ("stats", stats) => {
-                let values = stats.split(';').filter_map(|s| s.split_once(':'));
-                let values = values.filter_map(|(name, v)| Some((name, v.parse().ok()?)));
-                head.load = Some(settings::load_report(values));
-            }
+            ("how", note) => head.is_cache_hit = is_cache_hit(note),
+            ("stats", stats) => head.load = Some(parse_load(stats)),
             ("entity", tag) => head.tag = Some(tag),
             _ => {}
         }
@@ -68,7 +71,17 @@
     Some(head)
 }
 
-/// The head of a send, but for the time that its client has left, which is known when it is written.
+fn is_cache_hit(note: &str) -> Option<bool> {
+    let number = CACHE_NOTES.iter().position(|known| *known == note).map_or(0, |index| index as u32 + 1);
+    settings::is_cache_hit(number)
+}
+
+fn parse_load(stats: &str) -> LoadReport {
+    let values = stats.split(';').filter_map(|value| value.split_once(':'));
+    settings::load_report(values.filter_map(|(name, value)| Some((name, value.parse().ok()?))))
+}
+
+/// The line of an attempt, but for the time that its client has left, which is known when it is written.
 #[derive(Debug, Default)]
 pub struct PullHead {
     before_wait: Vec<u8>,
@@ -76,70 +89,71 @@
 }
 
 impl PullHead {
-    /// The whole line with its end, told so much time.
-    pub fn with_wait(&self, left: Ns) -> Vec<u8> {
-        let wait = milliseconds(left).to_string();
+    /// The complete line with its end.
+    pub fn with_wait(&self, time_left: Ns) -> Vec<u8> {
+        let wait = milliseconds(time_left).to_string();
         [&self.before_wait, wait.as_bytes(), &self.after_wait].concat()
     }
 }
 
+/// A node is given a millisecond at least.
 fn milliseconds(ns: Ns) -> u64 {
     (ns / NS_PER_MS).max(1)
 }
 
-/// The head of a send. `way` is a field of our own, for installations with more than two tiers.
+/// The line of an attempt. `fill_path` is a field of our own, for installations with more than two tiers.
 pub fn pull_head(
-    asked: &IncomingRequest,
-    send: &AttemptSpec,
-    kind: &str,
+    request: &IncomingRequest,
+    spec: &AttemptSpec,
+    class: &str,
     source: Option<&str>,
-    way: Option<&str>,
+    fill_path: Option<&str>,
 ) -> PullHead {
     let before_wait = format!(
-        "PULL {} class={kind},key={:016x},part={},wait=",
-        request_id_text(&asked.request_id),
-        asked.object,
-        asked.part
+        "PULL {} class={class},key={:016x},part={},wait=",
+        request_id_text(&request.request_id),
+        request.object,
+        request.part
     );
-    let mut line = Vec::with_capacity(128);
-    let ms = milliseconds;
-    // Writing into memory does not fail.
-    let mut put = |text: std::fmt::Arguments| {
-        let _ = line.write_fmt(text);
+    let mut after_wait = String::with_capacity(128);
+    let mut field = |name: &str, value: &dyn std::fmt::Display| {
+        // Writing into memory does not fail.
+        let _ = write!(after_wait, ",{name}={value}");
     };
     if let Some(source) = source {
-        put(format_args!(",miss={source}"));
+        field("miss", &source);
     }
-    if let Some(way) = way {
-        put(format_args!(",way={way}"));
+    if let Some(path) = fill_path {
+        field("way", &path);
     }
-    if send.retention_rank > 0 {
-        put(format_args!(",prio={}", send.retention_rank));
+    if spec.retention_rank > 0 {
+        field("prio", &spec.retention_rank);
     }
-    if let Some(oldest) = send.max_age {
-        put(format_args!(",within={}", ms(oldest)));
+    if let Some(max_age) = spec.max_age {
+        field("within", &milliseconds(max_age));
     }
-    match (send.coalesce, send.refresh) {
-        (true, true) => put(format_args!(",f=collapse+refresh")),
-        (true, false) => put(format_args!(",f=collapse")),
-        (false, true) => put(format_args!(",f=refresh")),
+    match (spec.coalesce, spec.refresh) {
+        (true, true) => field("f", &"collapse+refresh"),
+        (true, false) => field("f", &"collapse"),
+        (false, true) => field("f", &"refresh"),
         (false, false) => {}
     }
-    if let Some(tag) = &asked.client_tag {
-        put(format_args!(",mine={tag}"));
+    if let Some(tag) = &request.client_tag {
+        field("mine", tag);
     }
-    if let Some(mark) = &asked.idempotency_key {
-        put(format_args!(",once={mark}"));
+    if let Some(key) = &request.idempotency_key {
+        field("once", key);
     }
-    put(format_args!(" {}\r\n", asked.body.bytes().len()));
-    PullHead { before_wait: before_wait.into_bytes(), after_wait: line }
+    let _ = write!(after_wait, " {}\r\n", request.body.bytes().len());
+    PullHead { before_wait: before_wait.into_bytes(), after_wait: after_wait.into_bytes() }
 }
 
-pub fn kill_line(name: &RequestId) -> Vec<u8> {
-    format!("KILL {}\r\n", request_id_text(name)).into_bytes()
+/// The line that kills a request's attempt.
+pub fn kill_line(request_id: &RequestId) -> Vec<u8> {
+    format!("KILL {}\r\n", request_id_text(request_id)).into_bytes()
 }
 
-/// A name as it is written.
-pub fn request_id_text(name: &RequestId) -> &str {
-    std::str::from_utf8(name).unwrap_or_default()
+/// A request's id as it is written.
+pub fn request_id_text(request_id: &RequestId) -> &str {
+    std::str::from_utf8(request_id).unwrap_or_default()
 }
--- a/crates/director/src/wire/read_buffer.rs
+++ b/crates/director/src/wire/read_buffer.rs
@@ -1,60 +1,80 @@
-//! Bytes that have come and are not used yet; heads are parsed where they lie.
+//! Bytes that have been read and are not used yet; messages are parsed where they lie.
 
 use std::io::{self, ErrorKind, Read};
 use std::sync::Arc;
 
 use crate::memory_budget::{MemoryBudget, Reservation};
 
+/// A buffer that grows while a message is not complete.
 pub struct ReadBuffer {
     bytes: Vec<u8>,
-    from: usize,
-    to: usize,
-    first: usize,
-    most: usize,
-    /// What it has grown by counts with the bodies: many half messages must not fill the memory.
-    room: Arc<MemoryBudget>,
+    start: usize,
+    end: usize,
+    initial_length: usize,
+    max_length: usize,
+    /// What it has grown by counts with the bodies: many messages in part must not fill the memory.
+    memory_budget: Arc<MemoryBudget>,
     grown: Option<Reservation>,
 }
 
 impl ReadBuffer {
-    /// Grows from its first size to hold a message of at most this size.
-    pub fn new(first: usize, most: usize, room: &Arc<MemoryBudget>) -> ReadBuffer {
-        let room = Arc::clone(room);
-        ReadBuffer { bytes: vec![0; first], from: 0, to: 0, first, most, room, grown: None }
+    /// Grows from its first length to hold a message of at most `max_length` bytes.
+    pub fn new(initial_length: usize, max_length: usize, memory_budget: &Arc<MemoryBudget>) -> ReadBuffer {
+        ReadBuffer {
+            bytes: vec![0; initial_length],
+            start: 0,
+            end: 0,
+            initial_length,
+            max_length,
+            memory_budget: Arc::clone(memory_budget),
+            grown: None,
+        }
     }
 
+    /// The bytes that are not used yet.
     pub fn unread(&self) -> &[u8] {
-        &self.bytes[self.from..self.to]
+        &self.bytes[self.start..self.end]
     }
 
-    pub fn consume(&mut self, n: usize) {
-        self.from = (self.from + n).min(self.to);
-        if self.from == self.to {
-            (self.from, self.to) = (0, 0);
-            if self.bytes.len() > self.first {
-                self.bytes = vec![0; self.first];
+    /// So many of them are used. An empty buffer shrinks back to its first length.
+    pub fn consume(&mut self, count: usize) {
+        self.start = (self.start + count).min(self.end);
+        if self.start == self.end {
+            (self.start, self.end) = (0, 0);
+            if self.bytes.len() > self.initial_length {
+                self.bytes = vec![0; self.initial_length];
                 self.grown = None;
             }
         }
     }
 
-    /// Reads more, once; false at the end. An error may be but a pause.
+    /// Reads more, once; false at the end of the source.
+    ///
+    /// # Errors
+    /// `InvalidData` if the message is longer than one may be, `OutOfMemory` without room for it, else the source's
+    /// own error.
     pub fn fill(&mut self, mut source: impl Read) -> io::Result<bool> {
-        if self.to == self.bytes.len() {
-            self.bytes.copy_within(self.from..self.to, 0);
-            (self.from, self.to) = (0, self.to - self.from);
-            if self.to == self.bytes.len() {
-                if self.to >= self.most {
-                    return Err(io::Error::new(ErrorKind::InvalidData, "too long"));
-                }
-                let length = (2 * self.to).min(self.most);
-                self.grown = None;
-                self.grown = Some(self.room.reserve(length).ok_or(ErrorKind::OutOfMemory)?);
-                self.bytes.resize(length, 0);
+        if self.end == self.bytes.len() {
+            self.bytes.copy_within(self.start..self.end, 0);
+            (self.start, self.end) = (0, self.end - self.start);
+            if self.end == self.bytes.len() {
+                self.grow()?;
             }
         }
-        let n = source.read(&mut self.bytes[self.to..])?;
-        self.to += n;
-        Ok(n > 0)
+        let count = source.read(&mut self.bytes[self.end..])?;
+        self.end += count;
+        Ok(count > 0)
+    }
+
+    fn grow(&mut self) -> io::Result<()> {
+        if self.end >= self.max_length {
+            return Err(io::Error::new(ErrorKind::InvalidData, "too long"));
+        }
+        let length = (2 * self.end).min(self.max_length);
+        // What it held before comes free first: it needs the larger room alone.
+        self.grown = None;
+        self.grown = Some(self.memory_budget.reserve(length).ok_or(ErrorKind::OutOfMemory)?);
+        self.bytes.resize(length, 0);
+        Ok(())
     }
 }
--- a/crates/director/src/wire/response.rs
+++ b/crates/director/src/wire/response.rs
@@ -1,4 +1,4 @@
-//! Answers to clients, and one that has begun to be written.
+//! Responses to clients, and one that is being written.
 
 use std::io::{self, IoSlice};
 use std::sync::Arc;
@@ -6,66 +6,78 @@
 use mio::net::TcpStream;
 use sablecross::Ns;
 
-use super::{rpc, write_on};
+use super::rpc::{self, ResponseFrame};
+use super::write_remaining;
 use crate::events::{CallId, ClientId};
 use crate::memory_budget::Body;
 
-/// What a client is told, and until when it listens.
+/// A response on its way to a client.
 pub struct PendingResponse {
+    /// The connection of the client.
     pub client: ClientId,
+    /// The call that it answers.
     pub call: CallId,
+    /// Until when the client waits for it.
     pub deadline: Ns,
+    /// What it says.
     pub response: Response,
 }
 
+/// What a client is answered.
 pub enum Response {
-    /// Without a body: the client's copy is the one.
+    /// The object; without a body where the copy that the client holds is the current one.
     Success(Option<Arc<Body>>),
+    /// There is no capacity for the request just now.
     Rejected {
+        /// After which the client may try again; 0: it is not told.
         retry_after_ms: u64,
     },
+    /// The request has failed, or can't be used.
     Failed,
+    /// Whether the director is ready for requests.
     Health(bool),
 }
 
-/// An answer that has begun to be written.
+/// A response that is being written.
 pub(super) struct ResponseWriter {
-    frame: rpc::ResponseFrame,
+    frame: ResponseFrame,
     body: Option<Arc<Body>>,
     written: usize,
     pub(super) deadline: Ns,
 }
 
 impl ResponseWriter {
-    pub(super) fn new(reply: PendingResponse) -> ResponseWriter {
-        let call = reply.call.number;
-        let whole = |bytes: Vec<u8>| rpc::ResponseFrame { before: bytes, after: Vec::new() };
-        let (frame, body) = match reply.response {
+    pub(super) fn new(pending: PendingResponse) -> ResponseWriter {
+        let call = pending.call.number;
+        let (frame, body) = match pending.response {
             Response::Success(body) => {
-                let length = body.as_ref().map_or(0, |b| b.bytes().len());
+                let length = body.as_ref().map_or(0, |body| body.bytes().len());
                 (rpc::encode_success(call, length, body.is_none()), body)
             }
             Response::Rejected { retry_after_ms: 0 } => {
-                (whole(rpc::encode_error(call, "Rejected", &[])), None)
+                (ResponseFrame::without_body(rpc::encode_error(call, "Rejected", &[])), None)
             }
-            Response::Rejected { retry_after_ms: pause_ms } => {
-                (whole(rpc::encode_error(call, "Rejected", &[("backoff", &pause_ms.to_string())])), None)
+            Response::Rejected { retry_after_ms } => {
+                let fields = [("backoff", &*retry_after_ms.to_string())];
+                (ResponseFrame::without_body(rpc::encode_error(call, "Rejected", &fields)), None)
+            }
+            Response::Failed => (ResponseFrame::without_body(rpc::encode_error(call, "Failed", &[])), None),
+            Response::Health(is_healthy) => {
+                (ResponseFrame::without_body(rpc::encode_health(call, is_healthy)), None)
             }
-            Response::Failed => (whole(rpc::encode_error(call, "Failed", &[])), None),
-            Response::Health(alive) => (whole(rpc::encode_health(call, alive)), None),
         };
-        ResponseWriter { frame, body, written: 0, deadline: reply.deadline }
+        ResponseWriter { frame, body, written: 0, deadline: pending.deadline }
     }
 
     pub(super) fn body(&self) -> &[u8] {
-        self.body.as_deref().map_or(&[], |b| b.bytes())
+        self.body.as_deref().map_or(&[], |body| body.bytes())
     }
 
-    /// Writes on in one go; whether that was all.
-    pub(super) fn write_to(&mut self, to: &TcpStream) -> io::Result<bool> {
-        let body = self.body.as_deref().map_or(&[][..], |b| b.bytes());
+    /// Writes what is left, in one call; whether that was all.
+    pub(super) fn write_to(&mut self, stream: &TcpStream) -> io::Result<bool> {
+        let body = self.body.as_deref().map_or(&[][..], |body| body.bytes());
         let mut parts =
-            [IoSlice::new(&self.frame.before), IoSlice::new(body), IoSlice::new(&self.frame.after)];
-        write_on(to, &mut parts, &mut self.written)
+            [IoSlice::new(&self.frame.before_body), IoSlice::new(body), IoSlice::new(&self.frame.after_body)];
+        write_remaining(stream, &mut parts, &mut self.written)
     }
 }
--- a/crates/director/tests/codec.rs
+++ b/crates/director/tests/codec.rs
@@ -169,9 +169,9 @@
     assert_eq!(rpc::decode(&cancel, &names, &limits), Ok((Message::Cancel { call: 256 }, cancel.len())));
 
     let satisfied = rpc::encode_success(7, 3, false);
-    assert_eq!(satisfied.before, [0x94, 1, 7, 0xc0, 0x92, 0xc4, 3]);
-    assert_eq!(satisfied.after, [0x80]);
-    assert_eq!(rpc::encode_success(7, 0, true).after, *b"\x81\xa9unchanged\xa11");
+    assert_eq!(satisfied.before_body, [0x94, 1, 7, 0xc0, 0x92, 0xc4, 3]);
+    assert_eq!(satisfied.after_body, [0x80]);
+    assert_eq!(rpc::encode_success(7, 0, true).after_body, *b"\x81\xa9unchanged\xa11");
     assert_eq!(rpc::encode_health(300, true), [0x94, 1, 0xcd, 1, 44, 0xc0, 0x92, 0xc3, 0x80]);
     assert_eq!(rpc::encode_error(7, "Rejected", &[]), *b"\x94\x01\x07\x92\xa8Rejected\x80\xc0");
     assert_eq!(
@@ -348,10 +348,10 @@
     ];
     for (from, to, key) in cases {
         assert!(SAMPLE.contains(from), "{from}");
-        let error = Config::parse(&SAMPLE.replace(from, to)).expect_err(key);
+        let error = Config::parse(&SAMPLE.replace(from, to)).expect_err(key).to_string();
         assert!(error.contains(key) && error.lines().count() == 1, "{key}: {error}");
     }
-    assert!(Config::parse("{").is_err_and(|e| e.starts_with("configuration:")));
+    assert!(Config::parse("{").is_err_and(|e| e.to_string().starts_with("configuration:")));
 }
 
 /// Each leaf of the settings, as a path.
@@ -395,7 +395,7 @@
                 }
                 _ => unreachable!("{path}"),
             }
-            let config = match Config::parse(&all.to_string()) {
+            let config = match Config::parse(&all.to_string()).map_err(|e| e.to_string()) {
                 Err(e) => {
                     let name =
                         path.split('/').skip(2).find(|p| p.parse::<usize>().is_err() && e.contains(*p));
--- a/crates/director/tests/wire_format.rs
+++ b/crates/director/tests/wire_format.rs
@@ -100,10 +100,10 @@
         read("94 00 09 a4 64757479 92 80 c4 03 010203"),
         Message::PeerCall { call: 9, body: &[1, 2, 3] }
     );
-    assert_eq!(
-        read("94 00 0a a6 636c69707379 92 80 c4 00"),
-        Message::Unusable { call: 10, cause: "unknown method" }
-    );
+    let Message::Unusable { call: 10, cause } = read("94 00 0a a6 636c69707379 92 80 c4 00") else {
+        panic!("a call that can't be used")
+    };
+    assert_eq!(cause.to_string(), "unknown method");
 }
 
 /// What a client is told of a request that can't be used goes to the log, by the cause.
@@ -125,7 +125,8 @@
         assert!(LEAST.contains(from), "{from}");
         let bytes = bytes(&LEAST.replacen(from, to, 1));
         let (message, _) = rpc::decode(&bytes, &names, &limits).expect("a message");
-        assert_eq!(message, Message::Unusable { call: 7, cause: cause }, "{to}");
+        let Message::Unusable { call: 7, cause: read } = message else { panic!("{to}: {message:?}") };
+        assert_eq!(read.to_string(), cause, "{to}");
     }
 }
 
@@ -133,7 +134,7 @@
 fn answers_to_clients() {
     let framed = |call, length, unchanged| {
         let frame = rpc::encode_success(call, length, unchanged);
-        format!("{} {}", hex(&frame.before), hex(&frame.after))
+        format!("{} {}", hex(&frame.before_body), hex(&frame.after_body))
     };
     assert_eq!(framed(7, 3, false), "940107c092c403 80");
     assert_eq!(framed(300, 300, false), "9401cd012cc092c5012c 80");
