--- a/crates/inflight/src/inflight_table.rs
+++ b/crates/inflight/src/inflight_table.rs
@@ -1,132 +1,150 @@
-//! The lookups in hand, round the three calls of the decision module.
+//! The requests in flight, between the router that decides and the transport that carries its decisions out.
 
 use std::collections::HashMap;
 
 use sablecross::{Attempt, AttemptSpec, NextStep, Ns, Outcome, Request, RouteDecision, Router};
 
-/// Carries out what the module decides.
+/// Carries out what the router decides. Each call names the request by the number under which it was admitted.
 pub trait Transport {
-    /// Sends a lookup; `shot` counts its sends from 0. The end of each is owed to `Hand::ended`.
-    fn send(&mut self, id: u64, shot: usize, send: &AttemptSpec);
-    fn reject(&mut self, id: u64, pause: Ns);
+    /// Sends an attempt, whose index is the number of `prior` ones. Its result is owed to
+    /// [`InflightTable::on_attempt_result`], also if it could not be sent.
+    fn send(&mut self, id: u64, spec: &AttemptSpec, prior: &[Attempt]);
+    /// Answers that the client may try again after this time.
+    fn reject(&mut self, id: u64, retry_after: Ns);
+    /// Answers that the request has failed.
     fn fail(&mut self, id: u64);
-    fn cancel(&mut self, id: u64, shot: usize);
-    /// Calls `Hand::ask` with this turn after the wait.
-    fn schedule_check(&mut self, id: u64, turn: u32, wait: Ns);
-    /// The lookup is out of hand: ended, and none of its sends is out.
+    /// Cancels an attempt that is outstanding; its result is still owed.
+    fn cancel(&mut self, id: u64, attempt: usize);
+    /// Calls [`InflightTable::check`] with this generation once the time has passed.
+    fn schedule_check(&mut self, id: u64, generation: u32, after: Ns);
+    /// The request is answered and none of its attempts is outstanding: nothing more is asked for it.
     fn release(&mut self, id: u64);
 }
 
-/// How a send ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptResult {
+    /// Its outcome, as the router counts it.
     pub outcome: Outcome,
+    /// The time from its sending to its end, in nanoseconds.
     pub elapsed: Ns,
-    /// Whether it came from a copy, where that is told.
+    /// Whether a cached copy was served, where the node says so.
     pub is_cache_hit: Option<bool>,
-    /// With this send, or before, the lookup ended.
+    /// Whether the request is answered with it, or was before.
     pub is_final: bool,
 }
 
-struct Held {
-    lookup: Request,
-    ended: bool,
-    /// The latest turn asked for; earlier ones are passed over.
-    turn: u32,
+struct InflightRequest {
+    request: Request,
+    is_answered: bool,
+    /// Of the check that was scheduled last; earlier ones are void.
+    check_generation: u32,
 }
 
+impl InflightRequest {
+    fn is_complete(&self) -> bool {
+        self.is_answered && self.request.attempts.iter().all(|attempt| attempt.outcome.is_some())
+    }
+
+    fn outstanding_attempts(&self) -> impl Iterator<Item = usize> {
+        let attempts = self.request.attempts.iter().enumerate();
+        attempts.filter(|(_, attempt)| attempt.outcome.is_none()).map(|(index, _)| index)
+    }
+}
+
+/// All requests in flight and the router that decides on them.
 pub struct InflightTable {
+    /// Decides where requests go; events that concern no single request are handed to it directly.
     pub router: Router,
-    held: HashMap<u64, Held>,
+    requests: HashMap<u64, InflightRequest>,
 }
 
 impl InflightTable {
-    pub fn new(choice: Router) -> Self {
-        InflightTable { router: choice, held: HashMap::new() }
+    /// An empty table.
+    pub fn new(router: Router) -> Self {
+        InflightTable { router, requests: HashMap::new() }
     }
 
-    /// A lookup comes in.
-    pub fn admit(&mut self, id: u64, lookup: Request, now: Ns, to: &mut impl Transport) {
-        self.held.insert(id, Held { lookup, ended: false, turn: 0 });
-        self.step(id, now, to);
+    /// Takes a request in under a number that no other one in flight has.
+    pub fn admit(&mut self, id: u64, request: Request, now: Ns, transport: &mut impl Transport) {
+        self.requests.insert(id, InflightRequest { request, is_answered: false, check_generation: 0 });
+        self.route(id, now, transport);
     }
 
-    /// A wait is over.
-    pub fn check(&mut self, id: u64, turn: u32, now: Ns, to: &mut impl Transport) {
-        if self.held.get(&id).is_some_and(|h| h.turn == turn) {
-            self.step(id, now, to);
+    /// The time of a scheduled check has come: the router is asked again, unless a later check is scheduled.
+    pub fn check(&mut self, id: u64, generation: u32, now: Ns, transport: &mut impl Transport) {
+        if self.requests.get(&id).is_some_and(|inflight| inflight.check_generation == generation) {
+            self.route(id, now, transport);
         }
     }
 
-    /// The client has left: no answer is owed.
-    pub fn abandon(&mut self, id: u64, to: &mut impl Transport) {
-        if let Some(held) = self.held.get_mut(&id) {
-            held.ended = true;
+    /// The client has gone or cancelled: no answer is owed.
+    pub fn abandon(&mut self, id: u64, transport: &mut impl Transport) {
+        if let Some(inflight) = self.requests.get_mut(&id) {
+            inflight.is_answered = true;
         }
-        self.drop_if_idle(id, to);
+        self.release_if_complete(id, transport);
     }
 
-    /// A send has ended.
+    /// An attempt has ended: the router says whether the request is done, waits or is routed again.
     pub fn on_attempt_result(
         &mut self,
         id: u64,
-        shot: usize,
-        end: AttemptResult,
+        attempt: usize,
+        result: AttemptResult,
         now: Ns,
-        to: &mut impl Transport,
+        transport: &mut impl Transport,
     ) {
-        let Some(held) = self.held.get_mut(&id) else { return };
-        let Some(sent) = held.lookup.attempts.get_mut(shot) else { return };
-        sent.outcome = Some(end.outcome);
-        let next = self.router.on_outcome(now, &held.lookup, shot, end.elapsed, end.is_cache_hit);
-        let ended = held.ended;
-        held.ended |= end.is_final;
+        let Some(inflight) = self.requests.get_mut(&id) else { return };
+        let Some(sent) = inflight.request.attempts.get_mut(attempt) else { return };
+        sent.outcome = Some(result.outcome);
+        let AttemptResult { elapsed, is_cache_hit, .. } = result;
+        let next = self.router.on_outcome(now, &inflight.request, attempt, elapsed, is_cache_hit);
+        let was_answered = inflight.is_answered;
+        inflight.is_answered |= result.is_final;
         match next {
-            NextStep::Done { cancel_outstanding: call_off } if call_off && !ended => {
-                for (i, s) in held.lookup.attempts.iter().enumerate() {
-                    if s.outcome.is_none() {
-                        to.cancel(id, i);
-                    }
-                }
+            NextStep::Done { cancel_outstanding } if cancel_outstanding && !was_answered => {
+                inflight.outstanding_attempts().for_each(|outstanding| transport.cancel(id, outstanding));
             }
-            NextStep::Retry => self.step(id, now, to),
+            NextStep::Retry => self.route(id, now, transport),
             NextStep::Done { .. } | NextStep::Wait => {}
         }
-        self.drop_if_idle(id, to);
+        self.release_if_complete(id, transport);
     }
 
-    /// Asks the module where to send a lookup and has that carried out.
-    fn step(&mut self, id: u64, now: Ns, to: &mut impl Transport) {
-        let Some(held) = self.held.get_mut(&id).filter(|h| !h.ended) else { return };
-        match self.router.route(now, &held.lookup) {
-            RouteDecision::Attempt(send) => {
-                to.send(id, held.lookup.attempts.len(), &send);
-                let sent = Attempt { node: send.node, source: send.source, sent_at: now, outcome: None };
-                held.lookup.attempts.push(sent);
+    /// Asks the router where a request goes and has that carried out; schedules the next check of one that waits.
+    fn route(&mut self, id: u64, now: Ns, transport: &mut impl Transport) {
+        let Some(inflight) = self.requests.get_mut(&id).filter(|inflight| !inflight.is_answered) else {
+            return;
+        };
+        match self.router.route(now, &inflight.request) {
+            RouteDecision::Attempt(spec) => {
+                transport.send(id, &spec, &inflight.request.attempts);
+                let AttemptSpec { node, source, .. } = spec;
+                inflight.request.attempts.push(Attempt { node, source, sent_at: now, outcome: None });
             }
             RouteDecision::Wait => {}
-            RouteDecision::Reject { retry_after: pause } => {
-                to.reject(id, pause);
-                held.ended = true;
+            RouteDecision::Reject { retry_after } => {
+                transport.reject(id, retry_after);
+                inflight.is_answered = true;
             }
             RouteDecision::Fail => {
-                to.fail(id);
-                held.ended = true;
+                transport.fail(id);
+                inflight.is_answered = true;
             }
         }
-        if held.ended {
-            self.drop_if_idle(id, to);
-        } else if let Some(wait) = self.router.next_check(now, &held.lookup) {
-            held.turn = held.turn.wrapping_add(1);
-            to.schedule_check(id, held.turn, wait);
+        if inflight.is_answered {
+            self.release_if_complete(id, transport);
+        } else if let Some(after) = self.router.next_check(now, &inflight.request) {
+            inflight.check_generation = inflight.check_generation.wrapping_add(1);
+            transport.schedule_check(id, inflight.check_generation, after);
         }
     }
 
-    fn drop_if_idle(&mut self, id: u64, to: &mut impl Transport) {
-        let idle = |h: &Held| h.ended && h.lookup.attempts.iter().all(|s| s.outcome.is_some());
-        if self.held.get(&id).is_some_and(idle) {
-            self.held.remove(&id);
-            to.release(id);
+    fn release_if_complete(&mut self, id: u64, transport: &mut impl Transport) {
+        if self.requests.get(&id).is_some_and(InflightRequest::is_complete) {
+            self.requests.remove(&id);
+            transport.release(id);
         }
     }
 }
--- a/crates/inflight/src/settings.rs
+++ b/crates/inflight/src/settings.rs
@@ -1,13 +1,64 @@
-//! Decodes an instance's settings, and the words of its load reports and notes.
+//! Decodes an instance's settings, and what stands in load reports and in the notes of answers.
 
 use std::collections::HashMap;
 use std::str::FromStr;
 
-use sablecross::{DeduplicationScope, Effect, LoadReport, RequestClass, Settings};
+use sablecross::{DeduplicationScope, Effect, LoadReport, Ns, RequestClass, Settings};
+use thiserror::Error;
+
+/// What is wrong with the settings. Each error names the key.
+#[derive(Clone, Debug, Error, PartialEq)]
+pub enum SettingsError {
+    /// The key must be there.
+    #[error("setting missing: {0}")]
+    Missing(String),
+    /// Its value is of another type, or out of range.
+    #[error("bad setting: {key}={value}")]
+    Invalid {
+        /// The path of the setting.
+        key: String,
+        /// The value as it was read.
+        value: String,
+    },
+    /// Its list is too short.
+    #[error("bad setting: {key} has no item {index}")]
+    NoItem {
+        /// The path of the list.
+        key: String,
+        /// The item that must be there, counted from 0.
+        index: usize,
+    },
+    /// The list of directors by zone has none for the own zone.
+    #[error("bad setting: extra.zoneBalancers has no item {zone}, which az names")]
+    UnknownZone {
+        /// The own zone.
+        zone: usize,
+    },
+    /// It must be a list.
+    #[error("bad setting: {key}: not a list")]
+    NotAList {
+        /// The path of the setting.
+        key: String,
+    },
+    /// An item of a list of names is none.
+    #[error("bad setting: {key}: {value}")]
+    NotAName {
+        /// The path of the list.
+        key: String,
+        /// The item as it was read.
+        value: String,
+    },
+}
+
+/// The result of reading a setting.
+pub type Result<T> = std::result::Result<T, SettingsError>;
+
+const NS_PER_US: u64 = 1_000;
 
-pub type Result<T> = std::result::Result<T, String>;
+/// Longer times count as a year: sums with the clock stay in range.
+const MAX_TIME: Ns = 366 * 86_400 * 1_000_000_000;
 
-/// The settings as pairs of a path and a value.
+/// The settings, as values by their paths.
 pub struct SettingsMap(HashMap<String, String>);
 
 impl FromIterator<(String, String)> for SettingsMap {
@@ -17,62 +68,68 @@
 }
 
 impl SettingsMap {
+    /// A value as it was written.
     pub fn text(&self, key: &str) -> Result<&str> {
-        self.0.get(key).map(String::as_str).ok_or_else(|| format!("setting missing: {key}"))
+        self.0.get(key).map(String::as_str).ok_or_else(|| SettingsError::Missing(key.to_owned()))
     }
 
+    /// A value of any type.
     pub fn get<T: FromStr>(&self, key: &str) -> Result<T> {
         let text = self.text(key)?;
-        text.parse().map_err(|_| format!("bad setting: {key}={text}"))
+        text.parse().map_err(|_| invalid(key, text))
     }
 
+    /// A list of values, divided by commas.
     pub fn list<T: FromStr>(&self, key: &str) -> Result<Vec<T>> {
         let text = self.text(key)?;
-        let items = text.split(',').filter(|t| !t.is_empty());
-        items.map(|t| t.parse().map_err(|_| format!("bad setting: {key}={text}"))).collect()
+        let items = text.split(',').filter(|item| !item.is_empty());
+        items.map(|item| item.parse().map_err(|_| invalid(key, text))).collect()
     }
 
-    /// A time in microseconds. What is longer than a year is a year: sums with the clock stay in range.
-    pub fn nanoseconds(&self, key: &str) -> Result<u64> {
+    /// A time, which is written in microseconds.
+    pub fn nanoseconds(&self, key: &str) -> Result<Ns> {
         Ok(nanoseconds(self.get(key)?))
     }
 
     /// A finite number that is not negative.
     fn amount(&self, key: &str) -> Result<f64> {
-        let x: f64 = self.get(key)?;
-        if x.is_finite() && x >= 0.0 { Ok(x) } else { Err(format!("bad setting: {key}={x}")) }
+        let amount: f64 = self.get(key)?;
+        if amount.is_finite() && amount >= 0.0 { Ok(amount) } else { Err(invalid(key, amount)) }
     }
 
-    /// A part of a whole.
+    /// A number from 0 to 1.
     fn share(&self, key: &str) -> Result<f64> {
-        let x = self.amount(key)?;
-        if x <= 1.0 { Ok(x) } else { Err(format!("bad setting: {key}={x}")) }
+        let share = self.amount(key)?;
+        if share <= 1.0 { Ok(share) } else { Err(invalid(key, share)) }
     }
+}
 
-    fn of<T: Copy>(&self, list: &[T], i: usize, key: &str) -> Result<T> {
-        list.get(i).copied().ok_or_else(|| format!("bad setting: {key} has no item {i}"))
-    }
+fn invalid(key: &str, value: impl ToString) -> SettingsError {
+    SettingsError::Invalid { key: key.to_owned(), value: value.to_string() }
+}
+
+fn item<T: Copy>(list: &[T], index: usize, key: &str) -> Result<T> {
+    list.get(index).copied().ok_or_else(|| SettingsError::NoItem { key: key.to_owned(), index })
 }
 
-fn nanoseconds(us: u64) -> u64 {
-    const YEAR: u64 = 366 * 86_400 * 1_000_000_000;
-    us.saturating_mul(1_000).min(YEAR)
+fn nanoseconds(us: u64) -> Ns {
+    us.saturating_mul(NS_PER_US).min(MAX_TIME)
 }
 
-/// The values that are read of a load report, by the names that `report.names` gives them.
+/// The values of a load report that are used, by the names that `report.names` gives them.
 pub fn load_report<'a>(values: impl Iterator<Item = (&'a str, f64)>) -> LoadReport {
-    let mut load = LoadReport::default();
-    for (name, value) in values.filter(|(_, v)| v.is_finite()) {
+    let mut report = LoadReport::default();
+    for (name, value) in values.filter(|(_, value)| value.is_finite()) {
         match name {
-            "cpu" => load.cpu_utilization = Some(value),
-            "x1" => load.link_utilization = Some(value),
+            "cpu" => report.cpu_utilization = Some(value),
+            "x1" => report.link_utilization = Some(value),
             _ => {}
         }
     }
-    load
+    report
 }
 
-/// Whether a note, by its number, tells of a hit.
+/// Whether a note, by its number, says that a cached copy was served; none if it says nothing of that.
 pub fn is_cache_hit(note: u32) -> Option<bool> {
     match note {
         1 | 5 => Some(true),
@@ -81,72 +138,107 @@
     }
 }
 
-pub fn decode(p: &SettingsMap) -> Result<Settings> {
-    let fresh: Vec<u64> = p.list("extra.freshForUs")?;
-    let grace: Vec<u64> = p.list("extra.usableAfterUs")?;
-    let parts: Vec<bool> = p.list("extra.multiPart")?;
-    let written: Vec<bool> = p.list("extra.neverKept")?;
-    let count: usize = p.get("classes.count")?;
-    let mut object_kinds = Vec::new();
-    for i in 0..count {
-        let at = |field: &str| format!("classes.{i}.{field}");
-        let effect = match p.text(&at("effect"))? {
-            "idempotent" => Effect::Idempotent,
-            "at_most_once" => Effect::SideEffecting,
-            "deduplicated" => Effect::Deduplicated {
-                within: match p.text(&at("group"))? {
-                    "all" => DeduplicationScope::All,
-                    "zone" => DeduplicationScope::Zone,
-                    "cell" => DeduplicationScope::Cell,
-                    other => return Err(format!("bad setting: {}={other}", at("group"))),
-                },
-                window: p.nanoseconds(&at("memorySpanUs"))?,
-            },
-            other => return Err(format!("bad setting: {}={other}", at("effect"))),
-        };
-        let stretch = at("aimStretch");
-        object_kinds.push(RequestClass {
-            latency_objective: p.nanoseconds(&at("aimUs"))?,
-            latency_objective_stretch: p.0.contains_key(&stretch).then(|| p.amount(&stretch)).transpose()?,
-            priority_weight: p.amount(&at("worth"))?,
-            effect,
-            fresh_for: nanoseconds(p.of(&fresh, i, "extra.freshForUs")?),
-            stale_for: nanoseconds(p.of(&grace, i, "extra.usableAfterUs")?),
-            is_multipart: p.of(&parts, i, "extra.multiPart")?,
-            is_uncacheable: p.of(&written, i, "extra.neverKept")?,
-        });
-    }
-    if object_kinds.is_empty() {
-        return Err("bad setting: classes.count=0".into());
+/// The settings of the router.
+///
+/// # Errors
+/// Names the first key that is missing or faulty.
+pub fn decode(map: &SettingsMap) -> Result<Settings> {
+    let request_classes = request_classes(map)?;
+    let zone = map.get("az")?;
+    let directors_per_zone = directors_per_zone(map)?;
+    if zone >= directors_per_zone.len() {
+        return Err(SettingsError::UnknownZone { zone });
     }
-    let zone = p.get("az")?;
-    // So many as sums of them can hold.
-    let directors: Vec<u32> = p.list("extra.zoneBalancers")?;
-    let directors: Vec<usize> = directors.into_iter().map(|n| n as usize).collect();
-    p.of(&directors, zone, "extra.zoneBalancers").map_err(|e| format!("{e}, which az names"))?;
     Ok(Settings {
         zone,
-        director_index: p.get("index")?,
-        directors_per_zone: directors,
-        request_classes: object_kinds,
-        parent_kind: usize::try_from(p.get::<i64>("extra.midKind")?).ok(),
-        origin_kind: p.get("extra.masterKind")?,
-        polls_endpoint_list: p.text("discovery")? == "on_request",
-        may_cancel: p.get("ceilings.mayCancel")?,
-        may_hedge: p.get("ceilings.parallelTries")?,
-        may_send_retry_after: p.get("ceilings.retryAfter")?,
-        max_retry_after: p.nanoseconds("ceilings.maxRetryAfterUs")?,
-        max_attempts: p.get("ceilings.sendCap")?,
-        slow_start_initial_share: p.share("guarantees.coldFrom")?,
-        slow_start_window: p.nanoseconds("guarantees.warmAfterUs")?,
-        collapse_multiple: p.amount("guarantees.fallMultiple")?,
-        parent_slow_start_initial_share: p.share("extra.parentStartsAt")?,
-        parent_slow_start_window: p.nanoseconds("extra.parentColdUs")?,
-        parent_collapse_multiple: p.amount("extra.upperFallMultiple")?,
-        stream_kb_per_s: p.amount("extra.streamKbPerS")?,
-        may_bypass_cache: p.get("extra.direct")?,
-        may_coalesce: p.get("extra.joins")?,
-        purge_propagation_window: p.nanoseconds("extra.clearedWithinUs")?,
-        tick: p.nanoseconds("periodUs")?,
+        director_index: map.get("index")?,
+        directors_per_zone,
+        request_classes,
+        parent_kind: usize::try_from(map.get::<i64>("extra.midKind")?).ok(),
+        origin_kind: map.get("extra.masterKind")?,
+        polls_endpoint_list: map.text("discovery")? == "on_request",
+        may_cancel: map.get("ceilings.mayCancel")?,
+        may_hedge: map.get("ceilings.parallelTries")?,
+        may_send_retry_after: map.get("ceilings.retryAfter")?,
+        max_retry_after: map.nanoseconds("ceilings.maxRetryAfterUs")?,
+        max_attempts: map.get("ceilings.sendCap")?,
+        slow_start_initial_share: map.share("guarantees.coldFrom")?,
+        slow_start_window: map.nanoseconds("guarantees.warmAfterUs")?,
+        collapse_multiple: map.amount("guarantees.fallMultiple")?,
+        parent_slow_start_initial_share: map.share("extra.parentStartsAt")?,
+        parent_slow_start_window: map.nanoseconds("extra.parentColdUs")?,
+        parent_collapse_multiple: map.amount("extra.upperFallMultiple")?,
+        stream_kb_per_s: map.amount("extra.streamKbPerS")?,
+        may_bypass_cache: map.get("extra.direct")?,
+        may_coalesce: map.get("extra.joins")?,
+        purge_propagation_window: map.nanoseconds("extra.clearedWithinUs")?,
+        tick: map.nanoseconds("periodUs")?,
+    })
+}
+
+/// By zone. Numbers of 32 bits: sums of them stay in range.
+fn directors_per_zone(map: &SettingsMap) -> Result<Vec<usize>> {
+    let directors: Vec<u32> = map.list("extra.zoneBalancers")?;
+    Ok(directors.into_iter().map(|count| count as usize).collect())
+}
+
+/// The settings of request classes that stand in lists of their own, an item for each class.
+struct ClassLists {
+    fresh_for_us: Vec<u64>,
+    stale_for_us: Vec<u64>,
+    is_multipart: Vec<bool>,
+    is_uncacheable: Vec<bool>,
+}
+
+fn request_classes(map: &SettingsMap) -> Result<Vec<RequestClass>> {
+    let lists = ClassLists {
+        fresh_for_us: map.list("extra.freshForUs")?,
+        stale_for_us: map.list("extra.usableAfterUs")?,
+        is_multipart: map.list("extra.multiPart")?,
+        is_uncacheable: map.list("extra.neverKept")?,
+    };
+    let count: usize = map.get("classes.count")?;
+    if count == 0 {
+        return Err(invalid("classes.count", count));
+    }
+    (0..count).map(|index| request_class(map, index, &lists)).collect()
+}
+
+fn request_class(map: &SettingsMap, index: usize, lists: &ClassLists) -> Result<RequestClass> {
+    let key = |field: &str| format!("classes.{index}.{field}");
+    let effect = effect(map, index)?;
+    let stretch = key("aimStretch");
+    Ok(RequestClass {
+        latency_objective: map.nanoseconds(&key("aimUs"))?,
+        latency_objective_stretch: map.0.contains_key(&stretch).then(|| map.amount(&stretch)).transpose()?,
+        priority_weight: map.amount(&key("worth"))?,
+        effect,
+        fresh_for: nanoseconds(item(&lists.fresh_for_us, index, "extra.freshForUs")?),
+        stale_for: nanoseconds(item(&lists.stale_for_us, index, "extra.usableAfterUs")?),
+        is_multipart: item(&lists.is_multipart, index, "extra.multiPart")?,
+        is_uncacheable: item(&lists.is_uncacheable, index, "extra.neverKept")?,
     })
 }
+
+fn effect(map: &SettingsMap, index: usize) -> Result<Effect> {
+    let key = format!("classes.{index}.effect");
+    match map.text(&key)? {
+        "idempotent" => Ok(Effect::Idempotent),
+        "at_most_once" => Ok(Effect::SideEffecting),
+        "deduplicated" => Ok(Effect::Deduplicated {
+            within: deduplication_scope(map, index)?,
+            window: map.nanoseconds(&format!("classes.{index}.memorySpanUs"))?,
+        }),
+        other => Err(invalid(&key, other)),
+    }
+}
+
+fn deduplication_scope(map: &SettingsMap, index: usize) -> Result<DeduplicationScope> {
+    let key = format!("classes.{index}.group");
+    match map.text(&key)? {
+        "all" => Ok(DeduplicationScope::All),
+        "zone" => Ok(DeduplicationScope::Zone),
+        "cell" => Ok(DeduplicationScope::Cell),
+        other => Err(invalid(&key, other)),
+    }
+}
--- a/crates/sim-adapter/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -2,7 +2,9 @@
 
 use std::collections::HashMap;
 
-use sablecross::{AttemptSpec, EndpointState, EndpointUpdate, LoadReport, Ns, Outcome, Request, Router};
+use sablecross::{
+    Attempt, AttemptSpec, EndpointState, EndpointUpdate, LoadReport, Ns, Outcome, Request, Router,
+};
 use sablecross_inflight::{AttemptResult, InflightTable, Transport, settings};
 
 use crate::codec::{Address, Reader, Reply, Result};
@@ -23,7 +25,7 @@
 }
 
 impl Transport for Actions<'_> {
-    fn send(&mut self, id: u64, _: usize, send: &AttemptSpec) {
+    fn send(&mut self, id: u64, send: &AttemptSpec, _: &[Attempt]) {
         let to = [send.node, send.source.unwrap_or(send.node)].map(|n| self.addresses[n]);
         self.reply.read_through(self.director, id as u32, send, to);
     }
@@ -285,7 +287,7 @@
         let owned = |(path, value): (&str, &str)| (path.to_owned(), value.to_owned());
         let pairs: settings::SettingsMap =
             text.lines().filter_map(|l| l.split_once('=')).map(owned).collect();
-        let choice = Router::new(settings::decode(&pairs)?, seed, now);
+        let choice = Router::new(settings::decode(&pairs).map_err(|e| e.to_string())?, seed, now);
         if choice.polls_endpoint_list() {
             self.reply.follow_list(director);
         }
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -383,7 +383,10 @@
 
     fn event(&mut self, id: Option<u64>, data: &str, shared: &mut Shared) -> Result<(), Over> {
         let value: Result<Value, String> = serde_json::from_str(data).map_err(|e| e.to_string());
-        let parsed = value.as_ref().map_err(String::clone).and_then(NumberedEvent::from_json);
+        let parsed = value
+            .as_ref()
+            .map_err(String::clone)
+            .and_then(|value| NumberedEvent::from_json(value).map_err(|e| e.to_string()));
         match self.life.cursor.classify(id, parsed.map(|e| (e.number, e.event))) {
             EventVerdict::New(fact) => {
                 shared.tick.taken += 1;
