--- a/crates/director/src/counters.rs
+++ b/crates/director/src/counters.rs
@@ -1,4 +1,4 @@
-//! What was taken in, sent and answered.
+//! Counts of what was received, attempted and answered, and the line that tells them.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,63 +6,105 @@
 use sablecross::Outcome;
 use sablecross::invariants::{BeginDenied, Violation};
 
-/// Kept by the desk alone.
+/// Counted by the dispatcher.
 #[derive(Default, Debug)]
 pub struct Counters {
+    /// Calls for objects.
     pub received: u64,
+    /// Requests that were answered with the object.
     pub succeeded: u64,
+    /// Of those, the ones whose client held the current copy.
     pub unchanged: u64,
+    /// Calls that were rejected.
     pub rejected: u64,
+    /// Of those, the ones for which there was no room, before the router was asked.
     pub rejected_overload: u64,
+    /// Calls that failed.
     pub failed: u64,
+    /// Of those, the ones that could not be used.
     pub unusable: u64,
+    /// Requests whose client cancelled them or went.
     pub cancelled: u64,
+    /// Requests that are not answered yet.
     pub in_flight: u64,
+    /// Attempts.
     pub attempts: u64,
+    /// Of those, the ones past the first of a request.
     pub further_attempts: u64,
-    pub outcomes: [u64; 9],
-    /// Answers decided after their client had given up.
+    /// How attempts ended.
+    pub outcomes: OutcomeCounts,
+    /// Answers that were given after their client's deadline.
     pub late: u64,
+    /// Connections to nodes made since the start.
     pub connections_opened: u64,
+    /// Connections to nodes that are open.
     pub connections_open: u64,
+    /// Events of discovery.
     pub discovery_events: u64,
-    /// Rules that something chosen would have broken; it was not carried out.
+    /// Attempts and answers that were chosen against an invariant, and not carried out.
     pub violations: u64,
 }
 
-/// Kept by the threads that serve connections.
+/// How many attempts ended with each outcome.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct OutcomeCounts {
+    success: u64,
+    error: u64,
+    overloaded: u64,
+    timed_out: u64,
+    connect_failed: u64,
+    connection_lost: u64,
+    cancelled: u64,
+    not_sent: u64,
+    miss: u64,
+}
+
+/// Counted by the threads that serve connections.
 #[derive(Default, Debug)]
 pub struct ConnectionCounters {
+    /// Responses that were written to their end.
     pub answers: AtomicU64,
+    /// The bytes of their bodies.
     pub answer_bytes: AtomicU64,
-    /// Answers that were not begun, or not finished, by their time.
+    /// Responses that were not begun, or not finished, by their time.
     pub unsent_answers: AtomicU64,
+    /// The bytes of bodies that nodes sent.
     pub body_bytes: AtomicU64,
+    /// Faulty messages of clients.
     pub bad_messages: AtomicU64,
+    /// Faults of nodes that ended their connection.
     pub bad_lines: AtomicU64,
-    /// Connections of clients: all, closed as idle after their time or to make room, over the limit.
+    /// Connections of clients.
     pub clients: AtomicU64,
+    /// Connections of clients that were closed as one of their times was over.
     pub idle_closed: AtomicU64,
+    /// Connections of clients that were closed to make room for others.
     pub evicted_for_room: AtomicU64,
+    /// Connections of clients that were closed at once, as there was no room.
     pub rejected_connections: AtomicU64,
-    /// Attempts that were not begun: past their time, given up by the desk, their client gone.
+    /// Attempts that were not begun, as their time was over.
     pub expired: AtomicU64,
+    /// Attempts that were not begun, as they had been withdrawn.
     pub withdrawn: AtomicU64,
+    /// Attempts that were not begun, as their client had gone.
     pub client_gone: AtomicU64,
     /// Times an attempt waited as it had to be looked first whether its client was there.
     pub unconfirmed: AtomicU64,
-    /// Times the process stood still for longer than a request may lose unnoticed.
+    /// Times the process was stopped for longer than a request may lose unnoticed.
     pub stalls: AtomicU64,
-    /// Connections that could not be made, taken or watched for want of something on this machine.
+    /// Connections that could not be made, accepted or watched for want of something on this machine.
     pub shortages: AtomicU64,
+    /// Calls of the feed.
     pub feed_calls: AtomicU64,
+    /// Gaps in the event stream, for which the feed was called again.
     pub feed_gaps: AtomicU64,
+    /// Events that could not be used.
     pub feed_skipped: AtomicU64,
 }
 
 /// Counts why an attempt was not begun.
-pub fn count_denial(counters: &ConnectionCounters, why: BeginDenied) {
-    let counter = match why {
+pub fn count_denial(counters: &ConnectionCounters, denied: BeginDenied) {
+    let counter = match denied {
         BeginDenied::Expired => &counters.expired,
         BeginDenied::Withdrawn => &counters.withdrawn,
         BeginDenied::ClientGone => &counters.client_gone,
@@ -71,45 +113,62 @@
     add(counter, 1);
 }
 
-pub fn add(counter: &AtomicU64, n: usize) {
-    counter.fetch_add(n as u64, Ordering::Relaxed);
+/// Adds to a counter that several threads share.
+pub fn add(counter: &AtomicU64, count: usize) {
+    counter.fetch_add(count as u64, Ordering::Relaxed);
 }
 
 impl Counters {
-    /// Something that was chosen would have broken a rule: said with the request's name, and counted.
-    pub fn record_violation(&mut self, name: &str, why: Violation) {
+    /// Counts and logs that something was chosen against an invariant, with the request's id.
+    pub fn record_violation(&mut self, request_id: &str, violation: Violation) {
         self.violations += 1;
-        tracing::error!("violation request={name} rule={why:?}");
+        tracing::error!("violation request={request_id} rule={violation:?}");
     }
 
+    /// Counts the end of an attempt.
     pub fn record_outcome(&mut self, outcome: Outcome) {
-        self.outcomes[place(outcome)] += 1;
+        let outcomes = &mut self.outcomes;
+        let counter = match outcome {
+            Outcome::Success => &mut outcomes.success,
+            Outcome::Error => &mut outcomes.error,
+            Outcome::Overloaded => &mut outcomes.overloaded,
+            Outcome::TimedOut => &mut outcomes.timed_out,
+            Outcome::ConnectFailed => &mut outcomes.connect_failed,
+            Outcome::ConnectionLost => &mut outcomes.connection_lost,
+            Outcome::Cancelled => &mut outcomes.cancelled,
+            Outcome::NotSent => &mut outcomes.not_sent,
+            Outcome::Miss => &mut outcomes.miss,
+        };
+        *counter += 1;
     }
 }
 
-fn place(outcome: Outcome) -> usize {
-    match outcome {
-        Outcome::Success => 0,
-        Outcome::Error => 1,
-        Outcome::Overloaded => 2,
-        Outcome::TimedOut => 3,
-        Outcome::ConnectFailed => 4,
-        Outcome::ConnectionLost => 5,
-        Outcome::Cancelled => 6,
-        Outcome::NotSent => 7,
-        Outcome::Miss => 8,
+// The names in these lines are read by the operators' tools.
+
+impl fmt::Display for OutcomeCounts {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        write!(
+            f,
+            "ok={} miss={} full={} error={} timed_out={} unconnected={} broken={} called_off={} never_sent={}",
+            self.success,
+            self.miss,
+            self.overloaded,
+            self.error,
+            self.timed_out,
+            self.connect_failed,
+            self.connection_lost,
+            self.cancelled,
+            self.not_sent,
+        )
     }
 }
 
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let [ok, error, full, timed_out, unconnected, broken, called_off, never_sent, miss] = self.outcomes;
         write!(
             f,
             "taken={} satisfied={} nacked={} failed={} cancelled={} in_hand={} unchanged={} crowded={} \
-             unfit={} sends={} further={} ok={ok} miss={miss} full={full} error={error} \
-             timed_out={timed_out} unconnected={unconnected} broken={broken} called_off={called_off} \
-             never_sent={never_sent} late={} links={} links_open={} facts={} violations={}",
+             unfit={} sends={} further={} {} late={} links={} links_open={} facts={} violations={}",
             self.received,
             self.succeeded,
             self.rejected,
@@ -121,6 +180,7 @@
             self.unusable,
             self.attempts,
             self.further_attempts,
+            self.outcomes,
             self.late,
             self.connections_opened,
             self.connections_open,
@@ -132,41 +192,42 @@
 
 impl fmt::Display for ConnectionCounters {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let of = |c: &AtomicU64| c.load(Ordering::Relaxed);
+        let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         write!(
             f,
             "answers={} answer_bytes={} unsent={} body_bytes={} bad_messages={} bad_lines={} clients={} \
              idle_closed={} made_room={} turned_away={} shortages={} stalls={} expired={} retracted={} client_gone={} unconfirmed={} \
              feed_calls={} feed_gaps={} feed_skipped={}",
-            of(&self.answers),
-            of(&self.answer_bytes),
-            of(&self.unsent_answers),
-            of(&self.body_bytes),
-            of(&self.bad_messages),
-            of(&self.bad_lines),
-            of(&self.clients),
-            of(&self.idle_closed),
-            of(&self.evicted_for_room),
-            of(&self.rejected_connections),
-            of(&self.shortages),
-            of(&self.stalls),
-            of(&self.expired),
-            of(&self.withdrawn),
-            of(&self.client_gone),
-            of(&self.unconfirmed),
-            of(&self.feed_calls),
-            of(&self.feed_gaps),
-            of(&self.feed_skipped),
+            count(&self.answers),
+            count(&self.answer_bytes),
+            count(&self.unsent_answers),
+            count(&self.body_bytes),
+            count(&self.bad_messages),
+            count(&self.bad_lines),
+            count(&self.clients),
+            count(&self.idle_closed),
+            count(&self.evicted_for_room),
+            count(&self.rejected_connections),
+            count(&self.shortages),
+            count(&self.stalls),
+            count(&self.expired),
+            count(&self.withdrawn),
+            count(&self.client_gone),
+            count(&self.unconfirmed),
+            count(&self.feed_calls),
+            count(&self.feed_gaps),
+            count(&self.feed_skipped),
         )
     }
 }
 
-/// Threads and the most memory used so far, where the system tells.
+/// The number of threads and the most memory used so far, where the system tells them, as they stand in the line of the
+/// counters.
 pub fn process_usage() -> String {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let of = |key: &str, name: &str| {
-        let line = status.lines().find_map(|l| l.strip_prefix(key))?;
-        Some(format!(" {name}={}", line.split_whitespace().next()?))
+    let field = |key: &str, name: &str| {
+        let value = status.lines().find_map(|line| line.strip_prefix(key))?;
+        Some(format!(" {name}={}", value.split_whitespace().next()?))
     };
-    [of("Threads:", "threads"), of("VmHWM:", "memory_peak_kb")].into_iter().flatten().collect()
+    [field("Threads:", "threads"), field("VmHWM:", "memory_peak_kb")].into_iter().flatten().collect()
 }
--- a/crates/director/src/events.rs
+++ b/crates/director/src/events.rs
@@ -1,4 +1,4 @@
-//! Where the client side and the node side meet: plain values, and the one queue that leads to the desk.
+//! The events by which all other threads tell the dispatcher what has happened, and the values in them.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,145 +10,200 @@
 use crate::discovery_event::DiscoveryEvent;
 use crate::memory_budget::Body;
 
-/// A client's connection, a connection to a node.
+/// The number of a client's connection. None is used twice.
 pub type ClientId = u64;
+
+/// The number of a connection to a node. None is used twice.
 pub type NodeConnectionId = u64;
 
 /// The dispatcher's number of a request in flight. Numbers rise, and none is used twice.
 pub type RequestKey = u64;
 
-/// One request on a client's connection: its number, and the use of it, as a client may use a number again.
+/// The 16 hex digits that name a request all its way.
+pub type RequestId = [u8; 16];
+
+/// One call on a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallId {
+    /// The client's number of the call.
     pub number: u32,
+    /// Tells the uses of a number apart, as a client may use one again.
     pub generation: u64,
 }
 
-/// The word, of a client that has gone or cancelled or of the desk, that something is not wanted any more: it is
-/// ahead of the events and orders that say so.
+/// Tells other threads that something is not wanted any more, ahead of the events and commands that say so.
 #[derive(Clone, Debug, Default)]
 pub struct CancellationFlag(Arc<AtomicBool>);
 
 impl CancellationFlag {
+    /// Sets the flag for good.
     pub fn cancel(&self) {
         self.0.store(true, Ordering::Release);
     }
 
+    /// Whether it is set.
     pub fn is_cancelled(&self) -> bool {
         self.0.load(Ordering::Acquire)
     }
 }
 
-/// The 16 digits that name a lookup all its way.
-pub type RequestId = [u8; 16];
-
-/// What a client asks for.
+/// A client's request.
 #[derive(Debug)]
 pub struct IncomingRequest {
+    /// The connection on which it came.
     pub client: ClientId,
+    /// The call that it is.
     pub call: CallId,
+    /// Set once the client has cancelled it or has gone.
     pub cancellation: CancellationFlag,
+    /// Its name towards clients and nodes.
     pub request_id: RequestId,
+    /// The router's index of its class.
     pub class: usize,
+    /// The object.
     pub object: u64,
+    /// The part of the object.
     pub part: u32,
+    /// The object's group, by which it may be purged.
     pub group: u32,
+    /// The size of the object, in KB; 0: not known.
     pub size_kb: f64,
     /// The tag of the copy that the client holds.
     pub client_tag: Option<Box<str>>,
-    /// The mark by which nodes know a repeat of a deduplicated lookup.
+    /// By which nodes know a repeat of a deduplicated request.
     pub idempotency_key: Option<Box<str>>,
+    /// The client says that it has asked before.
     pub is_client_retry: bool,
+    /// The body that goes along to the node.
     pub body: Arc<Body>,
+    /// When it arrived, or the earliest time at which it may have.
     pub arrived_at: Ns,
+    /// How long its client waits from then on.
     pub budget: Ns,
 }
 
-/// A copy as a node gave it out.
+/// A copy as a node served it.
 #[derive(Debug)]
 pub struct CachedCopy {
+    /// Its tag; empty if the node gave none.
     pub tag: Box<str>,
-    /// None: the client's copy is the one.
+    /// None if the copy that the client holds is the current one.
     pub body: Option<Arc<Body>>,
 }
 
-/// How a node ended a send.
+/// How a node ended an attempt.
 #[derive(Debug)]
 pub struct AttemptEnded {
+    /// The request of the attempt.
     pub request_id: RequestId,
+    /// The outcome.
     pub outcome: Outcome,
+    /// Whether a cached copy was served, where the node says so.
     pub is_cache_hit: Option<bool>,
+    /// The node's load report.
     pub load: Option<LoadReport>,
+    /// The copy, if it was a success.
     pub copy: Option<CachedCopy>,
+    /// When all of the answer had come.
     pub ended_at: Ns,
 }
 
 /// How a connection to a node was lost.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectionLoss {
-    /// It never came up.
+    /// It was never established.
     Unreachable,
-    /// It could not be made for want of something on this machine, which says nothing of the node.
+    /// It could not be made, for want of something on this machine, which says nothing of the node.
     LocalShortage,
-    /// It had come up.
+    /// It had been established.
     Broken,
 }
 
-/// All that the desk hears of.
+/// What the dispatcher is told.
 pub enum Event {
+    /// A client asks for an object.
     Request(Box<IncomingRequest>),
-    /// An id is known, but what was asked can't be used, or there is no room for it.
+    /// The number of a call is known, but no request can be made of it.
     Unusable {
+        /// The connection.
         client: ClientId,
+        /// The call.
         call: CallId,
+        /// Whether there is no room for it; else it can't be used.
         is_overload: bool,
     },
+    /// A client asks whether the director is ready for requests.
     HealthCheck {
+        /// The connection.
         client: ClientId,
+        /// The call.
         call: CallId,
     },
+    /// A client does not want the answer to a call any more.
     Cancelled {
+        /// The connection.
         client: ClientId,
-        /// Its number; what has it now, if anything, came before.
+        /// The client's number of the call; the call that has it now, if any, came before.
         call: u32,
     },
+    /// A connection of a client is over: nothing is owed on it.
     ClientDisconnected {
+        /// The connection.
         client: ClientId,
     },
+    /// A node has answered an attempt.
     AttemptEnded {
+        /// The connection.
         connection: NodeConnectionId,
+        /// How the attempt ended.
         result: Box<AttemptEnded>,
     },
-    /// A connection to a node is over; `begun`: what of it is written, if only in part, and not ended.
+    /// A connection to a node is over.
     ConnectionLost {
+        /// The connection.
         connection: NodeConnectionId,
+        /// How it was lost.
         loss: ConnectionLoss,
+        /// The requests whose attempts are written, if only in part, and not ended.
         begun_requests: BTreeSet<RequestId>,
     },
-    /// A send was not begun to be written in its time, or after it was withdrawn, and never will be.
+    /// An attempt was not begun to be written in its time, or before it was withdrawn, and never will be.
     AttemptNotSent {
+        /// The connection.
         connection: NodeConnectionId,
+        /// The request of the attempt.
         request_id: RequestId,
     },
+    /// An event of discovery.
     Discovery(DiscoveryEvent),
-    /// Another member of the fleet calls; what it is answered, if anything.
+    /// Another director calls on behalf of the fleet.
     PeerCalled {
+        /// The connection.
         client: ClientId,
+        /// The call.
         call: CallId,
+        /// Its messages.
         body: Vec<u8>,
     },
+    /// The coordination's answer to a call of another director.
     PeerCallAnswered {
+        /// The connection.
         client: ClientId,
+        /// The call.
         call: CallId,
+        /// The replies; none if the call can't be answered.
         body: Option<Vec<u8>>,
     },
-    /// The settings of the duties were read again.
+    /// The coordination's settings were read again.
     CoordinationReloaded(Box<CoordinationSettings>),
-    /// What probes of any member found lately, by the names of nodes.
+    /// What health checks of any director found lately, by the names of nodes.
     HealthReports(Vec<(String, LoadReport)>),
+    /// The signal to stop came.
     Shutdown,
-    /// All connections of clients have ended, and no more come.
+    /// All connections of clients have ended, and no more are accepted.
     ClientsFinished,
+    /// The signal to log the counters came.
     LogCounters,
+    /// A thread without which the director can't serve has ended; its name.
     ThreadEnded(&'static str),
 }
--- a/crates/director/src/lib.rs
+++ b/crates/director/src/lib.rs
@@ -1,5 +1,11 @@
-//! The real director: sockets round the decision module. `wire` speaks, `memory` keeps, `life` starts and
-//! stops; `exchange`, `common`, `upper` and `plain` stand below all three.
+//! One director on real sockets: it answers the requests of clients by forwarding them to cache nodes, parents and the
+//! origin, where the router of the root package says so.
+//!
+//! Three threads hold sockets, in `wire`: one for clients, one for nodes, one for the event stream of discovery. They
+//! tell the dispatcher what has happened by `events`; the dispatcher, in `dispatch`, owns the router and all requests
+//! in flight, and answers with responses and commands. `process` reads the configuration, starts the threads and
+//! handles signals. `coordination` and `parent_hierarchy` are compiled with the features of their names; the other
+//! modules are values without sockets and threads that these share.
 
 pub mod clock;
 #[cfg_attr(not(feature = "coordination"), path = "coordination_off.rs")]
--- a/crates/director/src/limits.rs
+++ b/crates/director/src/limits.rs
@@ -1,4 +1,4 @@
-//! All sizes, counts and times that bound this program; what to decide within them is the module's.
+//! All sizes, counts and times that bound this program. What is decided within them is the router's.
 
 use std::time::Duration;
 
@@ -6,86 +6,106 @@
 
 use crate::clock::NS_PER_MS;
 
+/// The bounds of the program. Times are in nanoseconds.
 #[derive(Debug)]
 pub struct Limits {
-    /// Connections: of clients, to nodes in all, to one node; descriptors kept spare for the rest.
+    /// Connections of clients.
     pub max_client_connections: usize,
+    /// Connections to all nodes.
     pub max_node_connections: usize,
+    /// Connections to one node.
     pub max_connections_per_node: usize,
-    /// Open on one connection of a client, past which more are refused, and past which no more is read of it; open on
-    /// one to a node.
+    /// Calls open on one connection of a client, past which more are rejected.
     pub max_open_per_client: usize,
+    /// Calls open on one connection of a client, past which no more is read of it.
     pub max_unanswered_per_client: usize,
+    /// Attempts outstanding on one connection to a node.
     pub max_open_per_connection: usize,
+    /// Requests in flight.
     pub max_requests: usize,
-    /// Bytes: of one body, of all bodies in hand, of a message without its body, of a line.
+    /// The length of one body.
     pub max_body_bytes: usize,
+    /// The memory of all bodies and of buffers that have grown.
     pub body_memory_bytes: usize,
+    /// The length of a message without its body.
     pub max_head_bytes: usize,
+    /// The length of a line of a node.
     pub max_line_bytes: usize,
-    /// How deep the values of a message lie in one another, and how many there are.
+    /// How deep the values of a message may be nested.
     pub max_nesting_depth: usize,
+    /// How many values a message may hold.
     pub max_values: usize,
-    /// Messages of one connection that can't be used, before it is closed.
+    /// Messages of one connection that can't be used, at which it is closed.
     pub max_unusable_messages: usize,
-    /// What is read at first of a client, and messages that one connection may say, or events that are heard, in
-    /// one turn.
+    /// The length of the buffer of a client's connection, before it grows.
     pub initial_read_bytes: usize,
+    /// Messages that are read of one connection, or events that are taken, before others have their turn.
     pub max_messages_per_turn: usize,
-    /// Queues: to the desk, to the clients, to the nodes, to the feed's.
+    /// Events that wait for the dispatcher.
     pub event_queue_length: usize,
+    /// Responses that wait for the clients' thread.
     pub response_queue_length: usize,
+    /// Commands that wait for the node connections' thread.
     pub command_queue_length: usize,
+    /// Moves of the feed, and applied versions, that wait for the discovery thread.
     pub feed_move_queue_length: usize,
     /// The stack of each thread beside the main one.
     pub thread_stack_bytes: usize,
+    /// The length of an event of discovery.
     pub max_feed_event_bytes: usize,
-    /// Times: to connect to a node; after which an idle connection is not used again, and one
-    /// that was silent since it took a send that was given up.
+    /// The time in which a connection must be established.
     pub connect_timeout: Ns,
+    /// The time after which an idle connection to a node is not used again.
     pub node_idle_timeout: Ns,
+    /// A connection that has been silent for so long, since it took an attempt that is abandoned, is not used again.
     pub silence_threshold: Ns,
-    /// An answer is decided this much before its client gives up.
+    /// A request is answered this much before its client's deadline.
     pub answer_margin: Ns,
+    /// The longest time that a client may give a request.
     pub max_budget: Ns,
-    /// The largest size that a client may tell, in KB.
+    /// The largest size that a client may name, in KB.
     pub max_size_kb: f64,
-    /// The time that an answer without a deadline has to be written.
+    /// The time in which a message without a deadline of its own must be written.
     pub default_write_timeout: Ns,
-    /// The time in which a client's message has to come whole; after which one that said something before counts
-    /// as gone; in which a new one is not blamed for its silence.
+    /// The time in which a message of a client must be complete, and in which its first one must come.
     pub partial_message_timeout: Ns,
+    /// The time after which a connection of a client that sends nothing more is closed.
     pub client_idle_timeout: Ns,
+    /// The time in which a new connection is not blamed for its silence.
     pub new_client_grace: Ns,
     /// The pause before a call that failed for want of descriptors, memory or ports is made again.
     pub shortage_retry_interval: Ns,
     /// The pause before an attempt is looked at again whose client is not known to be there.
     pub client_check_interval: Ns,
-    /// No wait for clients is longer: a process that stood still finds out by a wait that ended late.
+    /// The longest wait for clients: a process that was stopped finds out by a wait that ended late.
     pub max_poll_wait: Ns,
-    /// How often idle connections are looked for.
+    /// How often connections are looked at without a cause of their own.
     pub sweep_interval: Ns,
-    /// An answer is not begun any more so long after its client gave up.
+    /// A response is not begun any more so long after its client's deadline.
     pub max_answer_lateness: Ns,
     /// What is begun in time may be finished this much later: cut short, it would end all that is open beside it.
     pub write_finish_grace: Ns,
-    /// Silence of the feed that is a dead link, how often it is looked whether it has moved meanwhile, and the
-    /// pause after a failed call.
+    /// Silence of the event stream after which it counts as dead.
     pub feed_silence_timeout: Duration,
+    /// How often it is looked, while the stream is silent, whether the feed has moved.
     pub feed_poll_interval: Duration,
+    /// The pause after a call of the feed that failed or ended at once.
     pub feed_retry_delay: Duration,
-    /// After the signal to stop: how long new lookups come still.
+    /// How long requests are still taken after the signal to stop.
     pub shutdown_delay: Ns,
-    /// How often it is looked then whether all has been written.
+    /// How often it is looked during a shutdown whether all is written.
     pub shutdown_poll_interval: Ns,
-    /// How long a connection that is ended has to take its last bytes, and how many such there are.
+    /// How long a client's connection that is closed has to take its last bytes.
     pub closing_timeout: Ns,
+    /// Connections of clients that are closed and not ended yet.
     pub max_closing_clients: usize,
 }
 
 impl Limits {
-    /// From what the machine allows and what the nodes' side is told to do.
-    pub fn new(sockets: usize, memory_mb: usize, dial: Ns, keepalive: Ns) -> Limits {
+    /// From what the machine allows, and the times that the settings give for connections to nodes. `sockets` counts
+    /// file descriptors: those that no limit here uses are spare for connections that are closing, the event stream,
+    /// the listener and the log.
+    pub fn new(sockets: usize, memory_mb: usize, connect_timeout: Ns, keepalive: Ns) -> Limits {
         Limits {
             max_client_connections: sockets / 3 + 8,
             max_node_connections: (sockets / 2).saturating_sub(16).max(4),
@@ -109,7 +129,7 @@
             feed_move_queue_length: 4,
             thread_stack_bytes: 512 << 10,
             max_feed_event_bytes: 4 << 20,
-            connect_timeout: dial,
+            connect_timeout,
             node_idle_timeout: keepalive * 4 / 5,
             silence_threshold: 250 * NS_PER_MS,
             answer_margin: 20 * NS_PER_MS,
--- a/crates/director/src/log_rate_limiter.rs
+++ b/crates/director/src/log_rate_limiter.rs
@@ -1,36 +1,39 @@
-//! Log lines about what others do wrong, so many in a second: who sends much that is faulty must not fill the log.
+//! Limits the log lines about what others do wrong: who sends much that is faulty must not fill the log.
 
 use sablecross::Ns;
 
-const MOST: u32 = 10;
-const SPAN: Ns = 1_000_000_000;
+const MAX_LINES: u32 = 10;
+const WINDOW: Ns = 1_000_000_000;
 
+/// Admits ten lines a second and counts those it leaves out.
 #[derive(Debug, Default)]
 pub struct LogRateLimiter {
-    since: Ns,
-    said: u32,
-    /// Lines left out since the last one.
-    held: u64,
+    window_start: Ns,
+    /// Lines that came in this window.
+    count: u32,
+    /// Lines left out since the last one that was admitted.
+    suppressed: u64,
 }
 
 impl LogRateLimiter {
     /// Whether a line may be written now, and how many were left out before it.
     pub fn admit(&mut self, now: Ns) -> Option<u64> {
-        if now >= self.since.saturating_add(SPAN) {
-            (self.since, self.said) = (now, 0);
+        if now >= self.window_start.saturating_add(WINDOW) {
+            (self.window_start, self.count) = (now, 0);
         }
-        self.said += 1;
-        if self.said > MOST {
-            self.held += 1;
+        self.count += 1;
+        if self.count > MAX_LINES {
+            self.suppressed += 1;
             return None;
         }
-        Some(std::mem::take(&mut self.held))
+        Some(std::mem::take(&mut self.suppressed))
     }
 
+    /// Writes a warning, if it may be written now.
     pub fn warn(&mut self, now: Ns, line: impl FnOnce() -> String) {
         match self.admit(now) {
             Some(0) => tracing::warn!("{}", line()),
-            Some(held) => tracing::warn!("{}; {held} such lines left out before", line()),
+            Some(suppressed) => tracing::warn!("{}; {suppressed} such lines left out before", line()),
             None => {}
         }
     }
--- a/crates/director/src/memory_budget.rs
+++ b/crates/director/src/memory_budget.rs
@@ -1,51 +1,56 @@
-//! Bodies, shared and never copied, within a bound on all bytes in hand.
+//! Bodies, which are shared and never copied, within a bound on the memory of all of them.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
+/// The memory for bodies.
 #[derive(Debug)]
 pub struct MemoryBudget {
-    most: usize,
-    taken: AtomicUsize,
+    max_bytes: usize,
+    reserved_bytes: AtomicUsize,
 }
 
-/// Room that is taken, until it is dropped.
+/// A part of the memory that is reserved until this is dropped.
 #[derive(Debug)]
 pub struct Reservation {
     bytes: usize,
-    room: Arc<MemoryBudget>,
+    budget: Arc<MemoryBudget>,
 }
 
+/// The body of a message, with its memory reserved.
 #[derive(Debug)]
 pub struct Body {
     bytes: Vec<u8>,
-    _hold: Reservation,
+    _reservation: Reservation,
 }
 
 impl MemoryBudget {
-    pub fn new(most: usize) -> Arc<MemoryBudget> {
-        Arc::new(MemoryBudget { most, taken: AtomicUsize::new(0) })
+    /// A budget of so many bytes.
+    pub fn new(max_bytes: usize) -> Arc<MemoryBudget> {
+        Arc::new(MemoryBudget { max_bytes, reserved_bytes: AtomicUsize::new(0) })
     }
 
-    /// Takes room, if there is so much left.
+    /// Reserves memory, if so much is left.
     pub fn reserve(self: &Arc<MemoryBudget>, bytes: usize) -> Option<Reservation> {
-        let fits = |taken: usize| taken.checked_add(bytes).filter(|&t| t <= self.most);
-        self.taken.fetch_update(Ordering::Relaxed, Ordering::Relaxed, fits).ok()?;
-        Some(Reservation { bytes, room: Arc::clone(self) })
+        let add = |reserved: usize| reserved.checked_add(bytes).filter(|&total| total <= self.max_bytes);
+        self.reserved_bytes.fetch_update(Ordering::Relaxed, Ordering::Relaxed, add).ok()?;
+        Some(Reservation { bytes, budget: Arc::clone(self) })
     }
 
-    /// A body of this length, if there is room for it.
+    /// A body of zeros of this length, if there is memory for it.
     pub fn allocate_body(self: &Arc<MemoryBudget>, length: usize) -> Option<Body> {
-        let hold = self.reserve(length)?;
-        Some(Body { bytes: vec![0; length], _hold: hold })
+        let reservation = self.reserve(length)?;
+        Some(Body { bytes: vec![0; length], _reservation: reservation })
     }
 }
 
 impl Body {
+    /// Its bytes.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
+    /// Its bytes, to be filled in.
     pub fn bytes_mut(&mut self) -> &mut [u8] {
         &mut self.bytes
     }
@@ -53,6 +58,6 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        self.room.taken.fetch_sub(self.bytes, Ordering::Relaxed);
+        self.budget.reserved_bytes.fetch_sub(self.bytes, Ordering::Relaxed);
     }
 }
--- a/crates/director/src/node_registry.rs
+++ b/crates/director/src/node_registry.rs
@@ -1,20 +1,22 @@
-//! The numbers by which the module knows the nodes, and lines of the list as it reads them. A node is known by its name:
-//! addresses differ from director to director, and a new node may have the address of one that has gone.
+//! The router's indexes of nodes, and the endpoints as the router reads them. A node is known by its name: addresses
+//! differ from director to director, and a new node may have the address of one that has gone.
 
 use std::collections::HashMap;
 
 use sablecross::{EndpointState, EndpointUpdate, Ns, rank};
 
 use crate::discovery_event::Endpoint;
+use crate::events::RequestKey;
 use crate::name_table::NameTable;
 use crate::source_clock::SourceClock;
 
 #[derive(Default)]
-struct Known {
+struct KnownNode {
+    /// Empty if the index is free.
     name: String,
-    /// Once it is gone, the number of the first lookup that came after: when all before it are out of hand,
-    /// none can have sent to that node, and its number is free for another.
-    gone: Option<u64>,
+    /// Once it is gone, the key of the first request that came after: when all before that are over, none can have
+    /// sent to the node, and its index is free for another.
+    gone_before: Option<RequestKey>,
     start: Start,
     state: EndpointState,
 }
@@ -26,71 +28,82 @@
     local: Ns,
 }
 
+/// All nodes that are known.
 #[derive(Default)]
 pub struct NodeRegistry {
-    /// By the module's numbers.
-    nodes: Vec<Known>,
-    numbers: HashMap<String, usize>,
-    free: Vec<usize>,
+    /// By the router's index.
+    nodes: Vec<KnownNode>,
+    indexes: HashMap<String, usize>,
+    free_indexes: Vec<usize>,
     source_clock: SourceClock,
 }
 
 impl NodeRegistry {
+    /// The router's index of a node.
     pub fn index_of(&self, name: &str) -> Option<usize> {
-        self.numbers.get(name).copied()
+        self.indexes.get(name).copied()
     }
 
+    /// The name of a node.
     pub fn name(&self, node: usize) -> &str {
-        self.nodes.get(node).map_or("", |k| &k.name)
+        self.nodes.get(node).map_or("", |known| &known.name)
     }
 
-    /// What the list says of a node.
+    /// What discovery says of a node.
     pub fn state(&self, node: usize) -> EndpointState {
         self.nodes.get(node).map_or(EndpointState::Gone, |known| known.state)
     }
 
-    /// Lets go of the numbers of nodes that went before the oldest lookup in hand came, and that are idle.
-    pub fn release_unused(&mut self, oldest: u64, idle: impl Fn(usize) -> bool) {
+    /// Frees the indexes of nodes that went before the oldest request in flight came, and that are not in use.
+    pub fn release_unused(&mut self, oldest: RequestKey, is_unused: impl Fn(usize) -> bool) {
         for (node, known) in self.nodes.iter_mut().enumerate() {
-            if idle(node) && known.gone.take_if(|first| *first <= oldest).is_some() {
-                self.numbers.remove(&std::mem::take(&mut known.name));
-                self.free.push(node);
+            if is_unused(node) && known.gone_before.take_if(|first| *first <= oldest).is_some() {
+                self.indexes.remove(&std::mem::take(&mut known.name));
+                self.free_indexes.push(node);
             }
         }
     }
 
-    /// Takes in the starts of a whole event, or of several, before any line of them is read.
-    pub fn observe_starts(&mut self, members: &[Endpoint], now: Ns) {
-        for member in members {
-            self.source_clock.observe(member.started_at, now);
+    /// Takes in the starts of all endpoints of an event, or of several, before any of them is read.
+    pub fn observe_starts(&mut self, endpoints: &[Endpoint], now: Ns) {
+        for endpoint in endpoints {
+            self.source_clock.observe(endpoint.started_at, now);
         }
     }
 
-    /// One line, unless the settings do not know its like or it went before it came.
-    pub fn endpoint_update(&mut self, names: &NameTable, m: &Endpoint, now: Ns) -> Option<EndpointUpdate> {
-        let (Some(&zone), Some(&machine)) = (names.zones.get(&m.zone), names.node_kinds.get(&m.kind)) else {
-            tracing::warn!("list: {}: zone {} or type {} is not in the settings", m.name, m.zone, m.kind);
+    /// One endpoint as the router reads it; none if the settings do not know its zone or kind, or it went before it
+    /// was known.
+    pub fn endpoint_update(
+        &mut self,
+        names: &NameTable,
+        endpoint: &Endpoint,
+        now: Ns,
+    ) -> Option<EndpointUpdate> {
+        let Endpoint { name, zone, kind, .. } = endpoint;
+        let indexes = names.zones.get(zone).zip(names.node_kinds.get(kind));
+        let Some((&zone, &machine_kind)) = indexes else {
+            tracing::warn!("list: {name}: zone {zone} or type {kind} is not in the settings");
             return None;
         };
-        let node = match self.numbers.get(&m.name) {
-            Some(&node) => node,
-            None if m.state == EndpointState::Gone => return None,
-            None => self.number(&m.name),
+        let node = match self.index_of(name) {
+            Some(node) => node,
+            None if endpoint.state == EndpointState::Gone => return None,
+            None => self.assign_index(name),
         };
         Some(EndpointUpdate {
             node,
-            rank: rank(&m.name),
+            rank: rank(name),
             zone,
-            machine_kind: machine,
-            cell: m.cell,
-            started_at: self.started(node, m.started_at, now),
-            state: m.state,
+            machine_kind,
+            cell: endpoint.cell,
+            started_at: self.local_start(node, endpoint.started_at, now),
+            state: endpoint.state,
             withheld_virtual_nodes: 0,
         })
     }
 
     /// When a node started, in local time; 0: long ago.
-    fn started(&mut self, node: usize, listed: Ns, now: Ns) -> Ns {
+    fn local_start(&mut self, node: usize, listed: Ns, now: Ns) -> Ns {
         let start = &mut self.nodes[node].start;
         if start.listed != listed {
             let local = self.source_clock.to_local(listed, now).max(1);
@@ -99,35 +112,42 @@
         start.local
     }
 
-    /// The number of a node that was not known: one that is free, or a new one.
-    fn number(&mut self, name: &str) -> usize {
-        let node = self.free.pop().unwrap_or(self.nodes.len());
+    /// The index of a node that was not known: one that is free, or a new one.
+    fn assign_index(&mut self, name: &str) -> usize {
+        let node = self.free_indexes.pop().unwrap_or(self.nodes.len());
         tracing::info!("node {node} is {name}");
         if node == self.nodes.len() {
-            self.nodes.push(Known::default());
+            self.nodes.push(KnownNode::default());
         }
-        self.nodes[node] = Known { name: name.to_owned(), ..Known::default() };
-        self.numbers.insert(name.to_owned(), node);
+        self.nodes[node] = KnownNode { name: name.to_owned(), ..KnownNode::default() };
+        self.indexes.insert(name.to_owned(), node);
         node
     }
 
-    /// Notes who is gone, as the lines and those that a whole list leaves out say; `next` is the lookup to come.
-    /// Those that are gone, again where they are.
-    pub fn mark_gone(&mut self, lines: &[EndpointUpdate], whole: bool, next: u64) -> Vec<usize> {
-        let states: HashMap<usize, EndpointState> = lines.iter().map(|l| (l.node, l.state)).collect();
+    /// Notes the states of nodes; those that a snapshot leaves out are gone. `next` is the key of the request to come.
+    /// Returns the nodes that are gone, also those that were before.
+    pub fn mark_gone(
+        &mut self,
+        updates: &[EndpointUpdate],
+        is_snapshot: bool,
+        next: RequestKey,
+    ) -> Vec<usize> {
+        let states: HashMap<usize, EndpointState> =
+            updates.iter().map(|update| (update.node, update.state)).collect();
         let mut gone = Vec::new();
         for (node, known) in self.nodes.iter_mut().enumerate() {
-            if let Some(state) = states.get(&node) {
-                known.state = *state;
+            let listed = states.get(&node).copied();
+            if let Some(state) = listed {
+                known.state = state;
             }
-            if states.get(&node).map_or(whole, |s| *s == EndpointState::Gone) {
+            if listed.map_or(is_snapshot, |state| state == EndpointState::Gone) {
                 known.state = EndpointState::Gone;
                 gone.push(node);
                 if !known.name.is_empty() {
-                    known.gone.get_or_insert(next);
+                    known.gone_before.get_or_insert(next);
                 }
-            } else if states.contains_key(&node) {
-                known.gone = None;
+            } else if listed.is_some() {
+                known.gone_before = None;
             }
         }
         gone
--- a/crates/director/src/process/logging.rs
+++ b/crates/director/src/process/logging.rs
@@ -19,15 +19,15 @@
 
 use super::startup::StartupRetry;
 
-/// Which parts are heard, and from which level on: `info` if it is not set or can't be read.
-const FILTER: &str = "RUST_LOG";
-/// `json`: each line is an object.
-const FORM: &str = "SABLECROSS_LOG";
+/// The variable that says which modules are logged, and from which level on: `info` if it is not set or can't be read.
+const FILTER_VARIABLE: &str = "RUST_LOG";
+/// The variable that says how lines are written; `json`: each is an object.
+const FORMAT_VARIABLE: &str = "SABLECROSS_LOG";
 /// Lines that wait to be written.
-const QUEUE: usize = 4_096;
-const STACK: usize = 128 << 10;
+const QUEUE_LENGTH: usize = 4_096;
+const STACK_BYTES: usize = 128 << 10;
 /// How long the end of the program waits for its last lines to be written.
-const LAST_LINES: Duration = Duration::from_millis(300);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
 enum Message {
     Line(Vec<u8>),
@@ -35,7 +35,7 @@
     Flush(Sender<()>),
 }
 
-/// Where the threads leave their lines.
+/// The writer of the threads that log: it queues their lines.
 #[derive(Clone)]
 struct LineQueue {
     messages: Sender<Message>,
@@ -74,19 +74,19 @@
 }
 
 /// The log of a program, until it ends.
-pub struct LogWriter {
+pub(super) struct LogWriter {
     messages: Option<Sender<Message>>,
 }
 
 impl LogWriter {
     /// Once, at the start of the program. Without a thread for it lines are written directly.
-    pub fn start(starting: &StartupRetry) -> LogWriter {
-        let (messages, waiting) = bounded(QUEUE);
+    pub(super) fn start(startup: &StartupRetry) -> LogWriter {
+        let (messages, waiting) = bounded(QUEUE_LENGTH);
         let dropped = Arc::new(AtomicU64::new(0));
-        let started = starting.retry(|| {
+        let started = startup.retry(|| {
             let (waiting, dropped) = (waiting.clone(), Arc::clone(&dropped));
             let body = move || write_lines(&waiting, &dropped);
-            thread::Builder::new().name("log".into()).stack_size(STACK).spawn(body)
+            thread::Builder::new().name("log".into()).stack_size(STACK_BYTES).spawn(body)
         });
         let queue = LineQueue { messages: messages.clone(), dropped };
         match started {
@@ -97,23 +97,23 @@
     }
 
     /// Waits a little for the last lines.
-    pub fn flush(self) {
+    pub(super) fn flush(self) {
         let Some(messages) = self.messages else { return };
         let (written, done) = bounded(0);
-        if messages.send_timeout(Message::Flush(written), LAST_LINES).is_ok() {
+        if messages.send_timeout(Message::Flush(written), FLUSH_TIMEOUT).is_ok() {
             // It is dropped once its turn has come.
-            let _ = done.recv_timeout(LAST_LINES);
+            let _ = done.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
 
 fn subscribe(writer: BoxMakeWriter) {
-    let asked = std::env::var(FILTER).unwrap_or_default();
+    let asked = std::env::var(FILTER_VARIABLE).unwrap_or_default();
     let filter = asked.parse::<Targets>().ok().filter(|_| !asked.is_empty());
     let filter = filter.unwrap_or_else(|| Targets::new().with_default(Level::INFO));
     // An error of the log must not be said on the log: that would panic.
     let lines = fmt::layer().with_writer(writer).with_ansi(false).log_internal_errors(false);
-    let layer = match std::env::var(FORM).as_deref() {
+    let layer = match std::env::var(FORMAT_VARIABLE).as_deref() {
         Ok("json") => lines.json().flatten_event(true).with_filter(filter).boxed(),
         _ => lines.with_filter(filter).boxed(),
     };
--- a/crates/director/src/shared.rs
+++ b/crates/director/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all threads are handed.
+//! What all threads share.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,23 +13,29 @@
 use crate::memory_budget::MemoryBudget;
 use crate::name_table::NameTable;
 
-/// What all threads have in common.
+/// What all threads share.
 pub struct SharedContext {
+    /// The names that clients, nodes and discovery use.
     pub names: NameTable,
+    /// The bounds of the program.
     pub limits: Limits,
+    /// The local clock.
     pub clock: Clock,
+    /// The counters of the threads that serve connections.
     pub counters: ConnectionCounters,
+    /// The memory for bodies.
     pub memory_budget: Arc<MemoryBudget>,
+    /// The queue to the dispatcher.
     pub events: Sender<Event>,
-    /// When all that clients had said was heard last, in local time.
+    /// When all connections of clients were last looked at.
     clients_checked_at: AtomicU64,
 }
 
 impl SharedContext {
-    /// With the other end of the queue to the desk.
+    /// Also gives the dispatcher's end of the event queue.
     pub fn new(names: NameTable, limits: Limits) -> (Arc<SharedContext>, Receiver<Event>) {
-        let (events, to_desk) = bounded(limits.event_queue_length);
-        let common = SharedContext {
+        let (events, to_dispatcher) = bounded(limits.event_queue_length);
+        let shared = SharedContext {
             names,
             clock: Clock::start(),
             counters: ConnectionCounters::default(),
@@ -38,14 +44,15 @@
             clients_checked_at: AtomicU64::new(0),
             limits,
         };
-        (Arc::new(common), to_desk)
+        (Arc::new(shared), to_dispatcher)
     }
 
-    /// All that clients had said at this time has been heard.
+    /// All that had come from clients at this time, and the ends of their connections, has been read.
     pub fn record_clients_checked(&self, at: Ns) {
         self.clients_checked_at.store(at, Ordering::Release);
     }
 
+    /// When it was last known of all clients whether they are there.
     pub fn clients_checked_at(&self) -> Ns {
         self.clients_checked_at.load(Ordering::Acquire)
     }
--- a/crates/director/src/source_clock.rs
+++ b/crates/director/src/source_clock.rs
@@ -1,39 +1,40 @@
-//! The clock of whoever stamps the events of the control feed, as far as its stamps tell.
+//! The clock of whoever stamps the events of discovery, as far as its stamps tell.
 //!
 //! This machine's wall clock may be off from it by an hour, and step; so ages of stamps are not measured against it. A
-//! stamp that is heard of has passed at its source: the latest one, plus the monotonic time since it was heard of, is
-//! a lower bound of the source's clock. Ages by that bound are never too long: a node that started is taken as colder
-//! than it is by the way of the latest stamp through the feed, and never as warmer.
+//! stamp that has been received has passed at its source: the latest one, plus the monotonic time since it was
+//! received, is a lower bound of the source's clock. Ages by that bound are never too long: a node that started is
+//! taken as colder than it is by the way of the latest stamp through discovery, and never as warmer.
 
 use sablecross::Ns;
 
+/// A lower bound of the source's clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SourceClock {
-    latest: Option<Observed>,
+    latest: Option<Observation>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Observed {
+struct Observation {
     stamp: Ns,
-    heard_at: Ns,
+    received_at: Ns,
 }
 
 impl SourceClock {
-    /// A stamp was heard of at this local time.
+    /// A stamp was received at this local time.
     pub fn observe(&mut self, stamp: Ns, now: Ns) {
-        if stamp > self.at_least(now) {
-            self.latest = Some(Observed { stamp, heard_at: now });
+        if stamp > self.lower_bound(now) {
+            self.latest = Some(Observation { stamp, received_at: now });
         }
     }
 
     /// The least that the source's clock tells at this local time.
-    fn at_least(&self, now: Ns) -> Ns {
-        self.latest.map_or(0, |l| l.stamp.saturating_add(now.saturating_sub(l.heard_at)))
+    fn lower_bound(&self, now: Ns) -> Ns {
+        self.latest.map_or(0, |latest| latest.stamp.saturating_add(now.saturating_sub(latest.received_at)))
     }
 
     /// The local time of a stamp that was observed, or a later one.
     pub fn to_local(&self, stamp: Ns, now: Ns) -> Ns {
-        let age = self.at_least(now).saturating_sub(stamp);
+        let age = self.lower_bound(now).saturating_sub(stamp);
         now.saturating_sub(age)
     }
 }
--- a/crates/director/src/stall_detector.rs
+++ b/crates/director/src/stall_detector.rs
@@ -1,4 +1,4 @@
-//! How long bytes may have lain unread, as this process stood still: stopped, or held to a part of a core.
+//! How long bytes may have lain unread as this process was stopped, or held to a part of a core.
 
 use std::time::Duration;
 
@@ -6,34 +6,35 @@
 
 use crate::clock::NS_PER_MS;
 
-/// What is no longer than this is the way through the program.
-const NOTICED: Ns = 20 * NS_PER_MS;
+/// What is no longer than this is the usual way through the program.
+const THRESHOLD: Ns = 20 * NS_PER_MS;
 
 /// Watches the waits of one thread.
 #[derive(Clone, Copy, Debug)]
 pub struct StallDetector {
-    /// When its last wait ended.
-    woke: Ns,
-    /// Found at waits that ended without telling what has come.
-    carried: Ns,
+    last_wakeup: Ns,
+    /// Found at waits that were interrupted, which do not tell what has come.
+    carried_over: Ns,
 }
 
 impl StallDetector {
+    /// The thread is awake now.
     pub fn new(now: Ns) -> StallDetector {
-        StallDetector { woke: now, carried: 0 }
+        StallDetector { last_wakeup: now, carried_over: 0 }
     }
 
-    /// A wait of at most so long that began at `entered` is over. How long before now at most what is found then may
-    /// have come, beside the length of the wait itself. One that was interrupted has not told what has come.
-    pub fn on_wakeup(&mut self, entered: Ns, wait: Duration, now: Ns, interrupted: bool) -> Ns {
-        let busy = entered.saturating_sub(self.woke);
-        self.woke = now;
+    /// A wait of at most so long that began at `entered` is over. Returns how long before now, at most, what is found
+    /// then may have come, beside the length of the wait itself; 0 if that is no more than usual. A wait that was
+    /// interrupted has not told what has come.
+    pub fn on_wakeup(&mut self, entered: Ns, wait: Duration, now: Ns, was_interrupted: bool) -> Ns {
+        let busy = entered.saturating_sub(self.last_wakeup);
+        self.last_wakeup = now;
         let waited = now.saturating_sub(entered);
         let planned = u64::try_from(wait.as_nanos()).unwrap_or(Ns::MAX);
         // A wait that lasted longer than it could has ended late: what came may have come at its beginning.
-        let overslept = if waited > planned.saturating_add(NOTICED) { waited } else { 0 };
-        let unread = self.carried + busy + overslept;
-        self.carried = if interrupted { unread } else { 0 };
-        if unread > NOTICED { unread } else { 0 }
+        let overslept = if waited > planned.saturating_add(THRESHOLD) { waited } else { 0 };
+        let unread = self.carried_over + busy + overslept;
+        self.carried_over = if was_interrupted { unread } else { 0 };
+        if unread > THRESHOLD { unread } else { 0 }
     }
 }
--- a/crates/director/src/wire/read_buffer.rs
+++ b/crates/director/src/wire/read_buffer.rs
@@ -6,7 +6,7 @@
 use crate::memory_budget::{MemoryBudget, Reservation};
 
 /// A buffer that grows while a message is not complete.
-pub struct ReadBuffer {
+pub(crate) struct ReadBuffer {
     bytes: Vec<u8>,
     start: usize,
     end: usize,
@@ -19,7 +19,11 @@
 
 impl ReadBuffer {
     /// Grows from its first length to hold a message of at most `max_length` bytes.
-    pub fn new(initial_length: usize, max_length: usize, memory_budget: &Arc<MemoryBudget>) -> ReadBuffer {
+    pub(crate) fn new(
+        initial_length: usize,
+        max_length: usize,
+        memory_budget: &Arc<MemoryBudget>,
+    ) -> ReadBuffer {
         ReadBuffer {
             bytes: vec![0; initial_length],
             start: 0,
@@ -32,12 +36,12 @@
     }
 
     /// The bytes that are not used yet.
-    pub fn unread(&self) -> &[u8] {
+    pub(crate) fn unread(&self) -> &[u8] {
         &self.bytes[self.start..self.end]
     }
 
     /// So many of them are used. An empty buffer shrinks back to its first length.
-    pub fn consume(&mut self, count: usize) {
+    pub(crate) fn consume(&mut self, count: usize) {
         self.start = (self.start + count).min(self.end);
         if self.start == self.end {
             (self.start, self.end) = (0, 0);
@@ -53,7 +57,7 @@
     /// # Errors
     /// `InvalidData` if the message is longer than one may be, `OutOfMemory` without room for it, else the source's
     /// own error.
-    pub fn fill(&mut self, mut source: impl Read) -> io::Result<bool> {
+    pub(crate) fn fill(&mut self, mut source: impl Read) -> io::Result<bool> {
         if self.end == self.bytes.len() {
             self.bytes.copy_within(self.start..self.end, 0);
             (self.start, self.end) = (0, self.end - self.start);
