--- a/crates/director/src/discovery_event.rs
+++ b/crates/director/src/discovery_event.rs
@@ -111,13 +111,15 @@
 }
 
 #[derive(Deserialize)]
-struct RawMembers {
+#[serde(expecting = "a list of endpoints")]
+struct RawEndpoints {
     snapshot: bool,
-    endpoints: Vec<RawMember>,
+    endpoints: Vec<RawEndpoint>,
 }
 
 #[derive(Deserialize)]
-struct RawMember {
+#[serde(expecting = "an endpoint")]
+struct RawEndpoint {
     name: String,
     address: SocketAddr,
     zone: String,
@@ -129,6 +131,7 @@
 }
 
 #[derive(Deserialize)]
+#[serde(expecting = "a purge")]
 struct RawPurge {
     key: Option<String>,
     #[serde(default)]
@@ -151,9 +154,9 @@
 impl DiscoveryEvent {
     fn from_json(event: &Value) -> Result<DiscoveryEvent, EventCause> {
         if let Some(members) = event.get("members") {
-            let members = RawMembers::deserialize(members)?;
-            let endpoints = members.endpoints.into_iter().map(endpoint).collect::<Result<_, _>>()?;
-            Ok(DiscoveryEvent::Endpoints { endpoints, is_snapshot: members.snapshot })
+            let listed = RawEndpoints::deserialize(members)?;
+            let endpoints = listed.endpoints.into_iter().map(endpoint).collect::<Result<_, _>>()?;
+            Ok(DiscoveryEvent::Endpoints { endpoints, is_snapshot: listed.snapshot })
         } else if let Some(purge) = event.get("purge") {
             let purge = RawPurge::deserialize(purge)?;
             let object = purge.key.map(|key| u64::from_str_radix(&key, 16)).transpose();
@@ -169,7 +172,7 @@
     }
 }
 
-fn endpoint(raw: RawMember) -> Result<Endpoint, EventCause> {
+fn endpoint(raw: RawEndpoint) -> Result<Endpoint, EventCause> {
     let state = match raw.status.as_str() {
         "ready" => EndpointState::Ready,
         "draining" => EndpointState::Draining,
--- a/crates/inflight/src/lib.rs
+++ b/crates/inflight/src/lib.rs
@@ -1,4 +1,5 @@
-//! What every program round the decision module needs: its settings decoded, and lookups kept in hand.
+//! What every program round the router needs: its settings decoded ([`settings`]), and the requests in flight
+//! ([`InflightTable`]), whose attempts the program carries out ([`Transport`]). Nothing here does I/O.
 
 mod inflight_table;
 pub mod settings;
