--- a/crates/director/src/dispatch/action_executor.rs
+++ b/crates/director/src/dispatch/action_executor.rs
@@ -14,8 +14,9 @@
 use crate::counters::Counters;
 use crate::events::{CallId, ClientId, RequestKey};
 use crate::shared::SharedContext;
-use crate::wire::client_server::{PendingResponse, Response, ResponseSender};
 use crate::wire::node_pool::{InflightAttempt, NodePool};
+use crate::wire::response::{PendingResponse, Response};
+use crate::wire::response_sender::ResponseSender;
 
 /// The end of an attempt that no event tells of: it timed out, was cancelled or could not be sent.
 pub(super) struct LocalResult {
--- a/crates/director/src/dispatch/dispatcher.rs
+++ b/crates/director/src/dispatch/dispatcher.rs
@@ -14,8 +14,8 @@
 use crate::events::{Event, RequestKey};
 use crate::parent_hierarchy::{AppliedVersion, ParentHierarchy};
 use crate::shared::SharedContext;
-use crate::wire::client_server::ResponseSender;
 use crate::wire::node_pool::NodePool;
+use crate::wire::response_sender::ResponseSender;
 
 /// Why the dispatcher ended without having been asked to.
 #[derive(Debug, Error)]
--- a/crates/director/src/dispatch/event_handlers.rs
+++ b/crates/director/src/dispatch/event_handlers.rs
@@ -11,8 +11,8 @@
     AttemptEnded, CachedCopy, CallId, ClientId, ConnectionLoss, Event, IncomingRequest, NodeConnectionId,
     RequestId, RequestKey,
 };
-use crate::wire::client_server::Response;
 use crate::wire::node_pool::InflightAttempt;
+use crate::wire::response::Response;
 
 impl Dispatcher {
     pub(super) fn handle_event(&mut self, event: Event) -> Result<(), DispatchError> {
--- a/crates/director/src/process/director.rs
+++ b/crates/director/src/process/director.rs
@@ -23,10 +23,11 @@
 use crate::name_table::NameTable;
 use crate::parent_hierarchy::{ParentHierarchy, VersionAnnouncement};
 use crate::shared::SharedContext;
-use crate::wire::client_server::{ClientServer, ResponseSender};
+use crate::wire::client_server::ClientServer;
 use crate::wire::discovery_client::DiscoveryClient;
 use crate::wire::node_connections::NodeConnectionServer;
 use crate::wire::node_pool::NodePool;
+use crate::wire::response_sender::ResponseSender;
 
 /// Why a director can't start, or has ended by itself.
 #[derive(Debug, Error)]
--- a/crates/director/src/wire/client_connection.rs
+++ b/crates/director/src/wire/client_connection.rs
@@ -169,48 +169,51 @@
             if self.is_throttled {
                 return Ok(false);
             }
-            match rpc::decode(self.read_buffer.unread(), &shared.names, &shared.limits) {
-                Ok((message, length)) => {
-                    let arrived_at = self.unread_since.unwrap_or_else(|| shared.clock.now());
-                    let cancellation = CancellationFlag::default();
-                    let unusable = match &message {
-                        Message::Unusable { call, cause } => Some((*call, *cause)),
-                        _ => None,
-                    };
-                    let source = MessageSource {
-                        client,
-                        generation: self.next_generation,
-                        cancellation: &cancellation,
-                        arrived_at,
-                    };
-                    let event = source.event(message, shared);
-                    self.read_buffer.consume(length);
-                    self.last_activity = shared.clock.now();
-                    self.has_sent_message = true;
-                    self.message_deadline = None;
-                    if let Some((call, cause)) = unusable {
-                        counters::add(&shared.counters.bad_messages, 1);
-                        log.warn(self.last_activity, || {
-                            format!("client {}, call {call}: {cause}", self.peer)
-                        });
-                    }
-                    self.record_event(&event, cancellation, shared)?;
-                    // The dispatcher outlives all connections, but for the end of the program.
-                    shared.events.send(event).map_err(|_| CloseReason::Disconnected)?;
-                }
-                Err(DecodeError::Invalid(error)) => {
-                    return Err(CloseReason::Fault(ClientFault::Message(error)));
-                }
-                Err(DecodeError::Incomplete) => {
-                    if !self.read_more(shared)? {
-                        return Ok(false);
-                    }
-                }
+            if !self.read_message(client, shared, log)? {
+                return Ok(false);
             }
         }
         Ok(true)
     }
 
+    /// Passes one message on, or reads more of it; false if nothing more has come yet.
+    fn read_message(
+        &mut self,
+        client: ClientId,
+        shared: &SharedContext,
+        log: &mut LogRateLimiter,
+    ) -> Result<bool, CloseReason> {
+        let (message, length) = match rpc::decode(self.read_buffer.unread(), &shared.names, &shared.limits) {
+            Ok(decoded) => decoded,
+            Err(DecodeError::Incomplete) => return self.read_more(shared),
+            Err(DecodeError::Invalid(error)) => return Err(CloseReason::Fault(ClientFault::Message(error))),
+        };
+        let cancellation = CancellationFlag::default();
+        let source = MessageSource {
+            client,
+            generation: self.next_generation,
+            cancellation: &cancellation,
+            arrived_at: self.unread_since.unwrap_or_else(|| shared.clock.now()),
+        };
+        let unusable = match &message {
+            Message::Unusable { call, cause } => Some((*call, *cause)),
+            _ => None,
+        };
+        let event = source.event(message, shared);
+        self.read_buffer.consume(length);
+        self.last_activity = shared.clock.now();
+        self.has_sent_message = true;
+        self.message_deadline = None;
+        if let Some((call, cause)) = unusable {
+            counters::add(&shared.counters.bad_messages, 1);
+            log.warn(self.last_activity, || format!("client {}, call {call}: {cause}", self.peer));
+        }
+        self.record_event(&event, cancellation, shared)?;
+        // The dispatcher outlives all connections, but for the end of the program.
+        shared.events.send(event).map_err(|_| CloseReason::Disconnected)?;
+        Ok(true)
+    }
+
     /// Reads more of a message that is not complete; false if nothing more has come yet.
     fn read_more(&mut self, shared: &SharedContext) -> Result<bool, CloseReason> {
         if self.message_deadline.is_none() && !self.read_buffer.unread().is_empty() {
--- a/crates/director/src/wire/client_server.rs
+++ b/crates/director/src/wire/client_server.rs
@@ -8,14 +8,15 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use crossbeam_channel::{Receiver, Sender, TryRecvError, TrySendError, bounded};
+use crossbeam_channel::{Receiver, TryRecvError, bounded};
 use mio::net::TcpStream;
 use mio::{Events, Interest, Poll, Token, Waker};
 use sablecross::Ns;
 
 use super::client_acceptor::ClientAcceptor;
 use super::client_connection::{ClientConnection, ClientFault, CloseReason};
-pub use super::response::{PendingResponse, Response};
+use super::response::PendingResponse;
+use super::response_sender::ResponseSender;
 use crate::clock::NS_PER_MS;
 use crate::counters;
 use crate::events::{ClientId, Event};
@@ -27,33 +28,6 @@
 const LISTENER: Token = Token(usize::MAX);
 const RESPONSES: Token = Token(usize::MAX - 1);
 
-/// The dispatcher's way to the clients.
-pub struct ResponseSender {
-    responses: Sender<PendingResponse>,
-    waker: Waker,
-    is_shutting_down: Arc<AtomicBool>,
-}
-
-impl ResponseSender {
-    /// Hands a response over; it comes back if the queue is full.
-    pub fn send(&self, response: PendingResponse) -> Result<(), PendingResponse> {
-        let sent = match self.responses.try_send(response) {
-            Err(TrySendError::Full(response)) => Err(response),
-            // Without the clients' thread nobody is owed anything.
-            Ok(()) | Err(TrySendError::Disconnected(_)) => Ok(()),
-        };
-        // The thread wakes by itself before long.
-        let _ = self.waker.wake();
-        sent
-    }
-
-    /// No more clients are accepted; each connection ends once nothing is open on it.
-    pub fn begin_shutdown(&self) {
-        self.is_shutting_down.store(true, Ordering::Release);
-        let _ = self.waker.wake();
-    }
-}
-
 /// All connections of clients.
 pub struct ClientServer {
     poll: Poll,
@@ -86,7 +60,7 @@
         let (responses, from_dispatcher) = bounded(shared.limits.response_queue_length);
         let is_shutting_down = Arc::new(AtomicBool::new(false));
         let waker = Waker::new(poll.registry(), RESPONSES)?;
-        let sender = ResponseSender { responses, waker, is_shutting_down: Arc::clone(&is_shutting_down) };
+        let sender = ResponseSender::new(responses, waker, Arc::clone(&is_shutting_down));
         let server = ClientServer {
             poll,
             acceptor,
--- a/crates/director/src/wire/mod.rs
+++ b/crates/director/src/wire/mod.rs
@@ -12,7 +12,8 @@
 pub mod node_protocol;
 pub mod outgoing_message;
 pub(crate) mod read_buffer;
-mod response;
+pub mod response;
+pub mod response_sender;
 pub mod rpc;
 
 use std::io::{self, ErrorKind, IoSlice, Write};
