--- a/crates/director/src/dispatch/event_handlers.rs
+++ b/crates/director/src/dispatch/event_handlers.rs
@@ -193,7 +193,7 @@
 
     fn on_shutdown_requested(&mut self) {
         if self.phase == Phase::Serving {
-            tracing::info!("stopping in_hand={}", self.executor.requests.len());
+            tracing::info!("stopping in_flight={}", self.executor.requests.len());
             self.coordination.stop();
             self.phase = Phase::ShutdownRequested { at: self.executor.now };
         }
--- a/crates/director/src/process/director.rs
+++ b/crates/director/src/process/director.rs
@@ -45,7 +45,7 @@
     Listen { address: SocketAddr, cause: io::Error },
     #[error("connections to nodes: {0}")]
     NodeConnections(io::Error),
-    #[error("duties: {0}")]
+    #[error("coordination: {0}")]
     Coordination(io::Error),
     #[error("thread {name}: {cause}")]
     Thread { name: &'static str, cause: io::Error },
@@ -150,8 +150,8 @@
             spawned.map_err(|cause| RunError::Thread { name, cause })
         };
         spawn("signals", Box::new(move || signals.run()))?;
-        spawn("feed", Box::new(move || discovery.run()))?;
-        spawn("links", Box::new(move || nodes.run()))?;
+        spawn("discovery", Box::new(move || discovery.run()))?;
+        spawn("nodes", Box::new(move || nodes.run()))?;
         spawn("clients", Box::new(move || clients.run()))?;
         if let Some(agent) = self.agent {
             spawn_agent(agent, shared.limits.thread_stack_bytes)?;
@@ -182,7 +182,7 @@
 
 /// Starts the coordination's thread. Requests never depend on it: its end ends nothing else.
 fn spawn_agent(agent: Agent, stack_bytes: usize) -> Result<(), RunError> {
-    const NAME: &str = "duty";
+    const NAME: &str = "coordination";
     let spawned = thread::Builder::new().name(NAME.into()).stack_size(stack_bytes).spawn(|| agent.serve());
     spawned.map(drop).map_err(|cause| RunError::Thread { name: NAME, cause })
 }
