--- a/crates/director/src/dispatch/discovery.rs
+++ b/crates/director/src/dispatch/discovery.rs
@@ -9,7 +9,7 @@
 
 impl Dispatcher {
     /// Takes in the events that are known at the start.
-    pub fn apply_known_events(&mut self, events: Vec<NumberedEvent>) {
+    pub(crate) fn apply_known_events(&mut self, events: Vec<NumberedEvent>) {
         // The starts of all nodes first: of several that are known at once the latest bounds the ages of the others.
         for event in &events {
             if let DiscoveryEvent::Endpoints { endpoints, .. } = &event.event {
@@ -20,7 +20,7 @@
     }
 
     /// Takes in one event.
-    pub fn on_discovery_event(&mut self, event: DiscoveryEvent) {
+    pub(crate) fn on_discovery_event(&mut self, event: DiscoveryEvent) {
         self.executor.counters.discovery_events += 1;
         match event {
             DiscoveryEvent::Endpoints { endpoints, is_snapshot } => {
--- a/crates/director/src/dispatch/dispatcher.rs
+++ b/crates/director/src/dispatch/dispatcher.rs
@@ -19,7 +19,7 @@
 
 /// Why the dispatcher ended without having been asked to.
 #[derive(Debug, Error)]
-pub enum DispatchError {
+pub(crate) enum DispatchError {
     /// A thread without which the director can't serve has ended.
     #[error("thread {0} ended")]
     ThreadEnded(&'static str),
@@ -42,7 +42,7 @@
 }
 
 /// Owns the router and all requests in flight.
-pub struct Dispatcher {
+pub(crate) struct Dispatcher {
     pub(super) table: InflightTable,
     pub(super) executor: ActionExecutor,
     pub(super) hierarchy: ParentHierarchy,
@@ -56,7 +56,7 @@
 
 impl Dispatcher {
     /// A dispatcher without requests and endpoints.
-    pub fn new(
+    pub(crate) fn new(
         router: Router,
         nodes: NodePool,
         responses: ResponseSender,
@@ -78,7 +78,7 @@
 
     /// Handles events until a shutdown is complete. The end of a thread without which the director can't serve is an
     /// error.
-    pub fn run(&mut self, events: &Receiver<Event>) -> Result<(), DispatchError> {
+    pub(crate) fn run(&mut self, events: &Receiver<Event>) -> Result<(), DispatchError> {
         loop {
             self.executor.update_time();
             self.run_due_timers();
@@ -184,7 +184,7 @@
     }
 
     /// Writes the line of the counters to the log.
-    pub fn log_counters(&mut self) {
+    pub(crate) fn log_counters(&mut self) {
         let ActionExecutor { counters, requests, nodes, shared, .. } = &mut self.executor;
         counters.in_flight = requests.unanswered_count() as u64;
         counters.connections_opened = nodes.opened_connections();
--- a/crates/director/src/dispatch/mod.rs
+++ b/crates/director/src/dispatch/mod.rs
@@ -8,4 +8,4 @@
 mod inflight_requests;
 mod timers;
 
-pub use dispatcher::{DispatchError, Dispatcher};
+pub(crate) use dispatcher::{DispatchError, Dispatcher};
--- a/crates/director/src/log_rate_limiter.rs
+++ b/crates/director/src/log_rate_limiter.rs
@@ -7,7 +7,7 @@
 
 /// Admits ten lines a second and counts those it leaves out.
 #[derive(Debug, Default)]
-pub struct LogRateLimiter {
+pub(crate) struct LogRateLimiter {
     window_start: Ns,
     /// Lines that came in this window.
     count: u32,
@@ -17,7 +17,7 @@
 
 impl LogRateLimiter {
     /// Whether a line may be written now, and how many were left out before it.
-    pub fn admit(&mut self, now: Ns) -> Option<u64> {
+    pub(crate) fn admit(&mut self, now: Ns) -> Option<u64> {
         if now >= self.window_start.saturating_add(WINDOW) {
             (self.window_start, self.count) = (now, 0);
         }
@@ -30,7 +30,7 @@
     }
 
     /// Writes a warning, if it may be written now.
-    pub fn warn(&mut self, now: Ns, line: impl FnOnce() -> String) {
+    pub(crate) fn warn(&mut self, now: Ns, line: impl FnOnce() -> String) {
         match self.admit(now) {
             Some(0) => tracing::warn!("{}", line()),
             Some(suppressed) => tracing::warn!("{}; {suppressed} such lines left out before", line()),
--- a/crates/director/src/os_error.rs
+++ b/crates/director/src/os_error.rs
@@ -4,12 +4,12 @@
 
 /// The connection or the file is as it was, and nothing has come yet. A program that is stopped and continued, as one
 /// held to part of a core is, has its waits interrupted: times count by the clock alone.
-pub fn is_would_block(e: &io::Error) -> bool {
+pub(crate) fn is_would_block(e: &io::Error) -> bool {
     matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::WouldBlock)
 }
 
 /// This machine, not the other end, is short of something: descriptors, memory, ports, threads, a way out. It passes.
-pub fn is_local_shortage(e: &io::Error) -> bool {
+pub(crate) fn is_local_shortage(e: &io::Error) -> bool {
     const SHORTAGES: [i32; 11] = [
         libc::EMFILE,
         libc::ENFILE,
@@ -27,7 +27,7 @@
 }
 
 /// An accept that took a connection which had failed already, or was interrupted: the next one may follow at once.
-pub fn is_failed_connection(e: &io::Error) -> bool {
+pub(crate) fn is_failed_connection(e: &io::Error) -> bool {
     const FAILED: [i32; 11] = [
         libc::ECONNABORTED,
         libc::EINTR,
@@ -45,7 +45,7 @@
 }
 
 /// There is no way to the other end just now; where that lasts, it may be the other end's fault as well.
-pub fn is_network_trouble(e: &io::Error) -> bool {
+pub(crate) fn is_network_trouble(e: &io::Error) -> bool {
     const NETWORK: [i32; 3] = [libc::EADDRNOTAVAIL, libc::ENETDOWN, libc::ENETUNREACH];
     e.raw_os_error().is_some_and(|number| NETWORK.contains(&number))
 }
--- a/crates/director/src/source_clock.rs
+++ b/crates/director/src/source_clock.rs
@@ -9,7 +9,7 @@
 
 /// A lower bound of the source's clock.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct SourceClock {
+pub(crate) struct SourceClock {
     latest: Option<Observation>,
 }
 
@@ -21,7 +21,7 @@
 
 impl SourceClock {
     /// A stamp was received at this local time.
-    pub fn observe(&mut self, stamp: Ns, now: Ns) {
+    pub(crate) fn observe(&mut self, stamp: Ns, now: Ns) {
         if stamp > self.lower_bound(now) {
             self.latest = Some(Observation { stamp, received_at: now });
         }
@@ -33,7 +33,7 @@
     }
 
     /// The local time of a stamp that was observed, or a later one.
-    pub fn to_local(&self, stamp: Ns, now: Ns) -> Ns {
+    pub(crate) fn to_local(&self, stamp: Ns, now: Ns) -> Ns {
         let age = self.lower_bound(now).saturating_sub(stamp);
         now.saturating_sub(age)
     }
--- a/crates/director/src/stall_detector.rs
+++ b/crates/director/src/stall_detector.rs
@@ -11,7 +11,7 @@
 
 /// Watches the waits of one thread.
 #[derive(Clone, Copy, Debug)]
-pub struct StallDetector {
+pub(crate) struct StallDetector {
     last_wakeup: Ns,
     /// Found at waits that were interrupted, which do not tell what has come.
     carried_over: Ns,
@@ -19,14 +19,14 @@
 
 impl StallDetector {
     /// The thread is awake now.
-    pub fn new(now: Ns) -> StallDetector {
+    pub(crate) fn new(now: Ns) -> StallDetector {
         StallDetector { last_wakeup: now, carried_over: 0 }
     }
 
     /// A wait of at most so long that began at `entered` is over. Returns how long before now, at most, what is found
     /// then may have come, beside the length of the wait itself; 0 if that is no more than usual. A wait that was
     /// interrupted has not told what has come.
-    pub fn on_wakeup(&mut self, entered: Ns, wait: Duration, now: Ns, was_interrupted: bool) -> Ns {
+    pub(crate) fn on_wakeup(&mut self, entered: Ns, wait: Duration, now: Ns, was_interrupted: bool) -> Ns {
         let busy = entered.saturating_sub(self.last_wakeup);
         self.last_wakeup = now;
         let waited = now.saturating_sub(entered);
--- a/crates/director/src/wire/client_server.rs
+++ b/crates/director/src/wire/client_server.rs
@@ -29,7 +29,7 @@
 const RESPONSES: Token = Token(usize::MAX - 1);
 
 /// All connections of clients.
-pub struct ClientServer {
+pub(crate) struct ClientServer {
     poll: Poll,
     acceptor: ClientAcceptor,
     responses: Receiver<PendingResponse>,
@@ -51,7 +51,7 @@
 
 impl ClientServer {
     /// Listens at an address; the server, and the way to it.
-    pub fn bind(
+    pub(crate) fn bind(
         address: SocketAddr,
         shared: &Arc<SharedContext>,
     ) -> io::Result<(ClientServer, ResponseSender)> {
@@ -80,12 +80,12 @@
     }
 
     /// The address at which it listens.
-    pub fn local_addr(&self) -> io::Result<SocketAddr> {
+    pub(crate) fn local_addr(&self) -> io::Result<SocketAddr> {
         self.acceptor.local_addr()
     }
 
     /// Serves until a shutdown is complete, or the dispatcher is gone.
-    pub fn run(mut self) {
+    pub(crate) fn run(mut self) {
         let mut events = Events::with_capacity(self.shared.limits.max_messages_per_turn);
         let mut next_sweep = self.shared.clock.now();
         loop {
--- a/crates/director/src/wire/discovery_client.rs
+++ b/crates/director/src/wire/discovery_client.rs
@@ -25,7 +25,7 @@
 const READ_LENGTH: usize = 16 << 10;
 
 /// Where discovery is from now on, and what was known there.
-pub struct FeedMove {
+pub(crate) struct FeedMove {
     /// The feeds, the home one first.
     pub feeds: Vec<SocketAddr>,
     /// The events that the new configuration holds.
@@ -70,7 +70,7 @@
 }
 
 /// Follows the event stream.
-pub struct DiscoveryClient {
+pub(crate) struct DiscoveryClient {
     shared: Arc<SharedContext>,
     cursor: EventCursor,
     feeds: FeedSelector,
@@ -83,7 +83,7 @@
 
 impl DiscoveryClient {
     /// A client that follows the first of the feeds from behind the event with the number `after`.
-    pub fn new(
+    pub(crate) fn new(
         director_name: String,
         feeds: FeedSelector,
         after: u64,
@@ -103,7 +103,7 @@
     }
 
     /// Follows the stream until the dispatcher is gone.
-    pub fn run(mut self) {
+    pub(crate) fn run(mut self) {
         let began = Instant::now();
         loop {
             let (call_began, last_before) = (Instant::now(), self.cursor.last_number());
--- a/crates/director/src/wire/mod.rs
+++ b/crates/director/src/wire/mod.rs
@@ -3,8 +3,8 @@
 mod applied_version_reporter;
 mod client_acceptor;
 mod client_connection;
-pub mod client_server;
-pub mod discovery_client;
+pub(crate) mod client_server;
+pub(crate) mod discovery_client;
 mod incoming_answer;
 mod node_connection;
 pub mod node_connections;
@@ -12,8 +12,8 @@
 pub mod node_protocol;
 pub mod outgoing_message;
 pub(crate) mod read_buffer;
-pub mod response;
-pub mod response_sender;
+pub(crate) mod response;
+pub(crate) mod response_sender;
 pub mod rpc;
 
 use std::io::{self, ErrorKind, IoSlice, Write};
--- a/crates/director/src/wire/response.rs
+++ b/crates/director/src/wire/response.rs
@@ -12,7 +12,7 @@
 use crate::memory_budget::Body;
 
 /// A response on its way to a client.
-pub struct PendingResponse {
+pub(crate) struct PendingResponse {
     /// The connection of the client.
     pub client: ClientId,
     /// The call that it answers.
@@ -24,7 +24,7 @@
 }
 
 /// What a client is answered.
-pub enum Response {
+pub(crate) enum Response {
     /// The object; without a body where the copy that the client holds is the current one.
     Success(Option<Arc<Body>>),
     /// There is no capacity for the request just now.
--- a/crates/director/src/wire/response_sender.rs
+++ b/crates/director/src/wire/response_sender.rs
@@ -9,7 +9,7 @@
 use super::response::PendingResponse;
 
 /// The dispatcher's way to the clients.
-pub struct ResponseSender {
+pub(crate) struct ResponseSender {
     responses: Sender<PendingResponse>,
     waker: Waker,
     is_shutting_down: Arc<AtomicBool>,
@@ -26,7 +26,7 @@
     }
 
     /// Hands a response over; it comes back if the queue is full.
-    pub fn send(&self, response: PendingResponse) -> Result<(), PendingResponse> {
+    pub(crate) fn send(&self, response: PendingResponse) -> Result<(), PendingResponse> {
         let sent = match self.responses.try_send(response) {
             Err(TrySendError::Full(response)) => Err(response),
             // Without the clients' thread nobody is owed anything.
@@ -38,7 +38,7 @@
     }
 
     /// No more clients are accepted; each connection ends once nothing is open on it.
-    pub fn begin_shutdown(&self) {
+    pub(crate) fn begin_shutdown(&self) {
         self.is_shutting_down.store(true, Ordering::Release);
         let _ = self.waker.wake();
     }
