--- a/crates/director/src/clock.rs
+++ b/crates/director/src/clock.rs
@@ -7,7 +7,7 @@
 /// Nanoseconds in a millisecond.
 pub const NS_PER_MS: Ns = 1_000_000;
 
-/// What the clock tells at the start of the program, two years: spans that reach back before it stay in range.
+/// The local time at which the program starts, two years: times before the start stay in range.
 const START: Ns = 2 * 366 * 86_400 * 1_000 * NS_PER_MS;
 
 /// A clock that begins with the program.
--- a/crates/director/src/counters.rs
+++ b/crates/director/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counts of what was received, attempted and answered, and the line that tells them.
+//! Counts of what was received, attempted and answered, and the log line that lists them.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -221,8 +221,8 @@
     }
 }
 
-/// The number of threads and the most memory used so far, where the system tells them, as they stand in the line of the
-/// counters.
+/// The number of threads and the most memory used so far, where the system knows them, in the form of the counters'
+/// line.
 pub fn process_usage() -> String {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let field = |key: &str, name: &str| {
--- a/crates/director/src/discovery_event.rs
+++ b/crates/director/src/discovery_event.rs
@@ -10,7 +10,7 @@
 use crate::clock::NS_PER_MS;
 use crate::parent_hierarchy::VersionAnnouncement;
 
-/// What an event says.
+/// The content of an event.
 #[derive(Debug, PartialEq)]
 pub enum DiscoveryEvent {
     /// The endpoints, or changes of them.
@@ -56,14 +56,14 @@
 pub struct NumberedEvent {
     /// The number.
     pub number: u64,
-    /// What the event says.
+    /// Its content.
     pub event: DiscoveryEvent,
 }
 
 /// The events that a configuration holds.
 #[derive(Debug)]
 pub struct KnownEvents {
-    /// The number of the last one up to which they tell everything.
+    /// The number of the last event that is known.
     pub last: u64,
     /// The events.
     pub events: Vec<NumberedEvent>,
@@ -72,7 +72,7 @@
 /// Why an event can't be used.
 #[derive(Debug, Error)]
 pub enum DiscoveryEventError {
-    /// It can't be told which event it is.
+    /// It is not known which event it is.
     #[error("an event has no number")]
     NoNumber,
     /// The event with this number can't be used.
@@ -88,7 +88,7 @@
 /// What is wrong with an event.
 #[derive(Debug, Error)]
 pub enum EventCause {
-    /// It says nothing that is known.
+    /// It is of no known kind.
     #[error("neither members nor a purge")]
     UnknownKind,
     /// A field is missing, or not of its type.
--- a/crates/director/src/dispatch/action_executor.rs
+++ b/crates/director/src/dispatch/action_executor.rs
@@ -18,7 +18,7 @@
 use crate::wire::response::{PendingResponse, Response};
 use crate::wire::response_sender::ResponseSender;
 
-/// The end of an attempt that no event tells of: it timed out, was cancelled or could not be sent.
+/// The end of an attempt for which there is no event: it timed out, was cancelled or could not be sent.
 pub(super) struct LocalResult {
     pub(super) key: RequestKey,
     pub(super) attempt: usize,
@@ -205,7 +205,7 @@
                 let timer = Timer::AttemptTimeout { key: id, attempt };
                 self.timers.schedule(self.now + spec.timeout, timer, |key| requests.contains(key));
             }
-            // It was never sent: that it ended at once says nothing of how quick its node is.
+            // It was never sent: how soon it ended has nothing to do with its node.
             Err(outcome) => self.end_attempt(id, attempt, outcome, Ns::MAX),
         }
     }
--- a/crates/director/src/dispatch/dispatcher.rs
+++ b/crates/director/src/dispatch/dispatcher.rs
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Hands the router the results that came without an event, and logs what it has to say.
+    /// Hands the router the results that came without an event, and writes its log lines.
     fn process_local_results(&mut self) {
         while let Some(LocalResult { key, attempt, result }) = self.executor.local_results.pop_front() {
             self.process_result(key, attempt, result);
@@ -161,7 +161,7 @@
         self.table.on_attempt_result(key, attempt, result, self.executor.now, &mut self.executor);
     }
 
-    /// A request whose client has gone is over, though the event that says so still waits behind others.
+    /// A request whose client has gone is over, though the event of that still waits behind others.
     fn cancel_if_client_gone(&mut self, key: RequestKey) {
         let request = self.executor.requests.get(key);
         if request.is_some_and(|request| request.incoming.cancellation.is_cancelled()) {
--- a/crates/director/src/dispatch/event_handlers.rs
+++ b/crates/director/src/dispatch/event_handlers.rs
@@ -150,7 +150,7 @@
         for InflightAttempt { key, attempt, sent_at } in self.executor.nodes.on_connection_lost(connection) {
             let Some(request) = self.executor.requests.get_mut(key) else { continue };
             request.end_attempt(attempt);
-            // A connection that is reset while it is idle says nothing of its node.
+            // A connection that is reset while it is idle does not count against its node.
             let outcome = match loss {
                 ConnectionLoss::Unreachable => Outcome::ConnectFailed,
                 ConnectionLoss::Broken if begun_requests.contains(&request.incoming.request_id) => {
--- a/crates/director/src/events.rs
+++ b/crates/director/src/events.rs
@@ -1,4 +1,4 @@
-//! The events by which all other threads tell the dispatcher what has happened, and the values in them.
+//! The events that all other threads send to the dispatcher, and the values in them.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -31,7 +31,7 @@
     pub generation: u64,
 }
 
-/// Tells other threads that something is not wanted any more, ahead of the events and commands that say so.
+/// Shows other threads that something is cancelled, ahead of the events and commands to that effect.
 #[derive(Clone, Debug, Default)]
 pub struct CancellationFlag(Arc<AtomicBool>);
 
@@ -72,7 +72,7 @@
     pub client_tag: Option<Box<str>>,
     /// By which nodes know a repeat of a deduplicated request.
     pub idempotency_key: Option<Box<str>>,
-    /// The client says that it has asked before.
+    /// The client has marked it as a repeat of an earlier request.
     pub is_client_retry: bool,
     /// The body that goes along to the node.
     pub body: Arc<Body>,
@@ -98,7 +98,7 @@
     pub request_id: RequestId,
     /// The outcome.
     pub outcome: Outcome,
-    /// Whether a cached copy was served, where the node says so.
+    /// Whether a cached copy was served, where the node reports it.
     pub is_cache_hit: Option<bool>,
     /// The node's load report.
     pub load: Option<LoadReport>,
@@ -113,13 +113,13 @@
 pub enum ConnectionLoss {
     /// It was never established.
     Unreachable,
-    /// It could not be made, for want of something on this machine, which says nothing of the node.
+    /// It could not be made, for want of something on this machine, which does not count against the node.
     LocalShortage,
     /// It had been established.
     Broken,
 }
 
-/// What the dispatcher is told.
+/// A message to the dispatcher.
 pub enum Event {
     /// A client asks for an object.
     Request(Box<IncomingRequest>),
--- a/crates/director/src/lib.rs
+++ b/crates/director/src/lib.rs
@@ -1,8 +1,8 @@
 //! One director on real sockets: it answers the requests of clients by forwarding them to cache nodes, parents and the
-//! origin, where the router of the root package says so.
+//! origin, as the router of the root package decides.
 //!
 //! Three threads hold sockets, in `wire`: one for clients, one for nodes, one for the event stream of discovery. They
-//! tell the dispatcher what has happened by `events`; the dispatcher, in `dispatch`, owns the router and all requests
+//! send `events` to the dispatcher; the dispatcher, in `dispatch`, owns the router and all requests
 //! in flight, and answers with responses and commands. `process` reads the configuration, starts the threads and
 //! handles signals. `coordination` and `parent_hierarchy` are compiled with the features of their names; the other
 //! modules are values without sockets and threads that these share.
--- a/crates/director/src/node_registry.rs
+++ b/crates/director/src/node_registry.rs
@@ -49,7 +49,7 @@
         self.nodes.get(node).map_or("", |known| &known.name)
     }
 
-    /// What discovery says of a node.
+    /// The state of a node by the last endpoint list.
     pub fn state(&self, node: usize) -> EndpointState {
         self.nodes.get(node).map_or(EndpointState::Gone, |known| known.state)
     }
@@ -106,7 +106,7 @@
     fn local_start(&mut self, node: usize, listed: Ns, now: Ns) -> Ns {
         let start = &mut self.nodes[node].start;
         if start.listed != listed {
-            let local = self.source_clock.to_local(listed, now).max(1);
+            let local = self.source_clock.local_time(listed, now).max(1);
             *start = Start { listed, local: if listed == 0 { 0 } else { local } };
         }
         start.local
--- a/crates/director/src/process/logging.rs
+++ b/crates/director/src/process/logging.rs
@@ -19,9 +19,9 @@
 
 use super::startup::StartupRetry;
 
-/// The variable that says which modules are logged, and from which level on: `info` if it is not set or can't be read.
+/// The variable that selects which modules are logged, and from which level on: `info` if it is not set or can't be read.
 const FILTER_VARIABLE: &str = "RUST_LOG";
-/// The variable that says how lines are written; `json`: each is an object.
+/// The variable that selects how lines are written; `json`: each is an object.
 const FORMAT_VARIABLE: &str = "SABLECROSS_LOG";
 /// Lines that wait to be written.
 const QUEUE_LENGTH: usize = 4_096;
@@ -55,7 +55,7 @@
     }
 }
 
-/// Writes lines for ever. One that can't be written is lost: there is nowhere to say so.
+/// Writes lines until the program ends. One that can't be written is lost: there is nowhere else to report it.
 fn write_lines(messages: &Receiver<Message>, dropped: &AtomicU64) {
     for message in messages {
         let line = match message {
@@ -111,7 +111,7 @@
     let asked = std::env::var(FILTER_VARIABLE).unwrap_or_default();
     let filter = asked.parse::<Targets>().ok().filter(|_| !asked.is_empty());
     let filter = filter.unwrap_or_else(|| Targets::new().with_default(Level::INFO));
-    // An error of the log must not be said on the log: that would panic.
+    // An error of the log must not be written to the log: that would panic.
     let lines = fmt::layer().with_writer(writer).with_ansi(false).log_internal_errors(false);
     let layer = match std::env::var(FORMAT_VARIABLE).as_deref() {
         Ok("json") => lines.json().flatten_event(true).with_filter(filter).boxed(),
--- a/crates/director/src/source_clock.rs
+++ b/crates/director/src/source_clock.rs
@@ -1,4 +1,4 @@
-//! The clock of whoever stamps the events of discovery, as far as its stamps tell.
+//! The clock of whoever stamps the events of discovery, as far as it can be inferred from its stamps.
 //!
 //! This machine's wall clock may be off from it by an hour, and step; so ages of stamps are not measured against it. A
 //! stamp that has been received has passed at its source: the latest one, plus the monotonic time since it was
@@ -27,13 +27,13 @@
         }
     }
 
-    /// The least that the source's clock tells at this local time.
+    /// The earliest that the source's clock can be at this local time.
     fn lower_bound(&self, now: Ns) -> Ns {
         self.latest.map_or(0, |latest| latest.stamp.saturating_add(now.saturating_sub(latest.received_at)))
     }
 
     /// The local time of a stamp that was observed, or a later one.
-    pub(crate) fn to_local(&self, stamp: Ns, now: Ns) -> Ns {
+    pub(crate) fn local_time(&self, stamp: Ns, now: Ns) -> Ns {
         let age = self.lower_bound(now).saturating_sub(stamp);
         now.saturating_sub(age)
     }
--- a/crates/director/src/stall_detector.rs
+++ b/crates/director/src/stall_detector.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StallDetector {
     last_wakeup: Ns,
-    /// Found at waits that were interrupted, which do not tell what has come.
+    /// Found at waits that were interrupted, which do not report what has come.
     carried_over: Ns,
 }
 
@@ -25,7 +25,7 @@
 
     /// A wait of at most so long that began at `entered` is over. Returns how long before now, at most, what is found
     /// then may have come, beside the length of the wait itself; 0 if that is no more than usual. A wait that was
-    /// interrupted has not told what has come.
+    /// interrupted has not reported what has come.
     pub(crate) fn on_wakeup(&mut self, entered: Ns, wait: Duration, now: Ns, was_interrupted: bool) -> Ns {
         let busy = entered.saturating_sub(self.last_wakeup);
         self.last_wakeup = now;
--- a/crates/director/src/wire/client_connection.rs
+++ b/crates/director/src/wire/client_connection.rs
@@ -280,7 +280,7 @@
         }
     }
 
-    /// Two responses with one number could not be told apart: such a client has to go.
+    /// Two responses with one number could not be distinguished: such a client is disconnected.
     fn open_call(&mut self, call: CallId, cancellation: CancellationFlag) -> Result<(), CloseReason> {
         self.next_generation += 1;
         let open = OpenCall { generation: call.generation, cancellation };
--- a/crates/director/src/wire/client_server.rs
+++ b/crates/director/src/wire/client_server.rs
@@ -103,7 +103,7 @@
                 return;
             }
             self.read_all(readable);
-            // With more events than one wait tells, others may have gone that were not looked at.
+            // With more events than one wait reports, others may have gone that were not looked at.
             if polled.is_ok() && events.iter().count() < self.shared.limits.max_messages_per_turn {
                 self.shared.record_clients_checked(woke);
             }
--- a/crates/director/src/wire/discovery_client.rs
+++ b/crates/director/src/wire/discovery_client.rs
@@ -1,4 +1,4 @@
-//! The event stream of discovery: numbered events over HTTP, each taken once and in order. What its bytes say, which
+//! The event stream of discovery: numbered events over HTTP, each taken once and in order. What its bytes mean, which
 //! events are new and which feed is called is decided in `sablecross-discovery`; here are the sockets.
 
 use std::io::{self, Read, Write};
--- a/crates/director/src/wire/node_connection.rs
+++ b/crates/director/src/wire/node_connection.rs
@@ -110,7 +110,7 @@
     pub(super) fn check_connected(&mut self) -> Result<(), CloseReason> {
         let Some(stream) = &self.stream else { return Ok(()) };
         if let Ok(Some(_)) | Err(_) = stream.take_error() {
-            // One that was established was reset, which says nothing of what it carried before.
+            // One that was established was reset, which does not undo what it carried before.
             let loss = if self.is_up { ConnectionLoss::Broken } else { ConnectionLoss::Unreachable };
             return Err(CloseReason::Lost(loss));
         }
@@ -157,7 +157,7 @@
                 return Err(CloseReason::Fault(NodeFault::MessageNotTakenInTime));
             }
             if self.written == 0 {
-                // What is written from here on tells the time that is left now.
+                // The line holds the time that is left now, when it is begun.
                 match message.may_begin(now, shared.clients_checked_at()) {
                     Ok(time_left) => self.line = message.line(time_left),
                     Err(BeginDenied::Unconfirmed) => {
@@ -247,7 +247,7 @@
         let result = Box::new(answer.into_result(shared.clock.now()));
         self.begun.remove(&result.request_id);
         let sent = shared.events.send(Event::AttemptEnded { connection: self.id, result });
-        // Without the dispatcher the program ends, and nobody is left to hear of the connection.
+        // Without the dispatcher the program ends, and the connection does not matter any more.
         sent.map_err(|_| CloseReason::Lost(ConnectionLoss::Broken))
     }
 }
--- a/crates/director/src/wire/node_pool.rs
+++ b/crates/director/src/wire/node_pool.rs
@@ -100,7 +100,7 @@
         self.registry.name(node)
     }
 
-    /// What discovery says of a node.
+    /// The state of a node by the last endpoint list.
     pub fn state(&self, node: usize) -> EndpointState {
         self.registry.state(node)
     }
@@ -325,7 +325,7 @@
     }
 
     /// Withdraws attempts, chosen by themselves, their node and their source: those that are not begun never are, and
-    /// an event tells of the end of each.
+    /// an event ends each of them.
     pub fn withdraw(&mut self, is_withdrawn: impl Fn(&InflightAttempt, usize, Option<usize>) -> bool) {
         let mut affected: Vec<NodeConnectionId> = Vec::new();
         for (&id, connection) in &self.connections {
--- a/crates/director/src/wire/node_protocol.rs
+++ b/crates/director/src/wire/node_protocol.rs
@@ -11,7 +11,7 @@
 /// The end of each line, and of each body.
 pub(super) const LINE_END: &[u8] = b"\r\n";
 
-/// The notes by which a node says where an answer came from, by their numbers, from 1.
+/// The notes of where an answer came from, by their numbers, from 1.
 const CACHE_NOTES: [&str; 5] = ["HIT", "MISS", "MISS_ORIGIN", "COLLAPSED", "STALE"];
 
 /// The head of an answer, parsed where it lies.
@@ -21,7 +21,7 @@
     pub request_id: RequestId,
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// Whether it came from a cached copy, where the node says so.
+    /// Whether it came from a cached copy, where the node reports it.
     pub is_cache_hit: Option<bool>,
     /// The node's load report.
     pub load: Option<LoadReport>,
--- a/crates/director/src/wire/outgoing_message.rs
+++ b/crates/director/src/wire/outgoing_message.rs
@@ -13,7 +13,7 @@
 pub struct OutgoingMessage {
     /// The request for which it is.
     pub request_id: RequestId,
-    /// What it says.
+    /// Its content.
     pub content: Content,
     /// Set by the dispatcher: it is not to be begun any more.
     pub withdrawal: CancellationFlag,
--- a/crates/director/src/wire/response.rs
+++ b/crates/director/src/wire/response.rs
@@ -19,7 +19,7 @@
     pub call: CallId,
     /// Until when the client waits for it.
     pub deadline: Ns,
-    /// What it says.
+    /// Its content.
     pub response: Response,
 }
 
@@ -29,7 +29,7 @@
     Success(Option<Arc<Body>>),
     /// There is no capacity for the request just now.
     Rejected {
-        /// After which the client may try again; 0: it is not told.
+        /// After which the client may try again; 0: none is given.
         retry_after_ms: u64,
     },
     /// The request has failed, or can't be used.
--- a/crates/director/src/wire/rpc/mod.rs
+++ b/crates/director/src/wire/rpc/mod.rs
@@ -68,7 +68,7 @@
     pub client_tag: Option<&'a str>,
     /// By which nodes know a repeat of a deduplicated request.
     pub idempotency_key: Option<&'a str>,
-    /// The client says that it has asked before.
+    /// The client has marked it as a repeat of an earlier request.
     pub is_client_retry: bool,
 }
 
--- a/crates/inflight/src/inflight_table.rs
+++ b/crates/inflight/src/inflight_table.rs
@@ -28,7 +28,7 @@
     pub outcome: Outcome,
     /// The time from its sending to its end, in nanoseconds.
     pub elapsed: Ns,
-    /// Whether a cached copy was served, where the node says so.
+    /// Whether a cached copy was served, where the node reports it.
     pub is_cache_hit: Option<bool>,
     /// Whether the request is answered with it, or was before.
     pub is_final: bool,
@@ -86,7 +86,7 @@
         self.release_if_complete(id, transport);
     }
 
-    /// An attempt has ended: the router says whether the request is done, waits or is routed again.
+    /// An attempt has ended: the router decides whether the request is done, waits or is routed again.
     pub fn on_attempt_result(
         &mut self,
         id: u64,
--- a/crates/inflight/src/settings.rs
+++ b/crates/inflight/src/settings.rs
@@ -129,7 +129,7 @@
     report
 }
 
-/// Whether a note, by its number, says that a cached copy was served; none if it says nothing of that.
+/// Whether a note, by its number, means that a cached copy was served; none if it means neither.
 pub fn is_cache_hit(note: u32) -> Option<bool> {
     match note {
         1 | 5 => Some(true),
