--- a/crates/director/src/dispatch/discovery.rs
+++ b/crates/director/src/dispatch/discovery.rs
@@ -44,8 +44,8 @@
     fn on_purge(&mut self, object: Option<u64>, group: u32) {
         // An attempt that waits for its connection asks for a copy from before the purge.
         let ActionExecutor { nodes, requests, .. } = &mut self.executor;
-        nodes.withdraw(|attempt, _, _| {
-            requests.get(attempt.key).is_some_and(|request| match object {
+        nodes.withdraw(|candidate| {
+            requests.get(candidate.key).is_some_and(|request| match object {
                 Some(object) => request.incoming.object == object,
                 None => request.incoming.group == group,
             })
--- a/crates/director/src/wire/node_pool.rs
+++ b/crates/director/src/wire/node_pool.rs
@@ -50,6 +50,17 @@
     connections: Vec<NodeConnectionId>,
 }
 
+/// An outstanding attempt that may be withdrawn.
+#[derive(Clone, Copy, Debug)]
+pub struct WithdrawCandidate {
+    /// The request in flight.
+    pub key: RequestKey,
+    /// The node to which it goes.
+    pub node: usize,
+    /// The node from which a miss is filled.
+    pub source: Option<usize>,
+}
+
 /// How a connection ranks for the next attempt: the fewest outstanding first, then the one used last.
 type Rank = (usize, Ns, NodeConnectionId);
 
@@ -133,7 +144,9 @@
             updates.iter().map(|update| (update.node, update.state)).collect();
         // What still waits to be written must not begin after the grace, however late its connection comes up.
         let stays = |node| states.get(&node).map_or(!is_snapshot, |state| *state == EndpointState::Ready);
-        self.withdraw(|_, node, source| !stays(node) || source.is_some_and(|source| !stays(source)));
+        self.withdraw(|candidate| {
+            !stays(candidate.node) || candidate.source.is_some_and(|source| !stays(source))
+        });
         for node in self.registry.mark_gone(&updates, is_snapshot, next) {
             self.retire_all(node);
         }
@@ -324,13 +337,17 @@
         Some(attempt)
     }
 
-    /// Withdraws attempts, chosen by themselves, their node and their source: those that are not begun never are, and
+    /// Withdraws the attempts that are chosen: those that are not begun never are, and
     /// an event ends each of them.
-    pub fn withdraw(&mut self, is_withdrawn: impl Fn(&InflightAttempt, usize, Option<usize>) -> bool) {
+    pub fn withdraw(&mut self, is_chosen: impl Fn(&WithdrawCandidate) -> bool) {
         let mut affected: Vec<NodeConnectionId> = Vec::new();
         for (&id, connection) in &self.connections {
             let withdrawn = connection.outstanding.values().filter(|outstanding| {
-                is_withdrawn(&outstanding.attempt, connection.node, outstanding.source)
+                is_chosen(&WithdrawCandidate {
+                    key: outstanding.attempt.key,
+                    node: connection.node,
+                    source: outstanding.source,
+                })
             });
             if withdrawn.map(|outstanding| outstanding.withdrawal.cancel()).count() > 0 {
                 affected.push(id);
--- a/crates/director/tests/codec.rs
+++ b/crates/director/tests/codec.rs
@@ -32,8 +32,8 @@
     rmp::encode::write_str(out, text).expect("written");
 }
 
-/// A lookup with these fields and a body.
-fn lookup(method: &str, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+/// A request with these fields and a body.
+fn request_bytes(method: &str, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut out = vec![0x94, 0, 7];
     text(&mut out, method);
     out.push(0x92);
@@ -59,9 +59,9 @@
 ];
 
 #[test]
-fn a_lookup_is_read_whole_or_not_at_all() {
+fn a_request_is_read_completely_or_not_at_all() {
     let (names, limits) = (names(), limits());
-    let bytes = lookup("readings", &FIELDS, b"body");
+    let bytes = request_bytes("readings", &FIELDS, b"body");
     let fields = RequestFields {
         request_id: *b"9b1f03aa5c7e2d41",
         class: 1,
@@ -74,8 +74,8 @@
         idempotency_key: Some("d06a66f0be6341e94b0783615350ddcc"),
         is_client_retry: true,
     };
-    let whole = Message::Request { call: 7, fields, body: b"body" };
-    assert_eq!(rpc::decode(&bytes, &names, &limits), Ok((whole, bytes.len())));
+    let complete = Message::Request { call: 7, fields, body: b"body" };
+    assert_eq!(rpc::decode(&bytes, &names, &limits), Ok((complete, bytes.len())));
     for n in 0..bytes.len() {
         assert_eq!(
             rpc::decode(&bytes[..n], &names, &limits),
@@ -86,21 +86,21 @@
 }
 
 #[test]
-fn what_no_lookup_can_be_made_of_is_told_apart_from_what_ends_a_connection() {
+fn an_unusable_request_is_distinguished_from_bytes_that_end_a_connection() {
     let (names, limits) = (names(), limits());
     let with = |name: &str, value: &str| {
         let fields: Vec<_> = FIELDS.iter().map(|&(n, v)| (n, if n == name { value } else { v })).collect();
-        lookup("footage", &fields, b"")
+        request_bytes("footage", &fields, b"")
     };
     let without = |name: &str| {
         let fields: Vec<_> = FIELDS.iter().copied().filter(|f| f.0 != name).collect();
-        lookup("footage", &fields, b"")
+        request_bytes("footage", &fields, b"")
     };
-    let mut no_body = lookup("footage", &FIELDS, b"");
+    let mut no_body = request_bytes("footage", &FIELDS, b"");
     no_body.truncate(no_body.len() - 2);
     no_body.push(0xc0);
     let unfit = [
-        lookup("other", &FIELDS, b""),
+        request_bytes("other", &FIELDS, b""),
         with("rid", "9b1f"),
         with("rid", "9B1F03AA5C7E2D41"),
         with("budget", "soon"),
@@ -217,7 +217,7 @@
 #[test]
 fn every_field_of_a_send_is_written() {
     let room = MemoryBudget::new(100);
-    let asked = |tag: Option<&str>| IncomingRequest {
+    let incoming = |tag: Option<&str>| IncomingRequest {
         client: 1,
         call: CallId { number: 7, generation: 0 },
         cancellation: CancellationFlag::default(),
@@ -246,15 +246,15 @@
     };
     let full = AttemptSpec { max_age: Some(1), coalesce: true, refresh: true, retention_rank: 2, ..bare };
     let start = "PULL 9b1f03aa5c7e2d41 class=footage,key=00000000000000ff,part=3,wait=1500";
-    let line = |asked: &IncomingRequest, send: &AttemptSpec, source| {
+    let line = |request: &IncomingRequest, send: &AttemptSpec, source| {
         String::from_utf8(
-            node_protocol::pull_head(asked, send, "footage", source, None).with_wait(send.timeout),
+            node_protocol::pull_head(request, send, "footage", source, None).with_wait(send.timeout),
         )
         .expect("text")
     };
-    assert_eq!(line(&asked(None), &bare, None), format!("{start} 2\r\n"));
+    assert_eq!(line(&incoming(None), &bare, None), format!("{start} 2\r\n"));
     assert_eq!(
-        line(&asked(Some("t1")), &full, Some("parent-a")),
+        line(&incoming(Some("t1")), &full, Some("parent-a")),
         format!("{start},miss=parent-a,prio=2,within=1,f=collapse+refresh,mine=t1,once=m7 2\r\n")
     );
     assert_eq!(node_protocol::kill_line(b"9b1f03aa5c7e2d41"), b"KILL 9b1f03aa5c7e2d41\r\n");
@@ -262,7 +262,7 @@
 
 /// Where a director sends each of these objects, and from where they are filled, by name; its list comes in
 /// this order, at addresses of its own.
-fn homes(number: usize, order: impl Iterator<Item = usize>) -> Vec<(String, String)> {
+fn primaries(number: usize, order: impl Iterator<Item = usize>) -> Vec<(String, String)> {
     let config = Config::parse(SAMPLE).expect("the sample is good");
     let (common, _) = SharedContext::new(config.names, limits());
     let now = common.clock.now();
@@ -278,10 +278,10 @@
         started_at: 0,
     };
     let members: Vec<Endpoint> = order.map(member).collect();
-    let mut choice = Router::new(Settings { director_index: number, ..config.settings }, number as u64, now);
-    choice.update_endpoints(now, &nodes.update_endpoints(&members, true, 0, 0), true);
-    let home = |object| {
-        let lookup = Request {
+    let mut router = Router::new(Settings { director_index: number, ..config.settings }, number as u64, now);
+    router.update_endpoints(now, &nodes.update_endpoints(&members, true, 0, 0), true);
+    let primary = |object| {
+        let request = Request {
             object,
             part: 0,
             group: 0,
@@ -293,20 +293,20 @@
             is_write: false,
             attempts: Vec::new(),
         };
-        let RouteDecision::Attempt(send) = choice.route(now, &lookup) else { panic!("not sent") };
+        let RouteDecision::Attempt(send) = router.route(now, &request) else { panic!("not sent") };
         let name = |node| nodes.name(node).to_owned();
         (name(send.node), send.source.map(name).unwrap_or_default())
     };
-    (0..40).map(home).collect()
+    (0..40).map(primary).collect()
 }
 
 #[test]
-fn directors_and_restarts_agree_on_homes_whatever_the_addresses() {
-    let one = homes(1, 0..9);
+fn directors_and_restarts_agree_on_primaries_whatever_the_addresses() {
+    let one = primaries(1, 0..9);
     for (number, order) in [(2, vec![8, 7, 6, 5, 4, 3, 2, 1, 0]), (3, vec![4, 0, 8, 2, 6, 1, 5, 3, 7])] {
-        assert_eq!(homes(number, order.into_iter()), one, "director {number}");
+        assert_eq!(primaries(number, order.into_iter()), one, "director {number}");
     }
-    let used: HashSet<&String> = one.iter().flat_map(|(home, source)| [home, source]).collect();
+    let used: HashSet<&String> = one.iter().flat_map(|(primary, source)| [primary, source]).collect();
     assert_eq!(used.len(), 9, "all caches and parents have their part");
 }
 
@@ -411,23 +411,27 @@
             let (now, longest) = (common.clock.now(), common.limits.max_budget);
             let (_links, orders) = NodeConnectionServer::new(&common).expect("polls");
             let mut nodes = NodePool::new(orders, common);
-            let mut choice = Router::new(config.settings, 1, now);
+            let mut router = Router::new(config.settings, 1, now);
             for event in config.known.events {
-                if let DiscoveryEvent::Endpoints { endpoints: members, is_snapshot: whole } = event.event {
-                    choice.update_endpoints(now, &nodes.update_endpoints(&members, whole, 0, 0), whole);
+                if let DiscoveryEvent::Endpoints { endpoints, is_snapshot } = event.event {
+                    router.update_endpoints(
+                        now,
+                        &nodes.update_endpoints(&endpoints, is_snapshot, 0, 0),
+                        is_snapshot,
+                    );
                 }
             }
-            choice.record_purge(now, Some(3), 0, 0);
+            router.record_purge(now, Some(3), 0, 0);
             for (kind, object) in (0..kinds).flat_map(|k| [(k, 1), (k, 3)]) {
-                let mut lookup = lookup_of(object, now, now + longest);
-                lookup.class = kind;
+                let mut request = router_request(object, now, now + longest);
+                request.class = kind;
                 for later in [0, 1, 500_000_000] {
-                    if let RouteDecision::Attempt(send) = choice.route(now + later, &lookup) {
+                    if let RouteDecision::Attempt(send) = router.route(now + later, &request) {
                         let AttemptSpec { node, source, .. } = send;
-                        lookup.attempts.push(Attempt { node, source, sent_at: now + later, outcome: None });
-                        choice.next_check(now + later, &lookup);
-                        lookup.attempts.last_mut().expect("sent").outcome = Some(Outcome::Error);
-                        choice.on_outcome(now + later, &lookup, lookup.attempts.len() - 1, later, None);
+                        request.attempts.push(Attempt { node, source, sent_at: now + later, outcome: None });
+                        router.next_check(now + later, &request);
+                        request.attempts.last_mut().expect("sent").outcome = Some(Outcome::Error);
+                        router.on_outcome(now + later, &request, request.attempts.len() - 1, later, None);
                     }
                 }
             }
@@ -455,7 +459,7 @@
     assert_eq!(Config::parse(&spaced).expect("good").names.zones["north, by sea"], 1);
 }
 
-fn lookup_of(object: u64, arrived: u64, deadline: u64) -> Request {
+fn router_request(object: u64, arrived: u64, deadline: u64) -> Request {
     let (part, group, kind, size_kb) = (0, 0, 0, 10.0);
     let (repeat, write, sends) = (false, false, Vec::new());
     Request {
@@ -495,9 +499,9 @@
     assert_eq!(
         list("b", EndpointState::Ready, 6, 9),
         Some(1),
-        "a lookup from before may still have sent to it"
+        "a request from before may still have sent to it"
     );
-    assert_eq!(list("c", EndpointState::Ready, 7, 9), Some(0), "none from before is in hand");
+    assert_eq!(list("c", EndpointState::Ready, 7, 9), Some(0), "none from before is in flight");
     assert_eq!(list("a", EndpointState::Ready, 7, 9), Some(2), "a name that comes back is a new node");
     assert_eq!(list("unheard", EndpointState::Gone, 7, 9), None);
     // One that is gone and back keeps its number.
