--- a/crates/director/tests/clock.rs
+++ b/crates/director/tests/clock.rs
@@ -108,7 +108,7 @@
         client.ask(1, 0x77, 2_000);
         w.parent.pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"parent");
         client.satisfied(1, b"parent");
-        w.cache.quiet();
+        w.cache.assert_no_message();
         std::thread::sleep(Duration::from_millis(1_600));
         client.ask(2, 0x78, 2_000);
         w.cache.pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"warm");
@@ -147,7 +147,7 @@
         client.ask(1, 0x77, 800);
         let pull = w.cache.pull();
         faults.set(&format!("clock 0 {offset}"));
-        assert_eq!(client.nacked(), 1);
+        assert_eq!(client.assert_rejected(), 1);
         let took = start.elapsed();
         assert!((600..820).contains(&took.as_millis()), "{offset}: {took:?}");
         assert_eq!(w.cache.next().line, format!("KILL {}", pull.name()));
--- a/crates/director/tests/collisions.rs
+++ b/crates/director/tests/collisions.rs
@@ -22,8 +22,8 @@
 /// A slow connection and a deadline: what a node is told is what is left when the send is written.
 #[test]
 fn a_connection_that_comes_up_late_takes_from_the_time_told_to_its_node() {
-    let late = Late::start();
-    let w = World::with(|config| moved_late(&config, "cache-a", &late));
+    let late = LateNode::start();
+    let w = World::with(|config| with_late_node(&config, "cache-a", &late));
     let mut client = w.client();
     let start = Instant::now();
     client.ask(1, 0x77, 3_000);
@@ -50,7 +50,7 @@
         let pull = w.cache.pull();
         let left = 2_000 - start.elapsed().as_millis() as u64;
         assert!(wait_field(&pull.line) <= left + SLACK_MS, "{} with {left} ms left", pull.line);
-        assert_eq!(client.nacked(), 1);
+        assert_eq!(client.assert_rejected(), 1);
         let took = start.elapsed();
         assert!(took < Duration::from_millis(2_100), "answered after {took:?}");
     }
@@ -59,7 +59,7 @@
 /// A request that is half written, and others that want its connection's place, or the end of the program.
 #[test]
 fn a_half_written_request_keeps_its_connection() {
-    let request = lookup(1, 0x77, 4_000, &[]);
+    let request = request_bytes(1, 0x77, 4_000, &[]);
     let (first, rest) = request.split_at(20);
     let w = World::with(|c| c.replace("\"sockets\": 1024", "\"sockets\": 64"));
     let mut slow = w.client();
@@ -79,8 +79,8 @@
     slow.write(first);
     std::thread::sleep(Duration::from_millis(600));
     slow.write(rest);
-    assert_eq!(slow.nacked(), 1, "its last byte came after the program took no more");
-    slow.closed();
+    assert_eq!(slow.assert_rejected(), 1, "its last byte came after the program took no more");
+    slow.assert_closed();
 }
 
 /// Many clients that send many requests at once, all read in one turn: none loses its answer.
@@ -101,7 +101,7 @@
     for (number, client) in clients.iter_mut().enumerate() {
         let mut left = EACH;
         while left > 0 {
-            assert_eq!(client.answer().1, Answer::Alive(true), "client {number}, {left} left");
+            assert_eq!(client.answer().1, Answer::Health(true), "client {number}, {left} left");
             left -= 1;
         }
     }
@@ -123,7 +123,7 @@
         let mut client = w.client();
         client.ask_with(1, 0x77, 2_000, &[("ver", "t1")]);
         w.cache.pull().answer("NOMOD", fields, b"");
-        w.cache.later_pull().answer("ACK", "how=HIT,entity=t2,issued=1", b"whole");
+        w.cache.next_pull().answer("ACK", "how=HIT,entity=t2,issued=1", b"whole");
         client.satisfied(1, b"whole");
     }
 }
@@ -188,7 +188,7 @@
     client.ask(1, 0x77, 2_000);
     std::thread::sleep(Duration::from_millis(600));
     faults.set("");
-    assert_eq!(client.nacked(), 1);
+    assert_eq!(client.assert_rejected(), 1);
 }
 
 /// A signal before the configuration has been read.
@@ -224,12 +224,12 @@
     for call in 1..=30 {
         let mut bad = w.client();
         bad.ask(100 + call, 0x100 + u64::from(call), 2_000);
-        let pull = w.cache.later_pull();
+        let pull = w.cache.next_pull();
         SockRef::from(&bad.0).set_linger(Some(Duration::ZERO)).expect("set");
         pull.answer("ACK", "how=HIT,entity=t1,issued=1", &[7; 100_000]);
         drop(bad);
         good.ask(call, u64::from(call), 2_000);
-        w.cache.later_pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"good");
+        w.cache.next_pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"good");
         good.satisfied(call, b"good");
     }
 }
@@ -252,7 +252,7 @@
         std::thread::sleep(Duration::from_millis(250));
         w.signal("CONT");
         std::thread::sleep(Duration::from_millis(40));
-        let begun: Vec<String> = w.cache.told.try_iter().map(|told| told.line).collect();
+        let begun: Vec<String> = w.cache.messages.try_iter().map(|told| told.line).collect();
         assert!(begun.iter().all(|line| !line.starts_with("PULL")), "round {round}: {begun:?}");
     }
 }
--- a/crates/director/tests/crossings.rs
+++ b/crates/director/tests/crossings.rs
@@ -35,12 +35,12 @@
         ),
     ];
     for (i, (news, other)) in cases.into_iter().enumerate() {
-        let late = Late::start();
-        let w = World::with(|config| moved_late(&config, "cache-a", &late));
+        let late = LateNode::start();
+        let w = World::with(|config| with_late_node(&config, "cache-a", &late));
         let _old = w.feed.call();
         let mut c = w.client();
         c.ask(1, 0x77, 5_000);
-        w.counted("sends", 1);
+        w.wait_for_counter("sends", 1);
         w.reload();
         let (_, feed) = w.feed.call();
         tell(&feed, 2, &news(late.address, w.parent.address));
@@ -48,7 +48,7 @@
             w.parent.pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"another way");
             c.satisfied(1, b"another way");
         } else {
-            assert_eq!(c.nacked(), 1, "{i}");
+            assert_eq!(c.assert_rejected(), 1, "{i}");
         }
         // The connection may come up now: all that ever comes on it is its end. One to a node that is gone was
         // closed before it came up.
@@ -66,7 +66,7 @@
     let w = World::start();
     let mut c = w.client();
     c.ask(1, 0x77, 4_000);
-    let Told { line, mut stream, .. } = w.cache.pull();
+    let NodeMessage { line, mut stream, .. } = w.cache.pull();
     let name = line.split(' ').nth(1).expect("a name");
     // Held: it hears of the answer and of the reset in the same moment.
     w.signal("STOP");
@@ -82,7 +82,7 @@
     drop(stream);
     w.signal("CONT");
     c.satisfied(1, b"whole");
-    let counters = w.reported();
+    let counters = w.current_counters();
     assert_eq!((counters["ok"], counters["broken"]), (1, 0));
 }
 
@@ -90,7 +90,7 @@
 fn rest(node: &Node) -> Vec<String> {
     let mut lines = Vec::new();
     loop {
-        match node.told.recv_timeout(LONG).expect("its end").line {
+        match node.messages.recv_timeout(LONG).expect("its end").line {
             line if line == "closed" => return lines,
             line => lines.push(line.split(' ').next().unwrap_or_default().to_owned()),
         }
@@ -98,7 +98,7 @@
 }
 
 /// All that comes on a connection that comes up at last, until the program has ended.
-fn ended(w: World, late: &Late) -> String {
+fn ended(w: World, late: &LateNode) -> String {
     std::thread::scope(|scope| {
         let mut stream = late.open();
         let came = scope.spawn(move || {
@@ -122,20 +122,20 @@
 
 #[test]
 fn at_a_stop_what_is_half_read_or_waits_is_carried_to_its_end() {
-    let late = Late::start();
-    let w = World::with(|config| moved_late(&config, "cache-a", &late));
+    let late = LateNode::start();
+    let w = World::with(|config| with_late_node(&config, "cache-a", &late));
     // Half a request, and a lookup whose send waits for a connection.
     let (mut half, mut waits) = (w.client(), w.client());
     half.write(&[0x94, 0, 1, 0xa5, b'a', b'l']);
     waits.ask(1, 0x77, 5_000);
-    w.counted("sends", 1);
+    w.wait_for_counter("sends", 1);
     w.reload();
     w.signal("TERM");
     w.logged("stopping in_flight=1");
     half.write(b"ive\x91\x80");
-    assert_eq!(half.answer(), (1, Answer::Alive(false)));
+    assert_eq!(half.answer(), (1, Answer::Health(false)));
     // A resting one ends when no more are taken, though the other lookup is still out.
-    half.closed();
+    half.assert_closed();
     let mut stream = late.open();
     let mut line = vec![0; 21];
     stream.read_exact(&mut line).expect("a send");
@@ -144,7 +144,7 @@
     let head = format!("{name} ACK how=HIT,entity=t1,issued=1 {}\r\n", body.len());
     stream.write_all(&[head.as_bytes(), &body, b"\r\n"].concat()).expect("written");
     waits.satisfied(1, &body);
-    waits.closed();
+    waits.assert_closed();
     stopped(w);
 }
 
@@ -152,14 +152,14 @@
 fn an_answer_that_leaves_slowly_is_whole_at_the_end_of_the_program() {
     let w = World::start();
     let (mut c, mut half) = (w.client(), w.client());
-    let late = lookup(9, 0x99, 3_000, &[]);
+    let late = request_bytes(9, 0x99, 3_000, &[]);
     SockRef::from(&c.0).set_recv_buffer_size(4_096).expect("set");
     let body = vec![7; 240_000];
     for call in 1..=4 {
         c.ask(call, u64::from(call), 3_000);
         w.cache.pull().answer("ACK", "how=HIT,entity=t1,issued=1", &body);
     }
-    w.counted("satisfied", 4);
+    w.wait_for_counter("satisfied", 4);
     // Beside it half a lookup, the rest of which comes after the signal.
     half.write(&late[..20]);
     w.signal("TERM");
@@ -168,9 +168,9 @@
     w.cache.pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"owed too");
     half.satisfied(9, b"owed too");
     for _ in 0..4 {
-        assert!(c.answer().1 == Answer::Satisfied(body.clone(), vec![]));
+        assert!(c.answer().1 == Answer::Success(body.clone(), vec![]));
     }
-    c.closed();
+    c.assert_closed();
     stopped(w);
 }
 
@@ -192,7 +192,7 @@
     for c in &mut resting[1..4] {
         assert_eq!(c.0.read(&mut [0; 8]).expect("no reset"), 0);
     }
-    assert_eq!(w.reported()["made_room"], 3);
+    assert_eq!(w.current_counters()["made_room"], 3);
 }
 
 #[test]
@@ -229,14 +229,14 @@
     ];
     for go in ways {
         // While its send waits for a connection.
-        let late = Late::start();
-        let w = World::with(|config| moved_late(&config, "cache-a", &late));
+        let late = LateNode::start();
+        let w = World::with(|config| with_late_node(&config, "cache-a", &late));
         let mut c = w.client();
         c.ask(1, 0x77, 4_000);
-        w.counted("sends", 1);
+        w.wait_for_counter("sends", 1);
         w.reload();
         go(c);
-        w.counted("cancelled", 1);
+        w.wait_for_counter("cancelled", 1);
         assert_eq!(ended(w, &late), "");
         // While a second copy is due soon: its home is silent.
         let w = World::with(|config| config.replace("\"aimUs\": 3000000", "\"aimUs\": 200000"));
@@ -244,12 +244,12 @@
         c.ask(1, 0x77, 4_000);
         w.cache.pull();
         go(c);
-        w.counted("cancelled", 1);
-        let counters = w.reported();
+        w.wait_for_counter("cancelled", 1);
+        let counters = w.current_counters();
         assert_eq!((counters["sends"], counters["in_hand"]), (1, 0));
         let World { cache, parent, .. } = &w;
         assert_eq!(cache.next().line.split(' ').next(), Some("KILL"));
-        parent.quiet();
+        parent.assert_no_message();
     }
 }
 
@@ -265,14 +265,14 @@
         c.write(b"\x93\x02\xadcancelRequest\x91\x05");
         c.ask(5, object + 0x100, 4_000);
         w.signal("CONT");
-        let second = w.cache.later_pull();
+        let second = w.cache.next_pull();
         second.answer("ACK", "how=HIT,entity=t1,issued=1", b"of the second");
         // The first may still have been answered before its client's word was read.
         let mut answer = c.answer();
-        if answer == (5, Answer::Satisfied(b"of the first".to_vec(), vec![])) {
+        if answer == (5, Answer::Success(b"of the first".to_vec(), vec![])) {
             answer = c.answer();
         }
-        assert_eq!(answer, (5, Answer::Satisfied(b"of the second".to_vec(), vec![])));
+        assert_eq!(answer, (5, Answer::Success(b"of the second".to_vec(), vec![])));
     }
 }
 
@@ -295,7 +295,7 @@
     good.satisfied(1, b"good");
     let start = Instant::now();
     let left = loop {
-        let counters = w.reported();
+        let counters = w.current_counters();
         if counters["in_hand"] == 0 || start.elapsed() > LONG {
             break counters;
         }
@@ -311,7 +311,7 @@
     let endless = w.cache.pull();
     w.reload();
     endless.write(format!("{} ACK how=HIT,entity=t1,issued=1 240000\r\nnever", endless.name()).as_bytes());
-    assert_eq!(c.nacked(), 1);
+    assert_eq!(c.assert_rejected(), 1);
     assert_eq!(rest(&w.cache), ["KILL"], "its connection is not used again");
     c.ask(2, 0x78, 4_000);
     let twice = w.cache.pull();
@@ -333,11 +333,11 @@
     c.ask(1, 0x77, 4_000);
     w.cache.pull().stream.shutdown(std::net::Shutdown::Both).expect("shut");
     assert_eq!(c.answer(), (1, Answer::Error("Failed".into(), vec![])));
-    assert_eq!(w.reported()["sends"], 1);
+    assert_eq!(w.current_counters()["sends"], 1);
     // A deduplicated one, with its mark: the further send waits for a connection for longer than nodes know it.
-    let late = Late::start();
+    let late = LateNode::start();
     let w = World::with(|config| {
-        moved_late(&config, "parent-a", &late).replacen(
+        with_late_node(&config, "parent-a", &late).replacen(
             "\"idempotent\", \"group\": \"all\", \"memorySpanUs\": 5000000",
             "\"deduplicated\", \"group\": \"all\", \"memorySpanUs\": 400000",
             1,
@@ -362,7 +362,7 @@
     let mut c = w.client();
     for call in 1..=24 {
         c.ask(call, u64::from(call), 4_000);
-        let pull = w.cache.later_pull();
+        let pull = w.cache.next_pull();
         pull.answer("ACK", "how=HIT,entity=t1,issued=1", b"first");
         c.satisfied(call, b"first");
         w.signal("STOP");
@@ -372,7 +372,7 @@
         // On a new connection, or by another way if it had been given to the one that ended.
         let start = Instant::now();
         let again = loop {
-            let told = [&w.cache, &w.parent].into_iter().find_map(|n| n.told.try_recv().ok());
+            let told = [&w.cache, &w.parent].into_iter().find_map(|n| n.messages.try_recv().ok());
             match told.filter(|t| t.line.starts_with("PULL ")) {
                 Some(told) => break told,
                 None => assert!(start.elapsed() < LONG, "sent again"),
@@ -381,7 +381,7 @@
         again.answer("ACK", "how=HIT,entity=t1,issued=1", b"second");
         c.satisfied(100 + call, b"second");
     }
-    assert_eq!(w.reported()["failed"], 0);
+    assert_eq!(w.current_counters()["failed"], 0);
 }
 
 #[test]
@@ -393,7 +393,7 @@
     drop(stream);
     w.feed.0 = std::net::TcpListener::bind("127.0.0.1:0").expect("bound");
     let idle: Vec<Client> = (0..120).map(|_| w.client()).collect();
-    w.counted("made_room", 90);
+    w.wait_for_counter("made_room", 90);
     (0..3).for_each(|_| w.reload());
     let mut c = w.client();
     c.ask(1, 0x77, 4_000);
@@ -416,7 +416,7 @@
 /// Each call of a feed that is down takes as long as a connection may: signals don't wait for it.
 #[test]
 fn a_stop_is_heard_behind_many_reloads_while_discovery_is_down() {
-    let late = Late::start();
+    let late = LateNode::start();
     let w = World::with(|config| {
         let feed = config.find("\"feed\": \"").expect("named") + 9;
         let end = feed + config[feed..].find('"').expect("ends");
--- a/crates/director/tests/help/mod.rs
+++ b/crates/director/tests/help/mod.rs
@@ -28,7 +28,7 @@
 }
 
 /// The sample with another address for one of its nodes.
-pub fn moved(config: &str, node: &str, address: SocketAddr) -> String {
+pub fn with_node_address(config: &str, node: &str, address: SocketAddr) -> String {
     let before = format!("\"{node}\", \"address\": \"");
     let at = config.find(&before).expect("named") + before.len();
     let end = at + config[at..].find('"').expect("ends");
@@ -36,18 +36,19 @@
 }
 
 /// The same with one that comes up late, and the patience to wait for it.
-pub fn moved_late(config: &str, node: &str, late: &Late) -> String {
-    moved(config, node, late.address).replace("\"dialTimeoutUs\": 400000", "\"dialTimeoutUs\": 4000000")
+pub fn with_late_node(config: &str, node: &str, late: &LateNode) -> String {
+    with_node_address(config, node, late.address)
+        .replace("\"dialTimeoutUs\": 400000", "\"dialTimeoutUs\": 4000000")
 }
 
 /// A line that a node was told, or the end of a connection.
-pub struct Told {
+pub struct NodeMessage {
     pub line: String,
     pub connection: usize,
     pub stream: Arc<TcpStream>,
 }
 
-impl Told {
+impl NodeMessage {
     pub fn name(&self) -> &str {
         self.line.split(' ').nth(1).expect("a name")
     }
@@ -70,35 +71,35 @@
 
 pub struct Node {
     pub address: SocketAddr,
-    pub told: Receiver<Told>,
+    pub messages: Receiver<NodeMessage>,
 }
 
 impl Node {
     pub fn start() -> Node {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
         let address = listener.local_addr().expect("bound");
-        let (tell, told) = channel();
+        let (tell, messages) = channel();
         thread::spawn(move || {
             for (connection, stream) in listener.incoming().enumerate() {
                 let (stream, tell) = (Arc::new(stream.expect("taken")), tell.clone());
                 thread::spawn(move || listen(connection, &stream, &tell));
             }
         });
-        Node { address, told }
+        Node { address, messages }
     }
 
-    pub fn next(&self) -> Told {
-        self.told.recv_timeout(LONG).expect("told")
+    pub fn next(&self) -> NodeMessage {
+        self.messages.recv_timeout(LONG).expect("told")
     }
 
-    pub fn pull(&self) -> Told {
+    pub fn pull(&self) -> NodeMessage {
         let told = self.next();
         assert!(told.line.starts_with("PULL "), "{}", told.line);
         told
     }
 
     /// The next send, whatever else is told before it.
-    pub fn later_pull(&self) -> Told {
+    pub fn next_pull(&self) -> NodeMessage {
         loop {
             let told = self.next();
             if told.line.starts_with("PULL ") {
@@ -107,21 +108,21 @@
         }
     }
 
-    pub fn quiet(&self) {
-        let told = self.told.recv_timeout(SHORT).map(|t| t.line);
+    pub fn assert_no_message(&self) {
+        let told = self.messages.recv_timeout(SHORT).map(|t| t.line);
         assert_eq!(told.err(), Some(RecvTimeoutError::Timeout));
     }
 }
 
 /// A node whose connections do not come up until it opens: its backlog is full.
-pub struct Late {
+pub struct LateNode {
     pub address: SocketAddr,
     listener: TcpListener,
     filling: Vec<TcpStream>,
 }
 
-impl Late {
-    pub fn start() -> Late {
+impl LateNode {
+    pub fn start() -> LateNode {
         let full = Socket::new(Domain::IPV4, Type::STREAM, None).expect("made");
         full.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("bound");
         full.listen(0).expect("listens");
@@ -130,7 +131,7 @@
         let fill = |_| TcpStream::connect_timeout(&address, Duration::from_millis(50)).ok();
         let filling: Vec<TcpStream> = (0..8).map_while(fill).collect();
         assert!(filling.len() < 8, "it takes no more");
-        Late { address, listener, filling }
+        LateNode { address, listener, filling }
     }
 
     /// Takes the connections that filled it, then the one that waited behind them.
@@ -155,7 +156,7 @@
     }
 }
 
-pub fn listen(connection: usize, stream: &Arc<TcpStream>, tell: &Sender<Told>) {
+pub fn listen(connection: usize, stream: &Arc<TcpStream>, tell: &Sender<NodeMessage>) {
     let mut reader = BufReader::new(&**stream);
     loop {
         let mut line = String::new();
@@ -165,7 +166,7 @@
             let length: usize = line.rsplit(' ').next().and_then(|l| l.parse().ok()).expect("a length");
             reader.read_exact(&mut vec![0; length + 2]).expect("a body");
         }
-        let told = Told { line, connection, stream: Arc::clone(stream) };
+        let told = NodeMessage { line, connection, stream: Arc::clone(stream) };
         if tell.send(told).is_err() || n == 0 {
             return;
         }
@@ -336,19 +337,19 @@
 
     /// Waits until so many events of the feed were taken in, with those of the start.
     pub fn told(&self, facts: u64) {
-        self.counted("facts", facts);
+        self.wait_for_counter("facts", facts);
     }
 
     /// Waits until a counter stands so high.
-    pub fn counted(&self, counter: &str, n: u64) {
+    pub fn wait_for_counter(&self, counter: &str, n: u64) {
         let start = Instant::now();
-        while self.reported()[counter] < n {
+        while self.current_counters()[counter] < n {
             assert!(start.elapsed() < LONG, "{n} {counter}");
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    pub fn reported(&self) -> HashMap<String, u64> {
+    pub fn current_counters(&self) -> HashMap<String, u64> {
         self.signal("USR1");
         self.counters()
     }
@@ -368,8 +369,8 @@
     assert!(done.success());
 }
 
-/// The bytes of a lookup.
-pub fn lookup(call: u8, object: u64, budget_ms: u64, more: &[(&str, &str)]) -> Vec<u8> {
+/// The bytes of a request.
+pub fn request_bytes(call: u8, object: u64, budget_ms: u64, more: &[(&str, &str)]) -> Vec<u8> {
     let (name, budget) = (format!("{:08x}{object:08x}", u32::from(call)), budget_ms.to_string());
     let object = format!("{object:016x}");
     let mut fields = vec![("rid", &*name), ("budget", &*budget), ("obj", &*object), ("piece", "0")];
@@ -389,9 +390,9 @@
 
 #[derive(Debug, PartialEq)]
 pub enum Answer {
-    Satisfied(Vec<u8>, Vec<(String, String)>),
+    Success(Vec<u8>, Vec<(String, String)>),
     Error(String, Vec<(String, String)>),
-    Alive(bool),
+    Health(bool),
 }
 
 impl Client {
@@ -404,12 +405,12 @@
     }
 
     pub fn ask_with(&mut self, call: u8, object: u64, budget_ms: u64, more: &[(&str, &str)]) {
-        self.write(&lookup(call, object, budget_ms, more));
+        self.write(&request_bytes(call, object, budget_ms, more));
     }
 
     pub fn alive(&mut self) -> bool {
         self.write(b"\x94\x00\xcc\xff\xa5alive\x91\x80");
-        self.answer() == (255, Answer::Alive(true))
+        self.answer() == (255, Answer::Health(true))
     }
 
     pub fn text(&mut self) -> String {
@@ -440,7 +441,7 @@
         let length = match first[0] {
             0xc2 | 0xc3 => {
                 assert_eq!(self.fields(), []);
-                return (call, Answer::Alive(first == [0xc3]));
+                return (call, Answer::Health(first == [0xc3]));
             }
             0xc4 => 1,
             0xc5 => 2,
@@ -451,10 +452,10 @@
         self.0.read_exact(&mut bytes).expect("a length");
         let mut body = vec![0; bytes.iter().fold(0, |n, &b| n << 8 | usize::from(b))];
         self.0.read_exact(&mut body).expect("a body");
-        (call, Answer::Satisfied(body, self.fields()))
+        (call, Answer::Success(body, self.fields()))
     }
 
-    pub fn nacked(&mut self) -> u8 {
+    pub fn assert_rejected(&mut self) -> u8 {
         let (call, answer) = self.answer();
         assert!(matches!(&answer, Answer::Error(word, _) if word == "Rejected"), "{answer:?}");
         call
@@ -463,11 +464,11 @@
     pub fn satisfied(&mut self, call: u8, body: &[u8]) {
         let (answered, answer) = self.answer();
         assert_eq!(answered, call);
-        assert!(answer == Answer::Satisfied(body.to_vec(), vec![]), "call {call} has other bytes");
+        assert!(answer == Answer::Success(body.to_vec(), vec![]), "call {call} has other bytes");
     }
 
     /// Nothing more comes, and the connection ends.
-    pub fn closed(&mut self) {
+    pub fn assert_closed(&mut self) {
         let end = self.0.read(&mut [0; 8]).map_err(|e| e.kind());
         assert!(matches!(end, Ok(0) | Err(ErrorKind::ConnectionReset)), "{end:?}");
     }
--- a/crates/director/tests/sockets.rs
+++ b/crates/director/tests/sockets.rs
@@ -28,7 +28,7 @@
     assert_ne!(first.connection, second.connection, "one body blocks those behind it");
     assert_eq!((first.field("mine"), second.field("mine")), (None, Some("t9")));
     second.answer("NOMOD", "how=HIT,entity=t9,issued=1", b"");
-    assert_eq!(c.answer(), (2, Answer::Satisfied(vec![], vec![("unchanged".into(), "1".into())])));
+    assert_eq!(c.answer(), (2, Answer::Success(vec![], vec![("unchanged".into(), "1".into())])));
     let body: Vec<u8> = (0..240_000_u32).map(|i| (i * 7 % 251) as u8).collect();
     first.answer("ACK", "how=MISS,entity=t1,issued=1", &body);
     c.satisfied(1, &body);
@@ -40,12 +40,12 @@
     // The very tag of the client's copy is as good; a copy unchanged that it does not hold is no answer.
     c.ask_with(4, 0x7a, 2_000, &[("ver", "t4")]);
     w.cache.pull().answer("ACK", "how=HIT,entity=t4,issued=1", b"not sent");
-    assert_eq!(c.answer(), (4, Answer::Satisfied(vec![], vec![("unchanged".into(), "1".into())])));
+    assert_eq!(c.answer(), (4, Answer::Success(vec![], vec![("unchanged".into(), "1".into())])));
     c.ask(5, 0x7b, 2_000);
     w.cache.pull().answer("NOMOD", "how=HIT,entity=t5,issued=1", b"");
     w.cache.pull().answer("ACK", "how=HIT,entity=t5,issued=1", b"whole");
     c.satisfied(5, b"whole");
-    let counters = w.reported();
+    let counters = w.current_counters();
     assert_eq!((counters["satisfied"], counters["unchanged"], counters["links"]), (5, 2, 2));
     assert_eq!((counters["ok"], counters["error"]), (5, 1));
 }
@@ -64,15 +64,15 @@
         c.0.set_read_timeout(Some(Duration::from_millis(20))).expect("set");
         while c.0.peek(&mut [0]).is_err() {
             for node in [&w.cache, &w.parent] {
-                if let Ok(told) = node.told.try_recv() {
+                if let Ok(told) = node.messages.try_recv() {
                     told.answer(word, "-", b"");
                     sends += 1;
                 }
             }
             assert!(sends < 7, "{word}");
         }
-        assert_eq!(c.nacked(), 1, "{word}");
-        assert_eq!(w.reported()[counter], sends, "{word}");
+        assert_eq!(c.assert_rejected(), 1, "{word}");
+        assert_eq!(w.current_counters()[counter], sends, "{word}");
     }
 }
 
@@ -83,13 +83,13 @@
     let start = Instant::now();
     c.ask(1, 0x77, 500);
     let pull = w.cache.pull();
-    assert_eq!(c.nacked(), 1);
+    assert_eq!(c.assert_rejected(), 1);
     assert!(start.elapsed() < Duration::from_millis(500), "{:?}", start.elapsed());
     assert_eq!(w.cache.next().line, format!("KILL {}", pull.name()));
     assert_eq!(w.cache.next().line, "closed", "a connection silent since the send is not used again");
     c.ask(2, 0x78, 500);
     assert_ne!(w.cache.pull().connection, pull.connection);
-    let counters = w.reported();
+    let counters = w.current_counters();
     assert_eq!((counters["nacked"], counters["in_hand"]), (1, 1));
 }
 
@@ -100,11 +100,11 @@
     let mut c = w.client();
     for (call, budget_ms) in [(1, 0), (2, 0), (3, 1), (4, 1)] {
         c.ask(call, 0x77, budget_ms);
-        assert_eq!(c.nacked(), call);
+        assert_eq!(c.assert_rejected(), call);
     }
-    let counters = w.reported();
+    let counters = w.current_counters();
     assert_eq!((counters["nacked"], counters["unsent"]), (4, 0));
-    w.cache.quiet();
+    w.cache.assert_no_message();
 }
 
 #[test]
@@ -133,13 +133,13 @@
     let third = w.cache.pull();
     drop(c);
     assert_eq!(w.cache.next().line, format!("KILL {}", third.name()));
-    let counters = w.reported();
+    let counters = w.current_counters();
     assert_eq!((counters["cancelled"], counters["satisfied"], counters["called_off"]), (3, 1, 3));
 }
 
 #[test]
 fn a_node_that_breaks_off_or_babbles_loses_its_connection_alone() {
-    type Fault = fn(&Told);
+    type Fault = fn(&NodeMessage);
     let cases: [(&str, Fault); 7] = [
         ("nobody's answer", |t| t.write(b"0123456789abcdef ACK - x\r\n")),
         ("reset", |t| t.stream.shutdown(Shutdown::Both).expect("shut")),
@@ -158,21 +158,21 @@
         c.ask(1, 0x77, 2_000);
         let first = w.cache.pull();
         fault(&first);
-        let again = w.cache.later_pull();
+        let again = w.cache.next_pull();
         assert_ne!(again.connection, first.connection, "{name}");
         again.answer("ACK", "how=HIT,entity=t1,issued=1", b"whole");
         c.satisfied(1, b"whole");
-        assert_eq!(w.reported()["broken"], 1, "{name}");
+        assert_eq!(w.current_counters()["broken"], 1, "{name}");
     }
 }
 
 #[test]
 fn a_connection_that_never_came_up_proves_that_nothing_ran() {
     // Nobody listens on the first; the second takes no more connections and says nothing.
-    let silent = Late::start();
+    let silent = LateNode::start();
     let refusing = SocketAddr::from(([127, 0, 0, 1], 1));
     for (address, dial) in [(refusing, 0), (silent.address, 350)] {
-        let w = World::with(|config| moved(&config, "cache-a", address));
+        let w = World::with(|config| with_node_address(&config, "cache-a", address));
         let (mut c, start) = (w.client(), Instant::now());
         c.ask(1, 0x77, 2_000);
         assert!(w.client().alive(), "the desk waits for no connection");
@@ -181,7 +181,7 @@
         assert_eq!(pull.field("miss"), Some("origin"));
         pull.answer("ACK", "how=HIT,entity=t1,issued=1", b"from the parent");
         c.satisfied(1, b"from the parent");
-        assert_eq!(w.reported()["unconnected"], 1);
+        assert_eq!(w.current_counters()["unconnected"], 1);
     }
 }
 
@@ -200,7 +200,7 @@
     for bytes in garbage {
         let mut bad = w.client();
         bad.write(bytes);
-        bad.closed();
+        bad.assert_closed();
     }
     let mut bad = w.client();
     bad.write(b"\x94\x00\x05\xa5other\x92\x80\xc4\x00");
@@ -227,18 +227,18 @@
         good.ask(call, u64::from(call), 3_000);
     }
     good.ask(33, 33, 3_000);
-    assert_eq!(good.nacked(), 33, "too many open");
+    assert_eq!(good.assert_rejected(), 33, "too many open");
     // The same number again: two answers could not be told apart.
     good.ask(32, 34, 3_000);
-    good.closed();
+    good.assert_closed();
     for again in [&b"\x94\x00\x01\xa5alive\x91\x80"[..], b"\x94\x00\x01\xa5other\x91\x80"] {
         let mut c = w.client();
         c.ask(1, 0x99, 3_000);
         c.write(again);
-        c.closed();
+        c.assert_closed();
     }
     assert!(w.client().alive());
-    let counters = w.reported();
+    let counters = w.current_counters();
     assert_eq!((counters["cancelled"], counters["crowded"], counters["unfit"]), (34, 1, 9));
 }
 
@@ -257,7 +257,7 @@
     halves.iter_mut().for_each(|c| drop(c.0.write_all(&half)));
     let start = Instant::now();
     let closed = loop {
-        let closed = w.reported()["bad_messages"];
+        let closed = w.current_counters()["bad_messages"];
         if closed >= 12 || start.elapsed() > LONG {
             break closed;
         }
@@ -274,19 +274,19 @@
     // One that was answered, and then says half of the next in the same breath.
     let mut halfway = w.client();
     halfway.write(b"\x94\x00\xcc\xff\xa5alive\x91\x80\x94\x00");
-    assert_eq!(halfway.answer(), (255, Answer::Alive(true)));
+    assert_eq!(halfway.answer(), (255, Answer::Health(true)));
     for call in 2..=40 {
         let mut new = w.client();
         new.ask(call, u64::from(call), 2_000);
         w.cache.pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"new");
         new.satisfied(call, b"new");
     }
-    crowd.iter_mut().for_each(Client::closed);
-    halfway.closed();
+    crowd.iter_mut().for_each(Client::assert_closed);
+    halfway.assert_closed();
     assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
     open.answer("ACK", "how=HIT,entity=t1,issued=1", b"served");
     good.satisfied(1, b"served");
-    let counters = w.reported();
+    let counters = w.current_counters();
     assert!(counters["made_room"] + counters["idle_closed"] >= 60, "{counters:?}");
     assert_eq!(counters["turned_away"], 0);
     assert!(counters["threads"] < 20, "none for a client's connection: {}", counters["threads"]);
@@ -308,7 +308,7 @@
     assert!(start.elapsed() < Duration::from_millis(500), "{:?}", start.elapsed());
     // What it takes in time is whole, in whatever order it comes.
     for _ in 0..2 {
-        assert!(slow.answer().1 == Answer::Satisfied(body.clone(), vec![]));
+        assert!(slow.answer().1 == Answer::Success(body.clone(), vec![]));
     }
 }
 
@@ -344,7 +344,7 @@
     assert_eq!(last, 4);
     c.ask(2, 0x78, 2_000);
     assert!(w.parent.pull().line.contains("key=0000000000000078"), "nothing goes to what drains");
-    w.cache.quiet();
+    w.cache.assert_no_message();
     // The same gap twice: the missing ones are not to be had.
     tell(&stream, 6, &purge(6));
     let (last, stream) = w.feed.call();
@@ -357,7 +357,7 @@
     assert_eq!(last, 6);
     tell(&stream, 7, &purge(7));
     w.told(5);
-    let counters = w.reported();
+    let counters = w.current_counters();
     assert_eq!((counters["facts"], counters["feed_gaps"], counters["feed_skipped"]), (5, 3, 1));
 }
 
@@ -440,7 +440,7 @@
     // Four connections to a node at most, all of them in use.
     let w = World::with(|config| config.replace("\"sockets\": 1024", "\"sockets\": 64"));
     let (mut one, mut two) = (w.client(), w.client());
-    let pulls: Vec<Told> = (1..=4)
+    let pulls: Vec<NodeMessage> = (1..=4)
         .map(|call| {
             one.ask(call, u64::from(call), 2_000);
             w.cache.pull()
@@ -493,7 +493,7 @@
     assert_eq!(w.child.try_wait().expect("asked"), None, "a lookup is open");
     open.answer("ACK", "how=HIT,entity=t1,issued=1", b"open");
     c.satisfied(1, b"open");
-    c.closed();
+    c.assert_closed();
     let counters = w.counters();
     assert_eq!((counters["taken"], counters["satisfied"], counters["in_hand"]), (2, 2, 0));
     assert!(w.child.wait().expect("ends").success());
--- a/crates/director/tests/syscalls.rs
+++ b/crates/director/tests/syscalls.rs
@@ -45,7 +45,7 @@
     /// A lookup that is served by the cache.
     fn served(&self, client: &mut Client, call: u8) {
         client.ask(call, u64::from(call), 3_000);
-        self.world.cache.later_pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"whole");
+        self.world.cache.next_pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"whole");
         client.satisfied(call, b"whole");
     }
 }
@@ -61,7 +61,7 @@
         client.write(b"\x94\x00\xcc\xff\xa5alive\x91\x80");
         std::thread::sleep(MOMENT);
         f.heal();
-        assert_eq!(client.answer(), (255, Answer::Alive(true)), "{error}");
+        assert_eq!(client.answer(), (255, Answer::Health(true)), "{error}");
         let took = start.elapsed();
         assert!(took < MOMENT + Duration::from_millis(100), "{error}: {took:?}");
     }
@@ -126,9 +126,9 @@
         client.ask(1, 1, 3_000);
         std::thread::sleep(MOMENT);
         f.heal();
-        f.world.cache.later_pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"whole");
+        f.world.cache.next_pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"whole");
         client.satisfied(1, b"whole");
-        let counters = f.world.reported();
+        let counters = f.world.current_counters();
         assert_eq!((counters["unconnected"], counters["sends"]), (0, 1), "{call} {error}");
     }
 }
@@ -142,7 +142,7 @@
     f.fail("socket", "ENOBUFS");
     let start = Instant::now();
     client.ask(1, 1, 1_500);
-    assert_eq!(client.nacked(), 1);
+    assert_eq!(client.assert_rejected(), 1);
     assert!(start.elapsed() < Duration::from_millis(1_500), "{:?}", start.elapsed());
     f.heal();
     f.served(&mut client, 2);
@@ -158,7 +158,7 @@
         let pull = f.world.cache.pull();
         f.fail(call, error);
         client.write(&[0x94]);
-        f.world.counted("cancelled", 1);
+        f.world.wait_for_counter("cancelled", 1);
         f.heal();
         assert_eq!(f.world.cache.next().line, format!("KILL {}", pull.name()), "{call} {error}");
     }
@@ -177,7 +177,7 @@
         pull.write(b"0");
         assert_eq!(client.answer(), (1, Answer::Error("Failed".into(), vec![])), "{error}");
         assert!(start.elapsed() < Duration::from_secs(1), "{error}: {:?}", start.elapsed());
-        assert_eq!(f.world.reported()["broken"], 1, "{error}");
+        assert_eq!(f.world.current_counters()["broken"], 1, "{error}");
     }
 }
 
@@ -191,12 +191,12 @@
         // Only what is written to nodes fails meanwhile: the answer comes once the fault is over.
         let mut other = f.world.client();
         other.ask(2, 2, 600);
-        let pull = f.world.cache.later_pull();
+        let pull = f.world.cache.next_pull();
         f.fail("send", error);
         client.ask(3, 3, 3_000);
-        f.world.counted("never_sent", 1);
+        f.world.wait_for_counter("never_sent", 1);
         f.heal();
-        assert_eq!(f.world.reported()["broken"], 0, "{error}");
+        assert_eq!(f.world.current_counters()["broken"], 0, "{error}");
         pull.answer("ACK", "how=HIT,entity=t1,issued=1", b"other");
     }
 }
@@ -246,7 +246,7 @@
         f.heal();
         let event = member(2, "cache-a", f.world.cache.address, "draining");
         // Calls that broke off meanwhile come first.
-        while f.world.reported()["facts"] < 2 {
+        while f.world.current_counters()["facts"] < 2 {
             let (last, feed) = f.world.feed.call();
             assert_eq!(last, 1, "{call} {error}");
             let _ = (&feed).write_all(format!("id: 2\ndata: {event}\n\n").as_bytes());
