--- a/crates/director/src/lib.rs
+++ b/crates/director/src/lib.rs
@@ -1,5 +1,11 @@
-//! The real director: sockets round the decision module. `wire` speaks, `memory` keeps, `life` starts and
-//! stops; `exchange`, `common`, `upper` and `plain` stand below all three.
+//! One director on real sockets: it answers the requests of clients by forwarding them to cache nodes, parents and the
+//! origin, as the router of the root package decides.
+//!
+//! Three threads hold sockets, in `wire`: one for clients, one for nodes, one for the event stream of discovery. They
+//! send `events` to the dispatcher; the dispatcher, in `dispatch`, owns the router and all requests
+//! in flight, and answers with responses and commands. `process` reads the configuration, starts the threads and
+//! handles signals. `coordination` and `parent_hierarchy` are compiled with the features of their names; the other
+//! modules are values without sockets and threads that these share.
 
 pub mod clock;
 #[cfg_attr(not(feature = "coordination"), path = "coordination_off.rs")]
@@ -8,18 +14,18 @@
 pub mod coordination_settings;
 pub mod counters;
 pub mod discovery_event;
-pub mod dispatch;
+mod dispatch;
 pub mod events;
 pub mod limits;
-pub mod log_rate_limiter;
+mod log_rate_limiter;
 pub mod memory_budget;
 pub mod name_table;
 pub mod node_registry;
-pub mod os_error;
+mod os_error;
 #[cfg_attr(not(feature = "hierarchy"), path = "parent_hierarchy_off.rs")]
 pub mod parent_hierarchy;
 pub mod process;
 pub mod shared;
-pub mod source_clock;
-pub mod stall_detector;
+mod source_clock;
+mod stall_detector;
 pub mod wire;
--- a/crates/sim-adapter/src/instance.rs
+++ b/crates/sim-adapter/src/instance.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use sablecross::{AttemptSpec, EndpointUpdate, LoadReport, Ns, Request, Router};
+use sablecross::{Attempt, AttemptSpec, EndpointUpdate, LoadReport, Ns, Request, Router};
 use sablecross_inflight::{AttemptResult, InflightTable, Transport, settings};
 
 use crate::error::{AdapterError, Result};
@@ -47,7 +47,7 @@
 }
 
 impl Transport for ReplyTransport<'_> {
-    fn send(&mut self, id: u64, _attempt: usize, spec: &AttemptSpec) {
+    fn send(&mut self, id: u64, spec: &AttemptSpec, _earlier: &[Attempt]) {
         let [node, source] = [spec.node, spec.source.unwrap_or(spec.node)].map(|n| self.addresses[n]);
         self.reply.read_through(self.director, id as u32, spec, node, source);
     }
