--- a/crates/director/tests/help/faults.rs
+++ b/crates/director/tests/help/faults.rs
@@ -11,14 +11,14 @@
     if in_memory.is_dir() { in_memory.to_owned() } else { std::env::temp_dir() }
 }
 
-pub struct Faults {
+pub(crate) struct Faults {
     plan: PathBuf,
     library: OsString,
 }
 
 impl Faults {
     /// A plan that is in force from the start on; `crates/fault-injection/src/plan.rs` has its grammar.
-    pub fn plan(rules: &str) -> Faults {
+    pub(crate) fn plan(rules: &str) -> Faults {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
         let name = format!("sablecross-fault-injection-{}-{number}.plan", std::process::id());
@@ -32,14 +32,14 @@
     }
 
     /// Other rules from now on.
-    pub fn set(&self, rules: &str) {
+    pub(crate) fn set(&self, rules: &str) {
         let new = self.plan.with_extension("new");
         std::fs::write(&new, rules).expect("written");
         std::fs::rename(&new, &self.plan).expect("in place");
     }
 
     /// What the program is started with.
-    pub fn environment(&self) -> [(&str, &OsStr); 2] {
+    pub(crate) fn environment(&self) -> [(&str, &OsStr); 2] {
         [("LD_PRELOAD", &self.library), ("SABLECROSS_FAULTS", self.plan.as_os_str())]
     }
 }
--- a/crates/director/tests/help/mod.rs
+++ b/crates/director/tests/help/mod.rs
@@ -1,7 +1,7 @@
 //! Small stand-ins for clients, nodes and the feed that each test drives, and the program between them.
 #![allow(dead_code)]
 
-pub mod faults;
+pub(crate) mod faults;
 
 use std::collections::HashMap;
 use std::ffi::OsStr;
@@ -18,17 +18,17 @@
 use rmp::decode;
 use socket2::{Domain, Socket, Type};
 
-pub const SAMPLE: &str = include_str!("../../../../deploy/sample.json");
-pub const LONG: Duration = Duration::from_secs(5);
-pub const SHORT: Duration = Duration::from_millis(200);
+pub(crate) const SAMPLE: &str = include_str!("../../../../deploy/sample.json");
+pub(crate) const LONG: Duration = Duration::from_secs(5);
+pub(crate) const SHORT: Duration = Duration::from_millis(200);
 
 /// The true time, in milliseconds.
-pub fn unix_ms() -> u64 {
+pub(crate) fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64
 }
 
 /// The sample with another address for one of its nodes.
-pub fn with_node_address(config: &str, node: &str, address: SocketAddr) -> String {
+pub(crate) fn with_node_address(config: &str, node: &str, address: SocketAddr) -> String {
     let before = format!("\"{node}\", \"address\": \"");
     let at = config.find(&before).expect("named") + before.len();
     let end = at + config[at..].find('"').expect("ends");
@@ -36,46 +36,46 @@
 }
 
 /// The same with one that comes up late, and the patience to wait for it.
-pub fn with_late_node(config: &str, node: &str, late: &LateNode) -> String {
+pub(crate) fn with_late_node(config: &str, node: &str, late: &LateNode) -> String {
     with_node_address(config, node, late.address)
         .replace("\"dialTimeoutUs\": 400000", "\"dialTimeoutUs\": 4000000")
 }
 
 /// A line that a node was told, or the end of a connection.
-pub struct NodeMessage {
+pub(crate) struct NodeMessage {
     pub line: String,
     pub connection: usize,
     pub stream: Arc<TcpStream>,
 }
 
 impl NodeMessage {
-    pub fn name(&self) -> &str {
+    pub(crate) fn name(&self) -> &str {
         self.line.split(' ').nth(1).expect("a name")
     }
 
-    pub fn field(&self, name: &str) -> Option<&str> {
+    pub(crate) fn field(&self, name: &str) -> Option<&str> {
         let fields = self.line.split(' ').nth(2)?;
         fields.split(',').find_map(|f| f.strip_prefix(name)?.strip_prefix('='))
     }
 
-    pub fn write(&self, bytes: &[u8]) {
+    pub(crate) fn write(&self, bytes: &[u8]) {
         (&*self.stream).write_all(bytes).expect("written");
     }
 
-    pub fn answer(&self, word: &str, fields: &str, body: &[u8]) {
+    pub(crate) fn answer(&self, word: &str, fields: &str, body: &[u8]) {
         self.write(format!("{} {word} {fields} {}\r\n", self.name(), body.len()).as_bytes());
         self.write(body);
         self.write(b"\r\n");
     }
 }
 
-pub struct Node {
+pub(crate) struct Node {
     pub address: SocketAddr,
     pub messages: Receiver<NodeMessage>,
 }
 
 impl Node {
-    pub fn start() -> Node {
+    pub(crate) fn start() -> Node {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
         let address = listener.local_addr().expect("bound");
         let (tell, messages) = channel();
@@ -88,18 +88,18 @@
         Node { address, messages }
     }
 
-    pub fn next(&self) -> NodeMessage {
+    pub(crate) fn next(&self) -> NodeMessage {
         self.messages.recv_timeout(LONG).expect("told")
     }
 
-    pub fn pull(&self) -> NodeMessage {
+    pub(crate) fn pull(&self) -> NodeMessage {
         let told = self.next();
         assert!(told.line.starts_with("PULL "), "{}", told.line);
         told
     }
 
     /// The next send, whatever else is told before it.
-    pub fn next_pull(&self) -> NodeMessage {
+    pub(crate) fn next_pull(&self) -> NodeMessage {
         loop {
             let told = self.next();
             if told.line.starts_with("PULL ") {
@@ -108,21 +108,21 @@
         }
     }
 
-    pub fn assert_no_message(&self) {
+    pub(crate) fn assert_no_message(&self) {
         let told = self.messages.recv_timeout(SHORT).map(|t| t.line);
         assert_eq!(told.err(), Some(RecvTimeoutError::Timeout));
     }
 }
 
 /// A node whose connections do not come up until it opens: its backlog is full.
-pub struct LateNode {
+pub(crate) struct LateNode {
     pub address: SocketAddr,
     listener: TcpListener,
     filling: Vec<TcpStream>,
 }
 
 impl LateNode {
-    pub fn start() -> LateNode {
+    pub(crate) fn start() -> LateNode {
         let full = Socket::new(Domain::IPV4, Type::STREAM, None).expect("made");
         full.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("bound");
         full.listen(0).expect("listens");
@@ -135,7 +135,7 @@
     }
 
     /// Takes the connections that filled it, then the one that waited behind them.
-    pub fn open(&self) -> TcpStream {
+    pub(crate) fn open(&self) -> TcpStream {
         self.listener.set_nonblocking(true).expect("set");
         let start = Instant::now();
         loop {
@@ -156,7 +156,7 @@
     }
 }
 
-pub fn listen(connection: usize, stream: &Arc<TcpStream>, tell: &Sender<NodeMessage>) {
+pub(crate) fn listen(connection: usize, stream: &Arc<TcpStream>, tell: &Sender<NodeMessage>) {
     let mut reader = BufReader::new(&**stream);
     loop {
         let mut line = String::new();
@@ -174,16 +174,16 @@
 }
 
 /// The feed: each call is taken by the test.
-pub struct Feed(pub TcpListener);
+pub(crate) struct Feed(pub TcpListener);
 
 impl Feed {
     /// Takes the next call; the number after which it wants events.
-    pub fn call(&self) -> (u64, TcpStream) {
+    pub(crate) fn call(&self) -> (u64, TcpStream) {
         self.answered("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
     }
 
     /// The same, with this head for an answer. Calls that break off before they are whole are passed over.
-    pub fn answered(&self, head: &str) -> (u64, TcpStream) {
+    pub(crate) fn answered(&self, head: &str) -> (u64, TcpStream) {
         self.0.set_nonblocking(true).expect("set");
         let start = Instant::now();
         loop {
@@ -224,16 +224,16 @@
     }
 }
 
-pub fn tell(mut stream: &TcpStream, n: u64, data: &str) {
+pub(crate) fn tell(mut stream: &TcpStream, n: u64, data: &str) {
     stream.write_all(format!(": tick\n\nid: {n}\ndata: {data}\n\n").as_bytes()).expect("written");
 }
 
-pub fn member(n: u64, name: &str, address: SocketAddr, status: &str) -> String {
+pub(crate) fn member(n: u64, name: &str, address: SocketAddr, status: &str) -> String {
     member_of(n, name, address, status, "edge", "small")
 }
 
 /// The same of a parent.
-pub fn hub(n: u64, name: &str, address: SocketAddr, status: &str) -> String {
+pub(crate) fn hub(n: u64, name: &str, address: SocketAddr, status: &str) -> String {
     member_of(n, name, address, status, "hub", "parent")
 }
 
@@ -245,7 +245,7 @@
     )
 }
 
-pub struct World {
+pub(crate) struct World {
     pub cache: Node,
     pub parent: Node,
     pub feed: Feed,
@@ -256,16 +256,16 @@
 }
 
 impl World {
-    pub fn start() -> World {
+    pub(crate) fn start() -> World {
         World::with(|config| config)
     }
 
-    pub fn with(change: impl Fn(String) -> String) -> World {
+    pub(crate) fn with(change: impl Fn(String) -> String) -> World {
         World::start_with(change, &[])
     }
 
     /// The same, with more variables.
-    pub fn start_with(change: impl Fn(String) -> String, more: &[(&str, &OsStr)]) -> World {
+    pub(crate) fn start_with(change: impl Fn(String) -> String, more: &[(&str, &OsStr)]) -> World {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let (cache, parent, origin) = (Node::start(), Node::start(), Node::start());
         let feed = Feed(TcpListener::bind("127.0.0.1:0").expect("bound"));
@@ -297,7 +297,7 @@
     }
 
     /// The next line of the log that holds these words.
-    pub fn logged(&self, words: &str) -> String {
+    pub(crate) fn logged(&self, words: &str) -> String {
         let start = Instant::now();
         loop {
             let wait = LONG.saturating_sub(start.elapsed());
@@ -308,24 +308,24 @@
         }
     }
 
-    pub fn client(&self) -> Client {
+    pub(crate) fn client(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("connected");
         stream.set_read_timeout(Some(LONG)).expect("set");
         Client(stream)
     }
 
-    pub fn signal(&self, name: &str) {
+    pub(crate) fn signal(&self, name: &str) {
         signal(self.child.id(), name);
     }
 
     /// The same configuration once more, as an operator sends it: the feed is called again.
-    pub fn reload(&self) {
+    pub(crate) fn reload(&self) {
         self.signal("HUP");
         self.logged("feed moved");
     }
 
     /// The figures of the next line of counters.
-    pub fn counters(&self) -> HashMap<String, u64> {
+    pub(crate) fn counters(&self) -> HashMap<String, u64> {
         let line = self.logged("counters ");
         let pairs = line.split(' ').filter_map(|w| w.split_once('='));
         let counters: HashMap<String, u64> =
@@ -336,12 +336,12 @@
     }
 
     /// Waits until so many events of the feed were taken in, with those of the start.
-    pub fn told(&self, facts: u64) {
+    pub(crate) fn told(&self, facts: u64) {
         self.wait_for_counter("facts", facts);
     }
 
     /// Waits until a counter stands so high.
-    pub fn wait_for_counter(&self, counter: &str, n: u64) {
+    pub(crate) fn wait_for_counter(&self, counter: &str, n: u64) {
         let start = Instant::now();
         while self.current_counters()[counter] < n {
             assert!(start.elapsed() < LONG, "{n} {counter}");
@@ -349,7 +349,7 @@
         }
     }
 
-    pub fn current_counters(&self) -> HashMap<String, u64> {
+    pub(crate) fn current_counters(&self) -> HashMap<String, u64> {
         self.signal("USR1");
         self.counters()
     }
@@ -364,13 +364,13 @@
     }
 }
 
-pub fn signal(process: u32, name: &str) {
+pub(crate) fn signal(process: u32, name: &str) {
     let done = Command::new("kill").args(["-s", name, &process.to_string()]).status().expect("signalled");
     assert!(done.success());
 }
 
 /// The bytes of a request.
-pub fn request_bytes(call: u8, object: u64, budget_ms: u64, more: &[(&str, &str)]) -> Vec<u8> {
+pub(crate) fn request_bytes(call: u8, object: u64, budget_ms: u64, more: &[(&str, &str)]) -> Vec<u8> {
     let (name, budget) = (format!("{:08x}{object:08x}", u32::from(call)), budget_ms.to_string());
     let object = format!("{object:016x}");
     let mut fields = vec![("rid", &*name), ("budget", &*budget), ("obj", &*object), ("piece", "0")];
@@ -386,46 +386,46 @@
     out
 }
 
-pub struct Client(pub TcpStream);
+pub(crate) struct Client(pub TcpStream);
 
 #[derive(Debug, PartialEq)]
-pub enum Answer {
+pub(crate) enum Answer {
     Success(Vec<u8>, Vec<(String, String)>),
     Error(String, Vec<(String, String)>),
     Health(bool),
 }
 
 impl Client {
-    pub fn write(&mut self, bytes: &[u8]) {
+    pub(crate) fn write(&mut self, bytes: &[u8]) {
         self.0.write_all(bytes).expect("written");
     }
 
-    pub fn ask(&mut self, call: u8, object: u64, budget_ms: u64) {
+    pub(crate) fn ask(&mut self, call: u8, object: u64, budget_ms: u64) {
         self.ask_with(call, object, budget_ms, &[]);
     }
 
-    pub fn ask_with(&mut self, call: u8, object: u64, budget_ms: u64, more: &[(&str, &str)]) {
+    pub(crate) fn ask_with(&mut self, call: u8, object: u64, budget_ms: u64, more: &[(&str, &str)]) {
         self.write(&request_bytes(call, object, budget_ms, more));
     }
 
-    pub fn alive(&mut self) -> bool {
+    pub(crate) fn alive(&mut self) -> bool {
         self.write(b"\x94\x00\xcc\xff\xa5alive\x91\x80");
         self.answer() == (255, Answer::Health(true))
     }
 
-    pub fn text(&mut self) -> String {
+    pub(crate) fn text(&mut self) -> String {
         let length = decode::read_str_len(&mut self.0).expect("a text");
         let mut text = vec![0; length as usize];
         self.0.read_exact(&mut text).expect("a text");
         String::from_utf8(text).expect("a text")
     }
 
-    pub fn fields(&mut self) -> Vec<(String, String)> {
+    pub(crate) fn fields(&mut self) -> Vec<(String, String)> {
         let length = decode::read_map_len(&mut self.0).expect("fields");
         (0..length).map(|_| (self.text(), self.text())).collect()
     }
 
-    pub fn answer(&mut self) -> (u8, Answer) {
+    pub(crate) fn answer(&mut self) -> (u8, Answer) {
         assert_eq!(decode::read_array_len(&mut self.0).expect("an answer"), 4);
         assert_eq!(decode::read_int::<u8, _>(&mut self.0).expect("a type"), 1);
         let call = decode::read_int(&mut self.0).expect("a call");
@@ -455,20 +455,20 @@
         (call, Answer::Success(body, self.fields()))
     }
 
-    pub fn assert_rejected(&mut self) -> u8 {
+    pub(crate) fn assert_rejected(&mut self) -> u8 {
         let (call, answer) = self.answer();
         assert!(matches!(&answer, Answer::Error(word, _) if word == "Rejected"), "{answer:?}");
         call
     }
 
-    pub fn satisfied(&mut self, call: u8, body: &[u8]) {
+    pub(crate) fn satisfied(&mut self, call: u8, body: &[u8]) {
         let (answered, answer) = self.answer();
         assert_eq!(answered, call);
         assert!(answer == Answer::Success(body.to_vec(), vec![]), "call {call} has other bytes");
     }
 
     /// Nothing more comes, and the connection ends.
-    pub fn assert_closed(&mut self) {
+    pub(crate) fn assert_closed(&mut self) {
         let end = self.0.read(&mut [0; 8]).map_err(|e| e.kind());
         assert!(matches!(end, Ok(0) | Err(ErrorKind::ConnectionReset)), "{end:?}");
     }
