--- a/crates/director/src/coordination/member_client.rs
+++ b/crates/director/src/coordination/member_client.rs
@@ -32,7 +32,7 @@
         match rpc::decode_response(&received, &limits) {
             Ok((_, Some(body), _)) => return rmp_serde::from_slice(body).map_err(invalid_data),
             Ok((_, None, _)) => {
-                return Err(invalid_data("it answers no calls of duties (is SABLECROSS_DUTY set there?)"));
+                return Err(invalid_data("it answers no coordination calls (is SABLECROSS_DUTY set there?)"));
             }
             Err(DecodeError::Invalid(cause)) => return Err(invalid_data(cause)),
             Err(DecodeError::Incomplete) if Instant::now() >= deadline => {
--- a/crates/director/src/process/signals.rs
+++ b/crates/director/src/process/signals.rs
@@ -132,7 +132,7 @@
         match CoordinationSettings::from_env() {
             Some(Ok(settings)) => self.events.send(Event::CoordinationReloaded(Box::new(settings))),
             Some(Err(e)) => {
-                tracing::error!("reload failed, the old duties stay: {e}");
+                tracing::error!("reload failed, coordination settings stay as they were: {e}");
                 Ok(())
             }
             None => Ok(()),
