--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -122,10 +122,10 @@
     for (id, node) in first.iter() {
         let role = match id {
             0 => Role::Origin,
-            _ if id <= experiment.parents as NodeId => Role::Parent,
+            _ if id <= experiment.uppers as NodeId => Role::Parent,
             _ => Role::Cache,
         };
-        let (copies, follows_path) = (experiment.copies_per_cache, experiment.follow_named_path);
+        let (copies, follows_path) = (experiment.kept, experiment.follow_named_path);
         let started = Node::start(&node.name, role, copies, follows_path, trial);
         let started = started.map_err(io_error("a stand-in"))?;
         trial.add_address(&node.name, started.address);
@@ -286,7 +286,7 @@
     /// Proposes another shape if it is time for one.
     fn change_hierarchy(&mut self) -> Result<(), TrialError> {
         let is_idle = self.driver.rollout.progress().is_none();
-        let is_due = self.changes < self.experiment.hierarchy_changes && Instant::now() >= self.next_change;
+        let is_due = self.changes < self.experiment.rewirings && Instant::now() >= self.next_change;
         if !is_due || !(is_idle || self.is_second_change) {
             return Ok(());
         }
--- a/crates/testbed/src/experiment/hierarchy_generator.rs
+++ b/crates/testbed/src/experiment/hierarchy_generator.rs
@@ -70,7 +70,7 @@
     }
 
     fn parents(&self) -> NodeId {
-        self.experiment.parents as NodeId
+        self.experiment.uppers as NodeId
     }
 
     fn is_parent(&self, id: NodeId) -> bool {
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -199,7 +199,7 @@
         writeln!(
             f,
             "{}: {} directors, {} caches, {} parents, seed {}",
-            settings.name, settings.directors, settings.caches, settings.parents, settings.seed
+            settings.name, settings.directors, settings.caches, settings.uppers, settings.seed
         )?;
         writeln!(
             f,
--- a/crates/testbed/src/settings.rs
+++ b/crates/testbed/src/settings.rs
@@ -12,6 +12,8 @@
 }
 
 /// An experiment.
+///
+/// Fields with bounds are named as their keys: an error finds the key in the file by the name of the field.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Experiment {
@@ -37,8 +39,7 @@
     pub caches: usize,
     /// The number of parents.
     #[garde(range(min = 1, max = 32))]
-    #[serde(rename = "uppers")]
-    pub parents: usize,
+    pub uppers: usize,
     /// Lookups a second of all clients together.
     #[garde(range(min = 1, max = 20_000))]
     pub rate: u64,
@@ -47,8 +48,7 @@
     pub objects: u64,
     /// How many copies each cache and parent keeps.
     #[garde(range(min = 1, max = 1_000_000))]
-    #[serde(rename = "kept")]
-    pub copies_per_cache: usize,
+    pub kept: usize,
     /// How many fetches the origin bears in a second.
     #[garde(range(min = 1.0, max = 1e6))]
     pub ceiling: f64,
@@ -59,8 +59,7 @@
     /// The number of changes of the hierarchy, one after another.
     #[garde(range(max = 1_000))]
     #[serde(default)]
-    #[serde(rename = "rewirings")]
-    pub hierarchy_changes: usize,
+    pub rewirings: usize,
     /// Whether parents of the tier at the origin may fill from one another, which makes fill paths longer.
     #[garde(skip)]
     #[serde(default = "default_true")]
--- a/crates/testbed/tests/settings_format.rs
+++ b/crates/testbed/tests/settings_format.rs
@@ -135,3 +135,111 @@
         assert_eq!(json(&read.faults), expected);
     }
 }
+
+/// A form with one key set out of its bounds; what a file with it gets as an error.
+fn fault_of(form: &str, complete: &str, key: &str, value: &str) -> String {
+    let cut = complete.find(&format!("({key} . "));
+    let text = match cut {
+        Some(from) => {
+            let to = from + complete[from..].find(')').expect("a closed pair");
+            format!("{}({key} . {value}{}", &complete[..from], &complete[to..])
+        }
+        None => format!("{} ({key} . {value}))", complete.strip_suffix(')').expect("a closed form")),
+    };
+    let faults = match form {
+        "experiment" => settings::parse("f.scm", &text).map(drop),
+        "fleet" => fleet::settings::parse("f.scm", &text).map(drop),
+        _ => scale::settings::parse("f.scm", &text).map(drop),
+    };
+    faults.expect_err("a value out of bounds")[0].to_string()
+}
+
+/// Each key with a value out of its bounds; the error names the key as the file does.
+fn assert_named_by_key(form: &str, complete: &str, keys: &[(&str, &str)]) {
+    for (key, value) in keys {
+        let fault = fault_of(form, complete, key, value);
+        assert!(fault.starts_with("f.scm:"), "{fault}");
+        assert!(fault.contains(&format!(" {form}.{key}: ")), "{form}.{key}: {fault}");
+    }
+}
+
+#[test]
+fn bounds_of_an_experiment_are_named_by_key() {
+    let complete = r#"(experiment (name . "n") (seconds . 60) (directors . 3) (caches . 18) (uppers . 11) (rate . 300)
+        (objects . 8000) (kept . 180) (ceiling . 200.0))"#;
+    let keys = [
+        ("name", "\"\""),
+        ("seconds", "1"),
+        ("warm-up", "601"),
+        ("directors", "0"),
+        ("caches", "0"),
+        ("uppers", "0"),
+        ("rate", "0"),
+        ("objects", "0"),
+        ("kept", "0"),
+        ("ceiling", "0.5"),
+        ("hit", "1.5"),
+        ("rewirings", "1001"),
+        ("purges", "101"),
+    ];
+    assert_named_by_key("experiment", complete, &keys);
+}
+
+#[test]
+fn bounds_of_a_fleet_trial_are_named_by_key() {
+    let complete = r#"(fleet (name . "n") (seconds . 70) (directors . 100) (caches . 12) (parents . 5) (rate . 300.0)
+        (objects . 20000) (kept . 600))"#;
+    let keys = [
+        ("name", "\"\""),
+        ("seconds", "1"),
+        ("warm-up", "601"),
+        ("directors", "0"),
+        ("caches", "0"),
+        ("parents", "0"),
+        ("rate", "0.5"),
+        ("objects", "0"),
+        ("kept", "0"),
+        ("load", "0.01"),
+        ("hits", "1.5"),
+        ("uneven", "0.5"),
+        ("speeds", "1.5"),
+        ("hot", "1.5"),
+        ("late-lists", "61.0"),
+        ("most", "0.5"),
+        ("least", "1.5"),
+        ("satisfied", "1.5"),
+    ];
+    assert_named_by_key("fleet", complete, &keys);
+}
+
+#[test]
+fn bounds_of_a_scale_trial_are_named_by_key() {
+    let complete = r#"(scale (name . "n") (seconds . 100) (hollow . 400) (nodes . 490) (zones . 64) (purges . 35.0) (changes . 0.25))"#;
+    let keys = [
+        ("name", "\"\""),
+        ("seconds", "1"),
+        ("warm-up", "601"),
+        ("settle", "0"),
+        ("hollow", "0"),
+        ("processes", "65"),
+        ("real", "201"),
+        ("relays", "65"),
+        ("voters", "10"),
+        ("regions", "0"),
+        ("feeds", "0"),
+        ("nodes", "0"),
+        ("zones", "0"),
+        ("purges", "10001.0"),
+        ("changes", "1001.0"),
+        ("ack-ms", "1"),
+        ("batch-ms", "0"),
+        ("held-ms", "1"),
+        ("purge-within", "0.01"),
+        ("change-within", "0.01"),
+        ("core", "1.5"),
+        ("memory-mb", "0.5"),
+        ("bytes", "0.5"),
+        ("relay-core", "17.0"),
+    ];
+    assert_named_by_key("scale", complete, &keys);
+}
