--- /dev/null
+++ b/crates/testbed/src/fleet/coordination_report.rs
@@ -0,0 +1,352 @@
+//! How coordination fared in a trial: whether an old holder's effect was ever accepted, how long it took until another
+//! one held a role, how steadily nodes were checked.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
+use std::path::Path;
+
+use sablecross_coordination::Member;
+use sablecross_coordination::messages::RoleId;
+use serde::{Deserialize, Serialize};
+
+use super::coordination_watch::{HierarchyEvent, HolderFault, LeaseStart, hierarchy_events};
+use super::node::{HealthCheck, RequestAfterRestart, Seconds};
+use super::report::FaultWindow;
+use super::settings::CoordinationTrial;
+
+/// Pauses and bursts of a node are excused until so many seconds after a fault.
+const EXCUSED_AFTER: f64 = 1.0;
+/// Hits at restarted caches are counted in spans of so many seconds.
+const AFTER_RESTART_SPAN: f64 = 5.0;
+
+/// The figures of coordination.
+#[derive(Clone, Debug, Default, Serialize, Deserialize)]
+pub struct CoordinationReport {
+    /// Health checks that came to nodes.
+    #[serde(rename = "probes")]
+    pub health_checks: u64,
+    /// Of these, those that nodes refused, as they came from an old holder.
+    pub refused: u64,
+    /// Messages of old holders that voters refused, since the last start of each.
+    pub refused_by_voters: u64,
+    /// Older assignments that members ignored, since the last start of each.
+    #[serde(rename = "passed_over")]
+    pub stale_assignments: u64,
+    /// Health checks that a node accepted although it had accepted a newer token before.
+    #[serde(rename = "disorder")]
+    pub stale_accepted: u64,
+    /// Tokens under which a node accepted health checks of two holders.
+    #[serde(rename = "twins")]
+    pub shared_tokens: u64,
+    /// Terms with two holders: all voters had forgotten them.
+    #[serde(rename = "same_term")]
+    pub reused_terms: u64,
+    /// Leases that began.
+    #[serde(rename = "owners")]
+    pub leases: u64,
+    /// Seconds from the fault of a holder until another one held the role: median, 99th percentile, maximum.
+    pub takeover: [f64; 3],
+    /// Faults of holders.
+    #[serde(rename = "blows")]
+    pub holder_faults: usize,
+    /// Of these, those after which nobody held the role before the next one.
+    #[serde(rename = "unanswered")]
+    pub without_takeover: usize,
+    /// The longest pause between two health checks of a node, in seconds.
+    pub gap: f64,
+    /// Where it was.
+    pub gap_at: String,
+    /// The most health checks of one node in a second.
+    pub burst: u32,
+    /// This over the usual number.
+    pub burst_times: f64,
+    /// Health checks of a node a second, on average.
+    pub rate: f64,
+    /// Bytes a second between a member and all voters, both ways.
+    pub bytes: f64,
+    /// The CPU time of a director, in seconds a second.
+    pub cpu: f64,
+    /// Changes of the hierarchy that were proposed.
+    #[serde(rename = "wished")]
+    pub changes_proposed: u64,
+    /// Changes that began.
+    #[serde(rename = "changes")]
+    pub changes_begun: u64,
+    /// Changes that ended.
+    #[serde(rename = "changed")]
+    pub changes_ended: u64,
+    /// How often a member applied an older version than it had since its start.
+    #[serde(rename = "back")]
+    pub regressions: u64,
+    /// The largest difference between the versions of two members.
+    #[serde(rename = "apart")]
+    pub max_version_difference: u64,
+    /// The newest version.
+    pub version: u64,
+    /// Requests that warmed caches.
+    #[serde(rename = "warmed")]
+    pub warming_requests: u64,
+    /// Of old holders, which were refused.
+    #[serde(rename = "warm_refused")]
+    pub warming_refused: u64,
+    /// At restarted caches, in the first five seconds and in the next: requests with a copy there, and all.
+    #[serde(rename = "fresh")]
+    pub hits_after_restart: [(u64, u64); 2],
+}
+
+/// What was seen of health checks and leases. Times count from the start of the load.
+pub(crate) struct Observations<'a> {
+    pub(crate) settings: &'a CoordinationTrial,
+    /// How long the load lasted.
+    pub(crate) seconds: Seconds,
+    pub(crate) warm_up: Seconds,
+    /// By node.
+    pub(crate) health_checks: &'a BTreeMap<String, Vec<HealthCheck>>,
+    pub(crate) faults: &'a [FaultWindow],
+    pub(crate) holder_faults: &'a [HolderFault],
+    pub(crate) leases: &'a [LeaseStart],
+}
+
+impl Observations<'_> {
+    /// Whether a fault of a node excuses pauses and bursts in this time.
+    fn excuses(&self, node: &str, from: Seconds, to: Seconds) -> bool {
+        self.faults.iter().any(|fault| {
+            fault.nodes.iter().any(|name| name == node) && fault.from < to && fault.to + EXCUSED_AFTER > from
+        })
+    }
+
+    /// Health checks of a node a second, as the settings ask for.
+    fn usual_rate(&self) -> f64 {
+        (1_000.0 / self.settings.probe_ms as f64).max(1.0)
+    }
+}
+
+impl CoordinationReport {
+    pub(crate) fn new(seen: &Observations) -> CoordinationReport {
+        let mut report =
+            CoordinationReport { holder_faults: seen.holder_faults.len(), ..CoordinationReport::default() };
+        for (node, checks) in seen.health_checks {
+            report.add_tokens(checks);
+            report.add_gaps(seen, node, checks);
+            report.add_bursts(seen, node, checks);
+        }
+        report.burst_times = f64::from(report.burst) / seen.usual_rate();
+        let nodes = seen.health_checks.len().max(1) as f64;
+        report.rate = report.health_checks as f64 / nodes / seen.seconds.max(1.0);
+        report.add_leases(seen);
+        report.add_takeovers(seen);
+        report
+    }
+
+    /// The order of the tokens that a node accepted.
+    fn add_tokens(&mut self, checks: &[HealthCheck]) {
+        self.health_checks += checks.len() as u64;
+        let mut newest_term = 0;
+        let mut holders: BTreeMap<u64, BTreeSet<Member>> = BTreeMap::new();
+        for check in checks {
+            if !check.is_admitted {
+                self.refused += 1;
+                continue;
+            }
+            self.stale_accepted += u64::from(check.token.term < newest_term);
+            newest_term = newest_term.max(check.token.term);
+            holders.entry(check.token.term).or_default().insert(check.token.holder);
+        }
+        self.shared_tokens += holders.values().filter(|holders| holders.len() > 1).count() as u64;
+    }
+
+    /// Pauses between the health checks that a node accepted.
+    fn add_gaps(&mut self, seen: &Observations, node: &str, checks: &[HealthCheck]) {
+        let times = checks.iter().filter(|check| check.is_admitted).map(|check| check.at);
+        let mut last = seen.warm_up;
+        for at in times.filter(|at| *at >= seen.warm_up).chain([seen.seconds]) {
+            if at - last > self.gap && !seen.excuses(node, last, at) {
+                (self.gap, self.gap_at) = (at - last, node.to_owned());
+            }
+            last = at;
+        }
+    }
+
+    /// Health checks of a node within a second.
+    fn add_bursts(&mut self, seen: &Observations, node: &str, checks: &[HealthCheck]) {
+        let times: Vec<Seconds> =
+            checks.iter().map(|check| check.at).filter(|at| *at >= seen.warm_up).collect();
+        for (i, at) in times.iter().enumerate() {
+            let in_second = times[i..].iter().take_while(|later| **later < at + 1.0).count() as u32;
+            // What was held back comes at once when that is over.
+            if in_second > self.burst && !seen.excuses(node, *at, at + 1.0) {
+                self.burst = in_second;
+            }
+        }
+    }
+
+    fn add_leases(&mut self, seen: &Observations) {
+        let mut holders: BTreeMap<(RoleId, u64), BTreeSet<usize>> = BTreeMap::new();
+        for lease in seen.leases {
+            holders.entry((lease.role, lease.term)).or_default().insert(lease.member);
+        }
+        self.reused_terms = holders.values().filter(|members| members.len() > 1).count() as u64;
+        self.leases = seen.leases.len() as u64;
+    }
+
+    /// How long after the fault of a holder another member held its role.
+    fn add_takeovers(&mut self, seen: &Observations) {
+        let mut times = Vec::new();
+        for (i, fault) in seen.holder_faults.iter().enumerate() {
+            let next = seen.holder_faults[i + 1..].iter().find(|later| later.role == fault.role);
+            let next_at = next.map_or(seen.seconds, |next| next.at);
+            let by_others = seen.leases.iter().filter(|lease| {
+                lease.role == fault.role
+                    && lease.member != fault.member
+                    && lease.at > fault.at
+                    && lease.at < next_at
+            });
+            match by_others.map(|lease| lease.at - fault.at).min_by(f64::total_cmp) {
+                Some(time) => times.push(time),
+                None => self.without_takeover += 1,
+            }
+        }
+        times.sort_by(f64::total_cmp);
+        if let Some(last) = times.len().checked_sub(1) {
+            self.takeover = [times[last / 2], times[last * 99 / 100], times[last]];
+        }
+    }
+
+    /// Adds what the directors' logs tell of the hierarchy.
+    pub(crate) fn add_versions(&mut self, logs: &[&Path]) {
+        // The time, the member, and its version then; 0: none.
+        let mut applied: Vec<(u64, usize, u64)> = Vec::new();
+        for (member, log) in logs.iter().enumerate() {
+            for (at, event) in hierarchy_events(log) {
+                match event {
+                    HierarchyEvent::Started => applied.push((at, member, 0)),
+                    HierarchyEvent::Applied { version } => applied.push((at, member, version)),
+                    HierarchyEvent::ChangeBegun => self.changes_begun += 1,
+                    HierarchyEvent::ChangeEnded => self.changes_ended += 1,
+                }
+            }
+        }
+        applied.sort_unstable();
+        let mut versions: BTreeMap<usize, u64> = BTreeMap::new();
+        for (_, member, version) in applied {
+            let before = versions.insert(member, version).unwrap_or(0);
+            self.regressions += u64::from(version > 0 && version < before);
+            self.version = self.version.max(version);
+            let known = versions.values().filter(|version| **version > 0);
+            let (oldest, newest) = (known.clone().min(), known.max());
+            let difference = newest.zip(oldest).map_or(0, |(newest, oldest)| newest - oldest);
+            self.max_version_difference = self.max_version_difference.max(difference);
+        }
+    }
+
+    /// Adds the requests at a cache that was restarted then.
+    pub(crate) fn add_after_restart(&mut self, restarted_at: Seconds, requests: &[RequestAfterRestart]) {
+        for request in requests {
+            let span = ((request.at - restarted_at) / AFTER_RESTART_SPAN) as usize;
+            if let Some((hits, all)) = self.hits_after_restart.get_mut(span) {
+                *hits += u64::from(request.is_hit);
+                *all += 1;
+            }
+        }
+    }
+
+    pub(crate) fn violations(&self, settings: &CoordinationTrial) -> Vec<String> {
+        let must_be_zero = [
+            ("effects of an old holder that were accepted", self.stale_accepted),
+            ("tokens under which two holders were accepted", self.shared_tokens),
+            ("versions of the hierarchy that went back at a member", self.regressions),
+            ("versions that were two steps apart at two members", u64::from(self.max_version_difference > 1)),
+            ("coordination: no node was checked", u64::from(self.health_checks == 0)),
+        ];
+        let found = must_be_zero.iter().filter(|(_, count)| *count > 0);
+        let mut violations: Vec<String> = found.map(|(what, count)| format!("{what}: {count}")).collect();
+        if self.gap > settings.gap_s {
+            violations.push(format!(
+                "{} was not checked for {:.1} s, of {:.1}",
+                self.gap_at, self.gap, settings.gap_s
+            ));
+        }
+        if self.burst_times > settings.burst {
+            violations.push(format!(
+                "a node was checked {:.1} times as often as usual, of {:.1}",
+                self.burst_times, settings.burst
+            ));
+        }
+        violations
+    }
+
+    fn write_health_checks(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        writeln!(
+            f,
+            "coordination: {} health checks, {:.2} a node and second, {} of old holders refused, {} accepted; {} tokens with two \
+             holders; {} of their messages refused by voters, {} older assignments ignored",
+            self.health_checks,
+            self.rate,
+            self.refused,
+            self.stale_accepted,
+            self.shared_tokens,
+            self.refused_by_voters,
+            self.stale_assignments
+        )?;
+        writeln!(
+            f,
+            "longest pause of a node {:.2} s, most in a second {} ({:.1} times the usual)",
+            self.gap, self.burst, self.burst_times
+        )
+    }
+
+    fn write_leases(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let [median, p99, longest] = self.takeover;
+        writeln!(
+            f,
+            "leases {} ({} terms given twice); after {} faults of a holder another one began after {median:.2} s in the median, \
+             {p99:.2} s at the 99th percentile, {longest:.2} s at most; {} were not followed by one",
+            self.leases, self.reused_terms, self.holder_faults, self.without_takeover
+        )
+    }
+
+    fn write_warming(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let [(early_hits, early), (late_hits, late)] = self.hits_after_restart;
+        let share = |hits: u64, all: u64| hits as f64 / all.max(1) as f64;
+        writeln!(
+            f,
+            "restarted caches: {:.3} of {early} requests found a copy in 5 s, {:.3} of {late} in the next 5; {} objects fetched to \
+             warm them, {} of old holders refused",
+            share(early_hits, early),
+            share(late_hits, late),
+            self.warming_requests,
+            self.warming_refused
+        )
+    }
+
+    fn write_hierarchy(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        writeln!(
+            f,
+            "hierarchy: {} changes proposed, {} begun, {} ended, version {}; members {} versions apart at most, {} went back",
+            self.changes_proposed,
+            self.changes_begun,
+            self.changes_ended,
+            self.version,
+            self.max_version_difference,
+            self.regressions
+        )
+    }
+}
+
+impl fmt::Display for CoordinationReport {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.write_health_checks(f)?;
+        self.write_leases(f)?;
+        if self.hits_after_restart[0].1 > 0 {
+            self.write_warming(f)?;
+        }
+        if self.changes_proposed > 0 {
+            self.write_hierarchy(f)?;
+        }
+        writeln!(
+            f,
+            "a member and the voters {:.0} bytes a second; a director {:.4} CPU",
+            self.bytes, self.cpu
+        )
+    }
+}
--- a/crates/testbed/src/fleet/coordination_watch.rs
+++ b/crates/testbed/src/fleet/coordination_watch.rs
@@ -1,8 +1,5 @@
-//! What duties came to in a trial, by what the boxes counted and the directors' logs say: whether an old owner's effect was
-//! ever taken, how long a new owner took, how steadily boxes were probed.
+//! What a trial learns of coordination from outside: it asks members for their status, and reads directors' logs.
 
-use std::collections::{BTreeMap, BTreeSet};
-use std::fmt;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
@@ -11,311 +8,127 @@
 use sablecross_coordination::messages::{MemberStatus, Message, Reply, Request, RoleId};
 use sablecross_director::coordination::call_member;
 use sablecross_director::coordination::settings::HIERARCHY_ROLE;
-use serde::{Deserialize, Serialize};
 
-use super::node::{Probe, Seconds};
-use super::settings::CoordinationTrial;
+use super::node::Seconds;
 
-/// What was done to the dealer: when, and who it was.
+const STATUS_TIMEOUT: Duration = Duration::from_millis(300);
+const PROPOSAL_TIMEOUT: Duration = Duration::from_millis(500);
+const DAY_MS: u64 = 86_400_000;
+/// A line of a director's log at the begin of a lease, with its fields behind it.
+const LEASE_LINE: &str = "duty begins ";
+const LEASE_ROLE_FIELD: &str = "duty";
+/// A line at the start of a director.
+const START_LINE: &str = "duty member number=";
+
+/// A fault of the holder of a role.
 #[derive(Clone, Copy, Debug)]
-pub struct HolderFault {
-    pub at: Seconds,
-    pub member: usize,
-    pub duty: RoleId,
+pub(crate) struct HolderFault {
+    pub(crate) at: Seconds,
+    /// The holder.
+    pub(crate) member: usize,
+    pub(crate) role: RoleId,
 }
 
-/// One that began to deal, by its log.
+/// The begin of a lease, by the log of its holder.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LeaseStart {
-    pub at: Seconds,
-    pub member: usize,
-    pub duty: RoleId,
-    pub term: u64,
+pub(crate) struct LeaseStart {
+    pub(crate) at: Seconds,
+    pub(crate) member: usize,
+    pub(crate) role: RoleId,
+    pub(crate) term: u64,
 }
 
-#[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct CoordinationReport {
-    pub probes: u64,
-    /// Refused by the boxes' gates: they came of an old owner.
-    pub refused: u64,
-    /// Words of old owners that voters refused, and older deals that members passed over, in the lives that stand at the end.
-    pub refused_by_voters: u64,
-    pub passed_over: u64,
-    /// Taken although a newer token was taken before at that box.
-    pub disorder: u64,
-    /// Two owners taken under one token.
-    pub twins: u64,
-    /// Terms of dealing with two dealers: all voters had forgotten them.
-    pub same_term: u64,
-    pub owners: u64,
-    /// Seconds from a blow to the dealer until another one dealt: the middle, the 99th percentile, the most, and how often.
-    pub takeover: [f64; 3],
-    pub blows: usize,
-    /// Blows after which nobody dealt before the next one.
-    pub unanswered: usize,
-    /// The longest pause between two probes of one box, and where.
-    pub gap: f64,
-    pub gap_at: String,
-    /// The most probes of one box in a second, and how many times the usual that is.
-    pub burst: u32,
-    pub burst_times: f64,
-    /// Probes of a box in a second, the mean.
-    pub rate: f64,
-    /// Bytes a second between a member and all voters, both ways, and CPU seconds a second of a director.
-    pub bytes: f64,
-    pub cpu: f64,
-    /// Changes of the hierarchy that were wished for, begun and ended; versions that went back at a member in one life; the most
-    /// numbers that two members were apart, and the last number.
-    pub wished: u64,
-    pub changes: u64,
-    pub changed: u64,
-    pub back: u64,
-    pub apart: u64,
-    pub version: u64,
-    /// Requests that warmed caches, and those of old owners that were refused.
-    pub warmed: u64,
-    pub warm_refused: u64,
-    /// At caches that began anew, in the first five seconds and the next: requests with a copy there, and all.
-    pub fresh: [(u64, u64); 2],
+/// A line of a director's log that tells of the hierarchy.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum HierarchyEvent {
+    /// The director started and has no version.
+    Started,
+    /// It applied a version.
+    Applied {
+        version: u64,
+    },
+    ChangeBegun,
+    ChangeEnded,
 }
 
-/// What a director says of its duties; none: it does not answer.
-pub fn member_status(at: SocketAddr) -> Option<MemberStatus> {
-    let request =
-        Request { from: Member { number: u32::MAX, incarnation: 0 }, messages: vec![Message::ShowStatus] };
-    let said = call_member(at, &request, Duration::from_millis(300)).ok()?;
-    said.into_iter().find_map(|a| if let Reply::Status(shown) = a { Some(shown) } else { None })
+/// The trial as it calls members: none of their number.
+fn observer() -> Member {
+    Member { number: u32::MAX, incarnation: 0 }
 }
 
-/// Who owns a duty now, of these voters.
-pub fn find_holder(voters: &[SocketAddr], duty: RoleId) -> Option<usize> {
-    voters.iter().position(|at| {
-        member_status(*at).is_some_and(|s| s.roles.iter().any(|d| d.role == duty && d.own_lease.is_some()))
+/// The status of a member; none if it does not answer.
+pub(crate) fn member_status(address: SocketAddr) -> Option<MemberStatus> {
+    let request = Request { from: observer(), messages: vec![Message::ShowStatus] };
+    let replies = call_member(address, &request, STATUS_TIMEOUT).ok()?;
+    replies.into_iter().find_map(|reply| match reply {
+        Reply::Status(status) => Some(status),
+        _ => None,
     })
 }
 
-/// Hands a version of the hierarchy to whoever drives; whether it was heard.
-pub fn propose_hierarchy(driver: SocketAddr, text: &str) -> bool {
-    let words = vec![Message::Propose(HIERARCHY_ROLE, text.as_bytes().to_vec())];
-    let request = Request { from: Member { number: u32::MAX, incarnation: 0 }, messages: words };
-    let said = call_member(driver, &request, Duration::from_millis(500));
-    said.is_ok_and(|said| said.contains(&Reply::ProposalResult(HIERARCHY_ROLE, Ok(()))))
+/// Which of the voters holds a role now.
+pub(crate) fn find_holder(voters: &[SocketAddr], role: RoleId) -> Option<usize> {
+    voters.iter().position(|address| {
+        member_status(*address)
+            .is_some_and(|status| status.roles.iter().any(|r| r.role == role && r.own_lease.is_some()))
+    })
 }
 
-const DAY_MS: u64 = 86_400_000;
+/// Proposes a version of the hierarchy to the holder of its role. Whether it was accepted.
+pub(crate) fn propose_hierarchy(holder: SocketAddr, settings: &str) -> bool {
+    let proposal = Message::Propose(HIERARCHY_ROLE, settings.as_bytes().to_vec());
+    let request = Request { from: observer(), messages: vec![proposal] };
+    let accepted = Reply::ProposalResult(HIERARCHY_ROLE, Ok(()));
+    call_member(holder, &request, PROPOSAL_TIMEOUT).is_ok_and(|replies| replies.contains(&accepted))
+}
 
-/// Milliseconds of the day of a line of the log.
-fn at_ms(line: &str) -> Option<u64> {
+/// The time of day of a line of a log, in milliseconds.
+fn time_of_day_ms(line: &str) -> Option<u64> {
     let clock = line.get(11..23)?;
     let parts = [clock.get(0..2)?, clock.get(3..5)?, clock.get(6..8)?, clock.get(9..12)?];
-    let [h, m, s, ms] = parts.map(|p| p.parse::<u64>().ok());
-    Some(((h? * 60 + m?) * 60 + s?) * 1_000 + ms?)
+    let [hours, minutes, seconds, millis] = parts.map(|part| part.parse::<u64>().ok());
+    Some(((hours? * 60 + minutes?) * 60 + seconds?) * 1_000 + millis?)
+}
+
+/// The number in a field `name=number`.
+fn number_field(line: &str, name: &str) -> Option<u64> {
+    line.split(' ').find_map(|field| field.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
 }
 
-/// Those that began to own a duty, by the log of one director; times count from `zero`, in Unix milliseconds.
-pub fn lease_starts(member: usize, log: &Path, zero: u64) -> Vec<LeaseStart> {
+/// The leases that a director held, by its log. Times count from `zero_ms` (Unix milliseconds).
+pub(crate) fn lease_starts(member: usize, log: &Path, zero_ms: u64) -> Vec<LeaseStart> {
     let text = std::fs::read_to_string(log).unwrap_or_default();
-    let one = |line: &str| {
-        let rest = line.split_once("duty begins ")?.1;
-        let field = |name: &str| {
-            rest.split(' ').find_map(|f| f.strip_prefix(name)?.strip_prefix('=')?.parse::<u64>().ok())
-        };
-        // Directors' own times are of no wall clock: the log's are, of one day.
-        let at = (at_ms(line)? + DAY_MS - zero % DAY_MS) % DAY_MS;
-        let at = at as f64 / 1e3;
-        Some(LeaseStart { at, member, duty: field("duty")? as RoleId, term: field("term")? })
+    let lease_start = |line: &str| {
+        let fields = line.split_once(LEASE_LINE)?.1;
+        // Directors' own times are of no wall clock. Those of log lines are, within one day.
+        let since_ms = (time_of_day_ms(line)? + DAY_MS - zero_ms % DAY_MS) % DAY_MS;
+        Some(LeaseStart {
+            at: since_ms as f64 / 1e3,
+            member,
+            role: number_field(fields, LEASE_ROLE_FIELD)? as RoleId,
+            term: number_field(fields, "term")?,
+        })
     };
-    text.lines().filter_map(one).collect()
+    text.lines().filter_map(lease_start).collect()
 }
 
-impl CoordinationReport {
-    /// `boxes`: by name, what came; times from the start of the load. Boxes in `struck` at a time are not blamed for gaps.
-    pub fn of(
-        d: &CoordinationTrial,
-        seconds: f64,
-        warm_up: f64,
-        boxes: &BTreeMap<String, Vec<Probe>>,
-        excused: &[(String, Seconds, Seconds)],
-        blows: &[HolderFault],
-        begun: &[LeaseStart],
-    ) -> CoordinationReport {
-        let mut w = CoordinationReport { blows: blows.len(), ..CoordinationReport::default() };
-        let usual = (1_000.0 / d.probe_ms as f64).max(1.0);
-        for (name, probes) in boxes {
-            w.probes += probes.len() as u64;
-            let mut newest = 0;
-            let mut owners: BTreeMap<u64, BTreeSet<Member>> = BTreeMap::new();
-            for p in probes {
-                if !p.passed {
-                    w.refused += 1;
-                    continue;
-                }
-                w.disorder += u64::from(p.token.term < newest);
-                newest = newest.max(p.token.term);
-                owners.entry(p.token.term).or_default().insert(p.token.holder);
-            }
-            w.twins += owners.values().filter(|o| o.len() > 1).count() as u64;
-            let out = |from: Seconds, to: Seconds| {
-                excused.iter().any(|(n, begin, end)| n == name && *begin < to && *end + 1.0 > from)
-            };
-            let times = probes.iter().filter(|p| p.passed).map(|p| p.at).filter(|at| *at >= warm_up);
-            let mut before = warm_up;
-            for at in times.chain([seconds]) {
-                if at - before > w.gap && !out(before, at) {
-                    (w.gap, w.gap_at) = (at - before, name.clone());
-                }
-                before = at;
-            }
-            let all: Vec<Seconds> = probes.iter().map(|p| p.at).filter(|at| *at >= warm_up).collect();
-            for (n, at) in all.iter().enumerate() {
-                let within = all[n..].iter().take_while(|t| **t < at + 1.0).count() as u32;
-                // What was held up comes at once when that is over.
-                if within > w.burst && !out(*at, at + 1.0) {
-                    w.burst = within;
-                }
-            }
-        }
-        w.burst_times = f64::from(w.burst) / usual;
-        w.rate = w.probes as f64 / boxes.len().max(1) as f64 / seconds.max(1.0);
-        let mut terms: BTreeMap<(RoleId, u64), BTreeSet<usize>> = BTreeMap::new();
-        for b in begun {
-            terms.entry((b.duty, b.term)).or_default().insert(b.member);
-        }
-        w.same_term = terms.values().filter(|m| m.len() > 1).count() as u64;
-        w.owners = begun.len() as u64;
-        let mut took = Vec::new();
-        for (n, blow) in blows.iter().enumerate() {
-            let next = blows[n + 1..].iter().find(|b| b.duty == blow.duty).map_or(seconds, |b| b.at);
-            let other = begun
-                .iter()
-                .filter(|b| b.duty == blow.duty && b.at > blow.at && b.at < next && b.member != blow.member);
-            match other.map(|b| b.at - blow.at).min_by(f64::total_cmp) {
-                Some(after) => took.push(after),
-                None => w.unanswered += 1,
-            }
-        }
-        took.sort_by(f64::total_cmp);
-        if let Some(last) = took.len().checked_sub(1) {
-            w.takeover = [took[last / 2], took[last * 99 / 100], took[last]];
-        }
-        w
-    }
-
-    /// What became of the hierarchy, by the directors' logs.
-    pub fn versions(&mut self, logs: &[&Path]) {
-        // When, who, and its version then; 0: it begins anew.
-        let mut moves: Vec<(u64, usize, u64)> = Vec::new();
-        for (member, log) in logs.iter().enumerate() {
-            let text = std::fs::read_to_string(log).unwrap_or_default();
-            for line in text.lines() {
-                let Some(at) = at_ms(line) else { continue };
-                let field = |name: &str| {
-                    line.split(' ').find_map(|f| f.strip_prefix(name)?.strip_prefix('=')?.parse::<u64>().ok())
-                };
-                if line.contains("duty member number=") {
-                    moves.push((at, member, 0));
-                } else if line.contains("hierarchy in force version=") && line.contains(" by=") {
-                    moves.push((at, member, field("version").unwrap_or(0)));
-                } else if line.contains("hierarchy change=") && line.contains(" begun ") {
-                    self.changes += 1;
-                } else if line.contains("hierarchy change=") && line.contains(" ended ") {
-                    self.changed += 1;
-                }
-            }
-        }
-        moves.sort_unstable();
-        let mut has: BTreeMap<usize, u64> = BTreeMap::new();
-        for (_, member, version) in moves {
-            let before = has.insert(member, version).unwrap_or(0);
-            self.back += u64::from(version > 0 && version < before);
-            self.version = self.version.max(version);
-            let there = has.values().filter(|v| **v > 0);
-            let (least, most) = (there.clone().min(), there.max());
-            self.apart = self.apart.max(most.zip(least).map_or(0, |(m, l)| m - l));
-        }
-    }
-
-    pub fn violations(&self, d: &CoordinationTrial) -> Vec<String> {
-        let mut found = Vec::new();
-        let mut none = |what: &str, n: u64| {
-            if n > 0 {
-                found.push(format!("{what}: {n}"));
-            }
+/// What a director's log tells of the hierarchy, with the time of day in milliseconds.
+pub(crate) fn hierarchy_events(log: &Path) -> Vec<(u64, HierarchyEvent)> {
+    let text = std::fs::read_to_string(log).unwrap_or_default();
+    let event = |line: &str| {
+        let at = time_of_day_ms(line)?;
+        let event = if line.contains(START_LINE) {
+            HierarchyEvent::Started
+        } else if line.contains("hierarchy in force version=") && line.contains(" by=") {
+            HierarchyEvent::Applied { version: number_field(line, "version").unwrap_or(0) }
+        } else if line.contains("hierarchy change=") && line.contains(" begun ") {
+            HierarchyEvent::ChangeBegun
+        } else if line.contains("hierarchy change=") && line.contains(" ended ") {
+            HierarchyEvent::ChangeEnded
+        } else {
+            return None;
         };
-        none("effects of an old owner that were taken", self.disorder);
-        none("tokens under which two owners were taken", self.twins);
-        none("versions of the hierarchy that went back at a member", self.back);
-        none("versions that were two steps apart at two members", u64::from(self.apart > 1));
-        none("duties: nothing was probed", u64::from(self.probes == 0));
-        if self.gap > d.gap_s {
-            found.push(format!("{} was not probed for {:.1} s, of {:.1}", self.gap_at, self.gap, d.gap_s));
-        }
-        if self.burst_times > d.burst {
-            found.push(format!(
-                "a box was probed {:.1} times as often as usual, of {:.1}",
-                self.burst_times, d.burst
-            ));
-        }
-        found
-    }
-}
-
-impl fmt::Display for CoordinationReport {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(
-            f,
-            "duties: {} probes, {:.2} a box and second, {} of old owners refused, {} taken; {} tokens with two owners; {} of their \
-             words refused by voters, {} older deals passed over",
-            self.probes,
-            self.rate,
-            self.refused,
-            self.disorder,
-            self.twins,
-            self.refused_by_voters,
-            self.passed_over
-        )?;
-        writeln!(
-            f,
-            "longest pause of a box {:.2} s, most in a second {} ({:.1} times the usual)",
-            self.gap, self.burst, self.burst_times
-        )?;
-        writeln!(
-            f,
-            "owners {} ({} terms given twice); after {} blows to an owner another one began after {:.2} s in the middle, \
-             {:.2} s at the 99th percentile, {:.2} s at most; {} were not followed by one",
-            self.owners,
-            self.same_term,
-            self.blows,
-            self.takeover[0],
-            self.takeover[1],
-            self.takeover[2],
-            self.unanswered
-        )?;
-        if self.fresh[0].1 > 0 {
-            let part = |(hits, all): (u64, u64)| hits as f64 / all.max(1) as f64;
-            writeln!(
-                f,
-                "caches begun anew: {:.3} of {} requests found a copy in 5 s, {:.3} of {} in the next 5; {} objects fetched to warm \
-                 them, {} of old owners refused",
-                part(self.fresh[0]),
-                self.fresh[0].1,
-                part(self.fresh[1]),
-                self.fresh[1].1,
-                self.warmed,
-                self.warm_refused
-            )?;
-        }
-        if self.wished > 0 {
-            writeln!(
-                f,
-                "hierarchy: {} wishes, {} changes begun, {} ended, version {}; members {} versions apart at most, {} went back",
-                self.wished, self.changes, self.changed, self.version, self.apart, self.back
-            )?;
-        }
-        writeln!(
-            f,
-            "a member and the voters {:.0} bytes a second; a director {:.4} CPU",
-            self.bytes, self.cpu
-        )
-    }
+        Some((at, event))
+    };
+    text.lines().filter_map(event).collect()
 }
--- /dev/null
+++ b/crates/testbed/src/fleet/director.rs
@@ -0,0 +1,94 @@
+//! The directors of a trial: process, configuration, clients.
+
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::process::Command;
+use std::sync::Arc;
+
+use super::load::Clients;
+use super::node::{COLLAPSE_MULTIPLE, SLOW_START_INITIAL_SHARE, SLOW_START_WINDOW};
+use super::settings::Trial;
+use crate::director_process::{NodeModel, director_config, spawn_director};
+use crate::discovery_stub::DiscoveryStub;
+use crate::process::{ChildProcess, TrialError, io_error};
+
+/// The rate of one transfer from a node.
+const STREAM_KB_PER_S: f64 = 400.0;
+
+/// The files of one director.
+pub(super) struct DirectorFiles {
+    pub(super) config: PathBuf,
+    pub(super) log: PathBuf,
+    /// Its coordination settings, if the trial has coordination.
+    pub(super) coordination: Option<PathBuf>,
+}
+
+/// One director with its clients.
+pub(super) struct Director {
+    pub(super) files: DirectorFiles,
+    pub(super) address: SocketAddr,
+    pub(super) process: ChildProcess,
+    /// None until the load begins.
+    pub(super) clients: Option<Arc<Clients>>,
+    /// Which copy of discovery it follows.
+    pub(super) discovery: usize,
+    /// Killed by the trial, and not started again yet.
+    pub(super) is_killed: bool,
+}
+
+impl Director {
+    /// Starts it for the first time.
+    pub(super) fn start(
+        files: DirectorFiles,
+        address: SocketAddr,
+        discovery: usize,
+        program: &dyn Fn() -> Command,
+    ) -> Result<Director, TrialError> {
+        // That of an earlier run.
+        let _ = std::fs::remove_file(&files.log);
+        let process = spawn_director(program, &files.config, &files.log, files.coordination.as_deref())?;
+        Ok(Director { files, address, process, clients: None, discovery, is_killed: false })
+    }
+
+    /// Starts it again after it was killed.
+    pub(super) fn start_again(&mut self, program: &dyn Fn() -> Command) -> Result<(), TrialError> {
+        let files = &self.files;
+        self.process = spawn_director(program, &files.config, &files.log, files.coordination.as_deref())?;
+        self.is_killed = false;
+        Ok(())
+    }
+
+    /// Kills it; its lookups until `to` are excused.
+    pub(super) fn kill(&mut self, now: f64, to: f64) -> Result<(), TrialError> {
+        self.excuse(now, to);
+        self.is_killed = true;
+        self.process.kill().map_err(io_error("a director's end"))
+    }
+
+    /// It answers nothing in this time through no fault of its own.
+    pub(super) fn excuse(&self, from: f64, to: f64) {
+        if let Some(clients) = &self.clients {
+            clients.excuse(from, to);
+        }
+    }
+}
+
+/// Writes the configuration of a director, with all events up to now.
+pub(super) fn write_config(
+    trial: &Trial,
+    number: usize,
+    address: SocketAddr,
+    discovery: &DiscoveryStub,
+    file: &Path,
+) -> Result<(), TrialError> {
+    let model = NodeModel {
+        slow_start_initial_share: SLOW_START_INITIAL_SHARE,
+        slow_start_us: (SLOW_START_WINDOW * 1e6) as u64,
+        collapse_multiple: COLLAPSE_MULTIPLE,
+        stream_kb_per_s: STREAM_KB_PER_S,
+    };
+    let events = discovery.events();
+    let feed = (discovery.address, &events[..]);
+    let config = director_config(number, trial.directors, trial.seed, address, feed, &model);
+    std::fs::write(file, config.to_string()).map_err(io_error(file.display().to_string()))
+}
--- a/crates/testbed/src/fleet/link_proxy.rs
+++ b/crates/testbed/src/fleet/link_proxy.rs
@@ -1,5 +1,6 @@
-//! The links between members and voters: each pair has one of its own, through which this program passes what they say, and
-//! which it holds up, one way or both, or resets. What was held up arrives late, as on a link that was down for a while.
+//! Links between members and voters. Each pair has a link of its own, a proxy in this program that can hold back what is
+//! sent, in one direction or both, or reset its connections. What was held back arrives late, as on a link that was down
+//! for a while.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, ErrorKind, Read, Write};
@@ -14,34 +15,39 @@
 
 use crate::threads::{lock, spawn};
 
-/// A member and the place of a voter.
-pub type Pair = (usize, usize);
+/// The numbers of a member and a voter.
+pub(crate) type Pair = (usize, usize);
 
+/// What a link holds back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct HeldDirections {
-    /// What the member asks; what the voter answers.
-    pub to: bool,
-    pub from: bool,
+pub(crate) struct HeldDirections {
+    /// What the member sends to the voter.
+    pub(crate) to: bool,
+    /// What the voter answers.
+    pub(crate) from: bool,
 }
 
+/// What the proxy is to do to its links.
 #[derive(Default)]
 struct PairCommands {
     held: BTreeMap<Pair, HeldDirections>,
     reset: Vec<Pair>,
 }
 
-/// Bytes that were passed on, what was asked and what was answered.
+/// Bytes that were passed on: requests, then answers.
 type Bytes = Arc<BTreeMap<Pair, [AtomicU64; 2]>>;
 
-/// A link to be: whose, to where, and the address from which it is dialled.
-pub struct PlannedLink {
-    pub pair: Pair,
-    pub to: SocketAddr,
-    pub from: Ipv4Addr,
+/// A link before it is made.
+pub(crate) struct PlannedLink {
+    pub(crate) pair: Pair,
+    /// Where the voter listens.
+    pub(crate) to: SocketAddr,
+    /// The address from which the proxy connects to it.
+    pub(crate) from: Ipv4Addr,
 }
 
-/// A connection from an address of one's own, begun.
-pub fn dial_from(from: Ipv4Addr, to: SocketAddr) -> io::Result<TcpStream> {
+/// Begins to connect from an address of its own, without waiting.
+pub(crate) fn dial_from(from: Ipv4Addr, to: SocketAddr) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
     // A delay is harmless.
@@ -53,15 +59,20 @@
     }
 }
 
-pub struct LinkProxies {
-    orders: Arc<Mutex<PairCommands>>,
+/// All links, carried by one thread.
+pub(crate) struct LinkProxies {
+    commands: Arc<Mutex<PairCommands>>,
     bytes: Bytes,
     addresses: BTreeMap<Pair, SocketAddr>,
 }
 
 impl LinkProxies {
-    /// Links from each of so many members to each voter.
-    pub fn start(members: usize, voters: &[SocketAddr], over: &Arc<AtomicBool>) -> io::Result<LinkProxies> {
+    /// Makes links from each of `members` members to each voter.
+    pub(crate) fn start(
+        members: usize,
+        voters: &[SocketAddr],
+        over: &Arc<AtomicBool>,
+    ) -> io::Result<LinkProxies> {
         let all = (0..members).flat_map(|m| voters.iter().enumerate().map(move |(v, to)| ((m, v), *to)));
         LinkProxies::between(
             all.map(|(pair, to)| PlannedLink { pair, to, from: Ipv4Addr::LOCALHOST }).collect(),
@@ -69,7 +80,8 @@
         )
     }
 
-    pub fn between(planned: Vec<PlannedLink>, over: &Arc<AtomicBool>) -> io::Result<LinkProxies> {
+    /// Makes these links. They end when `over` is set.
+    pub(crate) fn between(planned: Vec<PlannedLink>, over: &Arc<AtomicBool>) -> io::Result<LinkProxies> {
         let poll = Poll::new()?;
         let mut listeners = Vec::new();
         let mut addresses = BTreeMap::new();
@@ -79,72 +91,79 @@
             addresses.insert(link.pair, listener.local_addr()?);
             listeners.push((listener, link));
         }
-        let orders: Arc<Mutex<PairCommands>> = Arc::default();
+        let commands: Arc<Mutex<PairCommands>> = Arc::default();
         let bytes: Bytes = Arc::new(addresses.keys().map(|pair| (*pair, Default::default())).collect());
         let relay = ProxyThread {
             poll,
             listeners,
             open: BTreeMap::new(),
             next: 0,
-            orders: Arc::clone(&orders),
+            commands: Arc::clone(&commands),
             bytes: Arc::clone(&bytes),
         };
         let over = Arc::clone(over);
         spawn(move || relay.run(&over));
-        Ok(LinkProxies { orders, bytes, addresses })
+        Ok(LinkProxies { commands, bytes, addresses })
     }
 
-    pub fn address(&self, member: usize, voter: usize) -> Option<SocketAddr> {
+    /// Where a member reaches a voter.
+    pub(crate) fn address(&self, member: usize, voter: usize) -> Option<SocketAddr> {
         self.addresses.get(&(member, voter)).copied()
     }
 
-    /// Bytes of the links that are meant, what was asked and what was answered.
-    pub fn bytes(&self, which: impl Fn(&Pair) -> bool) -> [u64; 2] {
-        let of = self.bytes.iter().filter(|(pair, _)| which(pair));
-        of.fold([0, 0], |[to, from], (_, [t, f])| {
+    /// Bytes that these links have passed on: requests, then answers.
+    pub(crate) fn bytes(&self, is_meant: impl Fn(&Pair) -> bool) -> [u64; 2] {
+        let meant = self.bytes.iter().filter(|(pair, _)| is_meant(pair));
+        meant.fold([0, 0], |[to, from], (_, [t, f])| {
             [to + t.load(Ordering::Relaxed), from + f.load(Ordering::Relaxed)]
         })
     }
 
-    pub fn pairs(&self) -> impl Iterator<Item = &Pair> {
+    /// The pairs that have a link.
+    pub(crate) fn pairs(&self) -> impl Iterator<Item = &Pair> {
         self.addresses.keys()
     }
 
-    pub fn hold(&self, pair: Pair, held: HeldDirections) {
-        let mut orders = lock(&self.orders);
+    /// Holds back what is sent from now on; the default holds nothing back.
+    pub(crate) fn hold(&self, pair: Pair, held: HeldDirections) {
+        let mut commands = lock(&self.commands);
         if held == HeldDirections::default() {
-            orders.held.remove(&pair);
+            commands.held.remove(&pair);
         } else {
-            orders.held.insert(pair, held);
+            commands.held.insert(pair, held);
         }
     }
 
-    pub fn reset(&self, pair: Pair) {
-        lock(&self.orders).reset.push(pair);
+    /// Resets the connections of a link.
+    pub(crate) fn reset(&self, pair: Pair) {
+        lock(&self.commands).reset.push(pair);
     }
 }
 
+/// One end of a connection through a link.
 struct Endpoint {
     stream: TcpStream,
     /// What is to be written to it.
-    out: VecDeque<u8>,
+    output: VecDeque<u8>,
 }
 
+/// A connection through a link.
 struct OpenLink {
     pair: Pair,
     member: Endpoint,
     voter: Endpoint,
-    /// One end has ended: the other gets what was said before that.
-    over: bool,
+    /// One end has closed; the other still gets what was sent before.
+    is_closing: bool,
 }
 
+/// What the thread of the links owns.
 struct ProxyThread {
     poll: Poll,
     listeners: Vec<(TcpListener, PlannedLink)>,
-    /// By number; the member's end has the even token, the voter's the odd one after it.
+    /// Connections by number; the member's end has the even token, the voter's the odd one after it.
     open: BTreeMap<usize, OpenLink>,
     next: usize,
-    orders: Arc<Mutex<PairCommands>>,
+    commands: Arc<Mutex<PairCommands>>,
     bytes: Bytes,
 }
 
@@ -155,7 +174,7 @@
         while !over.load(Ordering::Relaxed) {
             // A failed wait is tried again: only the end of the trial ends it.
             let _ = self.poll.poll(&mut events, Some(Duration::from_millis(10)));
-            let reset = std::mem::take(&mut lock(&self.orders).reset);
+            let reset = std::mem::take(&mut lock(&self.commands).reset);
             self.open.retain(|_, o| !reset.contains(&o.pair));
             for event in &events {
                 let Token(at) = event.token();
@@ -168,7 +187,7 @@
                     }
                 }
             }
-            let held = lock(&self.orders).held.clone();
+            let held = lock(&self.commands).held.clone();
             self.open.retain(|_, o| o.write_both(held.get(&o.pair).copied().unwrap_or_default()));
         }
     }
@@ -190,27 +209,29 @@
             }
             // A delay is harmless.
             let _ = stream.set_nodelay(true);
-            let end = |stream| Endpoint { stream, out: VecDeque::new() };
-            self.open
-                .insert(self.next, OpenLink { pair, member: end(stream), voter: end(voter), over: false });
+            let end = |stream| Endpoint { stream, output: VecDeque::new() };
+            self.open.insert(
+                self.next,
+                OpenLink { pair, member: end(stream), voter: end(voter), is_closing: false },
+            );
             self.next += 1;
         }
     }
 }
 
 impl OpenLink {
-    /// Takes in what either end says.
+    /// Reads what either end has sent.
     fn read_both(&mut self, bytes: &Bytes) {
-        let OpenLink { pair, member, voter, over } = self;
+        let OpenLink { pair, member, voter, is_closing } = self;
         let [asked, answered] = &bytes[pair];
-        *over |= !read_into(&mut member.stream, &mut voter.out, asked);
-        *over |= !read_into(&mut voter.stream, &mut member.out, answered);
+        *is_closing |= !read_into(&mut member.stream, &mut voter.output, asked);
+        *is_closing |= !read_into(&mut voter.stream, &mut member.output, answered);
     }
 
-    /// False once nothing more can pass.
+    /// Writes what is not held back; false once nothing more can pass.
     fn write_both(&mut self, held: HeldDirections) -> bool {
-        let passes = (held.to || self.voter.writes()) && (held.from || self.member.writes());
-        passes && !(self.over && self.voter.out.is_empty() && self.member.out.is_empty())
+        let passes = (held.to || self.voter.write_pending()) && (held.from || self.member.write_pending());
+        passes && !(self.is_closing && self.voter.output.is_empty() && self.member.output.is_empty())
     }
 }
 
@@ -218,6 +239,7 @@
     matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected | ErrorKind::Interrupted)
 }
 
+/// Reads all that has come; false once the connection has ended.
 fn read_into(from: &mut TcpStream, to: &mut VecDeque<u8>, count: &AtomicU64) -> bool {
     let mut bytes = [0; 8_192];
     loop {
@@ -233,12 +255,13 @@
 }
 
 impl Endpoint {
-    fn writes(&mut self) -> bool {
-        while !self.out.is_empty() {
-            match self.stream.write(self.out.as_slices().0) {
+    /// Writes as much as the connection takes; false once it has ended.
+    fn write_pending(&mut self) -> bool {
+        while !self.output.is_empty() {
+            match self.stream.write(self.output.as_slices().0) {
                 Ok(0) => return false,
                 Ok(n) => {
-                    self.out.drain(..n);
+                    self.output.drain(..n);
                 }
                 Err(e) => return would_block(&e),
             }
--- a/crates/testbed/src/fleet/load.rs
+++ b/crates/testbed/src/fleet/load.rs
@@ -1,4 +1,4 @@
-//! The clients of one director: they ask by the clock whatever is open, and each lookup has one end.
+//! The clients of one director: they send lookups by the clock whatever is open, and each lookup has one end.
 
 use std::collections::{HashMap, HashSet};
 use std::io::{BufReader, Write};
@@ -16,200 +16,245 @@
 use crate::schedule::exponential_interval;
 use crate::threads::{lock, spawn};
 
-/// An answer that comes within this after the client's time has earned nothing, a later one is none.
-const SLACK: f64 = 0.5;
+/// How long a client waits, in seconds.
+const BUDGET: f64 = BUDGET_MS as f64 / 1e3;
+/// A lookup is unanswered so long after its time. (An answer after its time has earned nothing.)
+const UNANSWERED_AFTER: f64 = 0.5;
+/// How long the sender sleeps at most before it looks for lookups whose time is over.
+const MAX_SLEEP: f64 = 0.1;
 
-/// What became of lookups.
+/// How many lookups ended in which way.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClientTally {
+    /// All lookups.
     pub asked: u64,
+    /// Lookups that succeeded.
     pub satisfied: u64,
-    /// Of the satisfied, those past the client's time.
+    /// Of these, those after the client's time.
     pub late: u64,
-    pub nacked: u64,
+    /// Lookups that were rejected.
+    #[serde(rename = "nacked")]
+    pub rejected: u64,
+    /// Lookups that failed.
     pub failed: u64,
-    /// In the hand of a director that was killed or stopped: no answer is owed.
+    /// Lookups without an answer at a director that was killed or stopped: none is owed.
     pub excused: u64,
-    pub lost: u64,
-    /// Answers to what was not asked, or a second time.
-    pub strange: u64,
+    /// Lookups without an answer that is owed.
+    #[serde(rename = "lost")]
+    pub unanswered: u64,
+    /// Answers to nothing that was asked, or a second time.
+    #[serde(rename = "strange")]
+    pub unexpected: u64,
 }
 
 impl ClientTally {
-    pub fn add(&mut self, o: &ClientTally) {
-        self.asked += o.asked;
-        self.satisfied += o.satisfied;
-        self.late += o.late;
-        self.nacked += o.nacked;
-        self.failed += o.failed;
-        self.excused += o.excused;
-        self.lost += o.lost;
-        self.strange += o.strange;
+    pub(crate) fn add(&mut self, other: &ClientTally) {
+        self.asked += other.asked;
+        self.satisfied += other.satisfied;
+        self.late += other.late;
+        self.rejected += other.rejected;
+        self.failed += other.failed;
+        self.excused += other.excused;
+        self.unanswered += other.unanswered;
+        self.unexpected += other.unexpected;
     }
 }
 
+/// A time in which the director was stopped or killed.
+struct ExcusedSpan {
+    from: Seconds,
+    to: Seconds,
+}
+
 #[derive(Default)]
-struct Open {
-    /// When each open call was asked.
-    calls: HashMap<u32, Seconds>,
-    /// Calls that were given up without blame, whose answers may come still.
-    let_go: HashSet<u32>,
+struct ClientsState {
+    /// When each open call was sent.
+    open_calls: HashMap<u32, Seconds>,
+    /// Calls that were given up as excused, whose answers may still come.
+    abandoned_calls: HashSet<u32>,
+    /// By the second in which lookups were sent.
     seconds: Vec<ClientTally>,
-    /// When the director was stopped or killed, and until when.
-    struck: Vec<(Seconds, Seconds)>,
-    link: Option<Arc<TcpStream>>,
+    excused: Vec<ExcusedSpan>,
+    connection: Option<Arc<TcpStream>>,
 }
 
-impl Open {
+impl ClientsState {
     fn second(&mut self, at: Seconds) -> &mut ClientTally {
-        let at = at as usize;
-        if self.seconds.len() <= at {
-            self.seconds.resize(at + 1, ClientTally::default());
+        let second = at as usize;
+        if self.seconds.len() <= second {
+            self.seconds.resize(second + 1, ClientTally::default());
         }
-        &mut self.seconds[at]
+        &mut self.seconds[second]
     }
 
-    /// A call that has no answer.
-    fn unanswered(&mut self, call: u32, asked: Seconds, now: Seconds) {
-        let excused = self.struck.iter().any(|(from, to)| asked < *to && *from < now);
-        if excused {
-            self.let_go.insert(call);
+    /// Counts a call that has no answer.
+    fn on_unanswered(&mut self, call: u32, sent_at: Seconds, now: Seconds) {
+        if self.excused.iter().any(|span| sent_at < span.to && span.from < now) {
+            self.abandoned_calls.insert(call);
+            self.second(sent_at).excused += 1;
+        } else {
+            self.second(sent_at).unanswered += 1;
         }
-        let second = self.second(asked);
-        *(if excused { &mut second.excused } else { &mut second.lost }) += 1;
     }
 }
 
-/// What all clients of a trial ask for.
+/// What the clients of one director ask for.
 #[derive(Clone, Copy)]
-pub struct Workload {
-    pub objects: u64,
-    pub hot: f64,
-    pub rate: f64,
-    pub seed: u64,
+pub(crate) struct Workload {
+    /// The number of objects.
+    pub(crate) objects: u64,
+    /// The share of lookups that ask for one object.
+    pub(crate) hot_share: f64,
+    /// Lookups a second.
+    pub(crate) rate: f64,
+    pub(crate) seed: u64,
 }
 
-pub struct Clients {
+/// All clients of one director, on one connection.
+pub(crate) struct Clients {
+    /// The director's number.
     number: usize,
     director: SocketAddr,
-    begun: Instant,
+    started: Instant,
     over: Arc<AtomicBool>,
-    open: Mutex<Open>,
+    state: Mutex<ClientsState>,
 }
 
 impl Clients {
-    pub fn start(
+    /// Starts them; they end with the trial.
+    pub(crate) fn start(
         number: usize,
         director: SocketAddr,
-        wants: Workload,
-        begun: Instant,
+        workload: Workload,
+        started: Instant,
         over: &Arc<AtomicBool>,
     ) -> Arc<Clients> {
-        let all =
-            Arc::new(Clients { number, director, begun, over: Arc::clone(over), open: Mutex::default() });
-        let own = Arc::clone(&all);
-        spawn(move || own.send_requests(&wants));
-        all
+        let over = Arc::clone(over);
+        let clients = Arc::new(Clients { number, director, started, over, state: Mutex::default() });
+        let own = Arc::clone(&clients);
+        spawn(move || own.send_requests(&workload));
+        clients
     }
 
     fn now(&self) -> Seconds {
-        self.begun.elapsed().as_secs_f64()
+        self.started.elapsed().as_secs_f64()
     }
 
-    /// The director is stopped, or down, in this time.
-    pub fn excuse(&self, from: Seconds, to: Seconds) {
-        lock(&self.open).struck.push((from, to));
+    /// The director is stopped or down in this time.
+    pub(crate) fn excuse(&self, from: Seconds, to: Seconds) {
+        lock(&self.state).excused.push(ExcusedSpan { from, to });
     }
 
-    fn send_requests(self: &Arc<Clients>, wants: &Workload) {
-        let mut rng = Pcg32::seed_from_u64(wants.seed ^ (self.number as u64 + 1).wrapping_mul(0x9e37_79b9));
-        let (mut call, mut next) = (0u32, self.now() + rng.random::<f64>() / wants.rate);
+    fn send_requests(self: &Arc<Clients>, workload: &Workload) {
+        let seed = workload.seed ^ (self.number as u64 + 1).wrapping_mul(0x9e37_79b9);
+        let mut rng = Pcg32::seed_from_u64(seed);
+        let mut call = 0u32;
+        let mut next = self.now() + rng.random::<f64>() / workload.rate;
         while !self.over.load(Ordering::Relaxed) {
-            std::thread::sleep(Duration::from_secs_f64((next - self.now()).clamp(0.0, 0.1)));
-            self.sweep();
+            std::thread::sleep(Duration::from_secs_f64((next - self.now()).clamp(0.0, MAX_SLEEP)));
+            self.give_up_overdue_calls();
             if self.now() < next {
                 continue;
             }
-            next += exponential_interval(&mut rng, wants.rate);
-            let hot = rng.random::<f64>() < wants.hot;
-            let object = if hot { 0 } else { (wants.objects as f64 * rng.random::<f64>().powi(3)) as u64 };
-            let Some(link) = self.link() else { continue };
+            next += exponential_interval(&mut rng, workload.rate);
+            let object = draw_object(&mut rng, workload);
+            let Some(stream) = self.connect() else { continue };
             call += 1;
-            let name = (self.number as u64) << 32 | u64::from(call);
-            let bytes = encode_request(name, call, object);
-            let now = self.now();
-            {
-                let mut open = lock(&self.open);
-                open.calls.insert(call, now);
-                open.second(now).asked += 1;
-            }
-            // One that broke is seen by its reader.
-            let _ = (&*link).write_all(&bytes);
+            self.send_request(&stream, call, object);
         }
     }
 
-    /// The connection, made anew when there is none.
-    fn link(self: &Arc<Clients>) -> Option<Arc<TcpStream>> {
-        if let Some(link) = lock(&self.open).link.clone() {
-            return Some(link);
+    fn send_request(&self, mut stream: &TcpStream, call: u32, object: u64) {
+        let request = (self.number as u64) << 32 | u64::from(call);
+        let bytes = encode_request(request, call, object);
+        let now = self.now();
+        {
+            let mut state = lock(&self.state);
+            state.open_calls.insert(call, now);
+            state.second(now).asked += 1;
         }
-        let link = TcpStream::connect(self.director).ok()?;
-        link.set_nodelay(true).ok()?;
-        let link = Arc::new(link);
-        lock(&self.open).link = Some(Arc::clone(&link));
-        let (own, to) = (Arc::clone(self), Arc::clone(&link));
-        spawn(move || own.read_answers(&to));
-        Some(link)
+        // A connection that has ended is seen by its reader.
+        let _ = stream.write_all(&bytes);
     }
 
-    fn read_answers(&self, link: &Arc<TcpStream>) {
-        let mut from = BufReader::new(&**link);
-        while let Ok((call, answer)) = read_any_response(&mut from) {
-            let now = self.now();
-            let mut open = lock(&self.open);
-            let Some(asked) = open.calls.remove(&call) else {
-                if !open.let_go.remove(&call) {
-                    open.second(now).strange += 1;
-                }
-                continue;
-            };
-            let second = open.second(asked);
-            match answer {
-                Response::Success(_) => {
-                    second.satisfied += 1;
-                    second.late += u64::from(now - asked > BUDGET_MS as f64 / 1e3);
-                }
-                Response::Rejected => second.nacked += 1,
-                Response::Failed => second.failed += 1,
-            }
+    /// The connection, made anew if there is none.
+    fn connect(self: &Arc<Clients>) -> Option<Arc<TcpStream>> {
+        if let Some(connection) = lock(&self.state).connection.clone() {
+            return Some(connection);
+        }
+        let connection = TcpStream::connect(self.director).ok()?;
+        connection.set_nodelay(true).ok()?;
+        let connection = Arc::new(connection);
+        lock(&self.state).connection = Some(Arc::clone(&connection));
+        let (own, stream) = (Arc::clone(self), Arc::clone(&connection));
+        spawn(move || own.read_answers(&stream));
+        Some(connection)
+    }
+
+    /// Reads answers until the connection ends; what is open on it then has none.
+    fn read_answers(&self, connection: &Arc<TcpStream>) {
+        let mut reader = BufReader::new(&**connection);
+        while let Ok((call, answer)) = read_any_response(&mut reader) {
+            self.on_answer(call, &answer);
         }
-        let _ = link.shutdown(Shutdown::Both);
+        let _ = connection.shutdown(Shutdown::Both);
         let now = self.now();
-        let mut open = lock(&self.open);
-        if open.link.as_ref().is_some_and(|l| Arc::ptr_eq(l, link)) {
-            open.link = None;
+        let mut state = lock(&self.state);
+        if state.connection.as_ref().is_some_and(|current| Arc::ptr_eq(current, connection)) {
+            state.connection = None;
         }
-        for (call, asked) in std::mem::take(&mut open.calls) {
-            open.unanswered(call, asked, now);
+        for (call, sent_at) in std::mem::take(&mut state.open_calls) {
+            state.on_unanswered(call, sent_at, now);
         }
     }
 
-    /// Lookups whose time is over.
-    fn sweep(&self) {
+    fn on_answer(&self, call: u32, answer: &Response) {
         let now = self.now();
-        let mut open = lock(&self.open);
-        let over = |asked: Seconds| now > asked + BUDGET_MS as f64 / 1e3 + SLACK;
-        let gone: Vec<(u32, Seconds)> =
-            open.calls.iter().filter(|(_, at)| over(**at)).map(|(c, at)| (*c, *at)).collect();
-        for (call, asked) in gone {
-            open.calls.remove(&call);
-            open.unanswered(call, asked, now);
+        let mut state = lock(&self.state);
+        let Some(sent_at) = state.open_calls.remove(&call) else {
+            if !state.abandoned_calls.remove(&call) {
+                state.second(now).unexpected += 1;
+            }
+            return;
+        };
+        let second = state.second(sent_at);
+        match answer {
+            Response::Success(_) => {
+                second.satisfied += 1;
+                second.late += u64::from(now - sent_at > BUDGET);
+            }
+            Response::Rejected => second.rejected += 1,
+            Response::Failed => second.failed += 1,
         }
     }
 
-    /// By second, once all has ended.
-    pub fn tally(&self) -> Vec<ClientTally> {
-        self.sweep();
-        lock(&self.open).seconds.clone()
+    fn give_up_overdue_calls(&self) {
+        let now = self.now();
+        let mut state = lock(&self.state);
+        let is_overdue = |sent_at: Seconds| now > sent_at + BUDGET + UNANSWERED_AFTER;
+        let overdue: Vec<(u32, Seconds)> = state
+            .open_calls
+            .iter()
+            .filter(|(_, sent_at)| is_overdue(**sent_at))
+            .map(|(call, sent_at)| (*call, *sent_at))
+            .collect();
+        for (call, sent_at) in overdue {
+            state.open_calls.remove(&call);
+            state.on_unanswered(call, sent_at, now);
+        }
+    }
+
+    /// The lookups by second, once the trial is over.
+    pub(crate) fn tally(&self) -> Vec<ClientTally> {
+        self.give_up_overdue_calls();
+        lock(&self.state).seconds.clone()
+    }
+}
+
+fn draw_object(rng: &mut Pcg32, workload: &Workload) -> u64 {
+    if rng.random::<f64>() < workload.hot_share {
+        0
+    } else {
+        (workload.objects as f64 * rng.random::<f64>().powi(3)) as u64
     }
 }
--- a/crates/testbed/src/fleet/node.rs
+++ b/crates/testbed/src/fleet/node.rs
@@ -1,498 +1,324 @@
-//! Stand-in caches, parents and origin of a trial: each works at its own speed, counts what comes by tenth of a second
-//! and by director, and is slowed, stopped, cut off, reset and begun anew.
+//! Stand-in caches, parents and origin of a fleet trial: each works at its own speed, counts what comes by tenth of a
+//! second and by director, and is slowed, stopped, cut off, reset and restarted.
+
+mod requests;
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
-use std::io::{self, BufRead, BufReader, Write};
+use std::io::{self, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use sablecross_coordination::{FencingGuard, FencingToken as Duty};
-use sablecross_director::coordination::HealthCheckTag;
+use sablecross_coordination::{FencingGuard, FencingToken};
+use serde::{Deserialize, Serialize};
 
 use crate::clock::unix_ms;
-use crate::pull_request::{PullRequest, PullRequestError};
 use crate::threads::{lock, spawn};
 
 /// Seconds from the start of the load.
-pub type Seconds = f64;
+pub(crate) type Seconds = f64;
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
+/// Where a node stands.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Tier {
+    /// At the edge.
     Cache,
+    /// Between caches and the origin.
     Parent,
+    /// Has every object.
     Origin,
 }
 
-/// The figures of the rule on cold nodes.
-pub const SLOW_START_INITIAL_SHARE: f64 = 0.25;
-pub const SLOW_START_WINDOW: f64 = 6.0;
-pub const COLLAPSE_MULTIPLE: f64 = 3.0;
-/// A node holds work for so long at most; what would wait longer is turned away.
-const MAX_QUEUE_SECONDS: f64 = 0.6;
-/// What the way and the answer take beside the work.
-const NETWORK_DELAY: f64 = 0.002;
+/// Slow start: the share of its capacity that a cold node bears at first.
+pub(crate) const SLOW_START_INITIAL_SHARE: f64 = 0.25;
+/// Slow start: the time after which a node bears all of its capacity, in seconds.
+pub(crate) const SLOW_START_WINDOW: f64 = 6.0;
+/// Slow start: the multiple of what it bears at which a cold node collapses.
+pub(crate) const COLLAPSE_MULTIPLE: f64 = 3.0;
+
+/// How long the thread that sends answers waits at most, in microseconds: the end of the trial is seen then.
+const MAX_WAIT_US: u64 = 50_000;
 
-/// Which way of a link is cut.
+/// Which direction of the links between a node and some directors is cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CutDirection {
+pub(crate) enum CutDirection {
+    /// Requests are lost.
     To,
+    /// Answers are lost.
     From,
 }
 
+/// Copies by object, with when they were made (Unix milliseconds); the oldest goes first.
 #[derive(Default)]
 struct Copies {
-    held: HashMap<u64, u64>,
-    line: VecDeque<u64>,
+    issued_ms: HashMap<u64, u64>,
+    insertion_order: VecDeque<u64>,
+}
+
+impl Copies {
+    fn keep(&mut self, object: u64, issued_ms: u64, max_copies: usize) {
+        if self.issued_ms.insert(object, issued_ms).is_none() {
+            self.insertion_order.push_back(object);
+        }
+        while self.issued_ms.len() > max_copies {
+            let Some(oldest) = self.insertion_order.pop_front() else { return };
+            self.issued_ms.remove(&oldest);
+        }
+    }
+}
+
+/// A director that sent something in a second.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct SenderInSecond {
+    pub(crate) second: u32,
+    pub(crate) director: usize,
+}
+
+/// A request of a director at a node that began anew.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct RequestAfterRestart {
+    pub(crate) at: Seconds,
+    /// Whether there was a copy.
+    pub(crate) is_hit: bool,
+}
+
+/// A health check as it came.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct HealthCheck {
+    pub(crate) at: Seconds,
+    pub(crate) token: FencingToken,
+    /// Whether the guard let it through.
+    pub(crate) is_admitted: bool,
+}
+
+/// What of a node's work a report needs.
+#[derive(Clone, Default)]
+pub(crate) struct NodeCounts {
+    /// Requests by tenth of a second.
+    pub(crate) requests: Vec<u32>,
+    pub(crate) senders: HashSet<SenderInSecond>,
+    /// When it was last started cold.
+    pub(crate) cold_since: Option<Seconds>,
+    pub(crate) collapses: u64,
+    /// Requests after the grace that followed its leaving.
+    pub(crate) stray_requests: u64,
+    pub(crate) health_checks: Vec<HealthCheck>,
+    /// Requests that warmed it, and those of an old holder that were refused.
+    pub(crate) warming_requests: u64,
+    pub(crate) warming_refused: u64,
+    pub(crate) after_restart: Vec<RequestAfterRestart>,
 }
 
-#[derive(Default)]
 struct NodeState {
     copies: Copies,
-    /// When its work in hand is done.
+    /// When the work that it has accepted is done.
     free_at: Seconds,
-    /// How many times longer it takes.
-    slow: f64,
+    /// How many times longer than usual it works.
+    slowdown: f64,
     stopped_until: Seconds,
-    /// Until when it is down: crashed, or fallen over when it was pushed.
+    /// Until when it is down: crashed, or collapsed.
     down_until: Seconds,
-    since: Option<Seconds>,
-    /// Since when nothing new is to come, as the list says that it has gone, the grace included.
-    gone_from: Option<Seconds>,
+    /// When it has left the list, grace included.
+    left_at: Option<Seconds>,
+    /// By director.
     cuts: HashMap<usize, CutDirection>,
-    /// What came, by tenth of a second.
-    came: Vec<u32>,
-    /// Who sent, by second.
-    senders: HashSet<(u32, usize)>,
-    links: Vec<Arc<TcpStream>>,
-    falls: u64,
-    strays: u64,
-    gate: FencingGuard,
-    /// The same for warming; what was fetched so, and refused.
-    warm_gate: FencingGuard,
-    warmed: u64,
-    warm_refused: u64,
-    /// Requests of directors since it began anew: when, and whether a copy was there.
-    fresh: Vec<(Seconds, bool)>,
-    /// Members whose probes are held up, until when.
-    held: HashMap<usize, Seconds>,
-    probes: Vec<Probe>,
-}
-
-/// A probe as it came, and whether the gate let it through.
-#[derive(Clone, Copy, Debug)]
-pub struct Probe {
-    pub at: Seconds,
-    pub token: Duty,
-    pub passed: bool,
+    connections: Vec<Arc<TcpStream>>,
+    health_check_guard: FencingGuard,
+    warming_guard: FencingGuard,
+    /// Members whose health checks are delayed, until when.
+    delayed_health_checks: HashMap<usize, Seconds>,
+    counts: NodeCounts,
 }
 
-/// An answer on its way.
+/// An answer that is not due yet.
 struct DelayedAnswer {
-    at: Seconds,
-    number: u64,
-    to: Arc<TcpStream>,
+    due: Seconds,
+    /// Answers of one connection that are due together go out in this order.
+    order: u64,
+    stream: Arc<TcpStream>,
     bytes: Vec<u8>,
 }
 
-pub struct Node {
-    pub name: String,
-    pub tier: Tier,
-    /// Requests a second that it can do.
-    pub capacity: f64,
-    pub address: SocketAddr,
-    kept: usize,
-    /// Whether an old owner's probes are refused.
-    gated: bool,
-    begun: Instant,
-    over: Arc<AtomicBool>,
-    inner: Mutex<NodeState>,
-    due: Mutex<Sender<DelayedAnswer>>,
-}
-
-/// What of a node's work a report needs.
-pub struct NodeCounts {
-    pub came: Vec<u32>,
-    pub senders: HashSet<(u32, usize)>,
-    pub since: Option<Seconds>,
-    pub falls: u64,
-    pub strays: u64,
-    pub probes: Vec<Probe>,
-    pub warmed: u64,
-    pub warm_refused: u64,
-    pub fresh: Vec<(Seconds, bool)>,
+/// What a node is made from.
+pub(crate) struct NodeSettings {
+    pub(crate) name: String,
+    pub(crate) tier: Tier,
+    /// Requests a second that it bears.
+    pub(crate) capacity: f64,
+    pub(crate) max_copies: usize,
+    /// Whether effects of an old holder are refused.
+    pub(crate) is_guarded: bool,
 }
 
-enum PullOutcome {
-    /// When, when the copy was made (Unix milliseconds), and whether it was held.
-    Copy(Seconds, u64, bool),
-    Miss(Seconds),
-    Full(Seconds),
-    Error(Seconds),
-    /// Nothing is said.
-    Silence,
+/// One node.
+pub(crate) struct Node {
+    pub(crate) name: String,
+    pub(crate) tier: Tier,
+    /// Requests a second that it bears.
+    pub(crate) capacity: f64,
+    pub(crate) address: SocketAddr,
+    max_copies: usize,
+    is_guarded: bool,
+    started: Instant,
+    over: Arc<AtomicBool>,
+    state: Mutex<NodeState>,
+    delayed_answers: Mutex<Sender<DelayedAnswer>>,
 }
 
-pub type NodesByName = Arc<HashMap<String, Arc<Node>>>;
+/// All nodes by name.
+pub(crate) type NodesByName = Arc<HashMap<String, Arc<Node>>>;
 
 impl Node {
-    pub fn start(
-        name: String,
-        tier: Tier,
-        capacity: f64,
-        kept: usize,
-        gated: bool,
-        begun: Instant,
+    /// Listens on a port of its own. Connections are accepted after `serve`.
+    pub(crate) fn start(
+        settings: NodeSettings,
+        started: Instant,
         over: &Arc<AtomicBool>,
     ) -> io::Result<(Arc<Node>, TcpListener)> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let (due, dues) = channel();
+        let (sender, answers) = channel();
         let node = Arc::new(Node {
-            name,
-            tier,
-            capacity,
+            name: settings.name,
+            tier: settings.tier,
+            capacity: settings.capacity,
             address: listener.local_addr()?,
-            kept,
-            gated,
-            begun,
+            max_copies: settings.max_copies,
+            is_guarded: settings.is_guarded,
+            started,
             over: Arc::clone(over),
-            inner: Mutex::new(NodeState { slow: 1.0, ..NodeState::default() }),
-            due: Mutex::new(due),
+            state: Mutex::new(NodeState {
+                copies: Copies::default(),
+                free_at: 0.0,
+                slowdown: 1.0,
+                stopped_until: 0.0,
+                down_until: 0.0,
+                left_at: None,
+                cuts: HashMap::new(),
+                connections: Vec::new(),
+                health_check_guard: FencingGuard::default(),
+                warming_guard: FencingGuard::default(),
+                delayed_health_checks: HashMap::new(),
+                counts: NodeCounts::default(),
+            }),
+            delayed_answers: Mutex::new(sender),
         });
         let own = Arc::clone(&node);
-        spawn(move || own.deliver(&dues));
+        spawn(move || own.send_delayed_answers(&answers));
         Ok((node, listener))
     }
 
-    /// Takes connections, once all nodes are there.
-    pub fn serve(self: &Arc<Node>, listener: TcpListener, others: &NodesByName) {
-        let (own, others) = (Arc::clone(self), Arc::clone(others));
+    /// Accepts connections, once all nodes are there.
+    pub(crate) fn serve(self: &Arc<Node>, listener: TcpListener, nodes: &NodesByName) {
+        let (own, nodes) = (Arc::clone(self), Arc::clone(nodes));
         spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                if own.over.load(Ordering::Relaxed) {
+                if own.is_over() {
                     return;
                 }
-                if own.now() < lock(&own.inner).down_until {
+                if own.now() < lock(&own.state).down_until {
                     continue;
                 }
-                let (own, others, stream) = (Arc::clone(&own), Arc::clone(&others), Arc::new(stream));
-                lock(&own.inner).links.push(Arc::clone(&stream));
+                let (own, nodes, stream) = (Arc::clone(&own), Arc::clone(&nodes), Arc::new(stream));
+                lock(&own.state).connections.push(Arc::clone(&stream));
                 spawn(move || {
                     // A connection that ends in the middle is its peer's matter.
-                    let _ = own.listen(&stream, &others);
+                    let _ = own.answer_requests(&stream, &nodes);
                 });
             }
         });
     }
 
     fn now(&self) -> Seconds {
-        self.begun.elapsed().as_secs_f64()
+        self.started.elapsed().as_secs_f64()
+    }
+
+    fn is_over(&self) -> bool {
+        self.over.load(Ordering::Relaxed)
     }
 
     /// Writes answers when they are due.
-    fn deliver(&self, dues: &Receiver<DelayedAnswer>) {
+    fn send_delayed_answers(&self, answers: &Receiver<DelayedAnswer>) {
         let mut waiting: BTreeMap<(u64, u64), DelayedAnswer> = BTreeMap::new();
-        while !self.over.load(Ordering::Relaxed) {
-            let now = (self.now() * 1e6) as u64;
-            while let Some(due) = waiting.first_entry().filter(|e| e.key().0 <= now) {
-                let due = due.remove();
+        while !self.is_over() {
+            let now_us = (self.now() * 1e6) as u64;
+            while let Some(due) = waiting.first_entry().filter(|entry| entry.key().0 <= now_us) {
+                let answer = due.remove();
                 // A director that has gone needs no answer.
-                let _ = (&*due.to).write_all(&due.bytes);
-            }
-            let next = waiting.keys().next().map_or(50_000, |(at, _)| (at - now).min(50_000));
-            if let Ok(due) = dues.recv_timeout(Duration::from_micros(next)) {
-                waiting.insert(((due.at * 1e6) as u64, due.number), due);
-            }
-        }
-    }
-
-    fn listen(&self, stream: &Arc<TcpStream>, others: &NodesByName) -> io::Result<()> {
-        stream.set_nodelay(true)?;
-        let mut reader = BufReader::new(&**stream);
-        let (mut line, mut number) = (String::new(), 0u64);
-        let lane = (stream.peer_addr()?.port() as u64) << 32;
-        loop {
-            line.clear();
-            if reader.read_line(&mut line)? == 0 || self.over.load(Ordering::Relaxed) {
-                return Ok(());
-            }
-            let request = match PullRequest::parse(&line) {
-                Ok(request) => request,
-                Err(PullRequestError::OtherCommand) => {
-                    let mut words = line.trim_end().split(' ');
-                    if words.next() == Some("METER")
-                        && let Some(answer) = words.next().and_then(|tag| self.answer_health_check(tag))
-                    {
-                        (&**stream).write_all(answer.as_bytes())?;
-                    }
-                    continue;
-                }
-                Err(PullRequestError::Malformed) => return Ok(()),
-            };
-            let id = request.tag;
-            let warms = request.field("duty").and_then(|tag| tag.parse::<HealthCheckTag>().ok());
-            let object = request.object().unwrap_or(0);
-            let director = id.get(..8).and_then(|d| u64::from_str_radix(d, 16).ok()).unwrap_or(0) as usize;
-            // A stopped program reads on when it is continued.
-            let stopped = lock(&self.inner).stopped_until - self.now();
-            if stopped > 0.0 {
-                std::thread::sleep(Duration::from_secs_f64(stopped));
-            }
-            let director = warms.map_or(director, |tag| tag.token.holder.number as usize);
-            let refused = warms.and_then(|tag| self.admit_warming(tag));
-            let done = match refused {
-                Some(_) => PullOutcome::Silence,
-                None => {
-                    let source = request.source().and_then(|name| others.get(name));
-                    self.serve_pull(director, object, source, warms.is_some())
-                }
-            };
-            let (at, word, said, body) = match done {
-                _ if refused.is_some() => {
-                    let newest = refused.unwrap_or(HealthCheckTag { token: Duty::default(), sequence: 0 });
-                    (self.now(), "STALE", format!("newest={newest}"), String::new())
-                }
-                PullOutcome::Copy(at, issued, held) => {
-                    let how = if held { "HIT" } else { "MISS" };
-                    let said = format!("how={how},entity={issued:016x},issued={issued}");
-                    (at, "ACK", said, format!("{issued:016x}"))
-                }
-                PullOutcome::Miss(at) => (at, "NOENT", "-".into(), String::new()),
-                PullOutcome::Full(at) => (at, "AGAIN", "-".into(), String::new()),
-                PullOutcome::Error(at) => (at, "EIO", "-".into(), String::new()),
-                PullOutcome::Silence => (Seconds::INFINITY, "", String::new(), String::new()),
-            };
-            let bytes = format!("{id} {word} {said} {}\r\n{body}\r\n", body.len()).into_bytes();
-            request.skip_body(&mut reader)?;
-            number += 1;
-            if at.is_finite() {
-                let due = DelayedAnswer { at, number: lane | number, to: Arc::clone(stream), bytes };
-                // Its thread ends with the trial.
-                let _ = lock(&self.due).send(due);
-            }
-        }
-    }
-
-    /// A probe. The check of its token and what it does, which is to count here, are one step.
-    fn answer_health_check(&self, text: &str) -> Option<String> {
-        let tag: HealthCheckTag = text.parse().ok()?;
-        let member = tag.token.holder.number as usize;
-        let wait = |inner: &NodeState| {
-            let held = inner.held.get(&member).copied().unwrap_or(0.0);
-            held.max(inner.stopped_until) - self.now()
-        };
-        let late = wait(&lock(&self.inner));
-        if late > 0.0 {
-            std::thread::sleep(Duration::from_secs_f64(late));
-        }
-        let now = self.now();
-        let mut inner = lock(&self.inner);
-        if now < inner.down_until || inner.cuts.get(&member) == Some(&CutDirection::To) {
-            return None;
-        }
-        let refused = inner.gate.admit(tag.token).err().filter(|_| self.gated);
-        inner.probes.push(Probe { at: now, token: tag.token, passed: refused.is_none() });
-        let cut = inner.cuts.contains_key(&member);
-        let busy = ((inner.free_at - now) / MAX_QUEUE_SECONDS).clamp(0.0, 1.0);
-        drop(inner);
-        let said = match refused {
-            Some(old) => {
-                format!(
-                    "{text} STALE newest={} 0\r\n\r\n",
-                    HealthCheckTag { token: old.highest, sequence: 0 }
-                )
-            }
-            None => format!("{text} READY stats=cpu:{busy:.3} 0\r\n\r\n"),
-        };
-        (!cut).then_some(said)
-    }
-
-    /// A request of whoever warms caches: by which token a newer owner does, if one does.
-    fn admit_warming(&self, tag: HealthCheckTag) -> Option<HealthCheckTag> {
-        let mut inner = lock(&self.inner);
-        match inner.warm_gate.admit(tag.token) {
-            Err(old) if self.gated => {
-                inner.warm_refused += 1;
-                Some(HealthCheckTag { token: old.highest, sequence: 0 })
-            }
-            _ => {
-                inner.warmed += 1;
-                None
-            }
-        }
-    }
-
-    /// Probes of these directors arrive when this is over.
-    pub fn delay_health_checks(&self, directors: &[usize], lasts: f64) {
-        let until = self.now() + lasts;
-        lock(&self.inner).held.extend(directors.iter().map(|d| (*d, until)));
-    }
-
-    /// A director's request.
-    fn serve_pull(
-        &self,
-        director: usize,
-        object: u64,
-        source: Option<&Arc<Node>>,
-        warms: bool,
-    ) -> PullOutcome {
-        let now = self.now();
-        let cut = {
-            let mut inner = lock(&self.inner);
-            if inner.cuts.get(&director) == Some(&CutDirection::To) {
-                return PullOutcome::Silence;
+                let _ = (&*answer.stream).write_all(&answer.bytes);
             }
-            inner.senders.insert((now as u32, director));
-            inner.strays += u64::from(inner.gone_from.is_some_and(|from| now > from));
-            inner.cuts.contains_key(&director)
-        };
-        if !warms {
-            let held = self.held(object).is_some();
-            let mut inner = lock(&self.inner);
-            if inner.since.is_some() {
-                inner.fresh.push((now, held));
+            let next_us =
+                waiting.keys().next().map_or(MAX_WAIT_US, |(due_us, _)| (due_us - now_us).min(MAX_WAIT_US));
+            if let Ok(answer) = answers.recv_timeout(Duration::from_micros(next_us)) {
+                waiting.insert(((answer.due * 1e6) as u64, answer.order), answer);
             }
         }
-        // A fill sets out as the request comes, not when the own work is done: what comes to a source in the order of
-        // time is what its line is reckoned by.
-        let done = match self.work(now) {
-            Ok(at) => match (self.held(object), source) {
-                (Some(issued), _) => PullOutcome::Copy(at, issued, true),
-                (None, Some(source)) => match source.fill(now, object) {
-                    Some((filled, issued)) => {
-                        self.keep(object, issued);
-                        PullOutcome::Copy(at.max(filled) + NETWORK_DELAY, issued, false)
-                    }
-                    None => PullOutcome::Error(at),
-                },
-                (None, None) if self.tier == Tier::Origin => PullOutcome::Copy(at, unix_ms(), false),
-                (None, None) => PullOutcome::Miss(at),
-            },
-            Err(done) => done,
-        };
-        if cut { PullOutcome::Silence } else { done }
     }
 
-    /// A fill: from its copies, or from what it fetches at the origin, which is not slow here.
-    fn fill(&self, now: Seconds, object: u64) -> Option<(Seconds, u64)> {
-        let at = self.work(now).ok()?;
-        if let Some(issued) = self.held(object) {
-            return Some((at, issued));
-        }
-        let issued = unix_ms();
-        self.keep(object, issued);
-        Some((at + 0.02, issued))
-    }
-
-    /// Takes its turn in the line; when it is done.
-    fn work(&self, now: Seconds) -> Result<Seconds, PullOutcome> {
-        let mut inner = lock(&self.inner);
-        let tenth = (now * 10.0) as usize;
-        if inner.came.len() <= tenth {
-            inner.came.resize(tenth + 1, 0);
-        }
-        inner.came[tenth] += 1;
-        if now < inner.down_until {
-            return Err(PullOutcome::Error(now + NETWORK_DELAY));
-        }
-        let warmth = inner.since.map_or(1.0, |since| {
-            (SLOW_START_INITIAL_SHARE + (1.0 - SLOW_START_INITIAL_SHARE) * (now - since) / SLOW_START_WINDOW)
-                .min(1.0)
-        });
-        if warmth < 1.0 {
-            let lately: u32 = inner.came[tenth.saturating_sub(9)..].iter().sum();
-            if f64::from(lately) > COLLAPSE_MULTIPLE * warmth * self.capacity {
-                inner.falls += 1;
-                inner.down_until = now + 2.0;
-                return Err(PullOutcome::Error(now + NETWORK_DELAY));
-            }
-        }
-        let begin = now.max(inner.free_at);
-        if begin - now > MAX_QUEUE_SECONDS {
-            return Err(PullOutcome::Full(now + NETWORK_DELAY));
-        }
-        inner.free_at = begin + inner.slow / (self.capacity * warmth);
-        Ok(inner.free_at + NETWORK_DELAY)
-    }
+    // ---- faults ----
 
-    fn held(&self, object: u64) -> Option<u64> {
-        lock(&self.inner).copies.held.get(&object).copied()
+    /// Works so many times longer from now on.
+    pub(crate) fn slow_down(&self, factor: f64) {
+        lock(&self.state).slowdown = factor;
     }
 
-    fn keep(&self, object: u64, issued: u64) {
-        let copies = &mut lock(&self.inner).copies;
-        if copies.held.insert(object, issued).is_none() {
-            copies.line.push_back(object);
-        }
-        while copies.held.len() > self.kept {
-            let Some(first) = copies.line.pop_front() else { return };
-            copies.held.remove(&first);
-        }
-    }
-
-    // ---- what befalls it ----
-
-    pub fn slow_down(&self, by: f64) {
-        lock(&self.inner).slow = by;
+    /// Answers nothing for so many seconds, and goes on with what came meanwhile.
+    pub(crate) fn stop(&self, seconds: f64) {
+        lock(&self.state).stopped_until = self.now() + seconds;
     }
 
-    pub fn stop(&self, lasts: f64) {
-        lock(&self.inner).stopped_until = self.now() + lasts;
-    }
-
-    pub fn cut_off(&self, directors: impl Iterator<Item = usize>, way: Option<CutDirection>) {
-        let mut inner = lock(&self.inner);
+    /// Cuts the links to these directors in one direction; none: they work again.
+    pub(crate) fn set_cut(&self, directors: impl Iterator<Item = usize>, cut: Option<CutDirection>) {
+        let mut state = lock(&self.state);
         for director in directors {
-            match way {
-                Some(cut) => inner.cuts.insert(director, cut),
-                None => inner.cuts.remove(&director),
+            match cut {
+                Some(cut) => state.cuts.insert(director, cut),
+                None => state.cuts.remove(&director),
             };
         }
     }
 
+    /// Health checks of these directors arrive when so many seconds are over.
+    pub(crate) fn delay_health_checks(&self, directors: &[usize], seconds: f64) {
+        let until = self.now() + seconds;
+        lock(&self.state).delayed_health_checks.extend(directors.iter().map(|d| (*d, until)));
+    }
+
     /// Resets all its connections.
-    pub fn reset_connections(&self) {
-        for link in std::mem::take(&mut lock(&self.inner).links) {
+    pub(crate) fn reset_connections(&self) {
+        for connection in std::mem::take(&mut lock(&self.state).connections) {
             // One that has ended is as good.
-            let _ = link.shutdown(Shutdown::Both);
+            let _ = connection.shutdown(Shutdown::Both);
         }
     }
 
-    /// Ends, until it begins anew.
-    pub fn crash(&self) {
-        lock(&self.inner).down_until = Seconds::INFINITY;
+    /// Ends, until it is restarted.
+    pub(crate) fn crash(&self) {
+        lock(&self.state).down_until = Seconds::INFINITY;
         self.reset_connections();
     }
 
-    /// Begins anew, cold and empty; since when, in Unix milliseconds.
-    pub fn restart_cold(&self) -> u64 {
-        let mut inner = lock(&self.inner);
-        inner.copies = Copies::default();
-        (inner.gate, inner.warm_gate) = (FencingGuard::default(), FencingGuard::default());
-        inner.fresh.clear();
-        (inner.since, inner.down_until, inner.gone_from) = (Some(self.now()), 0.0, None);
+    /// Begins anew, cold and empty. Returns when, in Unix milliseconds.
+    pub(crate) fn restart_cold(&self) -> u64 {
+        let mut state = lock(&self.state);
+        state.copies = Copies::default();
+        state.health_check_guard = FencingGuard::default();
+        state.warming_guard = FencingGuard::default();
+        state.down_until = 0.0;
+        state.left_at = None;
+        state.counts.after_restart.clear();
+        state.counts.cold_since = Some(self.now());
         unix_ms()
     }
 
-    /// After this grace nothing new is to come.
-    pub fn leave(&self, grace: f64) {
-        lock(&self.inner).gone_from = Some(self.now() + grace);
+    /// It has left the list: nothing is to come after so many seconds.
+    pub(crate) fn leave(&self, grace: f64) {
+        lock(&self.state).left_at = Some(self.now() + grace);
     }
 
-    pub fn counts(&self) -> NodeCounts {
-        let inner = lock(&self.inner);
-        NodeCounts {
-            came: inner.came.clone(),
-            senders: inner.senders.clone(),
-            since: inner.since,
-            falls: inner.falls,
-            strays: inner.strays,
-            probes: inner.probes.clone(),
-            warmed: inner.warmed,
-            warm_refused: inner.warm_refused,
-            fresh: inner.fresh.clone(),
-        }
+    /// What it has counted up to now.
+    pub(crate) fn counts(&self) -> NodeCounts {
+        lock(&self.state).counts.clone()
     }
 }
--- a/crates/testbed/src/fleet/report.rs
+++ b/crates/testbed/src/fleet/report.rs
@@ -1,307 +1,435 @@
-//! What a trial came to: how even each tier's load was, what each fault did to the others, what became of lookups.
+//! The result of a fleet trial: how even each tier's load was, what each fault did to the other nodes, how lookups ended.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-use super::coordination_watch::CoordinationReport;
+use super::coordination_report::CoordinationReport;
 use super::load::ClientTally;
-use super::node::{NodeCounts, Tier};
+use super::node::{NodeCounts, SLOW_START_WINDOW, SenderInSecond, Tier};
 use super::settings::Trial;
 use crate::trial_report::{Chart, TrialReport};
 
-/// Seconds of a window in which load is to be even.
+/// The length of a window in which load is to be even.
 const EVENNESS_WINDOW_SECONDS: usize = 5;
 /// Load counts as even again at this multiple of the fair share.
 const EVEN_RATIO: f64 = 1.5;
+const TENTHS_PER_SECOND: usize = 10;
+/// If this program itself was woken so much too late, the machine was too busy to judge by.
+const BUSY_MACHINE_DELAY: f64 = 0.1;
 
-/// One node's count, with what it can do.
-pub struct Node {
-    pub name: String,
-    pub tier: Tier,
-    pub capacity: f64,
-    pub counted: NodeCounts,
+/// A node's counts, with its capacity.
+pub(crate) struct NodeOutcome {
+    pub(crate) name: String,
+    pub(crate) tier: Tier,
+    pub(crate) capacity: f64,
+    pub(crate) counts: NodeCounts,
 }
 
-/// How even a tier was: what each node got over its fair share, which goes by what it can do.
+/// How even the load of a tier was in a window: what each node got over its fair share, which goes by its capacity.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Evenness {
+    /// The first second.
     pub from: usize,
+    /// Which tier.
     pub tier: Tier,
+    /// The largest load over the fair share.
     pub most: f64,
+    /// The node that had it.
     pub most_at: String,
+    /// The smallest load over the fair share.
     pub least: f64,
+    /// The node that had it.
     pub least_at: String,
-    /// What all of the tier got over what all can do.
+    /// The load of the tier over its capacity.
     pub load: f64,
     /// Whether no fault lay in it or shortly before it.
     pub calm: bool,
 }
 
-/// What a fault did to those that it did not strike.
+/// What a fault did to the nodes that it did not strike.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FaultAftermath {
+    /// The kind of the fault.
     pub what: String,
+    /// When it began, in seconds.
     pub at: f64,
-    /// In the second after it: the most over the fair share.
+    /// The largest load over the fair share in the second after that.
     pub next_second: f64,
-    /// Seconds from its end until the load of all that are up was even for two seconds; none: not before the end.
+    /// Seconds from its end until the load of all nodes that are up was even for two seconds; none: not before the end.
     pub even_after: Option<f64>,
 }
 
+/// The result of a fleet trial.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Report {
+    /// The settings.
     pub trial: Trial,
+    /// All lookups.
     pub total: ClientTally,
+    /// Lookups by the second in which they were sent.
     pub seconds: Vec<ClientTally>,
+    /// The evenness of the load, by window and tier.
     pub windows: Vec<Evenness>,
+    /// What the faults did to other nodes.
     pub aftermath: Vec<FaultAftermath>,
-    /// The most directors that began to send to one node within a second, part of all; the mean over nodes.
-    pub herd_most: f64,
+    /// The largest share of directors that began to send to one cache within a second.
+    #[serde(rename = "herd_most")]
+    pub herd_max: f64,
+    /// The same on average.
     pub herd_mean: f64,
-    /// Part of all seconds of nodes that were up in which nothing came.
-    pub idle: f64,
-    pub falls: u64,
-    pub strays: u64,
-    /// Directors that ended by themselves.
-    pub ended: usize,
-    /// Seconds by which the trial itself was woken late at most: over a tenth, and the machine was too busy to judge by.
-    pub late: f64,
-    /// By node, what came in each second.
-    pub came: BTreeMap<String, Vec<u32>>,
-    /// What duties came to, where the trial had them.
-    pub watched: Option<CoordinationReport>,
+    /// The share of seconds of nodes that were up in which no request came.
+    #[serde(rename = "idle")]
+    pub idle_share: f64,
+    /// Cold nodes that collapsed under their load.
+    #[serde(rename = "falls")]
+    pub collapses: u64,
+    /// Requests to nodes that had left, after the grace.
+    #[serde(rename = "strays")]
+    pub stray_requests: u64,
+    /// Directors that exited by themselves.
+    #[serde(rename = "ended")]
+    pub exited_directors: usize,
+    /// Seconds by which the trial itself was woken too late at most: over a tenth, and the machine was too busy to judge
+    /// by.
+    #[serde(rename = "late")]
+    pub max_wake_delay: f64,
+    /// The requests of each second, by node.
+    #[serde(rename = "came")]
+    pub requests: BTreeMap<String, Vec<u32>>,
+    /// The figures of coordination, where the trial had it.
+    #[serde(rename = "watched")]
+    pub coordination: Option<CoordinationReport>,
 }
 
-/// A fault as it was carried out: its name, the nodes that it struck, from when until when.
-pub struct FaultWindow {
-    pub what: String,
-    pub nodes: Vec<String>,
-    pub from: f64,
-    pub to: f64,
+/// A fault as it was carried out. Times are in seconds from the start of the load.
+pub(crate) struct FaultWindow {
+    pub(crate) what: String,
+    /// The nodes that it struck.
+    pub(crate) nodes: Vec<String>,
+    pub(crate) from: f64,
+    pub(crate) to: f64,
 }
 
-impl Report {
-    pub fn of(
-        trial: &Trial,
-        nodes: &[Node],
-        clients: &[Vec<ClientTally>],
-        struck: &[FaultWindow],
-        (ended, late): (usize, f64),
-    ) -> Report {
-        let seconds = trial.seconds as usize;
-        let mut by_second = vec![ClientTally::default(); seconds];
-        let mut total = ClientTally::default();
-        for (at, tally) in clients.iter().flat_map(|c| c.iter().enumerate()) {
-            total.add(tally);
-            if let Some(second) = by_second.get_mut(at) {
-                second.add(tally);
+/// What a trial counted, from which its report is made.
+pub(crate) struct TrialOutcome<'a> {
+    pub(crate) trial: &'a Trial,
+    pub(crate) nodes: &'a [NodeOutcome],
+    /// By director, then by second.
+    pub(crate) clients: &'a [Vec<ClientTally>],
+    pub(crate) faults: &'a [FaultWindow],
+    pub(crate) exited_directors: usize,
+    pub(crate) max_wake_delay: f64,
+    pub(crate) coordination: Option<CoordinationReport>,
+}
+
+impl NodeOutcome {
+    /// Requests from one second to another.
+    fn requests(&self, from: usize, to: usize) -> u32 {
+        let tenths = &self.counts.requests;
+        let place = |second: usize| (TENTHS_PER_SECOND * second).min(tenths.len());
+        tenths[place(from)..place(to)].iter().sum()
+    }
+
+    fn requests_by_second(&self, seconds: usize) -> Vec<u32> {
+        (0..seconds).map(|second| self.requests(second, second + 1)).collect()
+    }
+
+    /// By second, how many directors sent something that had sent nothing in the second before.
+    fn new_senders(&self, seconds: usize) -> Vec<u32> {
+        let senders = &self.counts.senders;
+        let mut new = vec![0u32; seconds];
+        for SenderInSecond { second, director } in senders {
+            let before = second.checked_sub(1).map(|second| SenderInSecond { second, director: *director });
+            let is_new = before.is_none_or(|before| !senders.contains(&before));
+            if let Some(count) = new.get_mut(*second as usize) {
+                *count += u32::from(is_new);
             }
         }
-        let came = |n: &Node, from: usize, to: usize| -> u32 {
-            let tenths = &n.counted.came;
-            tenths[(10 * from).min(tenths.len())..(10 * to).min(tenths.len())].iter().sum()
-        };
-        let out = |n: &Node, from: f64, to: f64| {
-            let cold = n.counted.since.is_some_and(|s| s + super::node::SLOW_START_WINDOW > from);
-            cold || struck.iter().any(|s| s.nodes.contains(&n.name) && s.from < to && s.to > from)
-        };
-        let even = |tier: Tier, from: usize, to: usize| -> Option<Evenness> {
-            let up: Vec<&Node> =
-                nodes.iter().filter(|n| n.tier == tier && !out(n, from as f64, to as f64)).collect();
-            let got: u32 = up.iter().map(|n| came(n, from, to)).sum();
-            let can: f64 = up.iter().map(|n| n.capacity).sum();
-            let over = |n: &Node| f64::from(came(n, from, to)) / n.capacity * can / f64::from(got.max(1));
-            let by = |a: &&&Node, b: &&&Node| over(a).total_cmp(&over(b));
-            let (most, least) = (up.iter().max_by(by)?, up.iter().min_by(by)?);
-            let calm = struck
+        new
+    }
+}
+
+impl TrialOutcome<'_> {
+    fn seconds(&self) -> usize {
+        self.trial.seconds as usize
+    }
+
+    fn warm_up(&self) -> usize {
+        self.trial.warm_up as usize
+    }
+
+    fn tally_by_second(&self) -> Vec<ClientTally> {
+        let mut by_second = vec![ClientTally::default(); self.seconds()];
+        for (second, tally) in self.clients.iter().flat_map(|client| client.iter().enumerate()) {
+            if let Some(sum) = by_second.get_mut(second) {
+                sum.add(tally);
+            }
+        }
+        by_second
+    }
+
+    fn total(&self) -> ClientTally {
+        let mut total = ClientTally::default();
+        self.clients.iter().flatten().for_each(|tally| total.add(tally));
+        total
+    }
+
+    /// Whether a node was cold or struck by a fault in this time.
+    fn is_disturbed(&self, node: &NodeOutcome, from: f64, to: f64) -> bool {
+        let is_cold = node.counts.cold_since.is_some_and(|since| since + SLOW_START_WINDOW > from);
+        is_cold
+            || self
+                .faults
                 .iter()
-                .all(|s| s.from >= to as f64 || s.to + EVENNESS_WINDOW_SECONDS as f64 <= from as f64);
-            Some(Evenness {
-                from,
-                tier,
-                most: over(most),
-                most_at: most.name.clone(),
-                least: over(least),
-                least_at: least.name.clone(),
-                load: f64::from(got) / can / (to - from) as f64,
-                calm,
-            })
+                .any(|fault| fault.nodes.contains(&node.name) && fault.from < to && fault.to > from)
+    }
+
+    /// How even the load of the undisturbed nodes of a tier was; none if there are none.
+    fn evenness(&self, tier: Tier, from: usize, to: usize) -> Option<Evenness> {
+        let is_meant =
+            |node: &&NodeOutcome| node.tier == tier && !self.is_disturbed(node, from as f64, to as f64);
+        let nodes: Vec<&NodeOutcome> = self.nodes.iter().filter(is_meant).collect();
+        let requests: u32 = nodes.iter().map(|node| node.requests(from, to)).sum();
+        let capacity: f64 = nodes.iter().map(|node| node.capacity).sum();
+        let over_share = |node: &NodeOutcome| {
+            f64::from(node.requests(from, to)) / node.capacity * capacity / f64::from(requests.max(1))
+        };
+        let by_share = |a: &&&NodeOutcome, b: &&&NodeOutcome| over_share(a).total_cmp(&over_share(b));
+        let (most, least) = (nodes.iter().max_by(by_share)?, nodes.iter().min_by(by_share)?);
+        let is_clear = |fault: &FaultWindow| {
+            fault.from >= to as f64 || fault.to + EVENNESS_WINDOW_SECONDS as f64 <= from as f64
         };
-        let starts = (trial.warm_up as usize..seconds)
-            .step_by(EVENNESS_WINDOW_SECONDS)
-            .filter(|s| s + EVENNESS_WINDOW_SECONDS <= seconds);
-        let windows = starts
-            .flat_map(|s| [Tier::Cache, Tier::Parent].map(|t| even(t, s, s + EVENNESS_WINDOW_SECONDS)))
+        Some(Evenness {
+            from,
+            tier,
+            most: over_share(most),
+            most_at: most.name.clone(),
+            least: over_share(least),
+            least_at: least.name.clone(),
+            load: f64::from(requests) / capacity / (to - from) as f64,
+            calm: self.faults.iter().all(is_clear),
+        })
+    }
+
+    fn windows(&self) -> Vec<Evenness> {
+        let starts = (self.warm_up()..self.seconds()).step_by(EVENNESS_WINDOW_SECONDS);
+        starts
+            .map(|from| (from, from + EVENNESS_WINDOW_SECONDS))
+            .filter(|(_, to)| *to <= self.seconds())
+            .flat_map(|(from, to)| [Tier::Cache, Tier::Parent].map(|tier| self.evenness(tier, from, to)))
             .flatten()
-            .collect();
-        let most_in = |from: usize| even(Tier::Cache, from, from + 1).map_or(0.0, |e| e.most);
-        let aftermath = struck.iter().map(|s| {
-            let end = s.to.ceil() as usize;
-            let again = (end..seconds.saturating_sub(1))
-                .find(|&at| most_in(at) <= EVEN_RATIO && most_in(at + 1) <= EVEN_RATIO);
-            FaultAftermath {
-                what: s.what.clone(),
-                at: s.from,
-                next_second: most_in(s.from.ceil() as usize),
-                even_after: again.map(|at| at as f64 - s.to),
-            }
-        });
-        let aftermath = aftermath.collect();
-        let mut fresh = Vec::new();
-        for n in nodes.iter().filter(|n| n.tier == Tier::Cache) {
-            let mut new = vec![0u32; seconds];
-            for (second, director) in &n.counted.senders {
-                let before =
-                    second.checked_sub(1).is_some_and(|s| n.counted.senders.contains(&(s, *director)));
-                if let Some(count) = new.get_mut(*second as usize) {
-                    *count += u32::from(!before);
-                }
-            }
-            fresh
-                .extend(new[trial.warm_up as usize..].iter().map(|c| f64::from(*c) / trial.directors as f64));
+            .collect()
+    }
+
+    /// The largest load of a cache over its fair share in a second.
+    fn max_over_share(&self, second: usize) -> f64 {
+        self.evenness(Tier::Cache, second, second + 1).map_or(0.0, |evenness| evenness.most)
+    }
+
+    fn aftermath(&self, fault: &FaultWindow) -> FaultAftermath {
+        let end = fault.to.ceil() as usize;
+        let is_even = |second: usize| self.max_over_share(second) <= EVEN_RATIO;
+        let even_at =
+            (end..self.seconds().saturating_sub(1)).find(|&second| is_even(second) && is_even(second + 1));
+        FaultAftermath {
+            what: fault.what.clone(),
+            at: fault.from,
+            next_second: self.max_over_share(fault.from.ceil() as usize),
+            even_after: even_at.map(|second| second as f64 - fault.to),
         }
-        let up = |n: &&Node, s: usize| !out(n, s as f64, s as f64 + 1.0);
-        let looked = (trial.warm_up as usize..seconds).flat_map(|s| {
-            nodes.iter().filter(move |n| n.tier != Tier::Origin && up(n, s)).map(move |n| came(n, s, s + 1))
-        });
+    }
+
+    /// For each cache and second, the share of directors that began to send to it.
+    fn new_sender_shares(&self) -> Vec<f64> {
+        let caches = self.nodes.iter().filter(|node| node.tier == Tier::Cache);
+        let directors = self.trial.directors as f64;
+        caches
+            .flat_map(|cache| cache.new_senders(self.seconds()).split_off(self.warm_up()))
+            .map(|new| f64::from(new) / directors)
+            .collect()
+    }
+
+    /// The share of seconds of undisturbed caches and parents in which no request came.
+    fn idle_share(&self) -> f64 {
         let (mut idle, mut all) = (0u32, 0u32);
-        for count in looked {
-            idle += u32::from(count == 0);
-            all += 1;
+        for second in self.warm_up()..self.seconds() {
+            let (from, to) = (second as f64, second as f64 + 1.0);
+            let nodes = self.nodes.iter().filter(|node| node.tier != Tier::Origin);
+            for node in nodes.filter(|node| !self.is_disturbed(node, from, to)) {
+                idle += u32::from(node.requests(second, second + 1) == 0);
+                all += 1;
+            }
         }
+        f64::from(idle) / f64::from(all.max(1))
+    }
+}
+
+impl Report {
+    pub(crate) fn new(outcome: TrialOutcome) -> Report {
+        let new_senders = outcome.new_sender_shares();
+        let nodes = outcome.nodes;
+        let requests_by_second =
+            |node: &NodeOutcome| (node.name.clone(), node.requests_by_second(outcome.seconds()));
         Report {
-            trial: trial.clone(),
-            total,
-            windows,
-            aftermath,
-            herd_most: fresh.iter().copied().fold(0.0, f64::max),
-            herd_mean: fresh.iter().sum::<f64>() / fresh.len().max(1) as f64,
-            idle: f64::from(idle) / f64::from(all.max(1)),
-            falls: nodes.iter().map(|n| n.counted.falls).sum(),
-            strays: nodes.iter().map(|n| n.counted.strays).sum(),
-            ended,
-            late,
-            came: nodes
-                .iter()
-                .map(|n| (n.name.clone(), (0..seconds).map(|s| came(n, s, s + 1)).collect()))
-                .collect(),
-            seconds: by_second,
-            watched: None,
+            trial: outcome.trial.clone(),
+            total: outcome.total(),
+            seconds: outcome.tally_by_second(),
+            windows: outcome.windows(),
+            aftermath: outcome.faults.iter().map(|fault| outcome.aftermath(fault)).collect(),
+            herd_max: new_senders.iter().copied().fold(0.0, f64::max),
+            herd_mean: new_senders.iter().sum::<f64>() / new_senders.len().max(1) as f64,
+            idle_share: outcome.idle_share(),
+            collapses: nodes.iter().map(|node| node.counts.collapses).sum(),
+            stray_requests: nodes.iter().map(|node| node.counts.stray_requests).sum(),
+            exited_directors: outcome.exited_directors,
+            max_wake_delay: outcome.max_wake_delay,
+            requests: nodes.iter().map(requests_by_second).collect(),
+            coordination: outcome.coordination,
         }
     }
-}
 
-impl TrialReport for Report {
-    fn violations(&self) -> Vec<String> {
-        let mut found = Vec::new();
-        let mut none = |what: &str, n: u64| {
-            if n > 0 {
-                found.push(format!("{what}: {n}"));
-            }
+    /// Windows whose load is to be even.
+    fn uneven_windows(&self) -> Vec<String> {
+        let describe = |window: &Evenness, node: &str, share: f64| {
+            format!("{:?} {node} got {share:.2} of its share from {} s", window.tier, window.from)
         };
-        none("lookups without an answer", self.total.lost);
-        none("answers that were not asked for, or second ones", self.total.strange);
-        none("cold nodes that were pushed over", self.falls);
-        none("requests to nodes that had left, after the grace", self.strays);
-        none("directors that ended by themselves", self.ended as u64);
-        for w in self.windows.iter().filter(|w| w.calm) {
-            if w.most > self.trial.most {
-                found.push(format!(
-                    "{:?} {} got {:.2} of its share from {} s",
-                    w.tier, w.most_at, w.most, w.from
-                ));
+        let mut found = Vec::new();
+        for window in self.windows.iter().filter(|window| window.calm) {
+            if window.most > self.trial.most {
+                found.push(describe(window, &window.most_at, window.most));
             }
-            if w.least < self.trial.least {
-                found.push(format!(
-                    "{:?} {} got {:.2} of its share from {} s",
-                    w.tier, w.least_at, w.least, w.from
-                ));
+            if window.least < self.trial.least {
+                found.push(describe(window, &window.least_at, window.least));
             }
         }
-        if let (Some(w), Some(d)) = (&self.watched, &self.trial.duties) {
-            found.extend(w.violations(d));
-        }
-        let owed = (self.total.asked - self.total.excused).max(1);
-        let part = self.total.satisfied as f64 / owed as f64;
-        if part < self.trial.satisfied {
-            found.push(format!("satisfied {part:.3} of all lookups, of {:.3}", self.trial.satisfied));
-        }
         found
     }
 
-    fn title(&self) -> String {
-        format!("{}: {} directors, {} lookups", self.trial.name, self.trial.directors, self.total.asked)
+    /// The requests of each node whose name begins so.
+    fn curves(&self, prefix: &str) -> Vec<Vec<u64>> {
+        let nodes = self.requests.iter().filter(|(name, _)| name.starts_with(prefix));
+        nodes.map(|(_, requests)| requests.iter().map(|count| u64::from(*count)).collect()).collect()
     }
 
-    /// What came to each node by second, and what was satisfied.
-    fn charts(&self) -> Vec<Chart> {
-        let named = |with: &str| -> Vec<Vec<u64>> {
-            let of = self.came.iter().filter(|(name, _)| name.starts_with(with));
-            of.map(|(_, s)| s.iter().map(|n| u64::from(*n)).collect()).collect()
-        };
-        let lookups: [fn(&ClientTally) -> u64; 3] = [|t| t.asked, |t| t.satisfied, |t| t.nacked];
-        let ends = lookups.map(|of| self.seconds.iter().map(of).collect()).to_vec();
-        let panel = |name, curves| Chart { name, curves, line: None };
-        vec![
-            panel("requests a second at each cache", named("cache")),
-            panel("requests a second at each parent", named("parent")),
-            panel("lookups a second: asked, satisfied, nacked", ends),
-        ]
-    }
-}
-
-impl fmt::Display for Report {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (t, e) = (&self.total, &self.trial);
+    fn write_lookups(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let (total, trial) = (&self.total, &self.trial);
         writeln!(
             f,
             "{}: {} directors, {} caches, {} parents, seed {}",
-            e.name, e.directors, e.caches, e.parents, e.seed
+            trial.name, trial.directors, trial.caches, trial.parents, trial.seed
         )?;
         writeln!(
             f,
-            "lookups {}: satisfied {} ({} late), nacked {}, failed {}, excused {}, lost {}, strange {}",
-            t.asked, t.satisfied, t.late, t.nacked, t.failed, t.excused, t.lost, t.strange
-        )?;
+            "lookups {}: satisfied {} ({} late), rejected {}, failed {}, excused {}, unanswered {}, unexpected {}",
+            total.asked,
+            total.satisfied,
+            total.late,
+            total.rejected,
+            total.failed,
+            total.excused,
+            total.unanswered,
+            total.unexpected
+        )
+    }
+
+    fn write_windows(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "window     tier     load   most over share       least over share")?;
-        for w in &self.windows {
+        for window in &self.windows {
             writeln!(
                 f,
                 "{:>3} to {:>3} {:<8} {:>5.2}   {:>5.2} {:<12}    {:>5.2} {:<12} {}",
-                w.from,
-                w.from + EVENNESS_WINDOW_SECONDS,
-                format!("{:?}", w.tier).to_lowercase(),
-                w.load,
-                w.most,
-                w.most_at,
-                w.least,
-                w.least_at,
-                if w.calm { "" } else { "fault" }
+                window.from,
+                window.from + EVENNESS_WINDOW_SECONDS,
+                format!("{:?}", window.tier).to_lowercase(),
+                window.load,
+                window.most,
+                window.most_at,
+                window.least,
+                window.least_at,
+                if window.calm { "" } else { "fault" }
             )?;
         }
-        for a in &self.aftermath {
-            let again = a.even_after.map_or("not again".into(), |s| format!("after {s:.1} s"));
+        Ok(())
+    }
+
+    fn write_aftermath(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        for after in &self.aftermath {
+            let again = after.even_after.map_or("not again".into(), |s| format!("after {s:.1} s"));
             writeln!(
                 f,
                 "{:>6.1} s {}: the others' most over share in the next second {:.2}; even {again}",
-                a.at, a.what, a.next_second
+                after.at, after.what, after.next_second
             )?;
         }
+        Ok(())
+    }
+}
+
+impl TrialReport for Report {
+    fn violations(&self) -> Vec<String> {
+        let must_be_zero = [
+            ("lookups without an answer", self.total.unanswered),
+            ("answers that were not asked for, or second ones", self.total.unexpected),
+            ("cold nodes that collapsed", self.collapses),
+            ("requests to nodes that had left, after the grace", self.stray_requests),
+            ("directors that exited by themselves", self.exited_directors as u64),
+        ];
+        let found = must_be_zero.iter().filter(|(_, count)| *count > 0);
+        let mut violations: Vec<String> = found.map(|(what, count)| format!("{what}: {count}")).collect();
+        violations.extend(self.uneven_windows());
+        if let (Some(report), Some(settings)) = (&self.coordination, &self.trial.duties) {
+            violations.extend(report.violations(settings));
+        }
+        let owed = (self.total.asked - self.total.excused).max(1);
+        let share = self.total.satisfied as f64 / owed as f64;
+        if share < self.trial.satisfied {
+            violations.push(format!("satisfied {share:.3} of all lookups, of {:.3}", self.trial.satisfied));
+        }
+        violations
+    }
+
+    fn title(&self) -> String {
+        format!("{}: {} directors, {} lookups", self.trial.name, self.trial.directors, self.total.asked)
+    }
+
+    /// The requests of each node by second, and how lookups ended.
+    fn charts(&self) -> Vec<Chart> {
+        let fields: [fn(&ClientTally) -> u64; 3] =
+            [|tally| tally.asked, |tally| tally.satisfied, |tally| tally.rejected];
+        let lookups = fields.map(|field| self.seconds.iter().map(field).collect()).to_vec();
+        let chart = |name, curves| Chart { name, curves, line: None };
+        vec![
+            chart("requests a second at each cache", self.curves("cache")),
+            chart("requests a second at each parent", self.curves("parent")),
+            chart("lookups a second: asked, satisfied, rejected", lookups),
+        ]
+    }
+}
+
+impl fmt::Display for Report {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.write_lookups(f)?;
+        self.write_windows(f)?;
+        self.write_aftermath(f)?;
         writeln!(
             f,
             "new senders at a cache within a second, part of all directors: most {:.2}, mean {:.2}; idle seconds of nodes {:.4}",
-            self.herd_most, self.herd_mean, self.idle
+            self.herd_max, self.herd_mean, self.idle_share
         )?;
-        if self.late > 0.1 {
-            writeln!(f, "the machine was too busy: this program was woken {:.2} s late", self.late)?;
+        if self.max_wake_delay > BUSY_MACHINE_DELAY {
+            writeln!(
+                f,
+                "the machine was too busy: this program was woken {:.2} s late",
+                self.max_wake_delay
+            )?;
         }
-        if let Some(w) = &self.watched {
-            write!(f, "{w}")?;
+        if let Some(report) = &self.coordination {
+            write!(f, "{report}")?;
         }
-        for breach in self.violations() {
-            writeln!(f, "NOT WELL {breach}")?;
+        for violation in self.violations() {
+            writeln!(f, "NOT WELL {violation}")?;
         }
         Ok(())
     }
--- a/crates/testbed/src/fleet/settings.rs
+++ b/crates/testbed/src/fleet/settings.rs
@@ -1,7 +1,7 @@
-//! A trial of a fleet, from its settings file.
+//! The settings of a fleet trial.
 
 use garde::Validate;
-use sablecross_sexpr_config::ConfigError as Flaw;
+use sablecross_sexpr_config::ConfigError;
 use serde::{Deserialize, Serialize};
 
 use crate::settings::parse_single_form;
@@ -12,50 +12,58 @@
     Fleet(#[garde(dive)] Trial),
 }
 
-/// What befalls the fleet.
+/// A kind of fault. Its name is part of reports.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Caches, or parents, fall silent and go on after it with what came meanwhile.
+    /// Caches answer nothing, and go on afterwards with what came meanwhile.
     StopCaches,
+    /// The same for parents.
     StopParents,
-    /// They take `by` times as long.
+    /// Caches work `by` times longer.
     SlowCaches,
+    /// The same for parents.
     SlowParents,
-    /// They end: connections are reset, new ones are closed, and they begin anew, cold and empty, with a new start
+    /// Caches crash: connections are reset, new ones are closed, and they begin anew, cold and empty, with a new start
     /// in the list.
     CrashCaches,
-    /// `of` the directors reach one cache no more: what they send is lost on its way, or what it answers is.
+    /// What a share of the directors sends to one cache is lost.
     CutTo,
+    /// What one cache answers a share of the directors is lost.
     CutFrom,
-    /// All connections to some caches are reset under what is open on them.
+    /// All connections to some caches are reset.
     Reset,
     /// Directors are stopped (SIGSTOP) and continued.
     StopDirectors,
-    /// Directors are killed at once and started anew, with no memory.
+    /// Directors are killed and started again, with no memory.
     KillDirectors,
-    /// The same for some of the voters, and for whoever deals chores now.
+    /// Voters are stopped and continued.
     StopVoters,
+    /// Voters are killed and started again.
     KillVoters,
+    /// The holder of the assignment of health-check targets is stopped and continued.
     StopOwner,
+    /// It is killed and started again.
     KillOwner,
-    /// Whoever drives changes of the hierarchy.
+    /// The holder of the hierarchy role is stopped and continued.
     StopDriver,
+    /// It is killed and started again.
     KillDriver,
-    /// What some members ask one voter is held up, or what it answers them, and arrives late.
+    /// What some members send to one voter is held back and arrives late.
     HoldTo,
+    /// What one voter answers some members is held back and arrives late.
     HoldFrom,
     /// A minority of the voters and all others are cut off from one another.
     Part,
     /// All connections between some members and the voters are reset.
     ResetWays,
-    /// Probes of some directors are held up on their way to the boxes, and arrive late.
+    /// Health checks of some directors are delayed on their way to the nodes.
     HoldProbes,
 }
 
 impl FaultKind {
-    /// Those that are drawn in rounds.
-    pub const DRAWN: [FaultKind; 13] = [
+    /// The kinds that are drawn in rounds; their order belongs to what a seed stands for.
+    pub(crate) const DRAWN: [FaultKind; 13] = [
         FaultKind::StopDriver,
         FaultKind::KillDriver,
         FaultKind::StopOwner,
@@ -71,6 +79,7 @@
         FaultKind::KillDirectors,
     ];
 
+    /// Whether it strikes voters, holders or their links.
     fn needs_coordination(self) -> bool {
         !matches!(
             self,
@@ -88,43 +97,49 @@
     }
 }
 
-/// Duties on behalf of the fleet, where the trial has them.
+/// Coordination between the directors of a trial.
+///
+/// Fields with bounds are named as their keys: an error finds the key in the file by the name of the field.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct CoordinationTrial {
-    /// The first so many directors vote.
+    /// The number of voters, which are the first directors.
     #[garde(range(min = 1, max = 15))]
     pub voters: usize,
+    /// How long a lease is granted for.
     #[garde(range(min = 100, max = 60_000))]
     pub lease_ms: u64,
+    /// The interval of heartbeats.
     #[garde(range(min = 50, max = 10_000))]
     pub beat_ms: u64,
+    /// The interval between two health checks of one node.
     #[garde(range(min = 100, max = 60_000))]
     pub probe_ms: u64,
-    /// Rounds of faults drawn by the seed, one to three at once, after the faults of the file; each lasts so many seconds, its
-    /// faults half of that at most.
+    /// The number of rounds of one to three faults that the seed draws, after the faults of the file.
     #[garde(range(max = 10_000))]
     #[serde(default)]
     pub rounds: usize,
+    /// The length of a round in seconds; its faults last half of that at most.
     #[garde(range(min = 1.0, max = 600.0))]
     #[serde(default = "round_s")]
     pub round_s: f64,
-    /// Whether fresh caches are warmed.
+    /// Whether restarted caches are warmed.
     #[garde(skip)]
     #[serde(default)]
     pub warming: bool,
-    /// Every so many seconds another shape of the hierarchy is wished for; 0: never.
+    /// Seconds between two proposals of another shape of the hierarchy; 0: none is proposed.
     #[garde(range(min = 0.0, max = 3600.0))]
     #[serde(default)]
     pub change_s: f64,
-    /// The longest pause between probes of one box that is well, in seconds, and the most in a second beside the usual.
+    /// The longest pause between health checks of a node that no fault strikes, in seconds.
     #[garde(range(min = 0.0, max = 600.0))]
     #[serde(default = "gap")]
     pub gap_s: f64,
+    /// The most health checks of a node in a second, over the usual number.
     #[garde(range(min = 1.0, max = 100.0))]
     #[serde(default = "burst")]
     pub burst: f64,
-    /// Without the gate at the boxes: what old owners do then counts, and a trial without one is to show it.
+    /// Nodes accept effects of old holders too, which a trial then has to show.
     #[garde(skip)]
     #[serde(default)]
     pub no_gate: bool,
@@ -142,92 +157,109 @@
     100.0
 }
 
+/// A fault of a trial.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Fault {
+    /// What kind.
     #[garde(skip)]
     pub kind: FaultKind,
-    /// Seconds from the start of the load, and how long it lasts.
+    /// Seconds from the start of the load.
     #[garde(range(min = 0.0, max = 3600.0))]
     pub at: f64,
+    /// How many seconds it lasts.
     #[garde(range(min = 0.0, max = 600.0))]
     #[serde(default = "second")]
     pub lasts: f64,
-    /// The part of the caches, parents or directors that it strikes: one at least.
+    /// The share of the caches, parents or directors that it strikes: one at least.
     #[garde(range(min = 0.0, max = 1.0))]
     #[serde(default)]
     pub of: f64,
+    /// How many times longer slowed nodes work.
     #[garde(range(min = 1.0, max = 100.0))]
     #[serde(default = "second")]
     pub by: f64,
 }
 
+/// A fleet trial.
+///
+/// Fields with bounds are named as their keys: an error finds the key in the file by the name of the field.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Trial {
+    /// What the report is headed with.
     #[garde(length(min = 1, max = 40))]
     pub name: String,
+    /// The seed of all that is drawn: speeds, lookups, faults.
     #[garde(skip)]
     #[serde(default)]
     pub seed: u64,
+    /// How long the load lasts.
     #[garde(range(min = 2, max = 3600))]
     pub seconds: u64,
-    /// How much of its start is left out of the figures on even load.
+    /// How many seconds at its start are left out of the figures on even load.
     #[garde(range(max = 600))]
     #[serde(default = "warm_up")]
     pub warm_up: u64,
+    /// The number of directors.
     #[garde(range(min = 1, max = 400))]
     pub directors: usize,
+    /// The number of caches.
     #[garde(range(min = 1, max = 200))]
     pub caches: usize,
+    /// The number of parents.
     #[garde(range(min = 1, max = 64))]
     pub parents: usize,
-    /// Lookups a second of all clients together, and objects that they ask for.
+    /// Lookups a second of all clients together.
     #[garde(range(min = 1.0, max = 20_000.0))]
     pub rate: f64,
+    /// The number of objects that they ask for.
     #[garde(range(min = 1, max = 10_000_000))]
     pub objects: u64,
-    /// Copies that a cache keeps; a parent keeps four times as many.
+    /// How many copies a cache keeps; a parent keeps four times as many.
     #[garde(range(min = 1, max = 1_000_000))]
     pub kept: usize,
-    /// The part of their capacity that caches, and parents, are asked for, if caches answer `hits` themselves.
+    /// The load of caches and parents over their capacity, if caches answer `hits` themselves.
     #[garde(range(min = 0.05, max = 2.0))]
     #[serde(default = "six_tenths")]
     pub load: f64,
+    /// The hit ratio of caches that capacities assume.
     #[garde(range(min = 0.0, max = 0.99))]
     #[serde(default = "half")]
     pub hits: f64,
-    /// One in ten directors gets so many times what the others get.
+    /// How many times more lookups one in ten directors gets than the others.
     #[garde(range(min = 1.0, max = 50.0))]
     #[serde(default = "second")]
     pub uneven: f64,
-    /// How unlike the speeds of the nodes are: each lies within this part of the mean.
+    /// By how much the speeds of nodes differ from the mean at most, as a share of it.
     #[garde(range(min = 0.0, max = 0.9))]
     #[serde(default)]
     pub speeds: f64,
-    /// The part of all lookups that ask for one object.
+    /// The share of all lookups that ask for one object.
     #[garde(range(min = 0.0, max = 0.9))]
     #[serde(default)]
     pub hot: f64,
-    /// Seconds that changes of the list come later to two thirds of the directors.
+    /// By how many seconds changes of the list come later at most; they do so at two thirds of the directors.
     #[garde(range(min = 0.0, max = 60.0))]
     #[serde(default)]
     pub late_lists: f64,
+    /// Coordination; without it, directors share nothing.
     #[garde(dive)]
     #[serde(default)]
     pub duties: Option<CoordinationTrial>,
+    /// The faults.
     #[garde(dive)]
     #[serde(default)]
     pub faults: Vec<Fault>,
-    /// What a node may get at most, and at least, of its fair share in any window of five seconds with no fault in it
-    /// or before it.
+    /// The most that a node may get of its fair share in a window of five seconds with no fault in it or before it.
     #[garde(range(min = 1.0, max = 100.0))]
     #[serde(default = "most")]
     pub most: f64,
+    /// The least that it may get.
     #[garde(range(min = 0.0, max = 1.0))]
     #[serde(default)]
     pub least: f64,
-    /// The least part of all lookups that is satisfied.
+    /// The least share of all lookups that is satisfied.
     #[garde(range(min = 0.0, max = 1.0))]
     #[serde(default)]
     pub satisfied: f64,
@@ -253,25 +285,37 @@
     100.0
 }
 
-pub fn parse(file: &str, text: &str) -> Result<Trial, Vec<Flaw>> {
-    let first = parse_single_form(file, text, "fleet")?;
-    let Form::Fleet(trial) = &first.value;
-    let end = trial.seconds as f64;
-    let wrong = if trial.warm_up as f64 >= end {
-        Some(("fleet.warm-up", "longer than the whole"))
-    } else if trial.duties.is_none() && trial.faults.iter().any(|f| f.kind.needs_coordination()) {
-        Some(("fleet.faults", "one strikes voters, and there are no duties"))
-    } else if trial.duties.as_ref().is_some_and(|d| d.voters > trial.directors) {
-        Some(("fleet.duties.voters", "more than there are directors"))
-    } else if trial.faults.iter().any(|f| f.at + f.lasts > end) {
-        Some(("fleet.faults", "one lasts past the end"))
-    } else {
-        None
-    };
-    match wrong {
-        Some((key, what)) => {
-            Err(vec![first.error(file, key, what, "leave time after it, and name whom it strikes")])
+/// Reads the settings of a fleet trial. `file` names them in errors.
+///
+/// # Errors
+///
+/// One for each fault, with file, line and key.
+pub fn parse(file: &str, text: &str) -> Result<Trial, Vec<ConfigError>> {
+    let form = parse_single_form(file, text, "fleet")?;
+    let Form::Fleet(trial) = &form.value;
+    match trial.inconsistency() {
+        Some((key, problem)) => {
+            let remedy = "leave time after it, and name whom it strikes";
+            Err(vec![form.error(file, key, problem, remedy)])
         }
         None => Ok(trial.clone()),
     }
 }
+
+impl Trial {
+    /// A key and what is wrong with it beside other keys.
+    fn inconsistency(&self) -> Option<(&'static str, &'static str)> {
+        let end = self.seconds as f64;
+        if self.warm_up as f64 >= end {
+            Some(("fleet.warm-up", "longer than the whole"))
+        } else if self.duties.is_none() && self.faults.iter().any(|fault| fault.kind.needs_coordination()) {
+            Some(("fleet.faults", "one strikes voters, and there are no duties"))
+        } else if self.duties.as_ref().is_some_and(|duties| duties.voters > self.directors) {
+            Some(("fleet.duties.voters", "more than there are directors"))
+        } else if self.faults.iter().any(|fault| fault.at + fault.lasts > end) {
+            Some(("fleet.faults", "one lasts past the end"))
+        } else {
+            None
+        }
+    }
+}
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -24,11 +24,14 @@
     let report = run(&trial, &director, folder.path(), |_| {}).unwrap();
     assert_eq!(report.violations(), [] as [&str; 0], "{report}");
     let t = report.total;
-    assert_eq!(t.asked, t.satisfied + t.nacked + t.failed + t.excused, "{report}");
+    assert_eq!(t.asked, t.satisfied + t.rejected + t.failed + t.excused, "{report}");
     assert!(t.satisfied * 2 > t.asked, "{report}");
     assert_eq!(report.aftermath.len(), 8);
     // What befell the nodes was felt: the stopped, the cut off and the crashed one had idle seconds.
-    assert!(report.came.len() == 9 && report.came.values().flatten().sum::<u32>() > 1_000, "{report}");
+    assert!(
+        report.requests.len() == 9 && report.requests.values().flatten().sum::<u32>() > 1_000,
+        "{report}"
+    );
     report.write(folder.path()).unwrap();
     assert!(std::fs::read_to_string(folder.path().join("plot.svg")).unwrap().contains("each cache"));
 }
@@ -55,10 +58,13 @@
     let director = || Command::new(env!("CARGO_BIN_EXE_lab-director"));
     let report = run(&trial, &director, folder.path(), |_| {}).unwrap();
     assert_eq!(report.violations(), [] as [&str; 0], "{report}");
-    let watched = report.watched.as_ref().unwrap();
-    assert!(watched.owners >= 4 && watched.blows == 3 && watched.unanswered == 0, "{report}");
-    assert!(watched.changed >= 1 && watched.back == 0, "{report}");
-    assert!(watched.probes > 200 && watched.warmed > 0, "{report}");
+    let coordination = report.coordination.as_ref().unwrap();
+    assert!(
+        coordination.leases >= 4 && coordination.holder_faults == 3 && coordination.without_takeover == 0,
+        "{report}"
+    );
+    assert!(coordination.changes_ended >= 1 && coordination.regressions == 0, "{report}");
+    assert!(coordination.health_checks > 200 && coordination.warming_requests > 0, "{report}");
 }
 
 #[test]
