--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -1,8 +1,11 @@
-//! A trial of control at full size: thousands of hollow directors, many to a process, which run the product's own code for
-//! control, some real ones beside them, relays between them and the source, load in control, faults between processes.
+//! A scale trial: thousands of simulated directors, many to a process, which run the product's own code for discovery,
+//! real directors beside them, relays between them and the source, events to all of them, faults between processes.
 
+mod evaluation;
+mod installation;
 mod pool;
 mod pool_messages;
+mod processes;
 mod report;
 mod run;
 pub mod settings;
@@ -11,6 +14,6 @@
 mod tier;
 
 pub use pool::run as hollow;
-pub use report::Report;
+pub use report::{DirectorUse, Latency, RecoveryTime, RelayUse, Report};
 pub use run::run;
 pub use settings::Scale;
--- a/crates/testbed/src/scale/pool.rs
+++ b/crates/testbed/src/scale/pool.rs
@@ -1,4 +1,5 @@
-//! A process of hollow directors: one thread for all their sockets, orders by its standard input, words by its output.
+//! A process of simulated directors: one thread for all their sockets, commands by its standard input, reports by its
+//! standard output.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
@@ -15,8 +16,9 @@
 use crate::threads::spawn;
 
 const WAKER: Token = Token(0);
-/// How often what is due by the clock is looked for, and how often the trial hears of it.
+/// How often directors do what is due by the clock.
 const TURN_LENGTH: Duration = Duration::from_millis(20);
+/// How often the process reports its progress.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 /// The first calls are spread over this time.
 const START_SPREAD: Duration = Duration::from_secs(2);
@@ -24,8 +26,9 @@
 struct Pool {
     poll: Poll,
     shared: Shared,
-    /// By token; where the trial's numbers are among them.
-    hollow: Vec<SimulatedDirector>,
+    /// By token.
+    directors: Vec<SimulatedDirector>,
+    /// Where each number of the trial is among them.
     places: BTreeMap<usize, usize>,
     binds_ms: u64,
 }
@@ -41,22 +44,26 @@
     out.flush()
 }
 
-/// Lives until the trial has what it came to, or is gone.
+/// Runs a process of simulated directors until the trial has its result, or has ended.
+///
+/// # Errors
+///
+/// If standard output or the poll fails, or a command can't be read.
 pub fn run() -> io::Result<()> {
     let poll = Poll::new()?;
     let waker = Arc::new(Waker::new(poll.registry(), WAKER)?);
-    let (to_pool, orders) = channel();
+    let (sender, commands) = channel();
     spawn(move || {
         for line in io::stdin().lock().lines().map_while(Result::ok) {
-            let order = serde_json::from_str(&line).map_err(bad);
-            if to_pool.send(order).is_err() || waker.wake().is_err() {
+            let command = serde_json::from_str(&line).map_err(bad);
+            if sender.send(command).is_err() || waker.wake().is_err() {
                 return;
             }
         }
         // The trial is gone.
         std::process::exit(0);
     });
-    let first: io::Result<PoolCommand> = orders.recv().map_err(bad)?;
+    let first: io::Result<PoolCommand> = commands.recv().map_err(bad)?;
     let PoolCommand::Begin { config, directors, binds_ms } = first? else { return Err(bad("no beginning")) };
     let config = Config::parse(&config).map_err(bad)?;
     let shared = Shared {
@@ -73,25 +80,25 @@
     let hollow = directors.into_iter().enumerate();
     let hollow = hollow
         .map(|(n, own)| SimulatedDirector::new(own, Token(n + 1), &shared, START_SPREAD * n as u32 / many));
-    Pool { poll, hollow: hollow.collect(), shared, places, binds_ms }.serve(&orders)
+    Pool { poll, directors: hollow.collect(), shared, places, binds_ms }.serve(&commands)
 }
 
 impl Pool {
-    fn serve(mut self, orders: &Receiver<io::Result<PoolCommand>>) -> io::Result<()> {
+    fn serve(mut self, commands: &Receiver<io::Result<PoolCommand>>) -> io::Result<()> {
         let mut events = Events::with_capacity(1_024);
-        let (mut turn, mut word) = (Instant::now(), Instant::now());
+        let (mut next_turn, mut next_report) = (Instant::now(), Instant::now());
         loop {
-            match self.poll.poll(&mut events, Some(turn.saturating_duration_since(Instant::now()))) {
+            match self.poll.poll(&mut events, Some(next_turn.saturating_duration_since(Instant::now()))) {
                 Err(e) if e.kind() != io::ErrorKind::Interrupted => return Err(e),
                 _ => {}
             }
             for event in events.iter().filter(|e| e.token() != WAKER) {
-                self.hollow[event.token().0 - 1].ready(&mut self.shared);
+                self.directors[event.token().0 - 1].ready(&mut self.shared);
             }
             loop {
-                match orders.try_recv() {
-                    Ok(order) => {
-                        if self.order(order?)? {
+                match commands.try_recv() {
+                    Ok(command) => {
+                        if self.carry_out(command?)? {
                             return Ok(());
                         }
                     }
@@ -99,21 +106,21 @@
                     Err(TryRecvError::Disconnected) => return Ok(()),
                 }
             }
-            if Instant::now() < turn {
+            if Instant::now() < next_turn {
                 continue;
             }
-            turn = Instant::now() + TURN_LENGTH;
+            next_turn = Instant::now() + TURN_LENGTH;
             let registry = self.poll.registry();
-            self.hollow.iter_mut().for_each(|h| h.tick(&mut self.shared, registry));
-            if Instant::now() >= word {
-                word = Instant::now() + REPORT_INTERVAL;
-                self.say()?;
+            self.directors.iter_mut().for_each(|h| h.tick(&mut self.shared, registry));
+            if Instant::now() >= next_report {
+                next_report = Instant::now() + REPORT_INTERVAL;
+                self.report_progress()?;
             }
         }
     }
 
-    fn say(&mut self) -> io::Result<()> {
-        let on = self.hollow.iter().filter(|h| h.is_on());
+    fn report_progress(&mut self) -> io::Result<()> {
+        let on = self.directors.iter().filter(|h| h.is_on());
         let tick = &mut self.shared.tick;
         tick.at = shared_ns();
         tick.alive = on.clone().count();
@@ -122,15 +129,15 @@
         send_report(&PoolReport::Tick(*tick))
     }
 
-    /// Whether that was the last one.
-    fn order(&mut self, order: PoolCommand) -> io::Result<bool> {
-        let Pool { hollow, places, shared, .. } = self;
+    /// Carries out a command. Whether it was the last one.
+    fn carry_out(&mut self, command: PoolCommand) -> io::Result<bool> {
+        let Pool { directors, places, shared, .. } = self;
         let mut each = |numbers: &[usize], to: &mut dyn FnMut(&mut SimulatedDirector, &mut Shared)| {
             for place in numbers.iter().filter_map(|n| places.get(n)) {
-                to(&mut hollow[*place], shared);
+                to(&mut directors[*place], shared);
             }
         };
-        match order {
+        match command {
             PoolCommand::Begin { .. } => return Err(bad("a second beginning")),
             PoolCommand::Kill(who) => each(&who, &mut |h, shared| h.kill(shared)),
             PoolCommand::Start(who) => each(&who, &mut |h, shared| h.start(shared)),
@@ -141,14 +148,14 @@
             }),
             PoolCommand::Heal => {
                 // What came meanwhile was never seen: the sockets are looked at anew.
-                for h in hollow.iter_mut().filter(|h| !h.cut.is_empty()) {
+                for h in directors.iter_mut().filter(|h| !h.cut.is_empty()) {
                     h.cut.clear();
                     h.ready(shared);
                 }
                 shared.limbo.clear();
             }
             PoolCommand::Finish { told, list } => {
-                for h in hollow.iter().filter(|h| h.is_on()) {
+                for h in directors.iter().filter(|h| h.is_on()) {
                     h.finish(&told, &list, self.binds_ms, shared);
                 }
                 shared.found.came = std::mem::take(&mut shared.came).into_values().collect();
--- a/crates/testbed/src/scale/pool_messages.rs
+++ b/crates/testbed/src/scale/pool_messages.rs
@@ -1,105 +1,114 @@
-//! What the trial and a process of hollow directors say to one another: a line of JSON each.
+//! The messages between the trial and a process of simulated directors, each a line of JSON.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
 use rustix::time::{ClockId, clock_gettime};
 use serde::{Deserialize, Serialize};
 
-/// Nanoseconds of the clock that all processes of a machine share.
-pub fn shared_ns() -> u64 {
+/// The shared clock: nanoseconds of the monotonic clock, which is the same for all processes of a machine.
+pub(crate) fn shared_ns() -> u64 {
     let now = clock_gettime(ClockId::Monotonic);
     now.tv_sec as u64 * 1_000_000_000 + now.tv_nsec as u64
 }
 
+/// One simulated director.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct DirectorIdentity {
-    pub number: usize,
-    pub source: Ipv4Addr,
-    pub feeds: Vec<SocketAddr>,
+pub(crate) struct DirectorIdentity {
+    pub(crate) number: usize,
+    /// The address from which it connects.
+    pub(crate) source: Ipv4Addr,
+    /// Where it connects, the first one first.
+    pub(crate) feeds: Vec<SocketAddr>,
 }
 
-/// What an event of the load says: which one it is, when its purge was made (0: a change of the list), and its number
-/// in the feed.
+/// A confirmed event of the load: its number, which one it is (its content), and when its purge was made (Unix
+/// milliseconds; 0: a change of the list).
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct PublishedEvent {
-    pub number: u64,
-    pub content: u32,
-    pub purged_ms: u64,
+pub(crate) struct PublishedEvent {
+    pub(crate) number: u64,
+    pub(crate) content: u32,
+    pub(crate) purged_ms: u64,
 }
 
+/// A command to a process.
 #[derive(Debug, Serialize, Deserialize)]
-pub enum PoolCommand {
+pub(crate) enum PoolCommand {
+    /// The first command: which directors to run.
     Begin {
         /// The configuration of a director, with the list of the start as what is known.
         config: String,
         directors: Vec<DirectorIdentity>,
-        /// A purge may be passed over after this.
+        /// A snapshot may leave a purge out after this.
         binds_ms: u64,
     },
+    /// These directors lose their connections and all that they know.
     Kill(Vec<usize>),
-    /// Those of these that were killed begin anew, with what was known at the start.
+    /// Those of these that were killed start again, with what was known at the start of the trial.
     Start(Vec<usize>),
-    /// Nothing passes between these and these any more.
+    /// Nothing passes any more between these directors and these addresses.
     Cut(Vec<usize>, Vec<SocketAddr>),
+    /// All cuts are over.
     Heal,
-    /// They read a byte a second, or as they can again.
+    /// These directors read a byte at a time, or normally again.
     Slow(Vec<usize>, bool),
-    /// The load is over: what was told, and of each node the change that holds and whether it has gone.
-    Finish {
-        told: Vec<PublishedEvent>,
-        list: Vec<(u32, bool)>,
-    },
+    /// The load is over: the events that were published, and for each node the content of its last change and whether it
+    /// has gone. The process reports its result and exits.
+    Finish { told: Vec<PublishedEvent>, list: Vec<(u32, bool)> },
 }
 
-/// What all directors of one process came to up to now.
+/// The state and the counts of all directors of one process.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
-pub struct PoolProgress {
-    pub at: u64,
-    pub alive: usize,
-    /// Whose call was answered once in this life.
-    pub up: usize,
-    /// The least and the most number in force.
-    pub least: u64,
-    pub most: u64,
-    pub bytes_in: u64,
-    pub bytes_out: u64,
-    pub reads: u64,
-    pub calls: u64,
-    pub taken: u64,
-    /// Calls for what was missing or unreadable; what was unreadable the second time.
-    pub gaps: u64,
-    pub skipped: u64,
+pub(crate) struct PoolProgress {
+    pub(crate) at: u64,
+    /// Directors that run.
+    pub(crate) alive: usize,
+    /// Directors that were connected once since their start.
+    pub(crate) up: usize,
+    /// The lowest number that a director has applied, and the highest.
+    pub(crate) least: u64,
+    pub(crate) most: u64,
+    pub(crate) bytes_in: u64,
+    pub(crate) bytes_out: u64,
+    pub(crate) reads: u64,
+    pub(crate) calls: u64,
+    pub(crate) taken: u64,
+    /// Calls for events that were missing or unreadable, and events that were skipped as they stayed unreadable.
+    pub(crate) gaps: u64,
+    pub(crate) skipped: u64,
 }
 
-/// When an event came into force here.
+/// When an event was applied by the directors of this process.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
-pub struct Came {
-    pub number: u64,
-    /// None: here it only came as a whole list, which says nothing of the event under this number.
-    pub content: Option<u32>,
-    pub by: u32,
-    /// At the last of those that lived when it was told.
-    pub last: u64,
+pub(crate) struct Came {
+    pub(crate) number: u64,
+    /// None: here it was only part of a snapshot, which says nothing of the event under this number.
+    pub(crate) content: Option<u32>,
+    /// By how many.
+    pub(crate) by: u32,
+    /// By the last of those that ran when it was published, by the shared clock.
+    pub(crate) last: u64,
 }
 
+/// The result of one process.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Finished {
-    pub came: Vec<Came>,
-    pub missed: u64,
-    pub disorder: u64,
-    pub twice: u64,
+pub(crate) struct Finished {
+    pub(crate) came: Vec<Came>,
+    pub(crate) missed: u64,
+    pub(crate) disorder: u64,
+    pub(crate) twice: u64,
     /// Another content came under a number than to others of this process.
-    pub differs: u64,
-    /// Passed over by a whole list as it binds no more, and lists that differ from what was told.
-    pub lapsed: u64,
-    pub wrong_lists: u64,
-    pub restarts: u64,
-    /// Milliseconds from each restart until all was in force that was then.
-    pub catch_up: Vec<u64>,
+    pub(crate) differs: u64,
+    /// Purges that a snapshot left out as they need not be kept any more, and lists that are not as they were published.
+    pub(crate) lapsed: u64,
+    pub(crate) wrong_lists: u64,
+    pub(crate) restarts: u64,
+    /// Milliseconds from each restart until a director had applied all that was applied elsewhere then.
+    pub(crate) catch_up: Vec<u64>,
 }
 
+/// A report of a process.
 #[derive(Debug, Serialize, Deserialize)]
-pub enum PoolReport {
+pub(crate) enum PoolReport {
     Tick(PoolProgress),
     Finished(Box<Finished>),
 }
--- a/crates/testbed/src/scale/simulated_director.rs
+++ b/crates/testbed/src/scale/simulated_director.rs
@@ -1,5 +1,5 @@
-//! One hollow director: the product's own code for control, no clients. The rules on the feed are those of
-//! `sablecross-discovery`, events are read by the director's own code, and the module is told of them.
+//! One simulated director: the product's own code for discovery, and no clients. The stream is followed by the rules of
+//! `sablecross-discovery`, events are read by the director's own code, and its decision module is updated by them.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
@@ -23,16 +23,16 @@
 
 use super::pool_messages::{Came, DirectorIdentity, Finished, PoolProgress, PublishedEvent, shared_ns};
 
-/// What the directors of one process have in common.
-pub struct Shared {
-    pub config: Config,
-    pub clock: Clock,
-    pub began: Instant,
-    pub tick: PoolProgress,
-    pub found: Finished,
+/// What the directors of one process share.
+pub(crate) struct Shared {
+    pub(crate) config: Config,
+    pub(crate) clock: Clock,
+    pub(crate) began: Instant,
+    pub(crate) tick: PoolProgress,
+    pub(crate) found: Finished,
     /// By number.
-    pub came: BTreeMap<u64, Came>,
-    pub limbo: Vec<(SocketAddr, TcpStream)>,
+    pub(crate) came: BTreeMap<u64, Came>,
+    pub(crate) limbo: Vec<(SocketAddr, TcpStream)>,
 }
 
 impl Shared {
@@ -84,15 +84,15 @@
     list: Vec<u32>,
 }
 
-pub struct SimulatedDirector {
-    pub own: DirectorIdentity,
+pub(crate) struct SimulatedDirector {
+    pub(crate) own: DirectorIdentity,
     token: Token,
     life: Box<DirectorState>,
     link: ConnectionPhase,
     called: Instant,
     before: u64,
-    pub cut: Vec<SocketAddr>,
-    pub slow: bool,
+    pub(crate) cut: Vec<SocketAddr>,
+    pub(crate) slow: bool,
 }
 
 /// Why a connection is over.
@@ -237,33 +237,38 @@
 }
 
 impl SimulatedDirector {
-    pub fn new(own: DirectorIdentity, token: Token, shared: &Shared, spread: Duration) -> SimulatedDirector {
+    pub(crate) fn new(
+        own: DirectorIdentity,
+        token: Token,
+        shared: &Shared,
+        spread: Duration,
+    ) -> SimulatedDirector {
         let life = Box::new(DirectorState::begin(&own, shared, 0));
         let now = Instant::now();
         let (link, cut) = (ConnectionPhase::Waits(now + spread), Vec::new());
         SimulatedDirector { own, token, life, link, called: now, before: 0, cut, slow: false }
     }
 
-    pub fn is_on(&self) -> bool {
+    pub(crate) fn is_on(&self) -> bool {
         !matches!(self.link, ConnectionPhase::Off)
     }
 
     /// Its call was answered once in this life.
-    pub fn is_up(&self) -> bool {
+    pub(crate) fn is_up(&self) -> bool {
         self.is_on() && self.life.up
     }
 
-    pub fn last(&self) -> u64 {
+    pub(crate) fn last(&self) -> u64 {
         self.life.cursor.last_number()
     }
 
     /// It forgets all that it knew.
-    pub fn kill(&mut self, shared: &mut Shared) {
+    pub(crate) fn kill(&mut self, shared: &mut Shared) {
         let link = std::mem::replace(&mut self.link, ConnectionPhase::Off);
         self.drop_connection(link, shared);
     }
 
-    pub fn start(&mut self, shared: &mut Shared) {
+    pub(crate) fn start(&mut self, shared: &mut Shared) {
         if self.is_on() {
             return;
         }
@@ -287,7 +292,7 @@
     }
 
     /// What is due by the clock.
-    pub fn tick(&mut self, shared: &mut Shared, registry: &Registry) {
+    pub(crate) fn tick(&mut self, shared: &mut Shared, registry: &Registry) {
         let limits = &shared.config.limits;
         let done = match &mut self.link {
             ConnectionPhase::Off => return,
@@ -329,7 +334,7 @@
     }
 
     /// Its socket can do something.
-    pub fn ready(&mut self, shared: &mut Shared) {
+    pub(crate) fn ready(&mut self, shared: &mut Shared) {
         let done = self.on_ready(shared);
         self.ended(done, shared);
     }
@@ -440,7 +445,13 @@
         self.link = ConnectionPhase::Waits(Instant::now() + if early { pause } else { Duration::ZERO });
     }
 
-    pub fn finish(&self, told: &[PublishedEvent], list: &[(u32, bool)], binds_ms: u64, shared: &mut Shared) {
+    pub(crate) fn finish(
+        &self,
+        told: &[PublishedEvent],
+        list: &[(u32, bool)],
+        binds_ms: u64,
+        shared: &mut Shared,
+    ) {
         let known = shared.config.known.last;
         self.life.finish(told, list, known, binds_ms, &mut shared.found);
     }
--- a/crates/testbed/src/scale/source.rs
+++ b/crates/testbed/src/scale/source.rs
@@ -1,5 +1,5 @@
-//! The load in control: purges and changes of the list by seeded chance, published as an operator's program does it, to
-//! whichever relay owns the feed, or told by the one source of a star.
+//! The load of a scale trial: purges and changes of the list, drawn from the seed and published as an operator's program
+//! does it, to the relay that leads, or by the one source where there are no voting relays.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -21,67 +21,72 @@
 use crate::schedule::exponential_interval;
 use crate::threads::{lock, spawn};
 
-const PATIENCE: Duration = Duration::from_secs(2);
+/// How long a call of a relay may take.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// The longest status that is read.
-const LONGEST: usize = 16 << 20;
-/// Publishers of purges at most: each waits for the answer to one event.
-const MOST_PUBLISHERS: usize = 64;
+const MAX_STATUS_BYTES: usize = 16 << 20;
+/// The most publishers of purges: each waits for the answer to one event.
+const MAX_PUBLISHERS: usize = 64;
 
-/// Where events go.
+/// Where events are published.
 #[derive(Clone)]
-pub enum Outlet {
-    Star(DiscoveryStub),
-    /// The voters: the owner moves among them.
+pub(crate) enum Outlet {
+    /// The one source.
+    Source(DiscoveryStub),
+    /// The voters, one of which leads.
     Relays(Vec<MemberForm>),
 }
 
-/// What a relay says of itself.
-pub fn status(at: SocketAddr) -> Option<Value> {
-    let said =
-        PeerClient::new(at, PATIENCE, LONGEST).request("GET", "/v1/status", "Connection: close\r\n", b"");
-    let (code, body) = said.ok()?;
+/// The status of a relay; none if it does not answer.
+pub(crate) fn status(address: SocketAddr) -> Option<Value> {
+    let mut client = PeerClient::new(address, CALL_TIMEOUT, MAX_STATUS_BYTES);
+    let (code, body) = client.request("GET", "/v1/status", "Connection: close\r\n", b"").ok()?;
     serde_json::from_slice(&body).ok().filter(|_| code == 200)
 }
 
-/// The place of the relay that owns the feed now.
-pub fn owner(relays: &[SocketAddr]) -> Option<usize> {
-    relays.iter().position(|at| status(*at).is_some_and(|s| s["role"] == "owner"))
+/// Which of the relays leads now.
+pub(crate) fn leader(relays: &[SocketAddr]) -> Option<usize> {
+    relays.iter().position(|relay| status(*relay).is_some_and(|status| status["role"] == "owner"))
 }
 
-/// One that publishes, one event after the other.
+/// Publishes one event after the other.
 enum Publisher {
-    Star(DiscoveryStub),
-    Relays { to: publisher::Publisher, again: Arc<AtomicUsize>, given_up: Arc<AtomicBool> },
+    Source(DiscoveryStub),
+    Relays { publisher: publisher::Publisher, retries: Arc<AtomicUsize>, given_up: Arc<AtomicBool> },
 }
 
 impl Publisher {
-    /// The number that it got; nothing, once the trial has given up.
-    fn publish(&mut self, event: &str, mark: &str) -> Option<u64> {
-        let (to, again, given_up) = match self {
-            Publisher::Star(feed) => return Some(feed.publish(event)),
-            Publisher::Relays { to, again, given_up } => (to, again, given_up),
+    /// Publishes an event until it is confirmed, and returns its number; none once the trial has given up. `key` is the
+    /// same for each try.
+    fn publish(&mut self, event: &str, key: &str) -> Option<u64> {
+        let (publisher, retries, given_up) = match self {
+            Publisher::Source(source) => return Some(source.publish(event)),
+            Publisher::Relays { publisher, retries, given_up } => (publisher, retries, given_up),
         };
         let event = format!("{{{event}}}");
         while !given_up.load(Ordering::Relaxed) {
-            match to.publish(mark, event.as_bytes(), PATIENCE) {
+            match publisher.publish(key, event.as_bytes(), CALL_TIMEOUT) {
                 Ok(number) => return Some(number),
-                Err(_) => again.fetch_add(1, Ordering::Relaxed),
+                Err(_) => retries.fetch_add(1, Ordering::Relaxed),
             };
         }
         None
     }
 }
 
-/// An event of the load, and what became of it.
+/// An event of the load, and when it was confirmed.
 #[derive(Clone, Copy, Debug)]
-pub struct Published {
-    pub change: bool,
-    /// When it was due at the source, by the clock that all processes share.
-    pub at: u64,
-    pub purged_ms: u64,
-    /// Once it is confirmed.
-    pub number: Option<u64>,
-    pub confirmed: u64,
+pub(crate) struct Published {
+    /// A change of the list, or else a purge.
+    pub(crate) change: bool,
+    /// When it was due at the source, by the shared clock.
+    pub(crate) at: u64,
+    /// When the purge was made, in Unix milliseconds; 0: a change of the list.
+    pub(crate) purged_ms: u64,
+    /// Its number, once it is confirmed.
+    pub(crate) number: Option<u64>,
+    /// When it was confirmed, by the shared clock.
+    pub(crate) confirmed: u64,
 }
 
 /// A node of the list.
@@ -92,13 +97,14 @@
     change: u32,
 }
 
+/// The endpoint list.
 struct List {
     zones: usize,
     lines: Vec<NodeLine>,
 }
 
 impl List {
-    /// As the list says it; what it was changed by last stands as its weight, which directors pass over.
+    /// An entry of the list. Its weight is the content of its last change, which directors ignore.
     fn line(&self, n: usize) -> Value {
         let last = self.lines.len() - 1;
         let kind = match n {
@@ -113,8 +119,8 @@
     }
 }
 
-/// The first word of the load: the whole list.
-pub fn whole(s: &Scale) -> String {
+/// The first event of the load: the whole list.
+pub(crate) fn first_event(s: &Scale) -> String {
     let list = List::of(s);
     let lines: Vec<Value> = (0..s.nodes).map(|n| list.line(n)).collect();
     format!("\"members\":{}", json!({"index": 0, "snapshot": true, "endpoints": lines}))
@@ -142,165 +148,185 @@
     }
 }
 
+#[derive(Default)]
+struct QueueState {
+    contents: VecDeque<u32>,
+    has_ended: bool,
+}
+
+/// Contents of events that wait for a publisher.
 #[derive(Default)]
 struct Queue {
-    waiting: Mutex<(VecDeque<u32>, bool)>,
-    more: Condvar,
+    state: Mutex<QueueState>,
+    changed: Condvar,
 }
 
 impl Queue {
     fn push(&self, content: u32) {
-        lock(&self.waiting).0.push_back(content);
-        self.more.notify_one();
+        lock(&self.state).contents.push_back(content);
+        self.changed.notify_one();
     }
 
     fn end(&self) {
-        lock(&self.waiting).1 = true;
-        self.more.notify_all();
+        lock(&self.state).has_ended = true;
+        self.changed.notify_all();
     }
 
-    /// The next one; nothing, once it has ended and all are taken.
+    /// Waits for the next content; none once the queue has ended and is empty.
     fn next(&self) -> Option<u32> {
-        let mut waiting = lock(&self.waiting);
+        let mut state = lock(&self.state);
         loop {
-            if let Some(content) = waiting.0.pop_front() {
+            if let Some(content) = state.contents.pop_front() {
                 return Some(content);
             }
-            if waiting.1 {
+            if state.has_ended {
                 return None;
             }
-            waiting = self.more.wait(waiting).unwrap_or_else(|e| e.into_inner());
+            state = self.changed.wait(state).unwrap_or_else(|e| e.into_inner());
         }
     }
 }
 
-/// By content, from 1; content 0 is not of the load.
-type All = Arc<Mutex<Vec<Published>>>;
+/// Events by content, from 1; content 0 is no event of the load.
+type PublishedEvents = Arc<Mutex<Vec<Published>>>;
 
-pub struct Source {
-    all: All,
+/// The source of all events.
+pub(crate) struct Source {
+    published: PublishedEvents,
     list: Arc<Mutex<List>>,
+    /// Of purges, of changes.
     queues: Arc<[Queue; 2]>,
     outlet: Outlet,
-    mark: u64,
+    /// What the keys of all events begin with.
+    key_prefix: u64,
     seed: u64,
-    again: Arc<AtomicUsize>,
+    retries: Arc<AtomicUsize>,
     given_up: Arc<AtomicBool>,
     rng: Pcg32,
+    /// When the next purge and the next change are due, in seconds.
     due: [f64; 2],
 }
 
 impl Source {
-    /// Tells the whole list first; its number.
-    pub fn start(s: &Scale, outlet: Outlet) -> Option<(Source, u64)> {
+    /// Publishes the whole list and returns its number; none if it was not taken.
+    pub(crate) fn start(s: &Scale, outlet: Outlet) -> Option<(Source, u64)> {
         let mut rng = Pcg32::seed_from_u64(s.seed);
         let due = [s.purges, s.changes]
             .map(|r| if r > 0.0 { exponential_interval(&mut rng, r) } else { f64::INFINITY });
         let source = Source {
-            all: All::default(),
+            published: PublishedEvents::default(),
             list: Arc::new(Mutex::new(List::of(s))),
             queues: Arc::default(),
             outlet,
-            mark: unix_ms(),
+            key_prefix: unix_ms(),
             seed: s.seed + 1,
-            again: Arc::default(),
+            retries: Arc::default(),
             given_up: Arc::default(),
             rng,
             due,
         };
-        let first = source.publisher().publish(&whole(s), &format!("{}-0", source.mark))?;
-        let many = match &source.outlet {
-            Outlet::Star(_) => 1,
-            Outlet::Relays(_) => ((s.purges * 0.3) as usize + 4).min(MOST_PUBLISHERS),
+        let first = source.publisher().publish(&first_event(s), &format!("{}-0", source.key_prefix))?;
+        let publishers = match &source.outlet {
+            Outlet::Source(_) => 1,
+            Outlet::Relays(_) => ((s.purges * 0.3) as usize + 4).min(MAX_PUBLISHERS),
         };
-        (0..many).for_each(|_| source.begin(false));
+        (0..publishers).for_each(|_| source.start_publisher(false));
         // Changes of one node keep their order.
-        source.begin(true);
+        source.start_publisher(true);
         Some((source, first))
     }
 
     fn publisher(&self) -> Publisher {
         match &self.outlet {
-            Outlet::Star(feed) => Publisher::Star(feed.clone()),
+            Outlet::Source(source) => Publisher::Source(source.clone()),
             Outlet::Relays(voters) => Publisher::Relays {
-                to: publisher::Publisher::new(voters),
-                again: Arc::clone(&self.again),
+                publisher: publisher::Publisher::new(voters),
+                retries: Arc::clone(&self.retries),
                 given_up: Arc::clone(&self.given_up),
             },
         }
     }
 
-    fn begin(&self, changes: bool) {
-        let (all, list, queues) = (Arc::clone(&self.all), Arc::clone(&self.list), Arc::clone(&self.queues));
-        let (mut publisher, mark) = (self.publisher(), self.mark);
+    /// Publishes the events of one queue on a thread of its own.
+    fn start_publisher(&self, of_changes: bool) {
+        let (published, list) = (Arc::clone(&self.published), Arc::clone(&self.list));
+        let queues = Arc::clone(&self.queues);
+        let (mut publisher, key_prefix) = (self.publisher(), self.key_prefix);
         let mut rng = Pcg32::seed_from_u64(self.seed);
         spawn(move || {
-            while let Some(content) = queues[usize::from(changes)].next() {
-                let event = if changes {
+            while let Some(content) = queues[usize::from(of_changes)].next() {
+                let event = if of_changes {
                     lock(&list).change(&mut rng, content)
                 } else {
-                    let at = lock(&all)[content as usize - 1].purged_ms;
-                    format!("\"purge\":{{\"key\":\"{content:016x}\",\"at\":{at}}}")
+                    let purged_ms = lock(&published)[content as usize - 1].purged_ms;
+                    format!("\"purge\":{{\"key\":\"{content:016x}\",\"at\":{purged_ms}}}")
                 };
-                let Some(number) = publisher.publish(&event, &format!("{mark}-{content}")) else { return };
-                let published = &mut lock(&all)[content as usize - 1];
-                (published.number, published.confirmed) = (Some(number), shared_ns());
+                let key = format!("{key_prefix}-{content}");
+                let Some(number) = publisher.publish(&event, &key) else { return };
+                let published = &mut lock(&published)[content as usize - 1];
+                published.number = Some(number);
+                published.confirmed = shared_ns();
             }
         });
     }
 
-    /// Hands on what is due by now, in seconds from the start of the load.
-    pub fn step(&mut self, s: &Scale, now: f64) {
-        for (which, rate) in [s.purges, s.changes].into_iter().enumerate() {
-            while self.due[which] <= now {
-                self.due[which] += exponential_interval(&mut self.rng, rate);
-                self.hand_on(which == 1);
+    /// Queues what is due by now, in seconds from the start of the load.
+    pub(crate) fn step(&mut self, settings: &Scale, now: f64) {
+        for (queue, rate) in [settings.purges, settings.changes].into_iter().enumerate() {
+            while self.due[queue] <= now {
+                self.due[queue] += exponential_interval(&mut self.rng, rate);
+                self.enqueue(queue == 1);
             }
         }
     }
 
-    fn hand_on(&self, change: bool) {
+    fn enqueue(&self, change: bool) {
         let content = {
-            let mut all = lock(&self.all);
+            let mut published = lock(&self.published);
             let purged_ms = if change { 0 } else { unix_ms() };
-            all.push(Published { change, at: shared_ns(), purged_ms, number: None, confirmed: 0 });
-            all.len() as u32
+            published.push(Published { change, at: shared_ns(), purged_ms, number: None, confirmed: 0 });
+            published.len() as u32
         };
         self.queues[usize::from(change)].push(content);
     }
 
-    pub fn burst(&self, purges: usize) {
-        (0..purges).for_each(|_| self.hand_on(false));
+    /// Queues so many purges at once.
+    pub(crate) fn burst(&self, purges: usize) {
+        (0..purges).for_each(|_| self.enqueue(false));
     }
 
-    /// Waits so long at most until all that was handed on is confirmed.
-    pub fn end(&self, most: Duration) {
+    /// Waits until all that was queued is confirmed, or the time is over; then gives up.
+    pub(crate) fn finish(&self, timeout: Duration) {
         self.queues.iter().for_each(Queue::end);
         let begun = Instant::now();
-        while begun.elapsed() < most && lock(&self.all).iter().any(|p| p.number.is_none()) {
+        while begun.elapsed() < timeout && lock(&self.published).iter().any(|event| event.number.is_none()) {
             std::thread::sleep(Duration::from_millis(20));
         }
         self.given_up.store(true, Ordering::Relaxed);
     }
 
-    pub fn all(&self) -> Vec<Published> {
-        lock(&self.all).clone()
+    /// All events of the load, by content.
+    pub(crate) fn published(&self) -> Vec<Published> {
+        lock(&self.published).clone()
     }
 
-    pub fn told(&self) -> Vec<PublishedEvent> {
-        let all = lock(&self.all);
-        let numbered =
-            all.iter().enumerate().filter_map(|(n, p)| Some((n as u32 + 1, p.purged_ms, p.number?)));
-        numbered.map(|(content, purged_ms, number)| PublishedEvent { number, content, purged_ms }).collect()
+    /// The confirmed events, as simulated directors compare them with what they applied.
+    pub(crate) fn events(&self) -> Vec<PublishedEvent> {
+        let published = lock(&self.published);
+        let confirmed =
+            (1..).zip(published.iter()).filter_map(|(content, event)| Some((content, event, event.number?)));
+        confirmed
+            .map(|(content, event, number)| PublishedEvent { number, content, purged_ms: event.purged_ms })
+            .collect()
     }
 
-    /// Of each node its last change, and whether it has gone.
-    pub fn list(&self) -> Vec<(u32, bool)> {
-        lock(&self.list).lines.iter().map(|l| (l.change, l.status == "gone")).collect()
+    /// The content of each node's last change, and whether the node has gone.
+    pub(crate) fn list(&self) -> Vec<(u32, bool)> {
+        lock(&self.list).lines.iter().map(|line| (line.change, line.status == "gone")).collect()
     }
 
-    /// Events that had to be published again.
-    pub fn again(&self) -> usize {
-        self.again.load(Ordering::Relaxed)
+    /// Calls that were made again as the one before had no answer.
+    pub(crate) fn retries(&self) -> usize {
+        self.retries.load(Ordering::Relaxed)
     }
 }
--- a/crates/testbed/src/scale/tier.rs
+++ b/crates/testbed/src/scale/tier.rs
@@ -1,5 +1,4 @@
-//! The relays of a trial: their settings, processes, regions, and the links between them and to the real directors, which
-//! this program passes on and cuts.
+//! The relays of a trial: settings, processes, regions, and the links between them.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
@@ -11,218 +10,275 @@
 use rustix::process::Signal;
 use sablecross_relay_server::settings::MemberForm;
 
+use super::evaluation::{ProcessUse, RelayBytes};
 use super::settings::Scale;
-use super::source::owner;
+use super::source::leader;
 use crate::director_process::PortAllocator;
 use crate::fleet::link_proxy::{HeldDirections, LinkProxies, Pair, PlannedLink};
 use crate::process::{ChildProcess, TrialError, io_error};
 
-const WITHIN: Duration = Duration::from_secs(30);
+/// How long relays may take until they serve and have a leader.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// This program under other words.
-pub type Program<'a> = &'a dyn Fn(&[&str]) -> Command;
+/// Makes a command of this program with other arguments.
+pub(crate) type Program<'a> = &'a dyn Fn(&[&str]) -> Command;
 
-pub struct Relay {
-    pub name: String,
-    pub at: SocketAddr,
+/// One relay.
+pub(crate) struct Relay {
+    pub(crate) name: String,
+    pub(crate) address: SocketAddr,
     file: PathBuf,
     log: PathBuf,
     process: ChildProcess,
-    /// CPU seconds of its lives before this one.
-    used: f64,
-    pub down: bool,
+    /// The CPU time of its processes before this one.
+    earlier_cpu_seconds: f64,
+    /// Killed by the trial, and not started again yet.
+    is_killed: bool,
 }
 
 impl Relay {
+    /// Starts a relay with these settings; its files go to the folder.
+    fn start(
+        number: usize,
+        address: SocketAddr,
+        settings: &str,
+        program: Program,
+        folder: &Path,
+    ) -> Result<Relay, TrialError> {
+        let name = format!("relay-{number}");
+        let (file, log) = (folder.join(format!("{name}.scm")), folder.join(format!("{name}.log")));
+        // That of an earlier run.
+        let _ = std::fs::remove_file(&log);
+        std::fs::write(&file, settings).map_err(io_error(file.display().to_string()))?;
+        let process = Relay::spawn(program, &file, &log)?;
+        Ok(Relay { name, address, file, log, process, earlier_cpu_seconds: 0.0, is_killed: false })
+    }
+
     fn spawn(program: Program, file: &Path, log: &Path) -> Result<ChildProcess, TrialError> {
         let mut command = program(&["relay", "run", "--with-parent"]);
         command.arg(file).stdout(Stdio::null());
         ChildProcess::start(&mut command, log, "a relay")
     }
 
-    pub fn cpu(&self) -> f64 {
-        self.used + if self.down { 0.0 } else { self.process.cpu_seconds() }
+    fn cpu_seconds(&self) -> f64 {
+        let current = if self.is_killed { 0.0 } else { self.process.cpu_seconds() };
+        self.earlier_cpu_seconds + current
     }
 
-    pub fn memory(&self) -> f64 {
-        self.process.resident_mb()
+    /// What all its processes have used up to now.
+    pub(crate) fn process_use(&self) -> ProcessUse {
+        ProcessUse { cpu_seconds: self.cpu_seconds(), memory_mb: self.process.resident_mb() }
     }
 
-    pub fn signal(&self, signal: Signal) {
+    /// Sends a signal.
+    pub(crate) fn signal(&self, signal: Signal) {
         self.process.signal(signal);
     }
 
-    pub fn kill(&mut self) -> Result<(), TrialError> {
-        (self.used, self.down) = (self.cpu(), true);
+    /// Kills it, until `start_again`.
+    pub(crate) fn kill(&mut self) -> Result<(), TrialError> {
+        self.earlier_cpu_seconds = self.cpu_seconds();
+        self.is_killed = true;
         self.process.kill().map_err(io_error("a relay's end"))
     }
 
-    pub fn start(&mut self, program: Program) -> Result<(), TrialError> {
+    /// Starts it again after it was killed, with no memory.
+    pub(crate) fn start_again(&mut self, program: Program) -> Result<(), TrialError> {
         self.process = Relay::spawn(program, &self.file, &self.log)?;
-        self.down = false;
+        self.is_killed = false;
         Ok(())
     }
 
-    /// It serves nobody, or has no owner to follow.
-    fn silent(&self) -> TrialError {
+    /// It does not serve, or has no leader to follow.
+    fn not_serving(&self) -> TrialError {
         TrialError::NotServing {
             name: self.name.clone(),
-            within: WITHIN.as_secs(),
+            within: START_TIMEOUT.as_secs(),
             log: self.log.display().to_string(),
         }
     }
 
-    /// Whether it ended by itself.
-    pub fn ended(&mut self) -> bool {
-        !self.down && self.process.has_exited()
+    /// Whether it has exited by itself.
+    pub(crate) fn has_exited(&mut self) -> bool {
+        !self.is_killed && self.process.has_exited()
     }
 }
 
-/// The relays with the links between them; with none, the feeds of the star.
-pub struct Tier {
-    pub relays: Vec<Relay>,
-    /// What directors call.
-    pub feeds: Vec<SocketAddr>,
-    voters: usize,
+/// The relays with the links between them, or the one source in their place.
+pub(crate) struct Tier {
+    pub(crate) relays: Vec<Relay>,
+    /// Where directors connect: the relays, or the source.
+    pub(crate) feeds: Vec<SocketAddr>,
+    voter_count: usize,
     regions: usize,
-    ways: LinkProxies,
+    links: LinkProxies,
 }
 
 impl Tier {
-    pub fn star(feed: SocketAddr, over: &Arc<AtomicBool>) -> Result<Tier, TrialError> {
-        let ways = LinkProxies::between(Vec::new(), over).map_err(io_error("links"))?;
-        Ok(Tier { relays: Vec::new(), feeds: vec![feed], voters: 0, regions: 1, ways })
+    /// No relays: directors connect to the source.
+    pub(crate) fn without_relays(source: SocketAddr, over: &Arc<AtomicBool>) -> Result<Tier, TrialError> {
+        let links = LinkProxies::between(Vec::new(), over).map_err(io_error("links"))?;
+        Ok(Tier { relays: Vec::new(), feeds: vec![source], voter_count: 0, regions: 1, links })
     }
 
-    /// Where some vote, it waits until one of them owns the feed; where none does, they follow this `source`.
-    pub fn start(
-        s: &Scale,
+    /// Starts the relays and waits until they serve. Where some vote, one of them leads then; where none does, they
+    /// follow `source`.
+    pub(crate) fn start(
+        settings: &Scale,
         program: Program,
         folder: &Path,
         source: Option<SocketAddr>,
         over: &Arc<AtomicBool>,
     ) -> Result<Tier, TrialError> {
-        let mut ports = PortAllocator::new();
-        let mut feeds: Vec<SocketAddr> = Vec::new();
-        while feeds.len() < s.relays {
-            let at = ports.allocate().map_err(io_error("a port"))?;
-            if !feeds.contains(&at) {
-                feeds.push(at);
-            }
-        }
-        let pairs = (0..s.relays).flat_map(|a| (0..s.relays).map(move |b| (a, b))).filter(|(a, b)| a != b);
-        let planned = pairs.map(|pair| PlannedLink { pair, to: feeds[pair.1], from: Ipv4Addr::LOCALHOST });
-        let ways = LinkProxies::between(planned.collect(), over).map_err(io_error("links between relays"))?;
+        let feeds = allocate_addresses(settings.relays)?;
+        let links = link_relays(&feeds, over)?;
         let mut relays = Vec::new();
-        for (n, at) in feeds.iter().enumerate() {
-            let (file, log) = (folder.join(format!("relay-{n}.scm")), folder.join(format!("relay-{n}.log")));
-            let _ = std::fs::remove_file(&log);
-            let text = Tier::settings(s, n, &feeds, source, &ways);
-            std::fs::write(&file, text).map_err(io_error(file.display().to_string()))?;
-            let process = Relay::spawn(program, &file, &log)?;
-            relays.push(Relay {
-                name: format!("relay-{n}"),
-                at: *at,
-                file,
-                log,
-                process,
-                used: 0.0,
-                down: false,
-            });
+        for (number, address) in feeds.iter().enumerate() {
+            let text = relay_settings(settings, number, &feeds, source, &links);
+            relays.push(Relay::start(number, *address, &text, program, folder)?);
         }
         let begun = Instant::now();
-        for relay in &mut relays {
-            while TcpStream::connect(relay.at).is_err() {
-                if relay.ended() || begun.elapsed() > WITHIN {
-                    return Err(relay.silent());
-                }
-                std::thread::sleep(Duration::from_millis(20));
-            }
-        }
-        while s.voters > 0 && owner(&feeds).is_none() {
-            if begun.elapsed() > WITHIN {
-                return Err(relays[0].silent());
+        wait_until_serving(&mut relays, begun)?;
+        while settings.voters > 0 && leader(&feeds).is_none() {
+            if begun.elapsed() > START_TIMEOUT {
+                return Err(relays[0].not_serving());
             }
             std::thread::sleep(Duration::from_millis(50));
         }
-        Ok(Tier { relays, feeds, voters: s.voters, regions: s.regions, ways })
-    }
-
-    /// Each has links of its own to all others.
-    fn settings(
-        s: &Scale,
-        own: usize,
-        feeds: &[SocketAddr],
-        source: Option<SocketAddr>,
-        ways: &LinkProxies,
-    ) -> String {
-        let mut text = format!(
-            "(relay (number . {own}) (batch-ms . {}) (ack-ms . {}) (missed-ms . {}) (cleared-ms . {CLEARED_MS}) (held-ms . {}) \
-             (slack-ms . {SLACK_MS}))\n",
-            s.batch_ms,
-            s.ack_ms,
-            (5 * s.ack_ms).max(1_000),
-            s.held_ms
-        );
-        for (n, at) in feeds.iter().enumerate() {
-            let at = ways.address(own, n).unwrap_or(*at);
-            let votes = if n < s.voters { " (votes . #t)" } else { "" };
-            text += &format!("(member (number . {n}) (address . \"{at}\"){votes})\n");
-        }
-        text + &source.map(|at| format!("(upstream (address . \"{at}\"))\n")).unwrap_or_default()
+        Ok(Tier { relays, feeds, voter_count: settings.voters, regions: settings.regions, links })
     }
 
     /// The region of a relay or of a director.
-    pub fn region(&self, number: usize) -> usize {
+    pub(crate) fn region(&self, number: usize) -> usize {
         number % self.regions
     }
 
-    /// Those that vote, as publishers know them.
-    pub fn voting(&self) -> Vec<MemberForm> {
-        let all = (0..).zip(&self.feeds).take(self.voters);
-        all.map(|(number, at)| MemberForm { number, address: *at, votes: true }).collect()
+    /// The relays that vote, as publishers know them.
+    pub(crate) fn voters(&self) -> Vec<MemberForm> {
+        let voters = (0..).zip(&self.feeds).take(self.voter_count);
+        voters.map(|(number, address)| MemberForm { number, address: *address, votes: true }).collect()
     }
 
-    /// Feeds of a director: those of its own region first, turn by turn, then others.
-    pub fn feeds_of(&self, director: usize, most: usize) -> Vec<SocketAddr> {
-        let turn = director / self.regions;
+    /// Where a director connects: to `count` relays, first those of its own region, by which directors are spread.
+    pub(crate) fn feeds_of(&self, director: usize, count: usize) -> Vec<SocketAddr> {
         let (own, others): (Vec<usize>, Vec<usize>) =
-            (0..self.feeds.len()).partition(|n| self.region(*n) == self.region(director));
-        let around = |of: Vec<usize>, by: usize| {
-            let first = if of.is_empty() { 0 } else { by % of.len() };
-            let turned: Vec<usize> = of[first..].iter().chain(&of[..first]).copied().collect();
-            turned
-        };
-        let all = around(own, turn).into_iter().chain(around(others, director));
-        all.take(most).map(|n| self.feeds[n]).collect()
+            (0..self.feeds.len()).partition(|relay| self.region(*relay) == self.region(director));
+        let turn = director / self.regions;
+        let relays = rotated(&own, turn).into_iter().chain(rotated(&others, director));
+        relays.take(count).map(|relay| self.feeds[relay]).collect()
     }
 
-    /// The owner of the feed, or a plain relay by chance.
-    pub fn owner(&self) -> Option<usize> {
-        owner(&self.feeds)
+    /// The relays of a region, and all others.
+    pub(crate) fn feeds_by_region(&self, region: usize) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
+        let (inside, outside): (Vec<usize>, Vec<usize>) =
+            (0..self.feeds.len()).partition(|relay| self.region(*relay) == region);
+        let feeds = |relays: Vec<usize>| relays.into_iter().map(|relay| self.feeds[relay]).collect();
+        (feeds(inside), feeds(outside))
     }
 
-    pub fn plain(&self, chance: usize) -> usize {
-        self.voters + chance % (self.relays.len() - self.voters).max(1)
+    /// The relay that leads now.
+    pub(crate) fn leader(&self) -> Option<usize> {
+        leader(&self.feeds)
     }
 
-    pub fn holds(&self, which: impl Fn(&Pair) -> bool, held: HeldDirections) {
-        self.ways.pairs().filter(|p| which(p)).for_each(|p| self.ways.hold(*p, held));
+    /// One of the relays that do not vote, by a drawn number.
+    pub(crate) fn non_voter(&self, drawn: usize) -> usize {
+        self.voter_count + drawn % (self.relays.len() - self.voter_count).max(1)
     }
 
-    /// Bytes that a relay asked others, was answered by them, was asked by them and answered them.
-    pub fn bytes(&self, relay: usize) -> [u64; 4] {
-        let ([asked, heard], [came, told]) =
-            (self.ways.bytes(|p| p.0 == relay), self.ways.bytes(|p| p.1 == relay));
-        [asked, heard, came, told]
+    /// Holds back what passes on the links that are meant.
+    pub(crate) fn hold(&self, is_meant: impl Fn(&Pair) -> bool, held: HeldDirections) {
+        for pair in self.links.pairs().filter(|pair| is_meant(pair)) {
+            self.links.hold(*pair, held);
+        }
+    }
+
+    /// Bytes of a relay with other relays, in calls of both sides.
+    pub(crate) fn bytes(&self, relay: usize) -> RelayBytes {
+        let [requests_sent, answers_received] = self.links.bytes(|pair| pair.0 == relay);
+        let [requests_received, answers_sent] = self.links.bytes(|pair| pair.1 == relay);
+        RelayBytes { sent: requests_sent + answers_sent, received: answers_received + requests_received }
+    }
+}
+
+/// The same list from another place on.
+fn rotated(list: &[usize], by: usize) -> Vec<usize> {
+    let mut list = list.to_vec();
+    if !list.is_empty() {
+        let first = by % list.len();
+        list.rotate_left(first);
+    }
+    list
+}
+
+/// Addresses of relays, no two alike.
+fn allocate_addresses(count: usize) -> Result<Vec<SocketAddr>, TrialError> {
+    let mut ports = PortAllocator::new();
+    let mut addresses = Vec::new();
+    while addresses.len() < count {
+        let address = ports.allocate().map_err(io_error("a port"))?;
+        if !addresses.contains(&address) {
+            addresses.push(address);
+        }
+    }
+    Ok(addresses)
+}
+
+/// Makes a link from each relay to each other one.
+fn link_relays(feeds: &[SocketAddr], over: &Arc<AtomicBool>) -> Result<LinkProxies, TrialError> {
+    let pairs = (0..feeds.len()).flat_map(|a| (0..feeds.len()).map(move |b| (a, b)));
+    let planned = pairs.filter(|(a, b)| a != b).map(|pair| PlannedLink {
+        pair,
+        to: feeds[pair.1],
+        from: Ipv4Addr::LOCALHOST,
+    });
+    LinkProxies::between(planned.collect(), over).map_err(io_error("links between relays"))
+}
+
+fn wait_until_serving(relays: &mut [Relay], since: Instant) -> Result<(), TrialError> {
+    for relay in relays {
+        while TcpStream::connect(relay.address).is_err() {
+            if relay.has_exited() || since.elapsed() > START_TIMEOUT {
+                return Err(relay.not_serving());
+            }
+            std::thread::sleep(Duration::from_millis(20));
+        }
+    }
+    Ok(())
+}
+
+/// The settings of a relay, with its own links to all others.
+fn relay_settings(
+    settings: &Scale,
+    own: usize,
+    feeds: &[SocketAddr],
+    source: Option<SocketAddr>,
+    links: &LinkProxies,
+) -> String {
+    let mut text = format!(
+        "(relay (number . {own}) (batch-ms . {}) (ack-ms . {}) (missed-ms . {}) (cleared-ms . {CLEARED_MS}) (held-ms . {}) \
+         (slack-ms . {SLACK_MS}))\n",
+        settings.batch_ms,
+        settings.ack_ms,
+        (5 * settings.ack_ms).max(1_000),
+        settings.held_ms
+    );
+    for (number, address) in feeds.iter().enumerate() {
+        let address = links.address(own, number).unwrap_or(*address);
+        let votes = if number < settings.voters { " (votes . #t)" } else { "" };
+        text += &format!("(member (number . {number}) (address . \"{address}\"){votes})\n");
+    }
+    if let Some(source) = source {
+        text += &format!("(upstream (address . \"{source}\"))\n");
     }
+    text
 }
 
-/// How long caches have to clear what is purged, and how far clocks may be apart: both in settings of relays.
+/// How long caches have to clear what is purged, and how far clocks may be apart: both in the settings of relays.
 const CLEARED_MS: u64 = 1_000;
 const SLACK_MS: u64 = 2_000;
 
-/// After so long a purge binds no more, by what relays go by.
-pub fn binds_ms(s: &Scale) -> u64 {
-    CLEARED_MS + s.held_ms
+/// For how long after a purge relays keep it.
+pub(crate) fn binds_ms(settings: &Scale) -> u64 {
+    CLEARED_MS + settings.held_ms
 }
