--- a/crates/capacity/src/cost.rs
+++ b/crates/capacity/src/cost.rs
@@ -22,9 +22,12 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct Cost {
     pub name: &'static str,
+    #[serde(rename = "what")]
     pub what: &'static str,
+    #[serde(rename = "over")]
     pub over: &'static str,
     pub unit: &'static str,
+    #[serde(rename = "how")]
     pub how: How,
     pub points: Vec<Point>,
 }
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -17,11 +17,14 @@
     pub slope: f64,
     pub intercept: f64,
     /// The worst residual, as a part of what was measured there.
+    #[serde(rename = "worst")]
     pub worst: f64,
     /// The slope between the last two sizes, of that between the first two.
+    #[serde(rename = "turn")]
     pub turn: f64,
     /// The first size at which the cost lies over a quarter above the line through the smaller half of the
     /// sizes.
+    #[serde(rename = "bend")]
     pub bend: Option<f64>,
 }
 
