--- a/crates/capacity/src/duties.rs
+++ b/crates/capacity/src/coordination.rs
@@ -8,20 +8,20 @@
 use sablecross_coordination::messages::{ASSIGNMENT_ROLE, Assignment, HealthState, Reply, Request};
 use sablecross_coordination::{Action, CoordinationConfig, Coordinator, Member, Ns, RendezvousShares};
 
-use crate::cost::{Cost, How, in_turns, micros};
+use crate::cost::{Cost, MeasurementKind, measure_interleaved, time_micros};
 use crate::fit::Point;
 
 const MS: Ns = 1_000_000;
 const SEC: Ns = 1_000 * MS;
 /// Thirteen: the relays alone as members.
 pub const MEMBERS: [u32; 7] = [13, 50, 100, 200, 500, 1_000, 3_800];
-const BOXES: [u64; 6] = [0, 20, 50, 100, 200, 490];
+const TARGETS: [u64; 6] = [0, 20, 50, 100, 200, 490];
 /// Members of the trials over boxes.
-const FEW: u32 = 100;
+const TARGET_TRIAL_MEMBERS: u32 = 100;
 const VOTERS: u32 = 5;
 const ROUNDS: usize = 5;
 
-fn terms() -> CoordinationConfig {
+fn coordination_config() -> CoordinationConfig {
     CoordinationConfig {
         voters: (0..VOTERS).collect(),
         roles: vec![ASSIGNMENT_ROLE, 1],
@@ -36,50 +36,59 @@
 
 /// Of one party: calls that it made or was made, bytes both ways, nanoseconds of its own code.
 #[derive(Clone, Copy, Default)]
-struct Used {
+struct PartyUsage {
     calls: u64,
     bytes: u64,
-    took: u64,
+    elapsed_ns: u64,
 }
 
-struct Letter {
+struct PendingCall {
     from: Member,
     voter: u32,
-    number: u64,
+    call_id: u64,
     body: Vec<u8>,
 }
 
-struct Fleet {
+struct SimulatedFleet {
     now: Ns,
-    offices: Vec<Coordinator>,
-    used: Vec<Used>,
-    way: VecDeque<Letter>,
+    coordinators: Vec<Coordinator>,
+    usage: Vec<PartyUsage>,
+    pending_calls: VecDeque<PendingCall>,
 }
 
-fn timed<T>(used: &mut Used, done: impl FnOnce() -> T) -> T {
+fn timed<T>(used: &mut PartyUsage, done: impl FnOnce() -> T) -> T {
     let begun = Instant::now();
     let gave = done();
-    used.took += begun.elapsed().as_nanos() as u64;
+    used.elapsed_ns += begun.elapsed().as_nanos() as u64;
     gave
 }
 
-impl Fleet {
-    fn new(members: u32, boxes: u64) -> Fleet {
+impl SimulatedFleet {
+    fn new(members: u32, boxes: u64) -> SimulatedFleet {
         let boxes: BTreeSet<u64> = (0..boxes).collect();
         let office = |number: u32| {
-            let mut office =
-                Coordinator::new(Member { number, incarnation: 1 }, terms(), mix(number.into()), 0);
+            let mut office = Coordinator::new(
+                Member { number, incarnation: 1 },
+                coordination_config(),
+                mix(number.into()),
+                0,
+            );
             office.update_targets(0, &boxes);
             office
         };
         let offices: Vec<Coordinator> = (0..members).map(office).collect();
-        Fleet { now: 0, used: vec![Used::default(); offices.len()], offices, way: VecDeque::new() }
+        SimulatedFleet {
+            now: 0,
+            usage: vec![PartyUsage::default(); offices.len()],
+            coordinators: offices,
+            pending_calls: VecDeque::new(),
+        }
     }
 
     /// What an office wants done: its calls are encoded, its probes answered at once.
-    fn carry(&mut self, number: usize) {
+    fn run_actions(&mut self, number: usize) {
         loop {
-            let (office, used) = (&mut self.offices[number], &mut self.used[number]);
+            let (office, used) = (&mut self.coordinators[number], &mut self.usage[number]);
             let me = office.me();
             let acts = timed(used, || office.take_actions());
             let mut probes = Vec::new();
@@ -88,7 +97,7 @@
                     Action::Call { voter, call_id: number, messages: words } => {
                         let request = Request { from: me, messages: words };
                         let body = timed(used, || rmp_serde::to_vec(&request)).unwrap_or_default();
-                        self.way.push_back(Letter { from: me, voter, number, body });
+                        self.pending_calls.push_back(PendingCall { from: me, voter, call_id: number, body });
                     }
                     Action::CheckHealth { target: chore, token } => probes.push((chore, token)),
                     _ => {}
@@ -105,161 +114,185 @@
         }
     }
 
-    fn deliver(&mut self, letter: Letter) {
-        let Letter { from, voter, number, body } = letter;
+    fn deliver(&mut self, letter: PendingCall) {
+        let PendingCall { from, voter, call_id: number, body } = letter;
         let (at, by) = (voter as usize, from.number as usize);
-        let (office, used) = (&mut self.offices[at], &mut self.used[at]);
+        let (office, used) = (&mut self.coordinators[at], &mut self.usage[at]);
         let answer = timed(used, || {
             let words = rmp_serde::from_slice::<Request>(&body).map(|r| r.messages).unwrap_or_default();
             rmp_serde::to_vec(&office.on_request(self.now, from, &words)).unwrap_or_default()
         });
         for party in [at, by] {
-            self.used[party].calls += 1;
-            self.used[party].bytes += (body.len() + answer.len()) as u64;
+            self.usage[party].calls += 1;
+            self.usage[party].bytes += (body.len() + answer.len()) as u64;
         }
-        self.carry(at);
-        let (office, used) = (&mut self.offices[by], &mut self.used[by]);
+        self.run_actions(at);
+        let (office, used) = (&mut self.coordinators[by], &mut self.usage[by]);
         timed(used, || {
             let said: Vec<Reply> = rmp_serde::from_slice(&answer).unwrap_or_default();
             office.on_replies(self.now, voter, number, said);
         });
-        self.carry(by);
+        self.run_actions(by);
     }
 
     fn run(&mut self, until: Ns) {
         while self.now < until {
             self.now += 5 * MS;
-            for number in 0..self.offices.len() {
+            for number in 0..self.coordinators.len() {
                 // Members begin spread over a beat.
                 let begins = mix(number as u64) % (500 * MS);
-                if self.now < begins || self.offices[number].next_wakeup() > self.now {
+                if self.now < begins || self.coordinators[number].next_wakeup() > self.now {
                     continue;
                 }
-                let (office, used) = (&mut self.offices[number], &mut self.used[number]);
+                let (office, used) = (&mut self.coordinators[number], &mut self.usage[number]);
                 timed(used, || office.step(self.now));
-                self.carry(number);
-                while let Some(letter) = self.way.pop_front() {
+                self.run_actions(number);
+                while let Some(letter) = self.pending_calls.pop_front() {
                     self.deliver(letter);
                 }
             }
         }
     }
 
-    fn dealer(&self) -> Option<usize> {
-        self.offices.iter().take(VOTERS as usize).position(|o| o.token(self.now, ASSIGNMENT_ROLE).is_some())
+    fn assigner(&self) -> Option<usize> {
+        self.coordinators
+            .iter()
+            .take(VOTERS as usize)
+            .position(|o| o.token(self.now, ASSIGNMENT_ROLE).is_some())
     }
 }
 
 /// A second of a member, of a voter and of the one that deals.
 #[derive(Clone, Copy)]
-struct Second {
-    member: Used,
-    voter: Used,
-    dealer: Used,
+struct UsagePerSecond {
+    member: PartyUsage,
+    voter: PartyUsage,
+    assigner: PartyUsage,
 }
 
-const MEASURED: u64 = 6;
+const MEASURED_SECONDS: u64 = 6;
 
-fn seconds(members: u32, boxes: u64) -> Option<Second> {
-    let mut fleet = Fleet::new(members, boxes);
+fn measure_usage(members: u32, boxes: u64) -> Option<UsagePerSecond> {
+    let mut fleet = SimulatedFleet::new(members, boxes);
     // Twice the silence that is a death: all are known, and the deal is at rest.
     fleet.run(12 * SEC);
-    let before = fleet.dealer()?;
-    fleet.used.iter_mut().for_each(|u| *u = Used::default());
-    fleet.run((12 + MEASURED) * SEC);
-    let dealer = fleet.dealer().filter(|d| *d == before)?;
+    let before = fleet.assigner()?;
+    fleet.usage.iter_mut().for_each(|u| *u = PartyUsage::default());
+    fleet.run((12 + MEASURED_SECONDS) * SEC);
+    let dealer = fleet.assigner().filter(|d| *d == before)?;
     let mean = |which: &dyn Fn(usize) -> bool| {
-        let all: Vec<Used> = (0..fleet.used.len()).filter(|n| which(*n)).map(|n| fleet.used[n]).collect();
-        let many = MEASURED * all.len().max(1) as u64;
-        let of = |what: fn(&Used) -> u64| all.iter().map(what).sum::<u64>() / many;
-        Used { calls: of(|u| u.calls), bytes: of(|u| u.bytes), took: of(|u| u.took) }
+        let all: Vec<PartyUsage> =
+            (0..fleet.usage.len()).filter(|n| which(*n)).map(|n| fleet.usage[n]).collect();
+        let many = MEASURED_SECONDS * all.len().max(1) as u64;
+        let of = |what: fn(&PartyUsage) -> u64| all.iter().map(what).sum::<u64>() / many;
+        PartyUsage { calls: of(|u| u.calls), bytes: of(|u| u.bytes), elapsed_ns: of(|u| u.elapsed_ns) }
     };
     let voters = VOTERS as usize;
-    Some(Second {
+    Some(UsagePerSecond {
         member: mean(&|n| n >= voters),
         voter: mean(&|n| n < voters && n != dealer),
-        dealer: mean(&|n| n == dealer),
+        assigner: mean(&|n| n == dealer),
     })
 }
 
-type Row = (f64, Vec<Second>);
+type Row = (f64, Vec<UsagePerSecond>);
 
 fn cost(
     name: &'static str,
     what: &'static str,
     over: &'static str,
-    how: How,
+    how: MeasurementKind,
     rows: &[Row],
-    of: fn(&Second) -> f64,
+    of: fn(&UsagePerSecond) -> f64,
 ) -> Cost {
-    let value = |seen: &[Second]| crate::cost::median(seen.iter().map(of).collect());
+    let value = |seen: &[UsagePerSecond]| crate::cost::median(seen.iter().map(of).collect());
     let points = rows.iter().map(|(size, seen)| Point { size: *size, value: value(seen) }).collect();
     let unit = match how {
-        How::Timed => "% of a core",
+        MeasurementKind::Timed => "% of a core",
         _ if name.ends_with("calls") => "calls a second",
         _ => "bytes a second",
     };
-    Cost { name, what, over, unit, how, points }
+    Cost { name, description: what, size_unit: over, unit, kind: how, points }
 }
 
-fn core(used: Used) -> f64 {
-    used.took as f64 / 1e7
+fn percent_of_core(used: PartyUsage) -> f64 {
+    used.elapsed_ns as f64 / 1e7
 }
 
-pub fn by_members() -> Vec<Cost> {
+pub fn measure_by_members() -> Vec<Cost> {
     let mut rows: Vec<Row> = MEMBERS.iter().map(|m| (f64::from(*m), Vec::new())).collect();
     for _ in 0..ROUNDS {
         for (members, (_, seen)) in MEMBERS.iter().zip(&mut rows) {
-            seen.extend(seconds(*members, 0));
+            seen.extend(measure_usage(*members, 0));
         }
     }
     let cost = |name, what, how, of| cost(name, what, "members", how, &rows, of);
     vec![
-        cost("duties-member-bytes", "a member, both ways", How::Counted, |s| s.member.bytes as f64),
-        cost("duties-member-time", "a member's own code", How::Timed, |s| core(s.member)),
-        cost("duties-voter-calls", "at a voter", How::Counted, |s| s.voter.calls as f64),
-        cost("duties-voter-bytes", "a voter, both ways", How::Counted, |s| s.voter.bytes as f64),
-        cost("duties-voter-time", "a voter's own code", How::Timed, |s| core(s.voter)),
-        cost("duties-dealer-bytes", "the voter that deals, both ways", How::Counted, |s| {
-            s.dealer.bytes as f64
+        cost("duties-member-bytes", "a member, both ways", MeasurementKind::Counted, |s| {
+            s.member.bytes as f64
+        }),
+        cost("duties-member-time", "a member's own code", MeasurementKind::Timed, |s| {
+            percent_of_core(s.member)
+        }),
+        cost("duties-voter-calls", "at a voter", MeasurementKind::Counted, |s| s.voter.calls as f64),
+        cost("duties-voter-bytes", "a voter, both ways", MeasurementKind::Counted, |s| s.voter.bytes as f64),
+        cost("duties-voter-time", "a voter's own code", MeasurementKind::Timed, |s| percent_of_core(s.voter)),
+        cost("duties-dealer-bytes", "the voter that deals, both ways", MeasurementKind::Counted, |s| {
+            s.assigner.bytes as f64
+        }),
+        cost("duties-dealer-time", "own code of the voter that deals", MeasurementKind::Timed, |s| {
+            percent_of_core(s.assigner)
         }),
-        cost("duties-dealer-time", "own code of the voter that deals", How::Timed, |s| core(s.dealer)),
     ]
 }
 
-pub fn by_boxes() -> Vec<Cost> {
-    let mut rows: Vec<Row> = BOXES.iter().map(|b| (*b as f64, Vec::new())).collect();
+pub fn measure_by_targets() -> Vec<Cost> {
+    let mut rows: Vec<Row> = TARGETS.iter().map(|b| (*b as f64, Vec::new())).collect();
     for _ in 0..ROUNDS {
-        for (boxes, (_, seen)) in BOXES.iter().zip(&mut rows) {
-            seen.extend(seconds(FEW, *boxes));
+        for (boxes, (_, seen)) in TARGETS.iter().zip(&mut rows) {
+            seen.extend(measure_usage(TARGET_TRIAL_MEMBERS, *boxes));
         }
     }
     let cost = |name, what, how, of| cost(name, what, "boxes probed", how, &rows, of);
     vec![
-        cost("duties-facts-bytes", "a member of 100, both ways", How::Counted, |s| s.member.bytes as f64),
-        cost("duties-facts-voter-bytes", "a voter of 100 members, both ways", How::Counted, |s| {
-            s.voter.bytes as f64
+        cost("duties-facts-bytes", "a member of 100, both ways", MeasurementKind::Counted, |s| {
+            s.member.bytes as f64
+        }),
+        cost(
+            "duties-facts-voter-bytes",
+            "a voter of 100 members, both ways",
+            MeasurementKind::Counted,
+            |s| s.voter.bytes as f64,
+        ),
+        cost("duties-facts-voter-time", "own code of a voter of 100 members", MeasurementKind::Timed, |s| {
+            percent_of_core(s.voter)
         }),
-        cost("duties-facts-voter-time", "own code of a voter of 100 members", How::Timed, |s| core(s.voter)),
     ]
 }
 
 /// The longest that one change of the deal takes a member: whose are the 490 boxes now?
-pub fn share() -> Cost {
+pub fn measure_shares() -> Cost {
     let shares = |many: u32| {
         RendezvousShares::from_weights((0..many).map(|number| (Member { number, incarnation: 1 }, 1.0)))
     };
     let mut sizes: Vec<(f64, RendezvousShares)> =
         MEMBERS.iter().map(|m| (f64::from(*m), shares(*m))).collect();
-    let points = in_turns(&mut sizes, ROUNDS, |shares| {
-        micros(|| (0..490).filter(|chore| shares.owner(*chore).is_some()).count()).0
+    let points = measure_interleaved(&mut sizes, ROUNDS, |shares| {
+        time_micros(|| (0..490).filter(|chore| shares.owner(*chore).is_some()).count()).0
     });
     let what = "whose 490 boxes are after one change of the deal, at each member";
-    Cost { name: "duties-share-time", what, over: "members", unit: "us", how: How::Timed, points }
+    Cost {
+        name: "duties-share-time",
+        description: what,
+        size_unit: "members",
+        unit: "us",
+        kind: MeasurementKind::Timed,
+        points,
+    }
 }
 
 /// A deal told whole, as to a member that has just begun.
-pub fn roster() -> Cost {
+pub fn measure_assignment_bytes() -> Cost {
     let point = |&many: &u32| {
         let members = (0..many).map(|number| Member { number, incarnation: 1_764_576_000_123_000 }).collect();
         let roster = Assignment { members, ..Default::default() };
@@ -268,5 +301,12 @@
     };
     let points = MEMBERS.iter().map(point).collect();
     let what = "the deal told whole by one voter";
-    Cost { name: "duties-roster-bytes", what, over: "members", unit: "bytes", how: How::Counted, points }
+    Cost {
+        name: "duties-roster-bytes",
+        description: what,
+        size_unit: "members",
+        unit: "bytes",
+        kind: MeasurementKind::Counted,
+        points,
+    }
 }
--- a/crates/capacity/src/cost.rs
+++ b/crates/capacity/src/cost.rs
@@ -5,12 +5,12 @@
 
 use serde::Serialize;
 
-use crate::fit::{Line, Point};
+use crate::fit::{LinearFit, Point};
 
 /// How the values came about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum How {
+pub enum MeasurementKind {
     /// The same in each run.
     Counted,
     /// The median of rounds in which all sizes take turns.
@@ -23,34 +23,34 @@
 pub struct Cost {
     pub name: &'static str,
     #[serde(rename = "what")]
-    pub what: &'static str,
+    pub description: &'static str,
     #[serde(rename = "over")]
-    pub over: &'static str,
+    pub size_unit: &'static str,
     pub unit: &'static str,
     #[serde(rename = "how")]
-    pub how: How,
+    pub kind: MeasurementKind,
     pub points: Vec<Point>,
 }
 
 impl Cost {
-    pub fn line(&self) -> Option<Line> {
-        Line::through(&self.points)
+    pub fn fit(&self) -> Option<LinearFit> {
+        LinearFit::least_squares(&self.points)
     }
 
     /// The form of the sheet, but for its run and its end.
-    pub fn form(&self, line: &Line) -> String {
+    pub fn to_form(&self, line: &LinearFit) -> String {
         let points: Vec<String> =
-            self.points.iter().map(|p| format!("({} {})", p.size, short(p.value))).collect();
-        let bend = line.bend.map_or(String::new(), |size| format!(" (bend . {size})"));
+            self.points.iter().map(|p| format!("({} {})", p.size, format_significant(p.value))).collect();
+        let bend = line.bend_at.map_or(String::new(), |size| format!(" (bend . {size})"));
         format!(
             "(slope (name . {:?}) (unit . {:?}) (over . {:?})\n  (slope . {}) (intercept . {}) \
              (worst . {:.1}){bend}\n  (points {})\n ",
             self.name,
             self.unit,
-            self.over,
-            short(line.slope),
-            short(line.intercept),
-            100.0 * line.worst,
+            self.size_unit,
+            format_significant(line.slope),
+            format_significant(line.intercept),
+            100.0 * line.max_relative_residual,
             points.join(" ")
         )
     }
@@ -58,15 +58,25 @@
 
 impl fmt::Display for Cost {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let how = format!("{:?}", self.how).to_lowercase();
-        writeln!(f, "{}: {} ({how}, {} over {})", self.name, self.what, self.unit, self.over)?;
+        let how = format!("{:?}", self.kind).to_lowercase();
+        writeln!(f, "{}: {} ({how}, {} over {})", self.name, self.description, self.unit, self.size_unit)?;
         for p in &self.points {
-            writeln!(f, "  {:>9} {:>14}", p.size, short(p.value))?;
+            writeln!(f, "  {:>9} {:>14}", p.size, format_significant(p.value))?;
         }
-        let Some(line) = self.line() else { return writeln!(f, "  no line") };
-        write!(f, "  slope {} intercept {}", short(line.slope), short(line.intercept))?;
-        write!(f, " worst residual {:.0}% last slope {:.2} of the first", 100.0 * line.worst, line.turn)?;
-        match line.bend {
+        let Some(line) = self.fit() else { return writeln!(f, "  no line") };
+        write!(
+            f,
+            "  slope {} intercept {}",
+            format_significant(line.slope),
+            format_significant(line.intercept)
+        )?;
+        write!(
+            f,
+            " worst residual {:.0}% last slope {:.2} of the first",
+            100.0 * line.max_relative_residual,
+            line.slope_ratio
+        )?;
+        match line.bend_at {
             Some(size) => writeln!(f, " bends at {size}"),
             None => writeln!(f, " no bend"),
         }
@@ -74,7 +84,7 @@
 }
 
 /// Four digits that count.
-pub fn short(value: f64) -> String {
+pub fn format_significant(value: f64) -> String {
     if value == 0.0 || !value.is_finite() {
         return format!("{value}");
     }
@@ -84,7 +94,11 @@
 
 /// Takes all sizes in turn, round after round, so that what slows the machine for a while slows all alike:
 /// the median of each.
-pub fn in_turns<T>(sizes: &mut [(f64, T)], rounds: usize, mut take: impl FnMut(&mut T) -> f64) -> Vec<Point> {
+pub fn measure_interleaved<T>(
+    sizes: &mut [(f64, T)],
+    rounds: usize,
+    mut take: impl FnMut(&mut T) -> f64,
+) -> Vec<Point> {
     let mut seen = vec![Vec::with_capacity(rounds); sizes.len()];
     for _ in 0..rounds {
         for ((_, at), seen) in sizes.iter_mut().zip(&mut seen) {
@@ -100,19 +114,19 @@
 }
 
 /// Microseconds that it took, and what it gave.
-pub fn micros<T>(done: impl FnOnce() -> T) -> (f64, T) {
+pub fn time_micros<T>(done: impl FnOnce() -> T) -> (f64, T) {
     let begun = Instant::now();
     let gave = done();
     (begun.elapsed().as_nanos() as f64 / 1e3, gave)
 }
 
 /// Bytes of this process that lie in memory, as Linux says.
-pub fn resident() -> Option<f64> {
-    resident_of("self")
+pub fn resident_bytes() -> Option<f64> {
+    resident_bytes_of("self")
 }
 
 /// The same of another one, by its number.
-pub fn resident_of(process: &str) -> Option<f64> {
+pub fn resident_bytes_of(process: &str) -> Option<f64> {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).ok()?;
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
     let kilobytes: f64 = line.trim().trim_end_matches("kB").trim().parse().ok()?;
@@ -120,10 +134,10 @@
 }
 
 /// What one of them takes: the growth of this process while so many are made.
-pub fn grown<T>(many: usize, make: impl Fn(usize) -> T) -> f64 {
-    let before = resident().unwrap_or(f64::NAN);
+pub fn resident_growth_per_item<T>(many: usize, make: impl Fn(usize) -> T) -> f64 {
+    let before = resident_bytes().unwrap_or(f64::NAN);
     let all: Vec<T> = (0..many).map(make).collect();
-    let after = resident().unwrap_or(f64::NAN);
+    let after = resident_bytes().unwrap_or(f64::NAN);
     std::hint::black_box(&all);
     (after - before) / many as f64
 }
--- a/crates/capacity/src/feed.rs
+++ b/crates/capacity/src/discovery.rs
@@ -8,28 +8,28 @@
 use sablecross_discovery::{EventCursor, EventStreamParser, EventVerdict, StreamItem};
 use serde_json::{Value, json};
 
-use crate::cost::{Cost, How, in_turns, micros};
+use crate::cost::{Cost, MeasurementKind, measure_interleaved, time_micros};
 use crate::fit::Point;
 
 const EVENTS: [usize; 5] = [10, 100, 1_000, 10_000, 40_000];
 const NODES: [usize; 6] = [20, 50, 100, 200, 350, 490];
 const ROUNDS: usize = 11;
-const MOST: usize = 4 << 20;
+const MAX_BUFFERED_BYTES: usize = 4 << 20;
 /// Numbers as they are after some days, so that their digits count.
-const FIRST: u64 = 10_000_000;
-const AT_MS: u64 = 1_764_576_000_123;
+const FIRST_NUMBER: u64 = 10_000_000;
+const PURGED_AT_MS: u64 = 1_764_576_000_123;
 
-pub fn block(n: u64, what: &str) -> String {
+pub fn event_block(n: u64, what: &str) -> String {
     format!("id: {n}\ndata: {{\"n\":{n},{what}}}\n\n")
 }
 
-pub fn purge(n: u64) -> String {
-    purge_at(n, AT_MS + n)
+pub fn purge_event(n: u64) -> String {
+    purge_event_at(n, PURGED_AT_MS + n)
 }
 
 /// Made at this millisecond of the Unix clock.
-pub fn purge_at(n: u64, at: u64) -> String {
-    block(n, &format!("\"purge\":{{\"key\":\"{:016x}\",\"at\":{at}}}", mix(n)))
+pub fn purge_event_at(n: u64, at: u64) -> String {
+    event_block(n, &format!("\"purge\":{{\"key\":\"{:016x}\",\"at\":{at}}}", mix(n)))
 }
 
 pub fn endpoint(node: usize, status: &str) -> Value {
@@ -40,27 +40,27 @@
         "status": status, "weight": 4, "since_ms": 0})
 }
 
-fn members(n: u64, endpoints: &[Value], whole: bool) -> String {
+fn members_event(n: u64, endpoints: &[Value], whole: bool) -> String {
     let told = json!({"index": 7, "snapshot": whole, "endpoints": endpoints});
-    block(n, &format!("\"members\":{told}"))
+    event_block(n, &format!("\"members\":{told}"))
 }
 
-pub fn change(n: u64) -> String {
+pub fn change_event(n: u64) -> String {
     let status = if n.is_multiple_of(2) { "ready" } else { "gone" };
-    members(n, &[endpoint((n % 490) as usize, status)], false)
+    members_event(n, &[endpoint((n % 490) as usize, status)], false)
 }
 
-pub fn whole(n: u64, nodes: usize) -> String {
+pub fn snapshot_event(n: u64, nodes: usize) -> String {
     let all: Vec<Value> = (0..nodes).map(|node| endpoint(node, "ready")).collect();
-    members(n, &all, true)
+    members_event(n, &all, true)
 }
 
 /// Reads it all as a director does: the stream's blocks, JSON, the fact, the rule on numbers. How many were
 /// taken.
-fn read(text: &[u8]) -> usize {
-    let mut stream = EventStreamParser::new(MOST);
+fn read_events(text: &[u8]) -> usize {
+    let mut stream = EventStreamParser::new(MAX_BUFFERED_BYTES);
     stream.push(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
-    let mut cursor = EventCursor::after_number(FIRST - 1);
+    let mut cursor = EventCursor::after_number(FIRST_NUMBER - 1);
     let mut taken = 0;
     for piece in text.chunks(16 << 10) {
         stream.push(piece);
@@ -78,47 +78,65 @@
     taken
 }
 
-fn both(
+fn measure_bytes_and_time(
     names: [(&'static str, &'static str); 2],
-    over: &'static str,
+    size_unit: &'static str,
     texts: Vec<(usize, String)>,
 ) -> Vec<Cost> {
     let bytes =
         texts.iter().map(|(size, text)| Point { size: *size as f64, value: text.len() as f64 }).collect();
     let mut sizes: Vec<(f64, String)> = texts.into_iter().map(|(s, t)| (s as f64, t)).collect();
-    let time = in_turns(&mut sizes, ROUNDS, |text| {
+    let time = measure_interleaved(&mut sizes, ROUNDS, |text| {
         let many = (1_000_000 / text.len()).clamp(1, 1_000);
-        let (took, taken) = micros(|| (0..many).map(|_| read(text.as_bytes())).sum::<usize>());
+        let (took, taken) = time_micros(|| (0..many).map(|_| read_events(text.as_bytes())).sum::<usize>());
         assert!(taken >= many, "the reading code took {taken} events of a text made for it");
         took / many as f64
     });
     let [(bytes_name, bytes_what), (time_name, time_what)] = names;
     vec![
-        Cost { name: bytes_name, what: bytes_what, over, unit: "bytes", how: How::Counted, points: bytes },
-        Cost { name: time_name, what: time_what, over, unit: "us", how: How::Timed, points: time },
+        Cost {
+            name: bytes_name,
+            description: bytes_what,
+            size_unit,
+            unit: "bytes",
+            kind: MeasurementKind::Counted,
+            points: bytes,
+        },
+        Cost {
+            name: time_name,
+            description: time_what,
+            size_unit,
+            unit: "us",
+            kind: MeasurementKind::Timed,
+            points: time,
+        },
     ]
 }
 
-fn many(of: impl Fn(u64) -> String) -> Vec<(usize, String)> {
-    EVENTS.iter().map(|&many| (many, (FIRST..FIRST + many as u64).map(&of).collect())).collect()
+fn event_texts(of: impl Fn(u64) -> String) -> Vec<(usize, String)> {
+    EVENTS.iter().map(|&many| (many, (FIRST_NUMBER..FIRST_NUMBER + many as u64).map(&of).collect())).collect()
 }
 
-pub fn purges() -> Vec<Cost> {
+pub fn measure_purges() -> Vec<Cost> {
     let names =
         [("feed-purge-bytes", "so many purges on the socket"), ("feed-purge-time", "so many purges read")];
-    both(names, "purges", many(purge))
+    measure_bytes_and_time(names, "purges", event_texts(purge_event))
 }
 
-pub fn changes() -> Vec<Cost> {
+pub fn measure_changes() -> Vec<Cost> {
     let names = [
         ("feed-change-bytes", "so many changes of one line on the socket"),
         ("feed-change-time", "so many changes of one line read"),
     ];
-    both(names, "changes", many(change))
+    measure_bytes_and_time(names, "changes", event_texts(change_event))
 }
 
-pub fn lists() -> Vec<Cost> {
+pub fn measure_lists() -> Vec<Cost> {
     let names =
         [("feed-list-bytes", "the whole list as an event"), ("feed-list-time", "the whole list read")];
-    both(names, "nodes", NODES.iter().map(|&nodes| (nodes, whole(FIRST, nodes))).collect())
+    measure_bytes_and_time(
+        names,
+        "nodes",
+        NODES.iter().map(|&nodes| (nodes, snapshot_event(FIRST_NUMBER, nodes))).collect(),
+    )
 }
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 
 /// Past the line by more than this part, a cost has bent.
-const BENT: f64 = 0.25;
+const BEND_TOLERANCE: f64 = 0.25;
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Point {
@@ -13,47 +13,47 @@
 
 /// The line of least squares of the relative residuals: sizes lie decades apart, and each counts alike.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Line {
+pub struct LinearFit {
     pub slope: f64,
     pub intercept: f64,
     /// The worst residual, as a part of what was measured there.
     #[serde(rename = "worst")]
-    pub worst: f64,
+    pub max_relative_residual: f64,
     /// The slope between the last two sizes, of that between the first two.
     #[serde(rename = "turn")]
-    pub turn: f64,
+    pub slope_ratio: f64,
     /// The first size at which the cost lies over a quarter above the line through the smaller half of the
     /// sizes.
     #[serde(rename = "bend")]
-    pub bend: Option<f64>,
+    pub bend_at: Option<f64>,
 }
 
-impl Line {
-    pub fn at(&self, size: f64) -> f64 {
+impl LinearFit {
+    pub fn value_at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
 
     /// None with fewer than three different sizes, or with a value that is none.
-    pub fn through(points: &[Point]) -> Option<Line> {
-        let (slope, intercept) = squares(points)?;
+    pub fn least_squares(points: &[Point]) -> Option<LinearFit> {
+        let (slope, intercept) = weighted_least_squares(points)?;
         let off =
             |p: &Point| (intercept + slope * p.size - p.value).abs() / p.value.abs().max(f64::MIN_POSITIVE);
         let worst = points.iter().map(off).fold(0.0, f64::max);
         let half = &points[..points.len().div_ceil(2).max(3)];
-        let (s, i) = squares(half)?;
+        let (s, i) = weighted_least_squares(half)?;
         let rest = &points[half.len()..];
-        let bend = rest.iter().find(|p| p.value > (1.0 + BENT) * (i + s * p.size)).map(|p| p.size);
+        let bend = rest.iter().find(|p| p.value > (1.0 + BEND_TOLERANCE) * (i + s * p.size)).map(|p| p.size);
         let local = |a: &Point, b: &Point| (b.value - a.value) / (b.size - a.size);
         let turn = match points {
             [a, b, .., c, d] => local(c, d) / local(a, b),
             _ => 1.0,
         };
-        Some(Line { slope, intercept, worst, turn, bend })
+        Some(LinearFit { slope, intercept, max_relative_residual: worst, slope_ratio: turn, bend_at: bend })
     }
 }
 
 /// Weighted by one over the square of the value. A value of zero counts as the smallest that is none.
-fn squares(points: &[Point]) -> Option<(f64, f64)> {
+fn weighted_least_squares(points: &[Point]) -> Option<(f64, f64)> {
     if points.len() < 3 || points.iter().any(|p| !p.value.is_finite() || !p.size.is_finite()) {
         return None;
     }
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,15 +1,15 @@
 //! What the parts of sablecross cost as they grow: each cost measured at five sizes or more and fitted with a
 //! line, and the page of the target size that is worked out from those lines.
 
+pub mod coordination;
 pub mod cost;
-pub mod duties;
-pub mod feed;
+pub mod discovery;
 pub mod fit;
-pub mod module;
-pub mod page;
-pub mod real;
-pub mod sheet;
-pub mod survey;
+pub mod model;
+pub mod real_director;
+pub mod report;
+pub mod router;
+pub mod suite;
 
-pub use cost::{Cost, How};
-pub use fit::{Line, Point};
+pub use cost::{Cost, MeasurementKind};
+pub use fit::{LinearFit, Point};
--- a/crates/capacity/src/sheet.rs
+++ b/crates/capacity/src/model.rs
@@ -12,7 +12,7 @@
 enum Form {
     Target(#[garde(dive)] Target),
     Budget(#[garde(dive)] Budget),
-    Assumed(#[garde(dive)] Assumed),
+    Assumed(#[garde(dive)] Assumptions),
     Slope(#[garde(dive)] Slope),
     Figure(#[garde(dive)] Figure),
 }
@@ -72,7 +72,7 @@
 /// What is taken for granted, and what limits and designs say.
 #[derive(Clone, Debug, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct Assumed {
+pub struct Assumptions {
     /// IPv4 and TCP with time stamps, in each packet; each packet of events is acknowledged by one without
     /// any.
     #[garde(range(min = 20.0, max = 200.0))]
@@ -160,17 +160,17 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Sheet {
+pub struct CapacityModel {
     pub target: Target,
     pub budget: Budget,
-    pub assumed: Assumed,
+    pub assumptions: Assumptions,
     pub slopes: BTreeMap<String, Slope>,
     pub figures: BTreeMap<String, Figure>,
     /// Names of slopes in the order of the file.
-    pub order: Vec<String>,
+    pub slope_names: Vec<String>,
 }
 
-pub fn read(file: &str, text: &str) -> Result<Sheet, Vec<ConfigError>> {
+pub fn parse(file: &str, text: &str) -> Result<CapacityModel, Vec<ConfigError>> {
     let forms = sablecross_sexpr_config::parse_forms::<Form>(file, text)?;
     let (mut target, mut budget, mut assumed) = (None, None, None);
     let (mut slopes, mut figures, mut order) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
@@ -194,7 +194,7 @@
         let (key, what) = (what.to_owned(), format!("no ({what} ...) form"));
         ConfigError { file: file.into(), line: 1, column: 1, key, problem: what, remedy: "add it".into() }
     };
-    for name in NEEDED.iter().filter(|n| !slopes.contains_key(**n) && !figures.contains_key(**n)) {
+    for name in REQUIRED_NAMES.iter().filter(|n| !slopes.contains_key(**n) && !figures.contains_key(**n)) {
         let what = format!("no slope or figure of the name {name}");
         let todo = "measure it, or leave a figure without a value".into();
         faults.push(ConfigError {
@@ -208,7 +208,7 @@
     }
     match (target, budget, assumed) {
         (Some(target), Some(budget), Some(assumed)) if faults.is_empty() => {
-            Ok(Sheet { target, budget, assumed, slopes, figures, order })
+            Ok(CapacityModel { target, budget, assumptions: assumed, slopes, figures, slope_names: order })
         }
         (t, b, a) => {
             let there = [("target", t.is_some()), ("budget", b.is_some()), ("assumed", a.is_some())];
@@ -218,7 +218,7 @@
     }
 }
 
-const NEEDED: &[&str] = &[
+const REQUIRED_NAMES: &[&str] = &[
     "module-purge-known",
     "module-purge-rate",
     "module-change-parent",
@@ -274,16 +274,16 @@
     "scale-star-source-core",
 ];
 
-impl Sheet {
+impl CapacityModel {
     /// A measured cost at a size, by its line: NaN if it is only a figure.
-    pub fn at(&self, name: &str, size: f64) -> f64 {
+    pub fn predict(&self, name: &str, size: f64) -> f64 {
         self.slopes.get(name).map_or(f64::NAN, |s| s.intercept + s.slope * size)
     }
 
     /// What was measured at that size itself, else by the line.
-    pub fn measured(&self, name: &str, size: f64) -> f64 {
+    pub fn measured_or_predicted(&self, name: &str, size: f64) -> f64 {
         let points = self.slopes.get(name).map(|s| &s.points[..]).unwrap_or_default();
-        points.iter().find(|p| p.0 == size).map_or_else(|| self.at(name, size), |p| p.1)
+        points.iter().find(|p| p.0 == size).map_or_else(|| self.predict(name, size), |p| p.1)
     }
 
     pub fn slope(&self, name: &str) -> f64 {
@@ -294,42 +294,44 @@
         self.figures.get(name).and_then(|f| f.value)
     }
 
-    pub fn changes(&self) -> f64 {
+    pub fn changes_per_s(&self) -> f64 {
         self.target.changes_a_day / 86_400.0
     }
 
     /// Purges that bind at any time.
-    pub fn binding(&self) -> f64 {
-        self.target.purges * self.assumed.binds_s
+    pub fn active_purges(&self) -> f64 {
+        self.target.purges * self.assumptions.binds_s
     }
 
     /// Purges that a relay keeps, and tells to whoever has none.
-    pub fn kept(&self) -> f64 {
-        self.target.purges * (self.assumed.binds_s + self.assumed.slack_s)
+    pub fn retained_purges(&self) -> f64 {
+        self.target.purges * (self.assumptions.binds_s + self.assumptions.slack_s)
     }
 
     /// Bytes of events a second, without heads.
-    pub fn events(&self) -> f64 {
-        self.target.purges * self.slope("feed-purge-bytes") + self.changes() * self.slope("feed-change-bytes")
+    pub fn event_bytes_per_s(&self) -> f64 {
+        self.target.purges * self.slope("feed-purge-bytes")
+            + self.changes_per_s() * self.slope("feed-change-bytes")
     }
 
     /// Bytes a second at a reader that is told by so many packets, each with its acknowledgement.
-    pub fn told(&self, packets: f64, comment: f64) -> f64 {
-        self.events() + comment + packets * 2.0 * self.assumed.head
+    pub fn subscriber_bytes_per_s(&self, packets: f64, comment: f64) -> f64 {
+        self.event_bytes_per_s() + comment + packets * 2.0 * self.assumptions.head
     }
 
     /// Bytes a second of calling again, which says what is in force.
-    pub fn words(&self) -> f64 {
-        let a = &self.assumed;
+    pub fn reconnect_bytes_per_s(&self) -> f64 {
+        let a = &self.assumptions;
         (2.0 * a.call + a.connection * a.head) * 1e3 / a.ack_ms
     }
 
     /// What a reader is told that has nothing: the list and the purges that bind.
-    pub fn base(&self) -> f64 {
-        self.at("feed-list-bytes", self.target.nodes) + self.kept() * self.slope("feed-purge-bytes")
+    pub fn snapshot_bytes(&self) -> f64 {
+        self.predict("feed-list-bytes", self.target.nodes)
+            + self.retained_purges() * self.slope("feed-purge-bytes")
     }
 
-    pub fn batches(&self) -> f64 {
-        (1e3 / self.assumed.batch_ms).min(self.target.purges + self.changes())
+    pub fn batches_per_s(&self) -> f64 {
+        (1e3 / self.assumptions.batch_ms).min(self.target.purges + self.changes_per_s())
     }
 }
--- a/crates/capacity/src/real.rs
+++ b/crates/capacity/src/real_director.rs
@@ -21,29 +21,29 @@
 use sablecross_testbed::client_load::{Response, encode_request, read_any_response};
 use serde_json::{Value, json};
 
-use crate::cost::{Cost, How, median, resident_of};
-use crate::feed;
+use crate::cost::{Cost, MeasurementKind, median, resident_bytes_of};
+use crate::discovery;
 use crate::fit::Point;
 
 /// Makes the command that starts a director: what `sablecross lab director` is.
-pub type Program<'a> = &'a dyn Fn() -> Command;
+pub type DirectorCommand<'a> = &'a dyn Fn() -> Command;
 
 const NODES: usize = 490;
-const SETTLED: Duration = Duration::from_secs(3);
-const SPAN: Duration = Duration::from_secs(8);
+const WARM_UP: Duration = Duration::from_secs(3);
+const MEASUREMENT_SPAN: Duration = Duration::from_secs(8);
 const ROUNDS: usize = 3;
 /// Seconds for which a purge binds.
-const BINDS: f64 = 126.0;
-const SAMPLE: &str = include_str!("../../../deploy/sample.json");
+const PURGE_WINDOW_S: f64 = 126.0;
+const SAMPLE_CONFIG: &str = include_str!("../../../deploy/sample.json");
 
 /// An address that was free a moment ago.
-fn free() -> io::Result<SocketAddr> {
+fn free_address() -> io::Result<SocketAddr> {
     TcpListener::bind("127.0.0.1:0")?.local_addr()
 }
 
 struct Director {
     child: Child,
-    at: SocketAddr,
+    address: SocketAddr,
     config: std::path::PathBuf,
 }
 
@@ -57,24 +57,24 @@
 }
 
 /// A director that votes: its number, its address, and the settings of the duties.
-struct Votes<'a> {
+struct VoterSetup<'a> {
     number: usize,
-    at: SocketAddr,
-    duty: &'a Path,
+    address: SocketAddr,
+    coordination_file: &'a Path,
 }
 
 impl Director {
     fn start(
-        program: Program,
+        program: DirectorCommand,
         feed: SocketAddr,
         endpoints: &[Value],
-        votes: Option<Votes>,
+        votes: Option<VoterSetup>,
     ) -> io::Result<Director> {
         let at = match &votes {
-            Some(votes) => votes.at,
-            None => free()?,
+            Some(votes) => votes.address,
+            None => free_address()?,
         };
-        let mut all: Value = serde_json::from_str(SAMPLE)?;
+        let mut all: Value = serde_json::from_str(SAMPLE_CONFIG)?;
         all["listen"] = json!(at);
         all["feed"] = json!(feed);
         let list = json!({"index": 0, "snapshot": true, "endpoints": endpoints});
@@ -89,13 +89,13 @@
             all["settings"]["index"] = json!(votes.number);
             // Each member has a connection, and clients may have a third of these.
             all["limits"]["sockets"] = json!(4_096);
-            command.env("SABLECROSS_DUTY", votes.duty);
+            command.env("SABLECROSS_DUTY", votes.coordination_file);
         }
         let config = std::env::temp_dir().join(format!("slopes-{}-{}.json", std::process::id(), at.port()));
         std::fs::write(&config, all.to_string())?;
         command.env("NODE_CONFIG", &config);
         let child = command.stdin(Stdio::piped()).stdout(Stdio::null()).stderr(Stdio::null()).spawn()?;
-        let director = Director { child, at, config };
+        let director = Director { child, address: at, config };
         let begun = Instant::now();
         while TcpStream::connect(at).is_err() {
             if begun.elapsed() > Duration::from_secs(10) {
@@ -107,7 +107,7 @@
     }
 
     /// Microseconds of processor time that its threads have had.
-    fn used(&self) -> io::Result<f64> {
+    fn cpu_micros(&self) -> io::Result<f64> {
         let mut sum = 0.0;
         for task in std::fs::read_dir(format!("/proc/{}/task", self.child.id()))? {
             let text = std::fs::read_to_string(task?.path().join("schedstat"))?;
@@ -117,10 +117,10 @@
     }
 
     /// Parts of a core, in percent, over a while.
-    fn core(&self, span: Duration) -> io::Result<f64> {
-        let (before, begun) = (self.used()?, Instant::now());
+    fn cpu_percent(&self, span: Duration) -> io::Result<f64> {
+        let (before, begun) = (self.cpu_micros()?, Instant::now());
         thread::sleep(span);
-        Ok((self.used()? - before) / begun.elapsed().as_secs_f64() / 1e4)
+        Ok((self.cpu_micros()? - before) / begun.elapsed().as_secs_f64() / 1e4)
     }
 
     fn descriptors(&self) -> io::Result<usize> {
@@ -135,34 +135,39 @@
 /// What a feed tells: so many at once when it is called, spread over the time before; then at a rate, in
 /// batches.
 #[derive(Clone, Copy)]
-struct Told {
-    first: u64,
-    over: f64,
-    rate: f64,
-    batch: Duration,
-    changes: bool,
+struct FeedScript {
+    initial_purges: u64,
+    initial_span_ms: f64,
+    events_per_s: f64,
+    batch_interval: Duration,
+    sends_changes: bool,
 }
 
-const QUIET: Told =
-    Told { first: 0, over: 0.0, rate: 0.0, batch: Duration::from_millis(100), changes: false };
+const QUIET: FeedScript = FeedScript {
+    initial_purges: 0,
+    initial_span_ms: 0.0,
+    events_per_s: 0.0,
+    batch_interval: Duration::from_millis(100),
+    sends_changes: false,
+};
 
-struct Stand {
-    at: SocketAddr,
-    over: Arc<AtomicBool>,
+struct StubServer {
+    address: SocketAddr,
+    stop: Arc<AtomicBool>,
 }
 
-impl Drop for Stand {
+impl Drop for StubServer {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
         // Wakes the listener.
-        let _ = TcpStream::connect(self.at);
+        let _ = TcpStream::connect(self.address);
     }
 }
 
 /// Serves each connection by a thread of its own until it is dropped.
-fn stand(
+fn serve_connections(
     serve: impl Fn(TcpStream, &AtomicBool) -> io::Result<()> + Send + Sync + 'static,
-) -> io::Result<Stand> {
+) -> io::Result<StubServer> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let (at, over) = (listener.local_addr()?, Arc::new(AtomicBool::new(false)));
     let (serve, ends) = (Arc::new(serve), Arc::clone(&over));
@@ -176,10 +181,10 @@
             thread::spawn(move || serve(link, &ends));
         }
     });
-    Ok(Stand { at, over })
+    Ok(StubServer { address: at, stop: over })
 }
 
-fn told(mut link: TcpStream, over: &AtomicBool, told: Told) -> io::Result<()> {
+fn serve_feed(mut link: TcpStream, over: &AtomicBool, told: FeedScript) -> io::Result<()> {
     link.set_nodelay(true)?;
     let mut asked = BufReader::new(link.try_clone()?);
     let mut line = String::new();
@@ -189,8 +194,12 @@
     link.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")?;
     let (now, mut n) = (unix_ms(), 2);
     let mut text = String::new();
-    for at in 0..told.first {
-        text += &feed::purge_at(n, now - ((told.first - at) as f64 / told.first as f64 * told.over) as u64);
+    for at in 0..told.initial_purges {
+        text += &discovery::purge_event_at(
+            n,
+            now - ((told.initial_purges - at) as f64 / told.initial_purges as f64 * told.initial_span_ms)
+                as u64,
+        );
         n += 1;
     }
     link.write_all(text.as_bytes())?;
@@ -198,10 +207,14 @@
     while !over.load(Ordering::Relaxed) {
         let passed = begun.elapsed();
         text.clear();
-        while (said as f64) < passed.as_secs_f64() * told.rate {
-            text += &if told.changes { feed::change(n) } else { feed::purge_at(n, unix_ms()) };
+        while (said as f64) < passed.as_secs_f64() * told.events_per_s {
+            text += &if told.sends_changes {
+                discovery::change_event(n)
+            } else {
+                discovery::purge_event_at(n, unix_ms())
+            };
             (n, said) = (n + 1, said + 1);
-            if told.batch.is_zero() {
+            if told.batch_interval.is_zero() {
                 link.write_all(text.as_bytes())?;
                 text.clear();
             }
@@ -211,22 +224,22 @@
             text += ": .\n\n";
         }
         link.write_all(text.as_bytes())?;
-        thread::sleep(told.batch.max(Duration::from_millis(1)));
+        thread::sleep(told.batch_interval.max(Duration::from_millis(1)));
     }
     Ok(())
 }
 
 /// One director for each size, all at once, each with a feed of its own.
-fn at_feeds(
-    program: Program,
+fn start_with_feeds(
+    program: DirectorCommand,
     sizes: &[f64],
-    tells: impl Fn(f64) -> Told,
-) -> io::Result<Vec<(Director, Stand)>> {
-    let endpoints: Vec<Value> = (0..NODES).map(|n| feed::endpoint(n, "ready")).collect();
+    tells: impl Fn(f64) -> FeedScript,
+) -> io::Result<Vec<(Director, StubServer)>> {
+    let endpoints: Vec<Value> = (0..NODES).map(|n| discovery::endpoint(n, "ready")).collect();
     let begin = |size: &f64| {
         let what = tells(*size);
-        let feed = stand(move |link, over| told(link, over, what))?;
-        Ok((Director::start(program, feed.at, &endpoints, None)?, feed))
+        let feed = serve_connections(move |link, over| serve_feed(link, over, what))?;
+        Ok((Director::start(program, feed.address, &endpoints, None)?, feed))
     };
     sizes.iter().map(begin).collect()
 }
@@ -236,16 +249,20 @@
 }
 
 /// Processor time at each size, the median of some rounds.
-fn core_at(program: Program, sizes: &[f64], tells: impl Fn(f64) -> Told) -> io::Result<Vec<Point>> {
-    let all = at_feeds(program, sizes, tells)?;
-    thread::sleep(SETTLED);
+fn measure_cpu(
+    program: DirectorCommand,
+    sizes: &[f64],
+    tells: impl Fn(f64) -> FeedScript,
+) -> io::Result<Vec<Point>> {
+    let all = start_with_feeds(program, sizes, tells)?;
+    thread::sleep(WARM_UP);
     let mut seen = vec![Vec::new(); sizes.len()];
     for _ in 0..ROUNDS {
-        let before = all.iter().map(|(d, _)| d.used()).collect::<io::Result<Vec<f64>>>()?;
+        let before = all.iter().map(|(d, _)| d.cpu_micros()).collect::<io::Result<Vec<f64>>>()?;
         let begun = Instant::now();
-        thread::sleep(SPAN);
+        thread::sleep(MEASUREMENT_SPAN);
         for ((seen, before), (director, _)) in seen.iter_mut().zip(before).zip(&all) {
-            seen.push((director.used()? - before) / begun.elapsed().as_secs_f64() / 1e4);
+            seen.push((director.cpu_micros()? - before) / begun.elapsed().as_secs_f64() / 1e4);
         }
     }
     Ok(points(sizes, seen.into_iter().map(median)))
@@ -259,65 +276,104 @@
     p: Vec<Point>,
 ) -> Cost {
     let how = match unit {
-        "bytes" => How::Resident,
-        "open" => How::Counted,
-        _ => How::Timed,
+        "bytes" => MeasurementKind::Resident,
+        "open" => MeasurementKind::Counted,
+        _ => MeasurementKind::Timed,
     };
-    Cost { name, what, over, unit, how, points: p }
+    Cost { name, description: what, size_unit: over, unit, kind: how, points: p }
 }
 
-const CORE: &str = "% of a core";
+const PERCENT_OF_CORE: &str = "% of a core";
 
-pub fn purge_rate(program: Program) -> io::Result<Vec<Cost>> {
+pub fn measure_purge_rate(program: DirectorCommand) -> io::Result<Vec<Cost>> {
     let sizes = [5.0, 20.0, 35.0, 100.0, 200.0, 350.0];
     let tells = |rate: f64| {
-        let first = (rate * BINDS) as u64;
-        Told { first, over: BINDS * 1e3, rate, batch: Duration::ZERO, changes: false }
+        let first = (rate * PURGE_WINDOW_S) as u64;
+        FeedScript {
+            initial_purges: first,
+            initial_span_ms: PURGE_WINDOW_S * 1e3,
+            events_per_s: rate,
+            batch_interval: Duration::ZERO,
+            sends_changes: false,
+        }
     };
     let what = "a real director, 490 nodes listed, each purge told by itself, as many known as bind";
-    Ok(vec![cost("real-purge-time", what, "purges a second", CORE, core_at(program, &sizes, tells)?)])
+    Ok(vec![cost(
+        "real-purge-time",
+        what,
+        "purges a second",
+        PERCENT_OF_CORE,
+        measure_cpu(program, &sizes, tells)?,
+    )])
 }
 
-pub fn batch(program: Program) -> io::Result<Vec<Cost>> {
+pub fn measure_batches(program: DirectorCommand) -> io::Result<Vec<Cost>> {
     let sizes = [1.0, 2.0, 5.0, 10.0, 20.0];
     let tells = |pieces: f64| {
         let batch = Duration::from_secs_f64(1.0 / pieces);
-        Told { first: 4_400, over: BINDS * 1e3, rate: 35.0, batch, changes: false }
+        FeedScript {
+            initial_purges: 4_400,
+            initial_span_ms: PURGE_WINDOW_S * 1e3,
+            events_per_s: 35.0,
+            batch_interval: batch,
+            sends_changes: false,
+        }
     };
     let what = "a real director, 490 nodes listed, 35 purges a second told in so many batches";
-    Ok(vec![cost("real-batch-time", what, "batches a second", CORE, core_at(program, &sizes, tells)?)])
+    Ok(vec![cost(
+        "real-batch-time",
+        what,
+        "batches a second",
+        PERCENT_OF_CORE,
+        measure_cpu(program, &sizes, tells)?,
+    )])
 }
 
-pub fn change_rate(program: Program) -> io::Result<Vec<Cost>> {
+pub fn measure_change_rate(program: DirectorCommand) -> io::Result<Vec<Cost>> {
     let sizes = [0.25, 1.0, 5.0, 10.0, 25.0];
-    let tells = |rate| Told { first: 0, over: 0.0, rate, batch: Duration::ZERO, changes: true };
+    let tells = |rate| FeedScript {
+        initial_purges: 0,
+        initial_span_ms: 0.0,
+        events_per_s: rate,
+        batch_interval: Duration::ZERO,
+        sends_changes: true,
+    };
     let what = "a real director, 490 nodes listed, one-line changes of which a quarter are parents";
-    Ok(vec![cost("real-change-time", what, "changes a second", CORE, core_at(program, &sizes, tells)?)])
+    Ok(vec![cost(
+        "real-change-time",
+        what,
+        "changes a second",
+        PERCENT_OF_CORE,
+        measure_cpu(program, &sizes, tells)?,
+    )])
 }
 
 /// Waits until a director rests: milliseconds of processor time that it has had since its start, and its
 /// memory.
-fn at_rest(director: &Director) -> io::Result<(f64, f64)> {
+fn wait_until_idle(director: &Director) -> io::Result<(f64, f64)> {
     let mut last = 0.0;
     for _ in 0..60 {
         thread::sleep(Duration::from_millis(500));
-        let used = director.used()?;
+        let used = director.cpu_micros()?;
         if used - last < 2_000.0 {
             break;
         }
         last = used;
     }
-    let memory = resident_of(&director.child.id().to_string()).unwrap_or(f64::NAN);
-    Ok((director.used()? / 1e3, memory))
+    let memory = resident_bytes_of(&director.child.id().to_string()).unwrap_or(f64::NAN);
+    Ok((director.cpu_micros()? / 1e3, memory))
 }
 
 /// The middle of some rounds in which all sizes take turns.
-fn rests(sizes: &[f64], begin: impl Fn(f64) -> io::Result<(Director, Stand)>) -> io::Result<[Vec<Point>; 2]> {
+fn measure_starts(
+    sizes: &[f64],
+    begin: impl Fn(f64) -> io::Result<(Director, StubServer)>,
+) -> io::Result<[Vec<Point>; 2]> {
     let mut seen = vec![[const { Vec::new() }; 2]; sizes.len()];
     for _ in 0..ROUNDS {
         for (size, seen) in sizes.iter().zip(&mut seen) {
             let (director, _feed) = begin(*size)?;
-            let (time, memory) = at_rest(&director)?;
+            let (time, memory) = wait_until_idle(&director)?;
             seen[0].push(time);
             seen[1].push(memory);
         }
@@ -326,13 +382,14 @@
 }
 
 /// Purges of the last hour, told at once to a director that begins.
-pub fn told_at_once(program: Program) -> io::Result<Vec<Cost>> {
+pub fn measure_initial_purges(program: DirectorCommand) -> io::Result<Vec<Cost>> {
     let sizes = [1_000.0, 4_400.0, 20_000.0, 60_000.0, 126_000.0];
     let begin = |first: f64| {
-        let tells = |_| Told { first: first as u64, over: first / 35.0 * 1e3, ..QUIET };
-        at_feeds(program, &[first], tells).map(|mut all| all.remove(0))
+        let tells =
+            |_| FeedScript { initial_purges: first as u64, initial_span_ms: first / 35.0 * 1e3, ..QUIET };
+        start_with_feeds(program, &[first], tells).map(|mut all| all.remove(0))
     };
-    let [time, memory] = rests(&sizes, begin)?;
+    let [time, memory] = measure_starts(&sizes, begin)?;
     let what = "a real director's start with 490 nodes listed, so many purges of the last hour told at once";
     Ok(vec![
         cost("real-told-time", what, "purges", "ms of a core", time),
@@ -340,14 +397,14 @@
     ])
 }
 
-pub fn starts(program: Program) -> io::Result<Vec<Cost>> {
+pub fn measure_list_starts(program: DirectorCommand) -> io::Result<Vec<Cost>> {
     let sizes = [20.0, 50.0, 100.0, 200.0, 350.0, 490.0];
     let begin = |nodes: f64| {
-        let feed = stand(move |link, over| told(link, over, QUIET))?;
-        let endpoints: Vec<Value> = (0..nodes as usize).map(|n| feed::endpoint(n, "ready")).collect();
-        Ok((Director::start(program, feed.at, &endpoints, None)?, feed))
+        let feed = serve_connections(move |link, over| serve_feed(link, over, QUIET))?;
+        let endpoints: Vec<Value> = (0..nodes as usize).map(|n| discovery::endpoint(n, "ready")).collect();
+        Ok((Director::start(program, feed.address, &endpoints, None)?, feed))
     };
-    let [time, memory] = rests(&sizes, begin)?;
+    let [time, memory] = measure_starts(&sizes, begin)?;
     let what = "a real director's start, with the whole list in its configuration";
     Ok(vec![
         cost("real-start-time", what, "nodes", "ms of a core", time),
@@ -358,7 +415,7 @@
 // ---- lookups ----
 
 /// A node that has all there is, and answers at once with a body of this length.
-fn node(mut link: TcpStream, over: &AtomicBool, length: usize) -> io::Result<()> {
+fn serve_node(mut link: TcpStream, over: &AtomicBool, length: usize) -> io::Result<()> {
     link.set_nodelay(true)?;
     let mut reader = BufReader::new(link.try_clone()?);
     let body = vec![b'x'; length];
@@ -389,21 +446,21 @@
 const CLIENTS: usize = 8;
 
 /// Clients that ask by the clock, whatever is answered; how many were satisfied, and how many were not.
-struct Clients {
-    over: Arc<AtomicBool>,
+struct ClientLoad {
+    stop: Arc<AtomicBool>,
     satisfied: Arc<AtomicU64>,
     others: Arc<AtomicU64>,
 }
 
-impl Drop for Clients {
+impl Drop for ClientLoad {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
     }
 }
 
-impl Clients {
-    fn start(at: SocketAddr, rate: f64) -> io::Result<Clients> {
-        let clients = Clients { over: Arc::default(), satisfied: Arc::default(), others: Arc::default() };
+impl ClientLoad {
+    fn start(at: SocketAddr, rate: f64) -> io::Result<ClientLoad> {
+        let clients = ClientLoad { stop: Arc::default(), satisfied: Arc::default(), others: Arc::default() };
         for client in 0..CLIENTS as u64 {
             let mut link = TcpStream::connect(at)?;
             link.set_nodelay(true)?;
@@ -415,7 +472,7 @@
                     which.fetch_add(1, Ordering::Relaxed);
                 }
             });
-            let over = Arc::clone(&clients.over);
+            let over = Arc::clone(&clients.stop);
             thread::spawn(move || {
                 let (begun, mut asked) = (Instant::now(), 0u64);
                 while !over.load(Ordering::Relaxed) {
@@ -435,33 +492,33 @@
 
 /// One director under lookups at a rate with bodies of a length: its part of a core, lookups satisfied a
 /// second, its memory, its descriptors.
-struct Served {
-    core: f64,
-    satisfied: f64,
+struct LoadResult {
+    cpu_percent: f64,
+    satisfied_per_s: f64,
     memory: f64,
     descriptors: f64,
 }
 
-fn served(program: Program, rate: f64, length: usize) -> io::Result<Served> {
-    let node = stand(move |link, over| node(link, over, length))?;
-    let feed = stand(move |link, over| told(link, over, QUIET))?;
+fn measure_load(program: DirectorCommand, rate: f64, length: usize) -> io::Result<LoadResult> {
+    let node = serve_connections(move |link, over| serve_node(link, over, length))?;
+    let feed = serve_connections(move |link, over| serve_feed(link, over, QUIET))?;
     // The own zone's caches, some parents, the origin: all of them the one stand-in.
-    let mut endpoints: Vec<Value> = (245..253).map(|n| feed::endpoint(n, "ready")).collect();
-    endpoints.push(feed::endpoint(254, "ready"));
+    let mut endpoints: Vec<Value> = (245..253).map(|n| discovery::endpoint(n, "ready")).collect();
+    endpoints.push(discovery::endpoint(254, "ready"));
     for (n, e) in endpoints.iter_mut().enumerate() {
         let kind = match n {
             8 => "origin",
             0 | 4 => "parent",
             _ => "small",
         };
-        (e["address"], e["zone"], e["type"]) = (json!(node.at), json!("zone-32"), json!(kind));
+        (e["address"], e["zone"], e["type"]) = (json!(node.address), json!("zone-32"), json!(kind));
     }
-    let director = Director::start(program, feed.at, &endpoints, None)?;
-    let clients = Clients::start(director.at, rate)?;
-    thread::sleep(SETTLED);
+    let director = Director::start(program, feed.address, &endpoints, None)?;
+    let clients = ClientLoad::start(director.address, rate)?;
+    thread::sleep(WARM_UP);
     let count = || [&clients.satisfied, &clients.others].map(|n| n.load(Ordering::Relaxed) as f64);
     let (before, begun) = (count(), Instant::now());
-    let core = director.core(SPAN)?;
+    let core = director.cpu_percent(MEASUREMENT_SPAN)?;
     let (after, passed) = (count(), begun.elapsed().as_secs_f64());
     let [satisfied, others] = [0, 1].map(|n| (after[n] - before[n]) / passed);
     // Another figure than that of lookups served would be told under this name.
@@ -469,21 +526,27 @@
         let what = format!("of {rate} lookups a second {satisfied:.0} satisfied, {others:.0} not");
         return Err(io::Error::other(what));
     }
-    Ok(Served {
-        core,
-        satisfied,
-        memory: resident_of(&director.child.id().to_string()).unwrap_or(f64::NAN),
+    Ok(LoadResult {
+        cpu_percent: core,
+        satisfied_per_s: satisfied,
+        memory: resident_bytes_of(&director.child.id().to_string()).unwrap_or(f64::NAN),
         descriptors: director.descriptors()? as f64,
     })
 }
 
-pub fn lookups(program: Program) -> io::Result<Vec<Cost>> {
+pub fn measure_lookups(program: DirectorCommand) -> io::Result<Vec<Cost>> {
     let sizes = [100.0, 300.0, 526.0, 1_000.0, 1_800.0, 2_630.0];
-    let all = sizes.iter().map(|rate| served(program, *rate, 256)).collect::<io::Result<Vec<_>>>()?;
+    let all = sizes.iter().map(|rate| measure_load(program, *rate, 256)).collect::<io::Result<Vec<_>>>()?;
     let over = "lookups a second";
-    let of = |value: fn(&Served) -> f64| points(&sizes, all.iter().map(value));
+    let of = |value: fn(&LoadResult) -> f64| points(&sizes, all.iter().map(value));
     Ok(vec![
-        cost("real-lookup-time", "a real director, bodies of 256 bytes", over, CORE, of(|s| s.core)),
+        cost(
+            "real-lookup-time",
+            "a real director, bodies of 256 bytes",
+            over,
+            PERCENT_OF_CORE,
+            of(|s| s.cpu_percent),
+        ),
         cost("real-lookup-memory", "a real director", over, "bytes", of(|s| s.memory)),
         cost(
             "real-lookup-descriptors",
@@ -495,13 +558,13 @@
     ])
 }
 
-const FEW: f64 = 100.0;
+const BODY_TRIAL_RATE: f64 = 100.0;
 
-pub fn bodies(program: Program) -> io::Result<Vec<Cost>> {
+pub fn measure_bodies(program: DirectorCommand) -> io::Result<Vec<Cost>> {
     let sizes = [1.0, 16.0, 64.0, 128.0, 234.0];
-    let all = sizes.iter().map(|kb| served(program, FEW, (kb * 1024.0) as usize));
+    let all = sizes.iter().map(|kb| measure_load(program, BODY_TRIAL_RATE, (kb * 1024.0) as usize));
     let all = all.collect::<io::Result<Vec<_>>>()?;
-    let value = all.iter().map(|s| s.core * 1e4 / s.satisfied);
+    let value = all.iter().map(|s| s.cpu_percent * 1e4 / s.satisfied_per_s);
     let what = "a real director's time for one lookup, at 100 a second";
     Ok(vec![cost("real-body-time", what, "KB a body", "us", points(&sizes, value))])
 }
@@ -512,7 +575,7 @@
 const MS: Ns = 1_000_000;
 
 /// As the file of the duties has it.
-fn terms() -> CoordinationConfig {
+fn coordination_config() -> CoordinationConfig {
     CoordinationConfig {
         voters: (0..VOTERS).collect(),
         roles: vec![ASSIGNMENT_ROLE, 1],
@@ -526,7 +589,12 @@
 }
 
 /// Says one thing to a voter and waits for what it answers.
-fn exchange(link: &mut TcpStream, number: u32, request: &Request, limits: &Limits) -> io::Result<Vec<Said>> {
+fn call_voter(
+    link: &mut TcpStream,
+    number: u32,
+    request: &Request,
+    limits: &Limits,
+) -> io::Result<Vec<Said>> {
     let bad = |_| io::Error::from(io::ErrorKind::InvalidData);
     let body = rmp_serde::to_vec(request).map_err(|e| io::Error::other(e.to_string()))?;
     link.write_all(&rpc::encode_call(number, PEER_CALL_METHOD, &body))?;
@@ -545,7 +613,7 @@
 }
 
 /// A member without clients: its office, with a connection to each voter, until it is over.
-fn member(number: u32, voters: &[SocketAddr], begun: Instant, over: &AtomicBool) -> io::Result<()> {
+fn run_member(number: u32, voters: &[SocketAddr], begun: Instant, over: &AtomicBool) -> io::Result<()> {
     let now = || begun.elapsed().as_nanos() as Ns + 1;
     let limits = Limits::new(64, 64, 0, 0);
     let links = voters.iter().map(|at| {
@@ -555,13 +623,13 @@
     });
     let mut links = links.collect::<io::Result<Vec<TcpStream>>>()?;
     let me = Member { number, incarnation: 1 };
-    let mut office = Coordinator::new(me, terms(), mix(number.into()), now());
+    let mut office = Coordinator::new(me, coordination_config(), mix(number.into()), now());
     while !over.load(Ordering::Relaxed) {
         office.step(now());
         for act in office.take_actions() {
             let Action::Call { voter, call_id: number, messages: words } = act else { continue };
             let request = Request { from: me, messages: words };
-            let said = exchange(&mut links[voter as usize], number as u32 + 1, &request, &limits)?;
+            let said = call_voter(&mut links[voter as usize], number as u32 + 1, &request, &limits)?;
             office.on_replies(now(), voter, number, said);
         }
         let next = office.next_wakeup().saturating_sub(now()).clamp(MS, 100 * MS);
@@ -570,7 +638,7 @@
     Ok(())
 }
 
-fn deals(at: SocketAddr) -> io::Result<bool> {
+fn is_assigner(at: SocketAddr) -> io::Result<bool> {
     let request = Request { from: Member::default(), messages: vec![Message::ShowStatus] };
     let said = call_member(at, &request, Duration::from_secs(2))?;
     let shown = said.into_iter().filter_map(|s| if let Said::Status(shown) = s { Some(shown) } else { None });
@@ -578,9 +646,9 @@
 }
 
 /// Parts of a core of a voter and of the one that deals, with so many members, the voters among them.
-fn voting(program: Program, members: u32) -> io::Result<[f64; 2]> {
-    let feed = stand(move |link, over| told(link, over, QUIET))?;
-    let voters = (0..VOTERS).map(|_| free()).collect::<io::Result<Vec<SocketAddr>>>()?;
+fn measure_voting(program: DirectorCommand, members: u32) -> io::Result<[f64; 2]> {
+    let feed = serve_connections(move |link, over| serve_feed(link, over, QUIET))?;
+    let voters = (0..VOTERS).map(|_| free_address()).collect::<io::Result<Vec<SocketAddr>>>()?;
     let duty = std::env::temp_dir().join(format!("slopes-duty-{}-{members}.scm", std::process::id()));
     let mut text = String::from("(duty (lease-ms . 1000) (beat-ms . 500) (probing . #f))\n");
     for (number, at) in voters.iter().enumerate() {
@@ -588,23 +656,28 @@
     }
     std::fs::write(&duty, text)?;
     let start = |(number, at): (usize, &SocketAddr)| {
-        Director::start(program, feed.at, &[], Some(Votes { number, at: *at, duty: &duty }))
+        Director::start(
+            program,
+            feed.address,
+            &[],
+            Some(VoterSetup { number, address: *at, coordination_file: &duty }),
+        )
     };
     let all = voters.iter().enumerate().map(start).collect::<io::Result<Vec<Director>>>()?;
     let (begun, over) = (Instant::now(), Arc::new(AtomicBool::new(false)));
     let threads: Vec<_> = (VOTERS..members)
         .map(|number| {
             let (voters, over) = (voters.clone(), Arc::clone(&over));
-            thread::spawn(move || member(number, &voters, begun, &over))
+            thread::spawn(move || run_member(number, &voters, begun, &over))
         })
         .collect();
     // Twice the silence that is a death.
     thread::sleep(Duration::from_secs(11));
-    let dealer = voters.iter().position(|at| deals(*at).unwrap_or(false));
-    let before = all.iter().map(Director::used).collect::<io::Result<Vec<f64>>>()?;
+    let dealer = voters.iter().position(|at| is_assigner(*at).unwrap_or(false));
+    let before = all.iter().map(Director::cpu_micros).collect::<io::Result<Vec<f64>>>()?;
     let begun = Instant::now();
-    thread::sleep(SPAN);
-    let after = all.iter().map(Director::used).collect::<io::Result<Vec<f64>>>()?;
+    thread::sleep(MEASUREMENT_SPAN);
+    let after = all.iter().map(Director::cpu_micros).collect::<io::Result<Vec<f64>>>()?;
     let span = begun.elapsed().as_secs_f64();
     over.store(true, Ordering::Relaxed);
     let lost = threads.into_iter().filter_map(|t| t.join().ok()?.err()).next();
@@ -613,19 +686,19 @@
     if let Some(e) = lost {
         return Err(io::Error::other(format!("a member of {members} lost a voter: {e}")));
     }
-    let dealer = dealer.filter(|d| deals(voters[*d]).unwrap_or(false));
+    let dealer = dealer.filter(|d| is_assigner(voters[*d]).unwrap_or(false));
     let dealer = dealer.ok_or_else(|| io::Error::other(format!("no steady dealer of {members}")))?;
     let cores: Vec<f64> = after.iter().zip(before).map(|(a, b)| (a - b) / span / 1e4).collect();
     let others = cores.iter().enumerate().filter(|(n, _)| *n != dealer).map(|(_, core)| *core);
     Ok([others.sum::<f64>() / f64::from(VOTERS - 1), cores[dealer]])
 }
 
-pub fn voters(program: Program) -> io::Result<Vec<Cost>> {
+pub fn measure_voters(program: DirectorCommand) -> io::Result<Vec<Cost>> {
     let sizes = [13.0, 50.0, 100.0, 200.0, 400.0];
     let mut seen = vec![[const { Vec::new() }; 2]; sizes.len()];
     for _ in 0..ROUNDS {
         for (members, seen) in sizes.iter().zip(&mut seen) {
-            let [voter, dealer] = voting(program, *members as u32)?;
+            let [voter, dealer] = measure_voting(program, *members as u32)?;
             seen[0].push(voter);
             seen[1].push(dealer);
         }
@@ -633,7 +706,7 @@
     let of = |n: usize| points(&sizes, seen.iter().map(|s| median(s[n].clone())));
     let what = ["a real director that votes, with sockets", "the one of them that deals, with sockets"];
     Ok(vec![
-        cost("real-voter-time", what[0], "members", CORE, of(0)),
-        cost("real-dealer-time", what[1], "members", CORE, of(1)),
+        cost("real-voter-time", what[0], "members", PERCENT_OF_CORE, of(0)),
+        cost("real-dealer-time", what[1], "members", PERCENT_OF_CORE, of(1)),
     ])
 }
--- a/crates/capacity/src/module.rs
+++ b/crates/capacity/src/router.rs
@@ -8,24 +8,26 @@
     Router, Settings, mix, rank,
 };
 
-use crate::cost::{Cost, How, grown, in_turns, median, micros};
+use crate::cost::{
+    Cost, MeasurementKind, measure_interleaved, median, resident_growth_per_item, time_micros,
+};
 use crate::fit::Point;
 
 const MS: Ns = 1_000_000;
 const SEC: Ns = 1_000 * MS;
 const START: Ns = 10_000 * SEC;
 /// Nodes clear a purge within this; the module holds it two minutes longer.
-const CLEARED: Ns = 6 * SEC;
-const BINDS: u64 = 126;
+const PURGE_PROPAGATION: Ns = 6 * SEC;
+const PURGE_WINDOW_S: u64 = 126;
 
 /// Seven or eight nodes a zone, a quarter of them parents, as at the target size; directors alike.
 const NODES: [usize; 7] = [10, 20, 50, 100, 200, 350, 490];
-const KNOWN: [usize; 6] = [100, 1_000, 4_400, 20_000, 44_100, 126_000];
+const KNOWN_PURGES: [usize; 6] = [100, 1_000, 4_400, 20_000, 44_100, 126_000];
 const RATES: [u64; 7] = [5, 10, 20, 35, 70, 140, 350];
-const DIRECTORS_A_ZONE: usize = 59;
+const DIRECTORS_PER_ZONE: usize = 59;
 const ROUNDS: usize = 11;
 
-fn zones(nodes: usize) -> usize {
+fn zone_count(nodes: usize) -> usize {
     (nodes * 64 / 490).max(1)
 }
 
@@ -41,9 +43,9 @@
         is_uncacheable: false,
     };
     Settings {
-        zone: zones(nodes) / 2,
+        zone: zone_count(nodes) / 2,
         director_index: 0,
-        directors_per_zone: vec![DIRECTORS_A_ZONE; zones(nodes)],
+        directors_per_zone: vec![DIRECTORS_PER_ZONE; zone_count(nodes)],
         request_classes: vec![kind],
         parent_kind: Some(1),
         origin_kind: 2,
@@ -62,18 +64,18 @@
         stream_kb_per_s: 1_000.0,
         may_bypass_cache: true,
         may_coalesce: true,
-        purge_propagation_window: CLEARED,
+        purge_propagation_window: PURGE_PROPAGATION,
         tick: 2 * MS,
     }
 }
 
 /// Zone by zone; every fourth node is a parent, the last one the origin.
-pub fn list(nodes: usize) -> Vec<EndpointUpdate> {
+pub fn endpoint_list(nodes: usize) -> Vec<EndpointUpdate> {
     let machine = |n| if n + 1 == nodes { 2 } else { usize::from(n % 4 == 1) };
     let line = |n: usize| EndpointUpdate {
         node: n,
         rank: rank(&format!("s-{:08x}", mix(n as u64) as u32)),
-        zone: n * zones(nodes) / nodes,
+        zone: n * zone_count(nodes) / nodes,
         machine_kind: machine(n),
         cell: n / 2,
         started_at: 0,
@@ -83,13 +85,13 @@
     (0..nodes).map(line).collect()
 }
 
-pub fn router(nodes: usize) -> Router {
+pub fn router_with_nodes(nodes: usize) -> Router {
     let mut router = Router::new(settings(nodes), 7, START);
-    router.update_endpoints(START, &list(nodes), true);
+    router.update_endpoints(START, &endpoint_list(nodes), true);
     router
 }
 
-fn with_purges(known: usize) -> Router {
+fn router_with_purges(known: usize) -> Router {
     let mut router = Router::new(settings(10), 7, START);
     (0..known as u64).for_each(|n| router.record_purge(START, Some(mix(n)), 0, 0));
     router
@@ -97,19 +99,19 @@
 
 /// Purges of objects of which one is known, so that their number stays, 35 a second: over a second, so that
 /// what is done once a second is in it.
-pub fn purge_known() -> Cost {
+pub fn measure_known_purges() -> Cost {
     struct At {
         router: Router,
         known: u64,
         next: u64,
     }
     let begin = |&known: &usize| {
-        let at = At { router: with_purges(known), known: known as u64, next: 0 };
+        let at = At { router: router_with_purges(known), known: known as u64, next: 0 };
         (known as f64, at)
     };
-    let mut sizes: Vec<(f64, At)> = KNOWN.iter().map(begin).collect();
-    let points = in_turns(&mut sizes, ROUNDS, |at| {
-        let (took, ()) = micros(|| {
+    let mut sizes: Vec<(f64, At)> = KNOWN_PURGES.iter().map(begin).collect();
+    let points = measure_interleaved(&mut sizes, ROUNDS, |at| {
+        let (took, ()) = time_micros(|| {
             for _ in 0..35 {
                 let now = START + SEC + at.next * SEC / 35;
                 at.router.record_purge(now, Some(mix(at.next % at.known)), 0, 0);
@@ -120,16 +122,16 @@
     });
     Cost {
         name: "module-purge-known",
-        what: "one more purge of 35 a second while so many are known",
-        over: "known purges",
+        description: "one more purge of 35 a second while so many are known",
+        size_unit: "known purges",
         unit: "us",
-        how: How::Timed,
+        kind: MeasurementKind::Timed,
         points,
     }
 }
 
 /// Purges at a steady rate, once as many are known as bind.
-pub fn purge_rate() -> Cost {
+pub fn measure_purge_rate() -> Cost {
     struct At {
         router: Router,
         rate: u64,
@@ -144,45 +146,45 @@
     }
     let begin = |rate| {
         let mut at = At { router: Router::new(settings(10), 7, START), rate, next: 0 };
-        (0..rate * (BINDS + 4)).for_each(|_| at.purge());
+        (0..rate * (PURGE_WINDOW_S + 4)).for_each(|_| at.purge());
         (rate as f64, at)
     };
     let mut sizes: Vec<(f64, At)> = RATES.iter().map(|r| begin(*r)).collect();
-    let points = in_turns(&mut sizes, ROUNDS, |at| {
+    let points = measure_interleaved(&mut sizes, ROUNDS, |at| {
         // Whole seconds, so that what is done once a second is in it.
         let many = 2 * at.rate;
-        let (took, ()) = micros(|| (0..many).for_each(|_| at.purge()));
+        let (took, ()) = time_micros(|| (0..many).for_each(|_| at.purge()));
         took / 2.0 / 1e4
     });
     Cost {
         name: "module-purge-rate",
-        what: "the module's part of a core for purges, with as many known as bind",
-        over: "purges a second",
+        description: "the module's part of a core for purges, with as many known as bind",
+        size_unit: "purges a second",
         unit: "% of a core",
-        how: How::Timed,
+        kind: MeasurementKind::Timed,
         points,
     }
 }
 
 /// One line of the list changes: a node goes, and comes back.
-fn changes(
+fn measure_endpoint_change(
     name: &'static str,
     what: &'static str,
     which: impl Fn(usize) -> Vec<usize>,
     at_once: bool,
 ) -> Cost {
     let begin = |&nodes: &usize| {
-        let lines = list(nodes);
+        let lines = endpoint_list(nodes);
         let moved: Vec<EndpointUpdate> = which(nodes).into_iter().map(|n| lines[n]).collect();
-        (nodes as f64, (router(nodes), moved, false))
+        (nodes as f64, (router_with_nodes(nodes), moved, false))
     };
     let mut sizes: Vec<_> = NODES[1..].iter().map(begin).collect();
-    let points = in_turns(&mut sizes, 4 * ROUNDS, |(router, moved, gone)| {
+    let points = measure_interleaved(&mut sizes, 4 * ROUNDS, |(router, moved, gone)| {
         *gone = !*gone;
         moved
             .iter_mut()
             .for_each(|l| l.state = if *gone { EndpointState::Gone } else { EndpointState::Ready });
-        let (took, ()) = micros(|| {
+        let (took, ()) = time_micros(|| {
             if at_once {
                 router.update_endpoints(START, moved, false);
             } else {
@@ -192,44 +194,59 @@
         router.take_log_lines();
         took
     });
-    Cost { name, what, over: "nodes", unit: "us", how: How::Timed, points }
+    Cost { name, description: what, size_unit: "nodes", unit: "us", kind: MeasurementKind::Timed, points }
 }
 
 /// A parent in the middle of the list.
-fn a_parent(nodes: usize) -> Vec<usize> {
+fn middle_parent(nodes: usize) -> Vec<usize> {
     vec![nodes / 2 / 4 * 4 + 1]
 }
 
 /// Eight nodes that stand beside one another, the own zone's among them.
-fn a_zone(nodes: usize) -> Vec<usize> {
+fn middle_zone(nodes: usize) -> Vec<usize> {
     let from = (nodes / 2).saturating_sub(4);
     (from..from + 8).collect()
 }
 
-pub fn list_changes() -> Vec<Cost> {
+pub fn measure_endpoint_changes() -> Vec<Cost> {
     vec![
-        changes("module-change-parent", "one parent goes or comes", a_parent, false),
-        changes("module-change-cache", "one cache of another zone goes or comes", |_| vec![0], false),
-        changes("module-zone-loss", "eight nodes go or come by eight events", a_zone, false),
-        changes("module-zone-loss-at-once", "eight nodes go or come by one event", a_zone, true),
+        measure_endpoint_change("module-change-parent", "one parent goes or comes", middle_parent, false),
+        measure_endpoint_change(
+            "module-change-cache",
+            "one cache of another zone goes or comes",
+            |_| vec![0],
+            false,
+        ),
+        measure_endpoint_change(
+            "module-zone-loss",
+            "eight nodes go or come by eight events",
+            middle_zone,
+            false,
+        ),
+        measure_endpoint_change(
+            "module-zone-loss-at-once",
+            "eight nodes go or come by one event",
+            middle_zone,
+            true,
+        ),
     ]
 }
 
 /// The ordinary path of requests: each routed, asked for its next check, ended as successful.
-struct Path {
+struct RequestPath {
     router: Router,
     now: Ns,
     next: u64,
     /// Nanoseconds of the three calls over the last round, and how many were sent.
-    took: [f64; 3],
-    sent: u64,
+    elapsed_ns: [f64; 3],
+    attempts: u64,
 }
 
 const LOOKUPS: u64 = 1_000;
 
-impl Path {
+impl RequestPath {
     fn round(&mut self, clock: f64) {
-        (self.took, self.sent) = ([0.0; 3], 0);
+        (self.elapsed_ns, self.attempts) = ([0.0; 3], 0);
         for _ in 0..LOOKUPS {
             self.now += 2 * MS;
             self.next = mix(self.next);
@@ -247,9 +264,9 @@
             };
             let begun = Instant::now();
             let route = self.router.route(self.now, &request);
-            self.took[0] += begun.elapsed().as_nanos() as f64 - clock;
+            self.elapsed_ns[0] += begun.elapsed().as_nanos() as f64 - clock;
             let RouteDecision::Attempt(send) = route else { continue };
-            self.sent += 1;
+            self.attempts += 1;
             request.attempts.push(Attempt {
                 node: send.node,
                 source: send.source,
@@ -258,31 +275,37 @@
             });
             let begun = Instant::now();
             black_box(self.router.next_check(self.now, &request));
-            self.took[2] += begun.elapsed().as_nanos() as f64 - clock;
+            self.elapsed_ns[2] += begun.elapsed().as_nanos() as f64 - clock;
             request.attempts[0].outcome = Some(Outcome::Success);
             let begun = Instant::now();
             black_box(self.router.on_outcome(self.now + 30 * MS, &request, 0, 30 * MS, None));
-            self.took[1] += begun.elapsed().as_nanos() as f64 - clock;
+            self.elapsed_ns[1] += begun.elapsed().as_nanos() as f64 - clock;
         }
         self.router.take_log_lines();
     }
 }
 
-pub fn calls() -> Vec<Cost> {
+pub fn measure_calls() -> Vec<Cost> {
     let clock = median((0..2_001).map(|_| Instant::now().elapsed().as_nanos() as f64).collect());
     let begin = |&nodes: &usize| {
-        let mut path = Path { router: router(nodes), now: START, next: 1, took: [0.0; 3], sent: 0 };
+        let mut path = RequestPath {
+            router: router_with_nodes(nodes),
+            now: START,
+            next: 1,
+            elapsed_ns: [0.0; 3],
+            attempts: 0,
+        };
         (0..20).for_each(|_| path.round(clock));
         path
     };
-    let mut paths: Vec<Path> = NODES.iter().map(begin).collect();
+    let mut paths: Vec<RequestPath> = NODES.iter().map(begin).collect();
     let mut seen = vec![[const { Vec::new() }; 3]; NODES.len()];
     for _ in 0..4 * ROUNDS {
         for (path, seen) in paths.iter_mut().zip(&mut seen) {
             path.round(clock);
-            let many = [LOOKUPS, path.sent.max(1), path.sent.max(1)];
+            let many = [LOOKUPS, path.attempts.max(1), path.attempts.max(1)];
             for call in 0..3 {
-                seen[call].push(path.took[call] / many[call] as f64);
+                seen[call].push(path.elapsed_ns[call] / many[call] as f64);
             }
         }
     }
@@ -296,19 +319,19 @@
     };
     let cost = |(call, (name, what))| {
         let points = point(call).collect();
-        Cost { name, what, over: "nodes", unit: "ns", how: How::Timed, points }
+        Cost { name, description: what, size_unit: "nodes", unit: "ns", kind: MeasurementKind::Timed, points }
     };
     whats.into_iter().enumerate().map(cost).collect()
 }
 
 /// Bytes of one module, taken in a process of its own.
-pub fn memory(nodes: usize) -> f64 {
-    grown(20_000 / nodes, |_| router(nodes))
+pub fn router_memory(nodes: usize) -> f64 {
+    resident_growth_per_item(20_000 / nodes, |_| router_with_nodes(nodes))
 }
 
-pub fn purge_memory(known: usize) -> f64 {
-    grown((200_000 / known).max(1), |_| with_purges(known))
+pub fn router_purge_memory(known: usize) -> f64 {
+    resident_growth_per_item((200_000 / known).max(1), |_| router_with_purges(known))
 }
 
-pub const MEMORY: [usize; 7] = NODES;
-pub const PURGE_MEMORY: [usize; 6] = KNOWN;
+pub const MEMORY_SIZES: [usize; 7] = NODES;
+pub const PURGE_MEMORY_SIZES: [usize; 6] = KNOWN_PURGES;
--- a/crates/capacity/tests/settings_format.rs
+++ b/crates/capacity/tests/settings_format.rs
@@ -1,6 +1,6 @@
 //! The spelling of every key of docs/capacity.scm, and the JSON of a cost: names that stay when Rust identifiers change.
 
-use sablecross_capacity::{Cost, How, Line, Point, sheet};
+use sablecross_capacity::{Cost, LinearFit, MeasurementKind, Point, model};
 use serde_json::json;
 
 /// Each form with every key; `value`, `run`, `bend` and `command` are the keys with a default.
@@ -29,8 +29,8 @@
 
 #[test]
 fn every_key_and_every_default_is_read() {
-    let read = sheet::read("all.scm", &complete()).expect("a form with every key");
-    let text = format!("{:?}", (&read.target, &read.budget, &read.assumed));
+    let read = model::parse("all.scm", &complete()).expect("a form with every key");
+    let text = format!("{:?}", (&read.target, &read.budget, &read.assumptions));
     let values = text.split(|c: char| !c.is_ascii_digit() && c != '.').filter(|v| !v.is_empty());
     let values: Vec<f64> = values.filter_map(|v| v.parse().ok()).collect();
     let expected = [
@@ -81,14 +81,14 @@
     }
     let fourth = format!("{:?}", read.figures["fourth"]);
     assert_eq!(fourth.matches("None").count(), 2, "{fourth}");
-    assert_eq!(read.order, ["first", "second"]);
+    assert_eq!(read.slope_names, ["first", "second"]);
 }
 
 #[test]
 fn an_unknown_key_and_a_value_out_of_range_are_named_by_the_key() {
-    sheet::read("all.scm", &complete()).expect("faultless before the change");
+    model::parse("all.scm", &complete()).expect("faultless before the change");
     let fault = |from: &str, to: &str| {
-        let faults = sheet::read("all.scm", &complete().replace(from, to)).expect_err("a faulty form");
+        let faults = model::parse("all.scm", &complete().replace(from, to)).expect_err("a faulty form");
         faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
     };
     assert!(fault("(regions . 13)", "(region . 13)").contains("region"));
@@ -106,35 +106,56 @@
     }
 }
 
-fn cost(how: How) -> Cost {
+fn cost(how: MeasurementKind) -> Cost {
     let points = vec![
         Point { size: 1.0, value: 3.0 },
         Point { size: 2.0, value: 5.0 },
         Point { size: 3.0, value: 7.0 },
     ];
-    Cost { name: "a-name", what: "what is measured", over: "nodes", unit: "us", how, points }
+    Cost {
+        name: "a-name",
+        description: "what is measured",
+        size_unit: "nodes",
+        unit: "us",
+        kind: how,
+        points,
+    }
 }
 
 #[test]
 fn the_json_of_a_cost_keeps_its_spelling() {
-    let line = Line { slope: 2.0, intercept: 1.0, worst: 0.5, turn: 1.5, bend: Some(3.0) };
-    let text = json!({"cost": cost(How::Timed), "line": line}).to_string();
+    let line = LinearFit {
+        slope: 2.0,
+        intercept: 1.0,
+        max_relative_residual: 0.5,
+        slope_ratio: 1.5,
+        bend_at: Some(3.0),
+    };
+    let text = json!({"cost": cost(MeasurementKind::Timed), "line": line}).to_string();
     let expected = r#"{"cost":{"how":"timed","name":"a-name","over":"nodes","points":[{"size":1.0,"value":3.0},{"size":2.0,"value":5.0},{"size":3.0,"value":7.0}],"unit":"us","what":"what is measured"},"line":{"bend":3.0,"intercept":1.0,"slope":2.0,"turn":1.5,"worst":0.5}}"#;
     assert_eq!(text, expected);
-    assert_eq!(json!(Line { bend: None, ..line })["bend"], json!(null));
+    assert_eq!(json!(LinearFit { bend_at: None, ..line })["bend"], json!(null));
     assert_eq!(
-        json!([How::Counted, How::Timed, How::Resident]).to_string(),
+        json!([MeasurementKind::Counted, MeasurementKind::Timed, MeasurementKind::Resident]).to_string(),
         r#"["counted","timed","resident"]"#
     );
 }
 
 #[test]
 fn the_form_and_the_text_of_a_cost_keep_their_spelling() {
-    let line = Line { slope: 2.0, intercept: 1.0, worst: 0.5, turn: 1.5, bend: Some(3.0) };
+    let line = LinearFit {
+        slope: 2.0,
+        intercept: 1.0,
+        max_relative_residual: 0.5,
+        slope_ratio: 1.5,
+        bend_at: Some(3.0),
+    };
     let form = "(slope (name . \"a-name\") (unit . \"us\") (over . \"nodes\")\n  (slope . 2.000) (intercept . 1.000) \
                 (worst . 50.0) (bend . 3)\n  (points (1 3.000) (2 5.000) (3 7.000))\n ";
-    assert_eq!(cost(How::Counted).form(&line), form);
+    assert_eq!(cost(MeasurementKind::Counted).to_form(&line), form);
     assert!(
-        cost(How::Resident).to_string().starts_with("a-name: what is measured (resident, us over nodes)\n")
+        cost(MeasurementKind::Resident)
+            .to_string()
+            .starts_with("a-name: what is measured (resident, us over nodes)\n")
     );
 }
--- a/crates/cli/src/capacity.rs
+++ b/crates/cli/src/capacity.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use clap::Args;
-use sablecross_capacity::{page, sheet};
+use sablecross_capacity::{model, report};
 
 use crate::CommandOutcome;
 
@@ -20,7 +20,7 @@
 pub(crate) fn run(a: &Arguments) -> Result<CommandOutcome, Vec<String>> {
     let name = a.file.display().to_string();
     let text = std::fs::read_to_string(&a.file).map_err(|e| vec![format!("{name}: {e}")])?;
-    let sheet = sheet::read(&name, &text)
+    let sheet = model::parse(&name, &text)
         .map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>())?;
     let tables = sheet.tables();
     let Some(path) = &a.write else {
@@ -29,8 +29,9 @@
     };
     let name = path.display().to_string();
     let old = std::fs::read_to_string(path).map_err(|e| vec![format!("{name}: {e}")])?;
-    let new = page::between(&old, &tables)
-        .ok_or_else(|| vec![format!("{name}: no {} and {} in this order", page::BEGIN, page::END)])?;
+    let new = report::replace_tables(&old, &tables).ok_or_else(|| {
+        vec![format!("{name}: no {} and {} in this order", report::TABLES_BEGIN, report::TABLES_END)]
+    })?;
     std::fs::write(path, new).map_err(|e| vec![format!("{name}: {e}")])?;
     let (past, open) = sheet.verdicts();
     println!("{name}: {} past their budget, {} not measured yet", past.len(), open.len());
--- a/crates/cli/src/cost_slopes.rs
+++ b/crates/cli/src/cost_slopes.rs
@@ -1,7 +1,7 @@
 //! `sablecross slopes ...`
 
 use clap::Args;
-use sablecross_capacity::survey;
+use sablecross_capacity::suite;
 use serde_json::json;
 
 use crate::CommandOutcome;
@@ -29,13 +29,14 @@
     if let [name, size] = &a.bare[..] {
         let size = size.parse().ok().filter(|s| *s > 0);
         let size = size.ok_or_else(|| vec![format!("--bare {name}: the size is no count")])?;
-        let value = survey::bare(name, size).ok_or_else(|| vec![format!("--bare {name}: no such cost")])?;
+        let value =
+            suite::measure_memory(name, size).ok_or_else(|| vec![format!("--bare {name}: no such cost")])?;
         println!("{value}");
         return Ok(CommandOutcome::Success);
     }
-    let known = survey::names().filter(|n| n.starts_with(&a.only)).collect::<Vec<_>>();
+    let known = suite::names().filter(|n| n.starts_with(&a.only)).collect::<Vec<_>>();
     if known.is_empty() {
-        let all: Vec<&str> = survey::names().collect();
+        let all: Vec<&str> = suite::names().collect();
         return Err(vec![format!("--only {}: no cost begins so; there are {}", a.only, all.join(", "))]);
     }
     if a.names {
@@ -54,15 +55,15 @@
         command
     };
     let mut unfit = Vec::new();
-    let ways = survey::Ways { bare: &ask, director: &director };
-    let taken = survey::take(&a.only, &ways, |cost| {
-        if cost.line().is_none() {
+    let ways = suite::MeasurementEnvironment { measure_memory: &ask, director_command: &director };
+    let taken = suite::measure(&a.only, &ways, |cost| {
+        if cost.fit().is_none() {
             unfit.push(format!("{}: no line through {} points", cost.name, cost.points.len()));
         }
-        if let (Some(run), Some(form)) = (&a.forms, cost.line().map(|l| cost.form(&l))) {
+        if let (Some(run), Some(form)) = (&a.forms, cost.fit().map(|l| cost.to_form(&l))) {
             println!("{form} (run . {run:?}))");
         } else if a.json {
-            println!("{}", json!({"cost": cost, "line": cost.line()}));
+            println!("{}", json!({"cost": cost, "line": cost.fit()}));
         } else {
             println!("{cost}");
         }
