--- a/crates/capacity/src/coordination.rs
+++ b/crates/capacity/src/coordination.rs
@@ -11,17 +11,17 @@
 use crate::cost::{Cost, MeasurementKind, measure_interleaved, time_micros};
 use crate::fit::Point;
 
-const MS: Ns = 1_000_000;
+pub(crate) const MS: Ns = 1_000_000;
 const SEC: Ns = 1_000 * MS;
 /// Thirteen: the relays alone as members.
 pub const MEMBERS: [u32; 7] = [13, 50, 100, 200, 500, 1_000, 3_800];
 const TARGETS: [u64; 6] = [0, 20, 50, 100, 200, 490];
 /// Members of the trials over boxes.
 const TARGET_TRIAL_MEMBERS: u32 = 100;
-const VOTERS: u32 = 5;
+pub(crate) const VOTERS: u32 = 5;
 const ROUNDS: usize = 5;
 
-fn coordination_config() -> CoordinationConfig {
+pub(crate) fn coordination_config() -> CoordinationConfig {
     CoordinationConfig {
         voters: (0..VOTERS).collect(),
         roles: vec![ASSIGNMENT_ROLE, 1],
--- /dev/null
+++ b/crates/capacity/src/real_director/discovery_load.rs
@@ -0,0 +1,114 @@
+//! What a director uses while the discovery source sends purges and changes.
+
+use std::io;
+use std::thread;
+use std::time::{Duration, Instant};
+
+use serde_json::Value;
+
+use super::process::Director;
+use super::stub_server::{FeedScript, StubServer, serve_connections, serve_feed};
+use super::{
+    DirectorCommand, MEASUREMENT_SPAN, NODES, PERCENT_OF_CORE, PURGE_WINDOW_S, ROUNDS, WARM_UP, cost, points,
+};
+use crate::cost::{Cost, median};
+use crate::discovery;
+use crate::fit::Point;
+
+/// One director for each size, all at once, each with a feed of its own.
+pub(super) fn start_with_feeds(
+    program: DirectorCommand,
+    sizes: &[f64],
+    tells: impl Fn(f64) -> FeedScript,
+) -> io::Result<Vec<(Director, StubServer)>> {
+    let endpoints: Vec<Value> = (0..NODES).map(|n| discovery::endpoint(n, "ready")).collect();
+    let begin = |size: &f64| {
+        let what = tells(*size);
+        let feed = serve_connections(move |link, over| serve_feed(link, over, what))?;
+        Ok((Director::start(program, feed.address, &endpoints, None)?, feed))
+    };
+    sizes.iter().map(begin).collect()
+}
+
+/// Processor time at each size, the median of some rounds.
+fn measure_cpu(
+    program: DirectorCommand,
+    sizes: &[f64],
+    tells: impl Fn(f64) -> FeedScript,
+) -> io::Result<Vec<Point>> {
+    let all = start_with_feeds(program, sizes, tells)?;
+    thread::sleep(WARM_UP);
+    let mut seen = vec![Vec::new(); sizes.len()];
+    for _ in 0..ROUNDS {
+        let before = all.iter().map(|(d, _)| d.cpu_micros()).collect::<io::Result<Vec<f64>>>()?;
+        let begun = Instant::now();
+        thread::sleep(MEASUREMENT_SPAN);
+        for ((seen, before), (director, _)) in seen.iter_mut().zip(before).zip(&all) {
+            seen.push((director.cpu_micros()? - before) / begun.elapsed().as_secs_f64() / 1e4);
+        }
+    }
+    Ok(points(sizes, seen.into_iter().map(median)))
+}
+
+pub fn measure_purge_rate(program: DirectorCommand) -> io::Result<Vec<Cost>> {
+    let sizes = [5.0, 20.0, 35.0, 100.0, 200.0, 350.0];
+    let tells = |rate: f64| {
+        let first = (rate * PURGE_WINDOW_S) as u64;
+        FeedScript {
+            initial_purges: first,
+            initial_span_ms: PURGE_WINDOW_S * 1e3,
+            events_per_s: rate,
+            batch_interval: Duration::ZERO,
+            sends_changes: false,
+        }
+    };
+    let what = "a real director, 490 nodes listed, each purge told by itself, as many known as bind";
+    Ok(vec![cost(
+        "real-purge-time",
+        what,
+        "purges a second",
+        PERCENT_OF_CORE,
+        measure_cpu(program, &sizes, tells)?,
+    )])
+}
+
+pub fn measure_batches(program: DirectorCommand) -> io::Result<Vec<Cost>> {
+    let sizes = [1.0, 2.0, 5.0, 10.0, 20.0];
+    let tells = |pieces: f64| {
+        let batch = Duration::from_secs_f64(1.0 / pieces);
+        FeedScript {
+            initial_purges: 4_400,
+            initial_span_ms: PURGE_WINDOW_S * 1e3,
+            events_per_s: 35.0,
+            batch_interval: batch,
+            sends_changes: false,
+        }
+    };
+    let what = "a real director, 490 nodes listed, 35 purges a second told in so many batches";
+    Ok(vec![cost(
+        "real-batch-time",
+        what,
+        "batches a second",
+        PERCENT_OF_CORE,
+        measure_cpu(program, &sizes, tells)?,
+    )])
+}
+
+pub fn measure_change_rate(program: DirectorCommand) -> io::Result<Vec<Cost>> {
+    let sizes = [0.25, 1.0, 5.0, 10.0, 25.0];
+    let tells = |rate| FeedScript {
+        initial_purges: 0,
+        initial_span_ms: 0.0,
+        events_per_s: rate,
+        batch_interval: Duration::ZERO,
+        sends_changes: true,
+    };
+    let what = "a real director, 490 nodes listed, one-line changes of which a quarter are parents";
+    Ok(vec![cost(
+        "real-change-time",
+        what,
+        "changes a second",
+        PERCENT_OF_CORE,
+        measure_cpu(program, &sizes, tells)?,
+    )])
+}
--- /dev/null
+++ b/crates/capacity/src/real_director/lookup_load.rs
@@ -0,0 +1,144 @@
+//! What a director uses while clients look objects up.
+
+use std::io::{self, BufReader, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use sablecross::mix;
+use sablecross_testbed::client_load::{Response, encode_request, read_any_response};
+use serde_json::{Value, json};
+
+use super::process::Director;
+use super::stub_server::{QUIET, serve_connections, serve_feed, serve_node};
+use super::{DirectorCommand, MEASUREMENT_SPAN, PERCENT_OF_CORE, WARM_UP, cost, points};
+use crate::cost::{Cost, resident_bytes_of};
+use crate::discovery;
+
+const CLIENTS: usize = 8;
+
+/// Clients that ask by the clock, whatever is answered; how many were satisfied, and how many were not.
+struct ClientLoad {
+    stop: Arc<AtomicBool>,
+    satisfied: Arc<AtomicU64>,
+    others: Arc<AtomicU64>,
+}
+
+impl Drop for ClientLoad {
+    fn drop(&mut self) {
+        self.stop.store(true, Ordering::Relaxed);
+    }
+}
+
+impl ClientLoad {
+    fn start(at: SocketAddr, rate: f64) -> io::Result<ClientLoad> {
+        let clients = ClientLoad { stop: Arc::default(), satisfied: Arc::default(), others: Arc::default() };
+        for client in 0..CLIENTS as u64 {
+            let mut link = TcpStream::connect(at)?;
+            link.set_nodelay(true)?;
+            let mut answers = BufReader::new(link.try_clone()?);
+            let (satisfied, others) = (Arc::clone(&clients.satisfied), Arc::clone(&clients.others));
+            thread::spawn(move || {
+                while let Ok((_, answer)) = read_any_response(&mut answers) {
+                    let which = if matches!(answer, Response::Success(_)) { &satisfied } else { &others };
+                    which.fetch_add(1, Ordering::Relaxed);
+                }
+            });
+            let over = Arc::clone(&clients.stop);
+            thread::spawn(move || {
+                let (begun, mut asked) = (Instant::now(), 0u64);
+                while !over.load(Ordering::Relaxed) {
+                    while (asked as f64) < begun.elapsed().as_secs_f64() * rate / CLIENTS as f64 {
+                        asked += 1;
+                        let drawn = mix(client << 40 | asked);
+                        link.write_all(&encode_request(drawn, asked as u32, drawn % 20_000))?;
+                    }
+                    thread::sleep(Duration::from_millis(1));
+                }
+                link.shutdown(std::net::Shutdown::Both)
+            });
+        }
+        Ok(clients)
+    }
+}
+
+/// One director under lookups at a rate with bodies of a length: its part of a core, lookups satisfied a
+/// second, its memory, its descriptors.
+struct LoadResult {
+    cpu_percent: f64,
+    satisfied_per_s: f64,
+    memory: f64,
+    descriptors: f64,
+}
+
+fn measure_load(program: DirectorCommand, rate: f64, length: usize) -> io::Result<LoadResult> {
+    let node = serve_connections(move |link, over| serve_node(link, over, length))?;
+    let feed = serve_connections(move |link, over| serve_feed(link, over, QUIET))?;
+    // The own zone's caches, some parents, the origin: all of them the one stand-in.
+    let mut endpoints: Vec<Value> = (245..253).map(|n| discovery::endpoint(n, "ready")).collect();
+    endpoints.push(discovery::endpoint(254, "ready"));
+    for (n, e) in endpoints.iter_mut().enumerate() {
+        let kind = match n {
+            8 => "origin",
+            0 | 4 => "parent",
+            _ => "small",
+        };
+        (e["address"], e["zone"], e["type"]) = (json!(node.address), json!("zone-32"), json!(kind));
+    }
+    let director = Director::start(program, feed.address, &endpoints, None)?;
+    let clients = ClientLoad::start(director.address, rate)?;
+    thread::sleep(WARM_UP);
+    let count = || [&clients.satisfied, &clients.others].map(|n| n.load(Ordering::Relaxed) as f64);
+    let (before, begun) = (count(), Instant::now());
+    let core = director.cpu_percent(MEASUREMENT_SPAN)?;
+    let (after, passed) = (count(), begun.elapsed().as_secs_f64());
+    let [satisfied, others] = [0, 1].map(|n| (after[n] - before[n]) / passed);
+    // Another figure than that of lookups served would be told under this name.
+    if satisfied < 0.98 * rate || others > 0.02 * rate {
+        let what = format!("of {rate} lookups a second {satisfied:.0} satisfied, {others:.0} not");
+        return Err(io::Error::other(what));
+    }
+    Ok(LoadResult {
+        cpu_percent: core,
+        satisfied_per_s: satisfied,
+        memory: resident_bytes_of(&director.child.id().to_string()).unwrap_or(f64::NAN),
+        descriptors: director.descriptors()? as f64,
+    })
+}
+
+pub fn measure_lookups(program: DirectorCommand) -> io::Result<Vec<Cost>> {
+    let sizes = [100.0, 300.0, 526.0, 1_000.0, 1_800.0, 2_630.0];
+    let all = sizes.iter().map(|rate| measure_load(program, *rate, 256)).collect::<io::Result<Vec<_>>>()?;
+    let over = "lookups a second";
+    let of = |value: fn(&LoadResult) -> f64| points(&sizes, all.iter().map(value));
+    Ok(vec![
+        cost(
+            "real-lookup-time",
+            "a real director, bodies of 256 bytes",
+            over,
+            PERCENT_OF_CORE,
+            of(|s| s.cpu_percent),
+        ),
+        cost("real-lookup-memory", "a real director", over, "bytes", of(|s| s.memory)),
+        cost(
+            "real-lookup-descriptors",
+            "descriptors of a real director",
+            over,
+            "open",
+            of(|s| s.descriptors),
+        ),
+    ])
+}
+
+const BODY_TRIAL_RATE: f64 = 100.0;
+
+pub fn measure_bodies(program: DirectorCommand) -> io::Result<Vec<Cost>> {
+    let sizes = [1.0, 16.0, 64.0, 128.0, 234.0];
+    let all = sizes.iter().map(|kb| measure_load(program, BODY_TRIAL_RATE, (kb * 1024.0) as usize));
+    let all = all.collect::<io::Result<Vec<_>>>()?;
+    let value = all.iter().map(|s| s.cpu_percent * 1e4 / s.satisfied_per_s);
+    let what = "a real director's time for one lookup, at 100 a second";
+    Ok(vec![cost("real-body-time", what, "KB a body", "us", points(&sizes, value))])
+}
--- /dev/null
+++ b/crates/capacity/src/real_director/voting.rs
@@ -0,0 +1,146 @@
+//! What directors that vote use: five of them as processes, the other members as threads.
+
+use std::io::{self, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use sablecross::mix;
+use sablecross_coordination::messages::{ASSIGNMENT_ROLE, Message, Reply, Request};
+use sablecross_coordination::{Action, Coordinator, Member, Ns};
+use sablecross_director::coordination::call_member;
+use sablecross_director::limits::Limits;
+use sablecross_director::name_table::PEER_CALL_METHOD;
+use sablecross_director::wire::rpc;
+
+use super::process::{Director, VoterSetup, free_address};
+use super::stub_server::{QUIET, serve_connections, serve_feed};
+use super::{DirectorCommand, MEASUREMENT_SPAN, PERCENT_OF_CORE, ROUNDS, cost, points};
+use crate::coordination::{MS, VOTERS, coordination_config};
+use crate::cost::{Cost, median};
+
+/// Says one thing to a voter and waits for what it answers.
+fn call_voter(
+    link: &mut TcpStream,
+    number: u32,
+    request: &Request,
+    limits: &Limits,
+) -> io::Result<Vec<Reply>> {
+    let bad = |_| io::Error::from(io::ErrorKind::InvalidData);
+    let body = rmp_serde::to_vec(request).map_err(|e| io::Error::other(e.to_string()))?;
+    link.write_all(&rpc::encode_call(number, PEER_CALL_METHOD, &body))?;
+    let (mut bytes, mut more) = (Vec::new(), [0; 4_096]);
+    loop {
+        match rpc::decode_response(&bytes, limits) {
+            Ok((_, Some(body), _)) => return rmp_serde::from_slice(body).map_err(|e| bad(e.to_string())),
+            Ok((_, None, _)) => return Err(io::ErrorKind::Unsupported.into()),
+            Err(rpc::DecodeError::Invalid(why)) => return Err(bad(why.to_string())),
+            Err(rpc::DecodeError::Incomplete) => match link.read(&mut more)? {
+                0 => return Err(io::ErrorKind::UnexpectedEof.into()),
+                n => bytes.extend_from_slice(&more[..n]),
+            },
+        }
+    }
+}
+
+/// A member without clients: its office, with a connection to each voter, until it is over.
+fn run_member(number: u32, voters: &[SocketAddr], begun: Instant, over: &AtomicBool) -> io::Result<()> {
+    let now = || begun.elapsed().as_nanos() as Ns + 1;
+    let limits = Limits::new(64, 64, 0, 0);
+    let links = voters.iter().map(|at| {
+        let link = TcpStream::connect(at)?;
+        link.set_nodelay(true)?;
+        Ok(link)
+    });
+    let mut links = links.collect::<io::Result<Vec<TcpStream>>>()?;
+    let me = Member { number, incarnation: 1 };
+    let mut office = Coordinator::new(me, coordination_config(), mix(number.into()), now());
+    while !over.load(Ordering::Relaxed) {
+        office.step(now());
+        for act in office.take_actions() {
+            let Action::Call { voter, call_id: number, messages: words } = act else { continue };
+            let request = Request { from: me, messages: words };
+            let said = call_voter(&mut links[voter as usize], number as u32 + 1, &request, &limits)?;
+            office.on_replies(now(), voter, number, said);
+        }
+        let next = office.next_wakeup().saturating_sub(now()).clamp(MS, 100 * MS);
+        thread::sleep(Duration::from_nanos(next));
+    }
+    Ok(())
+}
+
+fn is_assigner(at: SocketAddr) -> io::Result<bool> {
+    let request = Request { from: Member::default(), messages: vec![Message::ShowStatus] };
+    let said = call_member(at, &request, Duration::from_secs(2))?;
+    let shown =
+        said.into_iter().filter_map(|s| if let Reply::Status(shown) = s { Some(shown) } else { None });
+    Ok(shown.flat_map(|s| s.roles).any(|held| held.role == ASSIGNMENT_ROLE && held.own_lease.is_some()))
+}
+
+/// Parts of a core of a voter and of the one that deals, with so many members, the voters among them.
+fn measure_voting(program: DirectorCommand, members: u32) -> io::Result<[f64; 2]> {
+    let feed = serve_connections(move |link, over| serve_feed(link, over, QUIET))?;
+    let voters = (0..VOTERS).map(|_| free_address()).collect::<io::Result<Vec<SocketAddr>>>()?;
+    let duty = std::env::temp_dir().join(format!("slopes-duty-{}-{members}.scm", std::process::id()));
+    let mut text = String::from("(duty (lease-ms . 1000) (beat-ms . 500) (probing . #f))\n");
+    for (number, at) in voters.iter().enumerate() {
+        text += &format!("(voter (number . {number}) (address . \"{at}\"))\n");
+    }
+    std::fs::write(&duty, text)?;
+    let start = |(number, at): (usize, &SocketAddr)| {
+        Director::start(
+            program,
+            feed.address,
+            &[],
+            Some(VoterSetup { number, address: *at, coordination_file: &duty }),
+        )
+    };
+    let all = voters.iter().enumerate().map(start).collect::<io::Result<Vec<Director>>>()?;
+    let (begun, over) = (Instant::now(), Arc::new(AtomicBool::new(false)));
+    let threads: Vec<_> = (VOTERS..members)
+        .map(|number| {
+            let (voters, over) = (voters.clone(), Arc::clone(&over));
+            thread::spawn(move || run_member(number, &voters, begun, &over))
+        })
+        .collect();
+    // Twice the silence that is a death.
+    thread::sleep(Duration::from_secs(11));
+    let dealer = voters.iter().position(|at| is_assigner(*at).unwrap_or(false));
+    let before = all.iter().map(Director::cpu_micros).collect::<io::Result<Vec<f64>>>()?;
+    let begun = Instant::now();
+    thread::sleep(MEASUREMENT_SPAN);
+    let after = all.iter().map(Director::cpu_micros).collect::<io::Result<Vec<f64>>>()?;
+    let span = begun.elapsed().as_secs_f64();
+    over.store(true, Ordering::Relaxed);
+    let lost = threads.into_iter().filter_map(|t| t.join().ok()?.err()).next();
+    // What was written of it is read; a file that stays harms nobody.
+    let _ = std::fs::remove_file(&duty);
+    if let Some(e) = lost {
+        return Err(io::Error::other(format!("a member of {members} lost a voter: {e}")));
+    }
+    let dealer = dealer.filter(|d| is_assigner(voters[*d]).unwrap_or(false));
+    let dealer = dealer.ok_or_else(|| io::Error::other(format!("no steady dealer of {members}")))?;
+    let cores: Vec<f64> = after.iter().zip(before).map(|(a, b)| (a - b) / span / 1e4).collect();
+    let others = cores.iter().enumerate().filter(|(n, _)| *n != dealer).map(|(_, core)| *core);
+    Ok([others.sum::<f64>() / f64::from(VOTERS - 1), cores[dealer]])
+}
+
+pub fn measure_voters(program: DirectorCommand) -> io::Result<Vec<Cost>> {
+    let sizes = [13.0, 50.0, 100.0, 200.0, 400.0];
+    let mut seen = vec![[const { Vec::new() }; 2]; sizes.len()];
+    for _ in 0..ROUNDS {
+        for (members, seen) in sizes.iter().zip(&mut seen) {
+            let [voter, dealer] = measure_voting(program, *members as u32)?;
+            seen[0].push(voter);
+            seen[1].push(dealer);
+        }
+    }
+    let of = |n: usize| points(&sizes, seen.iter().map(|s| median(s[n].clone())));
+    let what = ["a real director that votes, with sockets", "the one of them that deals, with sockets"];
+    Ok(vec![
+        cost("real-voter-time", what[0], "members", PERCENT_OF_CORE, of(0)),
+        cost("real-dealer-time", what[1], "members", PERCENT_OF_CORE, of(1)),
+    ])
+}
