--- a/crates/capacity/src/model.rs
+++ b/crates/capacity/src/model.rs
@@ -170,54 +170,90 @@
     pub slope_names: Vec<String>,
 }
 
+/// Reads a settings file such as docs/capacity.scm.
+///
+/// # Errors
+///
+/// Every error that is found: syntax, keys and ranges, forms that stand twice, and forms, slopes or figures that the
+/// tables need and that are missing.
 pub fn parse(file: &str, text: &str) -> Result<CapacityModel, Vec<ConfigError>> {
-    let forms = sablecross_sexpr_config::parse_forms::<Form>(file, text)?;
-    let (mut target, mut budget, mut assumed) = (None, None, None);
-    let (mut slopes, mut figures, mut order) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
-    let mut faults = Vec::new();
-    for form in forms {
-        let twice = match &form.value {
-            Form::Target(t) => target.replace(t.clone()).is_some(),
-            Form::Budget(b) => budget.replace(b.clone()).is_some(),
-            Form::Assumed(a) => assumed.replace(a.clone()).is_some(),
-            Form::Slope(s) => {
-                order.push(s.name.clone());
-                slopes.insert(s.name.clone(), s.clone()).is_some()
+    let mut builder = ModelBuilder::default();
+    for form in sablecross_sexpr_config::parse_forms::<Form>(file, text)? {
+        if builder.insert(&form.value) {
+            builder.errors.push(form.error(file, "name", "stands twice", "leave one of the two out"));
+        }
+    }
+    builder.finish(file)
+}
+
+/// The forms of a file that have been read so far.
+#[derive(Default)]
+struct ModelBuilder {
+    target: Option<Target>,
+    budget: Option<Budget>,
+    assumptions: Option<Assumptions>,
+    slopes: BTreeMap<String, Slope>,
+    figures: BTreeMap<String, Figure>,
+    slope_names: Vec<String>,
+    errors: Vec<ConfigError>,
+}
+
+impl ModelBuilder {
+    /// Adds a form; true if there was one of its kind, or of its name, already.
+    fn insert(&mut self, form: &Form) -> bool {
+        match form {
+            Form::Target(target) => self.target.replace(target.clone()).is_some(),
+            Form::Budget(budget) => self.budget.replace(budget.clone()).is_some(),
+            Form::Assumed(assumptions) => self.assumptions.replace(assumptions.clone()).is_some(),
+            Form::Slope(slope) => {
+                self.slope_names.push(slope.name.clone());
+                self.slopes.insert(slope.name.clone(), slope.clone()).is_some()
             }
-            Form::Figure(f) => figures.insert(f.name.clone(), f.clone()).is_some(),
-        };
-        if twice {
-            faults.push(form.error(file, "name", "stands twice", "leave one of the two out"));
+            Form::Figure(figure) => self.figures.insert(figure.name.clone(), figure.clone()).is_some(),
         }
     }
-    let missing = |what: &str| {
-        let (key, what) = (what.to_owned(), format!("no ({what} ...) form"));
-        ConfigError { file: file.into(), line: 1, column: 1, key, problem: what, remedy: "add it".into() }
-    };
-    for name in REQUIRED_NAMES.iter().filter(|n| !slopes.contains_key(**n) && !figures.contains_key(**n)) {
-        let what = format!("no slope or figure of the name {name}");
-        let todo = "measure it, or leave a figure without a value".into();
-        faults.push(ConfigError {
-            file: file.into(),
-            line: 1,
-            column: 1,
-            key: "name".into(),
-            problem: what,
-            remedy: todo,
-        });
+
+    fn is_known(&self, name: &str) -> bool {
+        self.slopes.contains_key(name) || self.figures.contains_key(name)
     }
-    match (target, budget, assumed) {
-        (Some(target), Some(budget), Some(assumed)) if faults.is_empty() => {
-            Ok(CapacityModel { target, budget, assumptions: assumed, slopes, figures, slope_names: order })
+
+    fn finish(mut self, file: &str) -> Result<CapacityModel, Vec<ConfigError>> {
+        let unknown: Vec<&str> = REQUIRED_NAMES.iter().copied().filter(|name| !self.is_known(name)).collect();
+        for name in unknown {
+            let problem = format!("no slope or figure of the name {name}");
+            let remedy = "measure it, or leave a figure without a value";
+            self.errors.push(missing(file, "name", problem, remedy));
         }
-        (t, b, a) => {
-            let there = [("target", t.is_some()), ("budget", b.is_some()), ("assumed", a.is_some())];
-            faults.extend(there.iter().filter(|(_, is)| !is).map(|(what, _)| missing(what)));
-            Err(faults)
+        match (self.target, self.budget, self.assumptions) {
+            (Some(target), Some(budget), Some(assumptions)) if self.errors.is_empty() => Ok(CapacityModel {
+                target,
+                budget,
+                assumptions,
+                slopes: self.slopes,
+                figures: self.figures,
+                slope_names: self.slope_names,
+            }),
+            (target, budget, assumptions) => {
+                let forms = [
+                    ("target", target.is_some()),
+                    ("budget", budget.is_some()),
+                    ("assumed", assumptions.is_some()),
+                ];
+                for (key, _) in forms.iter().filter(|(_, is_present)| !is_present) {
+                    self.errors.push(missing(file, key, format!("no ({key} ...) form"), "add it"));
+                }
+                Err(self.errors)
+            }
         }
     }
 }
 
+/// An error about something that the file lacks; it stands at the file's begin.
+fn missing(file: &str, key: &str, problem: String, remedy: &str) -> ConfigError {
+    ConfigError { file: file.into(), line: 1, column: 1, key: key.into(), problem, remedy: remedy.into() }
+}
+
+/// Slopes and figures that the tables need.
 const REQUIRED_NAMES: &[&str] = &[
     "module-purge-known",
     "module-purge-rate",
--- a/crates/capacity/src/report.rs
+++ b/crates/capacity/src/report.rs
@@ -11,24 +11,35 @@
 use crate::cost::format_significant;
 use crate::model::{CapacityModel, Slope};
 
+/// The mark ahead of the tables of the page.
 pub const TABLES_BEGIN: &str = "<!-- capacity: begin -->";
+/// The mark behind the tables of the page.
 pub const TABLES_END: &str = "<!-- capacity: end -->";
 
+/// The rows of the tables that need attention, each as "who: what".
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Verdicts {
+    /// Rows whose figure is larger than their budget.
+    pub over_budget: Vec<String>,
+    /// Rows that wait for a run.
+    pub not_measured: Vec<String>,
+}
+
 impl CapacityModel {
-    /// The rows that are past their budget, and those that wait for a run.
-    pub fn verdicts(&self) -> (Vec<String>, Vec<String>) {
+    /// Compares each row with its budget.
+    pub fn verdicts(&self) -> Verdicts {
         let parts = self.sections().into_iter().flat_map(|(_, parts)| parts);
         let all = parts.flat_map(|(who, rows)| rows.into_iter().map(move |row| (who, row)));
-        let (mut past, mut open) = (Vec::new(), Vec::new());
+        let mut verdicts = Verdicts::default();
         for (who, row) in all {
             let line = format!("{who}: {}", row.description);
             match (row.value, row.budget) {
-                (None, _) => open.push(line),
-                (Some(v), Some(b)) if v > b => past.push(line),
+                (None, _) => verdicts.not_measured.push(line),
+                (Some(value), Some(budget)) if value > budget => verdicts.over_budget.push(line),
                 _ => {}
             }
         }
-        (past, open)
+        verdicts
     }
 
     /// The Markdown that stands between the marks of the page.
@@ -41,10 +52,10 @@
         }
         self.push_slopes(&mut out);
         self.push_runs(&mut out);
-        let (past, open) = self.verdicts();
+        let Verdicts { over_budget, not_measured } = self.verdicts();
         let list = |all: &[String]| if all.is_empty() { "none".into() } else { all.join("; ") };
-        push_line(&mut out, format_args!("\nPast their budget: {}.\n", list(&past)));
-        push_line(&mut out, format_args!("Not measured yet: {}.", list(&open)));
+        push_line(&mut out, format_args!("\nPast their budget: {}.\n", list(&over_budget)));
+        push_line(&mut out, format_args!("Not measured yet: {}.", list(&not_measured)));
         out
     }
 
@@ -128,7 +139,8 @@
     );
 }
 
-/// The page with its tables between the marks replaced; none, if the marks are not there in their order.
+/// Returns the page with the tables between its marks replaced, or `None` if the marks are missing or in the wrong
+/// order.
 pub fn replace_tables(page: &str, tables: &str) -> Option<String> {
     let (before, rest) = page.split_once(TABLES_BEGIN)?;
     let (_, after) = rest.split_once(TABLES_END)?;
--- a/crates/capacity/tests/slopes.rs
+++ b/crates/capacity/tests/slopes.rs
@@ -66,12 +66,12 @@
     let open =
         "(figure (name . \"scale-relay-core\") (what . \"a\") (unit . \"% of a core\") (command . \"c\"))";
     let sheet = with(open).expect("a sheet");
-    let (past, waits) = sheet.verdicts();
+    let report::Verdicts { over_budget: past, not_measured: waits } = sheet.verdicts();
     let relay = "plain relay: processor".to_owned();
     assert!(waits.contains(&relay) && !past.contains(&relay), "{waits:?}");
     assert!(sheet.tables().contains("| plain relay | processor | - | waits for `scale-relay-core` |"));
     let sheet = with(filled).expect("a sheet");
-    let (past, waits) = sheet.verdicts();
+    let report::Verdicts { over_budget: past, not_measured: waits } = sheet.verdicts();
     assert!(past.contains(&relay) && !waits.contains(&relay), "{past:?}");
     assert!(sheet.tables().contains("**not carried**: 130 % of a core of 100 % of a core"));
     let faults = with("").expect_err("a name that is needed is missing");
--- a/crates/cli/src/capacity.rs
+++ b/crates/cli/src/capacity.rs
@@ -20,9 +20,9 @@
 pub(crate) fn run(a: &Arguments) -> Result<CommandOutcome, Vec<String>> {
     let name = a.file.display().to_string();
     let text = std::fs::read_to_string(&a.file).map_err(|e| vec![format!("{name}: {e}")])?;
-    let sheet = model::parse(&name, &text)
+    let model = model::parse(&name, &text)
         .map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>())?;
-    let tables = sheet.tables();
+    let tables = model.tables();
     let Some(path) = &a.write else {
         print!("{tables}");
         return Ok(CommandOutcome::Success);
@@ -33,7 +33,11 @@
         vec![format!("{name}: no {} and {} in this order", report::TABLES_BEGIN, report::TABLES_END)]
     })?;
     std::fs::write(path, new).map_err(|e| vec![format!("{name}: {e}")])?;
-    let (past, open) = sheet.verdicts();
-    println!("{name}: {} past their budget, {} not measured yet", past.len(), open.len());
+    let verdicts = model.verdicts();
+    println!(
+        "{name}: {} past their budget, {} not measured yet",
+        verdicts.over_budget.len(),
+        verdicts.not_measured.len()
+    );
     Ok(CommandOutcome::Success)
 }
