--- a/crates/capacity/src/coordination.rs
+++ b/crates/capacity/src/coordination.rs
@@ -56,31 +56,31 @@
     pending_calls: VecDeque<PendingCall>,
 }
 
-fn timed<T>(used: &mut PartyUsage, done: impl FnOnce() -> T) -> T {
-    let begun = Instant::now();
-    let gave = done();
-    used.elapsed_ns += begun.elapsed().as_nanos() as u64;
-    gave
+fn timed<T>(usage: &mut PartyUsage, work: impl FnOnce() -> T) -> T {
+    let started = Instant::now();
+    let result = work();
+    usage.elapsed_ns += started.elapsed().as_nanos() as u64;
+    result
 }
 
 impl SimulatedFleet {
-    fn new(members: u32, boxes: u64) -> SimulatedFleet {
-        let boxes: BTreeSet<u64> = (0..boxes).collect();
-        let office = |number: u32| {
-            let mut office = Coordinator::new(
+    fn new(members: u32, targets: u64) -> SimulatedFleet {
+        let targets: BTreeSet<u64> = (0..targets).collect();
+        let coordinator = |number: u32| {
+            let mut coordinator = Coordinator::new(
                 Member { number, incarnation: 1 },
                 coordination_config(),
                 mix(number.into()),
                 0,
             );
-            office.update_targets(0, &boxes);
-            office
+            coordinator.update_targets(0, &targets);
+            coordinator
         };
-        let offices: Vec<Coordinator> = (0..members).map(office).collect();
+        let coordinators: Vec<Coordinator> = (0..members).map(coordinator).collect();
         SimulatedFleet {
             now: 0,
-            usage: vec![PartyUsage::default(); offices.len()],
-            coordinators: offices,
+            usage: vec![PartyUsage::default(); coordinators.len()],
+            coordinators,
             pending_calls: VecDeque::new(),
         }
     }
@@ -88,49 +88,49 @@
     /// What an office wants done: its calls are encoded, its probes answered at once.
     fn run_actions(&mut self, number: usize) {
         loop {
-            let (office, used) = (&mut self.coordinators[number], &mut self.usage[number]);
-            let me = office.me();
-            let acts = timed(used, || office.take_actions());
+            let (coordinator, usage) = (&mut self.coordinators[number], &mut self.usage[number]);
+            let me = coordinator.me();
+            let actions = timed(usage, || coordinator.take_actions());
             let mut probes = Vec::new();
-            for act in acts {
-                match act {
-                    Action::Call { voter, call_id: number, messages: words } => {
-                        let request = Request { from: me, messages: words };
-                        let body = timed(used, || rmp_serde::to_vec(&request)).unwrap_or_default();
+            for action in actions {
+                match action {
+                    Action::Call { voter, call_id: number, messages } => {
+                        let request = Request { from: me, messages };
+                        let body = timed(usage, || rmp_serde::to_vec(&request)).unwrap_or_default();
                         self.pending_calls.push_back(PendingCall { from: me, voter, call_id: number, body });
                     }
-                    Action::CheckHealth { target: chore, token } => probes.push((chore, token)),
+                    Action::CheckHealth { target, token } => probes.push((target, token)),
                     _ => {}
                 }
             }
             if probes.is_empty() {
                 return;
             }
-            for (chore, token) in probes {
-                timed(used, || {
-                    office.on_check_result(self.now, chore, token, Ok(HealthState::Healthy(Some(0.5))))
+            for (target, token) in probes {
+                timed(usage, || {
+                    coordinator.on_check_result(self.now, target, token, Ok(HealthState::Healthy(Some(0.5))))
                 });
             }
         }
     }
 
-    fn deliver(&mut self, letter: PendingCall) {
-        let PendingCall { from, voter, call_id: number, body } = letter;
+    fn deliver(&mut self, call: PendingCall) {
+        let PendingCall { from, voter, call_id: number, body } = call;
         let (at, by) = (voter as usize, from.number as usize);
-        let (office, used) = (&mut self.coordinators[at], &mut self.usage[at]);
-        let answer = timed(used, || {
-            let words = rmp_serde::from_slice::<Request>(&body).map(|r| r.messages).unwrap_or_default();
-            rmp_serde::to_vec(&office.on_request(self.now, from, &words)).unwrap_or_default()
+        let (coordinator, usage) = (&mut self.coordinators[at], &mut self.usage[at]);
+        let answer = timed(usage, || {
+            let messages = rmp_serde::from_slice::<Request>(&body).map(|r| r.messages).unwrap_or_default();
+            rmp_serde::to_vec(&coordinator.on_request(self.now, from, &messages)).unwrap_or_default()
         });
         for party in [at, by] {
             self.usage[party].calls += 1;
             self.usage[party].bytes += (body.len() + answer.len()) as u64;
         }
         self.run_actions(at);
-        let (office, used) = (&mut self.coordinators[by], &mut self.usage[by]);
-        timed(used, || {
-            let said: Vec<Reply> = rmp_serde::from_slice(&answer).unwrap_or_default();
-            office.on_replies(self.now, voter, number, said);
+        let (coordinator, usage) = (&mut self.coordinators[by], &mut self.usage[by]);
+        timed(usage, || {
+            let replies: Vec<Reply> = rmp_serde::from_slice(&answer).unwrap_or_default();
+            coordinator.on_replies(self.now, voter, number, replies);
         });
         self.run_actions(by);
     }
@@ -144,11 +144,11 @@
                 if self.now < begins || self.coordinators[number].next_wakeup() > self.now {
                     continue;
                 }
-                let (office, used) = (&mut self.coordinators[number], &mut self.usage[number]);
-                timed(used, || office.step(self.now));
+                let (coordinator, usage) = (&mut self.coordinators[number], &mut self.usage[number]);
+                timed(usage, || coordinator.step(self.now));
                 self.run_actions(number);
-                while let Some(letter) = self.pending_calls.pop_front() {
-                    self.deliver(letter);
+                while let Some(call) = self.pending_calls.pop_front() {
+                    self.deliver(call);
                 }
             }
         }
@@ -172,14 +172,14 @@
 
 const MEASURED_SECONDS: u64 = 6;
 
-fn measure_usage(members: u32, boxes: u64) -> Option<UsagePerSecond> {
-    let mut fleet = SimulatedFleet::new(members, boxes);
+fn measure_usage(members: u32, targets: u64) -> Option<UsagePerSecond> {
+    let mut fleet = SimulatedFleet::new(members, targets);
     // Twice the silence that is a death: all are known, and the deal is at rest.
     fleet.run(12 * SEC);
     let before = fleet.assigner()?;
     fleet.usage.iter_mut().for_each(|u| *u = PartyUsage::default());
     fleet.run((12 + MEASURED_SECONDS) * SEC);
-    let dealer = fleet.assigner().filter(|d| *d == before)?;
+    let assigner = fleet.assigner().filter(|d| *d == before)?;
     let mean = |which: &dyn Fn(usize) -> bool| {
         let all: Vec<PartyUsage> =
             (0..fleet.usage.len()).filter(|n| which(*n)).map(|n| fleet.usage[n]).collect();
@@ -190,8 +190,8 @@
     let voters = VOTERS as usize;
     Some(UsagePerSecond {
         member: mean(&|n| n >= voters),
-        voter: mean(&|n| n < voters && n != dealer),
-        assigner: mean(&|n| n == dealer),
+        voter: mean(&|n| n < voters && n != assigner),
+        assigner: mean(&|n| n == assigner),
     })
 }
 
@@ -200,33 +200,33 @@
 fn cost(
     name: &'static str,
     what: &'static str,
-    over: &'static str,
-    how: MeasurementKind,
+    size_unit: &'static str,
+    kind: MeasurementKind,
     rows: &[Row],
     of: fn(&UsagePerSecond) -> f64,
 ) -> Cost {
-    let value = |seen: &[UsagePerSecond]| crate::cost::median(seen.iter().map(of).collect());
-    let points = rows.iter().map(|(size, seen)| Point { size: *size, value: value(seen) }).collect();
-    let unit = match how {
+    let value = |samples: &[UsagePerSecond]| crate::cost::median(samples.iter().map(of).collect());
+    let points = rows.iter().map(|(size, samples)| Point { size: *size, value: value(samples) }).collect();
+    let unit = match kind {
         MeasurementKind::Timed => "% of a core",
         _ if name.ends_with("calls") => "calls a second",
         _ => "bytes a second",
     };
-    Cost { name, description: what, size_unit: over, unit, kind: how, points }
+    Cost { name, description: what, size_unit, unit, kind, points }
 }
 
-fn percent_of_core(used: PartyUsage) -> f64 {
-    used.elapsed_ns as f64 / 1e7
+fn percent_of_core(usage: PartyUsage) -> f64 {
+    usage.elapsed_ns as f64 / 1e7
 }
 
 pub fn measure_by_members() -> Vec<Cost> {
     let mut rows: Vec<Row> = MEMBERS.iter().map(|m| (f64::from(*m), Vec::new())).collect();
     for _ in 0..ROUNDS {
-        for (members, (_, seen)) in MEMBERS.iter().zip(&mut rows) {
-            seen.extend(measure_usage(*members, 0));
+        for (members, (_, samples)) in MEMBERS.iter().zip(&mut rows) {
+            samples.extend(measure_usage(*members, 0));
         }
     }
-    let cost = |name, what, how, of| cost(name, what, "members", how, &rows, of);
+    let cost = |name, what, kind, of| cost(name, what, "members", kind, &rows, of);
     vec![
         cost("duties-member-bytes", "a member, both ways", MeasurementKind::Counted, |s| {
             s.member.bytes as f64
@@ -249,11 +249,11 @@
 pub fn measure_by_targets() -> Vec<Cost> {
     let mut rows: Vec<Row> = TARGETS.iter().map(|b| (*b as f64, Vec::new())).collect();
     for _ in 0..ROUNDS {
-        for (boxes, (_, seen)) in TARGETS.iter().zip(&mut rows) {
-            seen.extend(measure_usage(TARGET_TRIAL_MEMBERS, *boxes));
+        for (targets, (_, samples)) in TARGETS.iter().zip(&mut rows) {
+            samples.extend(measure_usage(TARGET_TRIAL_MEMBERS, *targets));
         }
     }
-    let cost = |name, what, how, of| cost(name, what, "boxes probed", how, &rows, of);
+    let cost = |name, what, kind, of| cost(name, what, "boxes probed", kind, &rows, of);
     vec![
         cost("duties-facts-bytes", "a member of 100, both ways", MeasurementKind::Counted, |s| {
             s.member.bytes as f64
@@ -278,7 +278,7 @@
     let mut sizes: Vec<(f64, RendezvousShares)> =
         MEMBERS.iter().map(|m| (f64::from(*m), shares(*m))).collect();
     let points = measure_interleaved(&mut sizes, ROUNDS, |shares| {
-        time_micros(|| (0..490).filter(|chore| shares.owner(*chore).is_some()).count()).0
+        time_micros(|| (0..490).filter(|target| shares.owner(*target).is_some()).count()).0
     });
     let what = "whose 490 boxes are after one change of the deal, at each member";
     Cost {
--- a/crates/capacity/src/cost.rs
+++ b/crates/capacity/src/cost.rs
@@ -99,25 +99,29 @@
     rounds: usize,
     mut take: impl FnMut(&mut T) -> f64,
 ) -> Vec<Point> {
-    let mut seen = vec![Vec::with_capacity(rounds); sizes.len()];
+    let mut samples = vec![Vec::with_capacity(rounds); sizes.len()];
     for _ in 0..rounds {
-        for ((_, at), seen) in sizes.iter_mut().zip(&mut seen) {
-            seen.push(take(at));
+        for ((_, at), samples) in sizes.iter_mut().zip(&mut samples) {
+            samples.push(take(at));
         }
     }
-    sizes.iter().zip(seen).map(|((size, _), seen)| Point { size: *size, value: median(seen) }).collect()
+    sizes
+        .iter()
+        .zip(samples)
+        .map(|((size, _), samples)| Point { size: *size, value: median(samples) })
+        .collect()
 }
 
-pub fn median(mut seen: Vec<f64>) -> f64 {
-    seen.sort_by(f64::total_cmp);
-    seen.get(seen.len() / 2).copied().unwrap_or(f64::NAN)
+pub fn median(mut samples: Vec<f64>) -> f64 {
+    samples.sort_by(f64::total_cmp);
+    samples.get(samples.len() / 2).copied().unwrap_or(f64::NAN)
 }
 
 /// Microseconds that it took, and what it gave.
-pub fn time_micros<T>(done: impl FnOnce() -> T) -> (f64, T) {
-    let begun = Instant::now();
-    let gave = done();
-    (begun.elapsed().as_nanos() as f64 / 1e3, gave)
+pub fn time_micros<T>(work: impl FnOnce() -> T) -> (f64, T) {
+    let started = Instant::now();
+    let result = work();
+    (started.elapsed().as_nanos() as f64 / 1e3, result)
 }
 
 /// Bytes of this process that lie in memory, as Linux says.
--- a/crates/capacity/src/discovery.rs
+++ b/crates/capacity/src/discovery.rs
@@ -64,8 +64,8 @@
     let mut taken = 0;
     for piece in text.chunks(16 << 10) {
         stream.push(piece);
-        while let Ok(Some(said)) = stream.next_item() {
-            let StreamItem::Event { id, data } = said else { continue };
+        while let Ok(Some(item)) = stream.next_item() {
+            let StreamItem::Event { id, data } = item else { continue };
             let parsed = serde_json::from_str(&data).map_err(|e| e.to_string());
             let parsed = parsed.and_then(|v: Value| NumberedEvent::from_json(&v).map_err(|e| e.to_string()));
             let parsed = parsed.map(|e| (e.number, e.event));
@@ -88,9 +88,9 @@
     let mut sizes: Vec<(f64, String)> = texts.into_iter().map(|(s, t)| (s as f64, t)).collect();
     let time = measure_interleaved(&mut sizes, ROUNDS, |text| {
         let many = (1_000_000 / text.len()).clamp(1, 1_000);
-        let (took, taken) = time_micros(|| (0..many).map(|_| read_events(text.as_bytes())).sum::<usize>());
+        let (elapsed, taken) = time_micros(|| (0..many).map(|_| read_events(text.as_bytes())).sum::<usize>());
         assert!(taken >= many, "the reading code took {taken} events of a text made for it");
-        took / many as f64
+        elapsed / many as f64
     });
     let [(bytes_name, bytes_what), (time_name, time_what)] = names;
     vec![
--- a/crates/capacity/src/real_director/discovery_load.rs
+++ b/crates/capacity/src/real_director/discovery_load.rs
@@ -19,12 +19,12 @@
 pub(super) fn start_with_feeds(
     program: DirectorCommand,
     sizes: &[f64],
-    tells: impl Fn(f64) -> FeedScript,
+    script_for: impl Fn(f64) -> FeedScript,
 ) -> io::Result<Vec<(Director, StubServer)>> {
     let endpoints: Vec<Value> = (0..NODES).map(|n| discovery::endpoint(n, "ready")).collect();
     let begin = |size: &f64| {
-        let what = tells(*size);
-        let feed = serve_connections(move |link, over| serve_feed(link, over, what))?;
+        let what = script_for(*size);
+        let feed = serve_connections(move |stream, stop| serve_feed(stream, stop, what))?;
         Ok((Director::start(program, feed.address, &endpoints, None)?, feed))
     };
     sizes.iter().map(begin).collect()
@@ -34,25 +34,25 @@
 fn measure_cpu(
     program: DirectorCommand,
     sizes: &[f64],
-    tells: impl Fn(f64) -> FeedScript,
+    script_for: impl Fn(f64) -> FeedScript,
 ) -> io::Result<Vec<Point>> {
-    let all = start_with_feeds(program, sizes, tells)?;
+    let all = start_with_feeds(program, sizes, script_for)?;
     thread::sleep(WARM_UP);
-    let mut seen = vec![Vec::new(); sizes.len()];
+    let mut samples = vec![Vec::new(); sizes.len()];
     for _ in 0..ROUNDS {
         let before = all.iter().map(|(d, _)| d.cpu_micros()).collect::<io::Result<Vec<f64>>>()?;
-        let begun = Instant::now();
+        let started = Instant::now();
         thread::sleep(MEASUREMENT_SPAN);
-        for ((seen, before), (director, _)) in seen.iter_mut().zip(before).zip(&all) {
-            seen.push((director.cpu_micros()? - before) / begun.elapsed().as_secs_f64() / 1e4);
+        for ((samples, before), (director, _)) in samples.iter_mut().zip(before).zip(&all) {
+            samples.push((director.cpu_micros()? - before) / started.elapsed().as_secs_f64() / 1e4);
         }
     }
-    Ok(points(sizes, seen.into_iter().map(median)))
+    Ok(points(sizes, samples.into_iter().map(median)))
 }
 
 pub fn measure_purge_rate(program: DirectorCommand) -> io::Result<Vec<Cost>> {
     let sizes = [5.0, 20.0, 35.0, 100.0, 200.0, 350.0];
-    let tells = |rate: f64| {
+    let script_for = |rate: f64| {
         let first = (rate * PURGE_WINDOW_S) as u64;
         FeedScript {
             initial_purges: first,
@@ -68,13 +68,13 @@
         what,
         "purges a second",
         PERCENT_OF_CORE,
-        measure_cpu(program, &sizes, tells)?,
+        measure_cpu(program, &sizes, script_for)?,
     )])
 }
 
 pub fn measure_batches(program: DirectorCommand) -> io::Result<Vec<Cost>> {
     let sizes = [1.0, 2.0, 5.0, 10.0, 20.0];
-    let tells = |pieces: f64| {
+    let script_for = |pieces: f64| {
         let batch = Duration::from_secs_f64(1.0 / pieces);
         FeedScript {
             initial_purges: 4_400,
@@ -90,13 +90,13 @@
         what,
         "batches a second",
         PERCENT_OF_CORE,
-        measure_cpu(program, &sizes, tells)?,
+        measure_cpu(program, &sizes, script_for)?,
     )])
 }
 
 pub fn measure_change_rate(program: DirectorCommand) -> io::Result<Vec<Cost>> {
     let sizes = [0.25, 1.0, 5.0, 10.0, 25.0];
-    let tells = |rate| FeedScript {
+    let script_for = |rate| FeedScript {
         initial_purges: 0,
         initial_span_ms: 0.0,
         events_per_s: rate,
@@ -109,6 +109,6 @@
         what,
         "changes a second",
         PERCENT_OF_CORE,
-        measure_cpu(program, &sizes, tells)?,
+        measure_cpu(program, &sizes, script_for)?,
     )])
 }
--- a/crates/capacity/src/real_director/lookup_load.rs
+++ b/crates/capacity/src/real_director/lookup_load.rs
@@ -36,28 +36,28 @@
     fn start(at: SocketAddr, rate: f64) -> io::Result<ClientLoad> {
         let clients = ClientLoad { stop: Arc::default(), satisfied: Arc::default(), others: Arc::default() };
         for client in 0..CLIENTS as u64 {
-            let mut link = TcpStream::connect(at)?;
-            link.set_nodelay(true)?;
-            let mut answers = BufReader::new(link.try_clone()?);
+            let mut stream = TcpStream::connect(at)?;
+            stream.set_nodelay(true)?;
+            let mut responses = BufReader::new(stream.try_clone()?);
             let (satisfied, others) = (Arc::clone(&clients.satisfied), Arc::clone(&clients.others));
             thread::spawn(move || {
-                while let Ok((_, answer)) = read_any_response(&mut answers) {
-                    let which = if matches!(answer, Response::Success(_)) { &satisfied } else { &others };
+                while let Ok((_, response)) = read_any_response(&mut responses) {
+                    let which = if matches!(response, Response::Success(_)) { &satisfied } else { &others };
                     which.fetch_add(1, Ordering::Relaxed);
                 }
             });
-            let over = Arc::clone(&clients.stop);
+            let stop = Arc::clone(&clients.stop);
             thread::spawn(move || {
-                let (begun, mut asked) = (Instant::now(), 0u64);
-                while !over.load(Ordering::Relaxed) {
-                    while (asked as f64) < begun.elapsed().as_secs_f64() * rate / CLIENTS as f64 {
-                        asked += 1;
-                        let drawn = mix(client << 40 | asked);
-                        link.write_all(&encode_request(drawn, asked as u32, drawn % 20_000))?;
+                let (started, mut requested) = (Instant::now(), 0u64);
+                while !stop.load(Ordering::Relaxed) {
+                    while (requested as f64) < started.elapsed().as_secs_f64() * rate / CLIENTS as f64 {
+                        requested += 1;
+                        let object = mix(client << 40 | requested);
+                        stream.write_all(&encode_request(object, requested as u32, object % 20_000))?;
                     }
                     thread::sleep(Duration::from_millis(1));
                 }
-                link.shutdown(std::net::Shutdown::Both)
+                stream.shutdown(std::net::Shutdown::Both)
             });
         }
         Ok(clients)
@@ -74,8 +74,8 @@
 }
 
 fn measure_load(program: DirectorCommand, rate: f64, length: usize) -> io::Result<LoadResult> {
-    let node = serve_connections(move |link, over| serve_node(link, over, length))?;
-    let feed = serve_connections(move |link, over| serve_feed(link, over, QUIET))?;
+    let node = serve_connections(move |stream, stop| serve_node(stream, stop, length))?;
+    let feed = serve_connections(move |stream, stop| serve_feed(stream, stop, QUIET))?;
     // The own zone's caches, some parents, the origin: all of them the one stand-in.
     let mut endpoints: Vec<Value> = (245..253).map(|n| discovery::endpoint(n, "ready")).collect();
     endpoints.push(discovery::endpoint(254, "ready"));
@@ -91,9 +91,9 @@
     let clients = ClientLoad::start(director.address, rate)?;
     thread::sleep(WARM_UP);
     let count = || [&clients.satisfied, &clients.others].map(|n| n.load(Ordering::Relaxed) as f64);
-    let (before, begun) = (count(), Instant::now());
+    let (before, started) = (count(), Instant::now());
     let core = director.cpu_percent(MEASUREMENT_SPAN)?;
-    let (after, passed) = (count(), begun.elapsed().as_secs_f64());
+    let (after, passed) = (count(), started.elapsed().as_secs_f64());
     let [satisfied, others] = [0, 1].map(|n| (after[n] - before[n]) / passed);
     // Another figure than that of lookups served would be told under this name.
     if satisfied < 0.98 * rate || others > 0.02 * rate {
@@ -111,21 +111,21 @@
 pub fn measure_lookups(program: DirectorCommand) -> io::Result<Vec<Cost>> {
     let sizes = [100.0, 300.0, 526.0, 1_000.0, 1_800.0, 2_630.0];
     let all = sizes.iter().map(|rate| measure_load(program, *rate, 256)).collect::<io::Result<Vec<_>>>()?;
-    let over = "lookups a second";
+    let stop = "lookups a second";
     let of = |value: fn(&LoadResult) -> f64| points(&sizes, all.iter().map(value));
     Ok(vec![
         cost(
             "real-lookup-time",
             "a real director, bodies of 256 bytes",
-            over,
+            stop,
             PERCENT_OF_CORE,
             of(|s| s.cpu_percent),
         ),
-        cost("real-lookup-memory", "a real director", over, "bytes", of(|s| s.memory)),
+        cost("real-lookup-memory", "a real director", stop, "bytes", of(|s| s.memory)),
         cost(
             "real-lookup-descriptors",
             "descriptors of a real director",
-            over,
+            stop,
             "open",
             of(|s| s.descriptors),
         ),
--- a/crates/capacity/src/real_director/process.rs
+++ b/crates/capacity/src/real_director/process.rs
@@ -45,10 +45,10 @@
         program: DirectorCommand,
         feed: SocketAddr,
         endpoints: &[Value],
-        votes: Option<VoterSetup>,
+        voter: Option<VoterSetup>,
     ) -> io::Result<Director> {
-        let at = match &votes {
-            Some(votes) => votes.address,
+        let at = match &voter {
+            Some(voter) => voter.address,
             None => free_address()?,
         };
         let mut all: Value = serde_json::from_str(SAMPLE_CONFIG)?;
@@ -62,20 +62,20 @@
         all["settings"]["extra"]["zoneBalancers"] = json!(vec![59; 64]);
         let mut command = program();
         command.env_remove("SABLECROSS_DUTY");
-        if let Some(votes) = votes {
-            all["settings"]["index"] = json!(votes.number);
+        if let Some(voter) = voter {
+            all["settings"]["index"] = json!(voter.number);
             // Each member has a connection, and clients may have a third of these.
             all["limits"]["sockets"] = json!(4_096);
-            command.env("SABLECROSS_DUTY", votes.coordination_file);
+            command.env("SABLECROSS_DUTY", voter.coordination_file);
         }
         let config = std::env::temp_dir().join(format!("slopes-{}-{}.json", std::process::id(), at.port()));
         std::fs::write(&config, all.to_string())?;
         command.env("NODE_CONFIG", &config);
         let child = command.stdin(Stdio::piped()).stdout(Stdio::null()).stderr(Stdio::null()).spawn()?;
         let director = Director { child, address: at, config };
-        let begun = Instant::now();
+        let started = Instant::now();
         while TcpStream::connect(at).is_err() {
-            if begun.elapsed() > Duration::from_secs(10) {
+            if started.elapsed() > Duration::from_secs(10) {
                 return Err(io::Error::other("a director does not serve"));
             }
             thread::sleep(Duration::from_millis(20));
@@ -95,9 +95,9 @@
 
     /// Parts of a core, in percent, over a while.
     pub(super) fn cpu_percent(&self, span: Duration) -> io::Result<f64> {
-        let (before, begun) = (self.cpu_micros()?, Instant::now());
+        let (before, started) = (self.cpu_micros()?, Instant::now());
         thread::sleep(span);
-        Ok((self.cpu_micros()? - before) / begun.elapsed().as_secs_f64() / 1e4)
+        Ok((self.cpu_micros()? - before) / started.elapsed().as_secs_f64() / 1e4)
     }
 
     pub(super) fn descriptors(&self) -> io::Result<usize> {
--- a/crates/capacity/src/real_director/startup.rs
+++ b/crates/capacity/src/real_director/startup.rs
@@ -35,25 +35,25 @@
     sizes: &[f64],
     begin: impl Fn(f64) -> io::Result<(Director, StubServer)>,
 ) -> io::Result<[Vec<Point>; 2]> {
-    let mut seen = vec![[const { Vec::new() }; 2]; sizes.len()];
+    let mut samples = vec![[const { Vec::new() }; 2]; sizes.len()];
     for _ in 0..ROUNDS {
-        for (size, seen) in sizes.iter().zip(&mut seen) {
+        for (size, samples) in sizes.iter().zip(&mut samples) {
             let (director, _feed) = begin(*size)?;
             let (time, memory) = wait_until_idle(&director)?;
-            seen[0].push(time);
-            seen[1].push(memory);
+            samples[0].push(time);
+            samples[1].push(memory);
         }
     }
-    Ok([0, 1].map(|n| points(sizes, seen.iter().map(|s| median(s[n].clone())))))
+    Ok([0, 1].map(|n| points(sizes, samples.iter().map(|s| median(s[n].clone())))))
 }
 
 /// Purges of the last hour, told at once to a director that begins.
 pub fn measure_initial_purges(program: DirectorCommand) -> io::Result<Vec<Cost>> {
     let sizes = [1_000.0, 4_400.0, 20_000.0, 60_000.0, 126_000.0];
     let begin = |first: f64| {
-        let tells =
+        let script_for =
             |_| FeedScript { initial_purges: first as u64, initial_span_ms: first / 35.0 * 1e3, ..QUIET };
-        start_with_feeds(program, &[first], tells).map(|mut all| all.remove(0))
+        start_with_feeds(program, &[first], script_for).map(|mut all| all.remove(0))
     };
     let [time, memory] = measure_starts(&sizes, begin)?;
     let what = "a real director's start with 490 nodes listed, so many purges of the last hour told at once";
@@ -66,7 +66,7 @@
 pub fn measure_list_starts(program: DirectorCommand) -> io::Result<Vec<Cost>> {
     let sizes = [20.0, 50.0, 100.0, 200.0, 350.0, 490.0];
     let begin = |nodes: f64| {
-        let feed = serve_connections(move |link, over| serve_feed(link, over, QUIET))?;
+        let feed = serve_connections(move |stream, stop| serve_feed(stream, stop, QUIET))?;
         let endpoints: Vec<Value> = (0..nodes as usize).map(|n| discovery::endpoint(n, "ready")).collect();
         Ok((Director::start(program, feed.address, &endpoints, None)?, feed))
     };
--- a/crates/capacity/src/real_director/stub_server.rs
+++ b/crates/capacity/src/real_director/stub_server.rs
@@ -50,53 +50,53 @@
     serve: impl Fn(TcpStream, &AtomicBool) -> io::Result<()> + Send + Sync + 'static,
 ) -> io::Result<StubServer> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
-    let (at, over) = (listener.local_addr()?, Arc::new(AtomicBool::new(false)));
-    let (serve, ends) = (Arc::new(serve), Arc::clone(&over));
+    let (at, stop) = (listener.local_addr()?, Arc::new(AtomicBool::new(false)));
+    let (serve, stop_accepting) = (Arc::new(serve), Arc::clone(&stop));
     thread::spawn(move || {
-        for link in listener.incoming().flatten() {
-            if ends.load(Ordering::Relaxed) {
+        for stream in listener.incoming().flatten() {
+            if stop_accepting.load(Ordering::Relaxed) {
                 return;
             }
-            let (serve, ends) = (Arc::clone(&serve), Arc::clone(&ends));
+            let (serve, stop) = (Arc::clone(&serve), Arc::clone(&stop_accepting));
             // A connection that breaks off is made again by its director.
-            thread::spawn(move || serve(link, &ends));
+            thread::spawn(move || serve(stream, &stop));
         }
     });
-    Ok(StubServer { address: at, stop: over })
+    Ok(StubServer { address: at, stop })
 }
 
-pub(super) fn serve_feed(mut link: TcpStream, over: &AtomicBool, told: FeedScript) -> io::Result<()> {
-    link.set_nodelay(true)?;
-    let mut asked = BufReader::new(link.try_clone()?);
+pub(super) fn serve_feed(mut stream: TcpStream, stop: &AtomicBool, script: FeedScript) -> io::Result<()> {
+    stream.set_nodelay(true)?;
+    let mut request = BufReader::new(stream.try_clone()?);
     let mut line = String::new();
-    while asked.read_line(&mut line)? > 2 {
+    while request.read_line(&mut line)? > 2 {
         line.clear();
     }
-    link.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")?;
+    stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")?;
     let (now, mut n) = (unix_ms(), 2);
     let mut text = String::new();
-    for at in 0..told.initial_purges {
+    for at in 0..script.initial_purges {
         text += &discovery::purge_event_at(
             n,
-            now - ((told.initial_purges - at) as f64 / told.initial_purges as f64 * told.initial_span_ms)
-                as u64,
+            now - ((script.initial_purges - at) as f64 / script.initial_purges as f64
+                * script.initial_span_ms) as u64,
         );
         n += 1;
     }
-    link.write_all(text.as_bytes())?;
-    let (begun, mut said, mut alive) = (Instant::now(), 0u64, 0u64);
-    while !over.load(Ordering::Relaxed) {
-        let passed = begun.elapsed();
+    stream.write_all(text.as_bytes())?;
+    let (started, mut sent, mut alive) = (Instant::now(), 0u64, 0u64);
+    while !stop.load(Ordering::Relaxed) {
+        let passed = started.elapsed();
         text.clear();
-        while (said as f64) < passed.as_secs_f64() * told.events_per_s {
-            text += &if told.sends_changes {
+        while (sent as f64) < passed.as_secs_f64() * script.events_per_s {
+            text += &if script.sends_changes {
                 discovery::change_event(n)
             } else {
                 discovery::purge_event_at(n, unix_ms())
             };
-            (n, said) = (n + 1, said + 1);
-            if told.batch_interval.is_zero() {
-                link.write_all(text.as_bytes())?;
+            (n, sent) = (n + 1, sent + 1);
+            if script.batch_interval.is_zero() {
+                stream.write_all(text.as_bytes())?;
                 text.clear();
             }
         }
@@ -104,37 +104,37 @@
             alive = passed.as_secs();
             text += ": .\n\n";
         }
-        link.write_all(text.as_bytes())?;
-        thread::sleep(told.batch_interval.max(Duration::from_millis(1)));
+        stream.write_all(text.as_bytes())?;
+        thread::sleep(script.batch_interval.max(Duration::from_millis(1)));
     }
     Ok(())
 }
 
 /// A node that has all there is, and answers at once with a body of this length.
-pub(super) fn serve_node(mut link: TcpStream, over: &AtomicBool, length: usize) -> io::Result<()> {
-    link.set_nodelay(true)?;
-    let mut reader = BufReader::new(link.try_clone()?);
+pub(super) fn serve_node(mut stream: TcpStream, stop: &AtomicBool, length: usize) -> io::Result<()> {
+    stream.set_nodelay(true)?;
+    let mut reader = BufReader::new(stream.try_clone()?);
     let body = vec![b'x'; length];
     let mut line = String::new();
-    while !over.load(Ordering::Relaxed) {
+    while !stop.load(Ordering::Relaxed) {
         line.clear();
         if reader.read_line(&mut line)? == 0 {
             return Ok(());
         }
         let mut words = line.split_whitespace();
-        let (Some("PULL"), Some(id), Some(_), Some(asked)) =
+        let (Some("PULL"), Some(id), Some(_), Some(request)) =
             (words.next(), words.next(), words.next(), words.next())
         else {
             continue;
         };
-        let asked: u64 = asked.parse().map_err(|_| io::ErrorKind::InvalidData)?;
-        io::copy(&mut (&mut reader).take(asked + 2), &mut io::sink())?;
+        let request: u64 = request.parse().map_err(|_| io::ErrorKind::InvalidData)?;
+        io::copy(&mut (&mut reader).take(request + 2), &mut io::sink())?;
         let issued = unix_ms();
         let mut out =
             format!("{id} ACK how=HIT,entity=00000000000000a1,issued={issued} {length}\r\n").into_bytes();
         out.extend_from_slice(&body);
         out.extend_from_slice(b"\r\n");
-        link.write_all(&out)?;
+        stream.write_all(&out)?;
     }
     Ok(())
 }
--- a/crates/capacity/src/real_director/voting.rs
+++ b/crates/capacity/src/real_director/voting.rs
@@ -23,21 +23,21 @@
 
 /// Says one thing to a voter and waits for what it answers.
 fn call_voter(
-    link: &mut TcpStream,
+    stream: &mut TcpStream,
     number: u32,
     request: &Request,
     limits: &Limits,
 ) -> io::Result<Vec<Reply>> {
     let bad = |_| io::Error::from(io::ErrorKind::InvalidData);
     let body = rmp_serde::to_vec(request).map_err(|e| io::Error::other(e.to_string()))?;
-    link.write_all(&rpc::encode_call(number, PEER_CALL_METHOD, &body))?;
+    stream.write_all(&rpc::encode_call(number, PEER_CALL_METHOD, &body))?;
     let (mut bytes, mut more) = (Vec::new(), [0; 4_096]);
     loop {
         match rpc::decode_response(&bytes, limits) {
             Ok((_, Some(body), _)) => return rmp_serde::from_slice(body).map_err(|e| bad(e.to_string())),
             Ok((_, None, _)) => return Err(io::ErrorKind::Unsupported.into()),
             Err(rpc::DecodeError::Invalid(why)) => return Err(bad(why.to_string())),
-            Err(rpc::DecodeError::Incomplete) => match link.read(&mut more)? {
+            Err(rpc::DecodeError::Incomplete) => match stream.read(&mut more)? {
                 0 => return Err(io::ErrorKind::UnexpectedEof.into()),
                 n => bytes.extend_from_slice(&more[..n]),
             },
@@ -46,26 +46,26 @@
 }
 
 /// A member without clients: its office, with a connection to each voter, until it is over.
-fn run_member(number: u32, voters: &[SocketAddr], begun: Instant, over: &AtomicBool) -> io::Result<()> {
-    let now = || begun.elapsed().as_nanos() as Ns + 1;
+fn run_member(number: u32, voters: &[SocketAddr], started: Instant, stop: &AtomicBool) -> io::Result<()> {
+    let now = || started.elapsed().as_nanos() as Ns + 1;
     let limits = Limits::new(64, 64, 0, 0);
-    let links = voters.iter().map(|at| {
-        let link = TcpStream::connect(at)?;
-        link.set_nodelay(true)?;
-        Ok(link)
+    let streams = voters.iter().map(|at| {
+        let stream = TcpStream::connect(at)?;
+        stream.set_nodelay(true)?;
+        Ok(stream)
     });
-    let mut links = links.collect::<io::Result<Vec<TcpStream>>>()?;
+    let mut streams = streams.collect::<io::Result<Vec<TcpStream>>>()?;
     let me = Member { number, incarnation: 1 };
-    let mut office = Coordinator::new(me, coordination_config(), mix(number.into()), now());
-    while !over.load(Ordering::Relaxed) {
-        office.step(now());
-        for act in office.take_actions() {
-            let Action::Call { voter, call_id: number, messages: words } = act else { continue };
-            let request = Request { from: me, messages: words };
-            let said = call_voter(&mut links[voter as usize], number as u32 + 1, &request, &limits)?;
-            office.on_replies(now(), voter, number, said);
+    let mut coordinator = Coordinator::new(me, coordination_config(), mix(number.into()), now());
+    while !stop.load(Ordering::Relaxed) {
+        coordinator.step(now());
+        for action in coordinator.take_actions() {
+            let Action::Call { voter, call_id: number, messages } = action else { continue };
+            let request = Request { from: me, messages };
+            let replies = call_voter(&mut streams[voter as usize], number as u32 + 1, &request, &limits)?;
+            coordinator.on_replies(now(), voter, number, replies);
         }
-        let next = office.next_wakeup().saturating_sub(now()).clamp(MS, 100 * MS);
+        let next = coordinator.next_wakeup().saturating_sub(now()).clamp(MS, 100 * MS);
         thread::sleep(Duration::from_nanos(next));
     }
     Ok(())
@@ -73,71 +73,72 @@
 
 fn is_assigner(at: SocketAddr) -> io::Result<bool> {
     let request = Request { from: Member::default(), messages: vec![Message::ShowStatus] };
-    let said = call_member(at, &request, Duration::from_secs(2))?;
-    let shown =
-        said.into_iter().filter_map(|s| if let Reply::Status(shown) = s { Some(shown) } else { None });
-    Ok(shown.flat_map(|s| s.roles).any(|held| held.role == ASSIGNMENT_ROLE && held.own_lease.is_some()))
+    let replies = call_member(at, &request, Duration::from_secs(2))?;
+    let status =
+        replies.into_iter().filter_map(|s| if let Reply::Status(status) = s { Some(status) } else { None });
+    Ok(status.flat_map(|s| s.roles).any(|role| role.role == ASSIGNMENT_ROLE && role.own_lease.is_some()))
 }
 
 /// Parts of a core of a voter and of the one that deals, with so many members, the voters among them.
 fn measure_voting(program: DirectorCommand, members: u32) -> io::Result<[f64; 2]> {
-    let feed = serve_connections(move |link, over| serve_feed(link, over, QUIET))?;
+    let feed = serve_connections(move |stream, stop| serve_feed(stream, stop, QUIET))?;
     let voters = (0..VOTERS).map(|_| free_address()).collect::<io::Result<Vec<SocketAddr>>>()?;
-    let duty = std::env::temp_dir().join(format!("slopes-duty-{}-{members}.scm", std::process::id()));
+    let coordination_file =
+        std::env::temp_dir().join(format!("slopes-duty-{}-{members}.scm", std::process::id()));
     let mut text = String::from("(duty (lease-ms . 1000) (beat-ms . 500) (probing . #f))\n");
     for (number, at) in voters.iter().enumerate() {
         text += &format!("(voter (number . {number}) (address . \"{at}\"))\n");
     }
-    std::fs::write(&duty, text)?;
+    std::fs::write(&coordination_file, text)?;
     let start = |(number, at): (usize, &SocketAddr)| {
         Director::start(
             program,
             feed.address,
             &[],
-            Some(VoterSetup { number, address: *at, coordination_file: &duty }),
+            Some(VoterSetup { number, address: *at, coordination_file: &coordination_file }),
         )
     };
     let all = voters.iter().enumerate().map(start).collect::<io::Result<Vec<Director>>>()?;
-    let (begun, over) = (Instant::now(), Arc::new(AtomicBool::new(false)));
+    let (started, stop) = (Instant::now(), Arc::new(AtomicBool::new(false)));
     let threads: Vec<_> = (VOTERS..members)
         .map(|number| {
-            let (voters, over) = (voters.clone(), Arc::clone(&over));
-            thread::spawn(move || run_member(number, &voters, begun, &over))
+            let (voters, stop) = (voters.clone(), Arc::clone(&stop));
+            thread::spawn(move || run_member(number, &voters, started, &stop))
         })
         .collect();
     // Twice the silence that is a death.
     thread::sleep(Duration::from_secs(11));
-    let dealer = voters.iter().position(|at| is_assigner(*at).unwrap_or(false));
+    let assigner = voters.iter().position(|at| is_assigner(*at).unwrap_or(false));
     let before = all.iter().map(Director::cpu_micros).collect::<io::Result<Vec<f64>>>()?;
-    let begun = Instant::now();
+    let started = Instant::now();
     thread::sleep(MEASUREMENT_SPAN);
     let after = all.iter().map(Director::cpu_micros).collect::<io::Result<Vec<f64>>>()?;
-    let span = begun.elapsed().as_secs_f64();
-    over.store(true, Ordering::Relaxed);
+    let span = started.elapsed().as_secs_f64();
+    stop.store(true, Ordering::Relaxed);
     let lost = threads.into_iter().filter_map(|t| t.join().ok()?.err()).next();
     // What was written of it is read; a file that stays harms nobody.
-    let _ = std::fs::remove_file(&duty);
+    let _ = std::fs::remove_file(&coordination_file);
     if let Some(e) = lost {
         return Err(io::Error::other(format!("a member of {members} lost a voter: {e}")));
     }
-    let dealer = dealer.filter(|d| is_assigner(voters[*d]).unwrap_or(false));
-    let dealer = dealer.ok_or_else(|| io::Error::other(format!("no steady dealer of {members}")))?;
+    let assigner = assigner.filter(|d| is_assigner(voters[*d]).unwrap_or(false));
+    let assigner = assigner.ok_or_else(|| io::Error::other(format!("no steady dealer of {members}")))?;
     let cores: Vec<f64> = after.iter().zip(before).map(|(a, b)| (a - b) / span / 1e4).collect();
-    let others = cores.iter().enumerate().filter(|(n, _)| *n != dealer).map(|(_, core)| *core);
-    Ok([others.sum::<f64>() / f64::from(VOTERS - 1), cores[dealer]])
+    let others = cores.iter().enumerate().filter(|(n, _)| *n != assigner).map(|(_, core)| *core);
+    Ok([others.sum::<f64>() / f64::from(VOTERS - 1), cores[assigner]])
 }
 
 pub fn measure_voters(program: DirectorCommand) -> io::Result<Vec<Cost>> {
     let sizes = [13.0, 50.0, 100.0, 200.0, 400.0];
-    let mut seen = vec![[const { Vec::new() }; 2]; sizes.len()];
+    let mut samples = vec![[const { Vec::new() }; 2]; sizes.len()];
     for _ in 0..ROUNDS {
-        for (members, seen) in sizes.iter().zip(&mut seen) {
-            let [voter, dealer] = measure_voting(program, *members as u32)?;
-            seen[0].push(voter);
-            seen[1].push(dealer);
+        for (members, samples) in sizes.iter().zip(&mut samples) {
+            let [voter, assigner] = measure_voting(program, *members as u32)?;
+            samples[0].push(voter);
+            samples[1].push(assigner);
         }
     }
-    let of = |n: usize| points(&sizes, seen.iter().map(|s| median(s[n].clone())));
+    let of = |n: usize| points(&sizes, samples.iter().map(|s| median(s[n].clone())));
     let what = ["a real director that votes, with sockets", "the one of them that deals, with sockets"];
     Ok(vec![
         cost("real-voter-time", what[0], "members", PERCENT_OF_CORE, of(0)),
--- a/crates/capacity/src/router.rs
+++ b/crates/capacity/src/router.rs
@@ -111,14 +111,14 @@
     };
     let mut sizes: Vec<(f64, At)> = KNOWN_PURGES.iter().map(begin).collect();
     let points = measure_interleaved(&mut sizes, ROUNDS, |at| {
-        let (took, ()) = time_micros(|| {
+        let (elapsed, ()) = time_micros(|| {
             for _ in 0..35 {
                 let now = START + SEC + at.next * SEC / 35;
                 at.router.record_purge(now, Some(mix(at.next % at.known)), 0, 0);
                 at.next += 1;
             }
         });
-        took / 35.0
+        elapsed / 35.0
     });
     Cost {
         name: "module-purge-known",
@@ -153,8 +153,8 @@
     let points = measure_interleaved(&mut sizes, ROUNDS, |at| {
         // Whole seconds, so that what is done once a second is in it.
         let many = 2 * at.rate;
-        let (took, ()) = time_micros(|| (0..many).for_each(|_| at.purge()));
-        took / 2.0 / 1e4
+        let (elapsed, ()) = time_micros(|| (0..many).for_each(|_| at.purge()));
+        elapsed / 2.0 / 1e4
     });
     Cost {
         name: "module-purge-rate",
@@ -184,7 +184,7 @@
         moved
             .iter_mut()
             .for_each(|l| l.state = if *gone { EndpointState::Gone } else { EndpointState::Ready });
-        let (took, ()) = time_micros(|| {
+        let (elapsed, ()) = time_micros(|| {
             if at_once {
                 router.update_endpoints(START, moved, false);
             } else {
@@ -192,7 +192,7 @@
             }
         });
         router.take_log_lines();
-        took
+        elapsed
     });
     Cost { name, description: what, size_unit: "nodes", unit: "us", kind: MeasurementKind::Timed, points }
 }
@@ -262,9 +262,9 @@
                 is_write: false,
                 attempts: Vec::with_capacity(1),
             };
-            let begun = Instant::now();
+            let started = Instant::now();
             let route = self.router.route(self.now, &request);
-            self.elapsed_ns[0] += begun.elapsed().as_nanos() as f64 - clock;
+            self.elapsed_ns[0] += started.elapsed().as_nanos() as f64 - clock;
             let RouteDecision::Attempt(send) = route else { continue };
             self.attempts += 1;
             request.attempts.push(Attempt {
@@ -273,13 +273,13 @@
                 sent_at: self.now,
                 outcome: None,
             });
-            let begun = Instant::now();
+            let started = Instant::now();
             black_box(self.router.next_check(self.now, &request));
-            self.elapsed_ns[2] += begun.elapsed().as_nanos() as f64 - clock;
+            self.elapsed_ns[2] += started.elapsed().as_nanos() as f64 - clock;
             request.attempts[0].outcome = Some(Outcome::Success);
-            let begun = Instant::now();
+            let started = Instant::now();
             black_box(self.router.on_outcome(self.now + 30 * MS, &request, 0, 30 * MS, None));
-            self.elapsed_ns[1] += begun.elapsed().as_nanos() as f64 - clock;
+            self.elapsed_ns[1] += started.elapsed().as_nanos() as f64 - clock;
         }
         self.router.take_log_lines();
     }
@@ -299,13 +299,13 @@
         path
     };
     let mut paths: Vec<RequestPath> = NODES.iter().map(begin).collect();
-    let mut seen = vec![[const { Vec::new() }; 3]; NODES.len()];
+    let mut samples = vec![[const { Vec::new() }; 3]; NODES.len()];
     for _ in 0..4 * ROUNDS {
-        for (path, seen) in paths.iter_mut().zip(&mut seen) {
+        for (path, samples) in paths.iter_mut().zip(&mut samples) {
             path.round(clock);
             let many = [LOOKUPS, path.attempts.max(1), path.attempts.max(1)];
             for call in 0..3 {
-                seen[call].push(path.elapsed_ns[call] / many[call] as f64);
+                samples[call].push(path.elapsed_ns[call] / many[call] as f64);
             }
         }
     }
@@ -315,7 +315,10 @@
         ("module-patience", "how long until it is asked again"),
     ];
     let point = |call: usize| {
-        NODES.iter().zip(&seen).map(move |(n, s)| Point { size: *n as f64, value: median(s[call].clone()) })
+        NODES
+            .iter()
+            .zip(&samples)
+            .map(move |(n, s)| Point { size: *n as f64, value: median(s[call].clone()) })
     };
     let cost = |(call, (name, what))| {
         let points = point(call).collect();
--- a/crates/capacity/src/suite.rs
+++ b/crates/capacity/src/suite.rs
@@ -104,20 +104,27 @@
     description: &'static str,
     size_unit: &'static str,
     sizes: &[usize],
-    ways: &MeasurementEnvironment,
+    environment: &MeasurementEnvironment,
 ) -> io::Result<Vec<Cost>> {
-    let point = |&size: &usize| Some(Point { size: size as f64, value: (ways.measure_memory)(name, size)? });
+    let point =
+        |&size: &usize| Some(Point { size: size as f64, value: (environment.measure_memory)(name, size)? });
     let points = sizes.iter().filter_map(point).collect();
     Ok(vec![Cost { name, description, size_unit, unit: "bytes", kind: MeasurementKind::Resident, points }])
 }
 
-fn measure_router_memory(ways: &MeasurementEnvironment) -> io::Result<Vec<Cost>> {
-    measure_resident("module-memory", "a module with its list and pies", "nodes", &router::MEMORY_SIZES, ways)
+fn measure_router_memory(environment: &MeasurementEnvironment) -> io::Result<Vec<Cost>> {
+    measure_resident(
+        "module-memory",
+        "a module with its list and pies",
+        "nodes",
+        &router::MEMORY_SIZES,
+        environment,
+    )
 }
 
-fn measure_purge_memory(ways: &MeasurementEnvironment) -> io::Result<Vec<Cost>> {
+fn measure_purge_memory(environment: &MeasurementEnvironment) -> io::Result<Vec<Cost>> {
     let what = "a module with ten nodes and so many purges";
-    measure_resident("module-purge-memory", what, "known purges", &router::PURGE_MEMORY_SIZES, ways)
+    measure_resident("module-purge-memory", what, "known purges", &router::PURGE_MEMORY_SIZES, environment)
 }
 
 /// One size of a cost of memory, taken in this process.
@@ -135,9 +142,16 @@
 }
 
 /// Takes those whose names begin so, each family as a whole, and hands each on as it is done.
-pub fn measure(only: &str, ways: &MeasurementEnvironment, mut done: impl FnMut(Cost)) -> io::Result<()> {
+pub fn measure(
+    only: &str,
+    environment: &MeasurementEnvironment,
+    mut on_cost: impl FnMut(Cost),
+) -> io::Result<()> {
     for family in COST_GROUPS.iter().filter(|f| f.names.iter().any(|n| n.starts_with(only))) {
-        (family.measure)(ways)?.into_iter().filter(|c| c.name.starts_with(only)).for_each(&mut done);
+        (family.measure)(environment)?
+            .into_iter()
+            .filter(|c| c.name.starts_with(only))
+            .for_each(&mut on_cost);
     }
     Ok(())
 }
