--- a/crates/capacity/src/coordination.rs
+++ b/crates/capacity/src/coordination.rs
@@ -1,5 +1,5 @@
-//! What duties cost their members and voters, without sockets: offices in one simulated time, each word
-//! encoded and decoded as between processes, the time of each party's own code taken apart.
+//! What coordination costs members and voters, without sockets: coordinators in one simulated time, each message encoded
+//! and decoded as between processes, and the time of each party's own code counted apart.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Instant;
@@ -14,7 +14,7 @@
 pub(crate) const MS: Ns = 1_000_000;
 const SEC: Ns = 1_000 * MS;
 /// Thirteen: the relays alone as members.
-pub const MEMBERS: [u32; 7] = [13, 50, 100, 200, 500, 1_000, 3_800];
+pub(crate) const MEMBERS: [u32; 7] = [13, 50, 100, 200, 500, 1_000, 3_800];
 const TARGETS: [u64; 6] = [0, 20, 50, 100, 200, 490];
 /// Members of the trials over boxes.
 const TARGET_TRIAL_MEMBERS: u32 = 100;
@@ -34,7 +34,7 @@
     }
 }
 
-/// Of one party: calls that it made or was made, bytes both ways, nanoseconds of its own code.
+/// Of one party: calls made or answered, bytes in both directions, nanoseconds of its own code.
 #[derive(Clone, Copy, Default)]
 struct PartyUsage {
     calls: u64,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// What an office wants done: its calls are encoded, its probes answered at once.
+    /// Carries out the actions of a coordinator: its calls are encoded and queued, its health checks succeed at once.
     fn run_actions(&mut self, number: usize) {
         loop {
             let (coordinator, usage) = (&mut self.coordinators[number], &mut self.usage[number]);
@@ -162,7 +162,7 @@
     }
 }
 
-/// A second of a member, of a voter and of the one that deals.
+/// Usage a second of a member, of a voter, and of the voter that holds the assignment role.
 #[derive(Clone, Copy)]
 struct UsagePerSecond {
     member: PartyUsage,
@@ -219,7 +219,7 @@
     usage.elapsed_ns as f64 / 1e7
 }
 
-pub fn measure_by_members() -> Vec<Cost> {
+pub(crate) fn measure_by_members() -> Vec<Cost> {
     let mut rows: Vec<Row> = MEMBERS.iter().map(|m| (f64::from(*m), Vec::new())).collect();
     for _ in 0..ROUNDS {
         for (members, (_, samples)) in MEMBERS.iter().zip(&mut rows) {
@@ -246,7 +246,7 @@
     ]
 }
 
-pub fn measure_by_targets() -> Vec<Cost> {
+pub(crate) fn measure_by_targets() -> Vec<Cost> {
     let mut rows: Vec<Row> = TARGETS.iter().map(|b| (*b as f64, Vec::new())).collect();
     for _ in 0..ROUNDS {
         for (targets, (_, samples)) in TARGETS.iter().zip(&mut rows) {
@@ -271,7 +271,7 @@
 }
 
 /// The longest that one change of the deal takes a member: whose are the 490 boxes now?
-pub fn measure_shares() -> Cost {
+pub(crate) fn measure_shares() -> Cost {
     let shares = |many: u32| {
         RendezvousShares::from_weights((0..many).map(|number| (Member { number, incarnation: 1 }, 1.0)))
     };
@@ -292,7 +292,7 @@
 }
 
 /// A deal told whole, as to a member that has just begun.
-pub fn measure_assignment_bytes() -> Cost {
+pub(crate) fn measure_assignment_bytes() -> Cost {
     let point = |&many: &u32| {
         let members = (0..many).map(|number| Member { number, incarnation: 1_764_576_000_123_000 }).collect();
         let roster = Assignment { members, ..Default::default() };
--- a/crates/capacity/src/cost.rs
+++ b/crates/capacity/src/cost.rs
@@ -1,4 +1,4 @@
-//! One cost over its sizes, and how it is taken.
+//! A measured cost, and the clocks and counters by which costs are measured.
 
 use std::fmt;
 use std::time::Instant;
@@ -7,37 +7,46 @@
 
 use crate::fit::{LinearFit, Point};
 
-/// How the values came about.
+/// How the values of a cost are measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MeasurementKind {
-    /// The same in each run.
+    /// Counted; the same in each run.
     Counted,
-    /// The median of rounds in which all sizes take turns.
+    /// Timed: the median of rounds in which all sizes take turns.
     Timed,
-    /// Resident memory of a process that holds many of the thing, divided by how many.
+    /// Resident memory of a process that holds many instances, divided by their number.
     Resident,
 }
 
+/// A cost measured at several sizes.
 #[derive(Clone, Debug, Serialize)]
 pub struct Cost {
+    /// The name that `--only` takes and docs/capacity.scm lists.
     pub name: &'static str,
+    /// What is measured.
     #[serde(rename = "what")]
     pub description: &'static str,
+    /// What the size counts.
     #[serde(rename = "over")]
     pub size_unit: &'static str,
+    /// Unit of the values.
     pub unit: &'static str,
+    /// How the values are measured.
     #[serde(rename = "how")]
     pub kind: MeasurementKind,
+    /// The measured values by size.
     pub points: Vec<Point>,
 }
 
 impl Cost {
+    /// Fits a line through the points; see [`LinearFit::least_squares`] for when there is none.
     pub fn fit(&self) -> Option<LinearFit> {
         LinearFit::least_squares(&self.points)
     }
 
-    /// The form of the sheet, but for its run and its end.
+    /// Formats the cost as a form of docs/capacity.scm, up to where the caller appends `(run . ...)` and the closing
+    /// parenthesis.
     pub fn to_form(&self, line: &LinearFit) -> String {
         let points: Vec<String> =
             self.points.iter().map(|p| format!("({} {})", p.size, format_significant(p.value))).collect();
@@ -83,8 +92,8 @@
     }
 }
 
-/// Four digits that count.
-pub fn format_significant(value: f64) -> String {
+/// Formats a number with four significant digits.
+pub(crate) fn format_significant(value: f64) -> String {
     if value == 0.0 || !value.is_finite() {
         return format!("{value}");
     }
@@ -92,9 +101,9 @@
     format!("{value:.digits$}")
 }
 
-/// Takes all sizes in turn, round after round, so that what slows the machine for a while slows all alike:
-/// the median of each.
-pub fn measure_interleaved<T>(
+/// Measures all sizes in turn, round after round, and takes the median of each. A disturbance of the machine that lasts
+/// a while so affects all sizes alike.
+pub(crate) fn measure_interleaved<T>(
     sizes: &mut [(f64, T)],
     rounds: usize,
     mut take: impl FnMut(&mut T) -> f64,
@@ -112,33 +121,34 @@
         .collect()
 }
 
-pub fn median(mut samples: Vec<f64>) -> f64 {
+/// Returns the median, the upper one of an even number of samples, or NaN without samples.
+pub(crate) fn median(mut samples: Vec<f64>) -> f64 {
     samples.sort_by(f64::total_cmp);
     samples.get(samples.len() / 2).copied().unwrap_or(f64::NAN)
 }
 
-/// Microseconds that it took, and what it gave.
-pub fn time_micros<T>(work: impl FnOnce() -> T) -> (f64, T) {
+/// Returns the microseconds that the work takes, and its result.
+pub(crate) fn time_micros<T>(work: impl FnOnce() -> T) -> (f64, T) {
     let started = Instant::now();
     let result = work();
     (started.elapsed().as_nanos() as f64 / 1e3, result)
 }
 
-/// Bytes of this process that lie in memory, as Linux says.
-pub fn resident_bytes() -> Option<f64> {
+/// Returns the resident memory of this process in bytes, as Linux reports it.
+pub(crate) fn resident_bytes() -> Option<f64> {
     resident_bytes_of("self")
 }
 
-/// The same of another one, by its number.
-pub fn resident_bytes_of(process: &str) -> Option<f64> {
+/// Returns the resident memory of another process, by its id as text.
+pub(crate) fn resident_bytes_of(process: &str) -> Option<f64> {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).ok()?;
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
     let kilobytes: f64 = line.trim().trim_end_matches("kB").trim().parse().ok()?;
     Some(kilobytes * 1024.0)
 }
 
-/// What one of them takes: the growth of this process while so many are made.
-pub fn resident_growth_per_item<T>(many: usize, make: impl Fn(usize) -> T) -> f64 {
+/// Returns the bytes of one item: the growth of this process while `many` are made, divided by their number.
+pub(crate) fn resident_growth_per_item<T>(many: usize, make: impl Fn(usize) -> T) -> f64 {
     let before = resident_bytes().unwrap_or(f64::NAN);
     let all: Vec<T> = (0..many).map(make).collect();
     let after = resident_bytes().unwrap_or(f64::NAN);
--- a/crates/capacity/src/discovery.rs
+++ b/crates/capacity/src/discovery.rs
@@ -1,5 +1,4 @@
-//! What events of the control feed cost a director that reads them: bytes, and the time of its own reading
-//! code.
+//! What discovery events cost a director that reads them: their bytes, and the time of the code that reads them.
 
 use std::hint::black_box;
 
@@ -19,20 +18,21 @@
 const FIRST_NUMBER: u64 = 10_000_000;
 const PURGED_AT_MS: u64 = 1_764_576_000_123;
 
-pub fn event_block(n: u64, what: &str) -> String {
+pub(crate) fn event_block(n: u64, what: &str) -> String {
     format!("id: {n}\ndata: {{\"n\":{n},{what}}}\n\n")
 }
 
+/// Returns the event with this number as a purge, as it is on the stream.
 pub fn purge_event(n: u64) -> String {
     purge_event_at(n, PURGED_AT_MS + n)
 }
 
-/// Made at this millisecond of the Unix clock.
-pub fn purge_event_at(n: u64, at: u64) -> String {
+/// The same for a purge made at this millisecond of the Unix clock.
+pub(crate) fn purge_event_at(n: u64, at: u64) -> String {
     event_block(n, &format!("\"purge\":{{\"key\":\"{:016x}\",\"at\":{at}}}", mix(n)))
 }
 
-pub fn endpoint(node: usize, status: &str) -> Value {
+pub(crate) fn endpoint(node: usize, status: &str) -> Value {
     let kind = if node % 4 == 1 { "parent" } else { "small" };
     let (name, zone) = (format!("s-{:08x}", mix(node as u64) as u32), format!("zone-{:02}", node * 64 / 490));
     let address = format!("10.{}.{}.9:10080", node / 64, node % 64);
@@ -45,18 +45,18 @@
     event_block(n, &format!("\"members\":{told}"))
 }
 
-pub fn change_event(n: u64) -> String {
+pub(crate) fn change_event(n: u64) -> String {
     let status = if n.is_multiple_of(2) { "ready" } else { "gone" };
     members_event(n, &[endpoint((n % 490) as usize, status)], false)
 }
 
+/// Returns the event with this number as a complete endpoint list.
 pub fn snapshot_event(n: u64, nodes: usize) -> String {
     let all: Vec<Value> = (0..nodes).map(|node| endpoint(node, "ready")).collect();
     members_event(n, &all, true)
 }
 
-/// Reads it all as a director does: the stream's blocks, JSON, the fact, the rule on numbers. How many were
-/// taken.
+/// Reads a stream as a director does (blocks, JSON, event, order of numbers) and returns how many events were new.
 fn read_events(text: &[u8]) -> usize {
     let mut stream = EventStreamParser::new(MAX_BUFFERED_BYTES);
     stream.push(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
@@ -117,13 +117,13 @@
     EVENTS.iter().map(|&many| (many, (FIRST_NUMBER..FIRST_NUMBER + many as u64).map(&of).collect())).collect()
 }
 
-pub fn measure_purges() -> Vec<Cost> {
+pub(crate) fn measure_purges() -> Vec<Cost> {
     let names =
         [("feed-purge-bytes", "so many purges on the socket"), ("feed-purge-time", "so many purges read")];
     measure_bytes_and_time(names, "purges", event_texts(purge_event))
 }
 
-pub fn measure_changes() -> Vec<Cost> {
+pub(crate) fn measure_changes() -> Vec<Cost> {
     let names = [
         ("feed-change-bytes", "so many changes of one line on the socket"),
         ("feed-change-time", "so many changes of one line read"),
@@ -131,7 +131,7 @@
     measure_bytes_and_time(names, "changes", event_texts(change_event))
 }
 
-pub fn measure_lists() -> Vec<Cost> {
+pub(crate) fn measure_lists() -> Vec<Cost> {
     let names =
         [("feed-list-bytes", "the whole list as an event"), ("feed-list-time", "the whole list read")];
     measure_bytes_and_time(
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -1,39 +1,44 @@
-//! A straight line through measured points, and where they leave it.
+//! A straight line through measured points, and the size at which they leave it.
 
 use serde::Serialize;
 
-/// Past the line by more than this part, a cost has bent.
+/// A cost that exceeds the line by more than this share has bent.
 const BEND_TOLERANCE: f64 = 0.25;
 
+/// The value of a cost at one size.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Point {
+    /// The size.
     pub size: f64,
+    /// What was measured at it.
     pub value: f64,
 }
 
-/// The line of least squares of the relative residuals: sizes lie decades apart, and each counts alike.
+/// The line with the least squares of *relative* residuals: the sizes lie decades apart, and each counts alike.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct LinearFit {
+    /// Growth for each unit of size.
     pub slope: f64,
+    /// Value at size zero.
     pub intercept: f64,
-    /// The worst residual, as a part of what was measured there.
+    /// Largest residual as a share of the value measured there.
     #[serde(rename = "worst")]
     pub max_relative_residual: f64,
-    /// The slope between the last two sizes, of that between the first two.
+    /// Slope between the last two sizes divided by the slope between the first two.
     #[serde(rename = "turn")]
     pub slope_ratio: f64,
-    /// The first size at which the cost lies over a quarter above the line through the smaller half of the
-    /// sizes.
+    /// The first size whose value lies more than a quarter above the line through the smaller half of the sizes.
     #[serde(rename = "bend")]
     pub bend_at: Option<f64>,
 }
 
 impl LinearFit {
+    /// Returns the value of the line at a size.
     pub fn value_at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
 
-    /// None with fewer than three different sizes, or with a value that is none.
+    /// Fits a line. Returns `None` with fewer than three points, if all sizes are equal, or if a number is not finite.
     pub fn least_squares(points: &[Point]) -> Option<LinearFit> {
         let (slope, intercept) = weighted_least_squares(points)?;
         let off =
@@ -52,7 +57,8 @@
     }
 }
 
-/// Weighted by one over the square of the value. A value of zero counts as the smallest that is none.
+/// Slope and intercept, each point weighted by one over the square of its value. A value of zero is weighted like the
+/// smallest value that is not zero.
 fn weighted_least_squares(points: &[Point]) -> Option<(f64, f64)> {
     if points.len() < 3 || points.iter().any(|p| !p.value.is_finite() || !p.size.is_finite()) {
         return None;
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,15 +1,18 @@
-//! What the parts of sablecross cost as they grow: each cost measured at five sizes or more and fitted with a
-//! line, and the page of the target size that is worked out from those lines.
+//! What the parts of sablecross cost as they grow: each cost is measured at several sizes and fitted with a line, and the
+//! tables of docs/CAPACITY.md are computed from the lines for the target size.
 
-pub mod coordination;
-pub mod cost;
+mod coordination;
+mod cost;
 pub mod discovery;
-pub mod fit;
+mod error;
+mod fit;
 pub mod model;
-pub mod real_director;
+mod real_director;
 pub mod report;
 pub mod router;
 pub mod suite;
 
 pub use cost::{Cost, MeasurementKind};
+pub use error::MeasurementError;
 pub use fit::{LinearFit, Point};
+pub use real_director::DirectorCommand;
--- a/crates/capacity/src/model.rs
+++ b/crates/capacity/src/model.rs
@@ -1,5 +1,5 @@
-//! What the target size comes to, worked out from measured slopes: the settings file that holds them, and the
-//! page's tables.
+//! The capacity model: the target size, the budgets, the assumptions and the measured costs of a settings file such as
+//! docs/capacity.scm, and the loads that follow from them.
 
 use std::collections::BTreeMap;
 
@@ -17,156 +17,194 @@
     Figure(#[garde(dive)] Figure),
 }
 
-/// The size that is to be carried.
+/// The size of the installation that has to be carried.
 #[derive(Clone, Debug, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Target {
+    /// Number of directors.
     #[garde(range(min = 1.0, max = 1e6))]
     pub directors: f64,
+    /// Number of cache nodes and parents.
     #[garde(range(min = 1.0, max = 1e6))]
     pub nodes: f64,
+    /// Number of regions.
     #[garde(range(min = 1.0, max = 1e4))]
     pub regions: f64,
+    /// Number of zones.
     #[garde(range(min = 1.0, max = 1e4))]
     pub zones: f64,
+    /// Number of machines set aside for control processes, one relay on each.
     #[garde(range(min = 1.0, max = 1e4))]
     pub machines: f64,
+    /// Lookups a second at the peak, of all directors.
     #[garde(range(min = 1.0, max = 1e9))]
     pub lookups: f64,
-    /// How many times the mean the busiest director has.
+    /// Load of the busiest director as a multiple of the mean.
     #[garde(range(min = 1.0, max = 100.0))]
     pub busiest: f64,
+    /// Bits of bodies a second at the peak, of all directors.
     #[garde(range(min = 1.0, max = 1e15))]
     pub bits: f64,
+    /// Purges a second.
     #[garde(range(min = 0.01, max = 1e6))]
     pub purges: f64,
+    /// Changes of the endpoint list a day.
     #[garde(range(min = 0.01, max = 1e9))]
     pub changes_a_day: f64,
+    /// Restarts of directors a day.
     #[garde(range(min = 0.01, max = 1e6))]
     pub restarts_a_day: f64,
-    /// How long regions lose each other.
+    /// Seconds for which regions are partitioned from each other.
     #[garde(range(min = 1.0, max = 1e6))]
     pub cut_s: f64,
 }
 
+/// What control may use, and how fast it has to be.
 #[derive(Clone, Debug, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Budget {
-    /// Of control, a director: percent of a core, megabytes, bytes a second.
+    /// Processor time of control in a director, in percent of a core.
     #[garde(range(min = 0.01, max = 1e4))]
     pub core: f64,
+    /// Memory of control in a director, in megabytes.
     #[garde(range(min = 1.0, max = 1e6))]
     pub memory_mb: f64,
+    /// Bytes of control a second, to and from a director.
     #[garde(range(min = 1.0, max = 1e9))]
     pub bytes: f64,
-    /// Of a machine set aside, for its one control process: percent of a core.
+    /// Processor time of the one control process of a machine set aside, in percent of a core.
     #[garde(range(min = 1.0, max = 1e4))]
     pub machine_core: f64,
-    /// How long a purge and a change may take until they are in force everywhere.
+    /// Seconds after which a purge has to be applied everywhere.
     #[garde(range(min = 0.1, max = 1e4))]
     pub purge_s: f64,
+    /// Seconds after which a change has to be applied everywhere.
     #[garde(range(min = 0.1, max = 1e4))]
     pub change_s: f64,
 }
 
-/// What is taken for granted, and what limits and designs say.
+/// What is assumed and not measured: sizes of protocol headers, timers and limits.
 #[derive(Clone, Debug, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Assumptions {
-    /// IPv4 and TCP with time stamps, in each packet; each packet of events is acknowledged by one without
-    /// any.
+    /// Bytes of the IPv4 and TCP headers of a packet, with TCP time stamps. Each packet of events is acknowledged by a
+    /// packet without payload.
     #[garde(range(min = 20.0, max = 200.0))]
     pub head: f64,
-    /// Bytes of a comment, and of the head of a call and of its answer.
+    /// Bytes of a comment that keeps an event stream alive.
     #[garde(range(min = 2.0, max = 1e3))]
     pub comment: f64,
+    /// Bytes of the head of an HTTP call, and as many of the head of its answer.
     #[garde(range(min = 20.0, max = 1e4))]
     pub call: f64,
-    /// Packets of a connection's begin and end.
+    /// Packets that open and close a connection.
     #[garde(range(min = 6.0, max = 20.0))]
     pub connection: f64,
+    /// Milliseconds between two batches of events.
     #[garde(range(min = 1.0, max = 1e5))]
     pub batch_ms: f64,
+    /// Mean milliseconds until a stream of a relay ends and its reader calls again.
     #[garde(range(min = 1.0, max = 1e6))]
     pub ack_ms: f64,
-    /// Seconds for which a purge binds.
+    /// Seconds for which a purge affects decisions.
     #[garde(range(min = 1.0, max = 1e5))]
     pub binds_s: f64,
-    /// Seconds more for which a relay keeps one at most: for clocks that are apart, and until its base moves.
+    /// Further seconds for which a relay keeps a purge at most, for clock skew and until its snapshot moves on.
     #[garde(range(min = 0.0, max = 1e4))]
     pub slack_s: f64,
+    /// Link of one control machine, in bits a second.
     #[garde(range(min = 1e6, max = 1e12))]
     pub machine_link: f64,
-    /// Of a director, and as many of a node.
+    /// File descriptors of a director, and as many of a node.
     #[garde(range(min = 16.0, max = 1e6))]
     pub descriptors: f64,
-    /// Of a relay.
+    /// Connections of a relay.
     #[garde(range(min = 16.0, max = 1e6))]
     pub connections: f64,
+    /// Bytes of the largest body.
     #[garde(range(min = 1.0, max = 1e9))]
     pub body: f64,
 }
 
-/// A cost that was measured over sizes: `sablecross slopes --only NAME` measures it again, if the run does
-/// not say otherwise.
+/// A cost that was measured over sizes. `sablecross slopes --only NAME` measures it again, unless `command` names
+/// another command.
 #[derive(Clone, Debug, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Slope {
+    /// Name of the cost, as `--only` takes it.
     #[garde(length(min = 1, max = 60))]
     pub name: String,
+    /// Growth of the cost for each unit of size.
     #[garde(skip)]
     pub slope: f64,
+    /// Cost at size zero.
     #[garde(skip)]
     pub intercept: f64,
-    /// Percent, of what was measured there.
+    /// Largest residual, in percent of the value that was measured there.
     #[garde(skip)]
     pub worst: f64,
-    /// 0: nowhere.
+    /// The size from which the cost grows faster than the line; 0 if it does not.
     #[garde(skip)]
     #[serde(default)]
     pub bend: f64,
+    /// Unit of the cost.
     #[garde(length(min = 1))]
     pub unit: String,
+    /// What the size counts.
     #[garde(length(min = 1))]
     pub over: String,
-    /// Sizes and what was measured there.
+    /// Pairs of a size and the value measured at it.
     #[garde(length(min = 3))]
     pub points: Vec<(f64, f64)>,
+    /// Date and time of the run.
     #[garde(length(min = 1))]
     pub run: String,
+    /// The command that measures the cost, if it is not `sablecross slopes`.
     #[garde(skip)]
     #[serde(default)]
     pub command: Option<String>,
 }
 
-/// A figure of one run, or one that is not measured yet: then it has no value.
+/// A figure of one run. Without a value it has not been measured yet.
 #[derive(Clone, Debug, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Figure {
+    /// Name of the figure.
     #[garde(length(min = 1, max = 60))]
     pub name: String,
+    /// What it is the figure of.
     #[garde(length(min = 1))]
     pub what: String,
+    /// Its unit.
     #[garde(length(min = 1))]
     pub unit: String,
+    /// The measured value.
     #[garde(skip)]
     #[serde(default)]
     pub value: Option<f64>,
+    /// Date and time of the run.
     #[garde(skip)]
     #[serde(default)]
     pub run: Option<String>,
+    /// The command that measures it.
     #[garde(length(min = 1))]
     pub command: String,
 }
 
+/// The content of one settings file.
 #[derive(Clone, Debug)]
 pub struct CapacityModel {
+    /// The size that has to be carried.
     pub target: Target,
+    /// What control may use.
     pub budget: Budget,
+    /// What is assumed and not measured.
     pub assumptions: Assumptions,
+    /// The measured costs by name.
     pub slopes: BTreeMap<String, Slope>,
+    /// The figures of single runs by name.
     pub figures: BTreeMap<String, Figure>,
-    /// Names of slopes in the order of the file.
+    /// Names of the slopes in the order of the file.
     pub slope_names: Vec<String>,
 }
 
@@ -311,62 +349,67 @@
 ];
 
 impl CapacityModel {
-    /// A measured cost at a size, by its line: NaN if it is only a figure.
+    /// Returns a cost at a size by its line, or NaN if there is no slope of that name.
     pub fn predict(&self, name: &str, size: f64) -> f64 {
         self.slopes.get(name).map_or(f64::NAN, |s| s.intercept + s.slope * size)
     }
 
-    /// What was measured at that size itself, else by the line.
+    /// Returns the value measured at exactly this size, or else the one by the line.
     pub fn measured_or_predicted(&self, name: &str, size: f64) -> f64 {
         let points = self.slopes.get(name).map(|s| &s.points[..]).unwrap_or_default();
         points.iter().find(|p| p.0 == size).map_or_else(|| self.predict(name, size), |p| p.1)
     }
 
+    /// Returns the growth of a cost for each unit of size, or NaN if there is no slope of that name.
     pub fn slope(&self, name: &str) -> f64 {
         self.slopes.get(name).map_or(f64::NAN, |s| s.slope)
     }
 
+    /// Returns the value of a figure, or `None` if it has not been measured.
     pub fn figure(&self, name: &str) -> Option<f64> {
         self.figures.get(name).and_then(|f| f.value)
     }
 
+    /// Changes of the endpoint list a second.
     pub fn changes_per_s(&self) -> f64 {
         self.target.changes_a_day / 86_400.0
     }
 
-    /// Purges that bind at any time.
+    /// Purges that affect decisions at any time.
     pub fn active_purges(&self) -> f64 {
         self.target.purges * self.assumptions.binds_s
     }
 
-    /// Purges that a relay keeps, and tells to whoever has none.
+    /// Purges that a relay keeps and sends to a reader that has none.
     pub fn retained_purges(&self) -> f64 {
         self.target.purges * (self.assumptions.binds_s + self.assumptions.slack_s)
     }
 
-    /// Bytes of events a second, without heads.
+    /// Bytes of events a second, without packet headers.
     pub fn event_bytes_per_s(&self) -> f64 {
         self.target.purges * self.slope("feed-purge-bytes")
             + self.changes_per_s() * self.slope("feed-change-bytes")
     }
 
-    /// Bytes a second at a reader that is told by so many packets, each with its acknowledgement.
+    /// Bytes a second of an event stream that arrives in `packets` packets a second, each with its acknowledgement, and
+    /// with `comment` bytes of comments a second.
     pub fn subscriber_bytes_per_s(&self, packets: f64, comment: f64) -> f64 {
         self.event_bytes_per_s() + comment + packets * 2.0 * self.assumptions.head
     }
 
-    /// Bytes a second of calling again, which says what is in force.
+    /// Bytes a second of the calls by which a reader reports what it has applied.
     pub fn reconnect_bytes_per_s(&self) -> f64 {
         let a = &self.assumptions;
         (2.0 * a.call + a.connection * a.head) * 1e3 / a.ack_ms
     }
 
-    /// What a reader is told that has nothing: the list and the purges that bind.
+    /// Bytes that a reader without any state receives: the endpoint list and the purges that the relay keeps.
     pub fn snapshot_bytes(&self) -> f64 {
         self.predict("feed-list-bytes", self.target.nodes)
             + self.retained_purges() * self.slope("feed-purge-bytes")
     }
 
+    /// Batches of events a second.
     pub fn batches_per_s(&self) -> f64 {
         (1e3 / self.assumptions.batch_ms).min(self.target.purges + self.changes_per_s())
     }
--- a/crates/capacity/src/real_director.rs
+++ b/crates/capacity/src/real_director.rs
@@ -1,6 +1,6 @@
-//! What a real director takes as a process: its processor time, memory and descriptors, with a stand-in for
-//! the feed, nodes and clients on loopback. Time is what the system counted for its threads, so that others
-//! on the machine matter little.
+//! What a real director uses as a process: processor time, memory and descriptors, with stand-ins for the discovery
+//! source, the nodes and the clients on loopback. Processor time is what the system counts for its threads, so that other
+//! load on the machine matters little.
 
 mod discovery_load;
 mod lookup_load;
@@ -20,14 +20,14 @@
 use crate::cost::{Cost, MeasurementKind};
 use crate::fit::Point;
 
-/// Makes the command that starts a director: what `sablecross lab director` is.
+/// Makes the command that starts a director.
 pub type DirectorCommand<'a> = &'a dyn Fn() -> Command;
 
 const NODES: usize = 490;
 const WARM_UP: Duration = Duration::from_secs(3);
 const MEASUREMENT_SPAN: Duration = Duration::from_secs(8);
 const ROUNDS: usize = 3;
-/// Seconds for which a purge binds.
+/// Seconds for which a purge affects decisions.
 const PURGE_WINDOW_S: f64 = 126.0;
 const PERCENT_OF_CORE: &str = "% of a core";
 
--- a/crates/capacity/src/real_director/discovery_load.rs
+++ b/crates/capacity/src/real_director/discovery_load.rs
@@ -11,6 +11,7 @@
 use super::{
     DirectorCommand, MEASUREMENT_SPAN, NODES, PERCENT_OF_CORE, PURGE_WINDOW_S, ROUNDS, WARM_UP, cost, points,
 };
+use crate::MeasurementError;
 use crate::cost::{Cost, median};
 use crate::discovery;
 use crate::fit::Point;
@@ -20,7 +21,7 @@
     program: DirectorCommand,
     sizes: &[f64],
     script_for: impl Fn(f64) -> FeedScript,
-) -> io::Result<Vec<(Director, StubServer)>> {
+) -> Result<Vec<(Director, StubServer)>, MeasurementError> {
     let endpoints: Vec<Value> = (0..NODES).map(|n| discovery::endpoint(n, "ready")).collect();
     let begin = |size: &f64| {
         let what = script_for(*size);
@@ -35,7 +36,7 @@
     program: DirectorCommand,
     sizes: &[f64],
     script_for: impl Fn(f64) -> FeedScript,
-) -> io::Result<Vec<Point>> {
+) -> Result<Vec<Point>, MeasurementError> {
     let all = start_with_feeds(program, sizes, script_for)?;
     thread::sleep(WARM_UP);
     let mut samples = vec![Vec::new(); sizes.len()];
@@ -50,7 +51,7 @@
     Ok(points(sizes, samples.into_iter().map(median)))
 }
 
-pub fn measure_purge_rate(program: DirectorCommand) -> io::Result<Vec<Cost>> {
+pub(crate) fn measure_purge_rate(program: DirectorCommand) -> Result<Vec<Cost>, MeasurementError> {
     let sizes = [5.0, 20.0, 35.0, 100.0, 200.0, 350.0];
     let script_for = |rate: f64| {
         let first = (rate * PURGE_WINDOW_S) as u64;
@@ -72,7 +73,7 @@
     )])
 }
 
-pub fn measure_batches(program: DirectorCommand) -> io::Result<Vec<Cost>> {
+pub(crate) fn measure_batches(program: DirectorCommand) -> Result<Vec<Cost>, MeasurementError> {
     let sizes = [1.0, 2.0, 5.0, 10.0, 20.0];
     let script_for = |pieces: f64| {
         let batch = Duration::from_secs_f64(1.0 / pieces);
@@ -94,7 +95,7 @@
     )])
 }
 
-pub fn measure_change_rate(program: DirectorCommand) -> io::Result<Vec<Cost>> {
+pub(crate) fn measure_change_rate(program: DirectorCommand) -> Result<Vec<Cost>, MeasurementError> {
     let sizes = [0.25, 1.0, 5.0, 10.0, 25.0];
     let script_for = |rate| FeedScript {
         initial_purges: 0,
--- a/crates/capacity/src/real_director/lookup_load.rs
+++ b/crates/capacity/src/real_director/lookup_load.rs
@@ -14,6 +14,7 @@
 use super::process::Director;
 use super::stub_server::{QUIET, serve_connections, serve_feed, serve_node};
 use super::{DirectorCommand, MEASUREMENT_SPAN, PERCENT_OF_CORE, WARM_UP, cost, points};
+use crate::MeasurementError;
 use crate::cost::{Cost, resident_bytes_of};
 use crate::discovery;
 
@@ -73,7 +74,7 @@
     descriptors: f64,
 }
 
-fn measure_load(program: DirectorCommand, rate: f64, length: usize) -> io::Result<LoadResult> {
+fn measure_load(program: DirectorCommand, rate: f64, length: usize) -> Result<LoadResult, MeasurementError> {
     let node = serve_connections(move |stream, stop| serve_node(stream, stop, length))?;
     let feed = serve_connections(move |stream, stop| serve_feed(stream, stop, QUIET))?;
     // The own zone's caches, some parents, the origin: all of them the one stand-in.
@@ -97,8 +98,7 @@
     let [satisfied, others] = [0, 1].map(|n| (after[n] - before[n]) / passed);
     // Another figure than that of lookups served would be told under this name.
     if satisfied < 0.98 * rate || others > 0.02 * rate {
-        let what = format!("of {rate} lookups a second {satisfied:.0} satisfied, {others:.0} not");
-        return Err(io::Error::other(what));
+        return Err(MeasurementError::LookupsNotSatisfied { rate, satisfied, others });
     }
     Ok(LoadResult {
         cpu_percent: core,
@@ -108,9 +108,12 @@
     })
 }
 
-pub fn measure_lookups(program: DirectorCommand) -> io::Result<Vec<Cost>> {
+pub(crate) fn measure_lookups(program: DirectorCommand) -> Result<Vec<Cost>, MeasurementError> {
     let sizes = [100.0, 300.0, 526.0, 1_000.0, 1_800.0, 2_630.0];
-    let all = sizes.iter().map(|rate| measure_load(program, *rate, 256)).collect::<io::Result<Vec<_>>>()?;
+    let all = sizes
+        .iter()
+        .map(|rate| measure_load(program, *rate, 256))
+        .collect::<Result<Vec<_>, MeasurementError>>()?;
     let stop = "lookups a second";
     let of = |value: fn(&LoadResult) -> f64| points(&sizes, all.iter().map(value));
     Ok(vec![
@@ -134,10 +137,10 @@
 
 const BODY_TRIAL_RATE: f64 = 100.0;
 
-pub fn measure_bodies(program: DirectorCommand) -> io::Result<Vec<Cost>> {
+pub(crate) fn measure_bodies(program: DirectorCommand) -> Result<Vec<Cost>, MeasurementError> {
     let sizes = [1.0, 16.0, 64.0, 128.0, 234.0];
     let all = sizes.iter().map(|kb| measure_load(program, BODY_TRIAL_RATE, (kb * 1024.0) as usize));
-    let all = all.collect::<io::Result<Vec<_>>>()?;
+    let all = all.collect::<Result<Vec<_>, MeasurementError>>()?;
     let value = all.iter().map(|s| s.cpu_percent * 1e4 / s.satisfied_per_s);
     let what = "a real director's time for one lookup, at 100 a second";
     Ok(vec![cost("real-body-time", what, "KB a body", "us", points(&sizes, value))])
--- a/crates/capacity/src/real_director/process.rs
+++ b/crates/capacity/src/real_director/process.rs
@@ -10,6 +10,7 @@
 use serde_json::{Value, json};
 
 use super::DirectorCommand;
+use crate::MeasurementError;
 
 pub(super) const SAMPLE_CONFIG: &str = include_str!("../../../../deploy/sample.json");
 
@@ -46,12 +47,12 @@
         feed: SocketAddr,
         endpoints: &[Value],
         voter: Option<VoterSetup>,
-    ) -> io::Result<Director> {
+    ) -> Result<Director, MeasurementError> {
         let at = match &voter {
             Some(voter) => voter.address,
             None => free_address()?,
         };
-        let mut all: Value = serde_json::from_str(SAMPLE_CONFIG)?;
+        let mut all: Value = serde_json::from_str(SAMPLE_CONFIG).map_err(io::Error::from)?;
         all["listen"] = json!(at);
         all["feed"] = json!(feed);
         let list = json!({"index": 0, "snapshot": true, "endpoints": endpoints});
@@ -76,7 +77,7 @@
         let started = Instant::now();
         while TcpStream::connect(at).is_err() {
             if started.elapsed() > Duration::from_secs(10) {
-                return Err(io::Error::other("a director does not serve"));
+                return Err(MeasurementError::DirectorNotServing);
             }
             thread::sleep(Duration::from_millis(20));
         }
--- a/crates/capacity/src/real_director/startup.rs
+++ b/crates/capacity/src/real_director/startup.rs
@@ -10,6 +10,7 @@
 use super::process::Director;
 use super::stub_server::{FeedScript, QUIET, StubServer, serve_connections, serve_feed};
 use super::{DirectorCommand, ROUNDS, cost, points};
+use crate::MeasurementError;
 use crate::cost::{Cost, median, resident_bytes_of};
 use crate::discovery;
 use crate::fit::Point;
@@ -33,8 +34,8 @@
 /// The middle of some rounds in which all sizes take turns.
 fn measure_starts(
     sizes: &[f64],
-    begin: impl Fn(f64) -> io::Result<(Director, StubServer)>,
-) -> io::Result<[Vec<Point>; 2]> {
+    begin: impl Fn(f64) -> Result<(Director, StubServer), MeasurementError>,
+) -> Result<[Vec<Point>; 2], MeasurementError> {
     let mut samples = vec![[const { Vec::new() }; 2]; sizes.len()];
     for _ in 0..ROUNDS {
         for (size, samples) in sizes.iter().zip(&mut samples) {
@@ -48,7 +49,7 @@
 }
 
 /// Purges of the last hour, told at once to a director that begins.
-pub fn measure_initial_purges(program: DirectorCommand) -> io::Result<Vec<Cost>> {
+pub(crate) fn measure_initial_purges(program: DirectorCommand) -> Result<Vec<Cost>, MeasurementError> {
     let sizes = [1_000.0, 4_400.0, 20_000.0, 60_000.0, 126_000.0];
     let begin = |first: f64| {
         let script_for =
@@ -63,7 +64,7 @@
     ])
 }
 
-pub fn measure_list_starts(program: DirectorCommand) -> io::Result<Vec<Cost>> {
+pub(crate) fn measure_list_starts(program: DirectorCommand) -> Result<Vec<Cost>, MeasurementError> {
     let sizes = [20.0, 50.0, 100.0, 200.0, 350.0, 490.0];
     let begin = |nodes: f64| {
         let feed = serve_connections(move |stream, stop| serve_feed(stream, stop, QUIET))?;
--- a/crates/capacity/src/real_director/voting.rs
+++ b/crates/capacity/src/real_director/voting.rs
@@ -18,6 +18,7 @@
 use super::process::{Director, VoterSetup, free_address};
 use super::stub_server::{QUIET, serve_connections, serve_feed};
 use super::{DirectorCommand, MEASUREMENT_SPAN, PERCENT_OF_CORE, ROUNDS, cost, points};
+use crate::MeasurementError;
 use crate::coordination::{MS, VOTERS, coordination_config};
 use crate::cost::{Cost, median};
 
@@ -80,7 +81,7 @@
 }
 
 /// Parts of a core of a voter and of the one that deals, with so many members, the voters among them.
-fn measure_voting(program: DirectorCommand, members: u32) -> io::Result<[f64; 2]> {
+fn measure_voting(program: DirectorCommand, members: u32) -> Result<[f64; 2], MeasurementError> {
     let feed = serve_connections(move |stream, stop| serve_feed(stream, stop, QUIET))?;
     let voters = (0..VOTERS).map(|_| free_address()).collect::<io::Result<Vec<SocketAddr>>>()?;
     let coordination_file =
@@ -98,7 +99,7 @@
             Some(VoterSetup { number, address: *at, coordination_file: &coordination_file }),
         )
     };
-    let all = voters.iter().enumerate().map(start).collect::<io::Result<Vec<Director>>>()?;
+    let all = voters.iter().enumerate().map(start).collect::<Result<Vec<Director>, MeasurementError>>()?;
     let (started, stop) = (Instant::now(), Arc::new(AtomicBool::new(false)));
     let threads: Vec<_> = (VOTERS..members)
         .map(|number| {
@@ -118,17 +119,17 @@
     let lost = threads.into_iter().filter_map(|t| t.join().ok()?.err()).next();
     // What was written of it is read; a file that stays harms nobody.
     let _ = std::fs::remove_file(&coordination_file);
-    if let Some(e) = lost {
-        return Err(io::Error::other(format!("a member of {members} lost a voter: {e}")));
+    if let Some(source) = lost {
+        return Err(MeasurementError::VoterLost { members, source });
     }
     let assigner = assigner.filter(|d| is_assigner(voters[*d]).unwrap_or(false));
-    let assigner = assigner.ok_or_else(|| io::Error::other(format!("no steady dealer of {members}")))?;
+    let assigner = assigner.ok_or(MeasurementError::NoSteadyAssigner { members })?;
     let cores: Vec<f64> = after.iter().zip(before).map(|(a, b)| (a - b) / span / 1e4).collect();
     let others = cores.iter().enumerate().filter(|(n, _)| *n != assigner).map(|(_, core)| *core);
     Ok([others.sum::<f64>() / f64::from(VOTERS - 1), cores[assigner]])
 }
 
-pub fn measure_voters(program: DirectorCommand) -> io::Result<Vec<Cost>> {
+pub(crate) fn measure_voters(program: DirectorCommand) -> Result<Vec<Cost>, MeasurementError> {
     let sizes = [13.0, 50.0, 100.0, 200.0, 400.0];
     let mut samples = vec![[const { Vec::new() }; 2]; sizes.len()];
     for _ in 0..ROUNDS {
--- a/crates/capacity/src/report.rs
+++ b/crates/capacity/src/report.rs
@@ -42,7 +42,7 @@
         verdicts
     }
 
-    /// The Markdown that stands between the marks of the page.
+    /// Formats the Markdown that stands between the marks of the page.
     pub fn tables(&self) -> String {
         let mut out = String::from(
             "What is measured names its run, below; all else is arithmetic from what it names.\n",
--- a/crates/capacity/src/router.rs
+++ b/crates/capacity/src/router.rs
@@ -31,6 +31,7 @@
     (nodes * 64 / 490).max(1)
 }
 
+/// Returns the settings of a director among so many nodes.
 pub fn settings(nodes: usize) -> Settings {
     let kind = RequestClass {
         latency_objective: 400 * MS,
@@ -69,7 +70,7 @@
     }
 }
 
-/// Zone by zone; every fourth node is a parent, the last one the origin.
+/// Returns the endpoint list, zone by zone: every fourth node is a parent, the last one is the origin.
 pub fn endpoint_list(nodes: usize) -> Vec<EndpointUpdate> {
     let machine = |n| if n + 1 == nodes { 2 } else { usize::from(n % 4 == 1) };
     let line = |n: usize| EndpointUpdate {
@@ -85,7 +86,7 @@
     (0..nodes).map(line).collect()
 }
 
-pub fn router_with_nodes(nodes: usize) -> Router {
+pub(crate) fn router_with_nodes(nodes: usize) -> Router {
     let mut router = Router::new(settings(nodes), 7, START);
     router.update_endpoints(START, &endpoint_list(nodes), true);
     router
@@ -99,7 +100,7 @@
 
 /// Purges of objects of which one is known, so that their number stays, 35 a second: over a second, so that
 /// what is done once a second is in it.
-pub fn measure_known_purges() -> Cost {
+pub(crate) fn measure_known_purges() -> Cost {
     struct At {
         router: Router,
         known: u64,
@@ -131,7 +132,7 @@
 }
 
 /// Purges at a steady rate, once as many are known as bind.
-pub fn measure_purge_rate() -> Cost {
+pub(crate) fn measure_purge_rate() -> Cost {
     struct At {
         router: Router,
         rate: u64,
@@ -208,7 +209,7 @@
     (from..from + 8).collect()
 }
 
-pub fn measure_endpoint_changes() -> Vec<Cost> {
+pub(crate) fn measure_endpoint_changes() -> Vec<Cost> {
     vec![
         measure_endpoint_change("module-change-parent", "one parent goes or comes", middle_parent, false),
         measure_endpoint_change(
@@ -285,7 +286,7 @@
     }
 }
 
-pub fn measure_calls() -> Vec<Cost> {
+pub(crate) fn measure_calls() -> Vec<Cost> {
     let clock = median((0..2_001).map(|_| Instant::now().elapsed().as_nanos() as f64).collect());
     let begin = |&nodes: &usize| {
         let mut path = RequestPath {
@@ -328,13 +329,13 @@
 }
 
 /// Bytes of one module, taken in a process of its own.
-pub fn router_memory(nodes: usize) -> f64 {
+pub(crate) fn router_memory(nodes: usize) -> f64 {
     resident_growth_per_item(20_000 / nodes, |_| router_with_nodes(nodes))
 }
 
-pub fn router_purge_memory(known: usize) -> f64 {
+pub(crate) fn router_purge_memory(known: usize) -> f64 {
     resident_growth_per_item((200_000 / known).max(1), |_| router_with_purges(known))
 }
 
-pub const MEMORY_SIZES: [usize; 7] = NODES;
-pub const PURGE_MEMORY_SIZES: [usize; 6] = KNOWN_PURGES;
+pub(crate) const MEMORY_SIZES: [usize; 7] = NODES;
+pub(crate) const PURGE_MEMORY_SIZES: [usize; 6] = KNOWN_PURGES;
--- a/crates/capacity/src/suite.rs
+++ b/crates/capacity/src/suite.rs
@@ -1,22 +1,23 @@
-//! All costs by name, in the order of the page.
-
-use std::io;
+//! All costs by name, in the order of docs/CAPACITY.md.
 
+use crate::MeasurementError;
 use crate::cost::{Cost, MeasurementKind};
 use crate::fit::Point;
 use crate::real_director::DirectorCommand;
 use crate::{coordination, discovery, real_director, router};
 
-/// Costs that are taken together.
-pub struct CostGroup {
-    pub names: &'static [&'static str],
-    measure: fn(&MeasurementEnvironment) -> io::Result<Vec<Cost>>,
+/// Costs that are measured together.
+struct CostGroup {
+    /// Their names.
+    names: &'static [&'static str],
+    measure: fn(&MeasurementEnvironment) -> Result<Vec<Cost>, MeasurementError>,
 }
 
-/// How processes are made that a cost is taken in.
+/// How the processes are started in which a cost is measured.
 pub struct MeasurementEnvironment<'a> {
-    /// Asks for one size of one cost in a process of its own, for memory that nothing else has touched.
+    /// Measures one size of a cost of memory in a process of its own, whose memory nothing else has touched.
     pub measure_memory: &'a dyn Fn(&str, usize) -> Option<f64>,
+    /// Makes the command that starts a director.
     pub director_command: DirectorCommand<'a>,
 }
 
@@ -105,14 +106,14 @@
     size_unit: &'static str,
     sizes: &[usize],
     environment: &MeasurementEnvironment,
-) -> io::Result<Vec<Cost>> {
+) -> Result<Vec<Cost>, MeasurementError> {
     let point =
         |&size: &usize| Some(Point { size: size as f64, value: (environment.measure_memory)(name, size)? });
     let points = sizes.iter().filter_map(point).collect();
     Ok(vec![Cost { name, description, size_unit, unit: "bytes", kind: MeasurementKind::Resident, points }])
 }
 
-fn measure_router_memory(environment: &MeasurementEnvironment) -> io::Result<Vec<Cost>> {
+fn measure_router_memory(environment: &MeasurementEnvironment) -> Result<Vec<Cost>, MeasurementError> {
     measure_resident(
         "module-memory",
         "a module with its list and pies",
@@ -122,12 +123,12 @@
     )
 }
 
-fn measure_purge_memory(environment: &MeasurementEnvironment) -> io::Result<Vec<Cost>> {
+fn measure_purge_memory(environment: &MeasurementEnvironment) -> Result<Vec<Cost>, MeasurementError> {
     let what = "a module with ten nodes and so many purges";
     measure_resident("module-purge-memory", what, "known purges", &router::PURGE_MEMORY_SIZES, environment)
 }
 
-/// One size of a cost of memory, taken in this process.
+/// Measures one size of a cost of memory in this process. Returns `None` if no such cost has this name.
 pub fn measure_memory(name: &str, size: usize) -> Option<f64> {
     match name {
         "module-memory" => Some(router::router_memory(size)),
@@ -136,17 +137,21 @@
     }
 }
 
-/// All names, in their order.
+/// Returns all names in their order.
 pub fn names() -> impl Iterator<Item = &'static str> {
     COST_GROUPS.iter().flat_map(|f| f.names.iter().copied())
 }
 
-/// Takes those whose names begin so, each family as a whole, and hands each on as it is done.
+/// Measures the costs whose names begin with `only`, each group as a whole, and hands each to `on_cost` when it is done.
+///
+/// # Errors
+///
+/// The first error of a group; the costs before it have been handed on.
 pub fn measure(
     only: &str,
     environment: &MeasurementEnvironment,
     mut on_cost: impl FnMut(Cost),
-) -> io::Result<()> {
+) -> Result<(), MeasurementError> {
     for family in COST_GROUPS.iter().filter(|f| f.names.iter().any(|n| n.starts_with(only))) {
         (family.measure)(environment)?
             .into_iter()
