--- a/crates/capacity/src/coordination.rs
+++ b/crates/capacity/src/coordination.rs
@@ -13,10 +13,10 @@
 
 pub(crate) const MS: Ns = 1_000_000;
 const SEC: Ns = 1_000 * MS;
-/// Thirteen: the relays alone as members.
+/// Numbers of members; 13 is that of the relays alone, 3,800 that of all directors.
 pub(crate) const MEMBERS: [u32; 7] = [13, 50, 100, 200, 500, 1_000, 3_800];
 const TARGETS: [u64; 6] = [0, 20, 50, 100, 200, 490];
-/// Members of the trials over boxes.
+/// Members in the measurements over health-check targets.
 const TARGET_TRIAL_MEMBERS: u32 = 100;
 pub(crate) const VOTERS: u32 = 5;
 const ROUNDS: usize = 5;
@@ -42,6 +42,7 @@
     elapsed_ns: u64,
 }
 
+/// An encoded call on its way to a voter.
 struct PendingCall {
     from: Member,
     voter: u32,
@@ -49,6 +50,7 @@
     body: Vec<u8>,
 }
 
+/// Coordinators in one simulated time, the first ones of them voters.
 struct SimulatedFleet {
     now: Ns,
     coordinators: Vec<Coordinator>,
@@ -139,7 +141,7 @@
         while self.now < until {
             self.now += 5 * MS;
             for number in 0..self.coordinators.len() {
-                // Members begin spread over a beat.
+                // The starts of the members are spread over one heartbeat interval.
                 let begins = mix(number as u64) % (500 * MS);
                 if self.now < begins || self.coordinators[number].next_wakeup() > self.now {
                     continue;
@@ -174,7 +176,7 @@
 
 fn measure_usage(members: u32, targets: u64) -> Option<UsagePerSecond> {
     let mut fleet = SimulatedFleet::new(members, targets);
-    // Twice the silence that is a death: all are known, and the deal is at rest.
+    // Twice the time after which a silent member counts as failed: all members are known, the assignment is stable.
     fleet.run(12 * SEC);
     let before = fleet.assigner()?;
     fleet.usage.iter_mut().for_each(|u| *u = PartyUsage::default());
@@ -270,7 +272,7 @@
     ]
 }
 
-/// The longest that one change of the deal takes a member: whose are the 490 boxes now?
+/// The time in which a member finds the owners of 490 health-check targets after the assignment has changed.
 pub(crate) fn measure_shares() -> Cost {
     let shares = |many: u32| {
         RendezvousShares::from_weights((0..many).map(|number| (Member { number, incarnation: 1 }, 1.0)))
@@ -291,7 +293,7 @@
     }
 }
 
-/// A deal told whole, as to a member that has just begun.
+/// The bytes of a complete assignment, as a voter sends it to a member that has just started.
 pub(crate) fn measure_assignment_bytes() -> Cost {
     let point = |&many: &u32| {
         let members = (0..many).map(|number| Member { number, incarnation: 1_764_576_000_123_000 }).collect();
--- a/crates/capacity/src/discovery.rs
+++ b/crates/capacity/src/discovery.rs
@@ -14,7 +14,7 @@
 const NODES: [usize; 6] = [20, 50, 100, 200, 350, 490];
 const ROUNDS: usize = 11;
 const MAX_BUFFERED_BYTES: usize = 4 << 20;
-/// Numbers as they are after some days, so that their digits count.
+/// Number of the first event: as large as after some days, so that its digits count.
 const FIRST_NUMBER: u64 = 10_000_000;
 const PURGED_AT_MS: u64 = 1_764_576_000_123;
 
@@ -40,9 +40,9 @@
         "status": status, "weight": 4, "since_ms": 0})
 }
 
-fn members_event(n: u64, endpoints: &[Value], whole: bool) -> String {
-    let told = json!({"index": 7, "snapshot": whole, "endpoints": endpoints});
-    event_block(n, &format!("\"members\":{told}"))
+fn members_event(n: u64, endpoints: &[Value], is_snapshot: bool) -> String {
+    let members = json!({"index": 7, "snapshot": is_snapshot, "endpoints": endpoints});
+    event_block(n, &format!("\"members\":{members}"))
 }
 
 pub(crate) fn change_event(n: u64) -> String {
--- a/crates/capacity/src/real_director/discovery_load.rs
+++ b/crates/capacity/src/real_director/discovery_load.rs
@@ -16,7 +16,7 @@
 use crate::discovery;
 use crate::fit::Point;
 
-/// One director for each size, all at once, each with a feed of its own.
+/// Starts one director for each size, all at the same time, each with its own discovery source.
 pub(super) fn start_with_feeds(
     program: DirectorCommand,
     sizes: &[f64],
@@ -31,7 +31,7 @@
     sizes.iter().map(begin).collect()
 }
 
-/// Processor time at each size, the median of some rounds.
+/// Processor time at each size: the median of all rounds.
 fn measure_cpu(
     program: DirectorCommand,
     sizes: &[f64],
--- a/crates/capacity/src/real_director/lookup_load.rs
+++ b/crates/capacity/src/real_director/lookup_load.rs
@@ -20,7 +20,7 @@
 
 const CLIENTS: usize = 8;
 
-/// Clients that ask by the clock, whatever is answered; how many were satisfied, and how many were not.
+/// Open-loop clients, which send at a fixed rate whatever is answered, and the counts of their responses.
 struct ClientLoad {
     stop: Arc<AtomicBool>,
     satisfied: Arc<AtomicU64>,
@@ -65,8 +65,7 @@
     }
 }
 
-/// One director under lookups at a rate with bodies of a length: its part of a core, lookups satisfied a
-/// second, its memory, its descriptors.
+/// What one director uses at one rate of lookups with bodies of one length.
 struct LoadResult {
     cpu_percent: f64,
     satisfied_per_s: f64,
@@ -77,7 +76,7 @@
 fn measure_load(program: DirectorCommand, rate: f64, length: usize) -> Result<LoadResult, MeasurementError> {
     let node = serve_connections(move |stream, stop| serve_node(stream, stop, length))?;
     let feed = serve_connections(move |stream, stop| serve_feed(stream, stop, QUIET))?;
-    // The own zone's caches, some parents, the origin: all of them the one stand-in.
+    // The caches of the own zone, two parents and the origin, all of them at the address of one stub server.
     let mut endpoints: Vec<Value> = (245..253).map(|n| discovery::endpoint(n, "ready")).collect();
     endpoints.push(discovery::endpoint(254, "ready"));
     for (n, e) in endpoints.iter_mut().enumerate() {
@@ -96,7 +95,7 @@
     let core = director.cpu_percent(MEASUREMENT_SPAN)?;
     let (after, passed) = (count(), started.elapsed().as_secs_f64());
     let [satisfied, others] = [0, 1].map(|n| (after[n] - before[n]) / passed);
-    // Another figure than that of lookups served would be told under this name.
+    // Otherwise the figures would be those of lookups that were not served.
     if satisfied < 0.98 * rate || others > 0.02 * rate {
         return Err(MeasurementError::LookupsNotSatisfied { rate, satisfied, others });
     }
--- a/crates/capacity/src/real_director/process.rs
+++ b/crates/capacity/src/real_director/process.rs
@@ -14,11 +14,12 @@
 
 pub(super) const SAMPLE_CONFIG: &str = include_str!("../../../../deploy/sample.json");
 
-/// An address that was free a moment ago.
+/// Returns a loopback address that was free a moment ago.
 pub(super) fn free_address() -> io::Result<SocketAddr> {
     TcpListener::bind("127.0.0.1:0")?.local_addr()
 }
 
+/// A running director, killed when it is dropped.
 pub(super) struct Director {
     pub(super) child: Child,
     pub(super) address: SocketAddr,
@@ -34,7 +35,7 @@
     }
 }
 
-/// A director that votes: its number, its address, and the settings of the duties.
+/// What makes a director a voter: its number, its address, and the file with its coordination settings.
 pub(super) struct VoterSetup<'a> {
     pub(super) number: usize,
     pub(super) address: SocketAddr,
@@ -84,7 +85,7 @@
         Ok(director)
     }
 
-    /// Microseconds of processor time that its threads have had.
+    /// Returns the processor time of all threads in microseconds.
     pub(super) fn cpu_micros(&self) -> io::Result<f64> {
         let mut sum = 0.0;
         for task in std::fs::read_dir(format!("/proc/{}/task", self.child.id()))? {
@@ -94,7 +95,7 @@
         Ok(sum / 1e3)
     }
 
-    /// Parts of a core, in percent, over a while.
+    /// Returns the processor time over `span` in percent of a core.
     pub(super) fn cpu_percent(&self, span: Duration) -> io::Result<f64> {
         let (before, started) = (self.cpu_micros()?, Instant::now());
         thread::sleep(span);
--- a/crates/capacity/src/real_director/startup.rs
+++ b/crates/capacity/src/real_director/startup.rs
@@ -15,8 +15,8 @@
 use crate::discovery;
 use crate::fit::Point;
 
-/// Waits until a director rests: milliseconds of processor time that it has had since its start, and its
-/// memory.
+/// Waits until a director is idle and returns its processor time since the start in milliseconds, and its memory in
+/// bytes.
 fn wait_until_idle(director: &Director) -> io::Result<(f64, f64)> {
     let mut last = 0.0;
     for _ in 0..60 {
@@ -31,7 +31,7 @@
     Ok((director.cpu_micros()? / 1e3, memory))
 }
 
-/// The middle of some rounds in which all sizes take turns.
+/// Processor time and memory of starts at each size: the medians of rounds in which all sizes take turns.
 fn measure_starts(
     sizes: &[f64],
     begin: impl Fn(f64) -> Result<(Director, StubServer), MeasurementError>,
@@ -48,7 +48,7 @@
     Ok([0, 1].map(|n| points(sizes, samples.iter().map(|s| median(s[n].clone())))))
 }
 
-/// Purges of the last hour, told at once to a director that begins.
+/// Starts of directors that receive the purges of the last hour at once.
 pub(crate) fn measure_initial_purges(program: DirectorCommand) -> Result<Vec<Cost>, MeasurementError> {
     let sizes = [1_000.0, 4_400.0, 20_000.0, 60_000.0, 126_000.0];
     let begin = |first: f64| {
--- a/crates/capacity/src/real_director/stub_server.rs
+++ b/crates/capacity/src/real_director/stub_server.rs
@@ -13,8 +13,8 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
 
-/// What a feed tells: so many at once when it is called, spread over the time before; then at a rate, in
-/// batches.
+/// What a discovery source sends: purges at once when it is called, with times spread over `initial_span_ms` before the
+/// call, then events at a rate, in batches.
 #[derive(Clone, Copy)]
 pub(super) struct FeedScript {
     pub(super) initial_purges: u64,
@@ -24,6 +24,7 @@
     pub(super) sends_changes: bool,
 }
 
+/// Sends nothing but the comments that keep the stream alive.
 pub(super) const QUIET: FeedScript = FeedScript {
     initial_purges: 0,
     initial_span_ms: 0.0,
@@ -32,6 +33,7 @@
     sends_changes: false,
 };
 
+/// A server on loopback that stops when it is dropped.
 pub(super) struct StubServer {
     pub(super) address: SocketAddr,
     stop: Arc<AtomicBool>,
@@ -45,7 +47,7 @@
     }
 }
 
-/// Serves each connection by a thread of its own until it is dropped.
+/// Serves each connection on a thread of its own until the returned server is dropped.
 pub(super) fn serve_connections(
     serve: impl Fn(TcpStream, &AtomicBool) -> io::Result<()> + Send + Sync + 'static,
 ) -> io::Result<StubServer> {
@@ -58,13 +60,14 @@
                 return;
             }
             let (serve, stop) = (Arc::clone(&serve), Arc::clone(&stop_accepting));
-            // A connection that breaks off is made again by its director.
+            // A director reconnects by itself after an error.
             thread::spawn(move || serve(stream, &stop));
         }
     });
     Ok(StubServer { address: at, stop })
 }
 
+/// Answers one call of a director with an event stream.
 pub(super) fn serve_feed(mut stream: TcpStream, stop: &AtomicBool, script: FeedScript) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut request = BufReader::new(stream.try_clone()?);
@@ -110,7 +113,7 @@
     Ok(())
 }
 
-/// A node that has all there is, and answers at once with a body of this length.
+/// Answers each attempt at once with a cache hit whose body has this length.
 pub(super) fn serve_node(mut stream: TcpStream, stop: &AtomicBool, length: usize) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut reader = BufReader::new(stream.try_clone()?);
--- a/crates/capacity/src/real_director/voting.rs
+++ b/crates/capacity/src/real_director/voting.rs
@@ -22,7 +22,7 @@
 use crate::coordination::{MS, VOTERS, coordination_config};
 use crate::cost::{Cost, median};
 
-/// Says one thing to a voter and waits for what it answers.
+/// Sends one request to a voter and waits for its replies.
 fn call_voter(
     stream: &mut TcpStream,
     number: u32,
@@ -46,7 +46,7 @@
     }
 }
 
-/// A member without clients: its office, with a connection to each voter, until it is over.
+/// Runs a member without clients, with a connection to each voter, until `stop` is set.
 fn run_member(number: u32, voters: &[SocketAddr], started: Instant, stop: &AtomicBool) -> io::Result<()> {
     let now = || started.elapsed().as_nanos() as Ns + 1;
     let limits = Limits::new(64, 64, 0, 0);
@@ -80,7 +80,8 @@
     Ok(status.flat_map(|s| s.roles).any(|role| role.role == ASSIGNMENT_ROLE && role.own_lease.is_some()))
 }
 
-/// Parts of a core of a voter and of the one that deals, with so many members, the voters among them.
+/// Processor time, in percent of a core, of a plain voter and of the one that holds the assignment role, among so many
+/// members, the voters included.
 fn measure_voting(program: DirectorCommand, members: u32) -> Result<[f64; 2], MeasurementError> {
     let feed = serve_connections(move |stream, stop| serve_feed(stream, stop, QUIET))?;
     let voters = (0..VOTERS).map(|_| free_address()).collect::<io::Result<Vec<SocketAddr>>>()?;
@@ -107,7 +108,7 @@
             thread::spawn(move || run_member(number, &voters, started, &stop))
         })
         .collect();
-    // Twice the silence that is a death.
+    // Twice the time after which a silent member counts as failed.
     thread::sleep(Duration::from_secs(11));
     let assigner = voters.iter().position(|at| is_assigner(*at).unwrap_or(false));
     let before = all.iter().map(Director::cpu_micros).collect::<io::Result<Vec<f64>>>()?;
@@ -117,7 +118,7 @@
     let span = started.elapsed().as_secs_f64();
     stop.store(true, Ordering::Relaxed);
     let lost = threads.into_iter().filter_map(|t| t.join().ok()?.err()).next();
-    // What was written of it is read; a file that stays harms nobody.
+    // The directors have read the file; one that is left behind does no harm.
     let _ = std::fs::remove_file(&coordination_file);
     if let Some(source) = lost {
         return Err(MeasurementError::VoterLost { members, source });
--- a/crates/capacity/src/report/row.rs
+++ b/crates/capacity/src/report/row.rs
@@ -1,21 +1,21 @@
 //! One row of a table: where its figure comes from, and how it compares with its budget.
 
-/// One figure of the page.
+/// One row of a table.
 #[derive(Default)]
 pub(in crate::report) struct Row {
     pub(in crate::report) description: String,
     pub(in crate::report) value: Option<f64>,
     pub(in crate::report) unit: &'static str,
-    /// The slopes, the figure of a run, or the limits that it comes from.
+    /// The slopes, the figure, or the limits from which the value comes.
     pub(in crate::report) source: &'static str,
-    /// By the run of that name, not by arithmetic.
+    /// Whether the value comes from a run and not from arithmetic.
     pub(in crate::report) is_measured: bool,
-    /// What carries it.
+    /// What carries this load.
     pub(in crate::report) mechanism: &'static str,
     pub(in crate::report) budget: Option<f64>,
 }
 
-/// By arithmetic from what is named.
+/// A row computed from the slopes or limits that `from` names.
 pub(in crate::report) fn calculated(
     what: impl Into<String>,
     value: f64,
@@ -25,7 +25,7 @@
     Row { description: what.into(), value: Some(value), unit, source: from, ..Row::default() }
 }
 
-/// By the run of that name; without a value it waits for it.
+/// A row measured by the run that `from` names; without a value it waits for that run.
 pub(in crate::report) fn measured(
     what: impl Into<String>,
     value: Option<f64>,
@@ -58,7 +58,7 @@
     }
 }
 
-/// With a unit that suits its size.
+/// Formats a value with a unit of suitable scale.
 pub(in crate::report) fn format_amount(value: f64, unit: &str) -> String {
     let scaled = |steps: &[(f64, &str)]| {
         let (by, word) = steps.iter().rev().find(|(by, _)| value.abs() >= *by).unwrap_or(&steps[0]);
@@ -74,17 +74,17 @@
     }
 }
 
-/// Three digits that count, thousands apart.
+/// Formats a number with three significant digits, or as an integer with separators from a thousand on.
 pub(in crate::report) fn format_three_digits(value: f64) -> String {
     if value.abs() < 1_000.0 {
-        let whole = value.fract() == 0.0;
-        let digits = if whole { 0 } else { (2 - value.abs().log10().floor() as i32).clamp(0, 6) };
+        let is_integer = value.fract() == 0.0;
+        let digits = if is_integer { 0 } else { (2 - value.abs().log10().floor() as i32).clamp(0, 6) };
         return format!("{value:.*}", digits as usize);
     }
-    let whole = format!("{:.0}", value.abs());
+    let digits = format!("{:.0}", value.abs());
     let mut out = String::from(if value < 0.0 { "-" } else { "" });
-    for (n, digit) in whole.chars().enumerate() {
-        if n > 0 && (whole.len() - n).is_multiple_of(3) {
+    for (n, digit) in digits.chars().enumerate() {
+        if n > 0 && (digits.len() - n).is_multiple_of(3) {
             out.push(',');
         }
         out.push(digit);
--- a/crates/capacity/src/report/sections.rs
+++ b/crates/capacity/src/report/sections.rs
@@ -12,7 +12,7 @@
 const COORDINATION: &str = "duties (`crates/coordination`) among the 13";
 const ALL_MEMBERS: &str = "none: all directors as members";
 
-/// Rows of one who or when.
+/// Whom or when the rows are about, and the rows.
 pub(super) type Section = (&'static str, Vec<Row>);
 
 const PERCENT_OF_CORE: &str = "% of a core";
@@ -26,7 +26,7 @@
         measured(what, self.figure(name), unit, name)
     }
 
-    /// Measured at that size, or worked out by the line.
+    /// A row with the value measured at this size, or else the one by the line.
     pub(super) fn slope_row(
         &self,
         what: impl Into<String>,
--- a/crates/capacity/src/report/sections/control.rs
+++ b/crates/capacity/src/report/sections/control.rs
@@ -13,7 +13,7 @@
         let change = self.changes_per_s() * self.slope("real-change-time");
         let star = self.measured_or_predicted("real-purge-time", t.purges) + change;
         let relays = self.predict("real-batch-time", self.batches_per_s()) + change;
-        let told = self.subscriber_bytes_per_s(batched, comment) + self.reconnect_bytes_per_s();
+        let stream_bytes = self.subscriber_bytes_per_s(batched, comment) + self.reconnect_bytes_per_s();
         let memory = 1e6 * b.memory_mb;
         let cpu = "real-purge-time, real-change-time";
         let mut rows = vec![
@@ -29,7 +29,7 @@
             )
             .with_mechanism(STAR)
             .with_budget(b.bytes),
-            calculated("bytes, in batches, in force told", told, "B/s", FEED_BYTES)
+            calculated("bytes, in batches, in force told", stream_bytes, "B/s", FEED_BYTES)
                 .with_mechanism(RELAYS)
                 .with_budget(b.bytes),
             self.figure_row("bytes, measured, without packet heads", "B/s", "scale-director-bytes")
@@ -68,14 +68,14 @@
         let (t, b, comment) = (&self.target, &self.budget, self.assumptions.comment);
         let batched = self.batches_per_s() + 1.0;
         let change = self.changes_per_s() * self.slope("real-change-time");
-        let told = self.subscriber_bytes_per_s(batched, comment) + self.reconnect_bytes_per_s();
+        let stream_bytes = self.subscriber_bytes_per_s(batched, comment) + self.reconnect_bytes_per_s();
         let cpu = "real-purge-time, real-change-time";
         let ten = "ten times the purges and changes";
         let tenfold = self.measured_or_predicted("real-purge-time", 10.0 * t.purges) + 10.0 * change;
         [
             calculated(
                 format!("{ten}: bytes, in batches"),
-                told + 9.0 * self.event_bytes_per_s(),
+                stream_bytes + 9.0 * self.event_bytes_per_s(),
                 "B/s",
                 FEED_BYTES,
             )
@@ -144,7 +144,7 @@
         let (t, a, core) = (&self.target, &self.assumptions, self.budget.machine_core);
         let (own, batched) = (t.purges + self.changes_per_s() + 1.0, self.batches_per_s() + 1.0);
         let below = t.directors / t.machines;
-        let told = self.subscriber_bytes_per_s(batched, a.comment) + self.reconnect_bytes_per_s();
+        let stream_bytes = self.subscriber_bytes_per_s(batched, a.comment) + self.reconnect_bytes_per_s();
         let star = t.directors * self.subscriber_bytes_per_s(own, a.comment);
         let (link, most) = (a.machine_link / 8.0, a.connections);
         let source = vec![
@@ -178,7 +178,7 @@
             calculated("readers", below, "", "target").with_mechanism(RELAYS).with_budget(most),
             calculated("messages told", below * batched, PER_SECOND, "batch-ms").with_mechanism(RELAYS),
             calculated("calls answered", below * 1e3 / a.ack_ms, PER_SECOND, "ack-ms").with_mechanism(RELAYS),
-            calculated("bytes to directors, both ways", below * told, "B/s", FEED_BYTES)
+            calculated("bytes to directors, both ways", below * stream_bytes, "B/s", FEED_BYTES)
                 .with_mechanism(RELAYS)
                 .with_budget(link),
             self.figure_row("bytes with other relays", "B/s", "scale-relay-bytes")
--- a/crates/capacity/src/router.rs
+++ b/crates/capacity/src/router.rs
@@ -16,11 +16,11 @@
 const MS: Ns = 1_000_000;
 const SEC: Ns = 1_000 * MS;
 const START: Ns = 10_000 * SEC;
-/// Nodes clear a purge within this; the module holds it two minutes longer.
+/// Time in which nodes apply a purge; the router keeps it two minutes longer.
 const PURGE_PROPAGATION: Ns = 6 * SEC;
 const PURGE_WINDOW_S: u64 = 126;
 
-/// Seven or eight nodes a zone, a quarter of them parents, as at the target size; directors alike.
+/// Numbers of nodes; each list has seven or eight nodes a zone and a quarter of parents, as at the target size.
 const NODES: [usize; 7] = [10, 20, 50, 100, 200, 350, 490];
 const KNOWN_PURGES: [usize; 6] = [100, 1_000, 4_400, 20_000, 44_100, 126_000];
 const RATES: [u64; 7] = [5, 10, 20, 35, 70, 140, 350];
@@ -98,8 +98,8 @@
     router
 }
 
-/// Purges of objects of which one is known, so that their number stays, 35 a second: over a second, so that
-/// what is done once a second is in it.
+/// Time of a purge at 35 a second, of objects that are known as purged, so that their number stays. A round lasts one
+/// second of simulated time, so that it includes what the router does once a second.
 pub(crate) fn measure_known_purges() -> Cost {
     struct At {
         router: Router,
@@ -131,7 +131,7 @@
     }
 }
 
-/// Purges at a steady rate, once as many are known as bind.
+/// Processor time of purges at a steady rate, once as many are known as the router keeps.
 pub(crate) fn measure_purge_rate() -> Cost {
     struct At {
         router: Router,
@@ -152,7 +152,7 @@
     };
     let mut sizes: Vec<(f64, At)> = RATES.iter().map(|r| begin(*r)).collect();
     let points = measure_interleaved(&mut sizes, ROUNDS, |at| {
-        // Whole seconds, so that what is done once a second is in it.
+        // Full seconds, so that what the router does once a second is included.
         let many = 2 * at.rate;
         let (elapsed, ()) = time_micros(|| (0..many).for_each(|_| at.purge()));
         elapsed / 2.0 / 1e4
@@ -167,7 +167,7 @@
     }
 }
 
-/// One line of the list changes: a node goes, and comes back.
+/// Time in which the router applies that nodes go, and that they come back.
 fn measure_endpoint_change(
     name: &'static str,
     what: &'static str,
@@ -203,7 +203,7 @@
     vec![nodes / 2 / 4 * 4 + 1]
 }
 
-/// Eight nodes that stand beside one another, the own zone's among them.
+/// Eight neighbours in the list, the own zone's nodes among them.
 fn middle_zone(nodes: usize) -> Vec<usize> {
     let from = (nodes / 2).saturating_sub(4);
     (from..from + 8).collect()
@@ -233,12 +233,12 @@
     ]
 }
 
-/// The ordinary path of requests: each routed, asked for its next check, ended as successful.
+/// Requests on the ordinary path: each is routed, asked for its next check, and succeeds.
 struct RequestPath {
     router: Router,
     now: Ns,
     next: u64,
-    /// Nanoseconds of the three calls over the last round, and how many were sent.
+    /// Nanoseconds of the three calls in the last round, and the number of attempts.
     elapsed_ns: [f64; 3],
     attempts: u64,
 }
@@ -328,7 +328,7 @@
     whats.into_iter().enumerate().map(cost).collect()
 }
 
-/// Bytes of one module, taken in a process of its own.
+/// Bytes of one router; measure it in a process of its own.
 pub(crate) fn router_memory(nodes: usize) -> f64 {
     resident_growth_per_item(20_000 / nodes, |_| router_with_nodes(nodes))
 }
--- a/crates/capacity/src/suite.rs
+++ b/crates/capacity/src/suite.rs
@@ -142,7 +142,7 @@
     COST_GROUPS.iter().flat_map(|f| f.names.iter().copied())
 }
 
-/// Measures the costs whose names begin with `only`, each group as a whole, and hands each to `on_cost` when it is done.
+/// Measures the costs whose names begin with `only`, each group together, and hands each to `on_cost` when it is done.
 ///
 /// # Errors
 ///
