--- a/crates/capacity/src/report/sections.rs
+++ b/crates/capacity/src/report/sections.rs
@@ -8,8 +8,8 @@
 
 const RELAYS: &str = "relays (`crates/relay`)";
 const STAR: &str = "none: one source, a star";
-const POOLS: &str = "pools of connections (`wire/nodes.rs`)";
-const COORDINATION: &str = "duties (`crates/coordination`) among the 13";
+const POOLS: &str = "connection pools (`wire/node_pool.rs`)";
+const COORDINATION: &str = "coordination (`crates/coordination`) among the 13";
 const ALL_MEMBERS: &str = "none: all directors as members";
 
 /// Whom or when the rows are about, and the rows.
@@ -42,12 +42,12 @@
     pub(in crate::report) fn sections(&self) -> Vec<(&'static str, Vec<Section>)> {
         vec![
             ("A director's control", self.director_sections()),
-            ("Voters and owners of duties", self.voter_sections()),
+            ("Voters and lease holders", self.voter_sections()),
             ("Source and relays", self.source_sections()),
-            ("Until in force everywhere", self.propagation_sections()),
+            ("Until applied everywhere", self.propagation_sections()),
             ("Cache nodes and parents as far as directors cause it; the command line", self.node_sections()),
             ("The ordinary path", self.request_path_sections()),
-            ("The module with all nodes listed", self.router_sections()),
+            ("The router with all nodes listed", self.router_sections()),
             ("At starts, at failures, after the hour", self.startup_sections()),
         ]
     }
--- a/crates/capacity/src/report/sections/control.rs
+++ b/crates/capacity/src/report/sections/control.rs
@@ -18,9 +18,10 @@
         let cpu = "real-purge-time, real-change-time";
         let mut rows = vec![
             calculated("state: nodes listed", t.nodes, "", "target"),
-            calculated("state: purges that bind", self.active_purges(), "", "target x binds-s"),
-            calculated("messages heard, one each", own, PER_SECOND, "target").with_mechanism(STAR),
-            calculated("messages heard, in batches", batched, PER_SECOND, "batch-ms").with_mechanism(RELAYS),
+            calculated("state: active purges", self.active_purges(), "", "target x binds-s"),
+            calculated("messages received, one event each", own, PER_SECOND, "target").with_mechanism(STAR),
+            calculated("messages received, in batches", batched, PER_SECOND, "batch-ms")
+                .with_mechanism(RELAYS),
             calculated(
                 "bytes, one event a packet",
                 self.subscriber_bytes_per_s(own, comment),
@@ -29,7 +30,7 @@
             )
             .with_mechanism(STAR)
             .with_budget(b.bytes),
-            calculated("bytes, in batches, in force told", stream_bytes, "B/s", FEED_BYTES)
+            calculated("bytes, in batches, with reports of what is applied", stream_bytes, "B/s", FEED_BYTES)
                 .with_mechanism(RELAYS)
                 .with_budget(b.bytes),
             self.figure_row("bytes, measured, without packet heads", "B/s", "scale-director-bytes")
@@ -92,18 +93,18 @@
         let (t, b, comment) = (&self.target, &self.budget, self.assumptions.comment);
         let batched = self.batches_per_s() + 1.0;
         let probed = self.predict("duties-facts-bytes", t.nodes);
-        let facts = "duties-facts-bytes, with the feed's beside it";
-        let share = "time of a change of the deal, at each member";
+        let facts = "duties-facts-bytes, beside the bytes of discovery";
+        let share = "time of a change of the assignment, at each member";
         [
             calculated(
-                "bytes as a member of duties, words alone",
+                "bytes as a member of coordination, messages alone",
                 self.predict("duties-member-bytes", t.directors),
                 "B/s",
                 "duties-member-bytes",
             )
             .with_mechanism(ALL_MEMBERS)
             .with_budget(b.bytes),
-            calculated("the same with all nodes probed once a second", probed, "B/s", facts)
+            calculated("the same with all nodes checked once a second", probed, "B/s", facts)
                 .with_mechanism(ALL_MEMBERS)
                 .with_budget(b.bytes - self.subscriber_bytes_per_s(batched, comment)),
             self.slope_row(share, t.directors, "us", "duties-share-time").with_mechanism(ALL_MEMBERS),
@@ -118,19 +119,19 @@
                 self.slope_row(name(what), members, unit, cost).with_mechanism(mechanism)
             };
             let voter = "processor with sockets, a voter that is a director or relay";
-            let dealer = "processor with sockets, the owner that deals, on a machine of its own";
-            let in_rig = "processor of a voter in the fleet rig, with its boxes and a few lookups";
-            let deals_in_rig = "processor of the owner that deals in the fleet rig";
+            let dealer = "processor with sockets, holder of the assignment role, on a machine of its own";
+            let in_rig = "processor of a voter in the fleet trial, with its targets and a few lookups";
+            let deals_in_rig = "processor of the holder of the assignment role in the fleet trial";
             let clients = (self.assumptions.descriptors / 3.0).floor() + 8.0;
             [
                 seen("calls", PER_SECOND, "duties-voter-calls"),
-                seen("bytes, words alone", "B/s", "duties-voter-bytes"),
+                seen("bytes, messages alone", "B/s", "duties-voter-bytes"),
                 seen("own code", PERCENT_OF_CORE, "duties-voter-time").with_budget(machine),
                 seen(voter, PERCENT_OF_CORE, "real-voter-time").with_budget(core),
                 seen(in_rig, PERCENT_OF_CORE, "lab-voter-time").with_budget(core),
                 seen(dealer, PERCENT_OF_CORE, "real-dealer-time").with_budget(machine),
                 seen(deals_in_rig, PERCENT_OF_CORE, "lab-dealer-time").with_budget(machine),
-                seen("the deal told whole", "B", "duties-roster-bytes"),
+                seen("the complete assignment", "B", "duties-roster-bytes"),
                 calculated(name("connections of a director that votes"), members, "", "target, `clients`")
                     .with_mechanism(mechanism)
                     .with_budget(clients),
@@ -149,7 +150,7 @@
         let (link, most) = (a.machine_link / 8.0, a.connections);
         let source = vec![
             calculated("connections", t.directors, "", "target").with_mechanism(STAR).with_budget(most),
-            calculated("messages told", t.directors * own, PER_SECOND, "target").with_mechanism(STAR),
+            calculated("messages sent", t.directors * own, PER_SECOND, "target").with_mechanism(STAR),
             calculated("bytes, both ways", star, "B/s", "feed-purge-bytes, heads")
                 .with_mechanism(STAR)
                 .with_budget(link),
@@ -157,13 +158,14 @@
                 .with_mechanism(STAR)
                 .with_budget(core),
         ];
-        let readers = "readers, if it has its part of the directors";
+        let readers = "subscribers, if it has its share of the directors";
         let owner = vec![
-            calculated("state: log and base", self.snapshot_bytes(), "B", BASE_BYTES).with_mechanism(RELAYS),
+            calculated("state: log and snapshot", self.snapshot_bytes(), "B", BASE_BYTES)
+                .with_mechanism(RELAYS),
             calculated(readers, below + t.machines - 1.0, "", "target")
                 .with_mechanism(RELAYS)
                 .with_budget(most),
-            calculated("entries kept at a majority", self.batches_per_s(), PER_SECOND, "batch-ms")
+            calculated("entries replicated to a majority", self.batches_per_s(), PER_SECOND, "batch-ms")
                 .with_mechanism(RELAYS),
             self.figure_row("bytes with other relays", "B/s", "scale-owner-bytes")
                 .with_mechanism(RELAYS)
@@ -175,8 +177,8 @@
         ];
         let lost = t.directors / (t.machines - 5.0);
         let plain = vec![
-            calculated("readers", below, "", "target").with_mechanism(RELAYS).with_budget(most),
-            calculated("messages told", below * batched, PER_SECOND, "batch-ms").with_mechanism(RELAYS),
+            calculated("subscribers", below, "", "target").with_mechanism(RELAYS).with_budget(most),
+            calculated("messages sent", below * batched, PER_SECOND, "batch-ms").with_mechanism(RELAYS),
             calculated("calls answered", below * 1e3 / a.ack_ms, PER_SECOND, "ack-ms").with_mechanism(RELAYS),
             calculated("bytes to directors, both ways", below * stream_bytes, "B/s", FEED_BYTES)
                 .with_mechanism(RELAYS)
@@ -188,26 +190,26 @@
                 .with_mechanism(RELAYS)
                 .with_budget(core),
             self.figure_row("memory", "B", "scale-relay-memory").with_mechanism(RELAYS),
-            calculated("readers while five of the machines are lost", lost, "", "target")
+            calculated("subscribers while five of the machines are lost", lost, "", "target")
                 .with_mechanism(RELAYS)
                 .with_budget(most),
         ];
-        vec![("source, star", source), ("owner relay", owner), ("plain relay", plain)]
+        vec![("source, star", source), ("leader relay", owner), ("plain relay", plain)]
     }
 
     pub(super) fn propagation_sections(&self) -> Vec<Section> {
         let b = &self.budget;
         let rows = vec![
-            self.figure_row("a purge, the most", "s", "scale-purge-most")
+            self.figure_row("a purge, maximum", "s", "scale-purge-most")
                 .with_mechanism(RELAYS)
                 .with_budget(b.purge_s),
-            self.figure_row("a change, the most", "s", "scale-change-most")
+            self.figure_row("a change, maximum", "s", "scale-change-most")
                 .with_mechanism(RELAYS)
                 .with_budget(b.change_s),
-            self.figure_row("a purge on the star, the most", "s", "scale-star-purge-most")
+            self.figure_row("a purge on the star, maximum", "s", "scale-star-purge-most")
                 .with_mechanism(STAR)
                 .with_budget(b.purge_s),
         ];
-        vec![("in force everywhere", rows)]
+        vec![("applied everywhere", rows)]
     }
 }
--- a/crates/capacity/src/report/sections/workload.rs
+++ b/crates/capacity/src/report/sections/workload.rs
@@ -91,7 +91,7 @@
         let seen = |what: &str, size, unit, name| self.slope_row(what, size, unit, name);
         let mut rows = Vec::new();
         for (call, name) in
-            [("route", "module-route"), ("after", "module-after"), ("patience", "module-patience")]
+            [("route", "module-route"), ("on_outcome", "module-after"), ("next_check", "module-patience")]
         {
             for nodes in [10.0, 100.0, t.nodes] {
                 let took = self.measured_or_predicted(name, nodes) / 1e3;
@@ -102,18 +102,18 @@
         let memory = self.slope("module-purge-memory") * self.active_purges();
         let places = "virtual nodes on the ring of parents, a quarter of the nodes";
         rows.extend([
-            seen("a change of a parent: its ring built again", t.nodes, "us", "module-change-parent"),
+            seen("a change of a parent: its hash ring built again", t.nodes, "us", "module-change-parent"),
             seen("a change of a cache of another zone", t.nodes, "us", "module-change-cache"),
             seen("a zone's loss, 8 changes by 8 events", t.nodes, "us", "module-zone-loss"),
             seen("a zone's loss, 8 changes by one event", t.nodes, "us", "module-zone-loss-at-once"),
-            calculated("a purge, with as many known as bind", purge, "us", "module-purge-known"),
+            calculated("a purge, with all active purges known", purge, "us", "module-purge-known"),
             seen("all purges", t.purges, PERCENT_OF_CORE, "module-purge-rate"),
             seen("ten times the purges", 10.0 * t.purges, PERCENT_OF_CORE, "module-purge-rate"),
             calculated(places, 256.0 * 0.25 * t.nodes, "", "target, `VIRTUAL_NODES`"),
             seen("memory, endpoint list and rings", t.nodes, "B", "module-memory"),
-            calculated("memory of the purges that bind", memory, "B", "module-purge-memory"),
+            calculated("memory of the active purges", memory, "B", "module-purge-memory"),
         ]);
-        vec![("module", rows.into_iter().map(|row| row.with_mechanism("`src/`")).collect())]
+        vec![("router", rows.into_iter().map(|row| row.with_mechanism("`src/`")).collect())]
     }
 
     pub(super) fn startup_sections(&self) -> Vec<Section> {
@@ -122,25 +122,25 @@
         let all = t.directors * base;
         let mut sections = vec![
             (
-                "one director begins",
-                vec![sent_row("told", base), self.startup_cpu_row(self.retained_purges())],
+                "one director starts",
+                vec![sent_row("sent", base), self.startup_cpu_row(self.retained_purges())],
             ),
             (
-                "a region's begin",
+                "a region starts",
                 vec![
-                    sent_row("told", region * base),
+                    sent_row("sent", region * base),
                     self.link_time_row("time, all at one relay", region * base).with_mechanism(RELAYS),
                 ],
             ),
             (
-                "all begin at once",
+                "all start at once",
                 vec![
-                    sent_row("told", all),
+                    sent_row("sent", all),
                     self.link_time_row("time, from one source", all).with_mechanism(STAR),
                     self.link_time_row("time, from 13 relays", all / t.machines).with_mechanism(RELAYS),
                 ],
             ),
-            ("restarts of a day", vec![sent_row("told", t.restarts_a_day * base)]),
+            ("restarts of a day", vec![sent_row("sent", t.restarts_a_day * base)]),
         ];
         sections.push(self.zone_loss_section());
         sections.extend(self.reconnect_sections());
@@ -154,10 +154,10 @@
         (
             "a zone lost",
             vec![
-                calculated("told: 8 changes, a director", eight, "B", "feed-change-bytes")
+                calculated("sent: 8 changes, a director", eight, "B", "feed-change-bytes")
                     .with_mechanism(RELAYS),
                 calculated(
-                    "read and taken in by the module",
+                    "read and applied by the router",
                     taken,
                     "us",
                     "feed-change-time, module-zone-loss",
@@ -177,9 +177,9 @@
             (
                 "after the hour, star",
                 vec![
-                    calculated("purges untold", untold, "", "target").with_mechanism(STAR),
-                    calculated("told, a director", hour, "B", star).with_mechanism(STAR),
-                    calculated("told, a region", region * hour, "B", star).with_mechanism(STAR),
+                    calculated("purges not sent yet", untold, "", "target").with_mechanism(STAR),
+                    calculated("sent, a director", hour, "B", star).with_mechanism(STAR),
+                    calculated("sent, a region", region * hour, "B", star).with_mechanism(STAR),
                     self.link_time_row("time, a region from one source", region * hour).with_mechanism(STAR),
                     self.startup_cpu_row(untold).with_mechanism(STAR),
                 ],
@@ -187,10 +187,10 @@
             (
                 "after the hour, relays",
                 vec![
-                    calculated("purges told", self.retained_purges(), "", "target x (binds-s + slack-s)")
+                    calculated("purges sent", self.retained_purges(), "", "target x (binds-s + slack-s)")
                         .with_mechanism(RELAYS),
-                    sent_row("told, a director", base),
-                    sent_row("told, a region", region * base),
+                    sent_row("sent, a director", base),
+                    sent_row("sent, a region", region * base),
                     self.link_time_row("time, a region from one relay", region * base).with_mechanism(RELAYS),
                     self.startup_cpu_row(self.retained_purges()).with_mechanism(RELAYS),
                 ],
