--- /dev/null
+++ b/crates/capacity/src/model/forms.rs
@@ -0,0 +1,188 @@
+//! The forms of the settings file, with the bounds of their values.
+
+use garde::Validate;
+use serde::Deserialize;
+
+#[derive(Clone, Debug, Deserialize, Validate, PartialEq)]
+#[serde(rename_all = "kebab-case", deny_unknown_fields)]
+pub(super) enum Form {
+    Target(#[garde(dive)] Target),
+    Budget(#[garde(dive)] Budget),
+    Assumed(#[garde(dive)] Assumptions),
+    Slope(#[garde(dive)] Slope),
+    Figure(#[garde(dive)] Figure),
+}
+
+/// The size of the installation that has to be carried.
+#[derive(Clone, Debug, Deserialize, Validate, PartialEq)]
+#[serde(rename_all = "kebab-case", deny_unknown_fields)]
+pub struct Target {
+    /// Number of directors.
+    #[garde(range(min = 1.0, max = 1e6))]
+    pub directors: f64,
+    /// Number of cache nodes and parents.
+    #[garde(range(min = 1.0, max = 1e6))]
+    pub nodes: f64,
+    /// Number of regions.
+    #[garde(range(min = 1.0, max = 1e4))]
+    pub regions: f64,
+    /// Number of zones.
+    #[garde(range(min = 1.0, max = 1e4))]
+    pub zones: f64,
+    /// Number of machines set aside for control processes, one relay on each.
+    #[garde(range(min = 1.0, max = 1e4))]
+    pub machines: f64,
+    /// Lookups a second at the peak, of all directors.
+    #[garde(range(min = 1.0, max = 1e9))]
+    pub lookups: f64,
+    /// Load of the busiest director as a multiple of the mean.
+    #[garde(range(min = 1.0, max = 100.0))]
+    pub busiest: f64,
+    /// Bits of bodies a second at the peak, of all directors.
+    #[garde(range(min = 1.0, max = 1e15))]
+    pub bits: f64,
+    /// Purges a second.
+    #[garde(range(min = 0.01, max = 1e6))]
+    pub purges: f64,
+    /// Changes of the endpoint list a day.
+    #[garde(range(min = 0.01, max = 1e9))]
+    pub changes_a_day: f64,
+    /// Restarts of directors a day.
+    #[garde(range(min = 0.01, max = 1e6))]
+    pub restarts_a_day: f64,
+    /// Seconds for which regions are partitioned from each other.
+    #[garde(range(min = 1.0, max = 1e6))]
+    pub cut_s: f64,
+}
+
+/// What control may use, and how fast it has to be.
+#[derive(Clone, Debug, Deserialize, Validate, PartialEq)]
+#[serde(rename_all = "kebab-case", deny_unknown_fields)]
+pub struct Budget {
+    /// Processor time of control in a director, in percent of a core.
+    #[garde(range(min = 0.01, max = 1e4))]
+    pub core: f64,
+    /// Memory of control in a director, in megabytes.
+    #[garde(range(min = 1.0, max = 1e6))]
+    pub memory_mb: f64,
+    /// Bytes of control a second, to and from a director.
+    #[garde(range(min = 1.0, max = 1e9))]
+    pub bytes: f64,
+    /// Processor time of the one control process of a machine set aside, in percent of a core.
+    #[garde(range(min = 1.0, max = 1e4))]
+    pub machine_core: f64,
+    /// Seconds after which a purge has to be applied everywhere.
+    #[garde(range(min = 0.1, max = 1e4))]
+    pub purge_s: f64,
+    /// Seconds after which a change has to be applied everywhere.
+    #[garde(range(min = 0.1, max = 1e4))]
+    pub change_s: f64,
+}
+
+/// What is assumed and not measured: sizes of protocol headers, timers and limits.
+#[derive(Clone, Debug, Deserialize, Validate, PartialEq)]
+#[serde(rename_all = "kebab-case", deny_unknown_fields)]
+pub struct Assumptions {
+    /// Bytes of the IPv4 and TCP headers of a packet, with TCP time stamps. Each packet of events is acknowledged by a
+    /// packet without payload.
+    #[garde(range(min = 20.0, max = 200.0))]
+    pub head: f64,
+    /// Bytes of a comment that keeps an event stream alive.
+    #[garde(range(min = 2.0, max = 1e3))]
+    pub comment: f64,
+    /// Bytes of the head of an HTTP call, and as many of the head of its answer.
+    #[garde(range(min = 20.0, max = 1e4))]
+    pub call: f64,
+    /// Packets that open and close a connection.
+    #[garde(range(min = 6.0, max = 20.0))]
+    pub connection: f64,
+    /// Milliseconds between two batches of events.
+    #[garde(range(min = 1.0, max = 1e5))]
+    pub batch_ms: f64,
+    /// Mean milliseconds until a stream of a relay ends and its reader calls again.
+    #[garde(range(min = 1.0, max = 1e6))]
+    pub ack_ms: f64,
+    /// Seconds for which a purge affects decisions.
+    #[garde(range(min = 1.0, max = 1e5))]
+    pub binds_s: f64,
+    /// Further seconds for which a relay keeps a purge at most, for clock skew and until its snapshot moves on.
+    #[garde(range(min = 0.0, max = 1e4))]
+    pub slack_s: f64,
+    /// Link of one control machine, in bits a second.
+    #[garde(range(min = 1e6, max = 1e12))]
+    pub machine_link: f64,
+    /// File descriptors of a director, and as many of a node.
+    #[garde(range(min = 16.0, max = 1e6))]
+    pub descriptors: f64,
+    /// Connections of a relay.
+    #[garde(range(min = 16.0, max = 1e6))]
+    pub connections: f64,
+    /// Bytes of the largest body.
+    #[garde(range(min = 1.0, max = 1e9))]
+    pub body: f64,
+}
+
+/// A cost that was measured over sizes. `sablecross slopes --only NAME` measures it again, unless `command` names
+/// another command.
+#[derive(Clone, Debug, Deserialize, Validate, PartialEq)]
+#[serde(rename_all = "kebab-case", deny_unknown_fields)]
+pub struct Slope {
+    /// Name of the cost, as `--only` takes it.
+    #[garde(length(min = 1, max = 60))]
+    pub name: String,
+    /// Growth of the cost for each unit of size.
+    #[garde(skip)]
+    pub slope: f64,
+    /// Cost at size zero.
+    #[garde(skip)]
+    pub intercept: f64,
+    /// Largest residual, in percent of the value that was measured there.
+    #[garde(skip)]
+    pub worst: f64,
+    /// The size from which the cost grows faster than the line; 0 if it does not.
+    #[garde(skip)]
+    #[serde(default)]
+    pub bend: f64,
+    /// Unit of the cost.
+    #[garde(length(min = 1))]
+    pub unit: String,
+    /// What the size counts.
+    #[garde(length(min = 1))]
+    pub over: String,
+    /// Pairs of a size and the value measured at it.
+    #[garde(length(min = 3))]
+    pub points: Vec<(f64, f64)>,
+    /// Date and time of the run.
+    #[garde(length(min = 1))]
+    pub run: String,
+    /// The command that measures the cost, if it is not `sablecross slopes`.
+    #[garde(skip)]
+    #[serde(default)]
+    pub command: Option<String>,
+}
+
+/// A figure of one run. Without a value it has not been measured yet.
+#[derive(Clone, Debug, Deserialize, Validate, PartialEq)]
+#[serde(rename_all = "kebab-case", deny_unknown_fields)]
+pub struct Figure {
+    /// Name of the figure.
+    #[garde(length(min = 1, max = 60))]
+    pub name: String,
+    /// What it is the figure of.
+    #[garde(length(min = 1))]
+    pub what: String,
+    /// Its unit.
+    #[garde(length(min = 1))]
+    pub unit: String,
+    /// The measured value.
+    #[garde(skip)]
+    #[serde(default)]
+    pub value: Option<f64>,
+    /// Date and time of the run.
+    #[garde(skip)]
+    #[serde(default)]
+    pub run: Option<String>,
+    /// The command that measures it.
+    #[garde(length(min = 1))]
+    pub command: String,
+}
