--- a/crates/capacity/tests/slopes.rs
+++ b/crates/capacity/tests/slopes.rs
@@ -1,4 +1,4 @@
-//! The fit, the sheet and the page.
+//! The fit, the capacity model and the tables of the page.
 
 use sablecross_capacity::{LinearFit, Point, discovery, model, report, router};
 
