--- a/crates/capacity/src/cost.rs
+++ b/crates/capacity/src/cost.rs
@@ -1,53 +1,65 @@
-//! One cost over its sizes, and how it is taken.
+//! A measured cost, and the clocks and counters by which costs are measured.
 
 use std::fmt;
 use std::time::Instant;
 
 use serde::Serialize;
 
-use crate::fit::{Line, Point};
+use crate::fit::{LinearFit, Point};
 
-/// How the values came about.
+/// How the values of a cost are measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum How {
-    /// The same in each run.
+pub enum MeasurementKind {
+    /// Counted; the same in each run.
     Counted,
-    /// The median of rounds in which all sizes take turns.
+    /// Timed: the median of rounds in which all sizes take turns.
     Timed,
-    /// Resident memory of a process that holds many of the thing, divided by how many.
+    /// Resident memory of a process that holds many instances, divided by their number.
     Resident,
 }
 
+/// A cost measured at several sizes.
 #[derive(Clone, Debug, Serialize)]
 pub struct Cost {
+    /// The name that `--only` takes and docs/capacity.scm lists.
     pub name: &'static str,
-    pub what: &'static str,
-    pub over: &'static str,
+    /// What is measured.
+    #[serde(rename = "what")]
+    pub description: &'static str,
+    /// What the size counts.
+    #[serde(rename = "over")]
+    pub size_unit: &'static str,
+    /// Unit of the values.
     pub unit: &'static str,
-    pub how: How,
+    /// How the values are measured.
+    #[serde(rename = "how")]
+    pub kind: MeasurementKind,
+    /// The measured values by size.
     pub points: Vec<Point>,
 }
 
 impl Cost {
-    pub fn line(&self) -> Option<Line> {
-        Line::through(&self.points)
+    /// Fits a line through the points; see [`LinearFit::least_squares`] for when there is none.
+    pub fn fit(&self) -> Option<LinearFit> {
+        LinearFit::least_squares(&self.points)
     }
 
-    /// The form of the sheet, but for its run and its end.
-    pub fn form(&self, line: &Line) -> String {
+    /// Formats the cost as a form of docs/capacity.scm, up to where the caller appends `(run . ...)` and the closing
+    /// parenthesis.
+    pub fn to_form(&self, line: &LinearFit) -> String {
         let points: Vec<String> =
-            self.points.iter().map(|p| format!("({} {})", p.size, short(p.value))).collect();
-        let bend = line.bend.map_or(String::new(), |size| format!(" (bend . {size})"));
+            self.points.iter().map(|p| format!("({} {})", p.size, format_significant(p.value))).collect();
+        let bend = line.bend_at.map_or(String::new(), |size| format!(" (bend . {size})"));
         format!(
             "(slope (name . {:?}) (unit . {:?}) (over . {:?})\n  (slope . {}) (intercept . {}) \
              (worst . {:.1}){bend}\n  (points {})\n ",
             self.name,
             self.unit,
-            self.over,
-            short(line.slope),
-            short(line.intercept),
-            100.0 * line.worst,
+            self.size_unit,
+            format_significant(line.slope),
+            format_significant(line.intercept),
+            100.0 * line.max_relative_residual,
             points.join(" ")
         )
     }
@@ -55,23 +67,33 @@
 
 impl fmt::Display for Cost {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let how = format!("{:?}", self.how).to_lowercase();
-        writeln!(f, "{}: {} ({how}, {} over {})", self.name, self.what, self.unit, self.over)?;
+        let how = format!("{:?}", self.kind).to_lowercase();
+        writeln!(f, "{}: {} ({how}, {} over {})", self.name, self.description, self.unit, self.size_unit)?;
         for p in &self.points {
-            writeln!(f, "  {:>9} {:>14}", p.size, short(p.value))?;
+            writeln!(f, "  {:>9} {:>14}", p.size, format_significant(p.value))?;
         }
-        let Some(line) = self.line() else { return writeln!(f, "  no line") };
-        write!(f, "  slope {} intercept {}", short(line.slope), short(line.intercept))?;
-        write!(f, " worst residual {:.0}% last slope {:.2} of the first", 100.0 * line.worst, line.turn)?;
-        match line.bend {
+        let Some(line) = self.fit() else { return writeln!(f, "  no line") };
+        write!(
+            f,
+            "  slope {} intercept {}",
+            format_significant(line.slope),
+            format_significant(line.intercept)
+        )?;
+        write!(
+            f,
+            " worst residual {:.0}% last slope {:.2} of the first",
+            100.0 * line.max_relative_residual,
+            line.slope_ratio
+        )?;
+        match line.bend_at {
             Some(size) => writeln!(f, " bends at {size}"),
             None => writeln!(f, " no bend"),
         }
     }
 }
 
-/// Four digits that count.
-pub fn short(value: f64) -> String {
+/// Formats a number with four significant digits.
+pub(crate) fn format_significant(value: f64) -> String {
     if value == 0.0 || !value.is_finite() {
         return format!("{value}");
     }
@@ -79,48 +101,57 @@
     format!("{value:.digits$}")
 }
 
-/// Takes all sizes in turn, round after round, so that what slows the machine for a while slows all alike:
-/// the median of each.
-pub fn in_turns<T>(sizes: &mut [(f64, T)], rounds: usize, mut take: impl FnMut(&mut T) -> f64) -> Vec<Point> {
-    let mut seen = vec![Vec::with_capacity(rounds); sizes.len()];
+/// Measures all sizes in turn, round after round, and takes the median of each. A disturbance of the machine that lasts
+/// a while so affects all sizes alike.
+pub(crate) fn measure_interleaved<T>(
+    sizes: &mut [(f64, T)],
+    rounds: usize,
+    mut take: impl FnMut(&mut T) -> f64,
+) -> Vec<Point> {
+    let mut samples = vec![Vec::with_capacity(rounds); sizes.len()];
     for _ in 0..rounds {
-        for ((_, at), seen) in sizes.iter_mut().zip(&mut seen) {
-            seen.push(take(at));
+        for ((_, at), samples) in sizes.iter_mut().zip(&mut samples) {
+            samples.push(take(at));
         }
     }
-    sizes.iter().zip(seen).map(|((size, _), seen)| Point { size: *size, value: median(seen) }).collect()
+    sizes
+        .iter()
+        .zip(samples)
+        .map(|((size, _), samples)| Point { size: *size, value: median(samples) })
+        .collect()
 }
 
-pub fn median(mut seen: Vec<f64>) -> f64 {
-    seen.sort_by(f64::total_cmp);
-    seen.get(seen.len() / 2).copied().unwrap_or(f64::NAN)
+/// Returns the median, the upper one of an even number of samples, or NaN without samples.
+pub(crate) fn median(mut samples: Vec<f64>) -> f64 {
+    samples.sort_by(f64::total_cmp);
+    samples.get(samples.len() / 2).copied().unwrap_or(f64::NAN)
 }
 
-/// Microseconds that it took, and what it gave.
-pub fn micros<T>(done: impl FnOnce() -> T) -> (f64, T) {
-    let begun = Instant::now();
-    let gave = done();
-    (begun.elapsed().as_nanos() as f64 / 1e3, gave)
+/// Returns the microseconds that the work takes, and its result.
+pub(crate) fn time_micros<T>(work: impl FnOnce() -> T) -> (f64, T) {
+    let started = Instant::now();
+    let result = work();
+    (started.elapsed().as_nanos() as f64 / 1e3, result)
 }
 
-/// Bytes of this process that lie in memory, as Linux says.
-pub fn resident() -> Option<f64> {
-    resident_of("self")
+/// Returns the resident memory of this process in bytes, as Linux reports it.
+pub(crate) fn resident_bytes() -> Option<f64> {
+    resident_bytes_of("self")
 }
 
-/// The same of another one, by its number.
-pub fn resident_of(process: &str) -> Option<f64> {
+/// Returns the resident memory of another process, by its id as text.
+pub(crate) fn resident_bytes_of(process: &str) -> Option<f64> {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).ok()?;
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
     let kilobytes: f64 = line.trim().trim_end_matches("kB").trim().parse().ok()?;
     Some(kilobytes * 1024.0)
 }
 
-/// What one of them takes: the growth of this process while so many are made.
-pub fn grown<T>(many: usize, make: impl Fn(usize) -> T) -> f64 {
-    let before = resident().unwrap_or(f64::NAN);
+/// Returns the bytes of one item: the growth of this process while `many` are made, divided by their number.
+pub(crate) fn resident_growth_per_item<T>(many: usize, make: impl Fn(usize) -> T) -> f64 {
+    let before = resident_bytes().unwrap_or(f64::NAN);
     let all: Vec<T> = (0..many).map(make).collect();
-    let after = resident().unwrap_or(f64::NAN);
+    let after = resident_bytes().unwrap_or(f64::NAN);
     std::hint::black_box(&all);
     (after - before) / many as f64
 }
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,15 +1,18 @@
-//! What the parts of sablecross cost as they grow: each cost measured at five sizes or more and fitted with a
-//! line, and the page of the target size that is worked out from those lines.
+//! What the parts of sablecross cost as they grow: each cost is measured at several sizes and fitted with a line, and the
+//! tables of docs/CAPACITY.md are computed from the lines for the target size.
 
-pub mod cost;
-pub mod duties;
-pub mod feed;
-pub mod fit;
-pub mod module;
-pub mod page;
-pub mod real;
-pub mod sheet;
-pub mod survey;
+mod coordination;
+mod cost;
+pub mod discovery;
+mod error;
+mod fit;
+pub mod model;
+mod real_director;
+pub mod report;
+pub mod router;
+pub mod suite;
 
-pub use cost::{Cost, How};
-pub use fit::{Line, Point};
+pub use cost::{Cost, MeasurementKind};
+pub use error::MeasurementError;
+pub use fit::{LinearFit, Point};
+pub use real_director::DirectorCommand;
--- a/crates/capacity/src/module.rs
+++ b/crates/capacity/src/router.rs
@@ -8,27 +8,30 @@
     Router, Settings, mix, rank,
 };
 
-use crate::cost::{Cost, How, grown, in_turns, median, micros};
+use crate::cost::{
+    Cost, MeasurementKind, measure_interleaved, median, resident_growth_per_item, time_micros,
+};
 use crate::fit::Point;
 
 const MS: Ns = 1_000_000;
 const SEC: Ns = 1_000 * MS;
 const START: Ns = 10_000 * SEC;
-/// Nodes clear a purge within this; the module holds it two minutes longer.
-const CLEARED: Ns = 6 * SEC;
-const BINDS: u64 = 126;
+/// Time in which nodes apply a purge; the router keeps it two minutes longer.
+const PURGE_PROPAGATION: Ns = 6 * SEC;
+const PURGE_WINDOW_S: u64 = 126;
 
-/// Seven or eight nodes a zone, a quarter of them parents, as at the target size; directors alike.
+/// Numbers of nodes; each list has seven or eight nodes a zone and a quarter of parents, as at the target size.
 const NODES: [usize; 7] = [10, 20, 50, 100, 200, 350, 490];
-const KNOWN: [usize; 6] = [100, 1_000, 4_400, 20_000, 44_100, 126_000];
+const KNOWN_PURGES: [usize; 6] = [100, 1_000, 4_400, 20_000, 44_100, 126_000];
 const RATES: [u64; 7] = [5, 10, 20, 35, 70, 140, 350];
-const DIRECTORS_A_ZONE: usize = 59;
+const DIRECTORS_PER_ZONE: usize = 59;
 const ROUNDS: usize = 11;
 
-fn zones(nodes: usize) -> usize {
+fn zone_count(nodes: usize) -> usize {
     (nodes * 64 / 490).max(1)
 }
 
+/// Returns the settings of a director among so many nodes.
 pub fn settings(nodes: usize) -> Settings {
     let kind = RequestClass {
         latency_objective: 400 * MS,
@@ -41,9 +44,9 @@
         is_uncacheable: false,
     };
     Settings {
-        zone: zones(nodes) / 2,
+        zone: zone_count(nodes) / 2,
         director_index: 0,
-        directors_per_zone: vec![DIRECTORS_A_ZONE; zones(nodes)],
+        directors_per_zone: vec![DIRECTORS_PER_ZONE; zone_count(nodes)],
         request_classes: vec![kind],
         parent_kind: Some(1),
         origin_kind: 2,
@@ -62,18 +65,18 @@
         stream_kb_per_s: 1_000.0,
         may_bypass_cache: true,
         may_coalesce: true,
-        purge_propagation_window: CLEARED,
+        purge_propagation_window: PURGE_PROPAGATION,
         tick: 2 * MS,
     }
 }
 
-/// Zone by zone; every fourth node is a parent, the last one the origin.
-pub fn list(nodes: usize) -> Vec<EndpointUpdate> {
+/// Returns the endpoint list, zone by zone: every fourth node is a parent, the last one is the origin.
+pub fn endpoint_list(nodes: usize) -> Vec<EndpointUpdate> {
     let machine = |n| if n + 1 == nodes { 2 } else { usize::from(n % 4 == 1) };
     let line = |n: usize| EndpointUpdate {
         node: n,
         rank: rank(&format!("s-{:08x}", mix(n as u64) as u32)),
-        zone: n * zones(nodes) / nodes,
+        zone: n * zone_count(nodes) / nodes,
         machine_kind: machine(n),
         cell: n / 2,
         started_at: 0,
@@ -83,53 +86,53 @@
     (0..nodes).map(line).collect()
 }
 
-pub fn router(nodes: usize) -> Router {
+pub(crate) fn router_with_nodes(nodes: usize) -> Router {
     let mut router = Router::new(settings(nodes), 7, START);
-    router.update_endpoints(START, &list(nodes), true);
+    router.update_endpoints(START, &endpoint_list(nodes), true);
     router
 }
 
-fn with_purges(known: usize) -> Router {
+fn router_with_purges(known: usize) -> Router {
     let mut router = Router::new(settings(10), 7, START);
     (0..known as u64).for_each(|n| router.record_purge(START, Some(mix(n)), 0, 0));
     router
 }
 
-/// Purges of objects of which one is known, so that their number stays, 35 a second: over a second, so that
-/// what is done once a second is in it.
-pub fn purge_known() -> Cost {
+/// Time of a purge at 35 a second, of objects that are known as purged, so that their number stays. A round lasts one
+/// second of simulated time, so that it includes what the router does once a second.
+pub(crate) fn measure_known_purges() -> Cost {
     struct At {
         router: Router,
         known: u64,
         next: u64,
     }
     let begin = |&known: &usize| {
-        let at = At { router: with_purges(known), known: known as u64, next: 0 };
+        let at = At { router: router_with_purges(known), known: known as u64, next: 0 };
         (known as f64, at)
     };
-    let mut sizes: Vec<(f64, At)> = KNOWN.iter().map(begin).collect();
-    let points = in_turns(&mut sizes, ROUNDS, |at| {
-        let (took, ()) = micros(|| {
+    let mut sizes: Vec<(f64, At)> = KNOWN_PURGES.iter().map(begin).collect();
+    let points = measure_interleaved(&mut sizes, ROUNDS, |at| {
+        let (elapsed, ()) = time_micros(|| {
             for _ in 0..35 {
                 let now = START + SEC + at.next * SEC / 35;
                 at.router.record_purge(now, Some(mix(at.next % at.known)), 0, 0);
                 at.next += 1;
             }
         });
-        took / 35.0
+        elapsed / 35.0
     });
     Cost {
         name: "module-purge-known",
-        what: "one more purge of 35 a second while so many are known",
-        over: "known purges",
+        description: "one more purge of 35 a second while so many are known",
+        size_unit: "known purges",
         unit: "us",
-        how: How::Timed,
+        kind: MeasurementKind::Timed,
         points,
     }
 }
 
-/// Purges at a steady rate, once as many are known as bind.
-pub fn purge_rate() -> Cost {
+/// Processor time of purges at a steady rate, once as many are known as the router keeps.
+pub(crate) fn measure_purge_rate() -> Cost {
     struct At {
         router: Router,
         rate: u64,
@@ -144,45 +147,45 @@
     }
     let begin = |rate| {
         let mut at = At { router: Router::new(settings(10), 7, START), rate, next: 0 };
-        (0..rate * (BINDS + 4)).for_each(|_| at.purge());
+        (0..rate * (PURGE_WINDOW_S + 4)).for_each(|_| at.purge());
         (rate as f64, at)
     };
     let mut sizes: Vec<(f64, At)> = RATES.iter().map(|r| begin(*r)).collect();
-    let points = in_turns(&mut sizes, ROUNDS, |at| {
-        // Whole seconds, so that what is done once a second is in it.
+    let points = measure_interleaved(&mut sizes, ROUNDS, |at| {
+        // Full seconds, so that what the router does once a second is included.
         let many = 2 * at.rate;
-        let (took, ()) = micros(|| (0..many).for_each(|_| at.purge()));
-        took / 2.0 / 1e4
+        let (elapsed, ()) = time_micros(|| (0..many).for_each(|_| at.purge()));
+        elapsed / 2.0 / 1e4
     });
     Cost {
         name: "module-purge-rate",
-        what: "the module's part of a core for purges, with as many known as bind",
-        over: "purges a second",
+        description: "the module's part of a core for purges, with as many known as bind",
+        size_unit: "purges a second",
         unit: "% of a core",
-        how: How::Timed,
+        kind: MeasurementKind::Timed,
         points,
     }
 }
 
-/// One line of the list changes: a node goes, and comes back.
-fn changes(
+/// Time in which the router applies that nodes go, and that they come back.
+fn measure_endpoint_change(
     name: &'static str,
     what: &'static str,
     which: impl Fn(usize) -> Vec<usize>,
     at_once: bool,
 ) -> Cost {
     let begin = |&nodes: &usize| {
-        let lines = list(nodes);
+        let lines = endpoint_list(nodes);
         let moved: Vec<EndpointUpdate> = which(nodes).into_iter().map(|n| lines[n]).collect();
-        (nodes as f64, (router(nodes), moved, false))
+        (nodes as f64, (router_with_nodes(nodes), moved, false))
     };
     let mut sizes: Vec<_> = NODES[1..].iter().map(begin).collect();
-    let points = in_turns(&mut sizes, 4 * ROUNDS, |(router, moved, gone)| {
+    let points = measure_interleaved(&mut sizes, 4 * ROUNDS, |(router, moved, gone)| {
         *gone = !*gone;
         moved
             .iter_mut()
             .for_each(|l| l.state = if *gone { EndpointState::Gone } else { EndpointState::Ready });
-        let (took, ()) = micros(|| {
+        let (elapsed, ()) = time_micros(|| {
             if at_once {
                 router.update_endpoints(START, moved, false);
             } else {
@@ -190,46 +193,61 @@
             }
         });
         router.take_log_lines();
-        took
+        elapsed
     });
-    Cost { name, what, over: "nodes", unit: "us", how: How::Timed, points }
+    Cost { name, description: what, size_unit: "nodes", unit: "us", kind: MeasurementKind::Timed, points }
 }
 
 /// A parent in the middle of the list.
-fn a_parent(nodes: usize) -> Vec<usize> {
+fn middle_parent(nodes: usize) -> Vec<usize> {
     vec![nodes / 2 / 4 * 4 + 1]
 }
 
-/// Eight nodes that stand beside one another, the own zone's among them.
-fn a_zone(nodes: usize) -> Vec<usize> {
+/// Eight neighbours in the list, the own zone's nodes among them.
+fn middle_zone(nodes: usize) -> Vec<usize> {
     let from = (nodes / 2).saturating_sub(4);
     (from..from + 8).collect()
 }
 
-pub fn list_changes() -> Vec<Cost> {
+pub(crate) fn measure_endpoint_changes() -> Vec<Cost> {
     vec![
-        changes("module-change-parent", "one parent goes or comes", a_parent, false),
-        changes("module-change-cache", "one cache of another zone goes or comes", |_| vec![0], false),
-        changes("module-zone-loss", "eight nodes go or come by eight events", a_zone, false),
-        changes("module-zone-loss-at-once", "eight nodes go or come by one event", a_zone, true),
+        measure_endpoint_change("module-change-parent", "one parent goes or comes", middle_parent, false),
+        measure_endpoint_change(
+            "module-change-cache",
+            "one cache of another zone goes or comes",
+            |_| vec![0],
+            false,
+        ),
+        measure_endpoint_change(
+            "module-zone-loss",
+            "eight nodes go or come by eight events",
+            middle_zone,
+            false,
+        ),
+        measure_endpoint_change(
+            "module-zone-loss-at-once",
+            "eight nodes go or come by one event",
+            middle_zone,
+            true,
+        ),
     ]
 }
 
-/// The ordinary path of requests: each routed, asked for its next check, ended as successful.
-struct Path {
+/// Requests on the ordinary path: each is routed, asked for its next check, and succeeds.
+struct RequestPath {
     router: Router,
     now: Ns,
     next: u64,
-    /// Nanoseconds of the three calls over the last round, and how many were sent.
-    took: [f64; 3],
-    sent: u64,
+    /// Nanoseconds of the three calls in the last round, and the number of attempts.
+    elapsed_ns: [f64; 3],
+    attempts: u64,
 }
 
 const LOOKUPS: u64 = 1_000;
 
-impl Path {
+impl RequestPath {
     fn round(&mut self, clock: f64) {
-        (self.took, self.sent) = ([0.0; 3], 0);
+        (self.elapsed_ns, self.attempts) = ([0.0; 3], 0);
         for _ in 0..LOOKUPS {
             self.now += 2 * MS;
             self.next = mix(self.next);
@@ -245,44 +263,50 @@
                 is_write: false,
                 attempts: Vec::with_capacity(1),
             };
-            let begun = Instant::now();
+            let started = Instant::now();
             let route = self.router.route(self.now, &request);
-            self.took[0] += begun.elapsed().as_nanos() as f64 - clock;
+            self.elapsed_ns[0] += started.elapsed().as_nanos() as f64 - clock;
             let RouteDecision::Attempt(send) = route else { continue };
-            self.sent += 1;
+            self.attempts += 1;
             request.attempts.push(Attempt {
                 node: send.node,
                 source: send.source,
                 sent_at: self.now,
                 outcome: None,
             });
-            let begun = Instant::now();
+            let started = Instant::now();
             black_box(self.router.next_check(self.now, &request));
-            self.took[2] += begun.elapsed().as_nanos() as f64 - clock;
+            self.elapsed_ns[2] += started.elapsed().as_nanos() as f64 - clock;
             request.attempts[0].outcome = Some(Outcome::Success);
-            let begun = Instant::now();
+            let started = Instant::now();
             black_box(self.router.on_outcome(self.now + 30 * MS, &request, 0, 30 * MS, None));
-            self.took[1] += begun.elapsed().as_nanos() as f64 - clock;
+            self.elapsed_ns[1] += started.elapsed().as_nanos() as f64 - clock;
         }
         self.router.take_log_lines();
     }
 }
 
-pub fn calls() -> Vec<Cost> {
+pub(crate) fn measure_calls() -> Vec<Cost> {
     let clock = median((0..2_001).map(|_| Instant::now().elapsed().as_nanos() as f64).collect());
     let begin = |&nodes: &usize| {
-        let mut path = Path { router: router(nodes), now: START, next: 1, took: [0.0; 3], sent: 0 };
+        let mut path = RequestPath {
+            router: router_with_nodes(nodes),
+            now: START,
+            next: 1,
+            elapsed_ns: [0.0; 3],
+            attempts: 0,
+        };
         (0..20).for_each(|_| path.round(clock));
         path
     };
-    let mut paths: Vec<Path> = NODES.iter().map(begin).collect();
-    let mut seen = vec![[const { Vec::new() }; 3]; NODES.len()];
+    let mut paths: Vec<RequestPath> = NODES.iter().map(begin).collect();
+    let mut samples = vec![[const { Vec::new() }; 3]; NODES.len()];
     for _ in 0..4 * ROUNDS {
-        for (path, seen) in paths.iter_mut().zip(&mut seen) {
+        for (path, samples) in paths.iter_mut().zip(&mut samples) {
             path.round(clock);
-            let many = [LOOKUPS, path.sent.max(1), path.sent.max(1)];
+            let many = [LOOKUPS, path.attempts.max(1), path.attempts.max(1)];
             for call in 0..3 {
-                seen[call].push(path.took[call] / many[call] as f64);
+                samples[call].push(path.elapsed_ns[call] / many[call] as f64);
             }
         }
     }
@@ -292,23 +316,26 @@
         ("module-patience", "how long until it is asked again"),
     ];
     let point = |call: usize| {
-        NODES.iter().zip(&seen).map(move |(n, s)| Point { size: *n as f64, value: median(s[call].clone()) })
+        NODES
+            .iter()
+            .zip(&samples)
+            .map(move |(n, s)| Point { size: *n as f64, value: median(s[call].clone()) })
     };
     let cost = |(call, (name, what))| {
         let points = point(call).collect();
-        Cost { name, what, over: "nodes", unit: "ns", how: How::Timed, points }
+        Cost { name, description: what, size_unit: "nodes", unit: "ns", kind: MeasurementKind::Timed, points }
     };
     whats.into_iter().enumerate().map(cost).collect()
 }
 
-/// Bytes of one module, taken in a process of its own.
-pub fn memory(nodes: usize) -> f64 {
-    grown(20_000 / nodes, |_| router(nodes))
+/// Bytes of one router; measure it in a process of its own.
+pub(crate) fn router_memory(nodes: usize) -> f64 {
+    resident_growth_per_item(20_000 / nodes, |_| router_with_nodes(nodes))
 }
 
-pub fn purge_memory(known: usize) -> f64 {
-    grown((200_000 / known).max(1), |_| with_purges(known))
+pub(crate) fn router_purge_memory(known: usize) -> f64 {
+    resident_growth_per_item((200_000 / known).max(1), |_| router_with_purges(known))
 }
 
-pub const MEMORY: [usize; 7] = NODES;
-pub const PURGE_MEMORY: [usize; 6] = KNOWN;
+pub(crate) const MEMORY_SIZES: [usize; 7] = NODES;
+pub(crate) const PURGE_MEMORY_SIZES: [usize; 6] = KNOWN_PURGES;
