--- a/crates/cli/tests/scale.rs
+++ b/crates/cli/tests/scale.rs
@@ -63,7 +63,7 @@
     let done = scale(text, folder.path(), &["--star", "--hollow", "40", "--seed", "8"]);
     let said = String::from_utf8_lossy(&done.stdout).into_owned();
     assert_eq!(done.status.code(), Some(0), "{said}\n{}", String::from_utf8_lossy(&done.stderr));
-    assert!(said.contains("40 hollow and 2 real directors, one source, no relays"), "{said}");
+    assert!(said.contains("40 simulated and 2 real directors, one source, no relays"), "{said}");
     assert!(report(folder.path())["published"].as_u64().unwrap() > 60, "{said}");
 }
 
