--- a/crates/director/src/dispatch/action_executor.rs
+++ b/crates/director/src/dispatch/action_executor.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use sablecross::invariants::{self, PriorAttempt, ProposedAttempt, Violation};
+use sablecross::invariants::{self, ProposedAttempt, Violation};
 use sablecross::{Attempt, AttemptSpec, Effect, Ns, Outcome};
 use sablecross_inflight::{AttemptResult, Transport};
 
@@ -148,10 +148,6 @@
     /// Whether the invariants allow this attempt now.
     fn check_attempt(&self, key: RequestKey, spec: &AttemptSpec, prior: &[Attempt]) -> Result<(), Violation> {
         let request = self.requests.get(key).ok_or(Violation::AttemptAfterAnswer)?;
-        let prior_attempts: Vec<PriorAttempt> = prior
-            .iter()
-            .map(|attempt| PriorAttempt { sent_at: attempt.sent_at, outcome: attempt.outcome })
-            .collect();
         let proposed = ProposedAttempt {
             effect: self.effects.get(request.incoming.class).copied().unwrap_or(Effect::SideEffecting),
             is_answered: request.is_answered,
@@ -159,7 +155,7 @@
             deadline: request.deadline,
             node_state: self.nodes.state(spec.node),
             source_state: spec.source.map(|source| self.nodes.state(source)),
-            prior_attempts: &prior_attempts,
+            prior_attempts: prior,
         };
         proposed.check(self.now)
     }
--- a/src/invariants.rs
+++ b/src/invariants.rs
@@ -3,7 +3,7 @@
 //! Every path that begins, repeats or answers something, or closes a connection, asks here at the moment of doing it. A
 //! decision that breaks a rule is not carried out and is counted as a violation; there should be none.
 
-use crate::types::{Effect, EndpointState, Ns, Outcome};
+use crate::types::{Attempt, Effect, EndpointState, Ns, Outcome};
 
 /// An attempt begins only if its client was known to be connected so shortly before: a process that was suspended has to
 /// check first which clients have gone meanwhile. Longer than the time between two checks while it runs.
@@ -95,15 +95,6 @@
     !matches!(outcome, Some(Overloaded | ConnectFailed | NotSent | Miss))
 }
 
-/// An earlier attempt of the same request.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PriorAttempt {
-    /// When it was made.
-    pub sent_at: Ns,
-    /// How it ended; none while it is outstanding.
-    pub outcome: Option<Outcome>,
-}
-
 /// An attempt that was chosen, with all that the rules depend on.
 #[derive(Clone, Copy, Debug)]
 pub struct ProposedAttempt<'a> {
@@ -120,7 +111,7 @@
     /// The state of the node that a miss is filled from, if there is one.
     pub source_state: Option<EndpointState>,
     /// All earlier attempts of the request.
-    pub prior_attempts: &'a [PriorAttempt],
+    pub prior_attempts: &'a [Attempt],
 }
 
 /// The rule that an attempt or an answer would have broken.
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -1,10 +1,10 @@
 //! Each rule alone, at its edges.
 
 use sablecross::invariants::{
-    BeginDenied, CLIENT_CHECK_MAX_AGE, ClientConnectionState, CloseDenied, PendingAttempt, PriorAttempt,
-    ProposedAttempt, Violation, check_answer,
+    BeginDenied, CLIENT_CHECK_MAX_AGE, ClientConnectionState, CloseDenied, PendingAttempt, ProposedAttempt,
+    Violation, check_answer,
 };
-use sablecross::{DeduplicationScope, Effect, EndpointState, Outcome};
+use sablecross::{Attempt, DeduplicationScope, Effect, EndpointState, Outcome};
 
 const NOW: u64 = 10_000_000_000;
 
@@ -64,8 +64,9 @@
     let window = 1_000;
     let deduplicated = Effect::Deduplicated { within: DeduplicationScope::All, window };
     let never = [Outcome::Overloaded, Outcome::ConnectFailed, Outcome::NotSent, Outcome::Miss];
-    let never = never.map(|outcome| PriorAttempt { sent_at: NOW - 5_000, outcome: Some(outcome) });
-    let maybe = |at, outcome| [PriorAttempt { sent_at: at, outcome }];
+    let attempt = |sent_at, outcome| Attempt { node: 0, source: None, sent_at, outcome };
+    let never = never.map(|outcome| attempt(NOW - 5_000, Some(outcome)));
+    let maybe = |at, outcome| [attempt(at, outcome)];
     let (lost, old) =
         (maybe(NOW - 999, Some(Outcome::ConnectionLost)), maybe(NOW - 1_000, Some(Outcome::TimedOut)));
     let out = maybe(NOW - 1, None);
