--- a/crates/testbed/src/fleet/node.rs
+++ b/crates/testbed/src/fleet/node.rs
@@ -3,7 +3,7 @@
 
 mod requests;
 
-use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
+use std::collections::{BTreeMap, HashMap, HashSet};
 use std::io::{self, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,6 +15,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock::unix_ms;
+use crate::copies::Copies;
 use crate::threads::{lock, spawn};
 
 /// Seconds from the start of the load.
@@ -50,25 +51,6 @@
     From,
 }
 
-/// Copies by object, with when they were made (Unix milliseconds); the oldest goes first.
-#[derive(Default)]
-struct Copies {
-    issued_ms: HashMap<u64, u64>,
-    insertion_order: VecDeque<u64>,
-}
-
-impl Copies {
-    fn keep(&mut self, object: u64, issued_ms: u64, max_copies: usize) {
-        if self.issued_ms.insert(object, issued_ms).is_none() {
-            self.insertion_order.push_back(object);
-        }
-        while self.issued_ms.len() > max_copies {
-            let Some(oldest) = self.insertion_order.pop_front() else { return };
-            self.issued_ms.remove(&oldest);
-        }
-    }
-}
-
 /// A director that sent something in a second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct SenderInSecond {
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -10,6 +10,7 @@
 
 pub mod client_load;
 mod clock;
+mod copies;
 mod director_process;
 mod discovery_stub;
 mod experiment;
--- a/crates/testbed/src/node_stub.rs
+++ b/crates/testbed/src/node_stub.rs
@@ -1,7 +1,7 @@
 //! Stand-in caches, parents and origin of an experiment: they keep copies, fill from named sources, collapse under too
 //! much load while they are cold, and count each fill with the path it came by.
 
-use std::collections::{HashMap, VecDeque};
+use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,6 +13,7 @@
 use sablecross_hierarchy::{Hierarchy, OfferOutcome, VersionHolder};
 
 use crate::clock::unix_ms;
+use crate::copies::Copies;
 use crate::pull_request::{PullRequest, PullRequestError};
 use crate::threads::{lock, spawn};
 use crate::trial_state::TrialState;
@@ -46,25 +47,6 @@
     }
 }
 
-/// Copies by object, with when the origin issued them; the oldest goes first.
-#[derive(Default)]
-struct Copies {
-    issued_ms: HashMap<u64, u64>,
-    insertion_order: VecDeque<u64>,
-}
-
-impl Copies {
-    fn keep(&mut self, object: u64, issued_ms: u64, max_copies: usize) {
-        if self.issued_ms.insert(object, issued_ms).is_none() {
-            self.insertion_order.push_back(object);
-        }
-        while self.issued_ms.len() > max_copies {
-            let Some(oldest) = self.insertion_order.pop_front() else { return };
-            self.issued_ms.remove(&oldest);
-        }
-    }
-}
-
 /// The version of the hierarchy that a node has applied.
 #[derive(Default)]
 struct AppliedVersion {
