--- a/src/burst.rs
+++ b/src/burst.rs
@@ -1,47 +1,51 @@
 //! Burst detection: an object whose own traffic exceeds what its primary cache usually gets in total is spread over
-//! several caches until it cools down.
+//! several caches until its traffic falls again.
 //!
-//! Traffic is counted in windows of [`WINDOW`]. The prediction for a cache is the median of three earlier windows, spaced
-//! apart so that a rising object cannot lift its own baseline; the deviation comes from the residuals of that prediction.
+//! Traffic is counted in windows of [`WINDOW`]. The prediction for a cache is the median of three earlier windows.
+//! These are spaced apart, so that an object with rising traffic does not raise its own baseline. The standard
+//! deviation is that of the residuals of this prediction.
 
 use std::collections::HashMap;
 
 use crate::types::{Ns, SECOND};
 
-/// The length of one window of measurements: short enough to react to a rush, long enough to count something.
+/// The length of a measurement window: short enough to react to a sudden rise, long enough to count a useful number
+/// of requests.
 pub(crate) const WINDOW: Ns = 2 * SECOND;
-/// How many earlier windows a prediction is the median of; the design sets it.
+/// The number of earlier windows of which the prediction is the median.
 const PREDICTION_SAMPLES: usize = 3;
-/// How many windows apart these lie, so that an object that rises over some seconds does not lift all of them.
+/// The distance between these windows, in windows, so that an object whose traffic rises over some seconds does not
+/// raise all of them.
 const PREDICTION_SPACING: usize = 3;
-/// How many closed windows are remembered: those that a prediction reaches back to.
+/// The number of closed windows that are remembered, which are those that a prediction can use.
 pub(crate) const REMEMBERED_WINDOWS: usize = PREDICTION_SAMPLES * PREDICTION_SPACING;
-/// By how many standard deviations a burst exceeds the prediction; the design sets it.
+/// The number of standard deviations by which a burst exceeds the prediction.
 const BURST_SIGMAS: f64 = 3.0;
 
-/// The ordinary traffic of one cache, without objects in burst: kilobytes a window, or requests where sizes are unknown.
+/// The ordinary traffic of one cache, without objects in burst. The unit is kilobytes per window, or requests per
+/// window where sizes are unknown.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TrafficBaseline {
-    /// The traffic of the closed windows, the newest last.
+    /// The traffic of the closed windows, the latest last.
     closed_windows: Vec<f64>,
     open_window: f64,
-    /// The variance of what windows had over their predictions.
+    /// The variance of the differences between the traffic of windows and their predictions.
     residual_variance: f64,
 }
 
 impl TrafficBaseline {
-    /// Counts a request of an object that is not in burst.
+    /// Records a request for an object that is not in burst.
     pub(crate) fn record(&mut self, weight: f64) {
         self.open_window += weight;
     }
 
-    /// The rate of one object above which it is in burst; none while there is no history, or no deviation in it.
+    /// The traffic per window above which an object is in burst; none without history or without deviation in it.
     pub(crate) fn burst_threshold(&self) -> Option<f64> {
         let sigma = self.residual_variance.sqrt();
         if sigma > 0.0 { Some(self.prediction()? + BURST_SIGMAS * sigma) } else { None }
     }
 
-    /// Compares the open window with its prediction and begins another.
+    /// Compares the current window with its prediction and begins the next one.
     pub(crate) fn close_window(&mut self) {
         if let Some(prediction) = self.prediction() {
             let predicted_windows = self.closed_windows.len() - PREDICTION_SPACING + 1;
@@ -55,7 +59,7 @@
         self.closed_windows.push(std::mem::take(&mut self.open_window));
     }
 
-    /// The median of the sampled windows, as far as they exist.
+    /// The median of those sampled windows that exist.
     fn prediction(&self) -> Option<f64> {
         let count = self.closed_windows.len();
         let sampled = (1..=PREDICTION_SAMPLES).filter_map(|k| count.checked_sub(k * PREDICTION_SPACING));
@@ -73,31 +77,31 @@
 struct ObjectTraffic {
     last_window: f64,
     open_window: f64,
-    /// The threshold at which its burst was detected, while it lasts.
+    /// The threshold at which the object's burst was detected; none if the object is not in burst.
     burst_threshold: Option<f64>,
-    /// Counts its requests in burst, to rotate them over several caches.
+    /// The number of requests during the burst, by which they rotate over several caches.
     rotation: usize,
 }
 
-/// What one more request of an object showed.
+/// The state of an object after one more request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum BurstStatus {
-    /// It is not in burst.
+    /// The object is not in burst.
     Ordinary,
-    /// Its burst begins with this request.
+    /// The burst begins with this request.
     Begins { rate: f64, threshold: f64 },
-    /// Its burst has begun before.
+    /// The burst has begun earlier.
     Continues,
 }
 
-/// Finds the objects in burst.
+/// Detects the objects in burst.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BurstDetector {
     objects: HashMap<u64, ObjectTraffic>,
 }
 
 impl BurstDetector {
-    /// Counts a request of an object, whose primary cache has this burst threshold.
+    /// Records a request for an object. `threshold` is the burst threshold of its primary cache.
     pub(crate) fn record(&mut self, object: u64, weight: f64, threshold: Option<f64>) -> BurstStatus {
         let traffic = self.objects.entry(object).or_default();
         traffic.open_window += weight;
@@ -116,14 +120,14 @@
         status
     }
 
-    /// The rotation count of an object in burst; none for others.
+    /// The number of requests during the burst of an object; none if it is not in burst.
     pub(crate) fn rotation(&self, object: u64) -> Option<usize> {
         let traffic = self.objects.get(&object)?;
         traffic.burst_threshold.map(|_| traffic.rotation)
     }
 
-    /// Ends the bursts of objects that stayed below the threshold of their detection for a whole window, and forgets
-    /// objects that were not requested. Returns how many bursts ended.
+    /// Ends the bursts of objects whose traffic stayed below the threshold of their detection for a whole window, and
+    /// forgets objects without requests. Returns the number of bursts that ended.
     pub(crate) fn close_window(&mut self) -> usize {
         let mut ended = 0;
         self.objects.retain(|_, traffic| {
--- a/src/cache_policy.rs
+++ b/src/cache_policy.rs
@@ -1,29 +1,33 @@
-//! What caches are asked to keep and how old a copy may be: reuse history, retention ranks and purges.
+//! Decides which answers caches keep and how old a copy may be, from the reuse history and the known purges.
 //!
-//! Guards against objects that are requested once and against old copies. Its cost: what is newly popular is evicted
-//! first.
+//! This protects caches from objects that are requested only once, and clients from outdated copies. The cost is that
+//! newly popular objects are evicted first.
 
 use std::collections::HashMap;
 
 use crate::hash_ring::cache_position;
 use crate::types::{Ns, Request, RequestClass, SECOND};
 
-/// Requests of one copy are remembered for one to two of these, which bounds the memory that one-timers take.
+/// The length of a history generation. Requests are remembered for one to two generations, which bounds the memory
+/// that objects requested only once take up.
 const HISTORY_GENERATION: Ns = 20 * SECOND;
-/// From so many requests within the history a copy counts as reused; one that is not is surely a miss.
-const REUSED_FROM: u32 = 2;
-/// A purge binds for so much longer than copies from before it may exist. A node that is clear may be filled with an old
-/// copy again, through a director that does not know of the purge yet, from a parent that is not clear yet. The cost is
-/// memory alone: such a copy is too old for all.
-const PURGE_MEMORY: Ns = 120 * SECOND;
-/// How often purges that no longer bind are dropped; at each purge, the cost would be the square of their rate.
+/// The number of requests within the history from which a copy counts as reused. A copy below this number is certain
+/// to be a miss.
+const MIN_REQUESTS_FOR_REUSE: u32 = 2;
+/// How long a purge stays active after the last copies that are older than it should have disappeared. A node that
+/// has already applied the purge may be filled with an outdated copy again, through a director that does not know the
+/// purge yet, from a parent that has not applied it yet. The longer time costs only memory: such a copy is too old to
+/// be served to anyone.
+const PURGE_EXTRA_TIME: Ns = 120 * SECOND;
+/// How often purges that are no longer active are removed. A sweep at each purge would cost the square of the purge
+/// rate.
 const PURGE_SWEEP_INTERVAL: Ns = SECOND;
 
-/// The rank of an answer that is passed through; nodes' protocol has it so, as the others.
+/// The rank of an answer that is passed through uncached. The node protocol defines the values of all ranks.
 const RANK_UNCACHED: u8 = 0;
-/// The rank of a copy that may be requested only once, so that it is evicted first.
+/// The rank of a copy that may be requested only once. Such copies are evicted first.
 const RANK_FIRST_SEEN: u8 = 1;
-/// The rank of a copy that is requested again. A third rank for the often requested gained nothing.
+/// The rank of a copy that is requested again. A third rank for frequently requested copies brought no gain.
 const RANK_REUSED: u8 = 2;
 
 /// The rank at which an answer is cached.
@@ -35,17 +39,17 @@
     }
 }
 
-/// What is known of one copy: one part of one object.
+/// The history of one copy, that is, of one part of one object.
 #[derive(Clone, Copy, Debug, Default)]
 struct CopyHistory {
-    /// Requests so far, clients' own retries not counted.
+    /// The number of requests so far, without the clients' own retries.
     requests: u32,
-    /// The shortest time of an answer; none until one of unknown size was timed.
+    /// The shortest time that an answer took; none until an answer of unknown size was timed.
     transfer_time: Option<f64>,
 }
 
 impl CopyHistory {
-    /// A time of 0 is below the clock's resolution and says nothing.
+    /// The transfer time, if it was measured. A time of 0 is below the clock's resolution and counts as unknown.
     fn known_transfer_time(&self) -> Option<f64> {
         self.transfer_time.filter(|&time| time > 0.0)
     }
@@ -60,7 +64,7 @@
 }
 
 impl ReuseHistory {
-    /// An empty history, whose first generation begins now.
+    /// Creates an empty history, whose first generation begins now.
     pub(crate) fn new(now: Ns) -> Self {
         ReuseHistory {
             current: HashMap::new(),
@@ -69,7 +73,7 @@
         }
     }
 
-    /// Begins a new generation if it is time.
+    /// Begins a new generation if the current one has ended.
     pub(crate) fn advance(&mut self, now: Ns) {
         if now >= self.next_generation_at {
             self.next_generation_at = now + HISTORY_GENERATION;
@@ -77,7 +81,7 @@
         }
     }
 
-    /// Counts a request. A client's own retry is no reuse, but it keeps the copy in the history.
+    /// Records a request. A client's own retry does not count as reuse, but it keeps the copy in the history.
     pub(crate) fn record_request(&mut self, request: &Request) {
         let before = self.get(request).unwrap_or_default();
         let requests = before.requests + u32::from(!request.is_client_retry);
@@ -92,12 +96,12 @@
         }
     }
 
-    /// Whether the copy was requested before, of late.
+    /// Whether the copy was requested before, within the history.
     pub(crate) fn is_reused(&self, request: &Request) -> bool {
-        self.get(request).is_some_and(|copy| copy.requests >= REUSED_FROM)
+        self.get(request).is_some_and(|copy| copy.requests >= MIN_REQUESTS_FOR_REUSE)
     }
 
-    /// How long answers of unknown size took.
+    /// The shortest time that answers of unknown size took for this copy.
     pub(crate) fn transfer_time(&self, request: &Request) -> Option<f64> {
         self.get(request)?.known_transfer_time()
     }
@@ -120,50 +124,51 @@
     Group(u32),
 }
 
-/// The purges that this director knows of and that still bind.
+/// The purges that this director knows and that are still active.
 #[derive(Clone, Debug)]
 pub(crate) struct PurgeLog {
-    /// When the latest purge of each target was made.
-    made_at: HashMap<PurgeTarget, Ns>,
-    /// How long a purge binds.
-    binds_for: Ns,
+    /// The time of the latest purge of each target.
+    purged_at: HashMap<PurgeTarget, Ns>,
+    /// How long a purge is active.
+    active_for: Ns,
     next_sweep_at: Ns,
 }
 
 impl PurgeLog {
-    /// An empty log, for copies from before a purge that may exist for this long after it.
+    /// Creates an empty log. Copies from before a purge may exist for `purge_propagation_window` after it.
     pub(crate) fn new(purge_propagation_window: Ns) -> Self {
         PurgeLog {
-            made_at: HashMap::new(),
-            binds_for: purge_propagation_window + PURGE_MEMORY,
+            purged_at: HashMap::new(),
+            active_for: purge_propagation_window + PURGE_EXTRA_TIME,
             next_sweep_at: 0,
         }
     }
 
-    /// Records a purge of an object or, without one, of a group, that was made at this time. Reports may overtake each
-    /// other; the latest purge binds.
-    pub(crate) fn record(&mut self, now: Ns, object: Option<u64>, group: u32, made_at: Ns) {
+    /// Records a purge of an object or, if `object` is none, of a group. Reports may arrive out of order; the latest
+    /// purge counts.
+    pub(crate) fn record(&mut self, now: Ns, object: Option<u64>, group: u32, purged_at: Ns) {
         let target = object.map_or(PurgeTarget::Group(group), PurgeTarget::Object);
-        let latest = self.made_at.entry(target).or_default();
-        *latest = made_at.max(*latest);
+        let latest = self.purged_at.entry(target).or_default();
+        *latest = purged_at.max(*latest);
         if now >= self.next_sweep_at {
             self.next_sweep_at = now + PURGE_SWEEP_INTERVAL;
-            let oldest_binding = now.saturating_sub(self.binds_for);
-            self.made_at.retain(|_, made_at| *made_at > oldest_binding);
+            let oldest_active = now.saturating_sub(self.active_for);
+            self.purged_at.retain(|_, purged_at| *purged_at > oldest_active);
         }
     }
 
-    /// The age from which a copy of the requested object may be from before a purge.
+    /// The age from which a copy of the requested object may be older than an active purge.
     fn max_age(&self, request: &Request, now: Ns) -> Option<Ns> {
         let targets = [PurgeTarget::Object(request.object), PurgeTarget::Group(request.group)];
-        let made = targets.iter().filter_map(|target| self.made_at.get(target));
-        let latest = made.filter(|&&made_at| now < made_at + self.binds_for).max()?;
+        let purge_times = targets.iter().filter_map(|target| self.purged_at.get(target));
+        let latest = purge_times.filter(|&&purged_at| now < purged_at + self.active_for).max()?;
         Some(now.saturating_sub(*latest).max(1))
     }
 }
 
-/// The oldest copy that may answer a request: one within its fresh time, or within the stale time after it where a fill
-/// is unlikely to come in time, and never one from before a known purge. None: the class's fresh time decides.
+/// The maximum age of a copy that may answer a request. The copy has to be within its fresh time, or within the stale
+/// time after it if a fill is unlikely to arrive in time, and it must not be older than a known purge. None if the
+/// class's fresh time decides.
 pub(crate) fn max_age(
     purges: &PurgeLog,
     class: &RequestClass,
--- a/src/class_counts.rs
+++ b/src/class_counts.rs
@@ -1,45 +1,45 @@
 //! Numbers of requests by class.
 
-/// Numbers of requests by class; parts of requests where they are means or credit.
+/// Numbers of requests by class. They are fractional where they are means or credit.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClassCounts {
     by_class: Vec<f64>,
 }
 
 impl ClassCounts {
-    /// How many there are of one class.
-    pub(crate) fn of(&self, class: usize) -> f64 {
+    /// The number of requests of one class.
+    pub(crate) fn count_of(&self, class: usize) -> f64 {
         self.by_class.get(class).copied().unwrap_or(0.0)
     }
 
-    /// How many there are of all classes.
+    /// The number of requests of all classes.
     pub(crate) fn total(&self) -> f64 {
         self.by_class.iter().sum()
     }
 
-    /// Adds this many requests of one class.
+    /// Adds requests of one class.
     pub(crate) fn add(&mut self, class: usize, count: f64) {
         self.extend_to(class + 1);
         self.by_class[class] += count;
     }
 
-    /// Adds a part of all that another one has.
-    pub(crate) fn add_part(&mut self, other: &ClassCounts, part: f64) {
+    /// Adds the counts of `other`, multiplied by `factor`.
+    pub(crate) fn add_scaled(&mut self, other: &ClassCounts, factor: f64) {
         self.extend_to(other.by_class.len());
         for (count, added) in self.by_class.iter_mut().zip(&other.by_class) {
-            *count += part * added;
+            *count += factor * added;
         }
     }
 
-    /// Moves towards another one by this part of the difference.
-    pub(crate) fn follow(&mut self, target: &ClassCounts, gain: f64) {
+    /// Moves the counts towards `target` by this share of the difference.
+    pub(crate) fn move_towards(&mut self, target: &ClassCounts, gain: f64) {
         self.by_class.iter_mut().for_each(|count| *count *= 1.0 - gain);
-        self.add_part(target, gain);
+        self.add_scaled(target, gain);
     }
 
-    /// Leaves no more than this of each class.
-    pub(crate) fn limit(&mut self, most: f64) {
-        self.by_class.iter_mut().for_each(|count| *count = count.min(most));
+    /// Caps the count of each class.
+    pub(crate) fn cap_each(&mut self, max_count: f64) {
+        self.by_class.iter_mut().for_each(|count| *count = count.min(max_count));
     }
 
     pub(crate) fn clear(&mut self) {
--- a/src/effects.rs
+++ b/src/effects.rs
@@ -1,34 +1,36 @@
-//! Which further attempts keep the promise that no request takes effect twice.
+//! Decides which further attempts keep the guarantee that no request takes effect twice.
 //!
-//! The decision module only proposes what these rules allow; [`invariants`](crate::invariants) checks again at the moment
-//! of sending.
+//! The router proposes only attempts that these rules allow; [`invariants`](crate::invariants) checks each attempt
+//! again when it is sent.
 
 use crate::endpoint::EndpointTable;
-use crate::invariants::may_have_run;
+use crate::invariants::may_have_executed;
 use crate::types::{Attempt, DeduplicationScope, Effect, Ns, Request, Settings};
 
-/// How many ticks before nodes forget an effect its repeats end, so that one decided a tick late is still recognised.
+/// Repeats of a request end this many ticks before nodes forget its effect, so that one decided a tick late is still
+/// recognised.
 const REPEAT_MARGIN_TICKS: Ns = 2;
 
 /// The attempts that may have been executed.
-fn possibly_run(request: &Request) -> impl Iterator<Item = &Attempt> {
-    request.attempts.iter().filter(|attempt| may_have_run(attempt.outcome))
+fn possibly_executed(request: &Request) -> impl Iterator<Item = &Attempt> {
+    request.attempts.iter().filter(|attempt| may_have_executed(attempt.outcome))
 }
 
 /// Whether any attempt may have been executed.
-pub(crate) fn any_may_have_run(request: &Request) -> bool {
-    possibly_run(request).next().is_some()
+pub(crate) fn any_may_have_executed(request: &Request) -> bool {
+    possibly_executed(request).next().is_some()
 }
 
-/// The time from which nodes no longer recognise a repeat of the request, whoever makes it.
+/// The time from which nodes no longer recognise a repeat of the request, whether this director or the client makes
+/// it.
 pub(crate) fn recognised_until(effect: Effect, request: &Request) -> Ns {
     let Effect::Deduplicated { window, .. } = effect else { return Ns::MAX };
-    let ends = possibly_run(request).map(|attempt| attempt.sent_at.saturating_add(window));
+    let ends = possibly_executed(request).map(|attempt| attempt.sent_at.saturating_add(window));
     ends.min().unwrap_or(Ns::MAX)
 }
 
-/// The time until which a repeat of the request may begin, or be outstanding.
-fn repeat_until(settings: &Settings, request: &Request) -> Ns {
+/// The time before which a repeat of the request may begin and may be outstanding.
+fn repeats_allowed_until(settings: &Settings, request: &Request) -> Ns {
     let effect = settings.request_classes[request.class].effect;
     match recognised_until(effect, request) {
         Ns::MAX => Ns::MAX,
@@ -36,16 +38,16 @@
     }
 }
 
-/// The time at which outstanding attempts have to be cancelled, as a node that begins one later could repeat the effect
-/// of another. None while only one attempt may have run.
+/// The time at which outstanding attempts have to be cancelled, because a node that begins one later could repeat the
+/// effect of another. None while fewer than two attempts may have been executed.
 pub(crate) fn cancel_time(settings: &Settings, request: &Request) -> Option<Ns> {
     let has_outstanding = request.attempts.iter().any(|attempt| attempt.outcome.is_none());
-    let is_repeated = possibly_run(request).nth(1).is_some();
-    let until = repeat_until(settings, request);
+    let is_repeated = possibly_executed(request).nth(1).is_some();
+    let until = repeats_allowed_until(settings, request);
     (has_outstanding && is_repeated && until < Ns::MAX && settings.may_cancel).then_some(until)
 }
 
-/// Whether the request may have one more attempt, at this node.
+/// Whether the request may have another attempt, at this node.
 pub(crate) fn allow_attempt(
     settings: &Settings,
     endpoints: &EndpointTable,
@@ -60,15 +62,16 @@
     let effect = settings.request_classes[request.class].effect;
     match effect {
         Effect::Idempotent => true,
-        Effect::SideEffecting => !any_may_have_run(request),
+        Effect::SideEffecting => !any_may_have_executed(request),
         Effect::Deduplicated { within, .. } => {
-            now < repeat_until(settings, request)
-                && possibly_run(request).all(|attempt| share_scope(endpoints, within, attempt.node, node))
+            now < repeats_allowed_until(settings, request)
+                && possibly_executed(request)
+                    .all(|attempt| share_scope(endpoints, within, attempt.node, node))
         }
     }
 }
 
-/// Whether two nodes recognise repeats of each other's requests.
+/// Whether the two nodes recognise repeats of each other's requests.
 fn share_scope(endpoints: &EndpointTable, within: DeduplicationScope, a: usize, b: usize) -> bool {
     if within == DeduplicationScope::All {
         return true;
@@ -81,13 +84,13 @@
     }
 }
 
-/// Whether a rejection now cannot lead to a second execution: the client's own retry, made after it, has to come while
-/// nodes still recognise it.
+/// Whether the request may be rejected now without the risk of a second execution. The client's own retry follows the
+/// rejection, so it has to arrive while nodes still recognise it as a repeat.
 pub(crate) fn allow_rejection(effect: Effect, request: &Request, time_to_retry: Ns) -> bool {
     let is_retry_safe = match effect {
         Effect::Idempotent => true,
         Effect::Deduplicated { within: DeduplicationScope::All, .. } => time_to_retry > 0,
         Effect::Deduplicated { .. } | Effect::SideEffecting => false,
     };
-    is_retry_safe || !any_may_have_run(request)
+    is_retry_safe || !any_may_have_executed(request)
 }
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! The nodes that this director knows and what it has measured of each.
+//! The table of the nodes that this director knows, with what it has measured of each.
 
 use crate::burst::TrafficBaseline;
 use crate::class_counts::ClassCounts;
@@ -11,12 +11,12 @@
 
 use crate::types::{EndpointState, EndpointUpdate, Ns, Settings};
 
-/// What a node does, by its machine kind.
+/// The function of a node, which its machine kind determines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EndpointRole {
     /// Serves clients and caches answers.
     Cache,
-    /// Serves the fills of caches.
+    /// Fills caches.
     Parent,
     /// Has all objects.
     Origin,
@@ -34,7 +34,8 @@
     }
 }
 
-/// How many directors send to a node of this role: those of the own zone to a cache, all to others.
+/// The number of directors that send to a node of this role: those of the director's own zone for a cache, all
+/// directors otherwise.
 pub(crate) fn directors_sharing(settings: &Settings, role: EndpointRole) -> f64 {
     let own_zone = settings.directors_per_zone.get(settings.zone).copied().unwrap_or(1);
     let all = settings.directors_per_zone.iter().sum();
@@ -42,65 +43,67 @@
     count.max(1) as f64
 }
 
-/// One node.
+/// A node, with its entry in the endpoint list and what this director has measured.
 #[derive(Clone, Debug)]
 pub(crate) struct Endpoint {
-    /// Its latest entry of the endpoint list.
+    /// The latest entry of the node in the endpoint list.
     pub(crate) listing: EndpointUpdate,
-    /// Its role when it was first listed.
+    /// The role of the node when it was first listed.
     pub(crate) role: EndpointRole,
-    /// Square root of the number of directors that share it: the demand of one varies by that, and so do its limits.
-    pub(crate) sharing: f64,
-    /// Outstanding attempts that involve it, as their node or their source.
+    /// The square root of the number of directors that share the node. The demand of a single director varies by this
+    /// factor, so its limits depend on it.
+    pub(crate) sharing_factor: f64,
+    /// The number of outstanding attempts that involve the node, as their node or as their source.
     pub(crate) outstanding: u32,
-    /// Those of them that were sent straight to it.
+    /// The number of outstanding attempts that were sent directly to the node.
     pub(crate) outstanding_direct: u32,
-    /// What outcomes say about it.
+    /// The health of the node, as the outcomes of attempts show it.
     pub(crate) health: EndpointHealth,
-    /// How many attempts may be outstanding straight at it.
+    /// The limit on outstanding attempts that were sent directly to the node.
     pub(crate) concurrency: ConcurrencyLimit,
-    /// Slow-start credit.
+    /// The slow-start credit of the node.
     pub(crate) credit: Credit,
-    /// What it served, or filled, in the open window.
+    /// The requests that the node served or filled in the current window.
     pub(crate) served: ClassCounts,
-    /// Of a parent: what a request has to be worth to be filled from it.
+    /// For a parent: the lowest priority of a request that is filled from it.
     pub(crate) fill_price: FillPrice,
-    /// Of a cache: the ordinary traffic of the objects that it is primary for.
+    /// For a cache: the ordinary traffic of the objects whose primary cache it is.
     pub(crate) traffic: TrafficBaseline,
 }
 
 impl Endpoint {
-    /// A node that was just listed, of which nothing is known.
+    /// Creates a node that was just listed and has not been measured.
     fn new(settings: &Settings, listing: EndpointUpdate) -> Self {
         let role = EndpointRole::of(settings, listing.machine_kind);
-        let sharers = directors_sharing(settings, role);
-        let sharing = sharers.sqrt();
+        let directors = directors_sharing(settings, role);
+        let sharing_factor = directors.sqrt();
         Endpoint {
             listing,
             role,
-            sharing,
+            sharing_factor,
             outstanding: 0,
             outstanding_direct: 0,
             health: EndpointHealth::default(),
-            concurrency: ConcurrencyLimit::new(sharing),
-            credit: Credit::initial(settings, sharers),
+            concurrency: ConcurrencyLimit::new(sharing_factor),
+            credit: Credit::initial(settings, directors),
             served: ClassCounts::default(),
             fill_price: FillPrice::default(),
             traffic: TrafficBaseline::default(),
         }
     }
 
-    /// Whether it takes ordinary requests.
+    /// Whether the node takes ordinary requests: it is ready and not ejected.
     pub(crate) fn is_up(&self) -> bool {
         self.listing.state == EndpointState::Ready && !self.health.is_ejected()
     }
 
-    /// Whether the next request may try whether it works.
+    /// Whether the next request may be sent as a trial, to check whether the node works.
     pub(crate) fn is_trial_due(&self, now: Ns) -> bool {
         self.listing.state == EndpointState::Ready && self.health.is_trial_due(now, self.role)
     }
 
-    /// Whether an entry of the list is about the process that is known here, not about another one that took its place.
+    /// Whether an entry of the list describes the same process as the known one, and not another process in its
+    /// place.
     fn is_same_process(&self, update: &EndpointUpdate) -> bool {
         (self.listing.started_at, self.listing.rank) == (update.started_at, update.rank)
     }
@@ -112,22 +115,22 @@
     }
 }
 
-/// The rings that this director chooses from.
+/// The hash rings from which this director selects nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Ring {
-    /// The caches of the own zone, which pick the node of a request.
+    /// The caches of the director's own zone, from which the node of a request is selected.
     Caches,
-    /// All listed parents, which pick the source of a fill.
+    /// All listed parents, from which the source of a fill is selected.
     Parents,
 }
 
-/// All nodes by index, and the rings of those that this director chooses from.
+/// All nodes by index, with the hash rings from which this director selects nodes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EndpointTable {
     endpoints: Vec<Option<Endpoint>>,
-    /// The caches of the own zone.
+    /// The ring of the caches of the director's own zone.
     caches: HashRing,
-    /// All listed parents.
+    /// The ring of all listed parents.
     parents: HashRing,
     origin: Option<usize>,
 }
@@ -149,7 +152,7 @@
         self.get(node).is_some_and(Endpoint::is_up)
     }
 
-    /// The ring of the caches of the own zone.
+    /// The ring of the caches of the director's own zone.
     pub(crate) fn caches(&self) -> &HashRing {
         &self.caches
     }
@@ -159,7 +162,7 @@
         &self.parents
     }
 
-    /// The origin, while it is ready.
+    /// The origin, if it is ready.
     pub(crate) fn origin(&self) -> Option<usize> {
         self.origin
     }
@@ -189,12 +192,12 @@
         }
     }
 
-    /// Closes the window of measurements of all nodes.
+    /// Closes the measurement window of all nodes.
     pub(crate) fn close_window(&mut self) {
         self.endpoints.iter_mut().flatten().for_each(Endpoint::close_window);
     }
 
-    /// Takes entries of the endpoint list; a snapshot removes the nodes that it does not name.
+    /// Applies entries of the endpoint list. A snapshot removes the nodes that it does not name.
     pub(crate) fn update(
         &mut self,
         settings: &Settings,
@@ -212,7 +215,7 @@
         self.rebuild_rings(settings)
     }
 
-    /// Takes one entry of the list.
+    /// Applies one entry of the endpoint list.
     fn apply(&mut self, settings: &Settings, update: EndpointUpdate) {
         if self.endpoints.len() <= update.node {
             self.endpoints.resize(update.node + 1, None);
@@ -221,7 +224,7 @@
         let fresh = Endpoint::new(settings, update);
         match slot {
             Some(known) if known.is_same_process(&update) => known.listing = update,
-            // Another process at the same index: its attempts are still accounted for there.
+            // Another process at the same index. Attempts at the previous process still end at this index.
             Some(known) => {
                 *known = Endpoint {
                     outstanding: known.outstanding,
@@ -233,7 +236,7 @@
         }
     }
 
-    /// Finds the origin and builds the rings whose members have changed.
+    /// Finds the origin and rebuilds the rings whose members have changed.
     fn rebuild_rings(&mut self, settings: &Settings) -> Vec<ModeChange> {
         let caches = self.listed_members(EndpointRole::Cache, Some(settings.zone));
         let parents = self.listed_members(EndpointRole::Parent, None);
@@ -246,7 +249,7 @@
         changes.into_iter().flatten().collect()
     }
 
-    /// The listed nodes of a role, of one zone or of all, in the order that all directors share.
+    /// The listed nodes of a role, in one zone or in all, in the order that all directors use.
     fn listed_members(&self, role: EndpointRole, zone: Option<usize>) -> Vec<RingMember> {
         let mut members: Vec<RingMember> = self
             .endpoints
@@ -266,7 +269,7 @@
     }
 }
 
-/// Builds a ring again if its members have changed. The first members are no change of mode.
+/// Rebuilds a ring if its members have changed. The first members of a ring are not reported as a change of mode.
 fn replace_ring(ring: &mut HashRing, members: Vec<RingMember>) -> Option<ModeChange> {
     if members == ring.members() {
         return None;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! sablecross decides where objects of a content delivery network are served, cached and filled from.
+//! Decides from which nodes the objects of a content delivery network are served, cached and filled.
 
 mod burst;
 mod cache_policy;
--- a/src/mode_change.rs
+++ b/src/mode_change.rs
@@ -1,4 +1,5 @@
-//! Changes of mode, each a line of the log. Operators read these lines and `docs/on-call.md` explains them.
+//! Changes of mode, each of which is written to the log as one line. Operators match these lines, which
+//! `docs/on-call.md` explains.
 
 use std::fmt;
 
@@ -8,15 +9,15 @@
 /// A change of mode.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum ModeChange {
-    /// The members of a ring changed, or how many virtual nodes they withhold.
+    /// The members of a ring, or the numbers of virtual nodes that they withhold, have changed.
     Members { now: usize, before: usize },
     /// A node was ejected or restored.
     Health { node: usize, change: HealthChange },
-    /// An object is in burst: its rate exceeds the threshold.
+    /// A burst of an object has begun: its rate exceeds the threshold.
     BurstBegins { object: u64, rate: f64, threshold: f64 },
-    /// So many objects are no longer in burst.
+    /// The bursts of this many objects have ended.
     BurstsEnd { objects: usize },
-    /// The location is overloaded, or no longer is.
+    /// An overload of the location has begun or ended.
     Overload(OverloadChange),
 }
 
--- a/src/origin_limit.rs
+++ b/src/origin_limit.rs
@@ -1,20 +1,23 @@
-//! The limit on the fetches that this director has outstanding at the origin. It grows by answers in time and backs off
-//! when they fail or come late.
+//! The limit on the fetches that this director has outstanding at the origin. It grows with answers in time and
+//! shrinks when fetches fail or are late.
 //!
-//! Guards the origin against collapse while no parent can be named. Its cost: after trouble fetches come back slowly.
+//! This protects the origin from collapsing while no parent is available. The cost is that the number of fetches
+//! recovers slowly after failures.
 
-/// The first limit, before its division among directors: few, as nobody knows what the origin bears.
+/// The initial limit, before it is divided among directors. It is low, because the capacity of the origin is unknown.
 const INITIAL_LIMIT: f64 = 4.0;
-/// The growth by an answer in time, divided likewise: slow, as the origin stands behind all locations.
+/// The growth per answer in time, before it is divided in the same way. It is slow, because all locations share the
+/// origin.
 const GROWTH: f64 = 0.2;
-/// What a late answer leaves of the limit.
-const LEFT_AFTER_LATE: f64 = 0.85;
-/// What a failure leaves of it: less, as it says more.
-const LEFT_AFTER_FAILURE: f64 = 0.7;
-/// The least limit after a failure: the chance of one fetch at a time.
+/// The factor by which a late answer reduces the limit.
+const LATE_DECREASE_FACTOR: f64 = 0.85;
+/// The factor by which a failure reduces the limit. It is smaller, because a failure is stronger evidence of
+/// overload.
+const FAILURE_DECREASE_FACTOR: f64 = 0.7;
+/// The minimum limit after a failure, which is the probability that one fetch at a time is admitted.
 const MIN_LIMIT: f64 = 0.1;
 
-/// The limit of one director.
+/// The origin limit of one director.
 #[derive(Clone, Debug)]
 pub(crate) struct OriginLimit {
     limit: f64,
@@ -22,29 +25,29 @@
 }
 
 impl OriginLimit {
-    /// `sharing` is the square root of the number of directors: the demand of one of them varies by that.
-    pub(crate) fn new(sharing: f64) -> Self {
-        OriginLimit { limit: INITIAL_LIMIT / sharing, growth: GROWTH / sharing }
+    /// `sharing_factor` is the square root of the number of directors. The demand of a single director varies by it.
+    pub(crate) fn new(sharing_factor: f64) -> Self {
+        OriginLimit { limit: INITIAL_LIMIT / sharing_factor, growth: GROWTH / sharing_factor }
     }
 
-    /// Whether another fetch fits. The fraction of a limit is the chance of one more, which `dither`, from 0 up to 1,
-    /// decides.
+    /// Whether another fetch is admitted. `dither`, from 0 up to 1, admits one more fetch with a probability equal to
+    /// the fractional part of the limit.
     pub(crate) fn admits(&self, outstanding: u32, dither: f64) -> bool {
         f64::from(outstanding) + dither < self.limit
     }
 
-    /// An answer came within the latency objective.
+    /// Records an answer within the latency objective.
     pub(crate) fn on_timely(&mut self) {
         self.limit += self.growth;
     }
 
-    /// An answer came after it.
+    /// Records an answer after the latency objective.
     pub(crate) fn on_late(&mut self) {
-        self.limit *= LEFT_AFTER_LATE;
+        self.limit *= LATE_DECREASE_FACTOR;
     }
 
-    /// A fetch failed or was rejected.
+    /// Records a fetch that failed or was rejected.
     pub(crate) fn on_failure(&mut self) {
-        self.limit = (self.limit * LEFT_AFTER_FAILURE).max(MIN_LIMIT);
+        self.limit = (self.limit * FAILURE_DECREASE_FACTOR).max(MIN_LIMIT);
     }
 }
--- a/src/outlier_ejection.rs
+++ b/src/outlier_ejection.rs
@@ -1,65 +1,70 @@
-//! Outlier ejection: the outcomes of real traffic decide which nodes are ejected, and occasional trials bring them back.
+//! Outlier ejection: the outcomes of real requests decide which nodes are ejected, and occasional trials restore
+//! them. A trial is a request that is sent to an ejected node to check whether the node works again.
 //!
-//! Guards against nodes that fail fast, are dead, silent or cut off. Its cost: with two parents chance alone can eject
-//! one. Slowness ejects no node; its concurrency limit shrinks instead (see `load_shedding`).
+//! This protects requests from nodes that fail fast, are dead, do not answer or are cut off. The cost is that with
+//! two parents chance alone can eject one. A slow node is not ejected; its concurrency limit shrinks instead (see
+//! `load_shedding`).
 
 use crate::endpoint::EndpointRole;
 use crate::types::{Ns, SECOND};
 
-/// The weight of one outcome in the failure rate of a cache, and in the fill failure rate of a source: some failures in a
-/// row eject a node, a single one never does.
+/// The weight of one outcome in the failure rate of a cache and in the fill failure rate of a source. A few failures
+/// in a row eject a node, a single one never does.
 pub(crate) const OUTCOME_WEIGHT: f64 = 0.12;
-/// The weight of one outcome of an attempt straight at a parent or the origin. Only few go there, so each counts more.
+/// The weight of one outcome of an attempt sent directly to a parent or the origin. Few attempts are, so each counts
+/// more.
 const DIRECT_OUTCOME_WEIGHT: f64 = 0.35;
-/// The failure rate above which a node is ejected. Half made no difference.
+/// The failure rate above which a node is ejected. Half this rate made no difference.
 const EJECTION_FAILURE_RATE: f64 = 0.4;
-/// The time from an ejection to the first trial, and between checks of a suspected parent: near nothing else goes there.
+/// The time from an ejection to the first trial, and between checks of a suspected parent, which gets hardly any
+/// other attempts directly.
 const FIRST_TRIAL_INTERVAL: Ns = SECOND;
-/// Each failed trial makes the interval longer by half, up to this, so that a node that works again is found in seconds.
+/// The maximum time between trials. Each failed trial makes the time half as long again, and the maximum ensures that
+/// a node that works again is found within seconds.
 const MAX_TRIAL_INTERVAL: Ns = 5 * SECOND;
-/// How many trials in a row have to succeed before a node is restored; one may be luck.
+/// The number of successive trials that have to succeed before a node is restored. A single success may be chance.
 const TRIALS_TO_RESTORE: u32 = 3;
-/// A connection that cannot be made says more than a failed answer, and counts as so many.
+/// A failed connection counts as this many failures, because it is stronger evidence than a failed answer.
 pub(crate) const CONNECT_FAILURE_COUNT: i32 = 2;
-/// A timeout of a node that has not answered anything since the attempt was sent counts as so many failures: it is likely
-/// dead, not slow.
+/// A timeout counts as this many failures if the node has answered nothing since the attempt was sent, because the
+/// node is then likely dead and not slow.
 pub(crate) const SILENT_TIMEOUT_COUNT: i32 = 3;
-/// The fill failure rate above which a parent is checked by requests straight at it, without a fill: a miss proves that
-/// it lives, and that its failures are those of the origin behind it.
+/// The fill failure rate above which a parent is suspected and checked by attempts sent directly to it, without a
+/// fill. If the parent answers with a miss, it works, and the failures are those of the origin behind it.
 const SUSPECT_FILL_FAILURE_RATE: f64 = 0.25;
-/// A node and the source behind it are both blamed for a failure unless one fails more often by this much; less may be
-/// chance.
+/// A node and its source are both blamed for a failure unless the failure rate of one is higher by at least this
+/// much. A smaller difference may be chance.
 const BLAME_MARGIN: f64 = 0.1;
 
-/// A node that gets nothing but trials.
+/// The state of an ejected node, which gets only trials.
 #[derive(Clone, Debug)]
 struct Ejection {
     next_trial: Ns,
     trial_interval: Ns,
-    /// Trials in a row that succeeded.
+    /// The number of successive trials that succeeded.
     successes: u32,
 }
 
-/// What an outcome changed.
+/// A change of the health of a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum HealthChange {
     Ejected { failure_rate: f64 },
     Restored { failure_rate: f64 },
 }
 
-/// What the outcomes of attempts say about the health of one node.
+/// The health of one node, as the outcomes of attempts show it.
 #[derive(Clone, Debug)]
 pub(crate) struct EndpointHealth {
-    /// The share of recent attempts straight at it that failed.
+    /// The share of recent attempts sent directly to the node that failed.
     pub(crate) failure_rate: f64,
-    /// The share of recent attempts that failed with it as their source.
+    /// The share of recent attempts with the node as their source that failed.
     pub(crate) fill_failure_rate: f64,
-    /// The shortest time in which it gave any outcome. A rejection about as quick is its own; a slower one came from
-    /// its source.
+    /// The shortest time in which the node gave any outcome. A rejection that is about as quick comes from the node
+    /// itself, a slower one from its source.
     fastest_outcome: Ns,
-    /// When it last answered anything.
+    /// When the node last answered any attempt.
     last_answer_at: Ns,
-    /// When it is next checked without a fill, if it is suspected.
+    /// When the node may next be checked without a fill, if it is suspected.
     next_check_at: Ns,
     ejection: Option<Ejection>,
 }
@@ -82,7 +87,7 @@
         self.ejection.is_some()
     }
 
-    /// Whether the next request may try whether the node works.
+    /// Whether the next request may be sent as a trial, to check whether the node works.
     pub(crate) fn is_trial_due(&self, now: Ns, role: EndpointRole) -> bool {
         match &self.ejection {
             Some(ejection) => now >= ejection.next_trial,
@@ -94,19 +99,19 @@
         }
     }
 
-    /// An attempt is sent straight to the node.
+    /// Records that an attempt is sent directly to the node.
     pub(crate) fn on_direct_attempt(&mut self, now: Ns) {
         self.next_check_at = now + FIRST_TRIAL_INTERVAL;
     }
 
-    /// An attempt is sent that involves the node; while it is ejected that is a trial.
+    /// Records that an attempt is sent that involves the node. While the node is ejected, the attempt is a trial.
     pub(crate) fn on_attempt(&mut self, now: Ns) {
         if let Some(ejection) = &mut self.ejection {
             ejection.next_trial = now + ejection.trial_interval;
         }
     }
 
-    /// An attempt straight at the node ended.
+    /// Records how long an attempt sent directly to the node took and whether the node answered it.
     pub(crate) fn record_timing(&mut self, now: Ns, elapsed: Ns, answered: bool) {
         self.fastest_outcome = self.fastest_outcome.min(elapsed);
         if answered {
@@ -114,22 +119,23 @@
         }
     }
 
-    /// Whether a rejection that took this long is the node's own, not that of its source.
+    /// Whether a rejection that took this long came from the node itself and not from its source.
     pub(crate) fn is_own_rejection(&self, elapsed: Ns, tick: Ns) -> bool {
         elapsed <= 2 * self.fastest_outcome + tick
     }
 
-    /// Whether it has answered anything from this time on.
+    /// Whether the node has answered any attempt from this time on.
     pub(crate) fn has_answered_since(&self, time: Ns) -> bool {
         self.last_answer_at >= time
     }
 
-    /// The outcome of a fill from the node. It only makes the node suspected, as the origin may be to blame.
+    /// Records the outcome of a fill from the node. Failures only make the node suspected, as the origin may be to
+    /// blame.
     pub(crate) fn record_fill(&mut self, failed: bool, weight: f64) {
         self.fill_failure_rate += weight * (indicator(failed) - self.fill_failure_rate);
     }
 
-    /// The outcome of an attempt straight at the node, which counts `count` times.
+    /// Records the outcome of an attempt sent directly to the node. It counts as `count` outcomes.
     pub(crate) fn record_direct(
         &mut self,
         now: Ns,
@@ -156,7 +162,7 @@
 
     /// Ejects the node if its failure rate has become too high.
     fn eject_if_failing(&mut self, now: Ns, role: EndpointRole) -> Option<HealthChange> {
-        // Nothing stands in for the origin.
+        // The origin is never ejected, because no other node can replace it.
         if role == EndpointRole::Origin || self.failure_rate <= EJECTION_FAILURE_RATE {
             return None;
         }
@@ -168,7 +174,7 @@
         Some(HealthChange::Ejected { failure_rate: self.failure_rate })
     }
 
-    /// Takes the node back into service, with a clean record.
+    /// Restores the node and resets its failure rates.
     fn restore(&mut self) -> HealthChange {
         let failure_rate = self.failure_rate;
         self.ejection = None;
@@ -179,14 +185,14 @@
 }
 
 impl Ejection {
-    /// The trials begin again, further apart.
+    /// Starts the series of trials again, with a longer time between them.
     fn on_trial_failure(&mut self, now: Ns) {
         self.successes = 0;
         self.trial_interval = (self.trial_interval * 3 / 2).min(MAX_TRIAL_INTERVAL);
         self.next_trial = now + self.trial_interval;
     }
 
-    /// Returns whether that was the last trial needed. If not, the next one is due at once.
+    /// Returns whether enough trials have succeeded. If not, the next one is due immediately.
     fn on_trial_success(&mut self, now: Ns) -> bool {
         if self.successes + 1 >= TRIALS_TO_RESTORE {
             return true;
@@ -197,7 +203,8 @@
     }
 }
 
-/// Whom a failed attempt through a node to a source is blamed on, by the failure rates of both before it.
+/// Whether a failed attempt is attributed to its node, its source or both, by the failure rates of both before the
+/// attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Blame {
     pub(crate) node: bool,
@@ -205,7 +212,7 @@
 }
 
 impl Blame {
-    /// Blames the one that fails with others too, and both while that is open.
+    /// Blames the one that also fails in other attempts, and both if the failure rates do not tell them apart.
     pub(crate) fn assign(node_failure_rate: f64, source_failure_rate: f64) -> Blame {
         Blame {
             node: node_failure_rate > source_failure_rate - BLAME_MARGIN,
--- a/src/priority.rs
+++ b/src/priority.rs
@@ -1,11 +1,12 @@
-//! The priority of a request: what its answer is worth for the time that it takes to send, compared with other requests.
+//! The priority of a request: the value of its answer per unit of time that it takes to send, compared with other
+//! requests.
 
-/// The weight of one request in the mean and the variance, which so follow the mix of some twenty requests.
+/// The weight of one request in the mean and the variance, which therefore cover about twenty requests.
 const GAIN: f64 = 0.05;
-/// Where all requests are alike, this stands in for the standard deviation.
+/// The standard deviation that is used instead where all requests are alike.
 const MIN_DEVIATION: f64 = 0.1;
 
-/// The distribution of what recent requests were worth for their time, as logarithms.
+/// The distribution of the logarithmic value per unit of time of recent requests.
 #[derive(Clone, Debug)]
 pub(crate) struct PriorityScale {
     mean: f64,
@@ -17,7 +18,7 @@
         PriorityScale { mean: 0.0, variance: 1.0 }
     }
 
-    /// Counts a request.
+    /// Records a request.
     pub(crate) fn record(&mut self, log_value: f64) {
         let deviation = log_value - self.mean;
         let is_first = self.mean == 0.0;
@@ -25,7 +26,7 @@
         self.variance += GAIN * (deviation * deviation - self.variance);
     }
 
-    /// The priority of a request: by how many standard deviations it is worth more than the average.
+    /// The priority of a request: the number of standard deviations by which its value exceeds the mean.
     pub(crate) fn priority(&self, log_value: f64) -> f64 {
         (log_value - self.mean) / self.variance.sqrt().max(MIN_DEVIATION)
     }
--- a/src/router.rs
+++ b/src/router.rs
@@ -1,21 +1,24 @@
-//! The router: one director's decisions about its requests.
+//! The router: the decisions of one director about its requests.
 //!
-//! The caller keeps each [`Request`] with its attempts and drives it by three calls: [`Router::route`] says what to do
-//! now, [`Router::on_outcome`] what to do after the outcome of an attempt, and [`Router::next_check`] when to ask `route`
-//! again if nothing comes by then. News of the fleet come by [`Router::update_endpoints`], [`Router::record_purge`] and
-//! [`Router::record_load`]. [`Router::take_log_lines`] hands out one line for each change of mode.
+//! The caller keeps each [`Request`] with its attempts and makes three calls for it: [`Router::route`] returns what
+//! to do now, [`Router::on_outcome`] what to do after the outcome of an attempt, and [`Router::next_check`] how long
+//! to wait for an event before `route` is called again. Changes of the fleet are reported with
+//! [`Router::update_endpoints`], [`Router::record_purge`] and [`Router::record_load`]. [`Router::take_log_lines`]
+//! returns one line for each change of mode.
 //!
-//! A decision goes through these steps, in this order:
-//! 1. nothing more is tried past the deadline, without enough time left, or without retry budget (`retry_budget`);
-//! 2. the ring of parents names the source of a fill, that of the caches of the own zone names the node (`hash_ring`),
-//!    among those that are up (`outlier_ejection`), are warm or have credit (`slow_start`) and have room
-//!    (`load_shedding`); a trial may go first;
-//! 3. an object in burst rotates over several caches (`burst`);
-//! 4. without a parent the origin is the source, within a limit (`origin_limit`);
-//! 5. a source that is too dear for the request's priority is left out (`fill_price`);
-//! 6. the copy's age and retention rank are set (`cache_policy`).
+//! A decision takes these steps, in this order:
+//! 1. No attempt is made past the deadline, without enough time left, or without retry budget (`retry_budget`).
+//! 2. The ring of parents selects the source of a fill, and the ring of the caches of the director's own zone selects
+//!    the node (`hash_ring`). Only nodes count that are up (`outlier_ejection`), that are warm or have credit
+//!    (`slow_start`), and that have room (`load_shedding`). A trial, which checks whether a failing node works again,
+//!    takes precedence.
+//! 3. An object in burst rotates over several caches (`burst`).
+//! 4. If no parent is available, the origin is the source, within a limit (`origin_limit`).
+//! 5. A source whose price is above the request's priority is left out (`fill_price`).
+//! 6. The maximum age and the retention rank of the copy are set (`cache_policy`).
 //!
-//! The parts hold state and rules of their own; this module and its two submodules hold the order of the steps.
+//! The named modules hold the state and the rules of each step. This module and its two submodules define the order
+//! of the steps.
 
 mod outcome;
 mod selection;
@@ -44,27 +47,30 @@
 
 use selection::Selection;
 
-/// How many ticks before its deadline a request gets its answer, so that one decided a tick late is still in time.
+/// A request is answered this many ticks before its deadline, so that an answer decided one tick late is still in
+/// time.
 const DEADLINE_MARGIN_TICKS: Ns = 2;
-/// A request with less than this part of its predicted transfer time left is given up at once. Less than 1, as the
-/// prediction may be too long.
-const MIN_TIME_LEFT: f64 = 0.7;
-/// A request has at most so many attempts outstanding: the first and one hedge.
-const MAX_OUTSTANDING: usize = 2;
-/// The random part of the delay that a rejection names, so that clients do not come back all at once.
+/// A request is given up if less than this share of its predicted transfer time is left until its deadline. The value
+/// is less than 1, because the prediction may be too long.
+const MIN_TRANSFER_SHARE_LEFT: f64 = 0.7;
+/// The maximum number of outstanding attempts of a request: the first one and one hedge.
+const MAX_OUTSTANDING_ATTEMPTS: usize = 2;
+/// The random share of the retry delay that a rejection names, so that clients do not all retry at once.
 const RETRY_AFTER_JITTER: f64 = 0.25;
-/// Beyond so many attempts a request is not hedged: what is slow everywhere is not sent again in vain.
+/// A request with this many attempts is not hedged any more, so that hedges do not add load where every node is slow.
 const MAX_HEDGED_ATTEMPTS: usize = 3;
-/// A hedge goes out no sooner after the last attempt than that should take: so many predicted transfer times...
+/// A hedge waits at least this many predicted transfer times after the last attempt, plus [`HEDGE_DELAY_LATENCIES`],
+/// because the last attempt is expected to take that long.
 const HEDGE_DELAY_TRANSFERS: f64 = 1.4;
-/// ...and base latencies.
+/// The base latencies in the minimum delay of a hedge.
 const HEDGE_DELAY_LATENCIES: f64 = 2.0;
-/// Else it goes out as late as it can still end within the latency objective: so many predicted transfer times...
+/// After that delay, a hedge still waits as long as it can end within the latency objective: until this many predicted
+/// transfer times, plus [`HEDGE_RESERVE_LATENCIES`], are left.
 const HEDGE_RESERVE_TRANSFERS: f64 = 1.3;
-/// ...and base latencies before the end of that.
+/// The base latencies that have to be left in addition.
 const HEDGE_RESERVE_LATENCIES: f64 = 1.5;
 
-/// The decisions of one director, and all that it has measured.
+/// The router of one director, with all that the director has measured.
 pub struct Router {
     settings: Settings,
     rng: Pcg32,
@@ -79,16 +85,17 @@
     fill_offload: FillOffload,
     retry_budget: RetryBudget,
     origin_limit: OriginLimit,
-    lateness: DeadlineMargin,
-    /// When the open window of measurements ends.
+    deadline_margin: DeadlineMargin,
+    /// When the current measurement window ends.
     window_ends_at: Ns,
     mode_changes: Vec<ModeChange>,
 }
 
 impl Router {
-    /// A director that starts now and knows no endpoints. The seed makes its random choices repeatable.
+    /// Creates the router of a director that starts now and knows no endpoints. `seed` makes its random choices
+    /// repeatable.
     pub fn new(settings: Settings, seed: u64, now: Ns) -> Self {
-        let sharing = directors_sharing(&settings, EndpointRole::Origin).sqrt();
+        let sharing_factor = directors_sharing(&settings, EndpointRole::Origin).sqrt();
         Router {
             rng: Pcg32::seed_from_u64(seed),
             endpoints: EndpointTable::default(),
@@ -101,15 +108,15 @@
             overload: OverloadDetector::new(),
             fill_offload: FillOffload::new(),
             retry_budget: RetryBudget::new(),
-            origin_limit: OriginLimit::new(sharing),
-            lateness: DeadlineMargin::default(),
+            origin_limit: OriginLimit::new(sharing_factor),
+            deadline_margin: DeadlineMargin::default(),
             window_ends_at: now + WINDOW,
             mode_changes: Vec::new(),
             settings,
         }
     }
 
-    /// Whether the endpoint list has to be asked for, at the start and after each failure of its subscription.
+    /// Whether the caller has to poll for the endpoint list: at the start and after each failure of its subscription.
     pub fn polls_endpoint_list(&self) -> bool {
         self.settings.polls_endpoint_list
     }
@@ -119,17 +126,17 @@
         self.settings.request_classes.iter().map(|class| class.effect).collect()
     }
 
-    /// Whether a request class has this index. Requests of other classes must not be routed.
+    /// Whether there is a request class with this index. Requests with other class indices must not be routed.
     pub fn has_class(&self, class: usize) -> bool {
         class < self.settings.request_classes.len()
     }
 
-    /// The lines of the log since the last call, one for each change of mode.
+    /// Takes the log lines since the last call, one for each change of mode.
     pub fn take_log_lines(&mut self) -> Vec<String> {
         self.mode_changes.drain(..).map(|change| change.to_string()).collect()
     }
 
-    /// Takes entries of the endpoint list. A snapshot removes the endpoints that it does not name.
+    /// Applies entries of the endpoint list. A snapshot removes the endpoints that it does not name.
     pub fn update_endpoints(&mut self, now: Ns, updates: &[EndpointUpdate], is_snapshot: bool) {
         let changes = self.endpoints.update(&self.settings, updates, is_snapshot);
         self.mode_changes.extend(changes);
@@ -137,44 +144,45 @@
         self.close_windows(now);
     }
 
-    /// Takes a node's load report. A node with room to spare is not to blame for late answers.
+    /// Records a node's load report. The limit of a node that reported spare capacity does not shrink for late
+    /// answers.
     pub fn record_load(&mut self, now: Ns, node: usize, load: LoadReport) {
         if let Some(endpoint) = self.endpoints.get_mut(node) {
             endpoint.concurrency.record_load(now, load);
         }
     }
 
-    /// Takes a purge of an object or, without one, of a whole group, that was made `age` ago.
+    /// Records a purge of an object or, if `object` is none, of a whole group. The purge was made `age` ago.
     pub fn record_purge(&mut self, now: Ns, object: Option<u64>, group: u32, age: Ns) {
         self.purges.record(now, object, group, now.saturating_sub(age));
     }
 
-    /// Takes how late a thread of the caller was woken. From the first call on, 0 included, requests are answered earlier
-    /// while that is long.
+    /// Records how late a thread of the caller was woken. From the first call on, even with a delay of 0, requests
+    /// are answered earlier while these delays are long.
     pub fn record_wakeup_delay(&mut self, now: Ns, delay: Ns) {
-        self.lateness.record(now, delay);
+        self.deadline_margin.record(now, delay);
     }
 
-    /// What to do with a request now. An attempt that is returned counts as made.
+    /// Returns what to do with a request now. A returned attempt counts as made.
     pub fn route(&mut self, now: Ns, request: &Request) -> RouteDecision {
         self.close_windows(now);
         if effects::cancel_time(&self.settings, request).is_some_and(|at| now >= at) {
             return RouteDecision::CancelOutstanding;
         }
         if now >= self.answer_time(now, request) {
-            let is_early = self.lateness.margin(now, request) > 0;
+            let is_early = self.deadline_margin.margin(now, request) > 0;
             if is_early && outstanding(request) > 0 {
                 return RouteDecision::TimeOutOutstanding;
             }
             return self.wait_or_reject(now, request);
         }
-        let is_hopeless =
-            (request.deadline - now) as f64 <= MIN_TIME_LEFT * self.predicted_transfer_time(request);
+        let is_too_late = (request.deadline - now) as f64
+            <= MIN_TRANSFER_SHARE_LEFT * self.predicted_transfer_time(request);
         let is_first = request.attempts.is_empty();
         if is_first {
             self.record_arrival(now, request);
         }
-        if is_hopeless || !is_first && !self.may_attempt_again(request) {
+        if is_too_late || !is_first && !self.may_attempt_again(request) {
             return self.wait_or_reject(now, request);
         }
         if outstanding(request) > 0 && self.overload.is_overloaded() {
@@ -190,17 +198,18 @@
         RouteDecision::Attempt(spec)
     }
 
-    /// How long until `route` is to be asked again, if nothing has come by then: the time of a hedge, that at which
-    /// outstanding attempts are to be cancelled, or at which an answer may have to leave early.
+    /// How long to wait before `route` is called again if no event comes first. This is the time until a hedge, until
+    /// outstanding attempts have to be cancelled, or until the answer may have to be sent early.
     pub fn next_check(&self, now: Ns, request: &Request) -> Option<Ns> {
         let has_outstanding = outstanding(request) > 0;
         let answer_time = self.answer_time(now, request);
-        let look = self.lateness.next_look(now, answer_time, request).filter(|_| has_outstanding);
-        let times = [self.hedge_time(request), effects::cancel_time(&self.settings, request), look];
+        let margin_check =
+            self.deadline_margin.next_margin_check(now, answer_time, request).filter(|_| has_outstanding);
+        let times = [self.hedge_time(request), effects::cancel_time(&self.settings, request), margin_check];
         times.into_iter().flatten().filter(|&at| at > now && at < request.deadline).min().map(|at| at - now)
     }
 
-    /// When a further attempt may go out beside the last one.
+    /// When a hedge of the last attempt may be sent.
     fn hedge_time(&self, request: &Request) -> Option<Ns> {
         let last = request.attempts.last()?;
         let max_attempts = MAX_HEDGED_ATTEMPTS.min(self.settings.max_attempts);
@@ -217,13 +226,14 @@
         Some(latest.max(earliest) as Ns)
     }
 
-    fn deadline_margin(&self) -> Ns {
+    /// The margin before the deadline that is kept without any wakeup delays.
+    fn tick_margin(&self) -> Ns {
         DEADLINE_MARGIN_TICKS * self.settings.tick
     }
 
-    /// When a request has to be answered, as things are now.
+    /// When the request has to be answered, given the wakeup delays known now.
     fn answer_time(&self, now: Ns, request: &Request) -> Ns {
-        let margin = self.deadline_margin() + self.lateness.margin(now, request);
+        let margin = self.tick_margin() + self.deadline_margin.margin(now, request);
         request.deadline.saturating_sub(margin)
     }
 
@@ -246,22 +256,23 @@
         request.arrived_at.saturating_add(class.latency_objective.saturating_add(stretch))
     }
 
-    /// The logarithm of what an answer is worth for its time.
+    /// The logarithm of the value of an answer per unit of time that it takes.
     fn log_value(&self, request: &Request) -> f64 {
         let time = self.predicted_transfer_time(request) + BASE_LATENCY as f64;
         (self.class(request).priority_weight * SECOND as f64 / time).ln()
     }
 
-    /// Whether a request that was tried before may be tried once more.
+    /// Whether a request that already has attempts may get another one.
     fn may_attempt_again(&self, request: &Request) -> bool {
         let has_budget = is_never_sent(request) || !self.retry_budget.is_exhausted();
         request.attempts.len() < self.settings.max_attempts
             && has_budget
-            && outstanding(request) < MAX_OUTSTANDING
+            && outstanding(request) < MAX_OUTSTANDING_ATTEMPTS
     }
 
-    /// Makes no attempt: waits for what is outstanding, or gives the request up at once. A client that retries soon would
-    /// find the same trouble and add to it, so that it is asked to stay away as long as clients do.
+    /// Makes no attempt: waits if attempts are outstanding, and otherwise rejects the request, or fails it if a
+    /// rejection is not safe. A rejected client that retries soon would meet the same overload and add to it, so it is
+    /// asked to wait for up to the longest delay that clients honour.
     fn wait_or_reject(&mut self, now: Ns, request: &Request) -> RouteDecision {
         if outstanding(request) > 0 {
             return RouteDecision::Wait;
@@ -272,16 +283,16 @@
         if !effects::allow_rejection(effect, request, time_to_retry) {
             return RouteDecision::Fail;
         }
-        let part = (1.0 - RETRY_AFTER_JITTER) + RETRY_AFTER_JITTER * self.rng.random::<f64>();
+        let jitter_factor = (1.0 - RETRY_AFTER_JITTER) + RETRY_AFTER_JITTER * self.rng.random::<f64>();
         let retry_after = if self.settings.may_send_retry_after {
-            self.settings.max_retry_after as f64 * part
+            self.settings.max_retry_after as f64 * jitter_factor
         } else {
             0.0
         };
         RouteDecision::Reject { retry_after: time_to_retry.min(retry_after as Ns) }
     }
 
-    /// Counts a request that has just arrived.
+    /// Records a request that has just arrived.
     fn record_arrival(&mut self, now: Ns, request: &Request) {
         if request.size_kb > 0.0 {
             let transfer_time = self.predicted_transfer_time(request);
@@ -295,7 +306,8 @@
         self.record_traffic(request);
     }
 
-    /// Counts a request for burst detection: a run of parts once, by its first part, and a client's retry not at all.
+    /// Counts a request for burst detection. Of an object with several parts only the first part counts, and a
+    /// client's retry does not count.
     fn record_traffic(&mut self, request: &Request) {
         let is_later_part = self.class(request).is_multipart && request.part > 0;
         if request.is_client_retry || is_later_part {
@@ -320,13 +332,13 @@
         }
     }
 
-    /// Accounts for an attempt that is about to be made.
+    /// Records an attempt that is about to be made.
     fn record_attempt(&mut self, now: Ns, request: &Request, spec: &AttemptSpec) {
         if let Some(endpoint) = self.endpoints.get_mut(spec.node) {
             endpoint.outstanding_direct += 1;
             endpoint.health.on_direct_attempt(now);
         }
-        for node in self.involved(spec.node, spec.source) {
+        for node in self.involved_nodes(spec.node, spec.source) {
             if let Some(endpoint) = self.endpoints.get_mut(node) {
                 endpoint.outstanding += 1;
                 endpoint.credit.spend(request.class);
@@ -335,14 +347,15 @@
         }
     }
 
-    /// The nodes that an attempt may put to work: what a parent asks of its source is the parent's own.
-    fn involved(&self, node: usize, source: Option<usize>) -> impl Iterator<Item = usize> + use<> {
+    /// The nodes that do work for an attempt: the node and, if the node is a cache, the source. A parent's fetches
+    /// from its source are its own and are not counted.
+    fn involved_nodes(&self, node: usize, source: Option<usize>) -> impl Iterator<Item = usize> + use<> {
         let is_cache = self.endpoints.role(node) == Some(EndpointRole::Cache);
         [Some(node), source.filter(|_| is_cache)].into_iter().flatten()
     }
 
-    /// Closes the windows of measurements that have ended. After a long quiet time those that would be forgotten anyway
-    /// are skipped.
+    /// Closes the measurement windows that have ended. After a long time without requests, windows whose measurements
+    /// would be forgotten anyway are skipped.
     fn close_windows(&mut self, now: Ns) {
         let ended = now.saturating_sub(self.window_ends_at) / WINDOW;
         self.window_ends_at += ended.saturating_sub(REMEMBERED_WINDOWS as Ns) * WINDOW;
@@ -359,12 +372,12 @@
     }
 }
 
-/// How many attempts of a request have no outcome yet.
+/// The number of attempts of a request that have no outcome yet.
 fn outstanding(request: &Request) -> usize {
     request.attempts.iter().filter(|attempt| attempt.outcome.is_none()).count()
 }
 
-/// Whether no attempt ever left this director, so that nothing was asked of anyone.
+/// Whether no attempt left this director, so that no node has seen the request.
 fn is_never_sent(request: &Request) -> bool {
     request.attempts.iter().all(|attempt| attempt.outcome == Some(Outcome::NotSent))
 }
--- a/src/router/outcome.rs
+++ b/src/router/outcome.rs
@@ -1,4 +1,4 @@
-//! What the outcome of an attempt changes: health, limits, prices and budgets.
+//! Applies the outcome of an attempt to health records, limits, prices and budgets.
 
 use super::{Router, outstanding};
 use crate::endpoint::{EndpointRole, Ring, directors_sharing};
@@ -9,8 +9,8 @@
 use crate::outlier_ejection::{Blame, CONNECT_FAILURE_COUNT, OUTCOME_WEIGHT, SILENT_TIMEOUT_COUNT};
 use crate::types::{Attempt, NextStep, Ns, Outcome, Request};
 
-/// The weight, relative to a known fill, of an answer of a reused copy that may have been a hit or a fill.
-const POSSIBLE_FILL_PART: f64 = 0.4;
+/// The weight, relative to a known fill, of an answer with a reused copy that may have been a cache hit or a fill.
+const POSSIBLE_FILL_WEIGHT: f64 = 0.4;
 
 /// An attempt with its outcome.
 #[derive(Clone, Copy, Debug)]
@@ -19,17 +19,18 @@
     attempt: Attempt,
     outcome: Outcome,
     elapsed: Ns,
-    /// Whether it was served from a copy, where that is known.
+    /// Whether the answer was served from a copy, if that is known.
     is_cache_hit: Option<bool>,
-    /// The transfer time that was predicted, in nanoseconds.
-    predicted: f64,
-    /// Whether the origin was involved.
+    /// The predicted transfer time, in nanoseconds.
+    predicted_transfer_time: f64,
+    /// Whether the attempt involved the origin.
     is_at_origin: bool,
 }
 
 impl Router {
-    /// What to do after an attempt, the one at `index`, ended after `elapsed`. Its outcome has to be set in the
-    /// request; `is_cache_hit` tells whether it was served from a copy, where that is known.
+    /// Records that the attempt at `index` ended after `elapsed`, and returns what to do next. The caller has already
+    /// set the outcome in the request. `is_cache_hit` tells whether the answer was served from a copy, if that is
+    /// known.
     pub fn on_outcome(
         &mut self,
         now: Ns,
@@ -40,14 +41,21 @@
     ) -> NextStep {
         let Some(attempt) = request.attempts.get(index).copied() else { return NextStep::Wait };
         let Some(reported) = attempt.outcome else { return NextStep::Wait };
-        let predicted = self.predicted_transfer_time(request);
-        let outcome = excuse_short_deadline(request, reported, predicted);
+        let predicted_transfer_time = self.predicted_transfer_time(request);
+        let outcome = reclassify_short_deadline(request, reported, predicted_transfer_time);
         let origin = self.endpoints.origin();
-        let is_at_origin = self.involved(attempt.node, attempt.source).any(|node| Some(node) == origin);
-        let ended =
-            EndedAttempt { request, attempt, outcome, elapsed, is_cache_hit, predicted, is_at_origin };
+        let is_at_origin = self.involved_nodes(attempt.node, attempt.source).any(|node| Some(node) == origin);
+        let ended = EndedAttempt {
+            request,
+            attempt,
+            outcome,
+            elapsed,
+            is_cache_hit,
+            predicted_transfer_time,
+            is_at_origin,
+        };
         self.release(now, &ended);
-        self.judge(now, &ended);
+        self.record_outcome(now, &ended);
         self.adjust_fill_prices(now, &ended);
         let has_outstanding = outstanding(request) > 0;
         match outcome {
@@ -60,9 +68,9 @@
         }
     }
 
-    /// Accounts for an attempt that is no longer outstanding.
+    /// Removes the attempt from the counts of outstanding attempts.
     fn release(&mut self, now: Ns, ended: &EndedAttempt) {
-        for node in self.involved(ended.attempt.node, ended.attempt.source) {
+        for node in self.involved_nodes(ended.attempt.node, ended.attempt.source) {
             if let Some(endpoint) = self.endpoints.get_mut(node) {
                 endpoint.outstanding = endpoint.outstanding.saturating_sub(1);
                 if ended.outcome == Outcome::Success {
@@ -78,21 +86,22 @@
         }
     }
 
-    /// Judges the node and the source by the outcome.
-    fn judge(&mut self, now: Ns, ended: &EndedAttempt) {
+    /// Records the outcome in the health and the limits of the node and the source.
+    fn record_outcome(&mut self, now: Ns, ended: &EndedAttempt) {
         let node = ended.attempt.node;
         match ended.outcome {
-            Outcome::Success => self.judge_success(now, ended),
+            Outcome::Success => self.record_success(now, ended),
             Outcome::Miss => self.record_direct(now, node, false, 1),
             Outcome::ConnectFailed => self.record_direct(now, node, true, CONNECT_FAILURE_COUNT),
-            Outcome::Overloaded => self.judge_rejection(ended),
-            Outcome::Error | Outcome::ConnectionLost | Outcome::TimedOut => self.judge_failure(now, ended),
+            Outcome::Overloaded => self.record_rejection(ended),
+            Outcome::Error | Outcome::ConnectionLost | Outcome::TimedOut => self.record_failure(now, ended),
             Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
 
-    /// Judges the node by its pace, the source by the fill, and the origin by the latency objective.
-    fn judge_success(&mut self, now: Ns, ended: &EndedAttempt) {
+    /// Records a success: the latency counts for the node, the fill for the source, and the latency objective for the
+    /// origin.
+    fn record_success(&mut self, now: Ns, ended: &EndedAttempt) {
         let request = ended.request;
         let is_size_known = request.size_kb > 0.0;
         let is_time_known = is_size_known || self.history.transfer_time(request).is_some();
@@ -102,7 +111,7 @@
         }
         self.record_direct(now, ended.attempt.node, false, 1);
         if is_time_known {
-            self.judge_pace(now, ended);
+            self.record_latency(now, ended);
         }
         if let Some(source) = ended.attempt.source {
             let weight = self.fill_weight(ended);
@@ -117,10 +126,10 @@
         }
     }
 
-    /// Judges whether an answer came late for its size.
-    fn judge_pace(&mut self, now: Ns, ended: &EndedAttempt) {
-        let is_late = ended.elapsed as f64 > late_after(ended.predicted);
-        self.record_pace(is_late, ended.predicted);
+    /// Records whether an answer was late for its size, for overload detection and for the node's concurrency limit.
+    fn record_latency(&mut self, now: Ns, ended: &EndedAttempt) {
+        let is_late = ended.elapsed as f64 > late_after(ended.predicted_transfer_time);
+        self.record_overload_sample(is_late, ended.predicted_transfer_time);
         let Some(endpoint) = self.endpoints.get_mut(ended.attempt.node) else { return };
         if is_late {
             endpoint.concurrency.on_late(now, ended.is_cache_hit == Some(false));
@@ -129,17 +138,17 @@
         }
     }
 
-    /// How much an answer says about its source.
+    /// The weight of an answer in the fill failure rate of its source.
     fn fill_weight(&self, ended: &EndedAttempt) -> f64 {
         match ended.is_cache_hit {
             Some(true) => 0.0,
-            None if self.history.is_reused(ended.request) => POSSIBLE_FILL_PART * OUTCOME_WEIGHT,
+            None if self.history.is_reused(ended.request) => POSSIBLE_FILL_WEIGHT * OUTCOME_WEIGHT,
             _ => OUTCOME_WEIGHT,
         }
     }
 
-    /// A quick rejection is the node's own, a slower one that of its source.
-    fn judge_rejection(&mut self, ended: &EndedAttempt) {
+    /// Records a rejection. A quick rejection came from the node itself, a slower one from its source.
+    fn record_rejection(&mut self, ended: &EndedAttempt) {
         if ended.is_at_origin {
             self.origin_limit.on_failure();
         }
@@ -159,10 +168,10 @@
         }
     }
 
-    /// Judges whose fault a failure was.
-    fn judge_failure(&mut self, now: Ns, ended: &EndedAttempt) {
+    /// Records a failure and attributes it to the node, the source or both.
+    fn record_failure(&mut self, now: Ns, ended: &EndedAttempt) {
         if ended.outcome == Outcome::TimedOut {
-            self.record_pace(true, ended.predicted);
+            self.record_overload_sample(true, ended.predicted_transfer_time);
         }
         if ended.is_at_origin {
             self.origin_limit.on_failure();
@@ -172,11 +181,13 @@
         if let Some(source) = source.filter(|_| blame.source) {
             self.record_fill(source, true, OUTCOME_WEIGHT);
         }
-        // A slow node answers others meanwhile; one that has answered nothing since the attempt is likely dead.
+        // A slow node answers other attempts meanwhile. A node that has answered nothing since this attempt is likely
+        // dead.
         let endpoint = self.endpoints.get(node);
         let has_answered = endpoint.is_some_and(|endpoint| endpoint.health.has_answered_since(sent_at));
         let is_dead = ended.outcome == Outcome::TimedOut && !has_answered;
-        // What fails behind a parent may be the origin's fault: only an attempt without a fill judges the parent.
+        // A failure behind a parent may be caused by the origin, so only an attempt without a fill counts for the
+        // parent.
         let is_parent = self.endpoints.role(node) == Some(EndpointRole::Parent);
         if source.is_none() || !is_parent && (is_dead || blame.node) {
             let count = if is_dead { SILENT_TIMEOUT_COUNT } else { 1 };
@@ -184,7 +195,7 @@
         }
     }
 
-    /// Whom a failure of this node with this source is blamed on.
+    /// Attributes a failure of an attempt at this node with this source.
     fn blame(&self, node: usize, source: Option<usize>) -> Blame {
         let node = self.endpoints.get(node);
         let source = source.and_then(|source| self.endpoints.get(source));
@@ -194,27 +205,27 @@
         )
     }
 
-    /// Records an outcome of an attempt straight at a node, which counts `count` times.
+    /// Records the outcome of an attempt sent directly to a node. It counts as `count` outcomes.
     fn record_direct(&mut self, now: Ns, node: usize, failed: bool, count: i32) {
         let Some(endpoint) = self.endpoints.get_mut(node) else { return };
         let change = endpoint.health.record_direct(now, endpoint.role, failed, count);
         self.mode_changes.extend(change.map(|change| ModeChange::Health { node, change }));
     }
 
-    /// Records an outcome of a fill from a source.
+    /// Records the outcome of a fill from a source.
     fn record_fill(&mut self, source: usize, failed: bool, weight: f64) {
         if let Some(endpoint) = self.endpoints.get_mut(source) {
             endpoint.health.record_fill(failed, weight);
         }
     }
 
-    /// Counts an attempt for the detection of overload.
-    fn record_pace(&mut self, is_late: bool, transfer_time: f64) {
+    /// Records for overload detection whether an attempt was late.
+    fn record_overload_sample(&mut self, is_late: bool, transfer_time: f64) {
         let change = self.overload.record(is_late, transfer_time);
         self.mode_changes.extend(change.map(ModeChange::Overload));
     }
 
-    /// Moves the prices of all parents by the outcome of a fill, that of its own source the most.
+    /// Adjusts the prices of all parents by the outcome of a fill. The price of the fill's own source moves the most.
     fn adjust_fill_prices(&mut self, now: Ns, ended: &EndedAttempt) {
         let Some(source) = ended.attempt.source else { return };
         let is_timely = now <= self.objective_end(ended.request);
@@ -236,8 +247,13 @@
     }
 }
 
-/// A timeout of a request whose client gave less time than its transfer takes is nobody's fault.
-fn excuse_short_deadline(request: &Request, outcome: Outcome, predicted: f64) -> Outcome {
+/// Turns a timeout into a cancellation if the client gave less time than the transfer takes, so that no node is
+/// blamed for it.
+fn reclassify_short_deadline(request: &Request, outcome: Outcome, predicted_transfer_time: f64) -> Outcome {
     let given = request.deadline.saturating_sub(request.arrived_at) as f64;
-    if outcome == Outcome::TimedOut && given < late_after(predicted) { Outcome::Cancelled } else { outcome }
+    if outcome == Outcome::TimedOut && given < late_after(predicted_transfer_time) {
+        Outcome::Cancelled
+    } else {
+        outcome
+    }
 }
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -1,8 +1,9 @@
-//! Slow start: a cold node earns credit for a growing part of the requests that a warm one serves for this director.
+//! Slow start: a cold node earns credit for a growing share of the requests that a warm node serves for this
+//! director.
 //!
-//! Guards a fresh node against collapse under the load of all directors together. Demand does not count, so that
-//! retries, an overload or the loss of most nodes cannot raise it. Its cost: what warms up quickly is held back, and with
-//! no warm node left a part of the demand has to be the measure.
+//! This protects a new node from collapsing under the load of all directors together. Credit does not depend on
+//! demand, so that retries, overload or the loss of most nodes cannot raise it. The cost is that a node that warms up
+//! quickly is held back, and that a share of the demand has to serve as the measure while there is no warm node.
 
 mod credit;
 
@@ -13,16 +14,18 @@
 
 pub(crate) use credit::Credit;
 
-/// The part of the load at which a cold node would collapse that it is given.
-const SAFE_PART: f64 = 0.5;
-/// The part of the demand that stands in for the load of a warm node while none has been seen: demand may be far above
-/// what nodes bear.
-const UNPROVEN_PART: f64 = 0.25;
-/// Credit is earned for at most so long at once, so that a quiet time does not save up for a rush.
+/// A cold node is given this share of the load at which it would collapse.
+const SAFE_LOAD_SHARE: f64 = 0.5;
+/// While the load of a warm node has not been measured, it is estimated as this share of the demand per node, because
+/// demand may be far above the capacity of the nodes.
+const ASSUMED_DEMAND_SHARE: f64 = 0.25;
+/// The longest time for which credit is earned at once, so that a period without requests does not save up credit for
+/// a burst of them.
 const MAX_EARNING_TIME: Ns = SECOND;
-/// How fast the estimate of a warm node's load follows a higher load.
+/// The gain with which the estimate of a warm node's load follows a higher load.
 const LOAD_RISE_GAIN: f64 = 0.3;
-/// How fast it follows a lower one: slowly, as a quiet time is no sign that nodes bear less.
+/// The gain with which it follows a lower load. It is small, because a period of low load does not mean that nodes
+/// have less capacity.
 const LOAD_FALL_GAIN: f64 = 0.05;
 
 /// The slow-start settings of one role.
@@ -50,8 +53,8 @@
     }
 }
 
-/// The share of its full capacity that a node has at least by now.
-fn warmth(settings: &Settings, endpoint: &Endpoint, now: Ns) -> f64 {
+/// The share of its full capacity that a node has reached by now, at least.
+fn capacity_share(settings: &Settings, endpoint: &Endpoint, now: Ns) -> f64 {
     let started_at = endpoint.listing.started_at;
     if started_at == 0 || endpoint.role == EndpointRole::Origin {
         return 1.0;
@@ -64,9 +67,9 @@
     (initial_share + (1.0 - initial_share) * age).min(1.0)
 }
 
-/// Whether a node has its full capacity by now.
+/// Whether a node has reached its full capacity by now.
 fn is_warm(settings: &Settings, endpoint: &Endpoint, now: Ns) -> bool {
-    warmth(settings, endpoint, now) >= 1.0
+    capacity_share(settings, endpoint, now) >= 1.0
 }
 
 /// Whether a node is warm or has credit for a request of this class.
@@ -74,42 +77,43 @@
     is_warm(settings, endpoint, now) || endpoint.credit.covers(class)
 }
 
-/// The part of a warm node's load that a cold one is given: safe against its collapse whatever the demand.
-fn safe_part(settings: &Settings, endpoint: &Endpoint, now: Ns) -> f64 {
+/// The share of a warm node's load that is given to a cold node. It keeps the cold node from collapsing at any
+/// demand.
+fn safe_load_share(settings: &Settings, endpoint: &Endpoint, now: Ns) -> f64 {
     let multiple = SlowStartSettings::of(settings, endpoint.role).collapse_multiple;
-    (SAFE_PART * multiple * warmth(settings, endpoint, now)).min(1.0)
+    (SAFE_LOAD_SHARE * multiple * capacity_share(settings, endpoint, now)).min(1.0)
 }
 
-/// The load that a warm node takes from this director, and the credit that cold ones earn by it.
+/// The load that warm nodes serve for this director, from which cold nodes earn their credit.
 #[derive(Clone, Debug)]
 pub(crate) struct SlowStart {
-    warm_cache_load: WarmLoad,
-    warm_parent_load: WarmLoad,
-    /// The requests of the open window.
+    warm_cache_load: WarmNodeLoad,
+    warm_parent_load: WarmNodeLoad,
+    /// The requests of the current window.
     requested: ClassCounts,
-    /// The most parents that were listed.
+    /// The largest number of parents that were listed at once.
     max_parents: usize,
-    /// Until when cold nodes have earned their credit.
+    /// The time up to which cold nodes have earned their credit.
     earned_until: Ns,
 }
 
 impl SlowStart {
     pub(crate) fn new(now: Ns) -> Self {
         SlowStart {
-            warm_cache_load: WarmLoad::default(),
-            warm_parent_load: WarmLoad::default(),
+            warm_cache_load: WarmNodeLoad::default(),
+            warm_parent_load: WarmNodeLoad::default(),
             requested: ClassCounts::default(),
             max_parents: 0,
             earned_until: now,
         }
     }
 
-    /// Notes how many parents are listed.
+    /// Records how many parents are listed.
     pub(crate) fn record_parents(&mut self, listed: usize) {
         self.max_parents = self.max_parents.max(listed);
     }
 
-    /// Counts the demand of a request.
+    /// Records a request as demand.
     pub(crate) fn record_request(&mut self, class: usize) {
         self.requested.add(class, 1.0);
     }
@@ -124,66 +128,66 @@
                 if is_warm(settings, endpoint, now) {
                     return;
                 }
-                let part = elapsed / WINDOW as f64 * safe_part(settings, endpoint, now);
-                endpoint.credit.earn(&load.served, part, endpoint.sharing);
+                let share = elapsed / WINDOW as f64 * safe_load_share(settings, endpoint, now);
+                endpoint.credit.earn(&load.served, share, endpoint.sharing_factor);
             });
         }
     }
 
-    /// Follows what warm nodes served in the window that closes. A loss of nodes leaves the estimates: those that are
-    /// left must not be pushed for it.
+    /// Updates the estimates with what warm nodes served in the window that ends. If no warm node is left, the
+    /// estimates stay as they are, so that a loss of nodes does not overload the cold ones that remain.
     pub(crate) fn close_window(&mut self, settings: &Settings, endpoints: &EndpointTable, now: Ns) {
         for ring in [Ring::Caches, Ring::Parents] {
             let shared_among = match ring {
                 Ring::Caches => None,
-                // Few parents serve all, so that the loss of some must not raise the estimate for a fresh one.
+                // A few parents serve all fills, so the loss of some must not raise the estimate for a new one.
                 Ring::Parents => Some(self.max_parents),
             };
-            let seen = mean_warm_served(settings, endpoints, ring, shared_among, now);
-            let unproven = self.unproven_load(endpoints, ring);
-            self.warm_load(ring).close_window(seen, unproven);
+            let measured = mean_served_by_warm(settings, endpoints, ring, shared_among, now);
+            let estimated = self.estimate_from_demand(endpoints, ring);
+            self.warm_load(ring).close_window(measured, estimated);
         }
         self.requested.clear();
     }
 
-    fn warm_load(&mut self, ring: Ring) -> &mut WarmLoad {
+    fn warm_load(&mut self, ring: Ring) -> &mut WarmNodeLoad {
         match ring {
             Ring::Caches => &mut self.warm_cache_load,
             Ring::Parents => &mut self.warm_parent_load,
         }
     }
 
-    /// What stands in for the load of a warm node while none has been seen.
-    fn unproven_load(&self, endpoints: &EndpointTable, ring: Ring) -> ClassCounts {
+    /// Estimates the load of a warm node from the demand, for use until such a load is measured.
+    fn estimate_from_demand(&self, endpoints: &EndpointTable, ring: Ring) -> ClassCounts {
         let members = endpoints.ring(ring).members().len().max(1);
-        let mut unproven = ClassCounts::default();
-        unproven.add_part(&self.requested, UNPROVEN_PART / members as f64);
-        unproven
+        let mut estimated = ClassCounts::default();
+        estimated.add_scaled(&self.requested, ASSUMED_DEMAND_SHARE / members as f64);
+        estimated
     }
 }
 
-/// The estimate of what a warm node serves for this director in a window.
+/// The estimate of what one warm node serves for this director in a window.
 #[derive(Clone, Debug, Default)]
-struct WarmLoad {
+struct WarmNodeLoad {
     served: ClassCounts,
 }
 
-impl WarmLoad {
-    /// Follows what warm nodes served in a window; none: no warm node was up.
-    fn close_window(&mut self, seen: Option<ClassCounts>, unproven: ClassCounts) {
+impl WarmNodeLoad {
+    /// Updates the estimate with what warm nodes served in a window; `measured` is none if no warm node was up.
+    fn close_window(&mut self, measured: Option<ClassCounts>, estimated: ClassCounts) {
         if self.served.total() == 0.0 {
-            self.served = seen.filter(|seen| seen.total() > 0.0).unwrap_or(unproven);
+            self.served = measured.filter(|measured| measured.total() > 0.0).unwrap_or(estimated);
             return;
         }
-        let Some(seen) = seen else { return };
-        let gain = if self.served.total() < seen.total() { LOAD_RISE_GAIN } else { LOAD_FALL_GAIN };
-        self.served.follow(&seen, gain);
+        let Some(measured) = measured else { return };
+        let gain = if self.served.total() < measured.total() { LOAD_RISE_GAIN } else { LOAD_FALL_GAIN };
+        self.served.move_towards(&measured, gain);
     }
 }
 
-/// What a warm member that is up served in the open window: the mean over all of them, or what all served divided by
-/// `shared_among`. None if there is none.
-fn mean_warm_served(
+/// What the warm members that are up served in the current window: the mean per member, or the sum divided by
+/// `shared_among`. None if no warm member is up.
+fn mean_served_by_warm(
     settings: &Settings,
     endpoints: &EndpointTable,
     ring: Ring,
@@ -195,8 +199,8 @@
     if warm.is_empty() {
         return None;
     }
-    let part = 1.0 / shared_among.unwrap_or(warm.len()) as f64;
+    let share = 1.0 / shared_among.unwrap_or(warm.len()) as f64;
     let mut mean = ClassCounts::default();
-    warm.iter().for_each(|endpoint| mean.add_part(&endpoint.served, part));
+    warm.iter().for_each(|endpoint| mean.add_scaled(&endpoint.served, share));
     Some(mean)
 }
--- a/src/slow_start/credit.rs
+++ b/src/slow_start/credit.rs
@@ -1,55 +1,56 @@
-//! The credit of a cold node: the requests that it may still be sent.
+//! The credit of a cold node: the number of requests that it may still be sent.
 
 use crate::class_counts::ClassCounts;
 use crate::types::Settings;
 
-/// The requests for which a director may save credit: one, and so many more divided by the square root of the directors
-/// that share the node. Together they must not save up what makes a cold node collapse.
-const SAVED_REQUESTS_SHARED: f64 = 2.0;
-/// A class earns and saves more than its part of the credit, as the mix of requests at one director varies: so many times
-/// its part...
+/// A director may save credit for one request plus this number divided by the square root of the number of directors
+/// that share the node. All directors together must not save enough to make a cold node collapse.
+const SHARED_SAVED_REQUESTS: f64 = 2.0;
+/// A class earns this multiple of its share of the credit, because the mix of requests at one director varies.
 const CLASS_EARNING_MULTIPLE: f64 = 1.5;
-/// ...and so many times what may be saved for all.
+/// A class saves up to this multiple of the credit that may be saved for all classes together.
 const CLASS_SAVING_MULTIPLE: f64 = 2.0;
 
 /// The credit of a cold node at one director.
 ///
-/// It is counted in requests, and limited for each class. Classes differ in the work of a request, and how much is known
-/// only by means that move: credit that one class earned must not be spent by another.
+/// Credit is counted in requests and also limited per class. Classes differ in the work of a request, and that work
+/// is known only as means that change over time, so credit that one class earned must not be spent by another.
 #[derive(Clone, Debug)]
 pub(crate) struct Credit {
-    /// Directors that share a node take turns at it: the part of a request by which this one comes later.
-    turn: f64,
-    /// What requests of all classes have earned and not spent.
-    of_all: f64,
-    /// The same for each class; a request may go out from this director's turn on.
+    /// The part of a request by which this director's credit is delayed, from 0 up to 1. It differs between the
+    /// directors that share the node, so that they do not send at the same time.
+    stagger: f64,
+    /// The credit that requests of all classes have earned and not spent.
+    total: f64,
+    /// The same per class. A request may be sent once its class has at least `stagger`.
     by_class: ClassCounts,
 }
 
 impl Credit {
-    /// The credit of a node that was just listed, which `sharers` directors share. Their turns go by their index.
-    pub(crate) fn initial(settings: &Settings, sharers: f64) -> Credit {
-        let turn = settings.director_index as f64 % sharers / sharers;
-        Credit { turn, of_all: -turn, by_class: ClassCounts::default() }
+    /// The initial credit of a node that was just listed and that `directors` directors share. The index of this
+    /// director determines its stagger.
+    pub(crate) fn initial(settings: &Settings, directors: f64) -> Credit {
+        let stagger = settings.director_index as f64 % directors / directors;
+        Credit { stagger, total: -stagger, by_class: ClassCounts::default() }
     }
 
-    /// Adds a part of these requests; what may not be saved is lost. `sharing` is the square root of the number of
-    /// directors that share the node.
-    pub(super) fn earn(&mut self, requests: &ClassCounts, part: f64, sharing: f64) {
-        let max_saved = 1.0 + SAVED_REQUESTS_SHARED / sharing;
-        self.of_all = (self.of_all + part * requests.total()).min(max_saved);
-        self.by_class.add_part(requests, CLASS_EARNING_MULTIPLE * part);
-        self.by_class.limit(CLASS_SAVING_MULTIPLE * max_saved + self.turn - 1.0);
+    /// Earns credit for a share of these requests; credit beyond what may be saved is lost. `sharing_factor` is the
+    /// square root of the number of directors that share the node.
+    pub(super) fn earn(&mut self, requests: &ClassCounts, share: f64, sharing_factor: f64) {
+        let max_saved = 1.0 + SHARED_SAVED_REQUESTS / sharing_factor;
+        self.total = (self.total + share * requests.total()).min(max_saved);
+        self.by_class.add_scaled(requests, CLASS_EARNING_MULTIPLE * share);
+        self.by_class.cap_each(CLASS_SAVING_MULTIPLE * max_saved + self.stagger - 1.0);
     }
 
-    /// Whether a request of this class may go out.
+    /// Whether a request of this class may be sent.
     pub(super) fn covers(&self, class: usize) -> bool {
-        self.of_all >= 1.0 && self.by_class.of(class) >= self.turn
+        self.total >= 1.0 && self.by_class.count_of(class) >= self.stagger
     }
 
-    /// Takes off a request that goes out.
+    /// Spends credit on a request that is sent.
     pub(crate) fn spend(&mut self, class: usize) {
-        self.of_all -= 1.0;
+        self.total -= 1.0;
         self.by_class.add(class, -1.0);
     }
 }
--- a/src/transfer_time.rs
+++ b/src/transfer_time.rs
@@ -1,14 +1,14 @@
-//! How long it takes to send an answer: by its size where it is known, else by what was seen before.
+//! Predicts how long it takes to send an answer: by its size if that is known, and by earlier answers otherwise.
 
 use crate::types::{MILLISECOND, Ns, Request, SECOND, Settings};
 
-/// What an attempt takes beside its transfer, by and large.
+/// The approximate time that an attempt takes in addition to its transfer.
 pub(crate) const BASE_LATENCY: Ns = 40 * MILLISECOND;
-/// The weight of one request in the mean of its class, which so follows some fifty requests.
+/// The weight of one request in the mean of its class, which therefore covers about fifty requests.
 const MEAN_GAIN: f64 = 0.02;
-/// Before anything is seen, the mean of a class is its latency objective divided by this: answers are to be well
-/// within it.
-const OBJECTIVE_TO_MEAN: f64 = 2.0;
+/// Before any measurement, the mean of a class is its latency objective divided by this, because answers should be
+/// well within the objective.
+const INITIAL_MEAN_DIVISOR: f64 = 2.0;
 
 /// The transfer times of all request classes, in nanoseconds.
 #[derive(Clone, Debug)]
@@ -20,17 +20,18 @@
 impl TransferTimes {
     pub(crate) fn new(settings: &Settings) -> Self {
         let initial = settings.request_classes.iter();
-        let mean_by_class = initial.map(|class| class.latency_objective as f64 / OBJECTIVE_TO_MEAN).collect();
+        let mean_by_class =
+            initial.map(|class| class.latency_objective as f64 / INITIAL_MEAN_DIVISOR).collect();
         TransferTimes { stream_kb_per_s: settings.stream_kb_per_s, mean_by_class }
     }
 
-    /// The transfer time of a request by its size, where that is known.
+    /// The transfer time of a request by its size, if that is known.
     pub(crate) fn by_size(&self, request: &Request) -> Option<f64> {
         let is_known = request.size_kb > 0.0 && self.stream_kb_per_s > 0.0;
         is_known.then(|| request.size_kb / self.stream_kb_per_s * SECOND as f64)
     }
 
-    /// The mean of a class.
+    /// The mean transfer time of a class.
     pub(crate) fn mean(&self, class: usize) -> f64 {
         self.mean_by_class[class]
     }
--- a/src/types.rs
+++ b/src/types.rs
@@ -1,7 +1,7 @@
-//! The plain values that go into and come out of the decision module.
+//! The plain data types that the decision module takes and returns.
 //!
-//! All times are nanoseconds ([`Ns`]) on one monotonic clock of the caller's choice, all sizes kilobytes. Nodes, zones,
-//! machine kinds and request classes are known by small indices that the caller assigns.
+//! All times are in nanoseconds ([`Ns`]) on one monotonic clock that the caller chooses, and all sizes are in
+//! kilobytes. The caller assigns small indices to nodes, zones, machine kinds and request classes.
 
 /// A time or a duration in whole nanoseconds.
 pub type Ns = u64;
@@ -9,14 +9,14 @@
 pub(crate) const MILLISECOND: Ns = 1_000_000;
 pub(crate) const SECOND: Ns = 1_000 * MILLISECOND;
 
-/// What the operators' deployment prescribes for one director.
+/// The settings of one director, as the operators of the deployment define them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The zone of this director.
     pub zone: usize,
-    /// The position of this director among all directors of the deployment, from 0.
+    /// The index of this director among all directors of the deployment, from 0.
     pub director_index: usize,
-    /// How many directors run in each zone.
+    /// The number of directors in each zone.
     pub directors_per_zone: Vec<usize>,
     /// The request classes, by index.
     pub request_classes: Vec<RequestClass>,
@@ -24,58 +24,58 @@
     pub parent_kind: Option<usize>,
     /// The machine kind of the origin.
     pub origin_kind: usize,
-    /// Whether changes of the endpoint list have to be asked for.
+    /// Whether changes of the endpoint list are not pushed, so that the director has to poll for them.
     pub polls_endpoint_list: bool,
     /// Whether outstanding attempts may be cancelled once a request is answered.
     pub may_cancel: bool,
     /// Whether one request may have two attempts outstanding at the same time.
     pub may_hedge: bool,
-    /// Whether clients honour the delay that a rejection names.
+    /// Whether clients honour the retry delay that a rejection names.
     pub may_send_retry_after: bool,
-    /// The longest delay that clients honour.
+    /// The longest retry delay that clients honour.
     pub max_retry_after: Ns,
-    /// The most attempts that one request may make.
+    /// The maximum number of attempts for one request.
     pub max_attempts: usize,
-    /// The share of its capacity that a cache has at its start.
+    /// The share of its full capacity that a cache has when it starts.
     pub slow_start_initial_share: f64,
-    /// How long a cache takes at most to reach its full capacity; 0: caches start at full capacity.
+    /// The longest time that a cache takes to reach its full capacity; 0 if caches start at full capacity.
     pub slow_start_window: Ns,
-    /// The multiple of its present capacity at which a cold cache collapses.
+    /// A cold cache collapses under a load of this multiple of its present capacity.
     pub collapse_multiple: f64,
-    /// The share of its capacity that a parent has at its start.
+    /// The share of its full capacity that a parent has when it starts.
     pub parent_slow_start_initial_share: f64,
-    /// How long a parent takes at most to reach its full capacity; 0: parents start at full capacity.
+    /// The longest time that a parent takes to reach its full capacity; 0 if parents start at full capacity.
     pub parent_slow_start_window: Ns,
-    /// The multiple of its present capacity at which a cold parent collapses.
+    /// A cold parent collapses under a load of this multiple of its present capacity.
     pub parent_collapse_multiple: f64,
-    /// The rate of one transfer to a client, in kilobytes a second; 0: unknown.
+    /// The rate of one transfer to a client, in kilobytes per second; 0 if unknown.
     pub stream_kb_per_s: f64,
-    /// Whether attempts may go to parents and the origin, past the caches.
+    /// Whether attempts may bypass the caches and go directly to parents and the origin.
     pub may_bypass_cache: bool,
-    /// Whether a cache can let a request join a fill of the same object that is under way.
+    /// Whether a cache can let a request join a fill of the same object that is already in progress.
     pub may_coalesce: bool,
-    /// How long after a purge copies from before it may still exist.
+    /// How long after a purge copies that are older than the purge may still exist.
     pub purge_propagation_window: Ns,
-    /// The resolution of the caller's timers: deadlines are kept this much early.
+    /// The resolution of the caller's timers. The margins before deadlines are multiples of it.
     pub tick: Ns,
 }
 
-/// What requests of one class have in common.
+/// The properties that all requests of one class share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// The latency within which an answer has its full worth.
+    /// The latency up to which an answer has its full value.
     pub latency_objective: Ns,
-    /// The objective grows by this multiple of the request's own transfer time.
+    /// The objective is extended by this multiple of the request's predicted transfer time.
     pub latency_objective_stretch: Option<f64>,
-    /// What an answer is worth, relative to other classes.
+    /// The value of an answer, relative to the other classes.
     pub priority_weight: f64,
     /// What happens if the request is executed more than once.
     pub effect: Effect,
-    /// How long a copy is fresh; 0: until it is purged.
+    /// How long a copy stays fresh; 0 if it stays fresh until it is purged.
     pub fresh_for: Ns,
-    /// How long past its fresh time a copy may be served.
+    /// How long after the end of its fresh time a copy may still be served.
     pub stale_for: Ns,
-    /// Whether objects of this class consist of several parts, each requested and cached on its own.
+    /// Whether objects of this class consist of several parts, each of which is requested and cached separately.
     pub is_multipart: bool,
     /// Whether answers are never cached; such requests are executed at the origin.
     pub is_uncacheable: bool,
@@ -84,16 +84,16 @@
 /// What happens if a request is executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// Nothing: it may be repeated at will.
+    /// No further effect: the request may be repeated any number of times.
     Idempotent,
-    /// Nodes recognise a repeat and drop it.
+    /// Nodes recognise a repeated request and drop it.
     Deduplicated {
-        /// Which nodes recognise each other's requests.
+        /// The nodes that recognise repeats of each other's requests.
         within: DeduplicationScope,
-        /// How long after the first execution a repeat is recognised.
+        /// How long after the first execution a node recognises a repeat.
         window: Ns,
     },
-    /// The effect happens again: it must not be repeated.
+    /// The effect happens again, so the request must not be repeated.
     SideEffecting,
 }
 
@@ -108,15 +108,15 @@
     Cell,
 }
 
-/// The state of a node as the endpoint list gives it.
+/// The state of a node according to the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// The node accepts requests.
     #[default]
     Ready,
-    /// It finishes what it has and must get nothing new.
+    /// The node finishes its outstanding requests and must not get new ones.
     Draining,
-    /// It no longer exists.
+    /// The node no longer exists.
     Gone,
 }
 
@@ -129,39 +129,39 @@
     pub rank: u64,
     /// The zone of the node.
     pub zone: usize,
-    /// The machine kind, which tells caches, parents and the origin apart.
+    /// The machine kind, which determines whether the node is a cache, a parent or the origin.
     pub machine_kind: usize,
     /// The cell within the zone.
     pub cell: usize,
-    /// When the node started; 0: long ago.
+    /// When the node started; 0 if that was so long ago that the node has its full capacity.
     pub started_at: Ns,
-    /// Whether it takes requests.
+    /// Whether the node accepts requests.
     pub state: EndpointState,
-    /// How many of its virtual nodes, of [`VIRTUAL_NODES`](crate::VIRTUAL_NODES), it leaves to others: its share of the
-    /// ring while a hierarchy version is rolled out.
+    /// How many of its [`VIRTUAL_NODES`](crate::VIRTUAL_NODES) the node leaves to other members. This reduces its
+    /// share of the ring while a hierarchy version is rolled out.
     pub withheld_virtual_nodes: u16,
 }
 
-/// A client's request and the attempts made for it so far.
+/// A client's request with the attempts that were made for it so far.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The object that is asked for.
+    /// The requested object.
     pub object: u64,
-    /// Which part of the object, from 0.
+    /// The requested part of the object, from 0.
     pub part: u32,
-    /// The group of objects, which purges may name.
+    /// The group of the object. A purge may name a whole group.
     pub group: u32,
     /// The index of its [`RequestClass`].
     pub class: usize,
-    /// The size of the part; 0: unknown.
+    /// The size of the part, in kilobytes; 0 if unknown.
     pub size_kb: f64,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived_at: Ns,
-    /// When its client gives up.
+    /// When the client stops waiting for an answer.
     pub deadline: Ns,
-    /// Whether the client marked it as a retry of its own.
+    /// Whether the client marked the request as a retry.
     pub is_client_retry: bool,
-    /// Whether it writes, so that its answer must not be cached.
+    /// Whether the request is a write, whose answer must not be cached.
     pub is_write: bool,
     /// All attempts, in the order in which they were made.
     pub attempts: Vec<Attempt>,
@@ -170,13 +170,13 @@
 /// One attempt of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    /// The node that it went to.
+    /// The node that the attempt was sent to.
     pub node: usize,
-    /// The node that a miss was to be filled from.
+    /// The node from which a miss was to be filled.
     pub source: Option<usize>,
-    /// When it was made.
+    /// When the attempt was made.
     pub sent_at: Ns,
-    /// How it ended; none while it is outstanding.
+    /// How the attempt ended; none while it is outstanding.
     pub outcome: Option<Outcome>,
 }
 
@@ -185,71 +185,72 @@
 pub enum Outcome {
     /// The client was answered.
     Success,
-    /// The node failed.
+    /// The node failed to serve the request.
     Error,
-    /// The node, or the source behind it, rejected it for want of capacity, without executing it.
+    /// The node, or the source behind it, rejected the attempt for lack of capacity, without executing it.
     Overloaded,
-    /// No answer came in time.
+    /// No answer came before the timeout.
     TimedOut,
-    /// No connection could be made, so it was not executed.
+    /// No connection could be made, so the attempt was not executed.
     ConnectFailed,
-    /// The connection was lost while it was outstanding.
+    /// The connection was lost while the attempt was outstanding.
     ConnectionLost,
-    /// It was cancelled.
+    /// The attempt was cancelled.
     Cancelled,
-    /// It never left this director, so it was not executed.
+    /// The attempt never left this director, so it was not executed.
     NotSent,
-    /// The node had no copy and was not to fill one.
+    /// The node had no copy, and the attempt named no source to fill one from.
     Miss,
 }
 
-/// A node's load report, as far as it names these values; 1.0 is full utilization.
+/// The load that a node reported, where 1.0 is full utilization. A value is none if the report does not contain it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Utilization of the node's processor cores.
+    /// The utilization of the node's processor cores.
     pub cpu_utilization: Option<f64>,
-    /// Utilization of the link of the node's location.
+    /// The utilization of the network link of the node's location.
     pub link_utilization: Option<f64>,
 }
 
-/// What an attempt is to ask of a node.
+/// An attempt that is to be made, with what it asks of the node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptSpec {
     /// The node to send it to.
     pub node: usize,
-    /// The node that a miss is filled from; none: a miss is not filled.
+    /// The node from which a miss is filled; none if a miss must not be filled.
     pub source: Option<usize>,
-    /// How long to wait for its outcome.
+    /// How long to wait for the outcome.
     pub timeout: Ns,
-    /// The time by which its first byte must have left, however long it waits for a connection.
+    /// The time by which the first byte must be sent, even if the attempt has to wait for a connection.
     pub begin_by: Ns,
-    /// The oldest copy that may be served; none: the class's fresh time decides.
+    /// The maximum age of a copy that may be served; none if the class's fresh time decides.
     pub max_age: Option<Ns>,
-    /// Whether it may join a fill of the same object that is under way.
+    /// Whether the attempt may join a fill of the same object that is already in progress.
     pub coalesce: bool,
-    /// Whether a copy past its fresh time is renewed in the background.
+    /// Whether a copy that is past its fresh time is refreshed in the background.
     pub refresh: bool,
-    /// 0: the answer is passed through uncached; 1 to 3: the rank at which it is cached, the highest kept longest.
+    /// 0 if the answer is passed through uncached, 1 to 3 if it is cached. Copies of a higher rank are kept longer.
     pub retention_rank: u8,
 }
 
 /// What to do with a request now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RouteDecision {
-    /// Make this attempt. It counts as made.
+    /// Make this attempt. The router already counts it as made.
     Attempt(AttemptSpec),
-    /// Make no further attempt now: one is outstanding.
+    /// Make no further attempt now, because one is outstanding.
     Wait,
-    /// Cancel all attempts that are outstanding: a node that begins one from now on could repeat the effect of another.
+    /// Cancel all outstanding attempts: a node that begins one of them from now on could repeat the effect of
+    /// another.
     CancelOutstanding,
-    /// End all attempts that are outstanding as timed out: the answer has to leave now to be in time.
+    /// End all outstanding attempts as timed out: the answer has to be sent now to arrive before the deadline.
     TimeOutOutstanding,
-    /// Reject it, which proves to the client that it had no effect.
+    /// Reject the request. A rejection guarantees to the client that the request had no effect.
     Reject {
-        /// How long the client is asked to wait before it tries again; 0: it is not asked to.
+        /// How long the client is asked to wait before it retries; 0 if it is not asked to wait.
         retry_after: Ns,
     },
-    /// Answer with a failure: it may have had its effect.
+    /// Answer with a failure, because the request may have taken effect.
     Fail,
 }
 
@@ -258,11 +259,11 @@
 pub enum NextStep {
     /// The request is answered.
     Done {
-        /// Whether to cancel its other attempts that are outstanding.
+        /// Whether to cancel the request's other outstanding attempts.
         cancel_outstanding: bool,
     },
-    /// Ask where to route it again.
+    /// Call [`Router::route`](crate::Router::route) again.
     Retry,
-    /// Another attempt is outstanding.
+    /// Wait, because another attempt is outstanding.
     Wait,
 }
