--- a/benches/router.rs
+++ b/benches/router.rs
@@ -1,4 +1,4 @@
-//! The ordinary way of a request through the router: where to send it, and what to do after its outcome.
+//! Benchmarks of the common path of a request through the router: where to send it, and what to do after its outcome.
 
 use std::hint::black_box;
 
@@ -13,12 +13,12 @@
 
 use support::{MS, START, endpoint_list, route_and_finish, settings};
 
-fn ordinary(c: &mut Criterion) {
-    let lines: Vec<EndpointUpdate> = endpoint_list(10, 3);
+fn common_path(c: &mut Criterion) {
+    let list: Vec<EndpointUpdate> = endpoint_list(10, 3);
     for (name, withheld) in [("a request", 0), ("a request while a parent joins by a quarter", 192)] {
         let mut router = Router::new(settings(), 1, START);
-        let mut updates = lines.clone();
-        if let Some(parent) = updates.iter_mut().find(|l| l.node == 50) {
+        let mut updates = list.clone();
+        if let Some(parent) = updates.iter_mut().find(|listing| listing.node == 50) {
             parent.withheld_virtual_nodes = withheld;
         }
         router.update_endpoints(START, &updates, true);
@@ -26,7 +26,7 @@
         c.bench_function(name, |b| {
             b.iter(|| {
                 now += 3 * MS;
-                // Now and then an attempt times out.
+                // About one attempt in a hundred times out.
                 let outcome = if rng.random::<f64>() < 0.01 { Outcome::TimedOut } else { Outcome::Success };
                 black_box(route_and_finish(&mut router, now, rng.random_range(0..5_000), 30 * MS, outcome));
                 if now % (1_500 * MS) == 0 {
@@ -37,5 +37,5 @@
     }
 }
 
-criterion_group!(benches, ordinary);
+criterion_group!(benches, common_path);
 criterion_main!(benches);
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Each rule alone, at its edges.
+//! Checks each invariant separately, at its limits.
 
 use sablecross::invariants::{
     BeginDenied, CLIENT_CHECK_MAX_AGE, ClientConnectionState, CloseDenied, PendingAttempt, ProposedAttempt,
@@ -17,7 +17,7 @@
 };
 
 #[test]
-fn an_attempt_begins_only_in_its_time_and_for_a_client_that_is_there() {
+fn pending_attempt_begins_only_in_time_and_for_a_connected_client() {
     let cases = [
         (PENDING, Ok(5)),
         (PendingAttempt { answer_by: NOW, ..PENDING }, Err(BeginDenied::Expired)),
@@ -35,13 +35,13 @@
         ),
         (PendingAttempt { clients_checked_at: NOW + 1, ..PENDING }, Ok(5)),
     ];
-    for (waiting, expected) in cases {
-        assert_eq!(waiting.may_begin(NOW), expected, "{waiting:?}");
+    for (pending, expected) in cases {
+        assert_eq!(pending.may_begin(NOW), expected, "{pending:?}");
     }
 }
 
 #[test]
-fn a_connection_closes_only_when_it_owes_nothing() {
+fn client_connection_closes_only_without_pending_work() {
     let none = ClientConnectionState::default();
     let cases = [
         (none, Ok(())),
@@ -60,17 +60,19 @@
 }
 
 #[test]
-fn what_is_chosen_is_held_against_each_rule() {
+fn proposed_attempt_is_checked_against_each_rule() {
     let window = 1_000;
     let deduplicated = Effect::Deduplicated { within: DeduplicationScope::All, window };
-    let never = [Outcome::Overloaded, Outcome::ConnectFailed, Outcome::NotSent, Outcome::Miss];
+    let not_executed = [Outcome::Overloaded, Outcome::ConnectFailed, Outcome::NotSent, Outcome::Miss];
     let attempt = |sent_at, outcome| Attempt { node: 0, source: None, sent_at, outcome };
-    let never = never.map(|outcome| attempt(NOW - 5_000, Some(outcome)));
-    let maybe = |at, outcome| [attempt(at, outcome)];
-    let (lost, old) =
-        (maybe(NOW - 999, Some(Outcome::ConnectionLost)), maybe(NOW - 1_000, Some(Outcome::TimedOut)));
-    let out = maybe(NOW - 1, None);
-    let good = ProposedAttempt {
+    let not_executed = not_executed.map(|outcome| attempt(NOW - 5_000, Some(outcome)));
+    let possibly_executed = |at, outcome| [attempt(at, outcome)];
+    let (lost, old) = (
+        possibly_executed(NOW - 999, Some(Outcome::ConnectionLost)),
+        possibly_executed(NOW - 1_000, Some(Outcome::TimedOut)),
+    );
+    let outstanding = possibly_executed(NOW - 1, None);
+    let valid = ProposedAttempt {
         effect: Effect::Idempotent,
         is_answered: false,
         is_client_gone: false,
@@ -80,35 +82,35 @@
         prior_attempts: &[],
     };
     let cases = [
-        (good, Ok(())),
-        (ProposedAttempt { is_answered: true, ..good }, Err(Violation::AttemptAfterAnswer)),
-        (ProposedAttempt { is_client_gone: true, ..good }, Err(Violation::AttemptForGoneClient)),
-        (ProposedAttempt { deadline: NOW, ..good }, Err(Violation::AttemptAfterDeadline)),
-        (ProposedAttempt { node_state: EndpointState::Draining, ..good }, Err(Violation::NodeNotReady)),
-        (ProposedAttempt { node_state: EndpointState::Gone, ..good }, Err(Violation::NodeNotReady)),
+        (valid, Ok(())),
+        (ProposedAttempt { is_answered: true, ..valid }, Err(Violation::AttemptAfterAnswer)),
+        (ProposedAttempt { is_client_gone: true, ..valid }, Err(Violation::AttemptForGoneClient)),
+        (ProposedAttempt { deadline: NOW, ..valid }, Err(Violation::AttemptAfterDeadline)),
+        (ProposedAttempt { node_state: EndpointState::Draining, ..valid }, Err(Violation::NodeNotReady)),
+        (ProposedAttempt { node_state: EndpointState::Gone, ..valid }, Err(Violation::NodeNotReady)),
         (
-            ProposedAttempt { source_state: Some(EndpointState::Draining), ..good },
+            ProposedAttempt { source_state: Some(EndpointState::Draining), ..valid },
             Err(Violation::SourceNotReady),
         ),
-        (ProposedAttempt { source_state: None, ..good }, Ok(())),
-        (ProposedAttempt { prior_attempts: &old, ..good }, Ok(())),
-        (ProposedAttempt { effect: Effect::SideEffecting, prior_attempts: &never, ..good }, Ok(())),
+        (ProposedAttempt { source_state: None, ..valid }, Ok(())),
+        (ProposedAttempt { prior_attempts: &old, ..valid }, Ok(())),
+        (ProposedAttempt { effect: Effect::SideEffecting, prior_attempts: &not_executed, ..valid }, Ok(())),
         (
-            ProposedAttempt { effect: Effect::SideEffecting, prior_attempts: &lost, ..good },
+            ProposedAttempt { effect: Effect::SideEffecting, prior_attempts: &lost, ..valid },
             Err(Violation::EffectRepeated),
         ),
         (
-            ProposedAttempt { effect: Effect::SideEffecting, prior_attempts: &out, ..good },
+            ProposedAttempt { effect: Effect::SideEffecting, prior_attempts: &outstanding, ..valid },
             Err(Violation::EffectRepeated),
         ),
-        (ProposedAttempt { effect: deduplicated, prior_attempts: &lost, ..good }, Ok(())),
+        (ProposedAttempt { effect: deduplicated, prior_attempts: &lost, ..valid }, Ok(())),
         (
-            ProposedAttempt { effect: deduplicated, prior_attempts: &old, ..good },
+            ProposedAttempt { effect: deduplicated, prior_attempts: &old, ..valid },
             Err(Violation::EffectRepeated),
         ),
-        (ProposedAttempt { effect: deduplicated, prior_attempts: &never, ..good }, Ok(())),
+        (ProposedAttempt { effect: deduplicated, prior_attempts: &not_executed, ..valid }, Ok(())),
     ];
-    for (chosen, expected) in cases {
-        assert_eq!(chosen.check(NOW), expected, "{chosen:?}");
+    for (proposed, expected) in cases {
+        assert_eq!(proposed.check(NOW), expected, "{proposed:?}");
     }
 }
--- a/tests/router/answers.rs
+++ b/tests/router/answers.rs
@@ -1,12 +1,12 @@
-//! One answer before the deadline, no effect twice, retries within their budget.
+//! Requests are answered once and before their deadline, no effect is repeated, and retries keep to their budget.
 
 use sablecross::*;
 
 use crate::support::*;
 
 #[test]
-fn without_members_a_request_goes_on_or_is_rejected_at_once() {
-    // (caches, parents, origin listed, node, source)
+fn request_without_caches_or_parents_is_attempted_or_rejected() {
+    // (caches, parents, origin listed, expected: whether the node is a cache, and the source)
     let cases = [
         (2, 0, true, Some((true, Some(ORIGIN)))),
         (0, 1, true, Some((false, Some(ORIGIN)))),
@@ -14,16 +14,16 @@
         (0, 0, false, None),
         (2, 0, false, Some((true, None))),
     ];
-    for (caches, parents, origin, want) in cases {
+    for (caches, parents, origin, expected) in cases {
         let mut lines = endpoint_list(caches, parents);
         lines.retain(|l| origin || l.node != ORIGIN);
         let mut router = router_with(settings(), &lines);
-        match (router.route(START, &new_request(5, START)), want) {
-            (RouteDecision::Attempt(s), Some((cache, source))) => {
-                assert_eq!((s.node < 50, s.source), (cache, source));
+        match (router.route(START, &new_request(5, START)), expected) {
+            (RouteDecision::Attempt(spec), Some((cache, source))) => {
+                assert_eq!((spec.node < 50, spec.source), (cache, source));
             }
-            (RouteDecision::Reject { retry_after: pause }, None) => assert!(pause > 0),
-            (got, want) => panic!("{caches} {parents} {origin}: {got:?}, not {want:?}"),
+            (RouteDecision::Reject { retry_after }, None) => assert!(retry_after > 0),
+            (got, expected) => panic!("{caches} {parents} {origin}: {got:?}, not {expected:?}"),
         }
     }
     let mut unlisted = Router::new(settings(), 1, START);
@@ -31,24 +31,27 @@
 }
 
 #[test]
-fn every_request_has_its_answer_before_the_deadline() {
-    // The transfer time is 100 ms: with less than most of that left the request is given up at once.
-    for left in [0, MS, 4 * MS, 60 * MS, 80 * MS, 400 * MS] {
+fn every_request_is_answered_before_its_deadline() {
+    // The transfer time is 100 ms. A request with much less time left is given up immediately.
+    for time_left in [0, MS, 4 * MS, 60 * MS, 80 * MS, 400 * MS] {
         let mut router = router_with(settings(), &endpoint_list(3, 2));
-        let mut request = Request { deadline: START + left, ..new_request(1, START) };
+        let mut request = Request { deadline: START + time_left, ..new_request(1, START) };
         match route_and_record(&mut router, START, &mut request) {
-            RouteDecision::Attempt(s) => {
-                assert!(s.timeout < left, "the last time-out leaves time to answer");
-                let now = START + s.timeout;
+            RouteDecision::Attempt(spec) => {
+                assert!(spec.timeout < time_left, "the last time-out leaves time to answer");
+                let now = START + spec.timeout;
                 assert_eq!(finish_last(&mut router, now, &mut request, Outcome::TimedOut), NextStep::Retry);
                 assert!(matches!(router.route(now, &request), RouteDecision::Reject { .. }));
             }
-            route => {
-                assert!(left <= 60 * MS && matches!(route, RouteDecision::Reject { .. }), "{left} {route:?}")
+            decision => {
+                assert!(
+                    time_left <= 60 * MS && matches!(decision, RouteDecision::Reject { .. }),
+                    "{time_left} {decision:?}"
+                )
             }
         }
     }
-    // Success ends it, and what is still outstanding is cancelled.
+    // A success ends the request, and the outstanding attempt is cancelled.
     let mut router = router_with(settings(), &endpoint_list(3, 2));
     let mut request = new_request(1, START);
     route_and_record(&mut router, START, &mut request);
@@ -62,11 +65,12 @@
 }
 
 #[test]
-fn effects_do_not_happen_twice() {
+fn effects_are_not_repeated() {
     use Outcome::*;
     let dedup = |within| Effect::Deduplicated { within, window: SEC };
-    // (effect, outcome of the first attempt, when, another attempt, whether a rejection is allowed at the deadline, by
-    // when nodes no longer recognise a repeat: the client's retry would be executed again)
+    // (effect, outcome of the first attempt, its elapsed time, whether there is another attempt, whether the request
+    // may be rejected at the deadline). At the deadline nodes no longer recognise a repeat, so a client's retry would
+    // be executed again.
     let cases = [
         (Effect::Idempotent, Error, MS, true, true),
         (Effect::SideEffecting, Error, MS, false, false),
@@ -85,44 +89,48 @@
         (dedup(DeduplicationScope::Cell), Error, 2 * SEC, false, false),
         (dedup(DeduplicationScope::Cell), Overloaded, MS, true, true),
     ];
-    for (effect, outcome, after, again, rejected) in cases {
-        let set = Settings { request_classes: vec![class_with_effect(effect)], ..settings() };
-        let mut router = router_with(set, &endpoint_list(4, 2));
+    for (effect, outcome, elapsed, is_retried, is_rejected) in cases {
+        let case_settings = Settings { request_classes: vec![class_with_effect(effect)], ..settings() };
+        let mut router = router_with(case_settings, &endpoint_list(4, 2));
         let mut request = new_request(8, START);
         route_and_record(&mut router, START, &mut request);
         if effect == Effect::SideEffecting {
             assert_eq!(router.route(START + SEC, &request), RouteDecision::Wait, "no hedge");
         }
-        assert_eq!(finish_last(&mut router, START + after, &mut request, outcome), NextStep::Retry);
-        let route = router.route(START + after, &request);
-        assert_eq!(matches!(route, RouteDecision::Attempt(_)), again, "{effect:?} {outcome:?} {route:?}");
-        let route = router.route(request.deadline, &request);
-        assert_eq!(matches!(route, RouteDecision::Reject { .. }), rejected, "{effect:?} {outcome:?}");
-        assert_eq!(route == RouteDecision::Fail, !rejected);
+        assert_eq!(finish_last(&mut router, START + elapsed, &mut request, outcome), NextStep::Retry);
+        let decision = router.route(START + elapsed, &request);
+        assert_eq!(
+            matches!(decision, RouteDecision::Attempt(_)),
+            is_retried,
+            "{effect:?} {outcome:?} {decision:?}"
+        );
+        let decision = router.route(request.deadline, &request);
+        assert_eq!(matches!(decision, RouteDecision::Reject { .. }), is_rejected, "{effect:?} {outcome:?}");
+        assert_eq!(decision == RouteDecision::Fail, !is_rejected);
     }
-    // A cell's repeats stay in the cell.
+    // A repeat of a request that is deduplicated within a cell stays in that cell.
     for object in 0..50 {
-        let set = Settings {
+        let case_settings = Settings {
             request_classes: vec![class_with_effect(dedup(DeduplicationScope::Cell))],
             ..settings()
         };
-        let mut router = router_with(set, &endpoint_list(4, 2));
+        let mut router = router_with(case_settings, &endpoint_list(4, 2));
         let mut request = new_request(object, START);
         route_and_record(&mut router, START, &mut request);
         finish_last(&mut router, START + MS, &mut request, Outcome::Error);
-        if let RouteDecision::Attempt(s) = router.route(START + MS, &request) {
-            assert_eq!(s.node / 2, request.attempts[0].node / 2);
+        if let RouteDecision::Attempt(spec) = router.route(START + MS, &request) {
+            assert_eq!(spec.node / 2, request.attempts[0].node / 2);
         }
     }
 }
 
-/// Guards against an effect that runs twice: a node that stands still begins an attempt once the others have forgotten
-/// the one that ran.
+/// Guards against an effect that happens twice: a stalled node begins an outstanding attempt after the other nodes
+/// have forgotten the attempt that was executed.
 #[test]
-fn outstanding_attempts_are_cancelled_before_nodes_forget_the_effect() {
+fn outstanding_attempts_are_cancelled_before_the_deduplication_window_ends() {
     use Outcome::*;
     let window = SEC;
-    // (outcome of the first attempt, none while it is outstanding; whether the second is cancelled)
+    // (outcome of the first attempt, none while it is outstanding; whether the second attempt is cancelled)
     let cases = [
         (None, true),
         (Some(Error), true),
@@ -133,8 +141,8 @@
     ];
     for (outcome, is_cancelled) in cases {
         let effect = Effect::Deduplicated { within: DeduplicationScope::All, window };
-        let set = Settings { request_classes: vec![class_with_effect(effect)], ..settings() };
-        let mut router = router_with(set, &endpoint_list(4, 2));
+        let case_settings = Settings { request_classes: vec![class_with_effect(effect)], ..settings() };
+        let mut router = router_with(case_settings, &endpoint_list(4, 2));
         let mut request = new_request(8, START);
         route_and_record(&mut router, START, &mut request);
         assert!(router.next_check(START, &request).is_none_or(|wait| wait < window), "only a hedge is due");
@@ -144,7 +152,7 @@
         let second_at = START + 500 * MS;
         let second = route_and_record(&mut router, second_at, &mut request);
         assert!(matches!(second, RouteDecision::Attempt(_)), "{outcome:?} {second:?}");
-        // The checks that the router asks for, up to the end of the window.
+        // Follows the checks that the router asks for, up to the end of the deduplication window.
         let mut now = second_at;
         let mut decision = None;
         while let Some(wait) = router.next_check(now, &request).filter(|wait| now + wait < START + window) {
@@ -159,7 +167,7 @@
 }
 
 #[test]
-fn an_attempt_that_was_never_sent_costs_no_retry_budget() {
+fn unsent_attempt_costs_no_retry_budget() {
     let mut router = router_with(settings(), &endpoint_list(4, 2));
     for object in 0..40 {
         let mut request = new_request(object, START);
@@ -174,9 +182,10 @@
 }
 
 #[test]
-fn a_repeat_comes_while_nodes_recognise_it_or_not_at_all() {
+fn repeats_stay_within_the_deduplication_window() {
     let effect = Effect::Deduplicated { within: DeduplicationScope::All, window: SEC };
-    // (given up so long after the first attempt, outcome of that, whether it is rejected)
+    // (time after the first attempt at which the request is given up, outcome of that attempt, whether the request is
+    // rejected)
     let cases = [
         (100 * MS, Outcome::Error, true),
         (600 * MS, Outcome::TimedOut, true),
@@ -184,50 +193,50 @@
         (2 * SEC, Outcome::Error, false),
         (2 * SEC, Outcome::Overloaded, true),
     ];
-    for (after, outcome, rejected) in cases {
-        for pauses in [true, false] {
-            let set = Settings {
+    for (elapsed, outcome, is_rejected) in cases {
+        for sends_retry_after in [true, false] {
+            let case_settings = Settings {
                 request_classes: vec![class_with_effect(effect)],
-                may_send_retry_after: pauses,
+                may_send_retry_after: sends_retry_after,
                 max_attempts: 2,
                 ..settings()
             };
-            let mut router = router_with(set, &endpoint_list(4, 2));
+            let mut router = router_with(case_settings, &endpoint_list(4, 2));
             let mut request = new_request(8, START);
             let RouteDecision::Attempt(first) = route_and_record(&mut router, START, &mut request) else {
-                panic!("sent")
+                panic!("no attempt")
             };
             assert_eq!(first.begin_by, Ns::MAX);
-            finish_last(&mut router, START + after, &mut request, outcome);
-            if rejected && outcome != Outcome::Overloaded {
-                // A further attempt may wait for its connection: no longer than nodes recognise it.
-                let RouteDecision::Attempt(next) = router.route(START + after, &request) else {
-                    panic!("sent again")
+            finish_last(&mut router, START + elapsed, &mut request, outcome);
+            if is_rejected && outcome != Outcome::Overloaded {
+                // A further attempt may wait for its connection only as long as nodes recognise it as a repeat.
+                let RouteDecision::Attempt(next) = router.route(START + elapsed, &request) else {
+                    panic!("no second attempt")
                 };
                 assert_eq!(next.begin_by, START + SEC);
             }
-            request.deadline = START + after;
-            let RouteDecision::Reject { retry_after: pause } = router.route(START + after, &request) else {
-                assert!(!rejected, "{after} {outcome:?}");
-                assert_eq!(router.route(START + after, &request), RouteDecision::Fail);
+            request.deadline = START + elapsed;
+            let RouteDecision::Reject { retry_after } = router.route(START + elapsed, &request) else {
+                assert!(!is_rejected, "{elapsed} {outcome:?}");
+                assert_eq!(router.route(START + elapsed, &request), RouteDecision::Fail);
                 continue;
             };
-            assert!(rejected && (pause > 0) == pauses, "{after} {outcome:?}");
-            assert!(outcome == Outcome::Overloaded || after + pause < SEC, "{after} {pause}");
+            assert!(is_rejected && (retry_after > 0) == sends_retry_after, "{elapsed} {outcome:?}");
+            assert!(outcome == Outcome::Overloaded || elapsed + retry_after < SEC, "{elapsed} {retry_after}");
         }
     }
 }
 
 #[test]
-fn a_broken_answer_is_asked_of_its_primary_cache_once_more() {
-    // (outcome of the first attempt, whether the second goes to the same cache)
+fn failed_answer_is_retried_once_at_the_primary_cache() {
+    // (outcome of the first attempt, whether the second attempt goes to the same cache)
     let cases = [
         (Outcome::ConnectionLost, true),
         (Outcome::Error, true),
         (Outcome::Overloaded, false),
         (Outcome::ConnectFailed, false),
     ];
-    for (outcome, same) in cases {
+    for (outcome, is_same_cache) in cases {
         let mut router = router_with(settings(), &endpoint_list(4, 2));
         let mut request = new_request(5, START);
         for _ in 0..2 {
@@ -237,7 +246,7 @@
             ));
             finish_last(&mut router, START + 2 * MS, &mut request, outcome);
         }
-        assert_eq!(request.attempts[0].node == request.attempts[1].node, same, "{outcome:?}");
+        assert_eq!(request.attempts[0].node == request.attempts[1].node, is_same_cache, "{outcome:?}");
         assert!(
             !matches!(router.route(START + 3 * MS, &request), RouteDecision::Attempt(s) if s.node == request.attempts[0].node)
         );
--- a/tests/router/cache_policy.rs
+++ b/tests/router/cache_policy.rs
@@ -1,4 +1,4 @@
-//! Ages and purges, bursts.
+//! The maximum age of copies, purges and bursts.
 
 use std::collections::BTreeSet;
 
@@ -11,53 +11,55 @@
 fn no_answer_is_older_than_a_known_purge() {
     let fresh =
         RequestClass { fresh_for: 20 * SEC, stale_for: 30 * SEC, ..class_with_effect(Effect::Idempotent) };
-    let set = Settings { request_classes: vec![fresh], ..settings() };
-    // (object purged, group purged, made how long ago, asked how long after, oldest copy)
+    let case_settings = Settings { request_classes: vec![fresh], ..settings() };
+    // (purged object, purged group, age of the purge, time from the purge's report to the request, expected maximum
+    // age)
     let cases = [
         (Some(5), 9, SEC, 0, Some(SEC)),
         (Some(5), 9, 0, 0, Some(1)),
         (Some(5), 9, SEC, 2 * SEC, Some(3 * SEC)),
-        // Past the propagation window too: a director that did not know yet may have had an old copy filled again.
+        // The purge counts beyond the propagation window too: a director that does not know it yet may have had an
+        // outdated copy filled again.
         (Some(5), 9, SEC, 9 * SEC, Some(10 * SEC)),
         (Some(5), 9, SEC, 150 * SEC, None),
         (Some(6), 3, SEC, 0, None),
         (None, 3, SEC, 0, Some(SEC)),
         (None, 4, SEC, 0, None),
     ];
-    for (object, group, ago, later, oldest) in cases {
-        let mut router = router_with(set.clone(), &endpoint_list(3, 2));
-        router.record_purge(START, object, group, ago);
-        router.record_purge(START, object, group, ago + 3 * SEC);
-        let now = START + later;
+    for (object, group, age, elapsed, expected) in cases {
+        let mut router = router_with(case_settings.clone(), &endpoint_list(3, 2));
+        router.record_purge(START, object, group, age);
+        router.record_purge(START, object, group, age + 3 * SEC);
+        let now = START + elapsed;
         let mut request = new_request(5, now);
-        let RouteDecision::Attempt(s) = route_and_record(&mut router, now, &mut request) else {
-            panic!("sent")
+        let RouteDecision::Attempt(spec) = route_and_record(&mut router, now, &mut request) else {
+            panic!("no attempt")
         };
-        assert_eq!(s.max_age, oldest, "{object:?} {group} {ago} {later}");
-        // A further attempt after a failed fill takes a stale copy, but none from before the purge.
+        assert_eq!(spec.max_age, expected, "{object:?} {group} {age} {elapsed}");
+        // A further attempt after a failed fill accepts a stale copy, but none from before the purge.
         finish_last(&mut router, now + 10 * MS, &mut request, Outcome::Overloaded);
-        let RouteDecision::Attempt(s) = route_and_record(&mut router, now + 10 * MS, &mut request) else {
-            panic!("sent again")
+        let RouteDecision::Attempt(spec) = route_and_record(&mut router, now + 10 * MS, &mut request) else {
+            panic!("no second attempt")
         };
         assert_eq!(
-            s.max_age,
-            oldest
-                .map(|a| (a + 10 * MS).max(10 * MS))
+            spec.max_age,
+            expected
+                .map(|age| (age + 10 * MS).max(10 * MS))
                 .or(Some(50 * SEC))
-                .map(|a| { if a == 10 * MS + 1 { 10 * MS } else { a } })
+                .map(|age| { if age == 10 * MS + 1 { 10 * MS } else { age } })
         );
     }
 }
 
-/// The processor time of this thread: other than the time on the wall, it does not go on while others run.
+/// The processor time of this thread. Unlike wall-clock time, it does not advance while other threads run.
 fn thread_cpu_time() -> Ns {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     time.tv_sec as Ns * SEC + time.tv_nsec as Ns
 }
 
 #[test]
-fn a_purge_costs_the_same_however_many_are_known() {
-    // Looking at all that are known at each purge made 350 a second cost a hundred times what 35 do.
+fn cost_of_a_purge_does_not_grow_with_known_purges() {
+    // Examining all known purges at each purge made 350 purges per second cost a hundred times as much as 35.
     let time = |known: u64| {
         let mut best = Ns::MAX;
         for _ in 0..3 {
@@ -74,11 +76,11 @@
 }
 
 #[test]
-fn bursts_need_history_and_sigma_and_end() {
-    // (requests of other objects in each 2 s window, whether the hot object is then in burst)
+fn bursts_need_history_and_deviation_and_end() {
+    // (requests for other objects in each 2 s window, whether the hot object is then in burst)
     let varied = [40, 60, 50, 45, 55, 50, 62, 41, 50, 47, 53, 50];
     let cases: [(&[u64], bool); 3] = [(&varied, true), (&[50; 12], false), (&varied[..2], false)];
-    for (windows, burst) in cases {
+    for (windows, is_burst) in cases {
         let mut router = router_with(settings(), &endpoint_list(4, 2));
         let mut now = START + MS;
         for &count in windows {
@@ -90,15 +92,15 @@
         router.take_log_lines();
         let mut nodes = BTreeSet::new();
         for i in 0..400 {
-            if let Some(s) = route_and_finish(&mut router, now + i * MS, 3, MS, Outcome::Success) {
-                nodes.insert(s.node);
+            if let Some(spec) = route_and_finish(&mut router, now + i * MS, 3, MS, Outcome::Success) {
+                nodes.insert(spec.node);
             }
         }
-        assert_eq!(count_log_lines(&mut router, "burst object=3"), usize::from(burst), "{windows:?}");
-        assert_eq!(nodes.len(), if burst { 3 } else { 1 });
+        assert_eq!(count_log_lines(&mut router, "burst object=3"), usize::from(is_burst), "{windows:?}");
+        assert_eq!(nodes.len(), if is_burst { 3 } else { 1 });
         now += 5 * SEC;
         route_and_finish(&mut router, now, 3, MS, Outcome::Success);
         route_and_finish(&mut router, now + 3 * SEC, 3, MS, Outcome::Success);
-        assert_eq!(count_log_lines(&mut router, "burst over"), usize::from(burst), "{windows:?}");
+        assert_eq!(count_log_lines(&mut router, "burst over"), usize::from(is_burst), "{windows:?}");
     }
 }
--- a/tests/router/main.rs
+++ b/tests/router/main.rs
@@ -1,4 +1,4 @@
-//! Tables of cases for the decision module, without the simulator.
+//! Table tests of the decision module, without the simulator.
 
 mod answers;
 mod cache_policy;
@@ -16,9 +16,9 @@
 use sablecross::*;
 use support::*;
 
-/// Where each of many objects goes: the cache and the source.
+/// The node and the source to which the router sends the first attempt for each of the first objects.
 fn targets(router: &mut Router, objects: u64) -> Vec<(usize, Option<usize>)> {
-    let mut go =
+    let mut route =
         |o| route_and_finish(router, START, o, 10 * MS, Outcome::Success).map(|s| (s.node, s.source));
-    (0..objects).map(|o| go(o).expect("sent")).collect()
+    (0..objects).map(|object| route(object).expect("the request is attempted")).collect()
 }
--- a/tests/router/ring.rs
+++ b/tests/router/ring.rs
@@ -1,4 +1,4 @@
-//! Which members own which objects, and what a change of the endpoint list moves.
+//! The owners of objects on the rings, and what moves when the endpoint list changes.
 
 use std::collections::BTreeMap;
 
@@ -8,59 +8,65 @@
 use crate::targets;
 
 #[test]
-fn directors_and_restarts_agree_on_the_layout() {
-    let mut turned = endpoint_list(5, 3);
-    turned.reverse();
+fn directors_agree_on_owners_across_restarts_and_zones() {
+    let mut reversed = endpoint_list(5, 3);
+    reversed.reverse();
     let first = targets(&mut router_with(settings(), &endpoint_list(5, 3)), 400);
-    let other = Settings { director_index: 3, ..settings() };
-    assert_eq!(first, targets(&mut router_with(other, &turned), 400));
-    let elsewhere = Settings { zone: 3, ..settings() };
-    let mut theirs: Vec<EndpointUpdate> = endpoint_list(0, 3);
-    theirs.extend((10..14).map(|n| EndpointUpdate { zone: 3, ..endpoint(n, 0) }));
-    let far = targets(&mut router_with(elsewhere, &theirs), 400);
-    assert!(first.iter().zip(&far).all(|(a, b)| a.1 == b.1), "fills of an object meet at one parent");
-    for (n, share) in (0..5).map(|n| (n, first.iter().filter(|h| h.0 == n).count())) {
+    let other_director_settings = Settings { director_index: 3, ..settings() };
+    assert_eq!(first, targets(&mut router_with(other_director_settings, &reversed), 400));
+    let other_zone_settings = Settings { zone: 3, ..settings() };
+    let mut other_zone_list: Vec<EndpointUpdate> = endpoint_list(0, 3);
+    other_zone_list.extend((10..14).map(|n| EndpointUpdate { zone: 3, ..endpoint(n, 0) }));
+    let other_zone = targets(&mut router_with(other_zone_settings, &other_zone_list), 400);
+    assert!(first.iter().zip(&other_zone).all(|(a, b)| a.1 == b.1), "fills of an object meet at one parent");
+    for (n, share) in (0..5).map(|n| (n, first.iter().filter(|target| target.0 == n).count())) {
         assert!((40..130).contains(&share), "cache {n} has {share} of 400");
     }
 }
 
 #[test]
-fn a_lost_members_share_halves_to_its_neighbours() {
-    // (lost of five caches, least of four heirs' shares of it): its small segments lie among all others.
+fn share_of_a_lost_member_is_divided_among_its_neighbours() {
+    // (lost caches of five, a divisor: each remaining cache inherits at least the lost share divided by it). The
+    // small segments of a lost cache lie among those of all others.
     let cases: [(&[usize], usize); 4] = [(&[2], 7), (&[0], 7), (&[2, 3], 5), (&[1, 2, 3, 4], 1)];
     let before = targets(&mut router_with(settings(), &endpoint_list(5, 2)), 600);
-    for (lost, parts) in cases {
-        let mut lines = endpoint_list(5, 2);
-        lines.iter_mut().filter(|l| lost.contains(&l.node)).for_each(|l| l.state = EndpointState::Draining);
-        let after = targets(&mut router_with(settings(), &lines), 600);
-        let mut taken: BTreeMap<usize, usize> = BTreeMap::new();
-        for (b, a) in before.iter().zip(&after) {
-            if lost.contains(&b.0) {
-                *taken.entry(a.0).or_default() += 1;
+    for (lost, divisor) in cases {
+        let mut list = endpoint_list(5, 2);
+        list.iter_mut()
+            .filter(|listing| lost.contains(&listing.node))
+            .for_each(|listing| listing.state = EndpointState::Draining);
+        let after = targets(&mut router_with(settings(), &list), 600);
+        let mut inherited: BTreeMap<usize, usize> = BTreeMap::new();
+        for (old, new) in before.iter().zip(&after) {
+            if lost.contains(&old.0) {
+                *inherited.entry(new.0).or_default() += 1;
             } else {
-                assert_eq!(a.0, b.0, "positions of live members keep their owner");
+                assert_eq!(new.0, old.0, "positions of live members keep their owner");
             }
         }
-        assert_eq!(taken.len(), 5 - lost.len());
-        let total: usize = taken.values().sum();
-        assert!(taken.values().all(|&t| parts * t >= total), "spread: {taken:?}");
-        // Found once: a member that is gone from the list, or back and still cold, leaves them their owners.
-        lines.retain(|l| !lost.contains(&l.node));
-        assert_eq!(after, targets(&mut router_with(settings(), &lines), 600), "gone");
+        assert_eq!(inherited.len(), 5 - lost.len());
+        let total: usize = inherited.values().sum();
+        assert!(inherited.values().all(|&count| divisor * count >= total), "spread: {inherited:?}");
+        // The lost share moves only once: the owners stay the same when the lost member leaves the list, and when it
+        // is back but still cold.
+        list.retain(|listing| !lost.contains(&listing.node));
+        assert_eq!(after, targets(&mut router_with(settings(), &list), 600), "gone");
         let mut back = endpoint_list(5, 2);
-        back.iter_mut().filter(|l| lost.contains(&l.node)).for_each(|l| l.started_at = START);
+        back.iter_mut()
+            .filter(|listing| lost.contains(&listing.node))
+            .for_each(|listing| listing.started_at = START);
         let mut router = router_with(settings(), &back);
         let cold = targets(&mut router, 60);
-        assert_eq!(after[..60].iter().filter(|s| cold.contains(s)).count(), 60);
+        assert_eq!(after[..60].iter().filter(|target| cold.contains(target)).count(), 60);
     }
 }
 
 #[test]
-fn a_change_of_the_list_moves_one_members_share() {
+fn adding_a_member_moves_only_its_share() {
     let before = targets(&mut router_with(settings(), &endpoint_list(5, 2)), 600);
     let after = targets(&mut router_with(settings(), &endpoint_list(6, 2)), 600);
-    let moved = before.iter().zip(&after).filter(|(b, a)| b.0 != a.0);
-    assert!(moved.clone().all(|(_, a)| a.0 == 5));
+    let moved = before.iter().zip(&after).filter(|(old, new)| old.0 != new.0);
+    assert!(moved.clone().all(|(_, new)| new.0 == 5));
     assert!((60..150).contains(&moved.count()));
     let mut router = router_with(settings(), &endpoint_list(5, 2));
     assert_eq!(count_log_lines(&mut router, "list"), 0, "no line for the first list");
@@ -71,23 +77,23 @@
 }
 
 #[test]
-fn a_parent_that_withholds_virtual_nodes_gets_that_part_of_its_share() {
+fn parent_that_withholds_virtual_nodes_gets_a_smaller_share() {
     let fills = |withheld: u16| {
-        let mut lines = endpoint_list(4, 2);
-        lines.iter_mut().find(|l| l.node == 50).unwrap().withheld_virtual_nodes = withheld;
-        let mut router = router_with(settings(), &lines);
+        let mut list = endpoint_list(4, 2);
+        list.iter_mut().find(|listing| listing.node == 50).unwrap().withheld_virtual_nodes = withheld;
+        let mut router = router_with(settings(), &list);
         let sources = (0..400)
             .filter_map(|o| route_and_finish(&mut router, START + o * 20 * MS, o, 10 * MS, Outcome::Success));
-        sources.filter(|s| s.source == Some(50)).count()
+        sources.filter(|spec| spec.source == Some(50)).count()
     };
     let [full, quarter, none] = [0, 192, 256].map(fills);
     assert!(none == 0 && quarter > 20 && quarter * 2 < full && full > 120, "{full} {quarter} {none}");
-    // With the next update the ring is built anew; all withheld, the origin fills.
-    let mut lines = endpoint_list(4, 1);
-    let mut router = router_with(settings(), &lines);
+    // The ring is rebuilt with the next update. If the only parent withholds all its virtual nodes, the origin fills.
+    let mut list = endpoint_list(4, 1);
+    let mut router = router_with(settings(), &list);
     assert_eq!(route_and_finish(&mut router, START, 1, 10 * MS, Outcome::Success).unwrap().source, Some(50));
-    lines[4].withheld_virtual_nodes = 256;
-    router.update_endpoints(START + SEC, &lines[4..5], false);
+    list[4].withheld_virtual_nodes = 256;
+    router.update_endpoints(START + SEC, &list[4..5], false);
     assert_eq!(count_log_lines(&mut router, "list members=1 before=1"), 1);
     assert_eq!(
         route_and_finish(&mut router, START + SEC, 1, 10 * MS, Outcome::Success).unwrap().source,
@@ -96,21 +102,22 @@
 }
 
 #[test]
-fn odd_lists_and_numbers_find_their_way_or_are_rejected() {
-    let other = |n: usize, zone| EndpointUpdate { zone, ..endpoint(n, 0) };
+fn unusual_endpoint_lists_and_indices_are_handled() {
+    let other = |node: usize, zone| EndpointUpdate { zone, ..endpoint(node, 0) };
     let hundreds: Vec<EndpointUpdate> =
-        endpoint_list(5, 8).into_iter().chain((100..400).map(|n| other(n, 3))).collect();
+        endpoint_list(5, 8).into_iter().chain((100..400).map(|node| other(node, 3))).collect();
     let twice: Vec<EndpointUpdate> = endpoint_list(3, 2).into_iter().chain(endpoint_list(3, 2)).collect();
     let same_rank: Vec<EndpointUpdate> =
-        endpoint_list(3, 2).into_iter().map(|l| EndpointUpdate { rank: 7, ..l }).collect();
-    let state = |state| move |l: EndpointUpdate| EndpointUpdate { state, ..l };
+        endpoint_list(3, 2).into_iter().map(|listing| EndpointUpdate { rank: 7, ..listing }).collect();
+    let state = |state| move |listing: EndpointUpdate| EndpointUpdate { state, ..listing };
     let drained: Vec<EndpointUpdate> =
         endpoint_list(1, 0).into_iter().map(state(EndpointState::Draining)).collect();
     let gone: Vec<EndpointUpdate> = endpoint_list(1, 0).into_iter().map(state(EndpointState::Gone)).collect();
-    // (lists in turn, snapshots or changes, the director's index, whether a request is attempted)
+    // (endpoint lists in turn, each with whether it is a snapshot; index of the director; whether a request is
+    // attempted)
     let cases = [
         ("hundreds of members", vec![(hundreds.clone(), true)], 0, true),
-        ("a number beyond the count", vec![(hundreds, true)], 999, true),
+        ("a director index beyond the count", vec![(hundreds, true)], 999, true),
         ("each member twice", vec![(twice, true)], 0, true),
         ("members of one rank", vec![(same_rank, true)], 0, true),
         ("drains and is gone in one message", vec![([drained, gone.clone()].concat(), true)], 0, false),
@@ -118,44 +125,59 @@
         ("all vanish", vec![(endpoint_list(2, 1), true), (vec![], true)], 0, false),
         ("caches of other locations only", vec![(vec![other(1, 3), endpoint(ORIGIN, 2)], true)], 0, false),
     ];
-    for (what, lists, number, sends) in cases {
-        let fresh = |l: &EndpointUpdate| EndpointUpdate { started_at: START, ..*l };
-        for cold in [false, true] {
-            let set = Settings { director_index: number, directors_per_zone: vec![0, 0, 9], ..settings() };
-            let mut router = Router::new(set, 1, START);
-            for (lines, whole) in &lists {
-                let lines: Vec<EndpointUpdate> =
-                    lines.iter().map(|l| if cold { fresh(l) } else { *l }).collect();
-                router.update_endpoints(START, &lines, *whole);
+    for (case, lists, director_index, is_attempted) in cases {
+        let started_now = |listing: &EndpointUpdate| EndpointUpdate { started_at: START, ..*listing };
+        for is_cold in [false, true] {
+            let case_settings = Settings { director_index, directors_per_zone: vec![0, 0, 9], ..settings() };
+            let mut router = Router::new(case_settings, 1, START);
+            for (list, is_snapshot) in &lists {
+                let list: Vec<EndpointUpdate> = list
+                    .iter()
+                    .map(|listing| if is_cold { started_now(listing) } else { *listing })
+                    .collect();
+                router.update_endpoints(START, &list, *is_snapshot);
             }
             router.record_purge(START, Some(77), 9_999, u64::MAX);
             router.record_load(START, 5_000, LoadReport::default());
-            let route = router.route(START + MS, &new_request(1, START + MS));
-            assert!(cold || matches!(route, RouteDecision::Attempt(_)) == sends, "{what}: {route:?}");
+            let decision = router.route(START + MS, &new_request(1, START + MS));
             assert!(
-                matches!(route, RouteDecision::Attempt(_) | RouteDecision::Reject { .. }),
-                "{what}: {route:?}"
+                is_cold || matches!(decision, RouteDecision::Attempt(_)) == is_attempted,
+                "{case}: {decision:?}"
+            );
+            assert!(
+                matches!(decision, RouteDecision::Attempt(_) | RouteDecision::Reject { .. }),
+                "{case}: {decision:?}"
             );
         }
     }
 }
 
 #[test]
-fn nothing_goes_to_a_drained_or_gone_node() {
+fn draining_and_gone_nodes_get_no_attempts() {
     for state in [EndpointState::Draining, EndpointState::Gone] {
-        for whole in [false, true] {
+        for is_snapshot in [false, true] {
             let mut router = router_with(settings(), &endpoint_list(4, 3));
-            let lost = |n: usize| n == 1 || n == 51;
-            let mut lines = endpoint_list(4, 3);
-            lines.retain(|l| {
-                if whole && state == EndpointState::Gone { !lost(l.node) } else { whole || lost(l.node) }
+            let is_lost = |node: usize| node == 1 || node == 51;
+            let mut list = endpoint_list(4, 3);
+            list.retain(|listing| {
+                if is_snapshot && state == EndpointState::Gone {
+                    !is_lost(listing.node)
+                } else {
+                    is_snapshot || is_lost(listing.node)
+                }
             });
-            lines.iter_mut().filter(|l| lost(l.node)).for_each(|l| l.state = state);
-            router.update_endpoints(START, &lines, whole);
-            for o in 0..300 {
-                let s = route_and_finish(&mut router, START + o * 20 * MS, o, 10 * MS, Outcome::Success)
-                    .expect("sent");
-                assert!(!lost(s.node) && !s.source.is_some_and(lost), "{state:?} {s:?}");
+            list.iter_mut().filter(|listing| is_lost(listing.node)).for_each(|listing| listing.state = state);
+            router.update_endpoints(START, &list, is_snapshot);
+            for object in 0..300 {
+                let spec = route_and_finish(
+                    &mut router,
+                    START + object * 20 * MS,
+                    object,
+                    10 * MS,
+                    Outcome::Success,
+                )
+                .expect("the request is attempted");
+                assert!(!is_lost(spec.node) && !spec.source.is_some_and(is_lost), "{state:?} {spec:?}");
             }
         }
     }
--- a/tests/stable_values.rs
+++ b/tests/stable_values.rs
@@ -1,5 +1,5 @@
-//! Values that all directors share, whatever version they run (the order of the nodes, the positions of objects, the
-//! ring), and the lines of the log, as operators read them.
+//! Values that all directors share whatever version they run (ranks of nodes, positions of objects, owners on the
+//! ring), and log lines in the form that operators match.
 
 #[allow(dead_code)]
 mod support;
@@ -9,7 +9,7 @@
 use support::*;
 
 #[test]
-fn nodes_keep_their_order() {
+fn ranks_are_stable() {
     let cases = [
         ("", 0xcbf2_9ce4_8422_2325),
         ("a", 0xaf63_dc4c_8601_ec8c),
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn objects_keep_their_positions() {
+fn ring_positions_are_stable() {
     let mixed = [
         (0, 0xe220_a839_7b1d_cdaf),
         (1, 0x910a_2dec_8902_5cc1),
@@ -48,14 +48,16 @@
 }
 
 #[test]
-fn the_ring_keeps_its_members() {
+fn ring_owners_are_stable() {
     let member =
         |(node, name, withheld_virtual_nodes)| RingMember { rank: rank(name), node, withheld_virtual_nodes };
     let members =
         [(0, "edge-1", 0), (1, "edge-2", 0), (2, "edge-3", 64), (3, "edge-4", 256)].map(member).to_vec();
     let ring = HashRing::build(members);
-    let owners = |fit: &dyn Fn(usize) -> bool| -> Vec<usize> {
-        (0..24).map(|object| ring.owner(cache_position(object, 0), fit).expect("one is fit")).collect()
+    let owners = |is_eligible: &dyn Fn(usize) -> bool| -> Vec<usize> {
+        (0..24)
+            .map(|object| ring.owner(cache_position(object, 0), is_eligible).expect("one is eligible"))
+            .collect()
     };
     assert_eq!(owners(&|_| true), [1, 0, 2, 2, 0, 0, 1, 0, 0, 0, 0, 0, 2, 2, 0, 2, 1, 1, 1, 2, 2, 1, 2, 0]);
     assert_eq!(
@@ -64,13 +66,13 @@
     );
     let nearest: Vec<usize> = ring.walk_from(cache_position(77, 0)).take(24).collect();
     assert_eq!(nearest, [0, 1, 1, 1, 1, 1, 0, 1, 1, 0, 2, 1, 1, 0, 0, 0, 1, 1, 1, 0, 1, 0, 1, 1]);
-    // 256 virtual nodes for each full member, fewer for one that withholds some.
+    // Each full member has 256 virtual nodes; one that withholds some has fewer.
     assert_eq!(ring.walk_from(0).count(), 256 + 256 + 192);
     assert_eq!(ring.owner(3, |_| false), None);
 }
 
 #[test]
-fn a_change_of_the_list_has_its_line() {
+fn endpoint_list_change_is_logged() {
     let mut router = router_with(settings(), &endpoint_list(4, 2));
     assert_eq!(router.take_log_lines(), [""; 0]);
     router.update_endpoints(START, &endpoint_list(5, 1), true);
@@ -78,14 +80,14 @@
 }
 
 #[test]
-fn a_member_that_fails_and_comes_back_has_its_lines() {
+fn ejection_and_restoration_are_logged() {
     let mut router = router_with(settings(), &endpoint_list(4, 2));
     for object in 0..400 {
         let now = START + object * 40 * MS;
         let mut request = new_request(object, now);
-        if let RouteDecision::Attempt(send) = route_and_record(&mut router, now, &mut request) {
-            let fails = send.node == 2 && object < 80;
-            let outcome = if fails { Outcome::Error } else { Outcome::Success };
+        if let RouteDecision::Attempt(spec) = route_and_record(&mut router, now, &mut request) {
+            let is_failure = spec.node == 2 && object < 80;
+            let outcome = if is_failure { Outcome::Error } else { Outcome::Success };
             finish_last(&mut router, now + 10 * MS, &mut request, outcome);
         }
     }
@@ -93,18 +95,24 @@
 }
 
 #[test]
-fn slow_attempts_everywhere_have_their_lines() {
+fn overload_is_logged() {
     let mut router = router_with(settings(), &endpoint_list(4, 2));
-    for (start, took) in [(0, 120 * MS), (40 * SEC, 3 * SEC), (90 * SEC, 120 * MS)] {
+    for (start, latency) in [(0, 120 * MS), (40 * SEC, 3 * SEC), (90 * SEC, 120 * MS)] {
         for object in 0..200 {
-            route_and_finish(&mut router, START + start + object * 40 * MS, object, took, Outcome::Success);
+            route_and_finish(
+                &mut router,
+                START + start + object * 40 * MS,
+                object,
+                latency,
+                Outcome::Success,
+            );
         }
     }
     assert_eq!(router.take_log_lines(), ["jam late=0.19", "jam over late=0.13"]);
 }
 
 #[test]
-fn a_burst_has_its_lines() {
+fn burst_is_logged() {
     let mut router = router_with(settings(), &endpoint_list(4, 2));
     let mut now = START + MS;
     for count in [40, 60, 50, 45, 55, 50, 62, 41, 50, 47, 53, 50] {
@@ -121,9 +129,9 @@
     assert_eq!(router.take_log_lines(), ["burst object=3 rate=8700 over=8649", "burst over objects=1"]);
 }
 
-/// The director's log line `violation request=R rule=W` gives the rule by these words.
+/// The director's log line `violation request=R rule=W` names the rule by these words.
 #[test]
-fn violations_keep_their_names() {
+fn violation_names_are_stable() {
     let names = [
         (Violation::AnsweredTwice, "AnsweredTwice"),
         (Violation::AttemptAfterAnswer, "AttemptAfterAnswer"),
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Builders shared by the tests.
+//! Builders and helpers that the tests share.
 
 use sablecross::*;
 
@@ -48,14 +48,14 @@
     }
 }
 
-pub(crate) fn endpoint(node: usize, machine: usize) -> EndpointUpdate {
-    let zone = if machine == 0 { 2 } else { machine - 1 };
+pub(crate) fn endpoint(node: usize, machine_kind: usize) -> EndpointUpdate {
+    let zone = if machine_kind == 0 { 2 } else { machine_kind - 1 };
     let rank = 1_000 + node as u64 * 37;
     EndpointUpdate {
         node,
         rank,
         zone,
-        machine_kind: machine,
+        machine_kind,
         cell: node / 2,
         started_at: 0,
         state: EndpointState::Ready,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Caches 0.., parents 50.., and the origin.
+/// Caches with indices from 0, parents with indices from 50, and the origin.
 pub(crate) fn endpoint_list(caches: usize, parents: usize) -> Vec<EndpointUpdate> {
     let caches = (0..caches).map(|n| endpoint(n, 0));
     caches.chain((50..50 + parents).map(|n| endpoint(n, 1))).chain([endpoint(ORIGIN, 2)]).collect()
@@ -75,7 +75,7 @@
     router
 }
 
-/// Directors that share one location.
+/// Directors that share one zone and its nodes.
 pub(crate) fn routers_sharing_zone(size: usize, list: &[EndpointUpdate]) -> Vec<Router> {
     let settings_of =
         |index| Settings { director_index: index, directors_per_zone: vec![0, 0, size], ..settings() };
@@ -101,7 +101,7 @@
     Attempt { node: spec.node, source: spec.source, sent_at, outcome: None }
 }
 
-/// Routes a request and records the attempt, if there is one.
+/// Routes a request and records the attempt, if one is returned.
 pub(crate) fn route_and_record(router: &mut Router, now: Ns, request: &mut Request) -> RouteDecision {
     let route = router.route(now, request);
     if let RouteDecision::Attempt(spec) = &route {
@@ -110,14 +110,14 @@
     route
 }
 
-/// Ends the last attempt.
+/// Ends the last attempt of a request.
 pub(crate) fn finish_last(router: &mut Router, now: Ns, request: &mut Request, outcome: Outcome) -> NextStep {
     let index = request.attempts.len() - 1;
     request.attempts[index].outcome = Some(outcome);
     router.on_outcome(now, request, index, now - request.attempts[index].sent_at, None)
 }
 
-/// Routes a request for an object and ends its first attempt.
+/// Routes a request for an object and ends its first attempt after `elapsed`.
 pub(crate) fn route_and_finish(
     router: &mut Router,
     now: Ns,
