--- a/src/burst.rs
+++ b/src/burst.rs
@@ -28,7 +28,7 @@
 pub(crate) struct TrafficBaseline {
     /// The traffic of the closed windows, the latest last.
     closed_windows: Vec<f64>,
-    open_window: f64,
+    current_window: f64,
     /// The variance of the differences between the traffic of windows and their predictions.
     residual_variance: f64,
 }
@@ -36,7 +36,7 @@
 impl TrafficBaseline {
     /// Records a request for an object that is not in burst.
     pub(crate) fn record(&mut self, weight: f64) {
-        self.open_window += weight;
+        self.current_window += weight;
     }
 
     /// The traffic per window above which an object is in burst; none without history or without deviation in it.
@@ -51,12 +51,12 @@
             let predicted_windows = self.closed_windows.len() - PREDICTION_SPACING + 1;
             let gain = 1.0 / predicted_windows as f64;
             self.residual_variance +=
-                gain * ((self.open_window - prediction).powi(2) - self.residual_variance);
+                gain * ((self.current_window - prediction).powi(2) - self.residual_variance);
         }
         if self.closed_windows.len() == REMEMBERED_WINDOWS {
             self.closed_windows.remove(0);
         }
-        self.closed_windows.push(std::mem::take(&mut self.open_window));
+        self.closed_windows.push(std::mem::take(&mut self.current_window));
     }
 
     /// The median of those sampled windows that exist.
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, Default)]
 struct ObjectTraffic {
     last_window: f64,
-    open_window: f64,
+    current_window: f64,
     /// The threshold at which the object's burst was detected; none if the object is not in burst.
     burst_threshold: Option<f64>,
     /// The number of requests during the burst, by which they rotate over several caches.
@@ -104,8 +104,8 @@
     /// Records a request for an object. `threshold` is the burst threshold of its primary cache.
     pub(crate) fn record(&mut self, object: u64, weight: f64, threshold: Option<f64>) -> BurstStatus {
         let traffic = self.objects.entry(object).or_default();
-        traffic.open_window += weight;
-        let rate = traffic.open_window.max(traffic.last_window);
+        traffic.current_window += weight;
+        let rate = traffic.current_window.max(traffic.last_window);
         let status = match (traffic.burst_threshold, threshold) {
             (Some(_), _) => BurstStatus::Continues,
             (None, Some(threshold)) if rate > threshold => {
@@ -131,11 +131,11 @@
     pub(crate) fn close_window(&mut self) -> usize {
         let mut ended = 0;
         self.objects.retain(|_, traffic| {
-            if traffic.burst_threshold.is_some_and(|threshold| traffic.open_window < threshold) {
+            if traffic.burst_threshold.is_some_and(|threshold| traffic.current_window < threshold) {
                 traffic.burst_threshold = None;
                 ended += 1;
             }
-            traffic.last_window = std::mem::take(&mut traffic.open_window);
+            traffic.last_window = std::mem::take(&mut traffic.current_window);
             traffic.last_window > 0.0
         });
         ended
--- a/src/fill_price.rs
+++ b/src/fill_price.rs
@@ -105,7 +105,7 @@
         FillOffload { offloaded_share: 1.0 }
     }
 
-    /// Whether a fill may be offloaded. `dither`, from 0 up to 1, admits the offloaded share of the fills.
+    /// Whether a fill may be offloaded. `dither`, in [0, 1), admits the offloaded share of the fills.
     pub(crate) fn admits(&self, dither: f64) -> bool {
         dither < self.offloaded_share
     }
--- a/src/hash_ring.rs
+++ b/src/hash_ring.rs
@@ -1,7 +1,6 @@
 //! Consistent hashing: which member of a ring owns an object.
 //!
-//! All functions here are pure, so all directors agree on the owners, and a director agrees with itself before a
-//! restart.
+//! All functions here are pure, so all directors agree on the owners, and a restart of a director changes none.
 
 /// The number of virtual nodes of a full member. With so many small segments a member has all others as neighbours,
 /// so that its loss burdens all alike and a new member takes its share from all.
@@ -35,7 +34,7 @@
     mix(!object)
 }
 
-/// A fraction from 0 up to 1 that depends only on the key. It replaces a random number where all directors, or all
+/// A fraction in [0, 1) that depends only on the key. It replaces a random number where all directors, or all
 /// decisions at the same time, have to use the same value.
 pub(crate) fn unit_fraction(key: u64) -> f64 {
     (mix(key) % FRACTION_STEPS) as f64 / FRACTION_STEPS as f64
--- a/src/load_shedding.rs
+++ b/src/load_shedding.rs
@@ -48,8 +48,8 @@
 /// The share of late attempts above which the location is overloaded. All nodes are then slow, and any further
 /// transfer makes them slower.
 const OVERLOAD_ENTER_SHARE: f64 = 0.18;
-/// The share of late attempts below which the overload ends. It is lower than the first, so that the mode does not
-/// flap.
+/// The share of late attempts below which the overload ends. It is lower than the share that begins it, so
+/// that the mode does not flap.
 const OVERLOAD_EXIT_SHARE: f64 = 0.13;
 /// The weight of a long attempt in the share of late attempts, which therefore covers about twenty attempts.
 const LATE_GAIN: f64 = 0.05;
@@ -76,7 +76,7 @@
         ConcurrencyLimit { limit: INITIAL_LIMIT / sharing_factor, sharing_factor, has_headroom_until: 0 }
     }
 
-    /// Whether another attempt fits into a share of the limit. `dither`, from 0 up to 1, rounds the limit up with a
+    /// Whether another attempt fits into a share of the limit. `dither`, in [0, 1), rounds that share up with a
     /// probability equal to its fractional part.
     pub(crate) fn admits(&self, outstanding: u32, share: f64, dither: f64) -> bool {
         f64::from(outstanding) < (share * self.limit + dither).floor()
--- a/src/origin_limit.rs
+++ b/src/origin_limit.rs
@@ -9,10 +9,10 @@
 /// The growth per answer in time, before it is divided in the same way. It is slow, because all locations share the
 /// origin.
 const GROWTH: f64 = 0.2;
-/// The factor by which a late answer reduces the limit.
+/// A late answer multiplies the limit by this.
 const LATE_DECREASE_FACTOR: f64 = 0.85;
-/// The factor by which a failure reduces the limit. It is smaller, because a failure is stronger evidence of
-/// overload.
+/// A failure multiplies the limit by this, which is a larger decrease, because a failure is stronger evidence than a
+/// late answer.
 const FAILURE_DECREASE_FACTOR: f64 = 0.7;
 /// The minimum limit after a failure, which is the probability that one fetch at a time is admitted.
 const MIN_LIMIT: f64 = 0.1;
@@ -30,8 +30,8 @@
         OriginLimit { limit: INITIAL_LIMIT / sharing_factor, growth: GROWTH / sharing_factor }
     }
 
-    /// Whether another fetch is admitted. `dither`, from 0 up to 1, admits one more fetch with a probability equal to
-    /// the fractional part of the limit.
+    /// Whether another fetch is admitted. `dither`, in [0, 1), admits one more fetch with a probability equal to the
+    /// fractional part of the limit.
     pub(crate) fn admits(&self, outstanding: u32, dither: f64) -> bool {
         f64::from(outstanding) + dither < self.limit
     }
--- a/src/outlier_ejection.rs
+++ b/src/outlier_ejection.rs
@@ -87,7 +87,8 @@
         self.ejection.is_some()
     }
 
-    /// Whether the next request may be sent as a trial, to check whether the node works.
+    /// Whether the next request may be sent to check the node: as a trial if the node is ejected, or as a request
+    /// without a fill if the node is a suspected parent.
     pub(crate) fn is_trial_due(&self, now: Ns, role: EndpointRole) -> bool {
         match &self.ejection {
             Some(ejection) => now >= ejection.next_trial,
@@ -119,7 +120,8 @@
         }
     }
 
-    /// Whether a rejection that took this long came from the node itself and not from its source.
+    /// Whether a rejection that took this long came from the node itself and not from its source, because it took at
+    /// most about twice the node's shortest time.
     pub(crate) fn is_own_rejection(&self, elapsed: Ns, tick: Ns) -> bool {
         elapsed <= 2 * self.fastest_outcome + tick
     }
--- a/src/priority.rs
+++ b/src/priority.rs
@@ -3,7 +3,7 @@
 
 /// The weight of one request in the mean and the variance, which therefore cover about twenty requests.
 const GAIN: f64 = 0.05;
-/// The standard deviation that is used instead where all requests are alike.
+/// The lower bound of the standard deviation, for times when all requests are alike.
 const MIN_DEVIATION: f64 = 0.1;
 
 /// The distribution of the logarithmic value per unit of time of recent requests.
--- a/src/router.rs
+++ b/src/router.rs
@@ -64,8 +64,8 @@
 const HEDGE_DELAY_TRANSFERS: f64 = 1.4;
 /// The base latencies in the minimum delay of a hedge.
 const HEDGE_DELAY_LATENCIES: f64 = 2.0;
-/// After that delay, a hedge still waits as long as it can end within the latency objective: until this many predicted
-/// transfer times, plus [`HEDGE_RESERVE_LATENCIES`], are left.
+/// After that delay, a hedge still waits as long as it can end within the latency objective: until this many
+/// predicted transfer times, plus [`HEDGE_RESERVE_LATENCIES`], are left.
 const HEDGE_RESERVE_TRANSFERS: f64 = 1.3;
 /// The base latencies that have to be left in addition.
 const HEDGE_RESERVE_LATENCIES: f64 = 1.5;
@@ -271,8 +271,8 @@
     }
 
     /// Makes no attempt: waits if attempts are outstanding, and otherwise rejects the request, or fails it if a
-    /// rejection is not safe. A rejected client that retries soon would meet the same overload and add to it, so it is
-    /// asked to wait for up to the longest delay that clients honour.
+    /// rejection is not safe. A rejected client that retries soon would meet the same overload and add to it, so it
+    /// is asked to wait for up to the longest delay that clients honour.
     fn wait_or_reject(&mut self, now: Ns, request: &Request) -> RouteDecision {
         if outstanding(request) > 0 {
             return RouteDecision::Wait;
--- a/src/router/outcome.rs
+++ b/src/router/outcome.rs
@@ -68,7 +68,8 @@
         }
     }
 
-    /// Removes the attempt from the counts of outstanding attempts.
+    /// Accounts for an attempt that is no longer outstanding: the counts of outstanding and served requests, and the
+    /// time that the node took.
     fn release(&mut self, now: Ns, ended: &EndedAttempt) {
         for node in self.involved_nodes(ended.attempt.node, ended.attempt.source) {
             if let Some(endpoint) = self.endpoints.get_mut(node) {
--- a/src/slow_start/credit.rs
+++ b/src/slow_start/credit.rs
@@ -17,7 +17,7 @@
 /// is known only as means that change over time, so credit that one class earned must not be spent by another.
 #[derive(Clone, Debug)]
 pub(crate) struct Credit {
-    /// The part of a request by which this director's credit is delayed, from 0 up to 1. It differs between the
+    /// The part of a request by which this director's credit is delayed, in [0, 1). It differs between the
     /// directors that share the node, so that they do not send at the same time.
     stagger: f64,
     /// The credit that requests of all classes have earned and not spent.
--- a/tests/router/outlier_ejection.rs
+++ b/tests/router/outlier_ejection.rs
@@ -118,8 +118,8 @@
         }
         (count_log_lines(&mut router, "down "), sent)
     };
-    // A transfer takes 100 ms. 90 or 150 ms are too little time for an attempt, but a timeout after four seconds is the
-    // node's fault.
+    // A transfer takes 100 ms. 90 or 150 ms are too little time for an attempt, but a timeout after four seconds is
+    // the node's fault.
     assert_eq!(run(90 * MS), (0, 20));
     assert_eq!(run(150 * MS), (0, 20));
     assert!(run(4 * SEC).0 > 0);
--- a/tests/router/slow_start.rs
+++ b/tests/router/slow_start.rs
@@ -89,8 +89,8 @@
     }
 }
 
-/// However many directors send, the attempts at a cold node in any second exceed the N that its settings allow only by
-/// chance: by at most 2 * sqrt(N) + 2.
+/// However many directors send, the attempts at a cold node in any second exceed the N that its settings allow only
+/// by chance: by at most 2 * sqrt(N) + 2.
 #[test]
 fn slow_start_ramp_holds_for_all_directors_together() {
     // (directors, the new node, seconds without requests before a surge of four times the load)
@@ -173,8 +173,8 @@
 
 #[test]
 fn retries_and_new_directors_do_not_overload_a_cold_node() {
-    // (requests per object, whether all but the first are marked as retries, the largest share of the cold node's full
-    // load)
+    // (requests per object, whether all but the first are marked as retries, the largest share of the cold node's
+    // full load)
     for (requests_per_object, is_marked, max_share) in [(1, true, 0.75), (3, true, 0.3), (3, false, 0.3)] {
         let mut counts = [0.0; 2];
         for (i, started) in [0, START].into_iter().enumerate() {
--- a/tests/router/slow_start_classes.rs
+++ b/tests/router/slow_start_classes.rs
@@ -21,9 +21,9 @@
     traffic.iter().map(|class| class.per_second * class.transfer_time as f64).sum()
 }
 
-/// Checks that neither a cold cache nor a cold parent collapses while the traffic in `played` arrives. Warm nodes have
-/// the capacity for `capacity_traffic` or for the last traffic played, whichever is more work by the transfer times of
-/// the last traffic.
+/// Checks that neither a cold cache nor a cold parent collapses while the traffic in `played` arrives. Warm nodes
+/// have the capacity for `capacity_traffic` or for the last traffic played, whichever is more work by the transfer
+/// times of the last traffic.
 fn assert_no_collapse_during(
     fleet: &mut Fleet,
     settings: &Settings,
