--- a/src/hash_ring.rs
+++ b/src/hash_ring.rs
@@ -2,7 +2,7 @@
 //!
 //! All functions here are pure, so all directors agree on the owners, and a restart of a director changes none.
 
-/// The number of virtual nodes of a full member. With so many small segments a member has all others as neighbours,
+/// The number of virtual nodes of a full member. Its segments are small, and all other members are their neighbours,
 /// so that its loss burdens all alike and a new member takes its share from all.
 pub const VIRTUAL_NODES: u16 = 256;
 
