--- a/crates/inflight/src/inflight_table.rs
+++ b/crates/inflight/src/inflight_table.rs
@@ -1,48 +1,48 @@
-//! The requests in flight, between the router that decides and the transport that carries its decisions out.
+//! Tracks the requests in flight between the router, which decides, and the transport, which carries out its decisions.
 
 use std::collections::HashMap;
 
 use sablecross::{Attempt, AttemptSpec, NextStep, Ns, Outcome, Request, RouteDecision, Router};
 
-/// Carries out what the router decides. Each call names the request by the number under which it was admitted.
+/// Carries out the router's decisions. Every call identifies the request by the `id` under which it was admitted.
 pub trait Transport {
-    /// Sends an attempt, whose index is the number of `prior` ones. Its result is owed to
-    /// [`InflightTable::on_attempt_result`], also if it could not be sent.
+    /// Sends an attempt. Its index is the length of `prior`, the earlier attempts of the request. The transport must
+    /// report the result to [`InflightTable::on_attempt_result`], even if the attempt could not be sent.
     fn send(&mut self, id: u64, spec: &AttemptSpec, prior: &[Attempt]);
-    /// Answers that the client may try again after this time.
+    /// Rejects the request. A `retry_after` above 0 asks the client to wait that long before it tries again.
     fn reject(&mut self, id: u64, retry_after: Ns);
-    /// Answers that the request has failed.
+    /// Answers the request with a failure.
     fn fail(&mut self, id: u64);
-    /// Cancels an attempt that is outstanding; its result is still owed.
+    /// Cancels an outstanding attempt. Its result must still be reported.
     fn cancel(&mut self, id: u64, attempt: usize);
-    /// Withdraws an attempt that is outstanding: it is cancelled, or never sent if it still waits for a connection. Its
-    /// result is still owed.
+    /// Withdraws an outstanding attempt: cancels it, or drops it unsent if it still waits for a connection. Its result
+    /// must still be reported.
     fn withdraw(&mut self, id: u64, attempt: usize);
-    /// Ends an attempt that is outstanding as timed out; its result is still owed.
+    /// Ends an outstanding attempt as timed out. Its result must still be reported.
     fn time_out(&mut self, id: u64, attempt: usize);
-    /// Calls [`InflightTable::check`] with this generation once the time has passed.
+    /// Schedules a call of [`InflightTable::check`] with this generation in `after` nanoseconds.
     fn schedule_check(&mut self, id: u64, generation: u32, after: Ns);
-    /// The request is answered and none of its attempts is outstanding: nothing more is asked for it.
+    /// Releases a request that is answered and has no outstanding attempts. No further calls are made for it.
     fn release(&mut self, id: u64);
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptResult {
-    /// Its outcome, as the router counts it.
+    /// The outcome that is passed to the router.
     pub outcome: Outcome,
-    /// The time from its sending to its end, in nanoseconds.
+    /// The time from sending the attempt to its end, in nanoseconds.
     pub elapsed: Ns,
-    /// Whether a cached copy was served, where the node reports it.
+    /// Whether a cached copy was served; `None` if the node does not report it.
     pub is_cache_hit: Option<bool>,
-    /// Whether the request is answered with it, or was before.
+    /// Whether this result answers the request, or the request was already answered before it.
     pub is_final: bool,
 }
 
 struct InflightRequest {
     request: Request,
     is_answered: bool,
-    /// Of the check that was scheduled last; earlier ones are void.
+    /// The generation of the check that was scheduled last. Checks with an earlier generation are ignored.
     check_generation: u32,
 }
 
@@ -57,33 +57,33 @@
     }
 }
 
-/// All requests in flight and the router that decides on them.
+/// The requests in flight, with the router that decides what to do with them.
 pub struct InflightTable {
-    /// Decides where requests go; events that concern no single request are handed to it directly.
+    /// The router. Callers pass events that concern no single request directly to it.
     pub router: Router,
     requests: HashMap<u64, InflightRequest>,
 }
 
 impl InflightTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(router: Router) -> Self {
         InflightTable { router, requests: HashMap::new() }
     }
 
-    /// Takes a request in under a number that no other one in flight has.
+    /// Adds a request and routes it. No other request in flight may have the same `id`.
     pub fn admit(&mut self, id: u64, request: Request, now: Ns, transport: &mut impl Transport) {
         self.requests.insert(id, InflightRequest { request, is_answered: false, check_generation: 0 });
         self.route(id, now, transport);
     }
 
-    /// The time of a scheduled check has come: the router is asked again, unless a later check is scheduled.
+    /// Handles a scheduled check whose time has come: routes the request again, unless a later check has been scheduled.
     pub fn check(&mut self, id: u64, generation: u32, now: Ns, transport: &mut impl Transport) {
         if self.requests.get(&id).is_some_and(|inflight| inflight.check_generation == generation) {
             self.route(id, now, transport);
         }
     }
 
-    /// The client has gone or cancelled: no answer is owed.
+    /// Handles a client that disconnected or cancelled the request, so that the request no longer needs an answer.
     pub fn abandon(&mut self, id: u64, transport: &mut impl Transport) {
         if let Some(inflight) = self.requests.get_mut(&id) {
             inflight.is_answered = true;
@@ -91,7 +91,8 @@
         self.release_if_complete(id, transport);
     }
 
-    /// An attempt has ended: the router decides whether the request is done, waits or is routed again.
+    /// Handles the end of an attempt: the router decides whether the request is done, waits for another attempt or is
+    /// routed again.
     pub fn on_attempt_result(
         &mut self,
         id: u64,
@@ -101,8 +102,8 @@
         transport: &mut impl Transport,
     ) {
         let Some(inflight) = self.requests.get_mut(&id) else { return };
-        let Some(sent) = inflight.request.attempts.get_mut(attempt) else { return };
-        sent.outcome = Some(result.outcome);
+        let Some(ended_attempt) = inflight.request.attempts.get_mut(attempt) else { return };
+        ended_attempt.outcome = Some(result.outcome);
         let AttemptResult { elapsed, is_cache_hit, .. } = result;
         let next = self.router.on_outcome(now, &inflight.request, attempt, elapsed, is_cache_hit);
         let was_answered = inflight.is_answered;
@@ -117,7 +118,8 @@
         self.release_if_complete(id, transport);
     }
 
-    /// Asks the router where a request goes and has that carried out; schedules the next check of one that waits.
+    /// Asks the router what to do with a request that is not answered yet and has the transport carry it out. If the
+    /// request is still not answered, schedules its next check.
     fn route(&mut self, id: u64, now: Ns, transport: &mut impl Transport) {
         let Some(inflight) = self.requests.get_mut(&id).filter(|inflight| !inflight.is_answered) else {
             return;
--- a/crates/inflight/src/lib.rs
+++ b/crates/inflight/src/lib.rs
@@ -1,5 +1,7 @@
-//! What every program round the router needs: its settings decoded ([`settings`]), and the requests in flight
-//! ([`InflightTable`]), whose attempts the program carries out ([`Transport`]). Nothing here does I/O.
+//! The parts that every program embedding the router shares, without I/O.
+//!
+//! [`settings`] decodes the router's settings. [`InflightTable`] tracks the requests in flight, asks the router what to do
+//! with each of them, and has its decisions carried out by the program's implementation of [`Transport`].
 
 mod inflight_table;
 pub mod settings;
--- a/crates/inflight/src/settings.rs
+++ b/crates/inflight/src/settings.rs
@@ -1,4 +1,4 @@
-//! Decodes an instance's settings, and what stands in load reports and in the notes of answers.
+//! Decodes the router's settings, the values of load reports, and the notes that nodes attach to answers.
 
 use std::collections::HashMap;
 use std::str::FromStr;
@@ -6,46 +6,46 @@
 use sablecross::{DeduplicationScope, Effect, LoadReport, Ns, RequestClass, Settings};
 use thiserror::Error;
 
-/// What is wrong with the settings. Each error names the key.
+/// An error in the settings. Every variant names the key.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum SettingsError {
-    /// The key must be there.
+    /// A required key is missing.
     #[error("setting missing: {0}")]
     Missing(String),
-    /// Its value is of another type, or out of range.
+    /// The value has the wrong type or is out of range.
     #[error("bad setting: {key}={value}")]
     Invalid {
         /// The path of the setting.
         key: String,
-        /// The value as it was read.
+        /// The value as read; a parsed number is printed in its decimal form.
         value: String,
     },
-    /// Its list is too short.
+    /// A list has too few items.
     #[error("bad setting: {key} has no item {index}")]
     NoItem {
         /// The path of the list.
         key: String,
-        /// The item that must be there, counted from 0.
+        /// The index of the missing item, from 0.
         index: usize,
     },
-    /// The list of directors by zone has none for the own zone.
+    /// The list of directors per zone has no item for the director's own zone.
     #[error("bad setting: extra.zoneBalancers has no item {zone}, which az names")]
     UnknownZone {
-        /// The own zone.
+        /// The director's own zone.
         zone: usize,
     },
-    /// It must be a list.
+    /// The value is missing or not a list.
     #[error("bad setting: {key}: not a list")]
     NotAList {
         /// The path of the setting.
         key: String,
     },
-    /// An item of a list of names is none.
+    /// An item of a list of names is not a string.
     #[error("bad setting: {key}: {value}")]
     NotAName {
         /// The path of the list.
         key: String,
-        /// The item as it was read.
+        /// The item as read.
         value: String,
     },
 }
@@ -55,10 +55,12 @@
 
 const NS_PER_US: u64 = 1_000;
 
-/// Longer times count as a year: sums with the clock stay in range.
-const MAX_TIME: Ns = 366 * 86_400 * 1_000_000_000;
+/// The longest duration, 366 days. Longer ones are clamped to it, so that adding one to the clock does not overflow.
+const MAX_DURATION: Ns = 366 * 86_400 * 1_000_000_000;
 
-/// The settings, as values by their paths.
+/// The settings as a map from the path of a setting to its value, both as text.
+///
+/// Methods that read a setting fail with [`SettingsError::Missing`] or [`SettingsError::Invalid`].
 pub struct SettingsMap(HashMap<String, String>);
 
 impl FromIterator<(String, String)> for SettingsMap {
@@ -68,38 +70,38 @@
 }
 
 impl SettingsMap {
-    /// A value as it was written.
+    /// Returns a value as text.
     pub fn text(&self, key: &str) -> Result<&str> {
         self.0.get(key).map(String::as_str).ok_or_else(|| SettingsError::Missing(key.to_owned()))
     }
 
-    /// A value of any type.
+    /// Parses a value.
     pub fn get<T: FromStr>(&self, key: &str) -> Result<T> {
         let text = self.text(key)?;
         text.parse().map_err(|_| invalid(key, text))
     }
 
-    /// A list of values, divided by commas.
+    /// Parses a comma-separated list. Empty items are skipped.
     pub fn list<T: FromStr>(&self, key: &str) -> Result<Vec<T>> {
         let text = self.text(key)?;
         let items = text.split(',').filter(|item| !item.is_empty());
         items.map(|item| item.parse().map_err(|_| invalid(key, text))).collect()
     }
 
-    /// A time, which is written in microseconds.
+    /// Parses a duration in microseconds and returns it in nanoseconds, at most 366 days.
     pub fn nanoseconds(&self, key: &str) -> Result<Ns> {
-        Ok(nanoseconds(self.get(key)?))
+        Ok(clamped_nanoseconds(self.get(key)?))
     }
 
-    /// A finite number that is not negative.
-    fn amount(&self, key: &str) -> Result<f64> {
-        let amount: f64 = self.get(key)?;
-        if amount.is_finite() && amount >= 0.0 { Ok(amount) } else { Err(invalid(key, amount)) }
+    /// Parses a finite number that is not negative.
+    fn non_negative_number(&self, key: &str) -> Result<f64> {
+        let number: f64 = self.get(key)?;
+        if number.is_finite() && number >= 0.0 { Ok(number) } else { Err(invalid(key, number)) }
     }
 
-    /// A number from 0 to 1.
+    /// Parses a number from 0 to 1.
     fn share(&self, key: &str) -> Result<f64> {
-        let share = self.amount(key)?;
+        let share = self.non_negative_number(key)?;
         if share <= 1.0 { Ok(share) } else { Err(invalid(key, share)) }
     }
 }
@@ -108,15 +110,16 @@
     SettingsError::Invalid { key: key.to_owned(), value: value.to_string() }
 }
 
-fn item<T: Copy>(list: &[T], index: usize, key: &str) -> Result<T> {
+fn list_item<T: Copy>(list: &[T], index: usize, key: &str) -> Result<T> {
     list.get(index).copied().ok_or_else(|| SettingsError::NoItem { key: key.to_owned(), index })
 }
 
-fn nanoseconds(us: u64) -> Ns {
-    us.saturating_mul(NS_PER_US).min(MAX_TIME)
+fn clamped_nanoseconds(us: u64) -> Ns {
+    us.saturating_mul(NS_PER_US).min(MAX_DURATION)
 }
 
-/// The values of a load report that are used, by the names that `report.names` gives them.
+/// Builds a load report from named values; the names are those that the setting `report.names` lists. Values that are
+/// not finite or that have another name are ignored.
 pub fn load_report<'a>(values: impl Iterator<Item = (&'a str, f64)>) -> LoadReport {
     let mut report = LoadReport::default();
     for (name, value) in values.filter(|(_, value)| value.is_finite()) {
@@ -129,7 +132,7 @@
     report
 }
 
-/// Whether a note, by its number, means that a cached copy was served; none if it means neither.
+/// Returns whether the note with this number says that a cached copy was served, or `None` if the note does not tell.
 pub fn is_cache_hit(note: u32) -> Option<bool> {
     match note {
         1 | 5 => Some(true),
@@ -138,10 +141,10 @@
     }
 }
 
-/// The settings of the router.
+/// Decodes the router's settings.
 ///
 /// # Errors
-/// Names the first key that is missing or faulty.
+/// An error that names the first key that is missing or has an invalid value.
 pub fn decode(map: &SettingsMap) -> Result<Settings> {
     let request_classes = request_classes(map)?;
     let zone = map.get("az")?;
@@ -164,11 +167,11 @@
         max_attempts: map.get("ceilings.sendCap")?,
         slow_start_initial_share: map.share("guarantees.coldFrom")?,
         slow_start_window: map.nanoseconds("guarantees.warmAfterUs")?,
-        collapse_multiple: map.amount("guarantees.fallMultiple")?,
+        collapse_multiple: map.non_negative_number("guarantees.fallMultiple")?,
         parent_slow_start_initial_share: map.share("extra.parentStartsAt")?,
         parent_slow_start_window: map.nanoseconds("extra.parentColdUs")?,
-        parent_collapse_multiple: map.amount("extra.upperFallMultiple")?,
-        stream_kb_per_s: map.amount("extra.streamKbPerS")?,
+        parent_collapse_multiple: map.non_negative_number("extra.upperFallMultiple")?,
+        stream_kb_per_s: map.non_negative_number("extra.streamKbPerS")?,
         may_bypass_cache: map.get("extra.direct")?,
         may_coalesce: map.get("extra.joins")?,
         purge_propagation_window: map.nanoseconds("extra.clearedWithinUs")?,
@@ -176,14 +179,14 @@
     })
 }
 
-/// By zone. Numbers of 32 bits: sums of them stay in range.
+/// The number of directors in each zone. The numbers are parsed as 32 bits, so that their sums do not overflow.
 fn directors_per_zone(map: &SettingsMap) -> Result<Vec<usize>> {
     let directors: Vec<u32> = map.list("extra.zoneBalancers")?;
     Ok(directors.into_iter().map(|count| count as usize).collect())
 }
 
-/// The settings of request classes that stand in lists of their own, an item for each class.
-struct ClassLists {
+/// The settings of request classes that are lists with one item per class.
+struct PerClassLists {
     fresh_for_us: Vec<u64>,
     stale_for_us: Vec<u64>,
     is_multipart: Vec<bool>,
@@ -191,7 +194,7 @@
 }
 
 fn request_classes(map: &SettingsMap) -> Result<Vec<RequestClass>> {
-    let lists = ClassLists {
+    let lists = PerClassLists {
         fresh_for_us: map.list("extra.freshForUs")?,
         stale_for_us: map.list("extra.usableAfterUs")?,
         is_multipart: map.list("extra.multiPart")?,
@@ -204,19 +207,23 @@
     (0..count).map(|index| request_class(map, index, &lists)).collect()
 }
 
-fn request_class(map: &SettingsMap, index: usize, lists: &ClassLists) -> Result<RequestClass> {
+fn request_class(map: &SettingsMap, index: usize, lists: &PerClassLists) -> Result<RequestClass> {
     let key = |field: &str| format!("classes.{index}.{field}");
     let effect = effect(map, index)?;
-    let stretch = key("aimStretch");
+    let stretch_key = key("aimStretch");
     Ok(RequestClass {
         latency_objective: map.nanoseconds(&key("aimUs"))?,
-        latency_objective_stretch: map.0.contains_key(&stretch).then(|| map.amount(&stretch)).transpose()?,
-        priority_weight: map.amount(&key("worth"))?,
+        latency_objective_stretch: map
+            .0
+            .contains_key(&stretch_key)
+            .then(|| map.non_negative_number(&stretch_key))
+            .transpose()?,
+        priority_weight: map.non_negative_number(&key("worth"))?,
         effect,
-        fresh_for: nanoseconds(item(&lists.fresh_for_us, index, "extra.freshForUs")?),
-        stale_for: nanoseconds(item(&lists.stale_for_us, index, "extra.usableAfterUs")?),
-        is_multipart: item(&lists.is_multipart, index, "extra.multiPart")?,
-        is_uncacheable: item(&lists.is_uncacheable, index, "extra.neverKept")?,
+        fresh_for: clamped_nanoseconds(list_item(&lists.fresh_for_us, index, "extra.freshForUs")?),
+        stale_for: clamped_nanoseconds(list_item(&lists.stale_for_us, index, "extra.usableAfterUs")?),
+        is_multipart: list_item(&lists.is_multipart, index, "extra.multiPart")?,
+        is_uncacheable: list_item(&lists.is_uncacheable, index, "extra.neverKept")?,
     })
 }
 
--- a/crates/inflight/tests/settings_format.rs
+++ b/crates/inflight/tests/settings_format.rs
@@ -1,11 +1,11 @@
-//! The settings of an instance by their paths, as operators write them: every key, every value of an enumeration,
-//! and the line for each one that is missing or faulty. Paths and lines are literals.
+//! Checks the settings format that operators write: every key, every value of an enumeration, and the error message for
+//! each missing or invalid setting. Keys and messages are literals.
 
 use sablecross::{DeduplicationScope, Effect, LoadReport, RequestClass, Settings};
 use sablecross_inflight::settings::{self, SettingsMap};
 
-/// Every key that is read, with a value of its own.
-const FULL: [(&str, &str); 54] = [
+/// Every key that is read, with a distinct value where possible, followed by keys that are not read.
+const ALL_SETTINGS: [(&str, &str); 54] = [
     ("az", "1"),
     ("index", "2"),
     ("discovery", "on_request"),
@@ -57,26 +57,27 @@
     ("extra.parentColdUs", "20000000"),
     ("extra.upperFallMultiple", "2"),
     ("extra.zoneBalancers", "3,4"),
-    // Not read.
+    // These keys are not read.
     ("unheardOf.a.0", "1"),
     ("guarantees.fallUs", "1000000"),
     ("classes.0.deadlineUs", "4000000"),
 ];
 
-const YEAR_NS: u64 = 31_622_400_000_000_000;
+const MAX_DURATION_NS: u64 = 31_622_400_000_000_000;
 
-fn decoded() -> Settings {
-    let kind = |latency_budget, budget_stretch, utility, effect| RequestClass {
-        latency_objective: latency_budget,
-        latency_objective_stretch: budget_stretch,
-        priority_weight: utility,
+/// The settings that [`ALL_SETTINGS`] decode to.
+fn expected_settings() -> Settings {
+    let class = |latency_objective, latency_objective_stretch, priority_weight, effect| RequestClass {
+        latency_objective,
+        latency_objective_stretch,
+        priority_weight,
         effect,
         fresh_for: 0,
         stale_for: 0,
         is_multipart: false,
         is_uncacheable: false,
     };
-    let within = |within, memory| Effect::Deduplicated { within, window: memory };
+    let deduplicated = |within, window| Effect::Deduplicated { within, window };
     Settings {
         zone: 1,
         director_index: 2,
@@ -86,28 +87,28 @@
                 fresh_for: 0,
                 stale_for: 4_000,
                 is_multipart: true,
-                ..kind(300_000_000, Some(1.5), 2.0, Effect::Idempotent)
+                ..class(300_000_000, Some(1.5), 2.0, Effect::Idempotent)
             },
             RequestClass {
                 fresh_for: 20_000_000_000,
                 stale_for: 5_000,
                 is_uncacheable: true,
-                ..kind(200_000_000, None, 1.0, Effect::SideEffecting)
+                ..class(200_000_000, None, 1.0, Effect::SideEffecting)
             },
             RequestClass {
                 fresh_for: 1_000,
                 stale_for: 6_000,
-                ..kind(1_000, None, 0.5, within(DeduplicationScope::All, 5_000_000_000))
+                ..class(1_000, None, 0.5, deduplicated(DeduplicationScope::All, 5_000_000_000))
             },
             RequestClass {
                 fresh_for: 2_000,
                 stale_for: 7_000,
-                ..kind(2_000, None, 0.25, within(DeduplicationScope::Zone, 6_000_000_000))
+                ..class(2_000, None, 0.25, deduplicated(DeduplicationScope::Zone, 6_000_000_000))
             },
             RequestClass {
                 fresh_for: 3_000,
                 stale_for: 8_000,
-                ..kind(3_000, None, 0.0, within(DeduplicationScope::Cell, YEAR_NS))
+                ..class(3_000, None, 0.0, deduplicated(DeduplicationScope::Cell, MAX_DURATION_NS))
             },
         ],
         parent_kind: Some(1),
@@ -132,50 +133,53 @@
     }
 }
 
-/// All pairs, but for this key; with another value for it, if there is one.
-fn with(key: &str, value: Option<&str>) -> SettingsMap {
-    assert!(FULL.iter().any(|(k, _)| *k == key), "{key}");
-    let value = |k: &str, v: &str| if k == key { value.map(str::to_owned) } else { Some(v.to_owned()) };
-    FULL.iter().filter_map(|(k, v)| Some(((*k).to_owned(), value(k, v)?))).collect()
+/// [`ALL_SETTINGS`] with another value for `key`, or without `key` if the value is `None`.
+fn settings_with(key: &str, value: Option<&str>) -> SettingsMap {
+    assert!(ALL_SETTINGS.iter().any(|(k, _)| *k == key), "{key}");
+    let value_of = |k: &str, v: &str| if k == key { value.map(str::to_owned) } else { Some(v.to_owned()) };
+    ALL_SETTINGS.iter().filter_map(|(k, v)| Some(((*k).to_owned(), value_of(k, v)?))).collect()
 }
 
-fn line(pairs: &SettingsMap) -> Option<String> {
-    settings::decode(pairs).err().map(|e| e.to_string())
+fn error_message(map: &SettingsMap) -> Option<String> {
+    settings::decode(map).err().map(|error| error.to_string())
 }
 
 #[test]
-fn every_key_is_read_under_its_path() {
-    assert_eq!(settings::decode(&with("az", Some("1"))).expect("good"), decoded());
-    let pairs = with("az", Some("1"));
-    assert_eq!(pairs.nanoseconds("ceilings.dialTimeoutUs").expect("good"), 400_000_000);
-    assert_eq!(pairs.nanoseconds("ceilings.keepaliveUs").expect("good"), 30_000_000_000);
-    assert_eq!(pairs.text("discovery").expect("good"), "on_request");
-    assert_eq!(pairs.list::<u32>("extra.zoneBalancers").expect("good"), [3, 4]);
-    assert_eq!(pairs.get::<f64>("extra.streamKbPerS").expect("good"), 9_000.5);
+fn decodes_every_key() {
+    assert_eq!(
+        settings::decode(&settings_with("az", Some("1"))).expect("valid settings"),
+        expected_settings()
+    );
+    let map = settings_with("az", Some("1"));
+    assert_eq!(map.nanoseconds("ceilings.dialTimeoutUs").expect("valid settings"), 400_000_000);
+    assert_eq!(map.nanoseconds("ceilings.keepaliveUs").expect("valid settings"), 30_000_000_000);
+    assert_eq!(map.text("discovery").expect("valid settings"), "on_request");
+    assert_eq!(map.list::<u32>("extra.zoneBalancers").expect("valid settings"), [3, 4]);
+    assert_eq!(map.get::<f64>("extra.streamKbPerS").expect("valid settings"), 9_000.5);
 }
 
 #[test]
-fn values_that_mean_something_of_their_own() {
-    let other = |key, value, settings| {
-        assert_eq!(settings::decode(&with(key, value)).expect(key), settings, "{key}={value:?}");
+fn decodes_special_values_and_missing_optional_keys() {
+    let check = |key, value, settings| {
+        assert_eq!(settings::decode(&settings_with(key, value)).expect(key), settings, "{key}={value:?}");
     };
-    other("extra.midKind", Some("-1"), Settings { parent_kind: None, ..decoded() });
+    check("extra.midKind", Some("-1"), Settings { parent_kind: None, ..expected_settings() });
     for discovery in ["pushed", "anything"] {
-        other("discovery", Some(discovery), Settings { polls_endpoint_list: false, ..decoded() });
+        check("discovery", Some(discovery), Settings { polls_endpoint_list: false, ..expected_settings() });
     }
-    other("periodUs", Some("99999999999999999"), Settings { tick: YEAR_NS, ..decoded() });
-    other("unheardOf.a.0", None, decoded());
-    let mut unstretched = decoded();
-    unstretched.request_classes[0].latency_objective_stretch = None;
-    other("classes.0.aimStretch", None, unstretched);
-    // Without a use for them these may be left out.
+    check("periodUs", Some("99999999999999999"), Settings { tick: MAX_DURATION_NS, ..expected_settings() });
+    check("unheardOf.a.0", None, expected_settings());
+    let mut without_stretch = expected_settings();
+    without_stretch.request_classes[0].latency_objective_stretch = None;
+    check("classes.0.aimStretch", None, without_stretch);
+    // `decode` does not read these keys, so they may be missing.
     for key in ["ceilings.dialTimeoutUs", "ceilings.keepaliveUs", "guarantees.fallUs"] {
-        other(key, None, decoded());
+        check(key, None, expected_settings());
     }
 }
 
 #[test]
-fn what_is_missing_is_named() {
+fn error_names_the_missing_key() {
     let optional = [
         "classes.0.aimStretch",
         "ceilings.dialTimeoutUs",
@@ -184,17 +188,17 @@
         "guarantees.fallUs",
         "classes.0.deadlineUs",
     ];
-    for (key, _) in FULL.iter().filter(|(key, _)| !optional.contains(key)) {
-        assert_eq!(line(&with(key, None)), Some(format!("setting missing: {key}")));
+    for (key, _) in ALL_SETTINGS.iter().filter(|(key, _)| !optional.contains(key)) {
+        assert_eq!(error_message(&settings_with(key, None)), Some(format!("setting missing: {key}")));
     }
 }
 
 #[test]
-fn what_is_faulty_is_named_with_its_value() {
-    let unread = ["discovery", "ceilings.dialTimeoutUs", "ceilings.keepaliveUs"];
-    let unread = |key: &str| unread.contains(&key) || FULL[51..].iter().any(|(k, _)| *k == key);
-    for (key, _) in FULL.iter().filter(|(key, _)| !unread(key)) {
-        assert_eq!(line(&with(key, Some("odd"))), Some(format!("bad setting: {key}=odd")));
+fn error_names_the_key_and_its_invalid_value() {
+    let unchecked = ["discovery", "ceilings.dialTimeoutUs", "ceilings.keepaliveUs"];
+    let unchecked = |key: &str| unchecked.contains(&key) || ALL_SETTINGS[51..].iter().any(|(k, _)| *k == key);
+    for (key, _) in ALL_SETTINGS.iter().filter(|(key, _)| !unchecked(key)) {
+        assert_eq!(error_message(&settings_with(key, Some("odd"))), Some(format!("bad setting: {key}=odd")));
     }
     let cases = [
         ("classes.count", "0", "bad setting: classes.count=0"),
@@ -213,20 +217,24 @@
         ("extra.zoneBalancers", "3,-4", "bad setting: extra.zoneBalancers=3,-4"),
         ("periodUs", "-1", "bad setting: periodUs=-1"),
     ];
-    for (key, value, want) in cases {
-        assert_eq!(line(&with(key, Some(value))).as_deref(), Some(want), "{key}={value}");
+    for (key, value, expected) in cases {
+        assert_eq!(
+            error_message(&settings_with(key, Some(value))).as_deref(),
+            Some(expected),
+            "{key}={value}"
+        );
     }
 }
 
 #[test]
-fn load_reports_and_notes_by_their_words() {
+fn decodes_load_reports_and_cache_notes() {
     let values = [("active", 7.0), ("cpu", 0.61), ("x0", 0.2), ("x1", 0.3)];
-    let LoadReport { cpu_utilization: busy, link_utilization: link } =
+    let LoadReport { cpu_utilization: cpu, link_utilization: link } =
         settings::load_report(values.into_iter());
-    assert_eq!((busy, link), (Some(0.61), Some(0.3)));
-    let LoadReport { cpu_utilization: busy, link_utilization: link } =
+    assert_eq!((cpu, link), (Some(0.61), Some(0.3)));
+    let LoadReport { cpu_utilization: cpu, link_utilization: link } =
         settings::load_report([("cpu", f64::NAN), ("x1", f64::INFINITY)].into_iter());
-    assert_eq!((busy, link), (None, None));
+    assert_eq!((cpu, link), (None, None));
     let hits: Vec<_> = (0..7).map(settings::is_cache_hit).collect();
     assert_eq!(hits, [None, Some(true), Some(false), Some(false), Some(false), Some(true), None]);
 }
