--- a/crates/sim-adapter/src/error.rs
+++ b/crates/sim-adapter/src/error.rs
@@ -1,10 +1,10 @@
-//! Why the adapter stops.
+//! The errors that end the adapter.
 
 use std::io;
 
 use thiserror::Error;
 
-/// A fault of the input, or of the pipes. The adapter ends with it, as one line.
+/// An invalid input or a failure to read or write the pipes. The adapter prints it as one line and exits.
 #[derive(Debug, Error)]
 pub(crate) enum AdapterError {
     #[error("truncated batch header")]
@@ -13,29 +13,29 @@
     BatchTooShort,
     #[error("truncated batch")]
     TruncatedBatch,
-    #[error("bytes left over in batch")]
+    #[error("unread bytes after the last record of the batch")]
     TrailingBytes,
-    #[error("impossible clock")]
+    #[error("batch clock out of range")]
     ClockOutOfRange,
     #[error("truncated record")]
     TruncatedRecord,
-    #[error("not a whole number: {0}")]
-    NotWhole(f32),
+    #[error("not an integer: {0}")]
+    NotAnInteger(f32),
     #[error("unknown record code {0}")]
     UnknownRecord(u8),
-    #[error("record {code} for no open instance {director}")]
+    #[error("record code {code}: no open instance {director}")]
     UnknownInstance { code: u8, director: u32 },
     #[error("unknown list scope {0}")]
     UnknownListScope(u8),
     #[error("unknown node state {0}")]
     UnknownNodeState(u8),
-    #[error("list names no sheet")]
+    #[error("directory update refers to an unknown sheet")]
     UnknownSheet,
-    #[error("lookup of unknown kind {class} or size {size_kb}")]
+    #[error("order of unknown kind {class} or with a size that is not finite: {size_kb} kB")]
     UnknownClassOrSize { class: usize, size_kb: f64 },
     #[error("unknown outcome {0}")]
     UnknownOutcome(u8),
-    #[error("settings are not text")]
+    #[error("settings are not valid UTF-8")]
     SettingsNotText,
     #[error("{0}")]
     Settings(String),
--- a/crates/sim-adapter/src/event.rs
+++ b/crates/sim-adapter/src/event.rs
@@ -1,11 +1,11 @@
-//! The events that the simulator sends. The names of records and fields are those of the operators' protocol page.
+//! Decodes the events that the simulator sends. Records and fields have the names of the operators' protocol page.
 
 use sablecross::{EndpointState, Ns, Outcome};
 
 use crate::error::{AdapterError, Result};
 use crate::record_reader::RecordReader;
 
-/// A node's address and port, as the wire has them.
+/// The IPv4 address and port of a node, encoded as on the wire.
 pub(crate) type Address = [u8; 6];
 
 /// The record codes of events.
@@ -24,16 +24,16 @@
     pub(crate) const TIMEOUT_FIRED: u8 = 11;
 }
 
-/// The bits of an order's `attrs`.
+/// Flags in the `attrs` of an order.
 const ATTR_CLIENT_RETRY: u16 = 2;
 const ATTR_WRITE: u16 = 4;
 
-/// Bytes of a `Begun` record past its instance, all of which are passed over.
+/// Bytes of a `Begun` record after the number of its instance; all of them are skipped.
 const BEGUN_BYTES: usize = 16;
-/// Bytes of a `CheckResult` record between its instance and its load report.
+/// Bytes of a `CheckResult` record between the number of its instance and its load report; all of them are skipped.
 const CHECK_RESULT_BYTES: usize = 11;
 
-/// One node of a sheet.
+/// One node in a sheet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SheetEntry {
     pub(crate) cell: u16,
@@ -44,21 +44,21 @@
     pub(crate) address: Address,
 }
 
-/// A numbered list of nodes, to which directory updates refer.
+/// A numbered list of nodes. Directory updates refer to a sheet by its number, `slot`.
 #[derive(Debug)]
 pub(crate) struct Sheet {
     pub(crate) slot: u32,
     pub(crate) entries: Vec<SheetEntry>,
 }
 
-/// How the nodes of a directory update relate to those that were known before.
+/// How the nodes of a directory update relate to the nodes that are already known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListScope {
-    /// Changed nodes only.
+    /// The update has only the nodes that changed.
     Delta,
-    /// All nodes.
+    /// The update has all nodes and replaces the list.
     Snapshot,
-    /// No nodes: the subscription failed.
+    /// The subscription failed; the update has no nodes.
     Failed,
 }
 
@@ -76,7 +76,7 @@
     pub(crate) is_write: bool,
 }
 
-/// The end of an attempt.
+/// The result of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Returned<'a> {
     pub(crate) id: u32,
@@ -85,9 +85,9 @@
     pub(crate) outcome: Outcome,
     pub(crate) elapsed: Ns,
     pub(crate) is_final: bool,
-    /// The number of the note that tells whether it was served from a copy.
+    /// The number of the note that tells whether a cached copy was served.
     pub(crate) note: u32,
-    /// The values of the node's load report, as big-endian floats; empty if none came along.
+    /// The values of the node's load report as big-endian floats; empty if the result came without a load report.
     pub(crate) load_report: &'a [[u8; 4]],
 }
 
@@ -97,7 +97,7 @@
     Aborted {
         id: u32,
     },
-    /// Without an object, of the whole group.
+    /// A purge of an object, or of the whole group if there is no object.
     Invalidated {
         object: Option<u64>,
         group: u32,
@@ -112,12 +112,12 @@
     TimeoutFired {
         handle: u64,
     },
-    /// One that has no meaning for the decision module.
+    /// An event that the decision module does not use.
     Ignored,
 }
 
 impl<'a> Event<'a> {
-    /// Reads the rest of an event's record.
+    /// Reads the fields of an event that follow its record code and the number of its instance.
     pub(crate) fn read(code: u8, reader: &mut RecordReader<'a>) -> Result<Event<'a>> {
         match code {
             code::ABORTED => Ok(Event::Aborted { id: reader.u32()? }),
@@ -159,7 +159,7 @@
     let _generation = reader.u32()?;
     let scope = match scope {
         0 => ListScope::Delta,
-        // The complete list, as it is or as this instance last had it.
+        // The complete list, either the current one or the one that this instance last received.
         1 | 2 => ListScope::Snapshot,
         3 => ListScope::Failed,
         other => return Err(AdapterError::UnknownListScope(other)),
@@ -169,11 +169,11 @@
 
 fn read_order(reader: &mut RecordReader) -> Result<Order> {
     let id = reader.u32()?;
-    let part = reader.whole()?;
+    let part = reader.u32_from_f32()?;
     let _tenant = reader.u32()?;
     let object = reader.u64()?;
     let class = usize::from(reader.u8()?);
-    let group = reader.whole()?;
+    let group = reader.u32_from_f32()?;
     let size_kb = f64::from(reader.f32()?);
     let deadline = reader.time()?;
     let attrs = reader.u16()?;
@@ -225,7 +225,7 @@
 }
 
 impl Sheet {
-    /// Reads the rest of a sheet's record.
+    /// Reads the fields of a sheet that follow its record code.
     pub(crate) fn read(reader: &mut RecordReader) -> Result<Sheet> {
         let slot = reader.u32()?;
         let count = reader.u32()?;
--- a/crates/sim-adapter/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! All instances of the process, and the sheets of nodes that they share.
+//! The instances of the process and the sheets of nodes that they share.
 
 use std::collections::HashMap;
 
@@ -10,20 +10,22 @@
 use crate::record_reader::RecordReader;
 use crate::reply::Reply;
 
-/// The instances by number.
+/// Runs all instances of the process and dispatches the records of each batch to them.
 #[derive(Default)]
 pub(crate) struct Host {
+    /// The instances by number.
     instances: HashMap<u32, Instance>,
+    /// The sheets by slot.
     sheets: HashMap<u32, Vec<SheetEntry>>,
 }
 
 impl Host {
-    /// Takes the records of one batch and returns the frame of the reply.
-    pub(crate) fn batch(&mut self, number: u32, now: Ns, count: u32, body: &[u8]) -> Result<Vec<u8>> {
+    /// Handles the records of one batch and returns the frame of the reply.
+    pub(crate) fn handle_batch(&mut self, number: u32, now: Ns, count: u32, body: &[u8]) -> Result<Vec<u8>> {
         let mut reply = Reply::default();
         let mut reader = RecordReader::new(body);
         for _ in 0..count {
-            self.record(&mut reader, now, &mut reply)?;
+            self.handle_record(&mut reader, now, &mut reply)?;
         }
         if !reader.is_empty() {
             return Err(AdapterError::TrailingBytes);
@@ -31,7 +33,7 @@
         Ok(reply.into_frame(number))
     }
 
-    fn record(&mut self, reader: &mut RecordReader, now: Ns, reply: &mut Reply) -> Result<()> {
+    fn handle_record(&mut self, reader: &mut RecordReader, now: Ns, reply: &mut Reply) -> Result<()> {
         let code = reader.u8()?;
         if code == code::SHEET {
             let sheet = Sheet::read(reader)?;
--- a/crates/sim-adapter/src/instance.rs
+++ b/crates/sim-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: a director of the simulated deployment.
+//! One instance of the decision module: a director of the simulated deployment.
 
 use std::collections::HashMap;
 
@@ -9,18 +9,18 @@
 use crate::event::{Address, Event, ListScope, Order, Returned, SheetEntry};
 use crate::reply::Reply;
 
-/// Bits of a timer's handle below the generation of its request's check.
+/// The position of the check's generation in a timer's handle; the bits below it hold the number of the request.
 const GENERATION_SHIFT: u32 = 32;
 
 /// One director with its requests in flight.
 pub(crate) struct Instance {
     inflight: InflightTable,
     nodes: NodeIndex,
-    /// The names of the values in a load report, in their order.
+    /// The names of the values in a load report, in the order in which nodes send the values.
     report_names: Vec<String>,
 }
 
-/// The module's indices of nodes, by address.
+/// Maps the addresses of nodes to the indices that the decision module uses, and back.
 #[derive(Default)]
 struct NodeIndex {
     by_address: HashMap<Address, usize>,
@@ -28,8 +28,8 @@
 }
 
 impl NodeIndex {
-    /// The index of a node, a new one if it is not known.
-    fn assign(&mut self, address: Address) -> usize {
+    /// Returns the index of a node, and assigns the next free index to a node that is not known yet.
+    fn get_or_assign(&mut self, address: Address) -> usize {
         let next = self.addresses.len();
         let index = *self.by_address.entry(address).or_insert(next);
         if index == next {
@@ -39,7 +39,7 @@
     }
 }
 
-/// Writes what the module decides for one instance into the reply.
+/// Writes the decisions for one instance into the reply.
 struct ReplyTransport<'a> {
     director: u32,
     addresses: &'a [Address],
@@ -47,7 +47,7 @@
 }
 
 impl Transport for ReplyTransport<'_> {
-    fn send(&mut self, id: u64, spec: &AttemptSpec, _earlier: &[Attempt]) {
+    fn send(&mut self, id: u64, spec: &AttemptSpec, _prior: &[Attempt]) {
         let [node, source] = [spec.node, spec.source.unwrap_or(spec.node)].map(|n| self.addresses[n]);
         self.reply.read_through(self.director, id as u32, spec, node, source);
     }
@@ -68,38 +68,39 @@
         self.cancel(id, attempt);
     }
 
-    /// The simulator's actions are never late, so that the router does not ask for this.
+    /// The router never asks for this: the simulator carries out actions without delay, so the adapter reports no wakeup
+    /// delay.
     fn time_out(&mut self, id: u64, attempt: usize) {
         self.cancel(id, attempt);
     }
 
-    fn schedule_check(&mut self, id: u64, generation: u32, wait: Ns) {
-        self.reply.defer(self.director, wait, u64::from(generation) << GENERATION_SHIFT | id);
+    fn schedule_check(&mut self, id: u64, generation: u32, after: Ns) {
+        self.reply.defer(self.director, after, u64::from(generation) << GENERATION_SHIFT | id);
     }
 
     fn release(&mut self, _id: u64) {}
 }
 
 impl Instance {
-    /// Starts an instance with the text of its settings: a `path=value` pair a line.
+    /// Starts an instance. The text of its settings has one `path=value` pair per line; lines without `=` are ignored.
     pub(crate) fn open(text: &str, seed: u64, now: Ns) -> Result<Instance> {
         let lines = text.lines().filter_map(|line| line.split_once('='));
-        let pairs: settings::SettingsMap =
+        let map: settings::SettingsMap =
             lines.map(|(path, value)| (path.to_owned(), value.to_owned())).collect();
-        let settings = settings::decode(&pairs).map_err(|error| AdapterError::Settings(error.to_string()))?;
+        let settings = settings::decode(&map).map_err(|error| AdapterError::Settings(error.to_string()))?;
         Ok(Instance {
             inflight: InflightTable::new(Router::new(settings, seed, now)),
             nodes: NodeIndex::default(),
-            report_names: pairs.list("report.names").unwrap_or_default(),
+            report_names: map.list("report.names").unwrap_or_default(),
         })
     }
 
-    /// Whether changes of the list of nodes have to be subscribed to.
+    /// Whether the instance has to subscribe to changes of the endpoint list.
     pub(crate) fn polls_endpoint_list(&self) -> bool {
         self.inflight.router.polls_endpoint_list()
     }
 
-    /// Takes an event of this instance and writes what follows from it, with the lines of the log, into the reply.
+    /// Handles an event of this instance and writes the resulting actions and log lines into the reply.
     pub(crate) fn handle(
         &mut self,
         director: u32,
@@ -143,7 +144,7 @@
 
     fn update_endpoints(&mut self, entries: &[SheetEntry], is_snapshot: bool, now: Ns) {
         let update = |entry: &SheetEntry| EndpointUpdate {
-            node: self.nodes.assign(entry.address),
+            node: self.nodes.get_or_assign(entry.address),
             rank: entry.address.iter().fold(0, |rank, &byte| rank << 8 | u64::from(byte)),
             zone: usize::from(entry.zone),
             machine_kind: usize::from(entry.machine_kind),
@@ -200,11 +201,11 @@
         );
     }
 
-    /// The load report in these values, where one came along.
+    /// Decodes the values of a load report; returns `None` if there are no values.
     fn load_report(&self, values: &[[u8; 4]]) -> Option<LoadReport> {
         let values = values.iter().map(|bytes| f64::from(f32::from_be_bytes(*bytes)));
         let is_empty = values.len() == 0;
-        let named = self.report_names.iter().map(String::as_str).zip(values);
-        (!is_empty).then(|| settings::load_report(named))
+        let named_values = self.report_names.iter().map(String::as_str).zip(values);
+        (!is_empty).then(|| settings::load_report(named_values))
     }
 }
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs instances of the decision module for the operators' simulator: batches of events come on standard input, and for
-//! each a reply goes to standard output.
+//! Runs instances of the decision module for the operators' simulator: reads batches of events from standard input and
+//! writes a reply to each batch to standard output.
 
 mod error;
 mod event;
@@ -15,9 +15,9 @@
 use host::Host;
 use record_reader::RecordReader;
 
-/// Bytes of a batch's header: its number, its length, the clock and the number of records.
+/// Bytes of a batch's header: its number, its length, the clock in microseconds and the number of records.
 const HEADER_BYTES: usize = 20;
-/// Bytes of the header that the length counts.
+/// Bytes of the header that the batch's length includes: the clock and the number of records.
 const COUNTED_HEADER_BYTES: u32 = 12;
 
 fn main() -> ExitCode {
@@ -40,14 +40,14 @@
         let length = length.checked_sub(COUNTED_HEADER_BYTES).ok_or(AdapterError::BatchTooShort)?;
         let body = read_body(&mut input, length)?;
         let now = clock.checked_mul(1_000).ok_or(AdapterError::ClockOutOfRange)?;
-        let frame = host.batch(number, now, count, &body)?;
+        let frame = host.handle_batch(number, now, count, &body)?;
         output.write_all(&frame)?;
         output.flush()?;
     }
     Ok(())
 }
 
-/// The header of the next batch; none at the end of the input.
+/// Reads the header of the next batch; returns `None` at the end of the input.
 fn read_header(input: &mut impl Read) -> Result<Option<[u8; HEADER_BYTES]>> {
     let mut header = [0; HEADER_BYTES];
     let mut filled = 0;
--- a/crates/sim-adapter/src/record_reader.rs
+++ b/crates/sim-adapter/src/record_reader.rs
@@ -1,16 +1,17 @@
-//! Reads the fields of the wire's records: big-endian, without padding. Every short read is an error.
+//! Reads the fields of records: big-endian, without padding. A read past the end of the batch is an error.
 
 use crate::error::{AdapterError, Result};
 
-/// What is left of a batch.
+/// Reads a batch from front to back.
 pub(crate) struct RecordReader<'a> {
+    /// The bytes that are not read yet.
     bytes: &'a [u8],
 }
 
 macro_rules! read_number {
-    ($name:ident, $kind:ty) => {
-        pub(crate) fn $name(&mut self) -> Result<$kind> {
-            Ok(<$kind>::from_be_bytes(self.array()?))
+    ($name:ident, $number:ty) => {
+        pub(crate) fn $name(&mut self) -> Result<$number> {
+            Ok(<$number>::from_be_bytes(self.array()?))
         }
     };
 }
@@ -24,6 +25,7 @@
         self.bytes.is_empty()
     }
 
+    /// Reads the next `count` bytes.
     pub(crate) fn take(&mut self, count: usize) -> Result<&'a [u8]> {
         let (head, rest) = self.bytes.split_at_checked(count).ok_or(AdapterError::TruncatedRecord)?;
         self.bytes = rest;
@@ -40,21 +42,21 @@
     read_number!(u64, u64);
     read_number!(f32, f32);
 
-    /// A whole number that the wire sends as a float.
-    pub(crate) fn whole(&mut self) -> Result<u32> {
+    /// Reads an integer that is sent as a float.
+    pub(crate) fn u32_from_f32(&mut self) -> Result<u32> {
         let number = self.f32()?;
         if number >= 0.0 && number < u32::MAX as f32 && number.fract() == 0.0 {
             return Ok(number as u32);
         }
-        Err(AdapterError::NotWhole(number))
+        Err(AdapterError::NotAnInteger(number))
     }
 
-    /// A duration in microseconds, as nanoseconds.
+    /// Reads a duration in microseconds and returns it in nanoseconds.
     pub(crate) fn duration(&mut self) -> Result<u64> {
         Ok(u64::from(self.u32()?) * 1_000)
     }
 
-    /// A point in time in microseconds, as nanoseconds.
+    /// Reads a point in time in microseconds and returns it in nanoseconds.
     pub(crate) fn time(&mut self) -> Result<u64> {
         Ok(self.u64()?.saturating_mul(1_000))
     }
--- a/crates/sim-adapter/tests/settings_format.rs
+++ b/crates/sim-adapter/tests/settings_format.rs
@@ -1,11 +1,11 @@
-//! The settings of the simulator's wire: every key that is read, in every form that its value may take.
+//! Checks the settings that the simulator sends: every key that is read, with every kind of value that it accepts.
 
 use sablecross::{DeduplicationScope, Effect, RequestClass, Settings};
 use sablecross_inflight::settings;
 
 const SETTINGS: &str = include_str!("data/settings.txt");
 
-/// A text of the settings, what stands in its place, and what that changes.
+/// A part of the settings text, its replacement, and the effect on the decoded settings.
 type Change = (&'static str, &'static str, fn(&mut Settings));
 
 fn decode(text: &str) -> Result<Settings, String> {
@@ -14,8 +14,8 @@
         .map_err(|error| error.to_string())
 }
 
-/// What the text of `data/settings.txt` says.
-fn expected() -> Settings {
+/// The settings that `data/settings.txt` decodes to.
+fn expected_settings() -> Settings {
     let idempotent = RequestClass {
         latency_objective: 250_000_000,
         latency_objective_stretch: None,
@@ -74,9 +74,9 @@
 }
 
 #[test]
-fn each_setting_has_its_key() {
-    assert_eq!(decode(SETTINGS), Ok(expected()));
-    let changed: [Change; 16] = [
+fn decodes_every_setting_from_its_key() {
+    assert_eq!(decode(SETTINGS), Ok(expected_settings()));
+    let changes: [Change; 16] = [
         ("az=2", "az=1", |s| s.zone = 1),
         ("index=0", "index=4", |s| s.director_index = 4),
         ("zoneBalancers=0,0,1", "zoneBalancers=3,0,1", |s| s.directors_per_zone = vec![3, 0, 1]),
@@ -89,7 +89,7 @@
         ("direct=true", "direct=false", |s| s.may_bypass_cache = false),
         ("joins=true", "joins=false", |s| s.may_coalesce = false),
         ("periodUs=2000", "periodUs=5000", |s| s.tick = 5_000_000),
-        // What is longer than a year is a year.
+        // Durations of more than 366 days are clamped.
         ("clearedWithinUs=6000000", "clearedWithinUs=99999999999999", |s| {
             s.purge_propagation_window = 366 * 86_400 * 1_000_000_000;
         }),
@@ -103,17 +103,18 @@
         }),
         ("aimStretch=1.6", "aimStretch=0", |s| s.request_classes[3].latency_objective_stretch = Some(0.0)),
     ];
-    for (from, to, change) in changed {
-        let mut settings = expected();
+    for (from, to, change) in changes {
+        let mut settings = expected_settings();
         change(&mut settings);
         assert!(SETTINGS.contains(from), "{from}");
         assert_eq!(decode(&SETTINGS.replace(from, to)), Ok(settings), "{to}");
     }
 }
 
-/// Every key is needed but the stretch of a class's latency objective; the error names the one that is missing.
+/// All keys are required except `report.names` and the stretch of a class's latency objective; the error names the
+/// missing key.
 #[test]
-fn a_missing_key_is_named() {
+fn error_names_the_missing_key() {
     for line in SETTINGS.lines() {
         let (key, _) = line.split_once('=').expect("a key and a value");
         let without: Vec<&str> = SETTINGS.lines().filter(|other| *other != line).collect();
@@ -127,7 +128,7 @@
 }
 
 #[test]
-fn a_bad_value_is_named_with_its_key() {
+fn error_names_the_key_and_its_invalid_value() {
     let cases = [
         ("az=2", "az=x", "bad setting: az=x"),
         ("az=2", "az=9", "bad setting: extra.zoneBalancers has no item 9, which az names"),
@@ -146,9 +147,9 @@
     }
 }
 
-/// The values of a load report are found by their names, a note's hit by its number.
+/// Load reports are decoded by the names of their values, notes by their numbers.
 #[test]
-fn load_reports_and_notes_have_their_names_and_numbers() {
+fn decodes_load_reports_and_cache_notes() {
     let report = [("active", 3.0), ("cpu", 0.5), ("x0", 0.1), ("x1", 0.75)];
     let load = settings::load_report(report.into_iter());
     assert_eq!((load.cpu_utilization, load.link_utilization), (Some(0.5), Some(0.75)));
--- a/crates/sim-adapter/tests/wire.rs
+++ b/crates/sim-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Runs the adapter on raw frames.
+//! Runs the adapter on frames that are built byte by byte, valid and invalid ones.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -24,17 +24,18 @@
 
 fn record(code: u8, fields: &[&[u8]]) -> Vec<u8> {
     let mut out = vec![code];
-    fields.iter().for_each(|f| out.extend(*f));
+    fields.iter().for_each(|field| out.extend(*field));
     out
 }
 
-fn open(settings: &str) -> Vec<u8> {
-    let n = (settings.len() as u32).to_be_bytes();
-    record(3, &[&3_u32.to_be_bytes(), &9_u64.to_be_bytes(), &n, settings.as_bytes()])
+/// The record that starts instance 3 with seed 9.
+fn open_instance(settings: &str) -> Vec<u8> {
+    let length = (settings.len() as u32).to_be_bytes();
+    record(3, &[&3_u32.to_be_bytes(), &9_u64.to_be_bytes(), &length, settings.as_bytes()])
 }
 
-/// One cache, one parent and the origin, as a list event of the wire.
-fn list() -> Vec<u8> {
+/// A sheet with one cache, one parent and the origin.
+fn sheet() -> Vec<u8> {
     let mut out = record(0, &[&[0; 4], &3_u32.to_be_bytes()]);
     for (n, zone) in [(0_u8, 2_u16), (1, 0), (2, 0)] {
         out.extend([0, 0, 0x3f, 0x80, 0, 0]);
@@ -47,62 +48,64 @@
     out
 }
 
-fn update() -> Vec<u8> {
+/// A directory update with the complete list of the sheet.
+fn directory_update() -> Vec<u8> {
     record(5, &[&3_u32.to_be_bytes(), &[2], &[0; 4], &[0, 0, 0, 41]])
 }
 
-fn order(txn: u32, kind: u8) -> Vec<u8> {
-    let (id, kb, deadline) = (txn.to_be_bytes(), 11_f32.to_be_bytes(), 9_000_000_u64.to_be_bytes());
+fn order(request: u32, kind: u8) -> Vec<u8> {
+    let (id, size_kb, deadline) = (request.to_be_bytes(), 11_f32.to_be_bytes(), 9_000_000_u64.to_be_bytes());
     let object = 77_u64.to_be_bytes();
-    record(6, &[&3_u32.to_be_bytes(), &id, &[0; 8], &object, &[kind], &[0; 4], &kb, &deadline, &[0, 0]])
+    record(6, &[&3_u32.to_be_bytes(), &id, &[0; 8], &object, &[kind], &[0; 4], &size_kb, &deadline, &[0, 0]])
 }
 
-fn returned(txn: u32, outcome: u8) -> Vec<u8> {
-    let id = txn.to_be_bytes();
+fn returned(request: u32, outcome: u8) -> Vec<u8> {
+    let id = request.to_be_bytes();
     record(
         8,
         &[&3_u32.to_be_bytes(), &id, &[0, 0], &[10, 0, 0, 0, 0x23, 0x28], &[outcome], &[0; 4], &[0], &[0; 9]],
     )
 }
 
-fn run(input: &[u8]) -> Output {
+fn run_adapter(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_sablecross-sim-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("starts");
-    // The adapter may end before it has read all.
+        .expect("adapter starts");
+    // The adapter may exit before it has read all of its input, so this write may fail.
     let _ = child.stdin.take().expect("piped").write_all(input);
-    child.wait_with_output().expect("ends")
+    child.wait_with_output().expect("adapter exits")
 }
 
-fn begin(more: Vec<Vec<u8>>) -> Vec<u8> {
-    let mut first = vec![open(SETTINGS), list(), update()];
-    first.extend(more);
-    frame(1, 5_000_000, &first)
+/// A batch that starts the instance and gives it the list of nodes, with `more` records at its end.
+fn start_frame(more: Vec<Vec<u8>>) -> Vec<u8> {
+    let mut records = vec![open_instance(SETTINGS), sheet(), directory_update()];
+    records.extend(more);
+    frame(1, 5_000_000, &records)
 }
 
 #[test]
-fn bad_input_ends_with_one_plain_line() {
-    let cut = |mut f: Vec<u8>, n: usize| {
-        f.truncate(f.len() - n);
-        f
+fn invalid_input_ends_the_adapter_with_one_line_of_error() {
+    let cut = |mut frame: Vec<u8>, bytes: usize| {
+        frame.truncate(frame.len() - bytes);
+        frame
     };
     let without = |key: &str| {
-        let kept: Vec<&str> = SETTINGS.lines().filter(|l| !l.starts_with(key)).collect();
-        frame(1, 1, &[open(&kept.join("\n"))])
+        let kept: Vec<&str> = SETTINGS.lines().filter(|line| !line.starts_with(key)).collect();
+        frame(1, 1, &[open_instance(&kept.join("\n"))])
     };
-    let with = |from: &str, to: &str| frame(1, 1, &[open(&SETTINGS.replace(from, to))]);
+    let with = |from: &str, to: &str| frame(1, 1, &[open_instance(&SETTINGS.replace(from, to))]);
     let cases = [
         (cut(frame(1, 1, &[]), 7), "truncated batch header"),
-        (cut(begin(vec![order(5, 0)]), 3), "truncated batch"),
+        (cut(start_frame(vec![order(5, 0)]), 3), "truncated batch"),
         (frame(1, 1, &[vec![5, 0, 0]]), "truncated record"),
-        (begin(vec![record(99, &[&3_u32.to_be_bytes()])]), "unknown record code 99"),
-        (begin(vec![order(5, 4)]), "unknown kind"),
-        (begin(vec![order(5, 0), returned(5, 77)]), "unknown outcome 77"),
+        (start_frame(vec![record(99, &[&3_u32.to_be_bytes()])]), "unknown record code 99"),
+        (start_frame(vec![order(5, 4)]), "unknown kind"),
+        (start_frame(vec![order(5, 0), returned(5, 77)]), "unknown outcome 77"),
         (frame(1, 1, &[order(5, 0)]), "no open instance"),
-        (frame(1, 1, &[open(SETTINGS), update()]), "no sheet"),
+        (frame(1, 1, &[open_instance(SETTINGS), directory_update()]), "unknown sheet"),
         (vec![0, 0, 0, 1, 0, 0, 0, 3, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0], "length too small"),
         (without("periodUs"), "setting missing: periodUs"),
         (with("coldFrom=0.23", "coldFrom=NaN"), "bad setting"),
@@ -113,31 +116,34 @@
         (with("az=2", "az=7"), "bad setting"),
         (with("classes.count=1", "classes.count=0"), "bad setting"),
     ];
-    for (input, words) in cases {
-        let out = run(&input);
-        let err = String::from_utf8_lossy(&out.stderr);
-        assert!(!out.status.success() && out.stdout.is_empty(), "{words}");
+    for (input, message) in cases {
+        let out = run_adapter(&input);
+        let stderr = String::from_utf8_lossy(&out.stderr);
+        assert!(!out.status.success() && out.stdout.is_empty(), "{message}");
         assert!(
-            err.contains(words) && err.lines().count() == 1 && !err.contains("panicked"),
-            "{words}: {err}"
+            stderr.contains(message) && stderr.lines().count() == 1 && !stderr.contains("panicked"),
+            "{message}: {stderr}"
         );
     }
 }
 
 #[test]
-fn the_wire_answers_each_batch_in_turn() {
+fn replies_to_each_batch_in_order() {
     let mut input = frame(0, 1, &[]);
-    input.extend(begin(vec![order(5, 0)]));
-    // An outcome, a timer and an abort for requests that are not in flight.
+    input.extend(start_frame(vec![order(5, 0)]));
+    // A result, a timer and an abort of requests that are not in flight are ignored.
     let timer = record(11, &[&3_u32.to_be_bytes(), &99_u64.to_be_bytes()]);
     let aborted = record(1, &[&3_u32.to_be_bytes(), &98_u32.to_be_bytes()]);
     input.extend(frame(2, 5_002_000, &[returned(97, 0), timer, aborted, returned(5, 0)]));
-    let out = run(&input);
+    let out = run_adapter(&input);
     assert!(out.status.success() && out.stderr.is_empty());
     assert_eq!(out.stdout[..12], [0; 12], "an empty batch has an empty reply");
-    let second = &out.stdout[12..];
-    assert_eq!(second[..4], [0, 0, 0, 1]);
-    let send = second.windows(9).position(|w| w == [68, 0, 0, 0, 3, 0, 0, 0, 5]).expect("sent on");
-    assert_eq!(second[send + 14..send + 26], [10, 0, 0, 0, 0x23, 0x28, 10, 0, 0, 1, 0x23, 0x28]);
-    assert_eq!(second[second.len() - 12..], [0, 0, 0, 2, 0, 0, 0, 0, 0, 0, 0, 0]);
+    let second_reply = &out.stdout[12..];
+    assert_eq!(second_reply[..4], [0, 0, 0, 1]);
+    let attempt = second_reply
+        .windows(9)
+        .position(|w| w == [68, 0, 0, 0, 3, 0, 0, 0, 5])
+        .expect("an attempt of request 5");
+    assert_eq!(second_reply[attempt + 14..attempt + 26], [10, 0, 0, 0, 0x23, 0x28, 10, 0, 0, 1, 0x23, 0x28]);
+    assert_eq!(second_reply[second_reply.len() - 12..], [0, 0, 0, 2, 0, 0, 0, 0, 0, 0, 0, 0]);
 }
