--- a/crates/estimators/src/lib.rs
+++ b/crates/estimators/src/lib.rs
@@ -1,11 +1,12 @@
-//! Estimates from few samples, without I/O.
+//! Statistical estimators for streams with few samples per member, without I/O.
 //!
-//! A director of a large fleet sees each member only about once a second: what it saw there is one sample, and what it saw
-//! at all members is many. [`ShrinkageEstimator`] weighs the two by how different the members prove to be.
-//! [`SpaceSaving`] finds the most frequent keys of a stream within a fixed memory.
+//! A director of a large fleet samples each member only about once a second, so it has few samples of any one member but
+//! many of all members together. [`ShrinkageEstimator`] combines the mean of the member with the mean of all members; the
+//! weights depend on how much the members differ. [`SpaceSaving`] finds the most frequent keys of a stream in bounded
+//! memory.
 //!
-//! Times are whole nanoseconds of a monotonic clock. Values are plain numbers: 0 and 1 for a success and a failure, a
-//! logarithm for a speed.
+//! Times are nanoseconds of a monotonic clock. Samples are plain numbers, for example 0 for a success and 1 for a failure,
+//! or the logarithm of a speed.
 
 mod decaying_sum;
 mod shrinkage_estimator;
@@ -14,5 +15,5 @@
 pub use shrinkage_estimator::{Estimate, ShrinkageEstimator};
 pub use space_saving::SpaceSaving;
 
-/// Whole nanoseconds.
+/// A time or a duration in whole nanoseconds.
 pub type Ns = u64;
--- a/crates/estimators/src/space_saving.rs
+++ b/crates/estimators/src/space_saving.rs
@@ -1,22 +1,24 @@
-//! The most frequent keys of a stream, within a fixed memory.
+//! Finds the most frequent keys of a stream in bounded memory.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// Keys whose count has decayed below this are dropped.
+/// Keys whose count decays to this value or below are dropped.
 const MIN_COUNT: f64 = 1e-3;
-/// Floor of the total, which is a divisor.
+/// A lower bound that keeps the total above zero where it is a divisor.
 const MIN_TOTAL: f64 = 1e-9;
 
 #[derive(Clone, Copy, Debug)]
 struct Counter {
     count: f64,
-    /// How much of the count may belong to keys that had the counter before.
+    /// The largest part of the count that may belong to keys that used the counter before.
     max_error: f64,
 }
 
-/// The Space-Saving sketch (Metwally, Agrawal, El Abbadi 2005). Every key with more than `total / counters` of everything
-/// counted has a counter, and no counter exceeds the true count by more than that.
+/// The Space-Saving sketch (Metwally, Agrawal, El Abbadi 2005).
+///
+/// Every key whose weight exceeds `total / counters` has a counter, and no counter exceeds the true weight of its key by
+/// more than `total / counters`.
 #[derive(Clone, Debug)]
 pub struct SpaceSaving<K = u64> {
     capacity: usize,
@@ -25,12 +27,12 @@
 }
 
 impl<K: Copy + Ord + Hash> SpaceSaving<K> {
-    /// A sketch with so many counters, one at least.
+    /// Creates a sketch with `capacity` counters, at least one.
     pub fn new(capacity: usize) -> SpaceSaving<K> {
         SpaceSaving { capacity: capacity.max(1), counters: HashMap::new(), total: 0.0 }
     }
 
-    /// Counts a key; a weight that is not positive is ignored.
+    /// Adds weight to the count of a key. A weight that is not positive is ignored.
     pub fn add(&mut self, key: K, weight: f64) {
         if weight.is_nan() || weight <= 0.0 {
             return;
@@ -40,20 +42,20 @@
             counter.count += weight;
         } else if self.counters.len() < self.capacity {
             self.counters.insert(key, Counter { count: weight, max_error: 0.0 });
-        } else if let Some((replaced, Counter { count, .. })) = self.lowest() {
+        } else if let Some((replaced, Counter { count, .. })) = self.min_counter() {
             self.counters.remove(&replaced);
             self.counters.insert(key, Counter { count: count + weight, max_error: count });
         }
     }
 
-    /// The counter with the lowest count; of equal ones that of the lowest key, so that replays agree.
-    fn lowest(&self) -> Option<(K, Counter)> {
+    /// Returns the counter with the lowest count. Ties go to the lowest key, so that replays are deterministic.
+    fn min_counter(&self) -> Option<(K, Counter)> {
         let all = self.counters.iter();
         let lowest = all.min_by(|a, b| a.1.count.total_cmp(&b.1.count).then(a.0.cmp(b.0)));
         lowest.map(|(key, counter)| (*key, *counter))
     }
 
-    /// The keys with the highest counts, in descending order, with their counts.
+    /// Returns up to `max_keys` keys with the highest counts, and their counts, in descending order.
     pub fn top(&self, max_keys: usize) -> Vec<(K, f64)> {
         let mut all: Vec<(K, f64)> =
             self.counters.iter().map(|(key, counter)| (*key, counter.count)).collect();
@@ -62,7 +64,7 @@
         all
     }
 
-    /// Multiplies all counts by a factor between 0 and 1, to be called at the end of a time window.
+    /// Multiplies all counts by a factor between 0 and 1. To be called at the end of each time window.
     pub fn decay(&mut self, factor: f64) {
         let factor = factor.clamp(0.0, 1.0);
         self.total *= factor;
@@ -73,18 +75,19 @@
         });
     }
 
-    /// The keys that surely have more than this share of the total, in descending order, with their shares.
-    pub fn above_share(&self, min_share: f64) -> Vec<(K, f64)> {
+    /// Returns the keys that are guaranteed to have more than `min_share` of the total, and the lower bounds of their
+    /// shares, in descending order.
+    pub fn heavy_hitters(&self, min_share: f64) -> Vec<(K, f64)> {
         let total = self.total.max(MIN_TOTAL);
         let shares =
             self.counters.iter().map(|(key, counter)| (*key, (counter.count - counter.max_error) / total));
-        let mut above: Vec<_> = shares.filter(|(_, share)| *share > min_share).collect();
-        sort_descending(&mut above);
-        above
+        let mut heavy_hitters: Vec<_> = shares.filter(|(_, share)| *share > min_share).collect();
+        sort_descending(&mut heavy_hitters);
+        heavy_hitters
     }
 }
 
-/// By value in descending order, then by key.
+/// Sorts by value in descending order, then by key in ascending order.
 fn sort_descending<K: Ord>(values: &mut [(K, f64)]) {
     values.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
 }
