--- a/crates/sexpr-config/src/error.rs
+++ b/crates/sexpr-config/src/error.rs
@@ -1,8 +1,8 @@
-//! Errors of settings, with their places.
+//! Errors in settings files, with their positions.
 
 use std::fmt;
 
-/// What is wrong with a settings file, where, and what to do about it.
+/// An error in a settings file: its position, the problem and the remedy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
     /// The name of the file.
@@ -11,11 +11,12 @@
     pub line: usize,
     /// The column, from 1.
     pub column: usize,
-    /// The key with the forms that contain it, as in `node.sources[1]`; empty for an error of the text itself.
+    /// The key, with the word of its form and the keys that contain it, such as `node.sources[1]`. Empty for an error that
+    /// concerns the text itself.
     pub key: String,
     /// What is wrong.
     pub problem: String,
-    /// What to do; may be empty.
+    /// How to fix it; may be empty.
     pub remedy: String,
 }
 
@@ -32,7 +33,7 @@
 
 impl std::error::Error for ConfigError {}
 
-/// The value of a form with its place, so that checks across forms can name it.
+/// The value of a form with its line, so that checks across several forms can report the line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Located<T> {
     /// The line on which the form begins, from 1.
@@ -42,7 +43,7 @@
 }
 
 impl<T> Located<T> {
-    /// An error of the form, or of one of its keys.
+    /// Creates an error of the form or of one of its keys.
     pub fn error(
         &self,
         file: &str,
--- a/crates/sexpr-config/src/form.rs
+++ b/crates/sexpr-config/src/form.rs
@@ -1,4 +1,4 @@
-//! Reads one form into a value, and finds the place of an error in its text.
+//! Deserializes and validates one form, and finds the position of an error in its text.
 
 use garde::Validate;
 use lexpr::Datum;
@@ -6,7 +6,7 @@
 use serde::de::{Deserialize, DeserializeOwned, Deserializer};
 use serde_path_to_error::Segment;
 
-/// An error within one form. Line and column count from 0, from where the form begins.
+/// An error within one form. Line and column count from 0 and are relative to the start of the form.
 pub(crate) struct FormError {
     pub(crate) line: usize,
     pub(crate) column: usize,
@@ -15,27 +15,28 @@
     pub(crate) remedy: &'static str,
 }
 
-/// A step on the path to a value.
+/// A segment of the path to a value in a form.
 #[derive(Clone, Debug)]
 enum PathSegment {
-    /// The word that a form begins with.
+    /// The word at the start of a form.
     Word(String),
     Key(String),
     /// An index into a list.
     Item(usize),
 }
 
-/// A deserialized value, or an error with the path to it. It carries the path out of a deserializer that keeps none.
-struct Traced<T>(Result<T, PathError>);
+/// A deserialized value, or an error with the path to the value that caused it. The error is returned as a value, because
+/// the errors of the deserializer itself have no path.
+struct ResultWithPath<T>(Result<T, PathError>);
 
 struct PathError {
     path: Vec<PathSegment>,
     problem: String,
 }
 
-impl<'de, T: Deserialize<'de>> Deserialize<'de> for Traced<T> {
+impl<'de, T: Deserialize<'de>> Deserialize<'de> for ResultWithPath<T> {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        Ok(Traced(serde_path_to_error::deserialize(deserializer).map_err(|error| {
+        Ok(ResultWithPath(serde_path_to_error::deserialize(deserializer).map_err(|error| {
             let path = error.path().iter().filter_map(|segment| match segment {
                 Segment::Map { key } => Some(PathSegment::Key(key.clone())),
                 Segment::Seq { index } => Some(PathSegment::Item(*index)),
@@ -47,7 +48,7 @@
     }
 }
 
-/// Reads one form and validates it.
+/// Deserializes one form and validates it.
 pub(crate) fn parse_form<T>(text: &str) -> Result<T, Vec<FormError>>
 where
     T: DeserializeOwned + Validate<Context = ()>,
@@ -72,10 +73,10 @@
 }
 
 fn deserialize<T: DeserializeOwned>(datum: &Datum) -> Result<T, FormError> {
-    let traced: Traced<T> = serde_lexpr::from_value(datum.value())
+    let result: ResultWithPath<T> = serde_lexpr::from_value(datum.value())
         .map_err(|error| form_error(datum, &[], error.to_string(), "write (word (key . value) ...)"))?;
-    traced.0.map_err(|PathError { mut path, problem }| {
-        // The path ends before an unknown key; the error names it.
+    result.0.map_err(|PathError { mut path, problem }| {
+        // The path may end before the unknown key. The error message names the key, so it is appended to the path.
         if let Some(unknown) = unknown_field(&problem)
             && !matches!(path.last(), Some(PathSegment::Key(last)) if last == unknown)
         {
@@ -85,7 +86,7 @@
     })
 }
 
-/// The key that serde's error names as unknown.
+/// Returns the key that an error message of serde names as unknown.
 fn unknown_field(problem: &str) -> Option<&str> {
     problem.strip_prefix("unknown field `")?.split('`').next()
 }
@@ -100,40 +101,41 @@
     errors.collect()
 }
 
-/// The keys of a path of Rust fields, such as `0.sources[1]`.
+/// Converts a path of Rust fields, such as `0.sources[1]`, to the path of keys in a settings file.
 fn key_path(field_path: &str) -> Vec<PathSegment> {
     let path = field_path.replace('[', ".").replace(']', "");
     let path = path.trim_start_matches('.');
-    // The content of an enum's variant is its field 0, which the file does not name.
+    // The content of an enum variant is its field 0, which has no key in the file.
     let path = path.strip_prefix("0.").unwrap_or(path);
     let segments = path.split('.').filter(|segment| !segment.is_empty());
     segments
         .map(|segment| match segment.parse() {
             Ok(index) => PathSegment::Item(index),
-            // Fields are in snake case, keys in kebab case.
+            // Fields have names in snake case, keys in kebab case.
             Err(_) => PathSegment::Key(segment.replace('_', "-")),
         })
         .collect()
 }
 
 fn form_error(datum: &Datum, path: &[PathSegment], problem: String, remedy: &'static str) -> FormError {
-    let (place, key) = locate(datum.as_ref(), path);
-    let start = place.span().start();
+    let (innermost, key) = locate(datum.as_ref(), path);
+    let start = innermost.span().start();
     FormError { line: start.line().saturating_sub(1), column: start.column(), key, problem, remedy }
 }
 
-/// The word that a form begins with.
+/// Returns the word at the start of a form.
 fn first_word<'a>(form: Ref<'a>) -> Option<&'a str> {
     form.as_pair().and_then(|(word, _)| word.value().as_symbol())
 }
 
-/// The innermost place on a path that the text contains, and the name of the path.
+/// Follows a path as far as the form contains it. Returns the last key or list item that was found, or else the form, and
+/// the path as text.
 fn locate<'a>(form: Ref<'a>, path: &[PathSegment]) -> (Ref<'a>, String) {
-    let (mut current, mut place, mut name) = (form, form, String::new());
+    let (mut current, mut innermost, mut path_text) = (form, form, String::new());
     for segment in path {
         match segment {
             PathSegment::Word(word) => {
-                name += word;
+                path_text += word;
                 if let Some((first, rest)) = current.as_pair()
                     && first.value().as_symbol() == Some(word)
                 {
@@ -141,25 +143,25 @@
                 }
             }
             PathSegment::Key(key) => {
-                if !name.is_empty() {
-                    name.push('.');
+                if !path_text.is_empty() {
+                    path_text.push('.');
                 }
-                name += key;
+                path_text += key;
                 let Some((key, value)) = find_entry(current, key) else { break };
-                (place, current) = (key, value);
+                (innermost, current) = (key, value);
             }
             PathSegment::Item(index) => {
-                name += &format!("[{index}]");
+                path_text += &format!("[{index}]");
                 let item = current.list_iter().and_then(|mut items| items.nth(*index));
                 let Some(item) = item else { break };
-                (place, current) = (item, item);
+                (innermost, current) = (item, item);
             }
         }
     }
-    (place, name)
+    (innermost, path_text)
 }
 
-/// The key and the value of the first entry `(key . value)` of a list.
+/// Returns the key and the value of the first entry `(key . value)` of a list that has this key.
 fn find_entry<'a>(list: Ref<'a>, key: &str) -> Option<(Ref<'a>, Ref<'a>)> {
     let mut entries = list.list_iter()?;
     entries.find_map(|entry| {
--- a/crates/sexpr-config/tests/parse_forms.rs
+++ b/crates/sexpr-config/tests/parse_forms.rs
@@ -1,4 +1,4 @@
-//! Errors are named by line and key; long and broken texts end in an error, never in a crash.
+//! Checks that errors name their line and key, and that long, deep or malformed texts yield an error and never a crash.
 
 use garde::Validate;
 use sablecross_sexpr_config::{Located, parse_forms};
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn forms_are_read_in_order_with_their_lines() {
+fn parses_forms_in_order_with_their_lines() {
     let text = "; a comment with (\n(node (name . \"a\") (tier . 0))\n\n  (node (name . \"b)\") (tier . 1)\n (sources \"a\" \"c\") (hit-part . 0.5))";
     let forms = parse_forms::<Form>("f", text).unwrap();
     assert_eq!(forms.iter().map(|f| f.line).collect::<Vec<_>>(), [2, 4]);
@@ -50,20 +50,20 @@
         ("(node (name . \"a\") (tier . -1))", "f:1:", "node.tier: "),
         ("(node (name . \"a\") (tier . 1) (tier . 2))", "f:1:", "duplicate field"),
         ("(node\n (name . \"a\"", "f:1:1: ", "never closed"),
-        ("(node)\n)", "f:2:1: ", "closes nothing"),
-        ("(node (name . \"a))", "f:1:15: ", "string that never ends"),
-        ("node", "f:1:1: ", "outside of all forms"),
+        ("(node)\n)", "f:2:1: ", "unmatched closing parenthesis"),
+        ("(node (name . \"a))", "f:1:15: ", "unterminated string"),
+        ("node", "f:1:1: ", "outside of any form"),
         ("(node . )", "f:1:", "not an S-expression"),
         ("(node 5)", "f:1:", ""),
     ];
-    for (text, place, what) in cases {
+    for (text, position, problem) in cases {
         let lines = errors(text);
-        assert!(lines[0].starts_with(place) && lines[0].contains(what), "{text:?}: {lines:?}");
+        assert!(lines[0].starts_with(position) && lines[0].contains(problem), "{text:?}: {lines:?}");
     }
 }
 
 #[test]
-fn each_faulty_form_is_reported() {
+fn reports_every_invalid_form() {
     let text = "(node (tier . 1))\n(node (name . \"a\") (tier . 1))\n(node (name . \"\") (tier . 8))";
     let lines = errors(text);
     assert_eq!(lines.len(), 3, "{lines:?}");
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn long_and_deep_texts_end_in_an_error() {
+fn rejects_long_deep_and_truncated_texts_without_a_crash() {
     let deep = "(".repeat(100_000);
     assert!(errors(&deep)[0].contains("too deep"));
     let long = format!("(node (name . \"a\") (tier . 1) (sources {}))", "\"a\" ".repeat(100_000));
@@ -80,8 +80,8 @@
     assert_eq!(parse_forms::<Form>("f", &many).unwrap().len(), 100_000);
     let invalid = "(node (tier . 1))\n".repeat(100_000);
     assert_eq!(errors(&invalid).len(), 20);
-    let cut = "(node (name . \"ä\") (tier . 1))";
-    for end in cut.char_indices().map(|(i, _)| i) {
-        assert_eq!(parse_forms::<Form>("f", &cut[..end]).is_ok(), end == 0, "{}", &cut[..end]);
+    let complete = "(node (name . \"ä\") (tier . 1))";
+    for end in complete.char_indices().map(|(i, _)| i) {
+        assert_eq!(parse_forms::<Form>("f", &complete[..end]).is_ok(), end == 0, "{}", &complete[..end]);
     }
 }
--- a/crates/sexpr-config/tests/settings_format.rs
+++ b/crates/sexpr-config/tests/settings_format.rs
@@ -1,4 +1,4 @@
-//! The line that an error is printed as, and the form of a settings file: both are what operators see.
+//! Checks the text of errors and the syntax of settings files, because operators see and write both.
 
 use garde::Validate;
 use sablecross_sexpr_config::{ConfigError, Located, parse_forms};
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn an_error_is_one_line_of_place_key_problem_and_remedy() {
+fn prints_an_error_as_one_line_of_position_key_problem_and_remedy() {
     let cases = [
         (
             ("f.scm", 3, 9, "node.tier", "greater than 7", "use 7"),
@@ -37,9 +37,9 @@
         (("f.scm", 1, 1, "", "no form", "add one"), "f.scm:1:1: no form (add one)"),
         (("", 0, 0, "", "no form", ""), ":0:0: no form"),
     ];
-    for ((file, line, column, key, what, todo), expected) in cases {
-        let (file, key, what, todo) = (file.into(), key.into(), what.into(), todo.into());
-        let error = ConfigError { file, line, column, key, problem: what, remedy: todo };
+    for ((file, line, column, key, problem, remedy), expected) in cases {
+        let (file, key, problem, remedy) = (file.into(), key.into(), problem.into(), remedy.into());
+        let error = ConfigError { file, line, column, key, problem, remedy };
         assert_eq!(error.to_string(), expected);
     }
     let form = Located { line: 4, value: () };
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_form_has_this_text() {
+fn parses_each_kind_of_value() {
     let node = |name: &str, sources: &[&str], hit_part, checked| {
         let sources = sources.iter().map(|s| (*s).to_owned()).collect();
         Form::Node(Node { name: name.into(), sources, hit_part, checked })
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn each_kind_of_error_has_this_line() {
+fn prints_each_kind_of_error() {
     let long = format!("(node (name . \"a\") (sources {}))", "\"a\" ".repeat(5_000));
     let cases = [
         (
@@ -86,14 +86,14 @@
         ("(5)", "f:1:1: invalid type: number, expected symbol"),
         ("()", "f:1:1: invalid type: null value, expected symbol or cons cell"),
         ("(node", "f:1:1: a parenthesis that is never closed (close the form that begins here)"),
-        ("(node)\n)", "f:2:1: a parenthesis that closes nothing (remove it, or open one before)"),
-        ("(node (name . \"a))", "f:1:15: a string that never ends (close it with \")"),
-        ("node", "f:1:1: a word outside of all forms (write (word (key . value) ...))"),
+        ("(node)\n)", "f:2:1: unmatched closing parenthesis (remove it, or add the opening one)"),
+        ("(node (name . \"a))", "f:1:15: unterminated string (close it with \")"),
+        ("node", "f:1:1: text outside of any form (write (word (key . value) ...))"),
         (
             "((((((((((((((((((((((((((((((((((((((((((((((((((((((((((((((((((((((",
-            "f:1:65: parentheses lie too deep in one another (write (word (key . value) ...))",
+            "f:1:65: parentheses nested too deeply (write (word (key . value) ...))",
         ),
-        (&long, "f:1:1: a form too long (split it: a form has 16 KiB at most)"),
+        (&long, "f:1:1: form too long (split it: a form may have at most 16 KiB)"),
     ];
     for (text, expected) in cases {
         let errors = parse_forms::<Form>("f", text).expect_err("invalid");
