--- a/crates/sim-adapter/src/error.rs
+++ b/crates/sim-adapter/src/error.rs
@@ -4,7 +4,7 @@
 
 use thiserror::Error;
 
-/// An invalid input or a failure to read or write the pipes. The adapter prints it as one line and exits.
+/// An error in the input, or a failure to read or write the pipes. The adapter prints it as one line and exits.
 #[derive(Debug, Error)]
 pub(crate) enum AdapterError {
     #[error("truncated batch header")]
