--- a/crates/estimators/src/shrinkage_estimator.rs
+++ b/crates/estimators/src/shrinkage_estimator.rs
@@ -14,8 +14,8 @@
     pub standard_error: f64,
 }
 
-/// Bounds of the shrinkage weight: the upper one applies to members that are all alike, the lower one to members that have
-/// nothing in common.
+/// Bounds of the shrinkage weight: the upper one applies to members that are all alike, the lower one to members that
+/// have nothing in common.
 const MAX_SHRINKAGE_WEIGHT: f64 = 200.0;
 const MIN_SHRINKAGE_WEIGHT: f64 = 0.5;
 /// The shrinkage weight until there are enough samples to estimate it.
@@ -51,9 +51,9 @@
 impl ShrinkageEstimator {
     /// Creates an estimator without samples.
     ///
-    /// The weight of a sample halves every `half_life` nanoseconds. The total weight of one member's samples is limited to
-    /// `max_weight`, by scaling down the older ones. `prior_mean` is the mean before there are samples; it has the weight
-    /// of one sample.
+    /// The weight of a sample halves every `half_life` nanoseconds. The total weight of one member's samples is limited
+    /// to `max_weight`, by scaling down the older ones. `prior_mean` is the mean before there are samples; it has the
+    /// weight of one sample.
     pub fn new(half_life: Ns, max_weight: f64, prior_mean: f64) -> ShrinkageEstimator {
         ShrinkageEstimator {
             half_life: half_life.max(1),
@@ -129,8 +129,8 @@
         let within = self.variance_within(&members, total);
         let between = variance_between(&members, total, within);
         let measured = if between > 0.0 { within / between } else { MAX_SHRINKAGE_WEIGHT };
-        // The update is smoothed, because an estimate from few members is noisy. The inverse of the weight is smoothed rather
-        // than the weight, so that the weight falls soon after members become different.
+        // The update is smoothed, because an estimate from few members is noisy. The inverse of the weight is smoothed
+        // rather than the weight, so that the weight falls soon after members become different.
         let inverse = 1.0 / self.shrinkage_weight;
         let measured_inverse = 1.0 / measured.clamp(MIN_SHRINKAGE_WEIGHT, MAX_SHRINKAGE_WEIGHT);
         self.shrinkage_weight = 1.0 / (inverse + SMOOTHING_FACTOR * (measured_inverse - inverse));
--- a/crates/estimators/src/space_saving.rs
+++ b/crates/estimators/src/space_saving.rs
@@ -17,8 +17,8 @@
 
 /// The Space-Saving sketch (Metwally, Agrawal, El Abbadi 2005).
 ///
-/// Every key whose weight exceeds `total / counters` has a counter, and no counter exceeds the true weight of its key by
-/// more than `total / counters`.
+/// Every key whose weight exceeds `total / counters` has a counter, and no counter exceeds the true weight of its key
+/// by more than `total / counters`.
 #[derive(Clone, Debug)]
 pub struct SpaceSaving<K = u64> {
     capacity: usize,
--- a/crates/estimators/tests/estimates.rs
+++ b/crates/estimators/tests/estimates.rs
@@ -1,5 +1,5 @@
-//! Compares the estimates with the true means, and their error with that of a plain exponential moving average per member
-//! whose smoothing factor is 0.12.
+//! Compares the estimates with the true means, and their error with that of a plain exponential moving average per
+//! member whose smoothing factor is 0.12.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
@@ -9,8 +9,8 @@
 
 /// Returns the root-mean-square error over members and time, of the moving averages and of the shrunk estimates.
 ///
-/// `rate` is the number of samples per second of all members together. From the tenth second on, one member in eight fails
-/// the share `bad` of its requests; the other members fail the share 0.02.
+/// `rate` is the number of samples per second of all members together. From the tenth second on, one member in eight
+/// fails the share `bad` of its requests; the other members fail the share 0.02.
 fn rms_errors(rate: f64, bad: f64, seed: u64) -> (f64, f64) {
     let mut rng = Pcg32::seed_from_u64(seed);
     let members = 16;
@@ -39,9 +39,9 @@
 #[test]
 fn shrinkage_reduces_the_error_if_members_are_alike() {
     // Each case has the samples per second of all 16 members together, the failure rate of one member in eight, and the
-    // minimum reduction of the error as a share of the error of the moving averages; a negative one allows an increase. If
-    // all members are alike, shrinkage removes most of the error. If one in eight differs, it adds a little error at few
-    // samples.
+    // minimum reduction of the error as a share of the error of the moving averages; a negative one allows an increase.
+    // If all members are alike, shrinkage removes most of the error. If one in eight differs, it adds a little error at
+    // few samples.
     let cases = [
         (1.0, 0.02, 0.05),
         (10.0, 0.02, 0.6),
--- a/crates/inflight/src/inflight_table.rs
+++ b/crates/inflight/src/inflight_table.rs
@@ -76,7 +76,8 @@
         self.route(id, now, transport);
     }
 
-    /// Handles a scheduled check whose time has come: routes the request again, unless a later check has been scheduled.
+    /// Handles a scheduled check whose time has come: routes the request again, unless a later check has been
+    /// scheduled.
     pub fn check(&mut self, id: u64, generation: u32, now: Ns, transport: &mut impl Transport) {
         if self.requests.get(&id).is_some_and(|inflight| inflight.check_generation == generation) {
             self.route(id, now, transport);
--- a/crates/sexpr-config/src/error.rs
+++ b/crates/sexpr-config/src/error.rs
@@ -11,8 +11,8 @@
     pub line: usize,
     /// The column, from 1.
     pub column: usize,
-    /// The key, with the word of its form and the keys that contain it, such as `node.sources[1]`. Empty for an error that
-    /// concerns the text itself.
+    /// The key, with the word of its form and the keys that contain it, such as `node.sources[1]`. Empty for an error
+    /// that concerns the text itself.
     pub key: String,
     /// What is wrong.
     pub problem: String,
--- a/crates/sexpr-config/src/form.rs
+++ b/crates/sexpr-config/src/form.rs
@@ -25,8 +25,8 @@
     Item(usize),
 }
 
-/// A deserialized value, or an error with the path to the value that caused it. The error is returned as a value, because
-/// the errors of the deserializer itself have no path.
+/// A deserialized value, or an error with the path to the value that caused it. The error is returned as a value,
+/// because the errors of the deserializer itself have no path.
 struct ResultWithPath<T>(Result<T, PathError>);
 
 struct PathError {
@@ -128,8 +128,8 @@
     form.as_pair().and_then(|(word, _)| word.value().as_symbol())
 }
 
-/// Follows a path as far as the form contains it. Returns the last key or list item that was found, or else the form, and
-/// the path as text.
+/// Follows a path as far as the form contains it. Returns the last key or list item that was found, or else the form,
+/// and the path as text.
 fn locate<'a>(form: Ref<'a>, path: &[PathSegment]) -> (Ref<'a>, String) {
     let (mut current, mut innermost, mut path_text) = (form, form, String::new());
     for segment in path {
--- a/crates/sexpr-config/src/lib.rs
+++ b/crates/sexpr-config/src/lib.rs
@@ -1,12 +1,12 @@
 //! Parses and validates settings files that are written as S-expressions.
 //!
-//! A file is a sequence of forms, `(word (key . value) ...)`. Each form is deserialized into one variant of an enum that
-//! derives serde's `Deserialize`, and then checked by garde's `Validate`. An error names the file, the line, the key, the
-//! problem and the remedy.
+//! A file is a sequence of forms, `(word (key . value) ...)`. Each form is deserialized into one variant of an enum
+//! that derives serde's `Deserialize`, and then checked by garde's `Validate`. An error names the file, the line, the
+//! key, the problem and the remedy.
 //!
-//! The text is split into forms before lexpr parses each form, for two reasons. lexpr frees lists recursively, so a single
-//! list of a hundred thousand entries would overflow a small stack. And a missing closing parenthesis is reported at the
-//! line of its opening parenthesis instead of the end of the file.
+//! The text is split into forms before lexpr parses each form, for two reasons. lexpr frees lists recursively, so a
+//! single list of a hundred thousand entries would overflow a small stack. And a missing closing parenthesis is
+//! reported at the line of its opening parenthesis instead of the end of the file.
 
 mod error;
 mod form;
--- a/crates/sim-adapter/src/instance.rs
+++ b/crates/sim-adapter/src/instance.rs
@@ -68,8 +68,8 @@
         self.cancel(id, attempt);
     }
 
-    /// The router never asks for this: the simulator carries out actions without delay, so the adapter reports no wakeup
-    /// delay.
+    /// The router never asks for this: the simulator carries out actions without delay, so the adapter reports no
+    /// wakeup delay.
     fn time_out(&mut self, id: u64, attempt: usize) {
         self.cancel(id, attempt);
     }
--- a/crates/sim-adapter/tests/wire_format.rs
+++ b/crates/sim-adapter/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! Sends the records of `data/wire.txt` to the adapter, with the settings of `data/settings.txt`, and compares the bytes of
-//! every reply with those in the file.
+//! Sends the records of `data/wire.txt` to the adapter, with the settings of `data/settings.txt`, and compares the
+//! bytes of every reply with those in the file.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
