--- a/crates/director/src/wire/applied_version_reporter.rs
+++ b/crates/director/src/wire/applied_version_reporter.rs
@@ -1,4 +1,5 @@
-//! Reports to discovery which version of the parent hierarchy is active here, again after a while until it is taken.
+//! Reports to discovery which version of the parent hierarchy is applied here, and repeats the report until it is
+//! accepted.
 
 use std::io::{self, ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -13,17 +14,17 @@
 
 const MAX_HEADERS: usize = 32;
 
-/// A report that discovery has not taken yet.
+/// A report that discovery has not accepted yet.
 #[derive(Clone, Copy)]
 struct PendingReport {
     version: AppliedVersion,
     due_at: Instant,
 }
 
-/// Reports the versions that come over a channel; of several the last one.
+/// Reports the versions received over a channel; if several are pending, only the last one.
 pub(super) struct AppliedVersionReporter {
     shared: Arc<SharedContext>,
-    /// The name under which it reports.
+    /// The name that the reports carry.
     director_name: String,
     versions: Receiver<AppliedVersion>,
     pending: Option<PendingReport>,
@@ -42,7 +43,7 @@
         &self.director_name
     }
 
-    /// Makes the report that is due, if there is one.
+    /// Sends the pending report if it is due. A report that fails is due again after `feed_silence_timeout`.
     pub(super) fn report_if_due(&mut self, discovery: SocketAddr) {
         let now = Instant::now();
         for version in self.versions.try_iter() {
@@ -87,7 +88,7 @@
             match response.parse(buffer.unread()) {
                 Ok(httparse::Status::Complete(_)) if response.code.is_some_and(is_success) => return Ok(()),
                 Ok(httparse::Status::Partial) if buffer.fill(stream)? => {}
-                _ => return Err(io::Error::new(ErrorKind::InvalidData, "not taken")),
+                _ => return Err(io::Error::new(ErrorKind::InvalidData, "the response is not a success")),
             }
         }
     }
--- a/crates/director/src/wire/client_acceptor.rs
+++ b/crates/director/src/wire/client_acceptor.rs
@@ -1,4 +1,5 @@
-//! The listener for clients: it hands out the connections that wait, and keeps count of when that could not be done.
+//! The listener for client connections. It accepts waiting connections, and remembers since when accepting has failed for
+//! lack of a resource.
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -13,16 +14,16 @@
 use crate::os_error::is_failed_connection;
 use crate::shared::SharedContext;
 
-/// Accepts connections of clients.
+/// Accepts client connections.
 pub(super) struct ClientAcceptor {
     shared: Arc<SharedContext>,
-    /// None once the program ends.
+    /// `None` once no more connections are accepted.
     listener: Option<TcpListener>,
-    /// One that was accepted and can't be watched yet.
+    /// An accepted connection that could not be registered for polling yet.
     unregistered: Option<(TcpStream, SocketAddr)>,
-    /// When connections are accepted again, after that could not be done.
+    /// When to accept again, after accepting or registering has failed.
     retry_at: Option<Ns>,
-    /// Since when connections may wait to be accepted.
+    /// The earliest time at which a waiting connection may have arrived, while accepting fails.
     waiting_since: Option<Ns>,
 }
 
@@ -49,23 +50,23 @@
         self.listener.as_ref().ok_or(ErrorKind::NotConnected)?.local_addr()
     }
 
-    /// When connections are accepted again, if that could not be done.
+    /// When to accept again, if accepting or registering has failed.
     pub(super) fn retry_at(&self) -> Option<Ns> {
         self.retry_at
     }
 
-    /// Since when what a connection sent may have lain unread, as it could not be accepted.
+    /// The earliest time at which a waiting connection may have arrived, if accepting has failed.
     pub(super) fn waiting_since(&self) -> Option<Ns> {
         self.waiting_since
     }
 
-    /// A new try begins.
+    /// Starts a new attempt to accept the waiting connections.
     pub(super) fn begin_accepting(&mut self) {
         self.retry_at = None;
     }
 
-    /// The next connection that waits. Where none can be accepted for a moment, the next try is set; what comes
-    /// meanwhile may have lain unread since `unread_since`.
+    /// Accepts the next waiting connection. If accepting fails, sets the time of the next attempt; the connections that
+    /// wait meanwhile may have arrived as early as `unread_since`.
     pub(super) fn accept(
         &mut self,
         unread_since: Ns,
@@ -82,7 +83,7 @@
                     self.waiting_since = None;
                     return None;
                 }
-                // That one has failed already; others may wait behind it.
+                // This connection failed before it was accepted; others may wait behind it.
                 Err(e) if is_failed_connection(&e) => {}
                 Err(e) => {
                     log.warn(self.shared.clock.now(), || format!("accept failed: {e}"));
@@ -94,7 +95,7 @@
         None
     }
 
-    /// Keeps a connection that can't be watched just now: what it asks is owed an answer.
+    /// Keeps a connection that could not be registered, to register it later: its requests are owed an answer.
     pub(super) fn keep_unregistered(&mut self, stream: TcpStream, peer: SocketAddr, unread_since: Ns) {
         self.unregistered = Some((TcpStream::from_std(stream.into()), peer));
         self.retry_later(unread_since);
@@ -106,7 +107,7 @@
         self.retry_at = Some(self.shared.clock.now() + self.shared.limits.shortage_retry_interval);
     }
 
-    /// Accepts no more connections.
+    /// Stops accepting connections.
     pub(super) fn close(&mut self) {
         self.listener = None;
         self.unregistered = None;
--- a/crates/director/src/wire/client_connection.rs
+++ b/crates/director/src/wire/client_connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client: what it asks, what it is answered, and when it may end.
+//! One client connection: its calls, its responses, and when it may be closed.
 
 use std::collections::{HashMap, VecDeque};
 use std::io::{ErrorKind, Read};
@@ -20,72 +20,74 @@
 use crate::os_error::is_would_block;
 use crate::shared::SharedContext;
 
-/// What a client did that ends its connection.
+/// A fault of a client, or a lack of room for it, for which its connection is closed.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub(super) enum ClientFault {
     #[error(transparent)]
     Message(MessageError),
-    #[error("message too long")]
+    #[error("a message is longer than the limit")]
     MessageTooLong,
-    #[error("no room for its message")]
-    NoRoomForMessage,
-    #[error("too much that can't be used")]
+    #[error("the memory budget has no room for its message")]
+    MessageMemoryExhausted,
+    #[error("too many unusable messages")]
     TooManyUnusableMessages,
-    #[error("a number that is open already")]
-    CallAlreadyOpen,
-    #[error("an answer not taken in time")]
-    ResponseNotTakenInTime,
-    #[error("half a message")]
-    PartialMessage,
-    #[error("half a message, and no place left")]
+    #[error("the number of a new call belongs to a call that is still open")]
+    CallNumberInUse,
+    #[error("a response could not be written in time")]
+    ResponseWriteTimedOut,
+    #[error("a message was not complete in time")]
+    PartialMessageTimedOut,
+    #[error("its only message is incomplete, and the connection limit is reached")]
     PartialMessageEvicted,
 }
 
-/// Why a connection ends.
+/// Why a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum CloseReason {
-    /// Its client has closed or reset it.
+    /// The client has closed or reset the connection, or the connection's grace for closing is over.
     Disconnected,
-    /// Nothing is open on it: its time or its place is up, or the program ends.
+    /// Nothing is pending on the connection, and it was idle for too long, makes room for others, or the program is
+    /// stopping.
     Idle,
     Fault(ClientFault),
 }
 
 /// A call that is not answered yet.
 pub(super) struct OpenCall {
-    /// Tells this use of the call's number from others.
+    /// Distinguishes this use of the call's number from earlier and later ones.
     pub(super) generation: u64,
     cancellation: CancellationFlag,
 }
 
-/// A connection of a client.
+/// A connection from a client.
 pub(super) struct ClientConnection {
     pub(super) stream: TcpStream,
     pub(super) peer: SocketAddr,
-    /// The calls that are not answered yet, by their numbers.
+    /// The calls that are not answered yet, by call number.
     pub(super) open_calls: HashMap<u32, OpenCall>,
     pub(super) queued_responses: VecDeque<PendingResponse>,
     pub(super) current_response: Option<ResponseWriter>,
-    /// When it came, sent its last complete message or took its last response.
+    /// When the connection was accepted, sent its last complete message or had its last response written.
     pub(super) last_activity: Ns,
-    /// Whether it ever sent a complete message.
+    /// Whether the client has sent a complete message.
     pub(super) has_sent_message: bool,
-    /// Since when what is read next may have lain unread.
+    /// The earliest time at which the bytes that are read next may have arrived.
     pub(super) unread_since: Option<Ns>,
-    /// It has so many open calls that no more is read of it until some are answered.
+    /// Whether reading is paused because the client has too many open calls.
     pub(super) is_throttled: bool,
-    /// Its write side is shut. What it still sends is discarded until then or its own end, as a close over unread
-    /// bytes would reset it, and with it the responses that are under way.
+    /// Set while the connection is closing: its write side is shut down, and what the client still sends is discarded
+    /// until this time or until the client closes. Closing a socket with unread bytes would reset the connection and lose
+    /// the responses that are still in transit.
     pub(super) closing_until: Option<Ns>,
     read_buffer: ReadBuffer,
     next_generation: u64,
-    /// By when the message that has begun must be complete.
+    /// The time by which a partly received message must be complete.
     message_deadline: Option<Ns>,
     unusable_messages: usize,
 }
 
 impl ClientConnection {
-    /// A connection that has come; what is read first may have lain unread since then.
+    /// Creates the state of an accepted connection; its first bytes may have arrived as early as `unread_since`.
     pub(super) fn new(
         stream: TcpStream,
         peer: SocketAddr,
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Its write side is shut: nothing is kept of it but its end, until then.
+    /// Drops all state of the connection after its write side was shut down, and lets it close until the given time.
     pub(super) fn begin_closing(&mut self, until: Ns, shared: &SharedContext) {
         self.open_calls.clear();
         self.queued_responses.clear();
@@ -131,30 +133,31 @@
         state.may_close()
     }
 
-    /// Responses that are not written to their end.
+    /// The number of responses that are not completely written.
     pub(super) fn unwritten_responses(&self) -> usize {
         self.queued_responses.len() + usize::from(self.current_response.is_some())
     }
 
-    /// Whether the director may end it of its own accord, and has not begun to.
+    /// Whether the connection is not closing yet and the director may close it, because nothing is pending on it.
     pub(super) fn is_idle(&self) -> bool {
         self.closing_until.is_none() && self.may_close().is_ok()
     }
 
-    /// Whether it only ever sent a part of a request: where all places are taken, it has to go.
+    /// Whether the client has sent nothing but a part of its first message. Such a connection may be closed to make room
+    /// for others.
     pub(super) fn has_only_partial_message(&self) -> bool {
         self.closing_until.is_none()
             && !self.has_sent_message
             && self.may_close() == Err(CloseDenied::RequestIncomplete)
     }
 
-    /// Its client is no longer waited for: what it asked is cancelled.
+    /// Cancels all open calls, because the connection is closing.
     pub(super) fn cancel_open_calls(&self) {
         self.open_calls.values().for_each(|call| call.cancellation.cancel());
     }
 
-    /// Passes on what it asks, up to a share; whether there may be more at once. Ends at bytes that are no message,
-    /// or after too many messages that can't be used.
+    /// Reads messages and passes them to the dispatcher, with at most `max_messages_per_turn` reads. Returns whether more
+    /// may be readable at once. Fails on bytes that are not a message, or after too many unusable messages.
     pub(super) fn read(
         &mut self,
         client: ClientId,
@@ -176,7 +179,8 @@
         Ok(true)
     }
 
-    /// Passes one message on, or reads more of it; false if nothing more has come yet.
+    /// Passes one message to the dispatcher if it is complete, otherwise reads more bytes. Returns false if no more bytes
+    /// are available.
     fn read_message(
         &mut self,
         client: ClientId,
@@ -208,13 +212,13 @@
             counters::add(&shared.counters.bad_messages, 1);
             log.warn(self.last_activity, || format!("client {}, call {call}: {cause}", self.peer));
         }
-        self.record_event(&event, cancellation, shared)?;
-        // The dispatcher outlives all connections, but for the end of the program.
+        self.update_open_calls(&event, cancellation, shared)?;
+        // The dispatcher outlives all connections, except when the program is ending.
         shared.events.send(event).map_err(|_| CloseReason::Disconnected)?;
         Ok(true)
     }
 
-    /// Reads more of a message that is not complete; false if nothing more has come yet.
+    /// Reads more bytes of an incomplete message. Returns false if no more bytes are available.
     fn read_more(&mut self, shared: &SharedContext) -> Result<bool, CloseReason> {
         if self.message_deadline.is_none() && !self.read_buffer.unread().is_empty() {
             self.message_deadline = Some(shared.clock.now() + shared.limits.partial_message_timeout);
@@ -231,13 +235,14 @@
                 Err(CloseReason::Fault(ClientFault::MessageTooLong))
             }
             Err(e) if e.kind() == ErrorKind::OutOfMemory => {
-                Err(CloseReason::Fault(ClientFault::NoRoomForMessage))
+                Err(CloseReason::Fault(ClientFault::MessageMemoryExhausted))
             }
             Err(_) => Err(CloseReason::Disconnected),
         }
     }
 
-    /// Reads and drops what a closing connection still sends, up to a share; whether there may be more at once.
+    /// Reads and discards what the client of a closing connection still sends, with at most `max_messages_per_turn` reads.
+    /// Returns whether more may be readable at once.
     fn discard_input(&mut self, shared: &SharedContext) -> Result<bool, CloseReason> {
         let mut bytes = [0; 4 << 10];
         for _ in 0..shared.limits.max_messages_per_turn {
@@ -251,8 +256,8 @@
         Ok(true)
     }
 
-    /// Keeps count of the calls that are open.
-    fn record_event(
+    /// Updates the open calls for a message that was received.
+    fn update_open_calls(
         &mut self,
         event: &Event,
         cancellation: CancellationFlag,
@@ -280,7 +285,8 @@
         }
     }
 
-    /// Two responses with one number could not be distinguished: such a client is disconnected.
+    /// Adds an open call. A client that reuses the number of an open call is disconnected, because it could not tell the
+    /// two responses apart.
     fn open_call(&mut self, call: CallId, cancellation: CancellationFlag) -> Result<(), CloseReason> {
         self.next_generation += 1;
         let open = OpenCall { generation: call.generation, cancellation };
@@ -288,16 +294,17 @@
             None => Ok(()),
             Some(first) => {
                 first.cancellation.cancel();
-                Err(CloseReason::Fault(ClientFault::CallAlreadyOpen))
+                Err(CloseReason::Fault(ClientFault::CallNumberInUse))
             }
         }
     }
 
-    /// Writes responses in the order in which the dispatcher gives them, as far as there is room.
+    /// Writes responses in the order in which the dispatcher queued them, until the socket has no more room.
     ///
-    /// A response past its deadline is still the one that is owed: a client may wait a millisecond, less than the way
-    /// through the director takes. Long after its deadline it is left out; what is begun is finished a little later at
-    /// most, as a cut ends all beside it.
+    /// A response past its deadline is still written, because a client's budget may be as short as 1 ms, less than a
+    /// request takes to pass through the director. It is left out once it is late by `max_answer_lateness`. A response
+    /// that is begun may be finished up to `write_finish_grace` late, because cutting it short would end all other calls
+    /// on the connection.
     pub(super) fn write(&mut self, shared: &SharedContext) -> Result<(), CloseReason> {
         loop {
             let now = shared.clock.now();
@@ -313,7 +320,7 @@
                 continue;
             };
             if now >= writer.deadline + shared.limits.write_finish_grace {
-                return Err(CloseReason::Fault(ClientFault::ResponseNotTakenInTime));
+                return Err(CloseReason::Fault(ClientFault::ResponseWriteTimedOut));
             }
             match writer.write_to(&self.stream) {
                 Ok(true) => {
@@ -330,14 +337,14 @@
         }
     }
 
-    /// Why it is to be closed now, if one of its times is over.
+    /// Why the connection has to be closed now, if one of its timeouts has passed.
     pub(super) fn overdue_reason(&self, now: Ns, shared: &SharedContext) -> Option<CloseReason> {
         let limits = &shared.limits;
         if let Some(until) = self.closing_until {
             return (now >= until).then_some(CloseReason::Disconnected);
         }
         if self.message_deadline.is_some_and(|deadline| now >= deadline) {
-            return Some(CloseReason::Fault(ClientFault::PartialMessage));
+            return Some(CloseReason::Fault(ClientFault::PartialMessageTimedOut));
         }
         let idle_timeout =
             if self.has_sent_message { limits.client_idle_timeout } else { limits.partial_message_timeout };
@@ -345,7 +352,7 @@
     }
 }
 
-/// Where a message came from, and when.
+/// The connection from which a message came, and when it arrived.
 struct MessageSource<'a> {
     client: ClientId,
     generation: u64,
@@ -354,7 +361,7 @@
 }
 
 impl MessageSource<'_> {
-    /// The event by which the dispatcher hears of a message.
+    /// The event that passes a message to the dispatcher.
     fn event(&self, message: Message, shared: &SharedContext) -> Event {
         let client = self.client;
         let call_id = |number| CallId { number, generation: self.generation };
--- a/crates/director/src/wire/client_server.rs
+++ b/crates/director/src/wire/client_server.rs
@@ -1,5 +1,5 @@
-//! The thread that holds all connections of clients. It waits for any of them to have sent something or to have room
-//! for a response, and never for one alone.
+//! The thread that serves all client connections. It polls all connections together for readability and writability, and
+//! never blocks on a single one.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -28,43 +28,43 @@
 const LISTENER: Token = Token(usize::MAX);
 const RESPONSES: Token = Token(usize::MAX - 1);
 
-/// All connections of clients.
+/// Serves all client connections.
 pub(crate) struct ClientServer {
     poll: Poll,
     acceptor: ClientAcceptor,
     responses: Receiver<PendingResponse>,
     shared: Arc<SharedContext>,
     connections: BTreeMap<ClientId, ClientConnection>,
-    /// How many of those are closing.
+    /// How many of `connections` are closing.
     closing_count: usize,
     next_id: ClientId,
     is_shutting_down: Arc<AtomicBool>,
-    /// Connections of which no more than their share was read.
+    /// Connections that used up their reads for one turn and may have more to read.
     readable: Vec<ClientId>,
     stalls: StallDetector,
-    /// Since when what is read now may have lain unread.
+    /// The earliest time at which the bytes that are read in this turn may have arrived.
     unread_since: Ns,
-    /// When it was first seen that the program ends.
+    /// When this thread first noticed that the program is stopping.
     shutdown_seen_at: Option<Ns>,
     log: LogRateLimiter,
 }
 
 impl ClientServer {
-    /// Listens at an address; the server, and the way to it.
+    /// Listens at an address. Returns the server and the handle for sending responses to it.
     pub(crate) fn bind(
         address: SocketAddr,
         shared: &Arc<SharedContext>,
     ) -> io::Result<(ClientServer, ResponseSender)> {
         let poll = Poll::new()?;
         let acceptor = ClientAcceptor::bind(address, poll.registry(), LISTENER, shared)?;
-        let (responses, from_dispatcher) = bounded(shared.limits.response_queue_length);
+        let (responses, response_receiver) = bounded(shared.limits.response_queue_length);
         let is_shutting_down = Arc::new(AtomicBool::new(false));
         let waker = Waker::new(poll.registry(), RESPONSES)?;
         let sender = ResponseSender::new(responses, waker, Arc::clone(&is_shutting_down));
         let server = ClientServer {
             poll,
             acceptor,
-            responses: from_dispatcher,
+            responses: response_receiver,
             shared: Arc::clone(shared),
             connections: BTreeMap::new(),
             closing_count: 0,
@@ -79,20 +79,21 @@
         Ok((server, sender))
     }
 
-    /// The address at which it listens.
+    /// The address on which the server listens.
     pub(crate) fn local_addr(&self) -> io::Result<SocketAddr> {
         self.acceptor.local_addr()
     }
 
-    /// Serves until a shutdown is complete, or the dispatcher is gone.
+    /// Serves until a shutdown is complete or the dispatcher is gone.
     pub(crate) fn run(mut self) {
-        // One wait reports all connections, so that none has news which counts from a later one.
+        // One poll must be able to report all connections: a connection that is reported by a later poll would have its
+        // arrival time counted from that poll.
         let capacity = self.max_watched() + 1;
         let mut events = Events::with_capacity(capacity);
         let mut next_sweep = self.shared.clock.now();
         loop {
             let wait = self.poll_timeout(next_sweep);
-            let entered = self.shared.clock.now();
+            let poll_began_at = self.shared.clock.now();
             let polled = self.poll.poll(&mut events, Some(wait));
             if let Err(e) = &polled
                 && !is_would_block(e)
@@ -100,21 +101,22 @@
                 return tracing::error!("connections of clients: {e}");
             }
             let has_reported_all = polled.is_ok() && events.iter().count() < capacity;
-            let woke = self.on_wakeup(entered, wait, has_reported_all);
+            let woken_at = self.on_wakeup(poll_began_at, wait, has_reported_all);
             if polled.is_ok() && events.is_empty() {
                 let planned = u64::try_from(wait.as_nanos()).unwrap_or(Ns::MAX);
-                self.shared.record_wakeup_delay(woke.saturating_sub(entered).saturating_sub(planned));
+                self.shared
+                    .record_wakeup_delay(woken_at.saturating_sub(poll_began_at).saturating_sub(planned));
             }
             let mut readable = self.handle_socket_events(&events);
             if !self.handle_responses() {
                 return;
             }
-            // Those that were accepted in this turn are looked at in it: their clients may have gone already.
+            // Connections accepted in this turn are also read in it, because their clients may have gone already.
             readable.append(&mut self.readable);
             self.read_all(readable);
-            // After a stop others may have gone that this wait has not reported.
+            // After a stall, other clients may have gone that this poll has not reported.
             if has_reported_all && !self.stalls.must_look_again() {
-                self.shared.record_clients_checked(woke);
+                self.shared.record_clients_checked(woken_at);
             }
             let now = self.shared.clock.now();
             if self.acceptor.retry_at().is_some_and(|at| now >= at) {
@@ -136,7 +138,7 @@
         }
     }
 
-    /// How many sockets and wakers may be watched at once.
+    /// How many sockets and wakers may be registered at once.
     fn max_watched(&self) -> usize {
         let limits = &self.shared.limits;
         limits.max_client_connections + limits.max_closing_clients + [LISTENER, RESPONSES].len()
@@ -150,10 +152,11 @@
         self.shared.clock.until(next).min(Duration::from_nanos(self.shared.limits.max_poll_wait))
     }
 
-    /// A wait is over: since when what is read now may have lain unread. The time now.
-    fn on_wakeup(&mut self, entered: Ns, wait: Duration, has_reported_all: bool) -> Ns {
+    /// Updates `unread_since` after a poll that began at `poll_began_at`, and counts a stall of the process. Returns the time
+    /// now.
+    fn on_wakeup(&mut self, poll_began_at: Ns, wait: Duration, has_reported_all: bool) -> Ns {
         let now = self.shared.clock.now();
-        let unread = self.stalls.on_wakeup(entered, wait, now, has_reported_all);
+        let unread = self.stalls.on_wakeup(poll_began_at, wait, now, has_reported_all);
         self.unread_since = now.saturating_sub(unread);
         if unread > 0 {
             counters::add(&self.shared.counters.stalls, 1);
@@ -162,7 +165,7 @@
         now
     }
 
-    /// Accepts and writes where there is room; the connections that are to be read.
+    /// Accepts connections and writes responses as the events allow. Returns the connections to read.
     fn handle_socket_events(&mut self, events: &Events) -> Vec<ClientId> {
         let mut readable = std::mem::take(&mut self.readable);
         for event in events {
@@ -186,11 +189,12 @@
         clients.into_iter().for_each(|client| self.read(client));
     }
 
-    /// Accepts no more connections and ends those on which nothing is open; whether none is left.
+    /// Stops accepting connections and closes those on which nothing is pending. Returns whether no connection is left.
     fn advance_shutdown(&mut self) -> bool {
         let now = self.shared.clock.now();
         let since = *self.shutdown_seen_at.get_or_insert(now);
-        // Those that wait to be accepted are owed an answer, as long as they can be accepted before long.
+        // Connections that wait to be accepted are owed an answer. If accepting fails for lack of a resource, it is
+        // retried for `partial_message_timeout` before the listener is closed.
         let may_retry = self.acceptor.retry_at().is_some();
         if !may_retry || now >= since + self.shared.limits.partial_message_timeout {
             self.acceptor.close();
@@ -202,8 +206,8 @@
         self.connections.is_empty() && self.acceptor.is_closed()
     }
 
-    /// Ends a connection on which nothing is open, unless something has come on it that is not read yet: that would be
-    /// owed an answer.
+    /// Closes a connection on which nothing is pending. The connection is read first: it stays open if a request has
+    /// arrived, which is owed an answer.
     fn close_if_idle(&mut self, client: ClientId) {
         self.read(client);
         if self.connections.get(&client).is_some_and(ClientConnection::is_idle) {
@@ -211,11 +215,11 @@
         }
     }
 
-    /// Accepts all connections that wait. One for which there is no place is closed.
+    /// Accepts all waiting connections. A connection for which there is no room is closed at once.
     fn accept(&mut self) {
         self.acceptor.begin_accepting();
         while let Some((stream, peer)) = self.acceptor.accept(self.unread_since, &mut self.log) {
-            if !self.make_place(self.shared.clock.now()) {
+            if !self.make_room(self.shared.clock.now()) {
                 counters::add(&self.shared.counters.rejected_connections, 1);
                 continue;
             }
@@ -225,7 +229,8 @@
         }
     }
 
-    /// Takes a connection in; false if it can't be watched for a moment.
+    /// Registers an accepted connection for polling. Returns false if registering fails, which is taken to be temporary:
+    /// the connection is kept and registered later.
     fn register(&mut self, mut stream: TcpStream, peer: SocketAddr) -> bool {
         let client = self.next_id;
         let interest = Interest::READABLE | Interest::WRITABLE;
@@ -235,9 +240,10 @@
             self.acceptor.keep_unregistered(stream, peer, self.unread_since);
             return false;
         }
-        // Without it responses are but slower.
+        // A failure here only adds latency.
         let _ = stream.set_nodelay(true);
-        // What it has sent came after the connection itself, which may have waited for as long as anything in this turn.
+        // The client's first bytes came after the connection, which may have waited since the earliest arrival time of
+        // this turn, or since accepting first failed.
         let unread_since = self.acceptor.waiting_since().unwrap_or(self.unread_since);
         let connection = ClientConnection::new(stream, peer, Some(unread_since), &self.shared);
         counters::add(&self.shared.counters.clients, 1);
@@ -247,15 +253,17 @@
         true
     }
 
-    /// Whether there is a place for one more connection, made if need be: by closing the one that has been idle for
-    /// longest, of those that never sent a complete message but had the time to before all others; then one that sent
-    /// only a part of its first message. One that waits for an answer never makes room.
+    /// Makes room for one more connection if the limit is reached, and returns whether there is room. It closes the
+    /// connection that has been idle for longest; idle connections that have not sent a complete message within
+    /// `new_client_grace` go first. If none is idle, it closes the oldest connection that sent only a part of its first
+    /// message. A connection that waits for a response is never closed.
     ///
-    /// Guards against clients that hold places; harms one that would have asked again just then.
-    fn make_place(&mut self, now: Ns) -> bool {
+    /// This keeps idle clients from occupying all connections, at the cost of a client that was about to send its next
+    /// request.
+    fn make_room(&mut self, now: Ns) -> bool {
         while self.connections.len() - self.closing_count >= self.shared.limits.max_client_connections {
             let evicted = if let Some(idle) = self.longest_idle(now) {
-                // One that has just sent something stays, and the next one is looked at.
+                // If the client has just sent something, its connection stays open and the loop tries the next one.
                 self.close_if_idle(idle);
                 idle
             } else if let Some(partial) = self.oldest_partial() {
@@ -270,11 +278,11 @@
     }
 
     fn longest_idle(&self, now: Ns) -> Option<ClientId> {
-        let settled = now.saturating_sub(self.shared.limits.new_client_grace);
+        let grace_cutoff = now.saturating_sub(self.shared.limits.new_client_grace);
         let idle = self.connections.iter().filter(|(_, connection)| connection.is_idle());
         let order = |(id, connection): (&ClientId, &ClientConnection)| {
-            let is_late_choice = connection.has_sent_message || connection.last_activity > settled;
-            (is_late_choice, connection.last_activity, *id)
+            let is_second_choice = connection.has_sent_message || connection.last_activity > grace_cutoff;
+            (is_second_choice, connection.last_activity, *id)
         };
         idle.map(order).min().map(|(_, _, id)| id)
     }
@@ -288,7 +296,7 @@
         self.connections.get(&client).is_some_and(|connection| connection.closing_until.is_none())
     }
 
-    /// Takes responses over from the dispatcher; false once that is gone.
+    /// Queues all responses that the dispatcher has sent. Returns false if the dispatcher is gone.
     fn handle_responses(&mut self) -> bool {
         loop {
             match self.responses.try_recv() {
@@ -299,7 +307,7 @@
         }
     }
 
-    /// Queues and writes a response, unless its call was cancelled meanwhile.
+    /// Queues a response and writes what the socket takes. Drops it if its call was cancelled meanwhile.
     fn queue_response(&mut self, response: PendingResponse) {
         let (client, call) = (response.client, response.call);
         let Some(connection) = self.connections.get_mut(&client) else { return };
@@ -333,7 +341,8 @@
         }
     }
 
-    /// Closes what sends nothing complete in its time, or nothing more, and what takes no responses.
+    /// Closes connections whose message is not complete in time, that are idle for too long or that do not take their
+    /// responses.
     fn sweep(&mut self, now: Ns) {
         let overdue = self
             .connections
@@ -353,8 +362,9 @@
         writing.into_iter().for_each(|client| self.write(client));
     }
 
-    /// Ends a connection. Unless its client has gone, its write side is shut and it has some time to take what is
-    /// under way; past a bound of such connections the one that has had most of its time is cut.
+    /// Closes a connection. If its client may still be there, the write side is shut down, and the client has
+    /// `closing_timeout` to receive the bytes in transit. If more than `max_closing_clients` connections are closing, the
+    /// one whose time ends first is dropped. A connection that is closing already is dropped at once.
     fn close(&mut self, client: ClientId, reason: CloseReason) {
         let Some(connection) = self.connections.get_mut(&client) else { return };
         if connection.closing_until.is_some() {
@@ -378,15 +388,15 @@
         connection.begin_closing(now + self.shared.limits.closing_timeout, &self.shared);
         self.closing_count += 1;
         if self.closing_count > self.shared.limits.max_closing_clients {
-            self.cut_first_closing();
+            self.drop_oldest_closing();
         }
     }
 
-    fn cut_first_closing(&mut self) {
+    fn drop_oldest_closing(&mut self) {
         let closing =
             self.connections.iter().filter_map(|(id, connection)| Some((connection.closing_until?, *id)));
-        if let Some((_, first)) = closing.min() {
-            self.close(first, CloseReason::Disconnected);
+        if let Some((_, oldest)) = closing.min() {
+            self.close(oldest, CloseReason::Disconnected);
         }
     }
 }
--- a/crates/director/src/wire/discovery_client.rs
+++ b/crates/director/src/wire/discovery_client.rs
@@ -1,5 +1,5 @@
-//! The event stream of discovery: numbered events over HTTP, each taken once and in order. What its bytes mean, which
-//! events are new and which feed is called is decided in `sablecross-discovery`; here are the sockets.
+//! The client of discovery's event stream: numbered events over HTTP, each applied once and in order. This module does the
+//! socket I/O; `sablecross-discovery` parses the stream, decides which events are new and selects the feed.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -21,14 +21,14 @@
 use crate::parent_hierarchy::AppliedVersion;
 use crate::shared::SharedContext;
 
-/// Bytes that are read at once.
-const READ_LENGTH: usize = 16 << 10;
+/// The size of one read from the stream.
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// Where discovery is from now on, and what was known there.
+/// A change of the feeds by a reloaded configuration.
 pub(crate) struct FeedMove {
-    /// The feeds, the home one first.
+    /// The feeds, with the home feed first.
     pub feeds: Vec<SocketAddr>,
-    /// The events that the new configuration holds.
+    /// The events that the new configuration contains.
     pub known: KnownEvents,
 }
 
@@ -39,20 +39,20 @@
     Io(#[from] io::Error),
     #[error(transparent)]
     Stream(#[from] StreamError),
-    /// Nothing came in the time in which something must.
+    /// No data came for `feed_silence_timeout`.
     #[error("silent")]
     Silent,
 }
 
 /// Why a call ended.
 enum CallEnd {
-    /// The call failed or the stream broke off: the next feed is called.
+    /// The call failed or the stream was interrupted: the next feed is called.
     Failed(CallError),
-    /// An event is asked for once more.
-    RetryEvent(String),
-    /// The stream came to its end, as it may at any time.
+    /// An event is missing or unreadable: the feed is called again from the last applied event.
+    Resubscribe(String),
+    /// The feed closed the stream, which is normal at any time.
     Ended,
-    /// Discovery is elsewhere from now on.
+    /// The configuration names other feeds.
     Moved(FeedMove),
     DispatcherGone,
 }
@@ -69,20 +69,21 @@
     }
 }
 
-/// Follows the event stream.
+/// Follows the event stream and passes its events to the dispatcher.
 pub(crate) struct DiscoveryClient {
     shared: Arc<SharedContext>,
     cursor: EventCursor,
     feeds: FeedSelector,
     moves: Receiver<FeedMove>,
     reporter: AppliedVersionReporter,
-    /// Whether the last call was answered. True before the first one: only a change is logged.
+    /// Whether the last call succeeded. True before the first call, because only changes are logged.
     is_up: bool,
+    /// Whether any call has succeeded.
     has_been_up: bool,
 }
 
 impl DiscoveryClient {
-    /// A client that follows the first of the feeds from behind the event with the number `after`.
+    /// Creates a client that follows the selected feed, beginning after the event with the number `after`.
     pub(crate) fn new(
         director_name: String,
         feeds: FeedSelector,
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Follows the stream until the dispatcher is gone.
+    /// Follows the event stream until the dispatcher is gone.
     pub(crate) fn run(mut self) {
         let began = Instant::now();
         loop {
@@ -115,18 +116,19 @@
                     }
                     continue;
                 }
-                // It counts as down only if the next call fails: relays end streams all the time.
+                // Relays close streams routinely, so the feed counts as down only if the next call fails.
                 CallEnd::Ended => {
                     tracing::debug!("feed ended after={}", self.cursor.last_number());
                     self.feeds.on_stream_ended(began.elapsed());
                 }
-                CallEnd::RetryEvent(reason) => self.mark_down(&reason),
+                CallEnd::Resubscribe(reason) => self.mark_down(&reason),
                 CallEnd::Failed(error) => {
                     self.mark_down(&error.to_string());
                     self.feeds.on_failed(began.elapsed());
                 }
             }
-            // Called again at once, but for one that fails or ends at once: no loop without a pause.
+            // The feed is called again at once, except after a call that ended early without a new event: the delay keeps
+            // this from becoming a busy loop.
             let retry_delay = self.shared.limits.feed_retry_delay;
             if self.cursor.last_number() == last_before && call_began.elapsed() < retry_delay {
                 std::thread::sleep(retry_delay);
@@ -149,7 +151,8 @@
         }
     }
 
-    /// The numbers go on: of what was known there, only what follows the last one is new.
+    /// Switches to the new feeds. Event numbers continue across feeds, so of the events in the new configuration only
+    /// those after the last applied one are new.
     fn follow_move(&mut self, feed_move: FeedMove) -> Result<(), CallEnd> {
         let Some((home, others)) = feed_move.feeds.split_first() else { return Ok(()) };
         let from = self.feeds.current();
@@ -157,22 +160,22 @@
         self.feeds = FeedSelector::new(self.reporter.director_name(), *home, others);
         for event in feed_move.known.events {
             if self.cursor.advance_if_next(event.number) {
-                self.pass_on(event.event)?;
+                self.forward(event.event)?;
             }
         }
         Ok(())
     }
 
-    fn pass_on(&mut self, event: DiscoveryEvent) -> Result<(), CallEnd> {
+    fn forward(&mut self, event: DiscoveryEvent) -> Result<(), CallEnd> {
         self.shared.events.send(Event::Discovery(event)).map_err(|_| CallEnd::DispatcherGone)
     }
 
-    /// An error if discovery is elsewhere from now on.
+    /// Fails with `CallEnd::Moved` if the configuration names other feeds.
     fn check_moved(&self) -> Result<(), CallEnd> {
         self.moves.try_recv().map_or(Ok(()), |feed_move| Err(CallEnd::Moved(feed_move)))
     }
 
-    /// One connection, read until its end.
+    /// Opens one connection to the feed and reads it until its end.
     fn call(&mut self) -> Result<(), CallEnd> {
         self.check_moved()?;
         counters::add(&self.shared.counters.feed_calls, 1);
@@ -201,9 +204,10 @@
         Ok(socket)
     }
 
-    /// Reads more; false at the end. Silence past its time is an error, and so is a move.
+    /// Reads more bytes of the stream; false at its end. Fails if no data comes for `feed_silence_timeout`, or if the feeds
+    /// have changed. Sends pending reports of the applied version while it waits.
     fn read(&mut self, parser: &mut EventStreamParser, mut socket: &TcpStream) -> Result<bool, CallEnd> {
-        let (began, mut bytes) = (Instant::now(), [0; READ_LENGTH]);
+        let (began, mut bytes) = (Instant::now(), [0; READ_BUFFER_BYTES]);
         loop {
             self.reporter.report_if_due(self.feeds.current());
             self.check_moved()?;
@@ -223,14 +227,14 @@
         }
     }
 
-    /// Takes one event in, unless it is a repeat or others are missing before it.
+    /// Passes one event to the dispatcher, unless it is a duplicate, can't be read or follows a gap.
     fn on_event(&mut self, id: Option<u64>, data: &str) -> Result<(), CallEnd> {
         match self.cursor.classify(id, parse_event(data)) {
-            EventVerdict::New(event) => self.pass_on(event),
+            EventVerdict::New(event) => self.forward(event),
             EventVerdict::Duplicate => Ok(()),
             EventVerdict::Resubscribe(reason) => {
                 counters::add(&self.shared.counters.feed_gaps, 1);
-                Err(CallEnd::RetryEvent(reason.to_string()))
+                Err(CallEnd::Resubscribe(reason.to_string()))
             }
             EventVerdict::Skip { number, reason } => {
                 counters::add(&self.shared.counters.feed_skipped, 1);
--- a/crates/director/src/wire/incoming_answer.rs
+++ b/crates/director/src/wire/incoming_answer.rs
@@ -1,4 +1,4 @@
-//! An answer of a node, whose head has come and whose body is coming in.
+//! An answer from a node, while its body is being read.
 
 use std::io::{self, Read};
 use std::sync::Arc;
@@ -11,19 +11,19 @@
 use crate::events::{AttemptEnded, CachedCopy};
 use crate::memory_budget::{Body, MemoryBudget};
 
-/// An answer whose body is read.
+/// An answer whose head is parsed and whose body is being read.
 pub(super) struct IncomingAnswer {
     ended: AttemptEnded,
     tag: Box<str>,
     is_unchanged: bool,
-    /// None if there is no room for it: it is read and dropped.
+    /// `None` if the memory budget has no room for the body: its bytes are read and discarded.
     body: Option<Body>,
     body_length: usize,
     received: usize,
 }
 
 impl IncomingAnswer {
-    /// An answer of which the head has come.
+    /// Begins an answer from its head, and reserves memory for its body.
     pub(super) fn new(head: &AnswerHead<'_>, memory_budget: &Arc<MemoryBudget>) -> IncomingAnswer {
         IncomingAnswer {
             ended: AttemptEnded {
@@ -46,39 +46,40 @@
         self.body_length
     }
 
-    /// Whether all of its body has come.
-    pub(super) fn has_body(&self) -> bool {
+    /// Whether the whole body has been received.
+    pub(super) fn is_body_complete(&self) -> bool {
         self.received == self.body_length
     }
 
-    /// Takes in what has come; with all of the body there, the end of its line. False at the end of the stream.
+    /// Reads more of the body; once the body is complete, reads the line end after it into `buffer`. Returns false at the
+    /// end of the stream.
     pub(super) fn read(&mut self, buffer: &mut ReadBuffer, mut stream: &TcpStream) -> io::Result<bool> {
         let buffered = buffer.unread().len().min(self.body_length - self.received);
         if let Some(body) = self.body.as_mut() {
-            let to = &mut body.bytes_mut()[self.received..self.received + buffered];
-            to.copy_from_slice(&buffer.unread()[..buffered]);
+            let target = &mut body.bytes_mut()[self.received..self.received + buffered];
+            target.copy_from_slice(&buffer.unread()[..buffered]);
         }
         buffer.consume(buffered);
         self.received += buffered;
-        let is_missing_more = self.received < self.body_length;
+        let is_body_incomplete = self.received < self.body_length;
         match self.body.as_mut() {
-            Some(body) if is_missing_more => {
+            Some(body) if is_body_incomplete => {
                 let read = stream.read(&mut body.bytes_mut()[self.received..])?;
                 self.received += read;
                 Ok(read > 0)
             }
-            None if is_missing_more => buffer.fill(stream),
+            None if is_body_incomplete => buffer.fill(stream),
             _ if buffer.unread().len() >= LINE_END.len() => Ok(true),
             _ => buffer.fill(stream),
         }
     }
 
-    /// The end of the attempt, at the time at which all of the answer had come.
+    /// The result of the attempt; `ended_at` is the time at which the answer was complete.
     pub(super) fn into_result(self, ended_at: Ns) -> AttemptEnded {
         let IncomingAnswer { mut ended, tag, is_unchanged, body, .. } = self;
         ended.ended_at = ended_at;
         match body {
-            // Without room for its body it counts as cancelled.
+            // The body was discarded for lack of memory: the attempt counts as cancelled.
             None => ended.outcome = Outcome::Cancelled,
             Some(body) if ended.outcome == Outcome::Success => {
                 ended.copy = Some(CachedCopy { tag, body: (!is_unchanged).then(|| Arc::new(body)) });
--- a/crates/director/src/wire/mod.rs
+++ b/crates/director/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! The sockets: clients, nodes, and the event stream of discovery. Each has a thread of its own.
+//! Network I/O: client connections, node connections and the event stream of discovery, each on its own thread.
 
 mod applied_version_reporter;
 mod client_acceptor;
@@ -18,12 +18,13 @@
 
 use std::io::{self, ErrorKind, IoSlice, Write};
 
-/// Writes what is left of the parts in one call, from behind what is written of them; whether that was all.
-fn write_remaining(mut to: impl Write, parts: &mut [IoSlice], written: &mut usize) -> io::Result<bool> {
+/// Writes the parts from byte `written` on with one vectored write and advances `written`. Returns whether all parts are
+/// written.
+fn write_remaining(mut writer: impl Write, parts: &mut [IoSlice], written: &mut usize) -> io::Result<bool> {
     let length: usize = parts.iter().map(|part| part.len()).sum();
     let mut remaining = parts;
     IoSlice::advance_slices(&mut remaining, *written);
-    match to.write_vectored(remaining)? {
+    match writer.write_vectored(remaining)? {
         0 => Err(ErrorKind::WriteZero.into()),
         count => {
             *written += count;
--- a/crates/director/src/wire/node_connections.rs
+++ b/crates/director/src/wire/node_connections.rs
@@ -1,5 +1,5 @@
-//! The thread that holds all connections to nodes: it makes them, writes messages and reads answers. It waits for any
-//! of them, and never for one alone.
+//! The thread that serves all connections to nodes: it connects, writes messages and reads answers. It polls all
+//! connections together and never blocks on a single one.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -20,48 +20,48 @@
 use crate::os_error::{is_local_shortage, is_network_trouble, is_would_block};
 use crate::shared::SharedContext;
 
-/// What the dispatcher has a connection do.
+/// A command from the dispatcher to the thread of the node connections.
 pub enum ConnectionCommand {
-    /// Makes a connection.
+    /// Opens a connection.
     Connect {
-        /// The number under which it is named from then on.
+        /// The id of the new connection.
         connection: NodeConnectionId,
         /// The node's address.
         address: SocketAddr,
-        /// By when it must be established.
+        /// The time by which the connection must be established.
         deadline: Ns,
     },
-    /// Writes a message, once those before it are written.
+    /// Queues a message behind the connection's earlier messages.
     Send {
         /// The connection.
         connection: NodeConnectionId,
         /// The message.
         message: OutgoingMessage,
     },
-    /// Tells the node that an attempt is not wanted any more.
+    /// Tells the node that an attempt is cancelled.
     Kill {
-        /// The connection that carried it.
+        /// The connection that carried the attempt.
         connection: NodeConnectionId,
         /// The request of the attempt.
         request_id: RequestId,
     },
-    /// Some of its messages were withdrawn: those that are not begun are dropped.
+    /// Drops the messages of a connection that were withdrawn and are not begun.
     Withdraw(NodeConnectionId),
-    /// Closes a connection without a word of it.
+    /// Closes a connection without reporting it as lost.
     Close(NodeConnectionId),
 }
 
-/// The dispatcher's way to the connections.
+/// The dispatcher's handle for sending commands to the node connections.
 pub struct CommandSender {
     commands: Sender<ConnectionCommand>,
     waker: Waker,
 }
 
 impl CommandSender {
-    /// Queues a command; false if the queue is full.
+    /// Queues a command. Returns false if the queue is full.
     pub fn send(&self, command: ConnectionCommand) -> bool {
         let is_sent = self.commands.try_send(command).is_ok();
-        // The thread wakes by itself before long.
+        // If waking fails, the thread handles the command when its poll times out.
         let _ = self.waker.wake();
         is_sent
     }
@@ -69,38 +69,38 @@
 
 const COMMANDS: Token = Token(usize::MAX);
 
-/// All connections to nodes.
+/// Serves all connections to nodes.
 pub struct NodeConnectionServer {
     poll: Poll,
     commands: Receiver<ConnectionCommand>,
     shared: Arc<SharedContext>,
     connections: BTreeMap<NodeConnectionId, NodeConnection>,
-    /// Connections of which no more than their share was read.
+    /// Connections that used up their reads for one turn and may have more to read.
     readable: Vec<NodeConnectionId>,
     next_sweep: Ns,
     log: LogRateLimiter,
 }
 
-/// What some connection waits for.
+/// What connections are waiting for. Each flag is set if at least one connection waits for it.
 #[derive(Clone, Copy, Debug, Default)]
 struct PendingWork {
-    /// It could not be made yet.
+    /// Its socket could not be created, and connecting has to be retried.
     needs_retry: bool,
     /// It is not established yet.
     is_connecting: bool,
-    /// Its client is to be looked at.
+    /// Its first message waits for a check that the client is still connected.
     awaits_client_check: bool,
 }
 
 impl NodeConnectionServer {
-    /// A server without connections, and the way to it.
+    /// Creates a server without connections, and the handle for sending commands to it.
     pub fn new(shared: &Arc<SharedContext>) -> io::Result<(NodeConnectionServer, CommandSender)> {
         let poll = Poll::new()?;
-        let (commands, from_dispatcher) = bounded(shared.limits.command_queue_length);
+        let (commands, command_receiver) = bounded(shared.limits.command_queue_length);
         let sender = CommandSender { commands, waker: Waker::new(poll.registry(), COMMANDS)? };
         let server = NodeConnectionServer {
             poll,
-            commands: from_dispatcher,
+            commands: command_receiver,
             shared: Arc::clone(shared),
             connections: BTreeMap::new(),
             readable: Vec::new(),
@@ -110,7 +110,7 @@
         Ok((server, sender))
     }
 
-    /// Serves until the dispatcher is gone.
+    /// Serves until the dispatcher has dropped its command sender.
     pub fn run(mut self) {
         let mut events = Events::with_capacity(self.shared.limits.max_messages_per_turn);
         loop {
@@ -132,7 +132,8 @@
         }
     }
 
-    /// What has come is read before anything is written: nothing is begun on a connection whose end is here already.
+    /// Reads all readable connections before it writes, so that no message is begun on a connection whose end has
+    /// already been received.
     fn handle_socket_events(&mut self, events: &Events) {
         let mut readable = std::mem::take(&mut self.readable);
         let mut writable = Vec::new();
@@ -150,7 +151,7 @@
         writable.into_iter().for_each(|id| self.write(id));
     }
 
-    /// Carries out the commands that wait; false if the dispatcher is gone.
+    /// Executes all queued commands. Returns false if the dispatcher is gone.
     fn handle_commands(&mut self) -> bool {
         loop {
             match self.commands.try_recv() {
@@ -169,7 +170,8 @@
             ConnectionCommand::Close(id) => drop(self.connections.remove(&id)),
             ConnectionCommand::Withdraw(id) => self.write(id),
             ConnectionCommand::Send { connection, message } => {
-                // Its end may have come since it was looked at: what is not begun on it has never run.
+                // The connection may have ended since it was last read. Reading it first keeps the message from being
+                // begun on an ended connection: an attempt that was not begun is known never to have run.
                 if self.connections.get(&connection).is_some_and(|connection| connection.is_up) {
                     self.read(connection);
                 }
@@ -182,14 +184,14 @@
         }
     }
 
-    /// Runs something on a connection, which ends if that fails.
+    /// Runs an operation on a connection, and closes the connection if the operation fails.
     fn with_connection<T>(
         &mut self,
         id: NodeConnectionId,
-        run: impl FnOnce(&mut NodeConnection, &SharedContext) -> Result<T, CloseReason>,
+        operation: impl FnOnce(&mut NodeConnection, &SharedContext) -> Result<T, CloseReason>,
     ) -> Option<T> {
         let connection = self.connections.get_mut(&id)?;
-        run(connection, &self.shared).map_err(|reason| self.close(id, reason)).ok()
+        operation(connection, &self.shared).map_err(|reason| self.close(id, reason)).ok()
     }
 
     fn read(&mut self, id: NodeConnectionId) {
@@ -212,22 +214,22 @@
     fn open(&mut self, id: NodeConnectionId, address: SocketAddr, deadline: Ns) {
         self.connections.insert(id, NodeConnection::new(id, address, deadline, &self.shared));
         self.connect(id);
-        // It must be abandoned in its time, if it is not established.
+        // The next sweep must come early enough to give the connection up at its deadline.
         self.next_sweep = self.next_sweep.min(self.shared.clock.now() + self.shared.limits.answer_margin);
     }
 
-    /// Makes a connection. What this machine is short of passes: it is tried again for as long as it may take to be
-    /// established, and its messages wait.
+    /// Starts to connect. A shortage of a resource on this machine is taken to be temporary: connecting is tried again
+    /// until the connection's deadline, and its messages wait meanwhile.
     fn connect(&mut self, id: NodeConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        let made = TcpStream::connect(connection.address).and_then(|mut stream| {
+        let connected = TcpStream::connect(connection.address).and_then(|mut stream| {
             let interest = Interest::READABLE | Interest::WRITABLE;
             self.poll.registry().register(&mut stream, Token(id as usize), interest)?;
-            // Without it messages are but slower.
+            // A failure here only adds latency.
             let _ = stream.set_nodelay(true);
             Ok(stream)
         });
-        match made {
+        match connected {
             Ok(stream) => connection.stream = Some(stream),
             Err(e) if is_local_shortage(&e) => {
                 connection.shortage_reason = if is_network_trouble(&e) {
@@ -280,15 +282,16 @@
         pending
     }
 
-    /// Makes what could not be made; ends what is not established, or does not take what it is given, in time.
+    /// Retries connections that have no socket yet, closes those that are not established by their deadline, and writes
+    /// queued messages, which closes the connections that do not take a message in time.
     fn sweep(&mut self, now: Ns) {
-        let unmade = self.connections.values().filter(|connection| {
+        let unconnected = self.connections.values().filter(|connection| {
             connection.stream.is_none()
                 && now >= connection.next_connect_at
                 && now < connection.connect_deadline
         });
-        let unmade: Vec<NodeConnectionId> = unmade.map(|connection| connection.id).collect();
-        unmade.into_iter().for_each(|id| self.connect(id));
+        let unconnected: Vec<NodeConnectionId> = unconnected.map(|connection| connection.id).collect();
+        unconnected.into_iter().for_each(|id| self.connect(id));
         let overdue = self
             .connections
             .values()
@@ -303,10 +306,11 @@
         waiting.into_iter().for_each(|id| self.write(id));
     }
 
-    /// A connection is over. What was not begun to be written on it never ran.
+    /// Closes a connection and reports it as lost, with the requests whose attempts were begun on it. Attempts that were
+    /// not begun never ran.
     fn close(&mut self, id: NodeConnectionId, reason: CloseReason) {
         let Some(mut connection) = self.connections.remove(&id) else { return };
-        // Complete answers may have come before the end: they count.
+        // Complete answers that were received before the end still count.
         for _ in 0..self.shared.limits.max_messages_per_turn {
             if !connection.is_up || connection.read(&self.shared) != Ok(true) {
                 break;
--- a/crates/director/src/wire/node_pool.rs
+++ b/crates/director/src/wire/node_pool.rs
@@ -1,5 +1,5 @@
-//! The nodes as the dispatcher sees them: a small pool of connections to each, made when they are wanted. No call here
-//! waits for a socket: `node_connections` serves them.
+//! The dispatcher's view of the nodes: a small pool of connections to each node, opened on demand. No call here waits for
+//! a socket; `node_connections` serves the sockets on its own thread.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
     pub key: RequestKey,
     /// The index of the attempt among those of the request.
     pub attempt: usize,
-    /// When it was given to the connection.
+    /// When the attempt was handed to the connection.
     pub sent_at: Ns,
 }
 
@@ -30,20 +30,20 @@
     attempt: InflightAttempt,
     /// The node from which a miss is filled.
     source: Option<usize>,
-    /// Tells the connection's thread that it is not to be begun any more.
+    /// Tells the connections' thread that the attempt must not be begun any more.
     withdrawal: CancellationFlag,
-    /// Set by the connection's thread.
+    /// Set by the connections' thread before it begins the attempt.
     begin: BeginFlag,
 }
 
 struct PooledConnection {
     node: usize,
     outstanding: BTreeMap<RequestId, OutstandingAttempt>,
-    /// When it was made or last answered.
+    /// When the connection was opened or last received an answer.
     last_received: Ns,
-    /// When its last attempt was sent or answered.
+    /// When the last attempt on the connection was sent or answered.
     last_used: Ns,
-    /// Nothing more is sent on it; it is closed once nothing is outstanding.
+    /// Whether the connection gets no more attempts; it is closed once no attempt is outstanding.
     is_retired: bool,
 }
 
@@ -57,30 +57,31 @@
 pub struct WithdrawCandidate {
     /// The request in flight.
     pub key: RequestKey,
-    /// The node to which it goes.
+    /// The node to which the attempt was sent.
     pub node: usize,
     /// The node from which a miss is filled.
     pub source: Option<usize>,
 }
 
-/// How a connection ranks for the next attempt: the fewest outstanding first, then the one used last.
-type Rank = (usize, Ns, NodeConnectionId);
+/// How a connection ranks for the next attempt, lowest first: the number of outstanding attempts, the time since its last
+/// use, its id.
+type ConnectionRank = (usize, Ns, NodeConnectionId);
 
 /// The pools of connections to all nodes.
 pub struct NodePool {
     shared: Arc<SharedContext>,
-    /// By the router's index of the node.
+    /// Indexed by the router's index of the node.
     pools: Vec<Pool>,
     registry: NodeRegistry,
     connections: HashMap<NodeConnectionId, PooledConnection>,
     next_id: NodeConnectionId,
     commands: CommandSender,
-    /// Connections that are to be closed, for which there was no room among the commands.
+    /// Connections to close, for which the command queue had no room yet.
     unsent_closes: VecDeque<NodeConnectionId>,
 }
 
 impl NodePool {
-    /// Without nodes.
+    /// Creates a pool without nodes.
     pub fn new(commands: CommandSender, shared: Arc<SharedContext>) -> NodePool {
         NodePool {
             shared,
@@ -93,12 +94,12 @@
         }
     }
 
-    /// The connections that are open or being made.
+    /// The number of connections that are open or being opened.
     pub fn open_connections(&self) -> usize {
         self.connections.len()
     }
 
-    /// The connections made since the start.
+    /// The number of connections opened since the start.
     pub fn opened_connections(&self) -> u64 {
         self.next_id
     }
@@ -113,21 +114,21 @@
         self.registry.name(node)
     }
 
-    /// The state of a node by the last endpoint list.
+    /// The state of a node in the last endpoint list.
     pub fn state(&self, node: usize) -> EndpointState {
         self.registry.state(node)
     }
 
-    /// Takes in the starts of nodes, before the first of these endpoints is listed.
+    /// Records the start times of the endpoints, before they are passed to `update_endpoints`.
     pub fn observe_starts(&mut self, endpoints: &[Endpoint]) {
         self.registry.observe_starts(endpoints, self.shared.clock.now());
     }
 
-    /// The endpoints as the router reads them. Connections to nodes that have gone are closed, attempts that wait for
-    /// a node that drains are withdrawn.
+    /// Applies an endpoint list and returns it in the router's form. Connections to nodes that are gone are retired, and
+    /// attempts that are not begun are withdrawn if their node or source is no longer ready.
     ///
-    /// `oldest` is the key of the oldest request in flight, `next` that of the one to come: indexes of nodes that are
-    /// gone are given out again, so that what is kept by them is bounded by the nodes there are and the requests in
+    /// `oldest` is the key of the oldest request in flight, `next` the key of the next request. The indexes of nodes that
+    /// are gone are reused, so that the state kept per index is bounded by the number of current nodes and of requests in
     /// flight.
     pub fn update_endpoints(
         &mut self,
@@ -144,10 +145,12 @@
             endpoints.iter().filter_map(|endpoint| self.update_endpoint(endpoint, now)).collect();
         let states: HashMap<usize, EndpointState> =
             updates.iter().map(|update| (update.node, update.state)).collect();
-        // What still waits to be written must not begin after the grace, however late its connection comes up.
-        let stays = |node| states.get(&node).map_or(!is_snapshot, |state| *state == EndpointState::Ready);
+        // An attempt that still waits to be written must not begin after the drain grace, however late its connection is
+        // established.
+        let remains_ready =
+            |node| states.get(&node).map_or(!is_snapshot, |state| *state == EndpointState::Ready);
         self.withdraw(|candidate| {
-            !stays(candidate.node) || candidate.source.is_some_and(|source| !stays(source))
+            !remains_ready(candidate.node) || candidate.source.is_some_and(|source| !remains_ready(source))
         });
         for node in self.registry.mark_gone(&updates, is_snapshot, next) {
             self.retire_all(node);
@@ -172,7 +175,7 @@
         }
     }
 
-    /// Nothing more is sent on this connection; it is closed once nothing is outstanding.
+    /// Sends no more attempts on a connection, and closes it once no attempt is outstanding.
     fn retire(&mut self, id: NodeConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.is_retired = true;
@@ -196,8 +199,9 @@
         Some(connection)
     }
 
-    /// Gives an attempt to a connection of its node; else the outcome that this stands for. A connection that carried
-    /// this request before is left out: a late answer could be taken for that of this attempt.
+    /// Hands an attempt to a connection of its node and returns the connection's id, or the outcome of the attempt if it
+    /// can't be sent. `used` are the connections that carried this request before: they are left out, because a late
+    /// answer to an earlier attempt could be taken for the answer to this one.
     pub fn send(
         &mut self,
         attempt: InflightAttempt,
@@ -233,8 +237,8 @@
         Ok(id)
     }
 
-    /// An idle connection, as one body blocks those behind it; else a new one; else the one with the fewest attempts
-    /// outstanding.
+    /// Selects an idle connection if there is one, because a body blocks the answers behind it on the same connection;
+    /// otherwise a new connection if the limits allow it; otherwise the connection with the fewest outstanding attempts.
     fn select_connection(
         &mut self,
         node: usize,
@@ -245,7 +249,7 @@
         let shared = Arc::clone(&self.shared);
         let limits = &shared.limits;
         let pool = self.pools.get(node).ok_or(Outcome::NotSent)?;
-        let mut best: Option<Rank> = None;
+        let mut best: Option<ConnectionRank> = None;
         let mut idle_too_long = Vec::new();
         for &id in &pool.connections {
             let Some(connection) = self.connections.get(&id).filter(|connection| !connection.is_retired)
@@ -296,12 +300,12 @@
         Ok(id)
     }
 
-    /// The node at the other end of a connection.
+    /// The node to which a connection leads.
     pub fn node_of(&self, connection: NodeConnectionId) -> Option<usize> {
         self.connections.get(&connection).map(|connection| connection.node)
     }
 
-    /// The attempt that an answer ends; a late answer to one that was abandoned ends none.
+    /// Records an answer and returns the attempt that it ends; `None` if the attempt was abandoned before.
     pub fn on_answer(
         &mut self,
         id: NodeConnectionId,
@@ -318,8 +322,8 @@
         answered
     }
 
-    /// Abandons an attempt. A connection that was silent since it took the attempt, past the usual time, is not used
-    /// again: an answer that stopped short or never comes leaves it stuck, for all that follows.
+    /// Abandons an attempt and cancels it at the node. A connection that has received no answer for `silence_threshold`
+    /// since it got the attempt is retired: an answer that stopped midway or never comes would block all later ones.
     pub fn abandon(
         &mut self,
         id: NodeConnectionId,
@@ -328,25 +332,25 @@
     ) -> Option<InflightAttempt> {
         let connection = self.connections.get_mut(&id)?;
         let OutstandingAttempt { attempt, withdrawal, .. } = connection.outstanding.remove(request_id)?;
-        // What is not written yet never will be: a node must not see it after its client had an answer.
+        // An attempt that is not begun must never reach the node once the client may have its answer.
         withdrawal.cancel();
         let kill = ConnectionCommand::Kill { connection: id, request_id: *request_id };
-        let is_killed = self.commands.send(kill);
+        let is_kill_queued = self.commands.send(kill);
         let is_silent = connection.last_received <= attempt.sent_at
             && now >= attempt.sent_at + self.shared.limits.silence_threshold;
-        if !is_killed || is_silent || connection.is_retired {
+        if !is_kill_queued || is_silent || connection.is_retired {
             self.retire(id);
         }
         Some(attempt)
     }
 
-    /// Withdraws the attempts that are chosen: those that are not begun never are, and
-    /// an event ends each of them.
-    pub fn withdraw(&mut self, is_chosen: impl Fn(&WithdrawCandidate) -> bool) {
+    /// Withdraws the attempts that the predicate selects. Those that are not begun yet are never begun, and an
+    /// `AttemptNotSent` event ends each of them.
+    pub fn withdraw(&mut self, is_selected: impl Fn(&WithdrawCandidate) -> bool) {
         let mut affected: Vec<NodeConnectionId> = Vec::new();
         for (&id, connection) in &self.connections {
             let withdrawn = connection.outstanding.values().filter(|outstanding| {
-                is_chosen(&WithdrawCandidate {
+                is_selected(&WithdrawCandidate {
                     key: outstanding.attempt.key,
                     node: connection.node,
                     source: outstanding.source,
@@ -358,17 +362,19 @@
         }
         affected.sort_unstable();
         for id in affected {
-            // With no room for the command it is seen at the next sweep.
+            // If the command queue is full, the connection's next sweep finds the withdrawn attempts.
             self.commands.send(ConnectionCommand::Withdraw(id));
         }
     }
 
-    /// Withdraws an attempt that is not begun: it never is, and an event ends it. False if it may be begun already.
+    /// Withdraws an attempt that is not begun yet: it is never begun, and an `AttemptNotSent` event ends it. Returns false
+    /// if the attempt may have been begun already.
     pub fn withdraw_unbegun(&mut self, id: NodeConnectionId, request_id: &RequestId) -> bool {
         let connection = self.connections.get(&id);
         let outstanding = connection.and_then(|connection| connection.outstanding.get(request_id));
         let Some(OutstandingAttempt { withdrawal, begin, .. }) = outstanding else { return false };
-        // The connection's thread sets the one and reads the other in the opposite order: one of both is seen.
+        // This thread sets `withdrawal` and then reads `begin`; the connections' thread sets `begin` and then reads
+        // `withdrawal`. At least one of them sees the other's flag.
         withdrawal.cancel();
         if begin.is_set() {
             return false;
@@ -377,11 +383,11 @@
         true
     }
 
-    /// An attempt was never begun; none if it was abandoned before that was known here.
+    /// Removes and returns an attempt that was never begun; `None` if it was abandoned before this became known.
     pub fn on_not_sent(&mut self, id: NodeConnectionId, request_id: &RequestId) -> Option<InflightAttempt> {
         let connection = self.connections.get_mut(&id)?;
         let attempt = connection.outstanding.remove(request_id)?.attempt;
-        // The connection drops the kill as it did the attempt.
+        // The connection drops this kill, which clears its record of the dropped attempt.
         let kill = ConnectionCommand::Kill { connection: id, request_id: *request_id };
         if !self.commands.send(kill) || connection.is_retired {
             self.retire(id);
@@ -389,7 +395,7 @@
         Some(attempt)
     }
 
-    /// A connection is over: the attempts that were outstanding on it.
+    /// Removes a lost connection and returns the attempts that were outstanding on it.
     pub fn on_connection_lost(&mut self, id: NodeConnectionId) -> Vec<InflightAttempt> {
         self.remove(id).map_or_else(Vec::new, |connection| {
             connection.outstanding.into_values().map(|outstanding| outstanding.attempt).collect()
--- a/crates/director/src/wire/node_protocol.rs
+++ b/crates/director/src/wire/node_protocol.rs
@@ -1,4 +1,4 @@
-//! The lines that nodes speak.
+//! The line protocol between directors and nodes.
 
 use std::fmt::Write;
 
@@ -8,32 +8,32 @@
 use crate::clock::NS_PER_MS;
 use crate::events::{IncomingRequest, RequestId};
 
-/// The end of each line, and of each body.
+/// Terminates each line and each body.
 pub(super) const LINE_END: &[u8] = b"\r\n";
 
-/// The notes of where an answer came from, by their numbers, from 1.
-const CACHE_NOTES: [&str; 5] = ["HIT", "MISS", "MISS_ORIGIN", "COLLAPSED", "STALE"];
+/// The values of an answer's `how` field, which says where the answer came from. A value's number is its index plus 1.
+const CACHE_STATUSES: [&str; 5] = ["HIT", "MISS", "MISS_ORIGIN", "COLLAPSED", "STALE"];
 
-/// The head of an answer, parsed where it lies.
+/// The head line of an answer, parsed in place.
 #[derive(Debug, PartialEq)]
 pub struct AnswerHead<'a> {
-    /// The request that it answers.
+    /// The request that is answered.
     pub request_id: RequestId,
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// Whether it came from a cached copy, where the node reports it.
+    /// Whether a cached copy was served; `None` if the node does not report it.
     pub is_cache_hit: Option<bool>,
-    /// The node's load report.
+    /// The node's load report, if the answer has one.
     pub load: Option<LoadReport>,
-    /// The tag of the copy.
+    /// The tag of the served copy.
     pub tag: Option<&'a str>,
-    /// The copy that the client holds is the current one.
+    /// Whether the copy that the client holds is the current one.
     pub is_unchanged: bool,
     /// The length of the body that follows, in bytes.
     pub body_length: usize,
 }
 
-/// The head of an answer in a line without its end; none if it is none.
+/// Parses the head line of an answer, given without its line end. Returns `None` if the line is malformed.
 pub fn parse_answer_head(line: &[u8]) -> Option<AnswerHead<'_>> {
     let mut words = std::str::from_utf8(line).ok()?.split(' ');
     let (id, status, fields, length) = (words.next()?, words.next()?, words.next()?, words.next()?);
@@ -62,7 +62,7 @@
     };
     for field in fields.split(',').filter(|_| fields != "-") {
         match field.split_once('=')? {
-            ("how", note) => head.is_cache_hit = is_cache_hit(note),
+            ("how", status) => head.is_cache_hit = is_cache_hit(status),
             ("stats", stats) => head.load = Some(parse_load(stats)),
             ("entity", tag) => head.tag = Some(tag),
             _ => {}
@@ -71,8 +71,8 @@
     Some(head)
 }
 
-fn is_cache_hit(note: &str) -> Option<bool> {
-    let number = CACHE_NOTES.iter().position(|known| *known == note).map_or(0, |index| index as u32 + 1);
+fn is_cache_hit(status: &str) -> Option<bool> {
+    let number = CACHE_STATUSES.iter().position(|known| *known == status).map_or(0, |index| index as u32 + 1);
     settings::is_cache_hit(number)
 }
 
@@ -81,7 +81,8 @@
     settings::load_report(values.filter_map(|(name, value)| Some((name, value.parse().ok()?))))
 }
 
-/// The line of an attempt, but for the time that its client has left, which is known when it is written.
+/// The line of an attempt without the value of its `wait` field: the time that the client has left is known only when
+/// the line is written.
 #[derive(Debug, Default)]
 pub struct PullHead {
     before_wait: Vec<u8>,
@@ -89,19 +90,20 @@
 }
 
 impl PullHead {
-    /// The complete line with its end.
+    /// The complete line with its line end; `time_left` is written as the `wait` field.
     pub fn with_wait(&self, time_left: Ns) -> Vec<u8> {
         let wait = milliseconds(time_left).to_string();
         [&self.before_wait, wait.as_bytes(), &self.after_wait].concat()
     }
 }
 
-/// A node is given a millisecond at least.
+/// Converts to whole milliseconds, at least 1: a node is never given a time of 0.
 fn milliseconds(ns: Ns) -> u64 {
     (ns / NS_PER_MS).max(1)
 }
 
-/// The line of an attempt. `fill_path` is a field of our own, for installations with more than two tiers.
+/// Builds the line of an attempt. `fill_path` becomes the `way` field, an extension of the node protocol for hierarchies
+/// with more than two tiers.
 pub fn pull_head(
     request: &IncomingRequest,
     spec: &AttemptSpec,
@@ -117,7 +119,7 @@
     );
     let mut after_wait = String::with_capacity(128);
     let mut field = |name: &str, value: &dyn std::fmt::Display| {
-        // Writing into memory does not fail.
+        // Writing to a string can't fail.
         let _ = write!(after_wait, ",{name}={value}");
     };
     if let Some(source) = source {
@@ -148,12 +150,12 @@
     PullHead { before_wait: before_wait.into_bytes(), after_wait: after_wait.into_bytes() }
 }
 
-/// The line that kills a request's attempt.
+/// The `KILL` line, which cancels the attempt of a request.
 pub fn kill_line(request_id: &RequestId) -> Vec<u8> {
     format!("KILL {}\r\n", request_id_text(request_id)).into_bytes()
 }
 
-/// A request's id as it is written.
+/// The text form of a request id, as it is written on the wire.
 pub fn request_id_text(request_id: &RequestId) -> &str {
     std::str::from_utf8(request_id).unwrap_or_default()
 }
--- a/crates/director/src/wire/outgoing_message.rs
+++ b/crates/director/src/wire/outgoing_message.rs
@@ -1,4 +1,4 @@
-//! What is written to a node: an attempt, or the kill of one.
+//! Messages to nodes: an attempt, or the `KILL` of an earlier one.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -10,33 +10,33 @@
 use crate::events::{CancellationFlag, RequestId};
 use crate::memory_budget::Body;
 
-/// Set by a connection's thread before it looks whether a message may be begun, for the dispatcher to read.
+/// Set by the thread of the node connections before it checks whether a message may be begun; read by the dispatcher.
 #[derive(Clone, Debug, Default)]
 pub struct BeginFlag(Arc<AtomicBool>);
 
 impl BeginFlag {
-    /// Sets the flag for good.
+    /// Sets the flag. It is never cleared.
     pub fn set(&self) {
         self.0.store(true, Ordering::SeqCst);
     }
 
-    /// Whether it is set.
+    /// Returns whether the flag is set.
     pub fn is_set(&self) -> bool {
         self.0.load(Ordering::SeqCst)
     }
 }
 
-/// A message that waits to be written to a node.
+/// A message to a node that is queued on a connection.
 pub struct OutgoingMessage {
-    /// The request for which it is.
+    /// The request to which the message belongs.
     pub request_id: RequestId,
-    /// Its content.
+    /// The content of the message.
     pub content: Content,
-    /// Set by the dispatcher: it is not to be begun any more.
+    /// Set by the dispatcher: the message must not be begun any more.
     pub withdrawal: CancellationFlag,
-    /// Set once the message may be begun.
+    /// Set by the thread of the node connections before it begins the message.
     pub begin: BeginFlag,
-    /// Set by the client's connection: the client has cancelled or gone.
+    /// Set by the thread of the client connections: the client has cancelled the request or disconnected.
     pub client_cancellation: CancellationFlag,
 }
 
@@ -44,24 +44,24 @@
 pub enum Content {
     /// An attempt.
     Pull {
-        /// Its line, but for the client's time left.
+        /// The line of the attempt, without the time that the client has left.
         head: node_protocol::PullHead,
         /// The body that follows the line.
         body: Arc<Body>,
-        /// Its first byte must leave before.
+        /// The first byte must be written before this time.
         begin_by: Ns,
-        /// When its time-out is over.
+        /// When the attempt times out.
         answer_by: Ns,
     },
-    /// The kill of an attempt that was written before.
+    /// Cancels an attempt that was written before.
     Kill {
-        /// Until when it may be written.
+        /// The time by which the message must be begun.
         deadline: Ns,
     },
 }
 
 impl OutgoingMessage {
-    /// The kill of a request's attempt.
+    /// A message that cancels the attempt of a request.
     pub(super) fn kill(request_id: RequestId, deadline: Ns) -> OutgoingMessage {
         OutgoingMessage {
             request_id,
@@ -76,7 +76,7 @@
         matches!(self.content, Content::Pull { .. })
     }
 
-    /// Until when it may be begun.
+    /// The time by which the message must be begun.
     pub(super) fn deadline(&self) -> Ns {
         match self.content {
             Content::Pull { begin_by, answer_by, .. } => begin_by.min(answer_by),
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Whether its first byte may leave now; the time that its client has left then.
+    /// Checks whether the first byte may be written now. Returns the time that the client has left; 0 for a `Kill`.
     pub(super) fn may_begin(&self, now: Ns, clients_checked_at: Ns) -> Result<Ns, BeginDenied> {
         match self.content {
             Content::Kill { .. } => Ok(0),
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Its line, as it is written now.
+    /// The line of the message; for an attempt, `time_left` is the time that the client has left now.
     pub(super) fn line(&self, time_left: Ns) -> Vec<u8> {
         match &self.content {
             Content::Pull { head, .. } => head.with_wait(time_left),
@@ -109,7 +109,7 @@
         }
     }
 
-    /// What follows its line: a body and the end of that.
+    /// The bytes after the line: the body and its terminator, both empty for a `Kill`.
     pub(super) fn body_parts(&self) -> (&[u8], &[u8]) {
         match &self.content {
             Content::Pull { body, .. } => (body.bytes(), node_protocol::LINE_END),
--- a/crates/director/src/wire/read_buffer.rs
+++ b/crates/director/src/wire/read_buffer.rs
@@ -1,24 +1,25 @@
-//! Bytes that have been read and are not used yet; messages are parsed where they lie.
+//! A buffer of bytes that are read and not consumed yet, in which messages are parsed in place.
 
 use std::io::{self, ErrorKind, Read};
 use std::sync::Arc;
 
 use crate::memory_budget::{MemoryBudget, Reservation};
 
-/// A buffer that grows while a message is not complete.
+/// A buffer that grows while a message is incomplete.
 pub(crate) struct ReadBuffer {
     bytes: Vec<u8>,
     start: usize,
     end: usize,
     initial_length: usize,
     max_length: usize,
-    /// What it has grown by counts with the bodies: many messages in part must not fill the memory.
+    /// A grown buffer reserves its length here, together with the bodies, so that many partial messages can't exhaust the
+    /// memory.
     memory_budget: Arc<MemoryBudget>,
-    grown: Option<Reservation>,
+    reservation: Option<Reservation>,
 }
 
 impl ReadBuffer {
-    /// Grows from its first length to hold a message of at most `max_length` bytes.
+    /// Creates a buffer of `initial_length` bytes, which grows to hold a message of at most `max_length` bytes.
     pub(crate) fn new(
         initial_length: usize,
         max_length: usize,
@@ -31,32 +32,32 @@
             initial_length,
             max_length,
             memory_budget: Arc::clone(memory_budget),
-            grown: None,
+            reservation: None,
         }
     }
 
-    /// The bytes that are not used yet.
+    /// The bytes that are not consumed yet.
     pub(crate) fn unread(&self) -> &[u8] {
         &self.bytes[self.start..self.end]
     }
 
-    /// So many of them are used. An empty buffer shrinks back to its first length.
+    /// Consumes the first `count` unread bytes. An empty buffer shrinks back to its initial length.
     pub(crate) fn consume(&mut self, count: usize) {
         self.start = (self.start + count).min(self.end);
         if self.start == self.end {
             (self.start, self.end) = (0, 0);
             if self.bytes.len() > self.initial_length {
                 self.bytes = vec![0; self.initial_length];
-                self.grown = None;
+                self.reservation = None;
             }
         }
     }
 
-    /// Reads more, once; false at the end of the source.
+    /// Reads from the source once. Returns false at the end of the source.
     ///
     /// # Errors
-    /// `InvalidData` if the message is longer than one may be, `OutOfMemory` without room for it, else the source's
-    /// own error.
+    /// `InvalidData` if the message is longer than the maximum length, `OutOfMemory` if the memory budget has no room
+    /// for it, otherwise the error of the source.
     pub(crate) fn fill(&mut self, mut source: impl Read) -> io::Result<bool> {
         if self.end == self.bytes.len() {
             self.bytes.copy_within(self.start..self.end, 0);
@@ -72,12 +73,15 @@
 
     fn grow(&mut self) -> io::Result<()> {
         if self.end >= self.max_length {
-            return Err(io::Error::new(ErrorKind::InvalidData, "too long"));
+            return Err(io::Error::new(
+                ErrorKind::InvalidData,
+                "message is longer than the read buffer may grow",
+            ));
         }
         let length = (2 * self.end).min(self.max_length);
-        // What it held before comes free first: it needs the larger room alone.
-        self.grown = None;
-        self.grown = Some(self.memory_budget.reserve(length).ok_or(ErrorKind::OutOfMemory)?);
+        // The old reservation is released first, so that only the new length counts against the budget.
+        self.reservation = None;
+        self.reservation = Some(self.memory_budget.reserve(length).ok_or(ErrorKind::OutOfMemory)?);
         self.bytes.resize(length, 0);
         Ok(())
     }
--- a/crates/director/src/wire/response.rs
+++ b/crates/director/src/wire/response.rs
@@ -1,4 +1,4 @@
-//! Responses to clients, and one that is being written.
+//! Responses to clients, and the writer of one response.
 
 use std::io::{self, IoSlice};
 use std::sync::Arc;
@@ -11,28 +11,28 @@
 use crate::events::{CallId, ClientId};
 use crate::memory_budget::Body;
 
-/// A response on its way to a client.
+/// A response that is queued for a client.
 pub(crate) struct PendingResponse {
-    /// The connection of the client.
+    /// The client's connection.
     pub client: ClientId,
-    /// The call that it answers.
+    /// The call that is answered.
     pub call: CallId,
-    /// Until when the client waits for it.
+    /// The time until which the client waits for the response.
     pub deadline: Ns,
-    /// Its content.
+    /// The content of the response.
     pub response: Response,
 }
 
-/// What a client is answered.
+/// The content of a response to a client.
 pub(crate) enum Response {
-    /// The object; without a body where the copy that the client holds is the current one.
+    /// The object; `None` if the copy that the client holds is the current one.
     Success(Option<Arc<Body>>),
-    /// There is no capacity for the request just now.
+    /// There is currently no capacity for the request.
     Rejected {
-        /// After which the client may try again; 0: none is given.
+        /// The delay after which the client may retry; 0 if none is given.
         retry_after_ms: u64,
     },
-    /// The request has failed, or can't be used.
+    /// The request has failed or is unusable.
     Failed,
     /// Whether the director is ready for requests.
     Health(bool),
@@ -73,7 +73,7 @@
         self.body.as_deref().map_or(&[], |body| body.bytes())
     }
 
-    /// Writes what is left, in one call; whether that was all.
+    /// Writes the remaining bytes with one call. Returns whether the response is completely written.
     pub(super) fn write_to(&mut self, stream: &TcpStream) -> io::Result<bool> {
         let body = self.body.as_deref().map_or(&[][..], |body| body.bytes());
         let mut parts =
--- a/crates/director/src/wire/response_sender.rs
+++ b/crates/director/src/wire/response_sender.rs
@@ -1,4 +1,4 @@
-//! The dispatcher's way to the clients' thread.
+//! The dispatcher's handle to the thread of the client connections.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -8,7 +8,7 @@
 
 use super::response::PendingResponse;
 
-/// The dispatcher's way to the clients.
+/// Sends responses to the thread of the client connections, and tells it to shut down.
 pub(crate) struct ResponseSender {
     responses: Sender<PendingResponse>,
     waker: Waker,
@@ -16,7 +16,7 @@
 }
 
 impl ResponseSender {
-    /// `waker` wakes the clients' thread, which looks at `is_shutting_down` then.
+    /// `waker` wakes the clients' thread, which then checks `is_shutting_down`.
     pub(super) fn new(
         responses: Sender<PendingResponse>,
         waker: Waker,
@@ -25,19 +25,19 @@
         ResponseSender { responses, waker, is_shutting_down }
     }
 
-    /// Hands a response over; it comes back if the queue is full.
+    /// Queues a response. Returns it if the queue is full.
     pub(crate) fn send(&self, response: PendingResponse) -> Result<(), PendingResponse> {
         let sent = match self.responses.try_send(response) {
             Err(TrySendError::Full(response)) => Err(response),
-            // Without the clients' thread nobody is owed anything.
+            // If the clients' thread has ended, no client is connected any more.
             Ok(()) | Err(TrySendError::Disconnected(_)) => Ok(()),
         };
-        // The thread wakes by itself before long.
+        // If waking fails, the thread handles the response when its poll times out.
         let _ = self.waker.wake();
         sent
     }
 
-    /// No more clients are accepted; each connection ends once nothing is open on it.
+    /// Begins the shutdown: no more clients are accepted, and each connection is closed once nothing is pending on it.
     pub(crate) fn begin_shutdown(&self) {
         self.is_shutting_down.store(true, Ordering::Release);
         let _ = self.waker.wake();
--- a/crates/director/src/wire/rpc/decode.rs
+++ b/crates/director/src/wire/rpc/decode.rs
@@ -1,4 +1,4 @@
-//! Reads messages, and the responses to this director's own calls.
+//! Decodes messages of clients and other directors, and the responses to this director's own calls.
 
 use std::str::FromStr;
 
@@ -10,7 +10,7 @@
 use crate::limits::Limits;
 use crate::name_table::{NameTable, PEER_CALL_METHOD};
 
-const MAX_WORD_LENGTH: usize = 64;
+const MAX_WORD_BYTES: usize = 64;
 
 impl<E: RmpReadErr> From<ValueReadError<E>> for MessageError {
     fn from(_: ValueReadError<E>) -> MessageError {
@@ -24,7 +24,7 @@
     }
 }
 
-/// The first message in the bytes and its length.
+/// Decodes the first message in the bytes. Returns the message and its length in bytes.
 pub fn decode<'a>(
     bytes: &'a [u8],
     names: &NameTable,
@@ -45,19 +45,19 @@
     limits: &Limits,
 ) -> Result<Message<'a>, MessageError> {
     const REQUEST: (u32, u8) = (4, 0);
-    const NOTICE: (u32, u8) = (3, 2);
+    const NOTIFICATION: (u32, u8) = (3, 2);
     let parts = decode::read_array_len(&mut bytes)?;
     match (parts, decode::read_int::<u8, _>(&mut bytes)?) {
         REQUEST => {
             let call = decode::read_int(&mut bytes)?;
-            // The number of the call is known from here on.
+            // From here on the number of the call is known, so an error can be answered.
             Ok(decode_call(bytes, call, names, limits)
                 .unwrap_or_else(|cause| Message::Unusable { call, cause }))
         }
-        NOTICE => {
-            let method = read_text(&mut bytes)?;
+        NOTIFICATION => {
+            let method = read_string(&mut bytes)?;
             if method != "cancelRequest" || decode::read_array_len(&mut bytes)? != 1 {
-                return Err(MessageError::UnknownNotice);
+                return Err(MessageError::UnknownNotification);
             }
             Ok(Message::Cancel { call: decode::read_int(&mut bytes)? })
         }
@@ -71,7 +71,7 @@
     names: &NameTable,
     limits: &Limits,
 ) -> Result<Message<'a>, MessageError> {
-    let method = read_text(&mut bytes)?;
+    let method = read_string(&mut bytes)?;
     let parts = decode::read_array_len(&mut bytes)?;
     if method == "alive" {
         return Ok(Message::HealthCheck { call });
@@ -81,7 +81,7 @@
     }
     let class = names.classes.iter().position(|name| name == method).ok_or(MessageError::UnknownMethod)?;
     if parts != 2 {
-        return Err(MessageError::NotFieldsAndBody);
+        return Err(MessageError::InvalidParameters);
     }
     let fields = decode_request_fields(&mut bytes, class, limits)?;
     let body = read_binary(&mut bytes)?;
@@ -95,7 +95,7 @@
 ) -> Result<Message<'a>, MessageError> {
     for _ in 0..2 * decode::read_map_len(&mut bytes)? {
         skip_value(&mut bytes, limits).map_err(|error| match error {
-            DecodeError::Incomplete => MessageError::CutShort,
+            DecodeError::Incomplete => MessageError::Truncated,
             DecodeError::Invalid(error) => error,
         })?;
     }
@@ -110,7 +110,7 @@
     let (mut request_id, mut budget_ms, mut object, mut part) = (None, None, None, None);
     let mut fields = RequestFields { class, ..RequestFields::default() };
     for _ in 0..decode::read_map_len(bytes)? {
-        let (name, value) = (read_text(bytes)?, read_text(bytes)?);
+        let (name, value) = (read_string(bytes)?, read_string(bytes)?);
         match name {
             "rid" => request_id = Some(parse_hex_digits(value)?),
             "budget" => budget_ms = Some(parse_budget(value, limits)?),
@@ -154,35 +154,35 @@
     u64::from_str_radix(text, 16).map_err(|_| MessageError::NotHexDigits)
 }
 
-/// What becomes a word of a line to a node, in a list of fields.
+/// Parses the value of a field that is copied into a line to a node: 1 to 64 ASCII letters and digits.
 fn parse_word(text: &str) -> Result<&str, MessageError> {
     let is_word =
-        (1..=MAX_WORD_LENGTH).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_alphanumeric());
+        (1..=MAX_WORD_BYTES).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_alphanumeric());
     is_word.then_some(text).ok_or(MessageError::NotAWord)
 }
 
-/// 16 hex digits, small ones: the text goes on as it came.
+/// Parses 16 hex digits. They must be lowercase, because the text is passed on unchanged.
 fn parse_hex_digits(text: &str) -> Result<[u8; 16], MessageError> {
     let digits: [u8; 16] = text.as_bytes().try_into().map_err(|_| MessageError::NotHexDigits)?;
     let is_hex = digits.iter().all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f'));
     is_hex.then_some(digits).ok_or(MessageError::NotHexDigits)
 }
 
-fn read_text<'a>(bytes: &mut &'a [u8]) -> Result<&'a str, MessageError> {
-    let (text, rest) = decode::read_str_from_slice(*bytes).map_err(|_| MessageError::NotText)?;
+fn read_string<'a>(bytes: &mut &'a [u8]) -> Result<&'a str, MessageError> {
+    let (text, rest) = decode::read_str_from_slice(*bytes).map_err(|_| MessageError::NotAString)?;
     *bytes = rest;
     Ok(text)
 }
 
 fn read_binary<'a>(bytes: &mut &'a [u8]) -> Result<&'a [u8], MessageError> {
     let length = decode::read_bin_len(bytes)? as usize;
-    let (binary, rest) = bytes.split_at_checked(length).ok_or(MessageError::CutShort)?;
+    let (binary, rest) = bytes.split_at_checked(length).ok_or(MessageError::Truncated)?;
     *bytes = rest;
     Ok(binary)
 }
 
-/// The first response in the bytes to a call of this director's own: the number of the call, the body if the call went
-/// well, and the length of the response.
+/// Decodes the first response in the bytes to a call of this director. Returns the number of the call, the body unless the
+/// response is an error, and the length of the response in bytes.
 pub fn decode_response<'a>(
     bytes: &'a [u8],
     limits: &Limits,
@@ -202,7 +202,7 @@
         return Ok((call, None));
     }
     if decode::read_array_len(&mut bytes)? != 2 {
-        return Err(MessageError::NotBodyAndFields);
+        return Err(MessageError::InvalidResult);
     }
     Ok((call, Some(read_binary(&mut bytes)?)))
 }
--- a/crates/director/src/wire/rpc/encode.rs
+++ b/crates/director/src/wire/rpc/encode.rs
@@ -1,27 +1,27 @@
-//! Writes responses, and this director's own calls.
+//! Encodes responses to clients, and the calls that this director makes.
 
 use rmp::encode;
 
 type WriteError = encode::ValueWriteError<std::io::Error>;
 
-/// What stands before and after the body of a response.
+/// The bytes before and after the body of a response, so that the body itself is not copied.
 pub struct ResponseFrame {
     /// The bytes before the body.
     pub before_body: Vec<u8>,
-    /// The bytes after it.
+    /// The bytes after the body.
     pub after_body: Vec<u8>,
 }
 
 impl ResponseFrame {
-    /// A response that has no body.
+    /// The frame of a response without a body.
     pub(crate) fn without_body(response: Vec<u8>) -> ResponseFrame {
         ResponseFrame { before_body: response, after_body: Vec::new() }
     }
 }
 
-/// A call of this director's own.
+/// Encodes a call to another director.
 pub fn encode_call(call: u32, method: &str, body: &[u8]) -> Vec<u8> {
-    encoded(|out| {
+    encode_to_vec(|out| {
         encode::write_array_len(out, 4)?;
         encode::write_uint(out, 0)?;
         encode::write_uint(out, u64::from(call))?;
@@ -32,9 +32,10 @@
     })
 }
 
-/// The response with an object, whose body has this length; `unchanged`: the copy that the client holds is current.
+/// Encodes the response with an object whose body has this length; `unchanged` says that the copy that the client holds
+/// is the current one.
 pub fn encode_success(call: u32, body_length: usize, unchanged: bool) -> ResponseFrame {
-    let before_body = encoded(|out| {
+    let before_body = encode_to_vec(|out| {
         write_response_head(out, call)?;
         write_nil(out)?;
         encode::write_array_len(out, 2)?;
@@ -42,12 +43,12 @@
         Ok(())
     });
     let fields: &[_] = if unchanged { &[("unchanged", "1")] } else { &[] };
-    ResponseFrame { before_body, after_body: encoded(|out| write_fields(out, fields)) }
+    ResponseFrame { before_body, after_body: encode_to_vec(|out| write_fields(out, fields)) }
 }
 
-/// The response to a call that did not go well, with the error's name and fields.
+/// Encodes the error response to a call, with the error's name and fields.
 pub fn encode_error(call: u32, name: &str, fields: &[(&str, &str)]) -> Vec<u8> {
-    encoded(|out| {
+    encode_to_vec(|out| {
         write_response_head(out, call)?;
         encode::write_array_len(out, 2)?;
         encode::write_str(out, name)?;
@@ -56,9 +57,9 @@
     })
 }
 
-/// The response to a health check.
+/// Encodes the response to a health check.
 pub fn encode_health(call: u32, is_healthy: bool) -> Vec<u8> {
-    encoded(|out| {
+    encode_to_vec(|out| {
         write_response_head(out, call)?;
         write_nil(out)?;
         encode::write_array_len(out, 2)?;
@@ -67,8 +68,8 @@
     })
 }
 
-/// Writing into memory does not fail.
-fn encoded(write: impl FnOnce(&mut Vec<u8>) -> Result<(), WriteError>) -> Vec<u8> {
+/// Runs an encoder on a new buffer. Encoding into memory can't fail.
+fn encode_to_vec(write: impl FnOnce(&mut Vec<u8>) -> Result<(), WriteError>) -> Vec<u8> {
     let mut out = Vec::with_capacity(64);
     let written = write(&mut out);
     debug_assert!(written.is_ok());
--- a/crates/director/src/wire/rpc/mod.rs
+++ b/crates/director/src/wire/rpc/mod.rs
@@ -1,4 +1,4 @@
-//! MessagePack-RPC, as clients speak it and as directors call one another.
+//! MessagePack-RPC messages of clients, and of calls between directors.
 
 mod decode;
 mod encode;
@@ -9,144 +9,144 @@
 pub use decode::{decode, decode_response};
 pub use encode::{ResponseFrame, encode_call, encode_error, encode_health, encode_success};
 
-/// What a client or another director sends.
+/// A message from a client or from another director.
 #[derive(Debug, PartialEq)]
 pub enum Message<'a> {
     /// A request for an object.
     Request {
         /// The number of the call.
         call: u32,
-        /// What is asked for.
+        /// The fields of the request.
         fields: RequestFields<'a>,
-        /// The body that goes along.
+        /// The body that is passed on to the node.
         body: &'a [u8],
     },
-    /// Whether the director is ready for requests.
+    /// A health check: asks whether the director is ready for requests.
     HealthCheck {
         /// The number of the call.
         call: u32,
     },
-    /// The answer to a call is not wanted any more.
+    /// Cancels a call.
     Cancel {
-        /// The number of that call.
+        /// The number of the cancelled call.
         call: u32,
     },
-    /// Another director calls, on behalf of the fleet.
+    /// A coordination call from another director.
     PeerCall {
         /// The number of the call.
         call: u32,
-        /// Its messages, which the coordination reads.
+        /// The encoded coordination messages.
         body: &'a [u8],
     },
-    /// The number of a call is known, but what it asks for can't be used.
+    /// A call whose number is known, but whose content is invalid.
     Unusable {
         /// The number of the call.
         call: u32,
-        /// Why it can't be used.
+        /// Why the content is invalid.
         cause: MessageError,
     },
 }
 
-/// The fields of a request as they lie in the message.
+/// The fields of a request, borrowed from the message.
 #[derive(Debug, Default, PartialEq)]
 pub struct RequestFields<'a> {
-    /// The 16 hex digits that name the request all its way.
+    /// The request id: 16 hex digits, passed on unchanged to nodes.
     pub request_id: [u8; 16],
-    /// The index of its class.
+    /// The index of the request class.
     pub class: usize,
-    /// The time that its client waits, in milliseconds.
+    /// How long the client waits, in milliseconds.
     pub budget_ms: u64,
     /// The object.
     pub object: u64,
     /// The part of the object.
     pub part: u32,
-    /// The object's group, by which it may be purged.
+    /// The group of the object, by which it may be purged.
     pub group: u32,
-    /// The size of the object, in KB; 0: not known.
+    /// The size of the object in KB; 0 if it is not known.
     pub size_kb: f64,
     /// The tag of the copy that the client holds.
     pub client_tag: Option<&'a str>,
-    /// By which nodes know a repeat of a deduplicated request.
+    /// The key by which nodes recognize a repeat of a deduplicated request.
     pub idempotency_key: Option<&'a str>,
-    /// The client has marked it as a repeat of an earlier request.
+    /// Whether the client has marked the request as a retry.
     pub is_client_retry: bool,
 }
 
-/// Why bytes are no message.
+/// Why bytes could not be decoded to a message.
 #[derive(Debug, Error, PartialEq)]
 pub enum DecodeError {
-    /// More must come.
-    #[error("not complete")]
+    /// The message is incomplete: more bytes must be received.
+    #[error("the message is incomplete")]
     Incomplete,
-    /// Whatever comes, it is none.
+    /// The bytes are not a valid message, whatever follows.
     #[error(transparent)]
     Invalid(#[from] MessageError),
 }
 
-/// What is wrong with a message.
+/// Why a message is invalid.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub enum MessageError {
-    /// A value is of another type than belongs there.
-    #[error("not of the type that belongs there")]
+    /// A value has another type than its place requires.
+    #[error("a value has the wrong type")]
     WrongType,
-    /// A number is out of the range that belongs there.
-    #[error("not a number of the range that belongs there")]
+    /// A value is not an integer within the range that its place requires.
+    #[error("a value is not an integer in the valid range")]
     NumberOutOfRange,
-    /// The message is longer than one may be.
-    #[error("message too long")]
+    /// The message is longer than the limit.
+    #[error("the message is too long")]
     TooLong,
-    /// A value is longer, or holds more values, than one may.
-    #[error("too long")]
+    /// A value is longer than a body may be, or the message holds more values than the limit.
+    #[error("a value is too long, or there are too many values")]
     ValueTooLong,
-    /// Its values are nested too deep.
-    #[error("nested too deep")]
+    /// Values are nested deeper than the limit.
+    #[error("values are nested too deep")]
     TooDeep,
-    /// A value is of a type that no message holds.
-    #[error("a type that no message holds")]
+    /// A value has a type that no message uses.
+    #[error("a value has a type that no message uses")]
     UnknownType,
-    /// A value can't be read.
+    /// Reading a value failed.
     #[error("unreadable")]
     Unreadable,
-    /// A value ends before its length.
-    #[error("cut short")]
-    CutShort,
-    /// It is neither a request nor a notice.
-    #[error("neither a request nor a notice")]
+    /// A value is shorter than its length says.
+    #[error("a value is truncated")]
+    Truncated,
+    /// The message is neither a request nor a notification.
+    #[error("neither a request nor a notification")]
     UnknownKind,
-    /// It is a notice other than a cancel.
-    #[error("unknown notice")]
-    UnknownNotice,
-    /// No request class has the name of its method.
+    /// The message is a notification other than `cancelRequest`.
+    #[error("unknown notification")]
+    UnknownNotification,
+    /// The method is not the name of a request class.
     #[error("unknown method")]
     UnknownMethod,
-    /// Its parameters are not fields and a body.
-    #[error("not fields and a body")]
-    NotFieldsAndBody,
-    /// A name or value is no text.
-    #[error("not a text")]
-    NotText,
-    /// A field that must be there is missing.
-    #[error("a field is missing")]
+    /// The parameters of a request are not a map of fields and a body.
+    #[error("the parameters are not fields and a body")]
+    InvalidParameters,
+    /// A field name, field value or method is not a string.
+    #[error("a name or value is not a string")]
+    NotAString,
+    /// A required field is missing.
+    #[error("a required field is missing")]
     MissingField,
     /// A field is not a number.
     #[error("a field is not a number")]
     NotANumber,
-    /// A field can't stand in a line to a node.
-    #[error("a field is no word")]
+    /// A field can't be written as a word of a line to a node.
+    #[error("a field is empty, too long or not alphanumeric")]
     NotAWord,
-    /// A field is not 16 hex digits.
-    #[error("not 16 hex digits")]
+    /// A field is not 16 lowercase hex digits.
+    #[error("a field is not 16 lowercase hex digits")]
     NotHexDigits,
-    /// The client's time is out of range.
+    /// The `budget` field is out of range.
     #[error("budget out of range")]
     BudgetOutOfRange,
-    /// The size is out of range.
+    /// The `mem` field is out of range.
     #[error("size out of range")]
     SizeOutOfRange,
-    /// It is not a response.
-    #[error("no answer")]
+    /// The message is not a response.
+    #[error("not a response")]
     NotAResponse,
-    /// A response is not a body and fields.
-    #[error("not a body and fields")]
-    NotBodyAndFields,
+    /// The result of a response is not a body and fields.
+    #[error("the result is not a body and fields")]
+    InvalidResult,
 }
--- a/crates/director/src/wire/rpc/value_length.rs
+++ b/crates/director/src/wire/rpc/value_length.rs
@@ -1,4 +1,4 @@
-//! Where a MessagePack value ends, found before any of it is looked into.
+//! Finds the length of a MessagePack value before it is decoded.
 
 use std::io::ErrorKind;
 
@@ -8,14 +8,14 @@
 use super::{DecodeError, MessageError};
 use crate::limits::Limits;
 
-/// The length of the first value in the bytes, of any kind.
+/// The length in bytes of the first value, of any type.
 pub(super) fn value_length(bytes: &[u8], limits: &Limits) -> Result<usize, DecodeError> {
     let mut rest = bytes;
     skip_value(&mut rest, limits)?;
     Ok(bytes.len() - rest.len())
 }
 
-/// Passes over one value.
+/// Skips one value.
 pub(super) fn skip_value(bytes: &mut &[u8], limits: &Limits) -> Result<(), DecodeError> {
     skip_nested(bytes, limits, 0, &mut 0)
 }
@@ -34,24 +34,24 @@
         ErrorKind::UnexpectedEof => DecodeError::Incomplete,
         _ => MessageError::Unreadable.into(),
     })?;
-    let Extent { payload, nested } = extent(marker, bytes)?;
-    // Known before they come: an endless message is none from its first bytes on.
+    let Extent { payload, nested } = read_extent(marker, bytes)?;
+    // The lengths are checked before the bytes arrive, so that an oversized message is rejected from its first bytes on.
     if payload > limits.max_body_bytes || *value_count + nested > limits.max_values {
         return Err(MessageError::ValueTooLong.into());
     }
-    take(bytes, payload)?;
+    read_bytes(bytes, payload)?;
     (0..nested).try_for_each(|_| skip_nested(bytes, limits, depth + 1, value_count))
 }
 
-/// What follows a marker and its length.
+/// What follows the marker and length of a value.
 struct Extent {
-    /// Bytes of its own.
+    /// The number of payload bytes.
     payload: usize,
-    /// Values that it holds.
+    /// The number of nested values.
     nested: usize,
 }
 
-fn extent(marker: Marker, bytes: &mut &[u8]) -> Result<Extent, DecodeError> {
+fn read_extent(marker: Marker, bytes: &mut &[u8]) -> Result<Extent, DecodeError> {
     let payload = |payload| Extent { payload, nested: 0 };
     let nested = |nested| Extent { payload: 0, nested };
     Ok(match marker {
@@ -61,24 +61,25 @@
         Marker::U32 | Marker::I32 | Marker::F32 => payload(4),
         Marker::U64 | Marker::I64 | Marker::F64 => payload(8),
         Marker::FixStr(length) => payload(usize::from(length)),
-        Marker::Str8 | Marker::Bin8 => payload(length(bytes, 1)?),
-        Marker::Str16 | Marker::Bin16 => payload(length(bytes, 2)?),
-        Marker::Str32 | Marker::Bin32 => payload(length(bytes, 4)?),
+        Marker::Str8 | Marker::Bin8 => payload(read_length(bytes, 1)?),
+        Marker::Str16 | Marker::Bin16 => payload(read_length(bytes, 2)?),
+        Marker::Str32 | Marker::Bin32 => payload(read_length(bytes, 4)?),
         Marker::FixArray(count) => nested(usize::from(count)),
-        Marker::Array16 => nested(length(bytes, 2)?),
-        Marker::Array32 => nested(length(bytes, 4)?),
+        Marker::Array16 => nested(read_length(bytes, 2)?),
+        Marker::Array32 => nested(read_length(bytes, 4)?),
         Marker::FixMap(count) => nested(2 * usize::from(count)),
-        Marker::Map16 => nested(2 * length(bytes, 2)?),
-        Marker::Map32 => nested(2 * length(bytes, 4)?),
+        Marker::Map16 => nested(2 * read_length(bytes, 2)?),
+        Marker::Map32 => nested(2 * read_length(bytes, 4)?),
         _ => return Err(MessageError::UnknownType.into()),
     })
 }
 
-fn length(bytes: &mut &[u8], size: usize) -> Result<usize, DecodeError> {
-    Ok(take(bytes, size)?.iter().fold(0, |length, &byte| length << 8 | usize::from(byte)))
+/// Reads a big-endian length of `size` bytes.
+fn read_length(bytes: &mut &[u8], size: usize) -> Result<usize, DecodeError> {
+    Ok(read_bytes(bytes, size)?.iter().fold(0, |length, &byte| length << 8 | usize::from(byte)))
 }
 
-fn take<'a>(bytes: &mut &'a [u8], count: usize) -> Result<&'a [u8], DecodeError> {
+fn read_bytes<'a>(bytes: &mut &'a [u8], count: usize) -> Result<&'a [u8], DecodeError> {
     let (head, rest) = bytes.split_at_checked(count).ok_or(DecodeError::Incomplete)?;
     *bytes = rest;
     Ok(head)
--- a/crates/director/tests/crossings.rs
+++ b/crates/director/tests/crossings.rs
@@ -208,7 +208,7 @@
     assert!(all.len() < 20, "at most the one answer: {}", all.len());
     // Nothing is kept of it before long, and its fault is in the log, with where it came from.
     let from = c.0.local_addr().expect("bound");
-    w.logged(&format!("client {from}: closed: a type that no message holds"));
+    w.logged(&format!("client {from}: closed: a value has a type that no message uses"));
     assert!(w.client().alive());
 }
 
--- a/crates/director/tests/wire_format.rs
+++ b/crates/director/tests/wire_format.rs
@@ -113,13 +113,13 @@
     let cases = [
         ("a6 627564676574 a1 30", "a6 627564676574 a1 78", "a field is not a number"),
         ("a6 627564676574 a1 30", "a6 627564676574 a8 3939393939393939", "budget out of range"),
-        ("a6 627564676574", "a6 627564676575", "a field is missing"),
-        ("b0 37663361", "b0 58663361", "not 16 hex digits"),
-        ("92 84", "91 84", "not fields and a body"),
-        ("92 84", "92 07", "not of the type that belongs there"),
+        ("a6 627564676574", "a6 627564676575", "a required field is missing"),
+        ("b0 37663361", "b0 58663361", "a field is not 16 lowercase hex digits"),
+        ("92 84", "91 84", "the parameters are not fields and a body"),
+        ("92 84", "92 07", "a value has the wrong type"),
         ("a5 7069656365 a1 30", "a3 6d656d a2 2d34", "size out of range"),
-        ("a5 7069656365 a1 30", "a3 766572 a1 3d", "a field is no word"),
-        ("a5 7069656365 a1 30", "07 a1 30", "not a text"),
+        ("a5 7069656365 a1 30", "a3 766572 a1 3d", "a field is empty, too long or not alphanumeric"),
+        ("a5 7069656365 a1 30", "07 a1 30", "a name or value is not a string"),
     ];
     for (from, to, cause) in cases {
         assert!(LEAST.contains(from), "{from}");
