--- a/crates/director/tests/codec.rs
+++ b/crates/director/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Tables of what is read and written, without sockets.
+//! Encoding, decoding and configuration, without sockets.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -59,7 +59,7 @@
 ];
 
 #[test]
-fn a_request_is_read_completely_or_not_at_all() {
+fn a_request_is_decoded_only_when_complete() {
     let (names, limits) = (names(), limits());
     let bytes = request_bytes("readings", &FIELDS, b"body");
     let fields = RequestFields {
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn an_unusable_request_is_distinguished_from_bytes_that_end_a_connection() {
+fn unusable_requests_are_distinguished_from_invalid_bytes() {
     let (names, limits) = (names(), limits());
     let with = |name: &str, value: &str| {
         let fields: Vec<_> = FIELDS.iter().map(|&(n, v)| (n, if n == name { value } else { v })).collect();
@@ -148,16 +148,16 @@
     ];
     for bytes in ends {
         let read = rpc::decode(bytes, &names, &limits);
-        // What is cut short may still be a message; here it may not.
-        let over = matches!(read, Err(DecodeError::Invalid(_))) || bytes == [0x93, 2, 0xa1, b'x'];
-        assert!(over, "{bytes:?}: {read:?}");
+        // All cases are invalid, except one that is only incomplete.
+        let is_rejected = matches!(read, Err(DecodeError::Invalid(_))) || bytes == [0x93, 2, 0xa1, b'x'];
+        assert!(is_rejected, "{bytes:?}: {read:?}");
     }
     let endless = vec![0; limits.max_head_bytes + limits.max_body_bytes + 1];
     assert!(rpc::decode(&[&[0xdc, 0x3f, 0xff], &endless[..]].concat(), &names, &limits).is_err());
 }
 
 #[test]
-fn other_messages_and_all_answers() {
+fn other_messages_and_all_responses() {
     let (names, limits) = (names(), limits());
     let mut alive = vec![0x94, 0, 8];
     text(&mut alive, "alive");
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn heads_of_answers() {
+fn answer_heads() {
     const NAME: &str = "9b1f03aa5c7e2d41";
     let cases = [
         ("ACK how=HIT,entity=t1,issued=17 5", Some((Outcome::Success, Some(true), Some("t1"), false, 5))),
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn every_field_of_a_send_is_written() {
+fn every_field_of_an_attempt_is_written() {
     let room = MemoryBudget::new(100);
     let incoming = |tag: Option<&str>| IncomingRequest {
         client: 1,
@@ -260,8 +260,8 @@
     assert_eq!(node_protocol::kill_line(b"9b1f03aa5c7e2d41"), b"KILL 9b1f03aa5c7e2d41\r\n");
 }
 
-/// Where a director sends each of these objects, and from where they are filled, by name; its list comes in
-/// this order, at addresses of its own.
+/// The names of the primary and the source of each of 40 objects, at the director with this index. Its endpoint list has
+/// this order and addresses of its own.
 fn primaries(number: usize, order: impl Iterator<Item = usize>) -> Vec<(String, String)> {
     let config = Config::parse(SAMPLE).expect("the sample is good");
     let (common, _) = SharedContext::new(config.names, limits());
@@ -301,17 +301,17 @@
 }
 
 #[test]
-fn directors_and_restarts_agree_on_primaries_whatever_the_addresses() {
+fn primaries_do_not_depend_on_addresses_or_list_order() {
     let one = primaries(1, 0..9);
     for (number, order) in [(2, vec![8, 7, 6, 5, 4, 3, 2, 1, 0]), (3, vec![4, 0, 8, 2, 6, 1, 5, 3, 7])] {
         assert_eq!(primaries(number, order.into_iter()), one, "director {number}");
     }
     let used: HashSet<&String> = one.iter().flat_map(|(primary, source)| [primary, source]).collect();
-    assert_eq!(used.len(), 9, "all caches and parents have their part");
+    assert_eq!(used.len(), 9, "all caches and parents are used");
 }
 
 #[test]
-fn bodies_in_hand_are_bounded() {
+fn memory_for_bodies_is_bounded() {
     let room = MemoryBudget::new(10);
     let first = room.allocate_body(6).expect("room");
     assert!(room.allocate_body(5).is_none() && room.allocate_body(usize::MAX).is_none());
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn a_faulty_configuration_is_named_by_its_key() {
+fn an_invalid_configuration_is_reported_with_its_key() {
     let config = Config::parse(SAMPLE).expect("the sample is good");
     assert_eq!((config.settings.zone, config.names.classes.len()), (1, 2));
     assert_eq!(config.names.zones, HashMap::from([("hub".into(), 0), ("edge".into(), 1)]));
@@ -354,7 +354,7 @@
     assert!(Config::parse("{").is_err_and(|e| e.to_string().starts_with("configuration:")));
 }
 
-/// Each leaf of the settings, as a path.
+/// Collects the path of each leaf of a JSON value.
 fn leaves(value: &Value, path: String, to: &mut Vec<String>) {
     match value {
         Value::Object(fields) => fields.iter().for_each(|(k, v)| leaves(v, format!("{path}/{k}"), to)),
@@ -365,10 +365,10 @@
     }
 }
 
-/// Settings of other customers: keys that are missing, unknown, of another type or far out of range end the start
-/// with the key, or the program works with them.
+/// Guards against settings of other installations that are accepted and then fail: each setting is removed, or replaced by
+/// values of another type or far out of range. Either the start fails with the key, or the router works with the settings.
 #[test]
-fn settings_that_are_missing_unknown_or_extreme_are_refused_by_name_or_served() {
+fn missing_unknown_or_extreme_settings_are_rejected_by_key_or_work() {
     let sample: Value = serde_json::from_str(SAMPLE).expect("the sample is good");
     let mut paths = Vec::new();
     leaves(&sample["settings"], "/settings".into(), &mut paths);
@@ -438,7 +438,7 @@
         }
     }
     assert!(refused > 100 && served > 50, "{refused} refused, {served} served");
-    // Kinds in another order, with lists in the same one, are the same kinds.
+    // The order of the request classes does not matter if the lists per class have the same order.
     let mut turned = sample.clone();
     let lists =
         ["/classes", "/extra/freshForUs", "/extra/usableAfterUs", "/extra/multiPart", "/extra/neverKept"];
@@ -454,7 +454,7 @@
     for name in ["footage", "readings"] {
         assert_eq!(named(&first, name), named(&other, name));
     }
-    // Zones are called by the list as by the settings, whatever their names hold.
+    // Zone names may contain any characters.
     let spaced = SAMPLE.replace("\"edge\"", "\"north, by sea\"");
     assert_eq!(Config::parse(&spaced).expect("good").names.zones["north, by sea"], 1);
 }
@@ -477,7 +477,7 @@
 }
 
 #[test]
-fn the_number_of_a_node_that_is_gone_comes_free() {
+fn the_index_of_a_node_that_is_gone_is_reused() {
     let config = Config::parse(SAMPLE).expect("the sample is good");
     let (common, _) = SharedContext::new(config.names, limits());
     let (_links, orders) = NodeConnectionServer::new(&common).expect("polls");
@@ -499,12 +499,16 @@
     assert_eq!(
         list("b", EndpointState::Ready, 6, 9),
         Some(1),
-        "a request from before may still have sent to it"
+        "an older request in flight may still use the index"
+    );
+    assert_eq!(list("c", EndpointState::Ready, 7, 9), Some(0), "no older request is in flight");
+    assert_eq!(
+        list("a", EndpointState::Ready, 7, 9),
+        Some(2),
+        "a node whose index was reused gets a new one"
     );
-    assert_eq!(list("c", EndpointState::Ready, 7, 9), Some(0), "none from before is in flight");
-    assert_eq!(list("a", EndpointState::Ready, 7, 9), Some(2), "a name that comes back is a new node");
     assert_eq!(list("unheard", EndpointState::Gone, 7, 9), None);
-    // One that is gone and back keeps its number.
+    // A node that is back before its index is reused keeps the index.
     assert_eq!(list("b", EndpointState::Gone, 8, 10), Some(1));
     assert_eq!(list("b", EndpointState::Ready, 8, 10), Some(1));
     assert_eq!(list("d", EndpointState::Ready, 50, 50), Some(3));
--- a/crates/director/tests/collisions.rs
+++ b/crates/director/tests/collisions.rs
@@ -1,4 +1,5 @@
-//! Rare events that meet, on the real process: each test holds one back until the other is there.
+//! Stalls of the process and other rare events that coincide, on the real process. Most tests stop the process with a
+//! signal, let something happen, and continue it.
 
 mod help;
 
@@ -7,131 +8,134 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-use help::faults::Faults;
+use help::faults::FaultPlan;
 use help::*;
 use rustix::process::{Pid, Signal, kill_process};
 use socket2::SockRef;
 
-/// By how much the time told to a node may pass what its client has left.
-const SLACK_MS: u64 = 150;
+/// By how much the `wait` field of an attempt may exceed the time that the client has left.
+const WAIT_TOLERANCE_MS: u64 = 150;
 
 fn wait_field(line: &str) -> u64 {
     let field = line.split([',', ' ']).find_map(|f| f.strip_prefix("wait="));
     field.and_then(|w| w.parse().ok()).expect("a time")
 }
 
-/// A slow connection and a deadline: what a node is told is what is left when the send is written.
+/// Guards against nodes that work past the client's deadline: the `wait` field must hold the time that is left when the
+/// attempt is written, after a slow connect.
 #[test]
-fn a_connection_that_comes_up_late_takes_from_the_time_told_to_its_node() {
-    let late = LateNode::start();
-    let w = World::with(|config| with_late_node(&config, "cache-a", &late));
-    let mut client = w.client();
+fn time_spent_connecting_reduces_the_wait_field() {
+    let delayed_node = DelayedNodeStub::start();
+    let harness = Harness::with_config(|config| with_delayed_node(&config, "cache-a", &delayed_node));
+    let mut client = harness.client();
     let start = Instant::now();
-    client.ask(1, 0x77, 3_000);
+    client.send_request(1, 0x77, 3_000);
     std::thread::sleep(Duration::from_millis(1_000));
-    let stream = late.open();
+    let stream = delayed_node.accept_waiting();
     let mut line = String::new();
     BufReader::new(&stream).read_line(&mut line).expect("a send");
     let left = 3_000 - start.elapsed().as_millis() as u64;
-    assert!(wait_field(&line) <= left + SLACK_MS, "{line} with {left} ms left");
+    assert!(wait_field(&line) <= left + WAIT_TOLERANCE_MS, "{line} with {left} ms left");
 }
 
-/// A process that stands still and requests that come meanwhile: their time has run on.
+/// Guards against nodes that work past the client's deadline: a request that arrives while the process is stopped must
+/// count its time from its arrival.
 #[test]
-fn a_request_that_came_while_the_process_stood_still_has_that_much_less_time() {
-    for stood_ms in [400, 1_000] {
-        let w = World::start();
-        let mut client = w.client();
-        assert!(client.alive());
-        w.signal("STOP");
+fn time_spent_in_a_stall_reduces_the_wait_field() {
+    for stall_ms in [400, 1_000] {
+        let harness = Harness::start();
+        let mut client = harness.client();
+        assert!(client.is_healthy());
+        harness.signal("STOP");
         let start = Instant::now();
-        client.ask(1, 0x77, 2_000);
-        std::thread::sleep(Duration::from_millis(stood_ms));
-        w.signal("CONT");
-        let pull = w.cache.pull();
+        client.send_request(1, 0x77, 2_000);
+        std::thread::sleep(Duration::from_millis(stall_ms));
+        harness.signal("CONT");
+        let pull = harness.cache.expect_pull();
         let left = 2_000 - start.elapsed().as_millis() as u64;
-        assert!(wait_field(&pull.line) <= left + SLACK_MS, "{} with {left} ms left", pull.line);
+        assert!(wait_field(&pull.line) <= left + WAIT_TOLERANCE_MS, "{} with {left} ms left", pull.line);
         assert_eq!(client.assert_rejected(), 1);
         let took = start.elapsed();
         assert!(took < Duration::from_millis(2_100), "answered after {took:?}");
     }
 }
 
-/// A request that is half written, and others that want its connection's place, or the end of the program.
+/// Guards against closing a connection with a partly received request, to make room for others or at shutdown.
 #[test]
-fn a_half_written_request_keeps_its_connection() {
+fn a_partial_request_keeps_its_connection() {
     let request = request_bytes(1, 0x77, 4_000, &[]);
     let (first, rest) = request.split_at(20);
-    let w = World::with(|c| c.replace("\"sockets\": 1024", "\"sockets\": 64"));
-    let mut slow = w.client();
-    assert!(slow.alive());
+    let harness = Harness::with_config(|config| config.replace("\"sockets\": 1024", "\"sockets\": 64"));
+    let mut slow = harness.client();
+    assert!(slow.is_healthy());
     slow.write(first);
-    let mut others: Vec<Client> = (0..40).map(|_| w.client()).collect();
-    others.iter_mut().skip(20).for_each(|c| assert!(c.alive()));
+    let mut others: Vec<Client> = (0..40).map(|_| harness.client()).collect();
+    others.iter_mut().skip(20).for_each(|c| assert!(c.is_healthy()));
     slow.write(rest);
-    w.cache.pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"owed");
-    slow.satisfied(1, b"owed");
+    harness.cache.expect_pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"owed");
+    slow.assert_success(1, b"owed");
 
-    let w = World::start();
-    let mut slow = w.client();
-    assert!(slow.alive());
-    w.signal("TERM");
+    let harness = Harness::start();
+    let mut slow = harness.client();
+    assert!(slow.is_healthy());
+    harness.signal("TERM");
     std::thread::sleep(Duration::from_millis(500));
     slow.write(first);
     std::thread::sleep(Duration::from_millis(600));
     slow.write(rest);
-    assert_eq!(slow.assert_rejected(), 1, "its last byte came after the program took no more");
+    assert_eq!(slow.assert_rejected(), 1, "its last byte came after the end of the shutdown delay");
     slow.assert_closed();
 }
 
-/// Many clients that send many requests at once, all read in one turn: none loses its answer.
+/// Guards against lost responses when many clients send many requests at once, which are all readable in one turn.
 #[test]
-fn many_that_ask_much_at_once_are_all_answered() {
+fn many_simultaneous_requests_are_all_answered() {
     const EACH: usize = 200;
-    let w = World::start();
-    // One after another: connections that are made faster than the director accepts them overflow the listen backlog, and
-    // each retransmitted SYN takes a second, so that the first client is closed as silent.
-    let introduced = |_| {
-        let mut client = w.client();
-        assert!(client.alive());
+    let harness = Harness::start();
+    // The clients connect one after another. Connections made faster than the director accepts them overflow the listen
+    // backlog, and each retransmitted SYN takes a second, so that the first client would be closed as idle.
+    let connect = |_| {
+        let mut client = harness.client();
+        assert!(client.is_healthy());
         client
     };
-    let mut clients: Vec<Client> = (0..300).map(introduced).collect();
-    w.signal("STOP");
+    let mut clients: Vec<Client> = (0..300).map(connect).collect();
+    harness.signal("STOP");
     let mut requests = Vec::new();
     for call in 0..EACH {
         requests.extend([0x94, 0, 0xcc, call as u8]);
         requests.extend(b"\xa5alive\x91\x80");
     }
     clients.iter_mut().for_each(|c| c.write(&requests));
-    w.signal("CONT");
+    harness.signal("CONT");
     for (number, client) in clients.iter_mut().enumerate() {
         let mut left = EACH;
         while left > 0 {
-            assert_eq!(client.answer().1, Answer::Health(true), "client {number}, {left} left");
+            assert_eq!(client.read_response().1, Response::Health(true), "client {number}, {left} left");
             left -= 1;
         }
     }
-    w.signal("TERM");
+    harness.signal("TERM");
     drop(clients);
-    let mut w = w;
+    let mut harness = harness;
     let start = Instant::now();
-    while w.child.try_wait().expect("asked").is_none() {
-        assert!(start.elapsed() < LONG, "it ends");
+    while harness.child.try_wait().expect("asked").is_none() {
+        assert!(start.elapsed() < LONG_TIMEOUT, "it ends");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A node says that the client's copy is the one, and names another: the client holds no such copy.
+/// Guards against calling a copy unchanged that the client does not hold: the node answers `NOMOD` with the tag of another
+/// copy or none.
 #[test]
-fn a_copy_is_called_current_only_if_it_was_named() {
+fn a_copy_is_reported_unchanged_only_if_its_tag_matches() {
     for fields in ["how=HIT,entity=t2,issued=1", "how=HIT,issued=1", "-"] {
-        let w = World::start();
-        let mut client = w.client();
-        client.ask_with(1, 0x77, 2_000, &[("ver", "t1")]);
-        w.cache.pull().answer("NOMOD", fields, b"");
-        w.cache.next_pull().answer("ACK", "how=HIT,entity=t2,issued=1", b"whole");
-        client.satisfied(1, b"whole");
+        let harness = Harness::start();
+        let mut client = harness.client();
+        client.send_request_with(1, 0x77, 2_000, &[("ver", "t1")]);
+        harness.cache.expect_pull().answer("NOMOD", fields, b"");
+        harness.cache.next_pull().answer("ACK", "how=HIT,entity=t2,issued=1", b"whole");
+        client.assert_success(1, b"whole");
     }
 }
 
@@ -155,9 +159,9 @@
     false
 }
 
-/// The disk of the log is full, or whoever reads it has stopped reading or gone: the service goes on.
+/// Guards against a stop of the service because its log can't be written: the disk is full, or nothing reads the pipe.
 #[test]
-fn a_log_that_cannot_be_written_stops_nothing() {
+fn an_unwritable_log_does_not_stop_the_service() {
     let full = std::fs::OpenOptions::new().write(true).open("/dev/full").expect("a full device");
     for log in [Stdio::from(full), Stdio::piped()] {
         let at = free_address();
@@ -169,7 +173,7 @@
             .spawn()
             .expect("starts");
         let began = alive_within(at, Duration::from_secs(3));
-        // Nobody reads its log, and it has much to say.
+        // Each signal writes to a log that is not read.
         (0..300).filter(|_| began).for_each(|_| signal(child.id(), "USR1"));
         let serves = alive_within(at, Duration::from_secs(3));
         let ended = child.try_wait().expect("asked");
@@ -180,27 +184,27 @@
     }
 }
 
-/// The last clients of a program that ends come while it has no descriptor to take them with.
+/// Guards against losing clients at shutdown: the last ones connect while accepting fails for lack of descriptors.
 #[test]
-fn a_client_that_waits_to_be_taken_at_a_stop_is_answered() {
-    let faults = Faults::plan("");
-    let w = World::start_with(|c| c, &faults.environment());
-    assert!(w.client().alive());
-    w.signal("TERM");
-    w.logged("stopping");
+fn a_client_waiting_to_be_accepted_at_shutdown_is_answered() {
+    let faults = FaultPlan::new("");
+    let harness = Harness::with_config_and_env(|config| config, &faults.environment());
+    assert!(harness.client().is_healthy());
+    harness.signal("TERM");
+    harness.wait_for_log("stopping");
     std::thread::sleep(Duration::from_millis(300));
-    faults.set("fail accept ENFILE 0 1000000 100");
+    faults.set_rules("fail accept ENFILE 0 1000000 100");
     std::thread::sleep(Duration::from_millis(50));
-    let mut client = w.client();
-    client.ask(1, 0x77, 2_000);
+    let mut client = harness.client();
+    client.send_request(1, 0x77, 2_000);
     std::thread::sleep(Duration::from_millis(600));
-    faults.set("");
+    faults.set_rules("");
     assert_eq!(client.assert_rejected(), 1);
 }
 
-/// A signal before the configuration has been read.
+/// Guards against ending on a reload signal that arrives before the configuration has been read.
 #[test]
-fn a_reload_during_the_start_does_not_end_the_program() {
+fn a_reload_signal_during_the_start_does_not_end_the_program() {
     let at = free_address();
     let path = std::env::temp_dir().join(format!("sablecross-fifo-{}", at.port()));
     assert!(Command::new("mkfifo").arg(&path).status().expect("made").success());
@@ -223,165 +227,167 @@
     assert!(serves, "{ended:?}");
 }
 
-/// A client whose connection is reset in the moment in which its answer is written takes no other's.
+/// Guards against effects on other clients when a connection is reset while its response is written.
 #[test]
-fn resets_under_answers_harm_no_other_client() {
-    let w = World::start();
-    let mut good = w.client();
+fn client_resets_affect_no_other_client() {
+    let harness = Harness::start();
+    let mut good = harness.client();
     for call in 1..=30 {
-        let mut bad = w.client();
-        bad.ask(100 + call, 0x100 + u64::from(call), 2_000);
-        let pull = w.cache.next_pull();
+        let mut bad = harness.client();
+        bad.send_request(100 + call, 0x100 + u64::from(call), 2_000);
+        let pull = harness.cache.next_pull();
         SockRef::from(&bad.0).set_linger(Some(Duration::ZERO)).expect("set");
         pull.answer("ACK", "how=HIT,entity=t1,issued=1", &[7; 100_000]);
         drop(bad);
-        good.ask(call, u64::from(call), 2_000);
-        w.cache.next_pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"good");
-        good.satisfied(call, b"good");
+        good.send_request(call, u64::from(call), 2_000);
+        harness.cache.next_pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"good");
+        good.assert_success(call, b"good");
     }
 }
 
-/// A client that asks and goes while the process stands still: nothing is begun for it afterwards.
+/// Guards against attempts for clients that are gone: they send a request and disconnect while the process is stopped.
 #[test]
-fn a_client_that_went_while_the_process_stood_still_gets_no_attempt() {
-    let w = World::start();
+fn a_client_that_left_during_a_stall_gets_no_attempt() {
+    let harness = Harness::start();
     for round in 0..25 {
-        let mut clients: Vec<Client> = (0..8).map(|_| w.client()).collect();
-        assert!(clients.iter_mut().all(Client::alive));
-        w.signal("STOP");
+        let mut clients: Vec<Client> = (0..8).map(|_| harness.client()).collect();
+        assert!(clients.iter_mut().all(Client::is_healthy));
+        harness.signal("STOP");
         for (number, client) in clients.iter_mut().enumerate() {
-            client.ask(1 + number as u8, 0x100 + number as u64, 2_000);
+            client.send_request(1 + number as u8, 0x100 + number as u64, 2_000);
         }
         if round % 2 == 0 {
             clients.iter().for_each(|c| SockRef::from(&c.0).set_linger(Some(Duration::ZERO)).expect("set"));
         }
         drop(clients);
         std::thread::sleep(Duration::from_millis(250));
-        w.signal("CONT");
+        harness.signal("CONT");
         std::thread::sleep(Duration::from_millis(40));
-        let begun: Vec<String> = w.cache.messages.try_iter().map(|told| told.line).collect();
+        let begun: Vec<String> = harness.cache.messages.try_iter().map(|message| message.line).collect();
         assert!(begun.iter().all(|line| !line.starts_with("PULL")), "round {round}: {begun:?}");
     }
 }
 
-/// Guards against an effect that runs twice: a node that stands still begins an attempt once the others have forgotten
-/// the one that ran.
+/// Guards against an effect that runs twice: a stalled node could begin the repeat after the other nodes have forgotten the
+/// attempt that ran.
 #[test]
-fn a_repeat_is_withdrawn_before_nodes_forget_the_effect() {
+fn a_repeat_is_killed_before_its_retention_window_ends() {
     const WINDOW: Duration = Duration::from_millis(600);
-    let w = World::with(|config| {
+    let harness = Harness::with_config(|config| {
         config.replacen(
             "\"idempotent\", \"group\": \"all\", \"memorySpanUs\": 5000000",
             "\"deduplicated\", \"group\": \"all\", \"memorySpanUs\": 600000",
             1,
         )
     });
-    let mut client = w.client();
-    client.ask_with(1, 0x77, 4_000, &[("token", "m1")]);
-    let ran = w.cache.pull();
+    let mut client = harness.client();
+    client.send_request_with(1, 0x77, 4_000, &[("token", "m1")]);
+    let ran = harness.cache.expect_pull();
     let forgotten_at = Instant::now() + WINDOW;
     ran.answer("EIO", "-", b"");
-    let repeat = w.cache.pull();
+    let repeat = harness.cache.expect_pull();
     let wait = forgotten_at.saturating_duration_since(Instant::now());
-    let withdrawal = w.cache.messages.recv_timeout(wait).map(|told| told.line);
-    assert_eq!(withdrawal, Ok(format!("KILL {}", repeat.name())), "told before the window is over");
-    assert_eq!(client.answer(), (1, Answer::Error("Failed".into(), vec![])));
+    let withdrawal = harness.cache.messages.recv_timeout(wait).map(|message| message.line);
+    assert_eq!(withdrawal, Ok(format!("KILL {}", repeat.request_id())), "killed before the window is over");
+    assert_eq!(client.read_response(), (1, Response::Error("Failed".into(), vec![])));
 }
 
-/// Guards against nodes that are told too long a wait: the connection itself came while the process stood still. Stops of
-/// less than the sweep's interval: the connection is accepted in another turn than its request is read.
+/// Guards against nodes that work past the client's deadline: the connection itself was opened while the process was
+/// stopped. The stop is shorter than the sweep interval, so that the connection is accepted in another turn than its
+/// request is read.
 #[test]
-fn a_request_on_a_connection_made_while_the_process_stood_still_has_that_much_less_time() {
-    let w = World::start();
+fn a_connection_opened_during_a_stall_reduces_the_wait_field() {
+    let harness = Harness::start();
     for round in 0..25 {
-        w.signal("STOP");
+        harness.signal("STOP");
         let start = Instant::now();
-        let mut client = w.client();
-        client.ask(1, 0x77, 2_000);
+        let mut client = harness.client();
+        client.send_request(1, 0x77, 2_000);
         std::thread::sleep(Duration::from_millis(200));
-        w.signal("CONT");
-        let pull = w.cache.next_pull();
+        harness.signal("CONT");
+        let pull = harness.cache.next_pull();
         let left = 2_000 - start.elapsed().as_millis() as u64;
         assert!(
-            wait_field(&pull.line) <= left + SLACK_MS,
+            wait_field(&pull.line) <= left + WAIT_TOLERANCE_MS,
             "round {round}: {} with {left} ms left",
             pull.line
         );
         pull.answer("ACK", "how=HIT,entity=t1,issued=1", b"whole");
-        client.satisfied(1, b"whole");
+        client.assert_success(1, b"whole");
     }
 }
 
-/// Guards against attempts for clients that have gone: they connected, asked and went while the process stood still.
+/// Guards against attempts for clients that are gone: they connected, sent a request and disconnected while the process was
+/// stopped.
 #[test]
-fn a_client_that_came_and_went_while_the_process_stood_still_gets_no_attempt() {
-    let w = World::start();
+fn a_client_that_connected_and_left_during_a_stall_gets_no_attempt() {
+    let harness = Harness::start();
     for round in 0..25 {
-        assert!(w.client().alive());
-        w.signal("STOP");
+        assert!(harness.client().is_healthy());
+        harness.signal("STOP");
         for number in 0..8 {
-            let mut client = w.client();
-            client.ask(1 + number, 0x100 + u64::from(number), 2_000);
+            let mut client = harness.client();
+            client.send_request(1 + number, 0x100 + u64::from(number), 2_000);
             if round % 2 == 0 {
                 SockRef::from(&client.0).set_linger(Some(Duration::ZERO)).expect("set");
             }
         }
         std::thread::sleep(Duration::from_millis(200));
-        w.signal("CONT");
+        harness.signal("CONT");
         std::thread::sleep(Duration::from_millis(40));
-        let begun: Vec<String> = w.cache.messages.try_iter().map(|told| told.line).collect();
+        let begun: Vec<String> = harness.cache.messages.try_iter().map(|message| message.line).collect();
         assert!(begun.iter().all(|line| !line.starts_with("PULL")), "round {round}: {begun:?}");
     }
 }
 
-/// Guards against attempts for requests whose time is over: more connections have news at once than one wait reports.
+/// Guards against attempts for expired requests: more connections become readable during a stop than one poll might report.
 #[test]
-fn many_requests_that_came_while_the_process_stood_still_are_all_too_late() {
-    let w = World::start();
-    let introduced = |_| {
-        let mut client = w.client();
-        assert!(client.alive());
+fn requests_that_expired_during_a_stall_get_no_attempt() {
+    let harness = Harness::start();
+    let connect = |_| {
+        let mut client = harness.client();
+        assert!(client.is_healthy());
         client
     };
-    let mut clients: Vec<Client> = (0..150).map(introduced).collect();
-    w.signal("STOP");
+    let mut clients: Vec<Client> = (0..150).map(connect).collect();
+    harness.signal("STOP");
     for (number, client) in clients.iter_mut().enumerate() {
-        client.ask(1, 0x1000 + number as u64, 300);
+        client.send_request(1, 0x1000 + number as u64, 300);
     }
     std::thread::sleep(Duration::from_millis(500));
-    w.signal("CONT");
+    harness.signal("CONT");
     clients.iter_mut().for_each(|client| assert_eq!(client.assert_rejected(), 1));
-    let begun: Vec<String> = w.cache.messages.try_iter().map(|told| told.line).collect();
+    let begun: Vec<String> = harness.cache.messages.try_iter().map(|message| message.line).collect();
     assert!(begun.iter().all(|line| !line.starts_with("PULL")), "{begun:?}");
 }
 
-/// Guards against nodes that are told too long a wait: the process is stopped on its way out of a wait that has news
-/// already, and a request that comes then is reported by the next wait.
+/// Guards against nodes that work past the client's deadline: the process is stopped while it returns from a poll that has
+/// events already, and a request that arrives then is reported by the next poll.
 #[test]
-fn a_request_that_came_while_the_process_left_a_wait_has_that_much_less_time() {
-    let w = World::start();
-    let process = Pid::from_child(&w.child);
-    let (mut other, mut client) = (w.client(), w.client());
-    assert!(other.alive() && client.alive());
+fn a_stall_at_the_end_of_a_poll_reduces_the_wait_field() {
+    let harness = Harness::start();
+    let process = Pid::from_child(&harness.child);
+    let (mut other, mut client) = (harness.client(), harness.client());
+    assert!(other.is_healthy() && client.is_healthy());
     for round in 0..60 {
         other.write(b"\x94\x00\xcc\xff\xa5alive\x91\x80");
-        // The director is woken by it, some microseconds earlier or later.
+        // The health check wakes the director; the stop follows 0 to 59 microseconds later.
         let woken = Instant::now() + Duration::from_micros(round);
         while Instant::now() < woken {}
         kill_process(process, Signal::STOP).expect("stopped");
         let start = Instant::now();
-        client.ask(1, 0x77, 2_000);
+        client.send_request(1, 0x77, 2_000);
         std::thread::sleep(Duration::from_millis(200));
         kill_process(process, Signal::CONT).expect("continued");
-        let pull = w.cache.next_pull();
+        let pull = harness.cache.next_pull();
         let left = 2_000 - start.elapsed().as_millis() as u64;
         assert!(
-            wait_field(&pull.line) <= left + SLACK_MS,
+            wait_field(&pull.line) <= left + WAIT_TOLERANCE_MS,
             "round {round}: {} with {left} ms left",
             pull.line
         );
         pull.answer("ACK", "how=HIT,entity=t1,issued=1", b"whole");
-        client.satisfied(1, b"whole");
-        assert_eq!(other.answer(), (255, Answer::Health(true)));
+        client.assert_success(1, b"whole");
+        assert_eq!(other.read_response(), (255, Response::Health(true)));
     }
 }
--- a/crates/director/tests/coordination.rs
+++ b/crates/director/tests/coordination.rs
@@ -1,4 +1,4 @@
-//! Directors that coordinate with one another, as programs on loopback.
+//! Coordination between directors, as processes on loopback.
 #![cfg(feature = "coordination")]
 
 mod help;
@@ -31,7 +31,7 @@
     settings_file
 }
 
-/// The sample's configuration as that of director `n`, at this address.
+/// The configuration changed to that of director `n`, at this address.
 fn config_of(config: &str, n: usize, at: SocketAddr) -> String {
     let config = config.replace("\"127.0.0.1:0\"", &format!("\"{at}\""));
     let placed = config.replace("\n    \"index\": 0,", &format!("\n    \"index\": {n},"));
@@ -45,7 +45,8 @@
 
 fn status(at: SocketAddr) -> Option<MemberStatus> {
     let replies =
-        call_member(at, &Request { from: OUTSIDE, messages: vec![Message::ShowStatus] }, SHORT).ok()?;
+        call_member(at, &Request { from: OUTSIDE, messages: vec![Message::ShowStatus] }, SHORT_TIMEOUT)
+            .ok()?;
     replies.into_iter().find_map(|a| if let Reply::Status(s) = a { Some(s) } else { None })
 }
 
@@ -55,13 +56,13 @@
         if let Some(found) = poll() {
             return found;
         }
-        assert!(started.elapsed() < 4 * LONG, "{what}");
+        assert!(started.elapsed() < 4 * LONG_TIMEOUT, "{what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// A node that answers health checks; the receiver gets their tags.
-fn node_that_answers() -> (SocketAddr, Receiver<HealthCheckTag>) {
+/// Starts a node that answers health checks. Returns its address and a receiver of the checks' tags.
+fn start_checked_node() -> (SocketAddr, Receiver<HealthCheckTag>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let address = listener.local_addr().expect("bound");
     let (tags, received_tags) = channel();
@@ -98,16 +99,19 @@
 fn three_directors_check_a_node_and_go_on_without_the_assigner() {
     let at: Vec<SocketAddr> = (0..3).map(|_| free_address()).collect();
     let settings_file = settings_file("three", &settings(&at));
-    let mut worlds: Vec<World> = (0..3)
+    let mut harnesses: Vec<Harness> = (0..3)
         .map(|n| {
-            World::start_with(|c| config_of(&c, n, at[n]), &[("SABLECROSS_DUTY", settings_file.as_os_str())])
+            Harness::with_config_and_env(
+                |config| config_of(&config, n, at[n]),
+                &[("SABLECROSS_DUTY", settings_file.as_os_str())],
+            )
         })
         .collect();
-    let (address, tags) = node_that_answers();
-    for world in &worlds {
-        let (_, feed) = world.feed.call();
-        tell(&feed, 2, &member(2, "cache-checked", address, "ready"));
-        world.told(2);
+    let (address, tags) = start_checked_node();
+    for harness in &harnesses {
+        let (_, feed) = harness.feed.accept_call();
+        send_event(&feed, 2, &endpoint_event(2, "cache-checked", address, "ready"));
+        harness.wait_for_discovery_events(2);
         std::mem::forget(feed);
     }
     let holder = || {
@@ -117,15 +121,15 @@
     };
     let first = wait_for("there is an assigner", holder);
     let by = |tag: &HealthCheckTag| tag.token.holder.number;
-    let checker = by(&tags.recv_timeout(LONG).expect("a health check"));
-    // The assigner and the director that checks the node end at once.
+    let checker = by(&tags.recv_timeout(LONG_TIMEOUT).expect("a health check"));
+    // Kill the assigner and the director that checks the node.
     for n in [first, checker as usize] {
-        worlds[n].signal("KILL");
+        harnesses[n].signal("KILL");
     }
     let gone: Vec<usize> = vec![first, checker as usize];
     if gone[0] != gone[1] {
-        // One of three voters is no majority: it stops, and its status tells so.
-        wait_for("it stops", || {
+        // One of three voters is not a majority: the last director stops its work, and its status shows this.
+        wait_for("the last director holds no role", || {
             let last = (0..3).find(|n| !gone.contains(n))?;
             status(at[last])
                 .filter(|s| s.assignment_valid_for == 0 && s.roles.iter().all(|d| d.own_lease.is_none()))
@@ -135,21 +139,24 @@
         assert!(!gone.contains(&next));
         wait_for("another director checks", || tags.try_recv().ok().filter(|t| by(t) != checker));
     }
-    // Requests are served all the same.
+    // Requests are still served.
     let last = (0..3).find(|n| !gone.contains(n)).expect("one is left");
-    let mut client = worlds[last].client();
-    assert!(client.alive());
-    worlds.clear();
+    let mut client = harnesses[last].client();
+    assert!(client.is_healthy());
+    harnesses.clear();
     let _ = std::fs::remove_file(settings_file);
 }
 
 #[test]
-fn a_hand_over_and_a_stop_by_signal_pass_the_role_on() {
+fn a_hand_over_and_a_stop_signal_pass_the_role_on() {
     let at: Vec<SocketAddr> = (0..3).map(|_| free_address()).collect();
     let settings_file = settings_file("over", &settings(&at));
-    let worlds: Vec<World> = (0..3)
+    let harnesses: Vec<Harness> = (0..3)
         .map(|n| {
-            World::start_with(|c| config_of(&c, n, at[n]), &[("SABLECROSS_DUTY", settings_file.as_os_str())])
+            Harness::with_config_and_env(
+                |config| config_of(&config, n, at[n]),
+                &[("SABLECROSS_DUTY", settings_file.as_os_str())],
+            )
         })
         .collect();
     let holder = |role: u16| {
@@ -162,25 +169,28 @@
     let to = (first as u32 + 1) % 3;
     let request = Request { from: OUTSIDE, messages: vec![Message::HandOver { role: 1, to: Some(to) }] };
     let replies = wait_for("the assignment is known", || {
-        call_member(at[first], &request, LONG)
+        call_member(at[first], &request, LONG_TIMEOUT)
             .ok()
             .filter(|s| s.contains(&Reply::HandOverStarted { role: 1, started: true }))
     });
     assert_eq!(replies, [Reply::HandOverStarted { role: 1, started: true }]);
     let (next, later) = wait_for("the successor holds it", || holder(1).filter(|o| o.1 > term));
     assert!(later > term && next != first);
-    worlds[next].signal("TERM");
+    harnesses[next].signal("TERM");
     wait_for("it was handed over at the stop", || holder(1).filter(|o| o.0 != next && o.1 > later));
     let _ = std::fs::remove_file(settings_file);
 }
 
 #[test]
-fn a_voter_is_added_and_the_holder_removed_by_signal() {
+fn a_voter_is_added_and_the_holder_removed_by_reload() {
     let at: Vec<SocketAddr> = (0..4).map(|_| free_address()).collect();
     let settings_file = settings_file("settle", &settings(&at[..3]));
-    let worlds: Vec<World> = (0..4)
+    let harnesses: Vec<Harness> = (0..4)
         .map(|n| {
-            World::start_with(|c| config_of(&c, n, at[n]), &[("SABLECROSS_DUTY", settings_file.as_os_str())])
+            Harness::with_config_and_env(
+                |config| config_of(&config, n, at[n]),
+                &[("SABLECROSS_DUTY", settings_file.as_os_str())],
+            )
         })
         .collect();
     let holder = || {
@@ -192,10 +202,10 @@
     let (first, _) = wait_for("there is an assigner", holder);
     let reload_all = |text: &str| {
         std::fs::write(&settings_file, text).expect("written");
-        worlds.iter().for_each(|w| w.signal("HUP"));
+        harnesses.iter().for_each(|w| w.signal("HUP"));
     };
     reload_all(&settings(&at));
-    worlds.iter().for_each(|w| drop(w.logged("reload coordination voters=4")));
+    harnesses.iter().for_each(|w| drop(w.wait_for_log("reload coordination voters=4")));
     wait_for("the fourth director votes", || {
         status(at[3]).filter(|s| s.voter == Some(3) && s.silent_for == 0)
     });
@@ -213,29 +223,33 @@
     });
     // Two changes at once are rejected, and nothing changes.
     reload_all(&settings(&at[next..=next]));
-    worlds.iter().for_each(|w| drop(w.logged("reload failed, coordination settings stay as they were: ")));
+    harnesses
+        .iter()
+        .for_each(|w| drop(w.wait_for_log("reload failed, coordination settings stay as they were: ")));
     assert_eq!(holder().map(|o| o.0), Some(next));
     let _ = std::fs::remove_file(settings_file);
 }
 
 #[test]
-fn without_settings_the_method_is_unknown_and_odd_calls_do_no_harm() {
-    let world = World::start();
+fn calls_fail_without_settings_and_invalid_calls_are_survived() {
+    let harness = Harness::start();
     let request = Request { from: OUTSIDE, messages: vec![Message::ShowStatus] };
-    let e = call_member(world.address, &request, LONG).expect_err("it answers no calls");
+    let e = call_member(harness.address, &request, LONG_TIMEOUT).expect_err("it answers no calls");
     assert!(e.to_string().contains("SABLECROSS_DUTY"), "{e}");
     let at = free_address();
     let settings_file = settings_file("odd", &settings(&[at]));
-    let world =
-        World::start_with(|c| config_of(&c, 0, at), &[("SABLECROSS_DUTY", settings_file.as_os_str())]);
+    let harness = Harness::with_config_and_env(
+        |config| config_of(&config, 0, at),
+        &[("SABLECROSS_DUTY", settings_file.as_os_str())],
+    );
     wait_for("it answers", || status(at));
     let mut stream = std::net::TcpStream::connect(at).expect("connected");
     stream
         .write_all(&sablecross_director::wire::rpc::encode_call(3, "duty", b"nothing of the kind"))
         .expect("written");
     wait_for("it still answers", || status(at));
-    let mut client = world.client();
-    assert!(client.alive());
+    let mut client = harness.client();
+    assert!(client.is_healthy());
     let _ = std::fs::remove_file(settings_file);
 }
 
--- a/crates/director/tests/coordination_settings_format.rs
+++ b/crates/director/tests/coordination_settings_format.rs
@@ -1,5 +1,5 @@
-//! The coordination settings with every key and every default, the tag of a health check, and the frame of a call
-//! between members, as literals: a rename in the source must not change them.
+//! The coordination settings with every key and default, the tag of a health check, and the frames of a call between members,
+//! as literals: a rename in the source must not change them.
 #![cfg(feature = "coordination")]
 
 use std::io::{Read, Write};
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_named_by_file_line_key_and_cause() {
+fn errors_name_file_line_key_and_cause() {
     let voter = "(voter (number . 0) (address . \"127.0.0.1:1\"))";
     let mut lines = Vec::new();
     for text in [
@@ -127,13 +127,13 @@
 }
 
 #[test]
-fn the_names_and_numbers_of_what_a_member_can_own() {
+fn role_names_and_numbers() {
     assert_eq!(ROLES, [(0, "dealing"), (1, "driving"), (2, "warming")]);
     assert_eq!((HIERARCHY_ROLE, WARMING_ROLE, role_name(1), role_name(3)), (1, 2, "driving", "unknown"));
 }
 
 #[test]
-fn the_tag_of_a_health_check() {
+fn health_check_tag_format() {
     let tag = HealthCheckTag {
         token: FencingToken { term: 0xa1, holder: Member { number: 0xb2, incarnation: 0xc3 } },
         sequence: 0xd4,
@@ -146,12 +146,12 @@
 }
 
 #[test]
-fn a_call_is_this_frame_and_its_answer_that_one() {
+fn call_and_reply_frames() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let at = listener.local_addr().expect("bound");
     let voter = std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("called");
-        // An array of four: a call, its number, the method, and no fields beside the body.
+        // An array of four: the message type, the call number, the method, and an empty field map with the body.
         let call = b"\x94\x00\x01\xa4duty\x92\x80\xc4\x0a\x92\x92\x07\x08\x91\xa4Show";
         let mut came = vec![0; call.len()];
         stream.read_exact(&mut came).expect("a call");
--- a/crates/director/tests/crossings.rs
+++ b/crates/director/tests/crossings.rs
@@ -1,4 +1,5 @@
-//! Moments in which something is still owed, each forced on loopback: a stand-in holds the crossing and releases it.
+//! Races between events on the real process: drains, resets, disconnects and shutdowns while a request, an attempt or a
+//! response is pending. Each test forces its race on loopback.
 
 mod help;
 
@@ -10,16 +11,17 @@
 use help::*;
 use socket2::SockRef;
 
-/// A send that waits for its connection counts from its first byte: news that come meanwhile bind it.
+/// Guards against attempts that disregard a drain or purge: the event arrives while the attempt waits for its connection,
+/// before its first byte is written.
 #[test]
-fn what_waits_for_its_connection_is_not_begun_after_a_drain_or_a_purge() {
+fn a_queued_attempt_is_not_begun_after_a_drain_or_a_purge() {
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970");
-    type News = Box<dyn Fn(SocketAddr, SocketAddr) -> String>;
-    // (what is told, whether there is another way)
-    let cases: [(News, bool); 5] = [
-        (Box::new(|cache, _| member(2, "cache-a", cache, "draining")), true),
-        (Box::new(|cache, _| member(2, "cache-a", cache, "gone")), true),
-        (Box::new(|_, parent| hub(2, "parent-a", parent, "draining")), false),
+    type EventBuilder = Box<dyn Fn(SocketAddr, SocketAddr) -> String>;
+    // The event, and whether the request can be served in another way.
+    let cases: [(EventBuilder, bool); 5] = [
+        (Box::new(|cache, _| endpoint_event(2, "cache-a", cache, "draining")), true),
+        (Box::new(|cache, _| endpoint_event(2, "cache-a", cache, "gone")), true),
+        (Box::new(|_, parent| parent_event(2, "parent-a", parent, "draining")), false),
         (
             Box::new(move |_, _| {
                 format!("{{\"n\":2,\"purge\":{{\"group\":17,\"at\":{}}}}}", now.as_millis())
@@ -34,188 +36,190 @@
             true,
         ),
     ];
-    for (i, (news, other)) in cases.into_iter().enumerate() {
-        let late = LateNode::start();
-        let w = World::with(|config| with_late_node(&config, "cache-a", &late));
-        let _old = w.feed.call();
-        let mut c = w.client();
-        c.ask(1, 0x77, 5_000);
-        w.wait_for_counter("sends", 1);
-        w.reload();
-        let (_, feed) = w.feed.call();
-        tell(&feed, 2, &news(late.address, w.parent.address));
-        if other {
-            w.parent.pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"another way");
-            c.satisfied(1, b"another way");
+    for (i, (event, has_alternative)) in cases.into_iter().enumerate() {
+        let delayed_node = DelayedNodeStub::start();
+        let harness = Harness::with_config(|config| with_delayed_node(&config, "cache-a", &delayed_node));
+        let _old = harness.feed.accept_call();
+        let mut client = harness.client();
+        client.send_request(1, 0x77, 5_000);
+        harness.wait_for_counter("sends", 1);
+        harness.reload();
+        let (_, feed) = harness.feed.accept_call();
+        send_event(&feed, 2, &event(delayed_node.address, harness.parent.address));
+        if has_alternative {
+            harness.parent.expect_pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"another way");
+            client.assert_success(1, b"another way");
         } else {
-            assert_eq!(c.assert_rejected(), 1, "{i}");
+            assert_eq!(client.assert_rejected(), 1, "{i}");
         }
-        // The connection may come up now: all that ever comes on it is its end. One to a node that is gone was
-        // closed before it came up.
+        // The connection may be established now, but must carry nothing before its end. The connection to a node that is
+        // gone was closed before it was established.
         if i == 1 {
-            stopped(w);
+            assert_stops(harness);
         } else {
-            assert_eq!(ended(w, &late), "", "{i}");
+            assert_eq!(stop_and_read_connection(harness, &delayed_node), "", "{i}");
         }
     }
 }
 
-/// An answer that is whole before the reset behind it is the answer.
+/// Guards against losing a complete answer that is followed by a reset of its connection.
 #[test]
-fn a_whole_answer_counts_though_its_connection_is_reset_behind_it() {
-    let w = World::start();
-    let mut c = w.client();
-    c.ask(1, 0x77, 4_000);
-    let NodeMessage { line, mut stream, .. } = w.cache.pull();
+fn a_complete_answer_counts_although_its_connection_is_reset() {
+    let harness = Harness::start();
+    let mut client = harness.client();
+    client.send_request(1, 0x77, 4_000);
+    let NodeMessage { line, mut stream, .. } = harness.cache.expect_pull();
     let name = line.split(' ').nth(1).expect("a name");
-    // Held: it hears of the answer and of the reset in the same moment.
-    w.signal("STOP");
+    // The director is stopped, so that it sees the answer and the reset at the same time.
+    harness.signal("STOP");
     let answer = format!("{name} ACK how=HIT,entity=t1,issued=1 5\r\nwhole\r\n");
     (&*stream).write_all(answer.as_bytes()).expect("written");
     SockRef::from(&*stream).set_linger(Some(Duration::ZERO)).expect("set");
     SockRef::from(&*stream).shutdown(std::net::Shutdown::Read).expect("shut");
-    assert_eq!(w.cache.next().line, "closed");
+    assert_eq!(harness.cache.next_message().line, "closed");
     let start = Instant::now();
     while Arc::get_mut(&mut stream).is_none() {
-        assert!(start.elapsed() < LONG, "its reader ends");
+        assert!(start.elapsed() < LONG_TIMEOUT, "its reader ends");
     }
     drop(stream);
-    w.signal("CONT");
-    c.satisfied(1, b"whole");
-    let counters = w.current_counters();
+    harness.signal("CONT");
+    client.assert_success(1, b"whole");
+    let counters = harness.current_counters();
     assert_eq!((counters["ok"], counters["broken"]), (1, 0));
 }
 
-/// All that a node is told until its connection ends.
-fn rest(node: &Node) -> Vec<String> {
+/// The first words of all messages that a node receives until its connection ends.
+fn remaining_messages(node: &NodeStub) -> Vec<String> {
     let mut lines = Vec::new();
     loop {
-        match node.messages.recv_timeout(LONG).expect("its end").line {
+        match node.messages.recv_timeout(LONG_TIMEOUT).expect("its end").line {
             line if line == "closed" => return lines,
             line => lines.push(line.split(' ').next().unwrap_or_default().to_owned()),
         }
     }
 }
 
-/// All that comes on a connection that comes up at last, until the program has ended.
-fn ended(w: World, late: &LateNode) -> String {
+/// Accepts the delayed connection, stops the program, and returns all that was received on the connection.
+fn stop_and_read_connection(harness: Harness, delayed_node: &DelayedNodeStub) -> String {
     std::thread::scope(|scope| {
-        let mut stream = late.open();
+        let mut stream = delayed_node.accept_waiting();
         let came = scope.spawn(move || {
             let mut came = String::new();
             stream.read_to_string(&mut came).map(|_| came).expect("closed")
         });
-        stopped(w);
+        assert_stops(harness);
         came.join().expect("read")
     })
 }
 
-fn stopped(mut w: World) {
-    w.signal("TERM");
+/// Stops the program and checks that it ends with success.
+fn assert_stops(mut harness: Harness) {
+    harness.signal("TERM");
     let start = Instant::now();
-    while w.child.try_wait().expect("asked").is_none() {
-        assert!(start.elapsed() < LONG, "it ends");
+    while harness.child.try_wait().expect("asked").is_none() {
+        assert!(start.elapsed() < LONG_TIMEOUT, "it ends");
         std::thread::sleep(Duration::from_millis(5));
     }
-    assert!(w.child.wait().expect("ends").success());
+    assert!(harness.child.wait().expect("ends").success());
 }
 
 #[test]
-fn at_a_stop_what_is_half_read_or_waits_is_carried_to_its_end() {
-    let late = LateNode::start();
-    let w = World::with(|config| with_late_node(&config, "cache-a", &late));
-    // Half a request, and a lookup whose send waits for a connection.
-    let (mut half, mut waits) = (w.client(), w.client());
+fn shutdown_completes_partial_and_queued_requests() {
+    let delayed_node = DelayedNodeStub::start();
+    let harness = Harness::with_config(|config| with_delayed_node(&config, "cache-a", &delayed_node));
+    // A partial message, and a request whose attempt waits for a connection.
+    let (mut half, mut waits) = (harness.client(), harness.client());
     half.write(&[0x94, 0, 1, 0xa5, b'a', b'l']);
-    waits.ask(1, 0x77, 5_000);
-    w.wait_for_counter("sends", 1);
-    w.reload();
-    w.signal("TERM");
-    w.logged("stopping in_flight=1");
+    waits.send_request(1, 0x77, 5_000);
+    harness.wait_for_counter("sends", 1);
+    harness.reload();
+    harness.signal("TERM");
+    harness.wait_for_log("stopping in_flight=1");
     half.write(b"ive\x91\x80");
-    assert_eq!(half.answer(), (1, Answer::Health(false)));
-    // A resting one ends when no more are taken, though the other lookup is still out.
+    assert_eq!(half.read_response(), (1, Response::Health(false)));
+    // An idle connection is closed once no more are accepted, although the other request is still open.
     half.assert_closed();
-    let mut stream = late.open();
+    let mut stream = delayed_node.accept_waiting();
     let mut line = vec![0; 21];
     stream.read_exact(&mut line).expect("a send");
     let name = String::from_utf8_lossy(&line[5..]).into_owned();
     let body = vec![7; 240_000];
     let head = format!("{name} ACK how=HIT,entity=t1,issued=1 {}\r\n", body.len());
     stream.write_all(&[head.as_bytes(), &body, b"\r\n"].concat()).expect("written");
-    waits.satisfied(1, &body);
+    waits.assert_success(1, &body);
     waits.assert_closed();
-    stopped(w);
+    assert_stops(harness);
 }
 
 #[test]
-fn an_answer_that_leaves_slowly_is_whole_at_the_end_of_the_program() {
-    let w = World::start();
-    let (mut c, mut half) = (w.client(), w.client());
-    let late = request_bytes(9, 0x99, 3_000, &[]);
-    SockRef::from(&c.0).set_recv_buffer_size(4_096).expect("set");
+fn shutdown_waits_for_responses_that_are_read_slowly() {
+    let harness = Harness::start();
+    let (mut client, mut half) = (harness.client(), harness.client());
+    let delayed_node = request_bytes(9, 0x99, 3_000, &[]);
+    SockRef::from(&client.0).set_recv_buffer_size(4_096).expect("set");
     let body = vec![7; 240_000];
     for call in 1..=4 {
-        c.ask(call, u64::from(call), 3_000);
-        w.cache.pull().answer("ACK", "how=HIT,entity=t1,issued=1", &body);
+        client.send_request(call, u64::from(call), 3_000);
+        harness.cache.expect_pull().answer("ACK", "how=HIT,entity=t1,issued=1", &body);
     }
-    w.wait_for_counter("satisfied", 4);
-    // Beside it half a lookup, the rest of which comes after the signal.
-    half.write(&late[..20]);
-    w.signal("TERM");
-    w.logged("stopping");
-    half.write(&late[20..]);
-    w.cache.pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"owed too");
-    half.satisfied(9, b"owed too");
+    harness.wait_for_counter("satisfied", 4);
+    // Another client sends a partial request, the rest of which follows after the signal.
+    half.write(&delayed_node[..20]);
+    harness.signal("TERM");
+    harness.wait_for_log("stopping");
+    half.write(&delayed_node[20..]);
+    harness.cache.expect_pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"owed too");
+    half.assert_success(9, b"owed too");
     for _ in 0..4 {
-        assert!(c.answer().1 == Answer::Success(body.clone(), vec![]));
+        assert!(client.read_response().1 == Response::Success(body.clone(), vec![]));
     }
-    c.assert_closed();
-    stopped(w);
+    client.assert_closed();
+    assert_stops(harness);
 }
 
-/// Held, then let go: the request and those that want its connection's place are there in one moment.
+/// Guards against evicting a connection with an unread request: the request and the new connections that need room arrive
+/// while the process is stopped, and are seen at the same time.
 #[test]
-fn a_request_on_a_connection_that_is_to_make_room_is_answered() {
-    let w = World::with(|c| c.replace("\"sockets\": 1024", "\"sockets\": 64"));
-    let mut resting: Vec<Client> = (0..29).map(|_| w.client()).collect();
-    assert!(resting.iter_mut().all(Client::alive));
-    w.signal("STOP");
-    w.signal("HUP");
-    resting[0].ask(1, 0x77, 4_000);
-    let mut new: Vec<Client> = (0..3).map(|_| w.client()).collect();
-    w.signal("CONT");
-    w.cache.pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"owed");
-    resting[0].satisfied(1, b"owed");
-    assert!(new.iter_mut().all(Client::alive));
-    // Those that made room were told so, without a reset.
-    for c in &mut resting[1..4] {
-        assert_eq!(c.0.read(&mut [0; 8]).expect("no reset"), 0);
+fn a_request_on_a_connection_chosen_for_eviction_is_answered() {
+    let harness = Harness::with_config(|config| config.replace("\"sockets\": 1024", "\"sockets\": 64"));
+    let mut resting: Vec<Client> = (0..29).map(|_| harness.client()).collect();
+    assert!(resting.iter_mut().all(Client::is_healthy));
+    harness.signal("STOP");
+    harness.signal("HUP");
+    resting[0].send_request(1, 0x77, 4_000);
+    let mut new: Vec<Client> = (0..3).map(|_| harness.client()).collect();
+    harness.signal("CONT");
+    harness.cache.expect_pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"owed");
+    resting[0].assert_success(1, b"owed");
+    assert!(new.iter_mut().all(Client::is_healthy));
+    // The evicted connections were closed without a reset.
+    for client in &mut resting[1..4] {
+        assert_eq!(client.0.read(&mut [0; 8]).expect("no reset"), 0);
     }
-    assert_eq!(w.current_counters()["made_room"], 3);
+    assert_eq!(harness.current_counters()["made_room"], 3);
 }
 
 #[test]
-fn a_close_over_unread_bytes_resets_no_answer() {
-    let w = World::start();
-    let mut c = w.client();
-    w.signal("STOP");
-    c.write(b"\x94\x00\xcc\xff\xa5alive\x91\x80\xc1");
-    c.write(&[0xc1; 100_000]);
-    w.signal("CONT");
+fn closing_with_unread_bytes_resets_no_response() {
+    let harness = Harness::start();
+    let mut client = harness.client();
+    harness.signal("STOP");
+    client.write(b"\x94\x00\xcc\xff\xa5alive\x91\x80\xc1");
+    client.write(&[0xc1; 100_000]);
+    harness.signal("CONT");
     let mut all = Vec::new();
-    c.0.read_to_end(&mut all).expect("no reset");
+    client.0.read_to_end(&mut all).expect("no reset");
     assert!(all.len() < 20, "at most the one answer: {}", all.len());
-    // Nothing is kept of it before long, and its fault is in the log, with where it came from.
-    let from = c.0.local_addr().expect("bound");
-    w.logged(&format!("client {from}: closed: a value has a type that no message uses"));
-    assert!(w.client().alive());
+    // The fault is logged with the client's address.
+    let from = client.0.local_addr().expect("bound");
+    harness.wait_for_log(&format!("client {from}: closed: a value has a type that no message uses"));
+    assert!(harness.client().is_healthy());
 }
 
 #[test]
-fn a_client_that_has_gone_gets_no_further_send() {
-    type Go = fn(Client);
-    let ways: [Go; 3] = [
+fn a_client_that_is_gone_gets_no_further_attempt() {
+    type Leave = fn(Client);
+    let ways_to_leave: [Leave; 3] = [
         drop,
         |c| {
             SockRef::from(&c.0).set_linger(Some(Duration::ZERO)).expect("set");
@@ -223,80 +227,81 @@
         },
         |mut c| {
             c.write(b"\x93\x02\xadcancelRequest\x91\x01");
-            // Its connection stays until the program ends.
+            // The connection stays open until the program ends.
             std::thread::spawn(move || c.0.read(&mut [0; 8]));
         },
     ];
-    for go in ways {
-        // While its send waits for a connection.
-        let late = LateNode::start();
-        let w = World::with(|config| with_late_node(&config, "cache-a", &late));
-        let mut c = w.client();
-        c.ask(1, 0x77, 4_000);
-        w.wait_for_counter("sends", 1);
-        w.reload();
-        go(c);
-        w.wait_for_counter("cancelled", 1);
-        assert_eq!(ended(w, &late), "");
-        // While a second copy is due soon: its home is silent.
-        let w = World::with(|config| config.replace("\"aimUs\": 3000000", "\"aimUs\": 200000"));
-        let mut c = w.client();
-        c.ask(1, 0x77, 4_000);
-        w.cache.pull();
-        go(c);
-        w.wait_for_counter("cancelled", 1);
-        let counters = w.current_counters();
+    for leave in ways_to_leave {
+        // The client leaves while its attempt waits for a connection.
+        let delayed_node = DelayedNodeStub::start();
+        let harness = Harness::with_config(|config| with_delayed_node(&config, "cache-a", &delayed_node));
+        let mut client = harness.client();
+        client.send_request(1, 0x77, 4_000);
+        harness.wait_for_counter("sends", 1);
+        harness.reload();
+        leave(client);
+        harness.wait_for_counter("cancelled", 1);
+        assert_eq!(stop_and_read_connection(harness, &delayed_node), "");
+        // The client leaves while a hedge is due soon, because the primary is silent.
+        let harness =
+            Harness::with_config(|config| config.replace("\"aimUs\": 3000000", "\"aimUs\": 200000"));
+        let mut client = harness.client();
+        client.send_request(1, 0x77, 4_000);
+        harness.cache.expect_pull();
+        leave(client);
+        harness.wait_for_counter("cancelled", 1);
+        let counters = harness.current_counters();
         assert_eq!((counters["sends"], counters["in_hand"]), (1, 0));
-        let World { cache, parent, .. } = &w;
-        assert_eq!(cache.next().line.split(' ').next(), Some("KILL"));
+        let Harness { cache, parent, .. } = &harness;
+        assert_eq!(cache.next_message().line.split(' ').next(), Some("KILL"));
         parent.assert_no_message();
     }
 }
 
 #[test]
-fn a_number_used_again_gets_the_answer_of_its_own_lookup() {
-    let w = World::start();
-    let mut c = w.client();
+fn a_reused_call_number_gets_the_response_of_its_own_request() {
+    let harness = Harness::start();
+    let mut client = harness.client();
     for object in 0x70..0x90 {
-        c.ask(5, object, 4_000);
-        let first = w.cache.pull();
-        w.signal("STOP");
+        client.send_request(5, object, 4_000);
+        let first = harness.cache.expect_pull();
+        harness.signal("STOP");
         first.answer("ACK", "how=HIT,entity=t1,issued=1", b"of the first");
-        c.write(b"\x93\x02\xadcancelRequest\x91\x05");
-        c.ask(5, object + 0x100, 4_000);
-        w.signal("CONT");
-        let second = w.cache.next_pull();
+        client.write(b"\x93\x02\xadcancelRequest\x91\x05");
+        client.send_request(5, object + 0x100, 4_000);
+        harness.signal("CONT");
+        let second = harness.cache.next_pull();
         second.answer("ACK", "how=HIT,entity=t1,issued=1", b"of the second");
-        // The first may still have been answered before its client's word was read.
-        let mut answer = c.answer();
-        if answer == (5, Answer::Success(b"of the first".to_vec(), vec![])) {
-            answer = c.answer();
+        // The first request may have been answered before its cancellation was read.
+        let mut answer = client.read_response();
+        if answer == (5, Response::Success(b"of the first".to_vec(), vec![])) {
+            answer = client.read_response();
         }
-        assert_eq!(answer, (5, Answer::Success(b"of the second".to_vec(), vec![])));
+        assert_eq!(answer, (5, Response::Success(b"of the second".to_vec(), vec![])));
     }
 }
 
 #[test]
-fn many_that_send_much_and_go_leave_nothing_behind() {
-    let w = World::start();
+fn requests_of_disconnected_clients_are_removed() {
+    let harness = Harness::start();
     for _ in 0..20 {
-        let mut bad = w.client();
-        (1..=32).for_each(|call| bad.ask(call, u64::from(call), 4_000));
+        let mut bad = harness.client();
+        (1..=32).for_each(|call| bad.send_request(call, u64::from(call), 4_000));
     }
-    let mut good = w.client();
-    good.ask(1, 0x99, 4_000);
+    let mut good = harness.client();
+    good.send_request(1, 0x99, 4_000);
     let own = loop {
-        let told = w.cache.next();
+        let told = harness.cache.next_message();
         if told.line.contains("key=0000000000000099") {
             break told;
         }
     };
     own.answer("ACK", "how=HIT,entity=t1,issued=1", b"good");
-    good.satisfied(1, b"good");
+    good.assert_success(1, b"good");
     let start = Instant::now();
     let left = loop {
-        let counters = w.current_counters();
-        if counters["in_hand"] == 0 || start.elapsed() > LONG {
+        let counters = harness.current_counters();
+        if counters["in_hand"] == 0 || start.elapsed() > LONG_TIMEOUT {
             break counters;
         }
     };
@@ -304,132 +309,134 @@
 }
 
 #[test]
-fn an_unending_answer_and_a_second_one_harm_no_other() {
-    let w = World::start();
-    let mut c = w.client();
-    c.ask(1, 0x77, 600);
-    let endless = w.cache.pull();
-    w.reload();
-    endless.write(format!("{} ACK how=HIT,entity=t1,issued=1 240000\r\nnever", endless.name()).as_bytes());
-    assert_eq!(c.assert_rejected(), 1);
-    assert_eq!(rest(&w.cache), ["KILL"], "its connection is not used again");
-    c.ask(2, 0x78, 4_000);
-    let twice = w.cache.pull();
+fn incomplete_and_duplicate_answers_affect_no_other_request() {
+    let harness = Harness::start();
+    let mut client = harness.client();
+    client.send_request(1, 0x77, 600);
+    let endless = harness.cache.expect_pull();
+    harness.reload();
+    endless
+        .write(format!("{} ACK how=HIT,entity=t1,issued=1 240000\r\nnever", endless.request_id()).as_bytes());
+    assert_eq!(client.assert_rejected(), 1);
+    assert_eq!(remaining_messages(&harness.cache), ["KILL"], "its connection is not used again");
+    client.send_request(2, 0x78, 4_000);
+    let twice = harness.cache.expect_pull();
     twice.answer("ACK", "how=HIT,entity=t1,issued=1", b"once");
-    c.satisfied(2, b"once");
-    c.ask(3, 0x79, 4_000);
-    let next = w.cache.pull();
+    client.assert_success(2, b"once");
+    client.send_request(3, 0x79, 4_000);
+    let next = harness.cache.expect_pull();
     assert_eq!(next.connection, twice.connection);
     twice.answer("ACK", "how=HIT,entity=t1,issued=1", b"a second time");
     next.answer("ACK", "how=HIT,entity=t1,issued=1", b"its own");
-    c.satisfied(3, b"its own");
+    client.assert_success(3, b"its own");
 }
 
 #[test]
-fn an_effect_that_may_have_happened_is_not_repeated_past_its_window() {
-    // A side-effecting one whose connection breaks: failed at once, and nobody else is asked.
-    let w = World::with(|config| config.replacen("\"idempotent\"", "\"at_most_once\"", 1));
-    let mut c = w.client();
-    c.ask(1, 0x77, 4_000);
-    w.cache.pull().stream.shutdown(std::net::Shutdown::Both).expect("shut");
-    assert_eq!(c.answer(), (1, Answer::Error("Failed".into(), vec![])));
-    assert_eq!(w.current_counters()["sends"], 1);
-    // A deduplicated one, with its mark: the further send waits for a connection for longer than nodes know it.
-    let late = LateNode::start();
-    let w = World::with(|config| {
-        with_late_node(&config, "parent-a", &late).replacen(
+fn an_effect_is_not_repeated_past_its_retention_window() {
+    // An at-most-once request whose connection breaks fails at once and is not attempted again.
+    let harness = Harness::with_config(|config| config.replacen("\"idempotent\"", "\"at_most_once\"", 1));
+    let mut client = harness.client();
+    client.send_request(1, 0x77, 4_000);
+    harness.cache.expect_pull().stream.shutdown(std::net::Shutdown::Both).expect("shut");
+    assert_eq!(client.read_response(), (1, Response::Error("Failed".into(), vec![])));
+    assert_eq!(harness.current_counters()["sends"], 1);
+    // The second attempt of a deduplicated request waits for its connection for longer than the retention window.
+    let delayed_node = DelayedNodeStub::start();
+    let harness = Harness::with_config(|config| {
+        with_delayed_node(&config, "parent-a", &delayed_node).replacen(
             "\"idempotent\", \"group\": \"all\", \"memorySpanUs\": 5000000",
             "\"deduplicated\", \"group\": \"all\", \"memorySpanUs\": 400000",
             1,
         )
     });
-    let (_, feed) = w.feed.call();
-    let mut c = w.client();
-    c.ask_with(1, 0x77, 4_000, &[("token", "m1")]);
-    let pull = w.cache.pull();
+    let (_, feed) = harness.feed.accept_call();
+    let mut client = harness.client();
+    client.send_request_with(1, 0x77, 4_000, &[("token", "m1")]);
+    let pull = harness.cache.expect_pull();
     assert_eq!(pull.field("once"), Some("m1"));
-    tell(&feed, 2, &member(2, "cache-a", w.cache.address, "draining"));
-    w.told(2);
+    send_event(&feed, 2, &endpoint_event(2, "cache-a", harness.cache.address, "draining"));
+    harness.wait_for_discovery_events(2);
     pull.answer("EIO", "-", b"");
-    assert_eq!(c.answer(), (1, Answer::Error("Failed".into(), vec![])));
-    assert_eq!(ended(w, &late), "");
+    assert_eq!(client.read_response(), (1, Response::Error("Failed".into(), vec![])));
+    assert_eq!(stop_and_read_connection(harness, &delayed_node), "");
 }
 
-/// Held, then let go: the end of a resting connection and a lookup for it are there in one moment.
+/// Guards against failing a request whose attempt was never begun: the end of an idle connection and a request that would
+/// use it arrive while the process is stopped, and are seen at the same time.
 #[test]
-fn what_was_not_begun_on_a_connection_that_ends_never_ran() {
-    let w = World::with(|config| config.replacen("\"idempotent\"", "\"at_most_once\"", 1));
-    let mut c = w.client();
+fn an_attempt_not_begun_on_a_lost_connection_is_retried() {
+    let harness = Harness::with_config(|config| config.replacen("\"idempotent\"", "\"at_most_once\"", 1));
+    let mut client = harness.client();
     for call in 1..=24 {
-        c.ask(call, u64::from(call), 4_000);
-        let pull = w.cache.next_pull();
+        client.send_request(call, u64::from(call), 4_000);
+        let pull = harness.cache.next_pull();
         pull.answer("ACK", "how=HIT,entity=t1,issued=1", b"first");
-        c.satisfied(call, b"first");
-        w.signal("STOP");
+        client.assert_success(call, b"first");
+        harness.signal("STOP");
         pull.stream.shutdown(std::net::Shutdown::Both).expect("shut");
-        c.ask(100 + call, 0x100 + u64::from(call), 4_000);
-        w.signal("CONT");
-        // On a new connection, or by another way if it had been given to the one that ended.
+        client.send_request(100 + call, 0x100 + u64::from(call), 4_000);
+        harness.signal("CONT");
+        // The attempt uses a new connection, or another node if it had been handed to the connection that ended.
         let start = Instant::now();
         let again = loop {
-            let told = [&w.cache, &w.parent].into_iter().find_map(|n| n.messages.try_recv().ok());
+            let told = [&harness.cache, &harness.parent].into_iter().find_map(|n| n.messages.try_recv().ok());
             match told.filter(|t| t.line.starts_with("PULL ")) {
                 Some(told) => break told,
-                None => assert!(start.elapsed() < LONG, "sent again"),
+                None => assert!(start.elapsed() < LONG_TIMEOUT, "sent again"),
             }
         };
         again.answer("ACK", "how=HIT,entity=t1,issued=1", b"second");
-        c.satisfied(100 + call, b"second");
+        client.assert_success(100 + call, b"second");
     }
-    assert_eq!(w.current_counters()["failed"], 0);
+    assert_eq!(harness.current_counters()["failed"], 0);
 }
 
 #[test]
-fn discovery_is_taken_up_again_though_idle_clients_fill_all_places() {
-    let mut w = World::with(|c| c.replace("\"sockets\": 1024", "\"sockets\": 64"));
-    let (_, stream) = w.feed.call();
-    let at = w.feed.0.local_addr().expect("bound");
-    // Discovery goes down, and idle clients come, many more than there are places.
+fn discovery_reconnects_while_idle_clients_use_all_connections() {
+    let mut harness = Harness::with_config(|config| config.replace("\"sockets\": 1024", "\"sockets\": 64"));
+    let (_, stream) = harness.feed.accept_call();
+    let at = harness.feed.0.local_addr().expect("bound");
+    // Discovery goes down, and many more idle clients connect than the limit allows.
     drop(stream);
-    w.feed.0 = std::net::TcpListener::bind("127.0.0.1:0").expect("bound");
-    let idle: Vec<Client> = (0..120).map(|_| w.client()).collect();
-    w.wait_for_counter("made_room", 90);
-    (0..3).for_each(|_| w.reload());
-    let mut c = w.client();
-    c.ask(1, 0x77, 4_000);
-    w.cache.pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"reached");
-    c.satisfied(1, b"reached");
-    // It is back: first with what is old, then with a drain, which holds from the next lookup on.
-    w.feed.0 = std::net::TcpListener::bind(at).expect("bound");
-    let (last, stream) = w.feed.call();
+    harness.feed.0 = std::net::TcpListener::bind("127.0.0.1:0").expect("bound");
+    let idle: Vec<Client> = (0..120).map(|_| harness.client()).collect();
+    harness.wait_for_counter("made_room", 90);
+    (0..3).for_each(|_| harness.reload());
+    let mut client = harness.client();
+    client.send_request(1, 0x77, 4_000);
+    harness.cache.expect_pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"reached");
+    client.assert_success(1, b"reached");
+    // Discovery is back, first with an old event, then with a drain, which applies from the next request on.
+    harness.feed.0 = std::net::TcpListener::bind(at).expect("bound");
+    let (last, stream) = harness.feed.accept_call();
     assert_eq!(last, 1);
-    tell(&stream, 1, &member(1, "cache-a", w.cache.address, "gone"));
-    tell(&stream, 2, &member(2, "cache-a", w.cache.address, "draining"));
-    w.told(2);
-    c.ask(2, 0x78, 4_000);
-    w.parent.pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"not from what drains");
-    c.satisfied(2, b"not from what drains");
+    send_event(&stream, 1, &endpoint_event(1, "cache-a", harness.cache.address, "gone"));
+    send_event(&stream, 2, &endpoint_event(2, "cache-a", harness.cache.address, "draining"));
+    harness.wait_for_discovery_events(2);
+    client.send_request(2, 0x78, 4_000);
+    harness.parent.expect_pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"not from what drains");
+    client.assert_success(2, b"not from what drains");
     drop(idle);
-    stopped(w);
+    assert_stops(harness);
 }
 
-/// Each call of a feed that is down takes as long as a connection may: signals don't wait for it.
+/// Guards against signals that wait for feed calls: each call of a feed that is down takes the whole connect timeout.
 #[test]
-fn a_stop_is_heard_behind_many_reloads_while_discovery_is_down() {
-    let late = LateNode::start();
-    let w = World::with(|config| {
+fn a_stop_is_handled_after_many_reloads_while_discovery_is_down() {
+    let delayed_node = DelayedNodeStub::start();
+    let harness = Harness::with_config(|config| {
         let feed = config.find("\"feed\": \"").expect("named") + 9;
         let end = feed + config[feed..].find('"').expect("ends");
-        format!("{}{}{}", &config[..feed], late.address, &config[end..])
+        format!("{}{}{}", &config[..feed], delayed_node.address, &config[end..])
             .replace("\"dialTimeoutUs\": 400000", "\"dialTimeoutUs\": 4000000")
     });
     for _ in 0..5 {
-        w.signal("HUP");
-        w.logged("reload feed=");
+        harness.signal("HUP");
+        harness.wait_for_log("reload feed=");
     }
     let start = Instant::now();
-    w.signal("TERM");
-    w.logged("stopping");
+    harness.signal("TERM");
+    harness.wait_for_log("stopping");
     assert!(start.elapsed() < Duration::from_secs(2), "{:?}", start.elapsed());
-    stopped(w);
+    assert_stops(harness);
 }
--- a/crates/director/tests/help/mod.rs
+++ b/crates/director/tests/help/mod.rs
@@ -1,4 +1,4 @@
-//! Small stand-ins for clients, nodes and the feed that each test drives, and the program between them.
+//! The test harness: the director as a process, with stubs of its clients, nodes and discovery feed that each test drives.
 #![allow(dead_code)]
 
 pub(crate) mod faults;
@@ -19,15 +19,15 @@
 use socket2::{Domain, Socket, Type};
 
 pub(crate) const SAMPLE: &str = include_str!("../../../../deploy/sample.json");
-pub(crate) const LONG: Duration = Duration::from_secs(5);
-pub(crate) const SHORT: Duration = Duration::from_millis(200);
+pub(crate) const LONG_TIMEOUT: Duration = Duration::from_secs(5);
+pub(crate) const SHORT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The true time, in milliseconds.
+/// The time of the machine's wall clock, in milliseconds since 1970. The director's own view of it may be falsified.
 pub(crate) fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64
 }
 
-/// The sample with another address for one of its nodes.
+/// The configuration with another address for one of its nodes.
 pub(crate) fn with_node_address(config: &str, node: &str, address: SocketAddr) -> String {
     let before = format!("\"{node}\", \"address\": \"");
     let at = config.find(&before).expect("named") + before.len();
@@ -35,13 +35,13 @@
     format!("{}{address}{}", &config[..at], &config[end..])
 }
 
-/// The same with one that comes up late, and the patience to wait for it.
-pub(crate) fn with_late_node(config: &str, node: &str, late: &LateNode) -> String {
+/// The configuration with a delayed node in place of one of its nodes, and a connect timeout of 4 s to wait for it.
+pub(crate) fn with_delayed_node(config: &str, node: &str, late: &DelayedNodeStub) -> String {
     with_node_address(config, node, late.address)
         .replace("\"dialTimeoutUs\": 400000", "\"dialTimeoutUs\": 4000000")
 }
 
-/// A line that a node was told, or the end of a connection.
+/// A line that a node received, or the end of a connection as the line `closed`.
 pub(crate) struct NodeMessage {
     pub line: String,
     pub connection: usize,
@@ -49,7 +49,7 @@
 }
 
 impl NodeMessage {
-    pub(crate) fn name(&self) -> &str {
+    pub(crate) fn request_id(&self) -> &str {
         self.line.split(' ').nth(1).expect("a name")
     }
 
@@ -63,100 +63,101 @@
     }
 
     pub(crate) fn answer(&self, word: &str, fields: &str, body: &[u8]) {
-        self.write(format!("{} {word} {fields} {}\r\n", self.name(), body.len()).as_bytes());
+        self.write(format!("{} {word} {fields} {}\r\n", self.request_id(), body.len()).as_bytes());
         self.write(body);
         self.write(b"\r\n");
     }
 }
 
-pub(crate) struct Node {
+pub(crate) struct NodeStub {
     pub address: SocketAddr,
     pub messages: Receiver<NodeMessage>,
 }
 
-impl Node {
-    pub(crate) fn start() -> Node {
+impl NodeStub {
+    pub(crate) fn start() -> NodeStub {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
         let address = listener.local_addr().expect("bound");
-        let (tell, messages) = channel();
+        let (sender, messages) = channel();
         thread::spawn(move || {
             for (connection, stream) in listener.incoming().enumerate() {
-                let (stream, tell) = (Arc::new(stream.expect("taken")), tell.clone());
-                thread::spawn(move || listen(connection, &stream, &tell));
+                let (stream, sender) = (Arc::new(stream.expect("accepted")), sender.clone());
+                thread::spawn(move || forward_messages(connection, &stream, &sender));
             }
         });
-        Node { address, messages }
+        NodeStub { address, messages }
     }
 
-    pub(crate) fn next(&self) -> NodeMessage {
-        self.messages.recv_timeout(LONG).expect("told")
+    pub(crate) fn next_message(&self) -> NodeMessage {
+        self.messages.recv_timeout(LONG_TIMEOUT).expect("a message")
     }
 
-    pub(crate) fn pull(&self) -> NodeMessage {
-        let told = self.next();
-        assert!(told.line.starts_with("PULL "), "{}", told.line);
-        told
+    pub(crate) fn expect_pull(&self) -> NodeMessage {
+        let message = self.next_message();
+        assert!(message.line.starts_with("PULL "), "{}", message.line);
+        message
     }
 
-    /// The next send, whatever else is told before it.
+    /// The next attempt; other messages before it are skipped.
     pub(crate) fn next_pull(&self) -> NodeMessage {
         loop {
-            let told = self.next();
-            if told.line.starts_with("PULL ") {
-                return told;
+            let message = self.next_message();
+            if message.line.starts_with("PULL ") {
+                return message;
             }
         }
     }
 
     pub(crate) fn assert_no_message(&self) {
-        let told = self.messages.recv_timeout(SHORT).map(|t| t.line);
-        assert_eq!(told.err(), Some(RecvTimeoutError::Timeout));
+        let line = self.messages.recv_timeout(SHORT_TIMEOUT).map(|message| message.line);
+        assert_eq!(line.err(), Some(RecvTimeoutError::Timeout));
     }
 }
 
-/// A node whose connections do not come up until it opens: its backlog is full.
-pub(crate) struct LateNode {
+/// A node whose listen backlog is full, so that connections to it are not established until `accept_waiting` is called.
+pub(crate) struct DelayedNodeStub {
     pub address: SocketAddr,
     listener: TcpListener,
-    filling: Vec<TcpStream>,
+    backlog_fillers: Vec<TcpStream>,
 }
 
-impl LateNode {
-    pub(crate) fn start() -> LateNode {
-        let full = Socket::new(Domain::IPV4, Type::STREAM, None).expect("made");
-        full.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("bound");
-        full.listen(0).expect("listens");
-        let listener = TcpListener::from(full);
+impl DelayedNodeStub {
+    pub(crate) fn start() -> DelayedNodeStub {
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("created");
+        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("bound");
+        socket.listen(0).expect("listens");
+        let listener = TcpListener::from(socket);
         let address = listener.local_addr().expect("bound");
-        let fill = |_| TcpStream::connect_timeout(&address, Duration::from_millis(50)).ok();
-        let filling: Vec<TcpStream> = (0..8).map_while(fill).collect();
-        assert!(filling.len() < 8, "it takes no more");
-        LateNode { address, listener, filling }
+        let connect = |_| TcpStream::connect_timeout(&address, Duration::from_millis(50)).ok();
+        let backlog_fillers: Vec<TcpStream> = (0..8).map_while(connect).collect();
+        assert!(backlog_fillers.len() < 8, "the backlog is full");
+        DelayedNodeStub { address, listener, backlog_fillers }
     }
 
-    /// Takes the connections that filled it, then the one that waited behind them.
-    pub(crate) fn open(&self) -> TcpStream {
+    /// Accepts the connections that filled the backlog, and returns the one that waited behind them.
+    pub(crate) fn accept_waiting(&self) -> TcpStream {
         self.listener.set_nonblocking(true).expect("set");
         let start = Instant::now();
         loop {
             match self.listener.accept() {
                 Ok((stream, from)) => {
-                    if self.filling.iter().all(|f| f.local_addr().expect("bound") != from) {
+                    if self.backlog_fillers.iter().all(|f| f.local_addr().expect("bound") != from) {
                         stream.set_nonblocking(false).expect("set");
-                        stream.set_read_timeout(Some(LONG)).expect("set");
+                        stream.set_read_timeout(Some(LONG_TIMEOUT)).expect("set");
                         return stream;
                     }
                 }
-                Err(e) if e.kind() == ErrorKind::WouldBlock && start.elapsed() < LONG => {
+                Err(e) if e.kind() == ErrorKind::WouldBlock && start.elapsed() < LONG_TIMEOUT => {
                     thread::sleep(Duration::from_millis(5));
                 }
-                Err(e) => panic!("never came up: {e}"),
+                Err(e) => panic!("no connection was established: {e}"),
             }
         }
     }
 }
 
-pub(crate) fn listen(connection: usize, stream: &Arc<TcpStream>, tell: &Sender<NodeMessage>) {
+/// Sends each line that a node receives, and the end of its connection, to the test.
+pub(crate) fn forward_messages(connection: usize, stream: &Arc<TcpStream>, sender: &Sender<NodeMessage>) {
     let mut reader = BufReader::new(&**stream);
     loop {
         let mut line = String::new();
@@ -166,35 +167,35 @@
             let length: usize = line.rsplit(' ').next().and_then(|l| l.parse().ok()).expect("a length");
             reader.read_exact(&mut vec![0; length + 2]).expect("a body");
         }
-        let told = NodeMessage { line, connection, stream: Arc::clone(stream) };
-        if tell.send(told).is_err() || n == 0 {
+        let message = NodeMessage { line, connection, stream: Arc::clone(stream) };
+        if sender.send(message).is_err() || n == 0 {
             return;
         }
     }
 }
 
-/// The feed: each call is taken by the test.
-pub(crate) struct Feed(pub TcpListener);
+/// The discovery feed; the test accepts each call to it.
+pub(crate) struct FeedStub(pub TcpListener);
 
-impl Feed {
-    /// Takes the next call; the number after which it wants events.
-    pub(crate) fn call(&self) -> (u64, TcpStream) {
-        self.answered("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
+impl FeedStub {
+    /// Accepts the next call. Returns the number of the event after which it asks to resume, and the stream.
+    pub(crate) fn accept_call(&self) -> (u64, TcpStream) {
+        self.accept_call_with("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
     }
 
-    /// The same, with this head for an answer. Calls that break off before they are whole are passed over.
-    pub(crate) fn answered(&self, head: &str) -> (u64, TcpStream) {
+    /// Accepts the next call and answers it with this head. Calls that end before their request is complete are skipped.
+    pub(crate) fn accept_call_with(&self, head: &str) -> (u64, TcpStream) {
         self.0.set_nonblocking(true).expect("set");
         let start = Instant::now();
         loop {
             match self.0.accept() {
-                Err(e) if e.kind() == ErrorKind::WouldBlock && start.elapsed() < LONG => {
+                Err(e) if e.kind() == ErrorKind::WouldBlock && start.elapsed() < LONG_TIMEOUT => {
                     thread::sleep(Duration::from_millis(5));
                 }
                 call => {
                     let stream = call.expect("called").0;
-                    if let Some(last) = asked_after(&stream) {
-                        // A call that has broken off meanwhile is the test's matter.
+                    if let Some(last) = read_last_event_id(&stream) {
+                        // A call that has ended meanwhile is left to the test.
                         let _ = (&stream).write_all(head.as_bytes());
                         return (last, stream);
                     }
@@ -204,10 +205,10 @@
     }
 }
 
-/// The number after which a call wants events; none if it broke off.
-fn asked_after(stream: &TcpStream) -> Option<u64> {
+/// The number of the event after which a call asks to resume; `None` if the call ended first.
+fn read_last_event_id(stream: &TcpStream) -> Option<u64> {
     stream.set_nonblocking(false).expect("set");
-    stream.set_read_timeout(Some(LONG)).expect("set");
+    stream.set_read_timeout(Some(LONG_TIMEOUT)).expect("set");
     let mut reader = BufReader::new(stream);
     let mut last = None;
     loop {
@@ -224,20 +225,29 @@
     }
 }
 
-pub(crate) fn tell(mut stream: &TcpStream, n: u64, data: &str) {
+/// Sends a comment and an event on the event stream.
+pub(crate) fn send_event(mut stream: &TcpStream, n: u64, data: &str) {
     stream.write_all(format!(": tick\n\nid: {n}\ndata: {data}\n\n").as_bytes()).expect("written");
 }
 
-pub(crate) fn member(n: u64, name: &str, address: SocketAddr, status: &str) -> String {
-    member_of(n, name, address, status, "edge", "small")
+/// The event of an endpoint list with one cache.
+pub(crate) fn endpoint_event(n: u64, name: &str, address: SocketAddr, status: &str) -> String {
+    endpoint_event_in(n, name, address, status, "edge", "small")
 }
 
-/// The same of a parent.
-pub(crate) fn hub(n: u64, name: &str, address: SocketAddr, status: &str) -> String {
-    member_of(n, name, address, status, "hub", "parent")
+/// The event of an endpoint list with one parent.
+pub(crate) fn parent_event(n: u64, name: &str, address: SocketAddr, status: &str) -> String {
+    endpoint_event_in(n, name, address, status, "hub", "parent")
 }
 
-fn member_of(n: u64, name: &str, address: SocketAddr, status: &str, zone: &str, kind: &str) -> String {
+fn endpoint_event_in(
+    n: u64,
+    name: &str,
+    address: SocketAddr,
+    status: &str,
+    zone: &str,
+    kind: &str,
+) -> String {
     format!(
         "{{\"n\":{n},\"members\":{{\"index\":{n},\"snapshot\":false,\"endpoints\":[{{\"name\":\"{name}\",\
          \"address\":\"{address}\",\"zone\":\"{zone}\",\"type\":\"{kind}\",\"group\":0,\"status\":\"{status}\",\
@@ -245,30 +255,31 @@
     )
 }
 
-pub(crate) struct World {
-    pub cache: Node,
-    pub parent: Node,
-    pub feed: Feed,
+/// A running director and its stubs.
+pub(crate) struct Harness {
+    pub cache: NodeStub,
+    pub parent: NodeStub,
+    pub feed: FeedStub,
     pub child: Child,
-    pub config: PathBuf,
+    pub config_path: PathBuf,
     pub address: SocketAddr,
     pub log: Receiver<String>,
 }
 
-impl World {
-    pub(crate) fn start() -> World {
-        World::with(|config| config)
+impl Harness {
+    pub(crate) fn start() -> Harness {
+        Harness::with_config(|config| config)
     }
 
-    pub(crate) fn with(change: impl Fn(String) -> String) -> World {
-        World::start_with(change, &[])
+    pub(crate) fn with_config(change: impl Fn(String) -> String) -> Harness {
+        Harness::with_config_and_env(change, &[])
     }
 
-    /// The same, with more variables.
-    pub(crate) fn start_with(change: impl Fn(String) -> String, more: &[(&str, &OsStr)]) -> World {
+    /// Starts the director with a changed sample configuration and further environment variables.
+    pub(crate) fn with_config_and_env(change: impl Fn(String) -> String, more: &[(&str, &OsStr)]) -> Harness {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
-        let (cache, parent, origin) = (Node::start(), Node::start(), Node::start());
-        let feed = Feed(TcpListener::bind("127.0.0.1:0").expect("bound"));
+        let (cache, parent, origin) = (NodeStub::start(), NodeStub::start(), NodeStub::start());
+        let feed = FeedStub(TcpListener::bind("127.0.0.1:0").expect("bound"));
         let at = feed.0.local_addr().expect("bound");
         let config = SAMPLE
             .replace("127.0.0.1:11001", &cache.address.to_string())
@@ -276,7 +287,7 @@
             .replace("127.0.0.1:11003", &origin.address.to_string())
             .replace("127.0.0.1:7070", &at.to_string())
             .replace("127.0.0.1:10080", "127.0.0.1:0")
-            // No second copies for slowness, however busy the machine that runs the tests.
+            // Prevents hedged attempts, which a busy test machine could cause otherwise.
             .replace("\"aimUs\": 300000", "\"aimUs\": 3000000");
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
         let path = std::env::temp_dir().join(format!("sablecross-{}-{number}.json", std::process::id()));
@@ -290,17 +301,17 @@
         let (line, log) = channel();
         let stderr = BufReader::new(child.stderr.take().expect("piped"));
         thread::spawn(move || stderr.lines().map_while(Result::ok).all(|l| line.send(l).is_ok()));
-        let mut world = World { cache, parent, feed, child, config: path, address: at, log };
-        let serving = world.logged("serving ");
+        let mut world = Harness { cache, parent, feed, child, config_path: path, address: at, log };
+        let serving = world.wait_for_log("serving ");
         world.address = serving.rsplit('=').next().and_then(|a| a.parse().ok()).expect("an address");
         world
     }
 
-    /// The next line of the log that holds these words.
-    pub(crate) fn logged(&self, words: &str) -> String {
+    /// The next log line that contains these words.
+    pub(crate) fn wait_for_log(&self, words: &str) -> String {
         let start = Instant::now();
         loop {
-            let wait = LONG.saturating_sub(start.elapsed());
+            let wait = LONG_TIMEOUT.saturating_sub(start.elapsed());
             let line = self.log.recv_timeout(wait).unwrap_or_else(|_| panic!("no line with {words}"));
             if line.contains(words) {
                 return line;
@@ -310,7 +321,7 @@
 
     pub(crate) fn client(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("connected");
-        stream.set_read_timeout(Some(LONG)).expect("set");
+        stream.set_read_timeout(Some(LONG_TIMEOUT)).expect("set");
         Client(stream)
     }
 
@@ -318,49 +329,49 @@
         signal(self.child.id(), name);
     }
 
-    /// The same configuration once more, as an operator sends it: the feed is called again.
+    /// Reloads the configuration as an operator does, which makes the director call the feed again.
     pub(crate) fn reload(&self) {
         self.signal("HUP");
-        self.logged("feed moved");
+        self.wait_for_log("feed moved");
     }
 
-    /// The figures of the next line of counters.
-    pub(crate) fn counters(&self) -> HashMap<String, u64> {
-        let line = self.logged("counters ");
+    /// The values of the next counter line in the log. Checks that each received request is counted with one result.
+    pub(crate) fn next_counters(&self) -> HashMap<String, u64> {
+        let line = self.wait_for_log("counters ");
         let pairs = line.split(' ').filter_map(|w| w.split_once('='));
         let counters: HashMap<String, u64> =
             pairs.filter_map(|(k, v)| Some((k.to_owned(), v.parse().ok()?))).collect();
-        let ends = ["satisfied", "nacked", "failed", "cancelled", "in_hand"];
-        assert_eq!(counters["taken"], ends.iter().map(|k| counters[*k]).sum::<u64>(), "{line}");
+        let results = ["satisfied", "nacked", "failed", "cancelled", "in_hand"];
+        assert_eq!(counters["taken"], results.iter().map(|k| counters[*k]).sum::<u64>(), "{line}");
         counters
     }
 
-    /// Waits until so many events of the feed were taken in, with those of the start.
-    pub(crate) fn told(&self, facts: u64) {
-        self.wait_for_counter("facts", facts);
+    /// Waits until the director has applied this many discovery events, including those of its configuration.
+    pub(crate) fn wait_for_discovery_events(&self, count: u64) {
+        self.wait_for_counter("facts", count);
     }
 
-    /// Waits until a counter stands so high.
+    /// Waits until a counter has reached this value.
     pub(crate) fn wait_for_counter(&self, counter: &str, n: u64) {
         let start = Instant::now();
         while self.current_counters()[counter] < n {
-            assert!(start.elapsed() < LONG, "{n} {counter}");
+            assert!(start.elapsed() < LONG_TIMEOUT, "{n} {counter}");
             thread::sleep(Duration::from_millis(5));
         }
     }
 
     pub(crate) fn current_counters(&self) -> HashMap<String, u64> {
         self.signal("USR1");
-        self.counters()
+        self.next_counters()
     }
 }
 
-impl Drop for World {
+impl Drop for Harness {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have ended by itself.
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.config);
+        let _ = std::fs::remove_file(&self.config_path);
     }
 }
 
@@ -369,7 +380,7 @@
     assert!(done.success());
 }
 
-/// The bytes of a request.
+/// An encoded request with these further fields.
 pub(crate) fn request_bytes(call: u8, object: u64, budget_ms: u64, more: &[(&str, &str)]) -> Vec<u8> {
     let (name, budget) = (format!("{:08x}{object:08x}", u32::from(call)), budget_ms.to_string());
     let object = format!("{object:016x}");
@@ -389,7 +400,7 @@
 pub(crate) struct Client(pub TcpStream);
 
 #[derive(Debug, PartialEq)]
-pub(crate) enum Answer {
+pub(crate) enum Response {
     Success(Vec<u8>, Vec<(String, String)>),
     Error(String, Vec<(String, String)>),
     Health(bool),
@@ -400,39 +411,39 @@
         self.0.write_all(bytes).expect("written");
     }
 
-    pub(crate) fn ask(&mut self, call: u8, object: u64, budget_ms: u64) {
-        self.ask_with(call, object, budget_ms, &[]);
+    pub(crate) fn send_request(&mut self, call: u8, object: u64, budget_ms: u64) {
+        self.send_request_with(call, object, budget_ms, &[]);
     }
 
-    pub(crate) fn ask_with(&mut self, call: u8, object: u64, budget_ms: u64, more: &[(&str, &str)]) {
+    pub(crate) fn send_request_with(&mut self, call: u8, object: u64, budget_ms: u64, more: &[(&str, &str)]) {
         self.write(&request_bytes(call, object, budget_ms, more));
     }
 
-    pub(crate) fn alive(&mut self) -> bool {
+    pub(crate) fn is_healthy(&mut self) -> bool {
         self.write(b"\x94\x00\xcc\xff\xa5alive\x91\x80");
-        self.answer() == (255, Answer::Health(true))
+        self.read_response() == (255, Response::Health(true))
     }
 
-    pub(crate) fn text(&mut self) -> String {
+    pub(crate) fn read_string(&mut self) -> String {
         let length = decode::read_str_len(&mut self.0).expect("a text");
         let mut text = vec![0; length as usize];
         self.0.read_exact(&mut text).expect("a text");
         String::from_utf8(text).expect("a text")
     }
 
-    pub(crate) fn fields(&mut self) -> Vec<(String, String)> {
+    pub(crate) fn read_fields(&mut self) -> Vec<(String, String)> {
         let length = decode::read_map_len(&mut self.0).expect("fields");
-        (0..length).map(|_| (self.text(), self.text())).collect()
+        (0..length).map(|_| (self.read_string(), self.read_string())).collect()
     }
 
-    pub(crate) fn answer(&mut self) -> (u8, Answer) {
+    pub(crate) fn read_response(&mut self) -> (u8, Response) {
         assert_eq!(decode::read_array_len(&mut self.0).expect("an answer"), 4);
         assert_eq!(decode::read_int::<u8, _>(&mut self.0).expect("a type"), 1);
         let call = decode::read_int(&mut self.0).expect("a call");
         let mut first = [0; 1];
         self.0.read_exact(&mut first).expect("an error or nil");
         if first == [0x92] {
-            let answer = Answer::Error(self.text(), self.fields());
+            let answer = Response::Error(self.read_string(), self.read_fields());
             decode::read_nil(&mut self.0).expect("nil");
             return (call, answer);
         }
@@ -440,8 +451,8 @@
         self.0.read_exact(&mut first).expect("a result");
         let length = match first[0] {
             0xc2 | 0xc3 => {
-                assert_eq!(self.fields(), []);
-                return (call, Answer::Health(first == [0xc3]));
+                assert_eq!(self.read_fields(), []);
+                return (call, Response::Health(first == [0xc3]));
             }
             0xc4 => 1,
             0xc5 => 2,
@@ -452,22 +463,22 @@
         self.0.read_exact(&mut bytes).expect("a length");
         let mut body = vec![0; bytes.iter().fold(0, |n, &b| n << 8 | usize::from(b))];
         self.0.read_exact(&mut body).expect("a body");
-        (call, Answer::Success(body, self.fields()))
+        (call, Response::Success(body, self.read_fields()))
     }
 
     pub(crate) fn assert_rejected(&mut self) -> u8 {
-        let (call, answer) = self.answer();
-        assert!(matches!(&answer, Answer::Error(word, _) if word == "Rejected"), "{answer:?}");
+        let (call, answer) = self.read_response();
+        assert!(matches!(&answer, Response::Error(word, _) if word == "Rejected"), "{answer:?}");
         call
     }
 
-    pub(crate) fn satisfied(&mut self, call: u8, body: &[u8]) {
-        let (answered, answer) = self.answer();
+    pub(crate) fn assert_success(&mut self, call: u8, body: &[u8]) {
+        let (answered, answer) = self.read_response();
         assert_eq!(answered, call);
-        assert!(answer == Answer::Success(body.to_vec(), vec![]), "call {call} has other bytes");
+        assert!(answer == Response::Success(body.to_vec(), vec![]), "call {call} has other bytes");
     }
 
-    /// Nothing more comes, and the connection ends.
+    /// Checks that the connection ends without further bytes.
     pub(crate) fn assert_closed(&mut self) {
         let end = self.0.read(&mut [0; 8]).map_err(|e| e.kind());
         assert!(matches!(end, Ok(0) | Err(ErrorKind::ConnectionReset)), "{end:?}");
--- a/crates/director/tests/settings_format.rs
+++ b/crates/director/tests/settings_format.rs
@@ -1,6 +1,6 @@
-//! The file that `NODE_CONFIG` names: every key, what it loads to, and the line for each key that is missing or
-//! faulty. Keys and lines are literals: `data/faulty_settings.tsv` holds a key's place in the sample, what it is
-//! replaced by (`-`: it is left out) and the line.
+//! The format of the file that `NODE_CONFIG` names: every key, the value that it loads to, and the error for each missing or
+//! invalid key. Keys and errors are literals: each row of `data/faulty_settings.tsv` holds a key's JSON pointer in the sample,
+//! its replacement (`-` removes the key) and the expected error (`+` if there is none).
 
 use std::process::Command;
 
@@ -12,7 +12,7 @@
 const SAMPLE: &str = include_str!("../../../deploy/sample.json");
 const FAULTY: &str = include_str!("data/faulty_settings.tsv");
 
-/// The sample with one value replaced or left out.
+/// The sample with the value at a JSON pointer replaced or removed.
 fn changed(place: &str, to: &str) -> String {
     let mut all: Value = serde_json::from_str(SAMPLE).expect("the sample is good");
     let (above, key) = place.rsplit_once('/').expect("a place");
@@ -31,12 +31,13 @@
     all.to_string()
 }
 
-fn line(text: &str) -> Option<String> {
+/// The error of a configuration, if it has one.
+fn parse_error(text: &str) -> Option<String> {
     Config::parse(text).err().map(|e| e.to_string())
 }
 
 #[test]
-fn the_sample_loads_to_the_same_values() {
+fn the_sample_configuration_loads_to_these_values() {
     let config = Config::parse(SAMPLE).expect("the sample is good");
     assert_eq!((config.name.as_str(), config.seed), ("sample", 0x6e1f_0c27_a4d5_9b83));
     assert_eq!(config.listen.to_string(), "127.0.0.1:10080");
@@ -121,7 +122,7 @@
 }
 
 #[test]
-fn more_feeds_and_a_later_number_are_read() {
+fn further_feeds_and_a_later_event_number_are_read() {
     let text = SAMPLE
         .replace("\"feed\": ", "\"feeds\": [\"127.0.0.1:1\", \"[::1]:2\"], \"feed\": ")
         .replace("\"known\": {\"n\": 1,", "\"known\": {\"n\": 41,");
@@ -132,17 +133,17 @@
 }
 
 #[test]
-fn each_key_that_is_missing_or_faulty_has_its_line() {
+fn each_missing_or_invalid_key_has_its_error() {
     let rows: Vec<Vec<&str>> = FAULTY.lines().map(|row| row.split('\t').collect()).collect();
     assert!(rows.len() > 150, "{}", rows.len());
     for row in rows {
         let [place, to, want] = row[..] else { panic!("{row:?}") };
-        assert_eq!(line(&changed(place, to)).as_deref().unwrap_or("+"), want, "{place} {to}");
+        assert_eq!(parse_error(&changed(place, to)).as_deref().unwrap_or("+"), want, "{place} {to}");
     }
 }
 
-/// Runs a start that ends at its settings: the words of its one line.
-fn refused(file: Option<&str>) -> String {
+/// Starts the program, which must fail because of its settings. Returns the message of its only log line.
+fn start_error(file: Option<&str>) -> String {
     let mut program = Command::new(env!("CARGO_BIN_EXE_sablecross-director"));
     program.env_remove("RUST_LOG").env_remove("SABLECROSS_LOG").env_remove("NODE_CONFIG");
     if let Some(file) = file {
@@ -156,7 +157,7 @@
 }
 
 #[test]
-fn a_start_names_file_key_and_cause() {
+fn start_errors_name_file_key_and_cause() {
     let dir = std::env::temp_dir().join(format!("sablecross-settings-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("made");
     let file = |name: &str, text: &str| {
@@ -164,23 +165,26 @@
         std::fs::write(&path, text).expect("written");
         path.to_str().expect("text").to_owned()
     };
-    assert_eq!(refused(None), "NODE_CONFIG: not set");
+    assert_eq!(start_error(None), "NODE_CONFIG: not set");
     let none = dir.join("none.json");
     let none = none.to_str().expect("text");
-    assert_eq!(refused(Some(none)), format!("NODE_CONFIG: {none}: No such file or directory (os error 2)"));
+    assert_eq!(
+        start_error(Some(none)),
+        format!("NODE_CONFIG: {none}: No such file or directory (os error 2)")
+    );
     let cut = file("cut.json", "{\"name\":");
     let cause = "EOF while parsing a value at line 1 column 8";
-    assert_eq!(refused(Some(&cut)), format!("configuration: {cause} (NODE_CONFIG: {cut})"));
+    assert_eq!(start_error(Some(&cut)), format!("configuration: {cause} (NODE_CONFIG: {cut})"));
     let listen = file("listen.json", &changed("/listen", "\"here\""));
-    assert_eq!(refused(Some(&listen)), format!("listen: not an address: here (NODE_CONFIG: {listen})"));
+    assert_eq!(start_error(Some(&listen)), format!("listen: not an address: here (NODE_CONFIG: {listen})"));
     let cold = file("cold.json", &changed("/settings/guarantees/coldFrom", "1.5"));
     let cause = "settings: bad setting: guarantees.coldFrom=1.5";
-    assert_eq!(refused(Some(&cold)), format!("{cause} (NODE_CONFIG: {cold})"));
+    assert_eq!(start_error(Some(&cold)), format!("{cause} (NODE_CONFIG: {cold})"));
     std::fs::remove_dir_all(dir).expect("removed");
 }
 
 #[test]
-fn the_log_follows_its_variables() {
+fn the_log_follows_its_environment_variables() {
     let log = |variable: &str, value: &str| {
         let mut program = Command::new(env!("CARGO_BIN_EXE_sablecross-director"));
         program.env_remove("RUST_LOG").env_remove("SABLECROSS_LOG").env_remove("NODE_CONFIG");
--- a/crates/director/tests/start.rs
+++ b/crates/director/tests/start.rs
@@ -1,4 +1,4 @@
-//! A start amid system calls that fail: those that pass are outlasted, those that don't are named.
+//! Failing system calls during the start: temporary failures are retried, lasting ones are reported.
 
 mod help;
 
@@ -6,14 +6,14 @@
 use std::process::{Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-use help::faults::Faults;
+use help::faults::FaultPlan;
 use help::*;
 
-/// A start that can't be ends within this.
-const BOUND: Duration = Duration::from_secs(10);
+/// A start that can't succeed must end within this time.
+const FAILED_START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Calls of the start, each with the errors that Linux documents for it and that pass.
-const PASSING: [(&str, &[&str]); 11] = [
+/// System calls of the start, each with the temporary errors that Linux documents for it.
+const TEMPORARY_ERRORS: [(&str, &[&str]); 11] = [
     ("socket", &["EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"]),
     ("bind", &["EADDRINUSE", "ENOMEM", "ENOBUFS"]),
     ("listen", &["EADDRINUSE"]),
@@ -28,12 +28,12 @@
 ];
 
 #[test]
-fn a_start_outlasts_calls_that_fail_for_a_moment() {
-    for (call, errors) in PASSING {
+fn the_start_retries_calls_that_fail_temporarily() {
+    for (call, errors) in TEMPORARY_ERRORS {
         for error in errors {
-            let faults = Faults::plan(&format!("fail {call} {error} 0 400 100"));
-            let w = World::start_with(|c| c, &faults.environment());
-            assert!(w.client().alive(), "{call} {error}");
+            let faults = FaultPlan::new(&format!("fail {call} {error} 0 400 100"));
+            let harness = Harness::with_config_and_env(|config| config, &faults.environment());
+            assert!(harness.client().is_healthy(), "{call} {error}");
         }
     }
 }
@@ -44,8 +44,8 @@
     path
 }
 
-/// Runs a start that must fail, within the bound.
-fn failed_start(config: &std::path::Path, faults: &Faults) -> Output {
+/// Starts the program, which must end within the timeout, and returns its output.
+fn failed_start(config: &std::path::Path, faults: &FaultPlan) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_sablecross-director"))
         .env("NODE_CONFIG", config)
         .envs(faults.environment())
@@ -54,14 +54,14 @@
         .expect("starts");
     let start = Instant::now();
     while child.try_wait().expect("asked").is_none() {
-        assert!(start.elapsed() < BOUND, "it ends");
+        assert!(start.elapsed() < FAILED_START_TIMEOUT, "the program has not ended");
         std::thread::sleep(Duration::from_millis(20));
     }
     child.wait_with_output().expect("ended")
 }
 
 #[test]
-fn a_start_that_cannot_be_names_its_cause_in_bounded_time() {
+fn a_failed_start_reports_its_cause_in_bounded_time() {
     let occupied = TcpListener::bind("127.0.0.1:0").expect("bound");
     let in_use = occupied.local_addr().expect("bound").to_string();
     let cases = [
@@ -72,7 +72,7 @@
         ("127.0.0.1:0", "fail thread EAGAIN 0 100000 100", "Resource temporarily unavailable"),
     ];
     for (number, (listen, plan, words)) in cases.into_iter().enumerate() {
-        let (config, faults) = (sample(listen, &number.to_string()), Faults::plan(plan));
+        let (config, faults) = (sample(listen, &number.to_string()), FaultPlan::new(plan));
         let out = failed_start(&config, &faults);
         let log = String::from_utf8_lossy(&out.stderr);
         assert!(!out.status.success(), "{words}: {log}");
--- a/crates/director/tests/wire_format.rs
+++ b/crates/director/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! The bytes of all that goes over the wire, written out: messages of clients and their answers, lines of nodes,
-//! events of the control feed, calls between directors, and the line of the counters, which scripts read.
+//! The wire formats as literal bytes: messages of clients and the responses, lines to and from nodes, events of the discovery
+//! feed, calls between directors, and the counter line, which scripts read.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -37,7 +37,7 @@
     }
 }
 
-/// A request with every field, and one with those alone that must be there.
+/// A request with every field.
 const FULL: &str = "
     94 00 cd012c a8 72656164696e6773 92 89
     a3 726964 b0 39623166303361613563376532643431
@@ -50,7 +50,8 @@
     a5 746f6b656e b0 64303661363666306265363334316539
     a5 616761696e a1 31
     c4 04 626f6479";
-const LEAST: &str = "
+/// A request with the required fields only.
+const MINIMAL: &str = "
     94 00 07 a7 666f6f74616765 92 84
     a3 726964 b0 39623166303361613563376532643431
     a6 627564676574 a1 30
@@ -59,7 +60,7 @@
     c4 00";
 
 #[test]
-fn messages_of_clients() {
+fn client_messages() {
     let (names, limits) = (names(), limits());
     let read = |hex: &str| {
         let bytes = bytes(hex);
@@ -81,7 +82,7 @@
         is_client_retry: true,
     };
     assert_eq!(read(FULL), Message::Request { call: 300, fields: full, body: b"body" });
-    let least = RequestFields {
+    let minimal = RequestFields {
         request_id: *b"9b1f03aa5c7e2d41",
         class: 0,
         budget_ms: 0,
@@ -93,7 +94,7 @@
         idempotency_key: None,
         is_client_retry: false,
     };
-    assert_eq!(read(LEAST), Message::Request { call: 7, fields: least, body: b"" });
+    assert_eq!(read(MINIMAL), Message::Request { call: 7, fields: minimal, body: b"" });
     assert_eq!(read("94 00 08 a5 616c697665 91 80"), Message::HealthCheck { call: 8 });
     assert_eq!(read("93 02 ad 63616e63656c52657175657374 91 ceffffffff"), Message::Cancel { call: u32::MAX });
     assert_eq!(
@@ -101,14 +102,14 @@
         Message::PeerCall { call: 9, body: &[1, 2, 3] }
     );
     let Message::Unusable { call: 10, cause } = read("94 00 0a a6 636c69707379 92 80 c4 00") else {
-        panic!("a call that can't be used")
+        panic!("an unusable call")
     };
     assert_eq!(cause.to_string(), "unknown method");
 }
 
-/// What a client is told of a request that can't be used goes to the log, by the cause.
+/// The cause of an unusable request is logged; the client gets a plain error.
 #[test]
-fn causes_of_requests_that_cannot_be_used() {
+fn causes_of_unusable_requests() {
     let (names, limits) = (names(), limits());
     let cases = [
         ("a6 627564676574 a1 30", "a6 627564676574 a1 78", "a field is not a number"),
@@ -122,8 +123,8 @@
         ("a5 7069656365 a1 30", "07 a1 30", "a name or value is not a string"),
     ];
     for (from, to, cause) in cases {
-        assert!(LEAST.contains(from), "{from}");
-        let bytes = bytes(&LEAST.replacen(from, to, 1));
+        assert!(MINIMAL.contains(from), "{from}");
+        let bytes = bytes(&MINIMAL.replacen(from, to, 1));
         let (message, _) = rpc::decode(&bytes, &names, &limits).expect("a message");
         let Message::Unusable { call: 7, cause: read } = message else { panic!("{to}: {message:?}") };
         assert_eq!(read.to_string(), cause, "{to}");
@@ -131,7 +132,7 @@
 }
 
 #[test]
-fn answers_to_clients() {
+fn responses_to_clients() {
     let framed = |call, length, unchanged| {
         let frame = rpc::encode_success(call, length, unchanged);
         format!("{} {}", hex(&frame.before_body), hex(&frame.after_body))
@@ -164,7 +165,7 @@
 }
 
 #[test]
-fn heads_of_answers_of_nodes() {
+fn answer_heads_of_nodes() {
     const NAME: &str = "9b1f03aa5c7e2d41";
     let cases = [
         ("ACK - 5", Outcome::Success, None, None, false, 5),
@@ -254,7 +255,7 @@
     }
     assert_eq!(line(&asked(Some("t1"), None, 0), &bare, None, None), format!("{start},mine=t1 0\r\n"));
     assert_eq!(line(&asked(None, Some("m7"), 0), &bare, None, None), format!("{start},once=m7 0\r\n"));
-    // A millisecond at least is told.
+    // A node is given at least 1 ms.
     assert_eq!(
         node_protocol::pull_head(&plain, &bare, "footage", None, None).with_wait(0),
         b"PULL 9b1f03aa5c7e2d41 class=footage,key=00000000000000ff,part=3,wait=1 0\r\n"
@@ -268,7 +269,7 @@
 }
 
 #[test]
-fn events_of_members_and_purges() {
+fn endpoint_and_purge_events() {
     let text = r#"{"n": 12, "at_ms": 5, "members": {"index": 3, "snapshot": false, "endpoints": [
         {"name": "cache-a", "address": "127.0.0.1:11001", "zone": "edge", "type": "small", "group": 4,
          "status": "ready", "weight": 1, "since_ms": 1700000000123},
@@ -323,7 +324,7 @@
 }
 
 #[test]
-fn events_that_are_none_have_their_cause() {
+fn causes_of_invalid_events() {
     let endpoint = json!({"name": "a", "address": "127.0.0.1:1", "zone": "z", "type": "t", "group": 0,
         "status": "odd", "since_ms": 0});
     let odd = json!({"n": 4, "members": {"snapshot": true, "endpoints": [endpoint]}}).to_string();
@@ -346,20 +347,20 @@
 
 #[test]
 #[cfg(not(feature = "hierarchy"))]
-fn a_hierarchy_is_refused_by_a_program_without_them() {
+fn hierarchy_events_are_rejected_without_the_feature() {
     let cause = "event 9: a hierarchy, which this program was built without";
-    assert_eq!(event(HIERARCHY).expect_err("none can be"), cause);
+    assert_eq!(event(HIERARCHY).expect_err("rejected"), cause);
 }
 
 #[test]
 #[cfg(feature = "hierarchy")]
-fn a_hierarchy_is_read_by_a_program_with_them() {
-    // Its own form is the tests' of the hierarchy; here is the word by which an event names it.
+fn hierarchy_events_are_read_with_the_feature() {
+    // The hierarchy's tests cover the form of a hierarchy; this checks the key by which an event contains one.
     assert!(event(HIERARCHY).is_err_and(|e| e.starts_with("event 9: ") && !e.contains("neither")));
 }
 
 #[test]
-fn the_line_of_the_counters() {
+fn counter_line() {
     let counters = Counters {
         received: 1,
         succeeded: 2,
@@ -380,7 +381,7 @@
         ..Counters::default()
     };
     let mut counters = counters;
-    let ends = [
+    let outcomes = [
         Outcome::Success,
         Outcome::Miss,
         Outcome::Overloaded,
@@ -391,7 +392,7 @@
         Outcome::Cancelled,
         Outcome::NotSent,
     ];
-    for (i, outcome) in ends.into_iter().enumerate() {
+    for (i, outcome) in outcomes.into_iter().enumerate() {
         (0..=i).for_each(|_| counters.record_outcome(outcome));
     }
     assert_eq!(
