--- a/crates/director/src/wire/client_connection.rs
+++ b/crates/director/src/wire/client_connection.rs
@@ -156,7 +156,7 @@
         self.open_calls.values().for_each(|call| call.cancellation.cancel());
     }
 
-    /// Reads messages and passes them to the dispatcher, with at most `max_messages_per_turn` reads. Returns whether more
+    /// Reads messages and passes them to the dispatcher, in at most `max_messages_per_turn` steps. Returns whether more
     /// may be readable at once. Fails on bytes that are not a message, or after too many unusable messages.
     pub(super) fn read(
         &mut self,
--- a/crates/director/src/wire/node_connection.rs
+++ b/crates/director/src/wire/node_connection.rs
@@ -54,7 +54,7 @@
     /// When to try to connect again, if there is no stream.
     pub(super) next_connect_at: Ns,
     /// The loss to report if there is still no stream at the deadline.
-    pub(super) shortage_reason: ConnectionLoss,
+    pub(super) shortage_loss: ConnectionLoss,
     /// Whether the connection is known to be established.
     pub(super) is_up: bool,
     /// The time by which the connection must be established.
@@ -91,7 +91,7 @@
             address,
             stream: None,
             next_connect_at: 0,
-            shortage_reason: ConnectionLoss::LocalShortage,
+            shortage_loss: ConnectionLoss::LocalShortage,
             is_up: false,
             connect_deadline,
             queue: VecDeque::new(),
@@ -107,7 +107,7 @@
 
     /// The loss to report if the connection is not established by its deadline.
     pub(super) fn connect_failure(&self) -> ConnectionLoss {
-        if self.stream.is_none() { self.shortage_reason } else { ConnectionLoss::Unreachable }
+        if self.stream.is_none() { self.shortage_loss } else { ConnectionLoss::Unreachable }
     }
 
     /// Checks whether the connection is established or has failed.
@@ -197,7 +197,7 @@
         Ok(())
     }
 
-    /// Reads answers and passes complete ones to the dispatcher, with at most `max_messages_per_turn` reads. Returns
+    /// Reads answers and passes complete ones to the dispatcher, in at most `max_messages_per_turn` steps. Returns
     /// whether more may be readable at once. Bytes that are not a valid answer end the connection.
     pub(super) fn read(&mut self, shared: &SharedContext) -> Result<bool, CloseReason> {
         const BROKEN: CloseReason = CloseReason::Lost(ConnectionLoss::Broken);
--- a/crates/director/src/wire/node_connections.rs
+++ b/crates/director/src/wire/node_connections.rs
@@ -232,7 +232,7 @@
         match connected {
             Ok(stream) => connection.stream = Some(stream),
             Err(e) if is_local_shortage(&e) => {
-                connection.shortage_reason = if is_network_trouble(&e) {
+                connection.shortage_loss = if is_network_trouble(&e) {
                     ConnectionLoss::Unreachable
                 } else {
                     ConnectionLoss::LocalShortage
--- a/crates/director/tests/codec.rs
+++ b/crates/director/tests/codec.rs
@@ -99,7 +99,7 @@
     let mut no_body = request_bytes("footage", &FIELDS, b"");
     no_body.truncate(no_body.len() - 2);
     no_body.push(0xc0);
-    let unfit = [
+    let unusable = [
         request_bytes("other", &FIELDS, b""),
         with("rid", "9b1f"),
         with("rid", "9B1F03AA5C7E2D41"),
@@ -127,7 +127,7 @@
         no_body,
         vec![0x94, 0, 7, 0xa7, b'f', b'o', b'o', b't', b'a', b'g', b'e', 0x91, 0x80],
     ];
-    for (i, bytes) in unfit.iter().enumerate() {
+    for (i, bytes) in unusable.iter().enumerate() {
         let read = rpc::decode(bytes, &names, &limits);
         assert!(
             matches!(read, Ok((Message::Unusable { call: 7, .. }, n)) if n == bytes.len()),
@@ -135,7 +135,7 @@
         );
     }
     let deep: Vec<u8> = std::iter::repeat_n(0x91, 40).collect();
-    let ends: [&[u8]; 9] = [
+    let invalid: [&[u8]; 9] = [
         &[0xc1],
         &[0x07],
         &[0x93, 2, 0xa1, b'x'],
@@ -146,7 +146,7 @@
         &[0xdd, 0xff, 0xff, 0xff, 0xff],
         &deep,
     ];
-    for bytes in ends {
+    for bytes in invalid {
         let read = rpc::decode(bytes, &names, &limits);
         // All cases are invalid, except one that is only incomplete.
         let is_rejected = matches!(read, Err(DecodeError::Invalid(_))) || bytes == [0x93, 2, 0xa1, b'x'];
@@ -216,7 +216,7 @@
 
 #[test]
 fn every_field_of_an_attempt_is_written() {
-    let room = MemoryBudget::new(100);
+    let memory_budget = MemoryBudget::new(100);
     let incoming = |tag: Option<&str>| IncomingRequest {
         client: 1,
         call: CallId { number: 7, generation: 0 },
@@ -230,7 +230,7 @@
         client_tag: tag.map(Into::into),
         idempotency_key: tag.map(|_| "m7".into()),
         is_client_retry: false,
-        body: room.allocate_body(2).expect("room").into(),
+        body: memory_budget.allocate_body(2).expect("room").into(),
         arrived_at: 0,
         budget: 0,
     };
@@ -246,9 +246,9 @@
     };
     let full = AttemptSpec { max_age: Some(1), coalesce: true, refresh: true, retention_rank: 2, ..bare };
     let start = "PULL 9b1f03aa5c7e2d41 class=footage,key=00000000000000ff,part=3,wait=1500";
-    let line = |request: &IncomingRequest, send: &AttemptSpec, source| {
+    let line = |request: &IncomingRequest, spec: &AttemptSpec, source| {
         String::from_utf8(
-            node_protocol::pull_head(request, send, "footage", source, None).with_wait(send.timeout),
+            node_protocol::pull_head(request, spec, "footage", source, None).with_wait(spec.timeout),
         )
         .expect("text")
     };
@@ -263,11 +263,11 @@
 /// The names of the primary and the source of each of 40 objects, at the director with this index. Its endpoint list has
 /// this order and addresses of its own.
 fn primaries(number: usize, order: impl Iterator<Item = usize>) -> Vec<(String, String)> {
-    let config = Config::parse(SAMPLE).expect("the sample is good");
-    let (common, _) = SharedContext::new(config.names, limits());
-    let now = common.clock.now();
-    let (_links, orders) = NodeConnectionServer::new(&common).expect("polls");
-    let mut nodes = NodePool::new(orders, common);
+    let config = Config::parse(SAMPLE).expect("the sample is valid");
+    let (shared, _) = SharedContext::new(config.names, limits());
+    let now = shared.clock.now();
+    let (_server, commands) = NodeConnectionServer::new(&shared).expect("polls");
+    let mut nodes = NodePool::new(commands, shared);
     let member = |i: usize| Endpoint {
         name: format!("s-{:08x}", i * 0x0135_79bd),
         address: SocketAddr::from(([127, number as u8, 0, i as u8], 10_080)),
@@ -293,9 +293,9 @@
             is_write: false,
             attempts: Vec::new(),
         };
-        let RouteDecision::Attempt(send) = router.route(now, &request) else { panic!("not sent") };
+        let RouteDecision::Attempt(spec) = router.route(now, &request) else { panic!("no attempt") };
         let name = |node| nodes.name(node).to_owned();
-        (name(send.node), send.source.map(name).unwrap_or_default())
+        (name(spec.node), spec.source.map(name).unwrap_or_default())
     };
     (0..40).map(primary).collect()
 }
@@ -312,18 +312,18 @@
 
 #[test]
 fn memory_for_bodies_is_bounded() {
-    let room = MemoryBudget::new(10);
-    let first = room.allocate_body(6).expect("room");
-    assert!(room.allocate_body(5).is_none() && room.allocate_body(usize::MAX).is_none());
-    let second = room.allocate_body(4).expect("room");
+    let budget = MemoryBudget::new(10);
+    let first = budget.allocate_body(6).expect("room");
+    assert!(budget.allocate_body(5).is_none() && budget.allocate_body(usize::MAX).is_none());
+    let second = budget.allocate_body(4).expect("room");
     drop(first);
-    assert!(room.allocate_body(6).is_some() && room.allocate_body(7).is_none());
+    assert!(budget.allocate_body(6).is_some() && budget.allocate_body(7).is_none());
     drop(second);
 }
 
 #[test]
 fn an_invalid_configuration_is_reported_with_its_key() {
-    let config = Config::parse(SAMPLE).expect("the sample is good");
+    let config = Config::parse(SAMPLE).expect("the sample is valid");
     assert_eq!((config.settings.zone, config.names.classes.len()), (1, 2));
     assert_eq!(config.names.zones, HashMap::from([("hub".into(), 0), ("edge".into(), 1)]));
     let cases = [
@@ -369,7 +369,7 @@
 /// values of another type or far out of range. Either the start fails with the key, or the router works with the settings.
 #[test]
 fn missing_unknown_or_extreme_settings_are_rejected_by_key_or_work() {
-    let sample: Value = serde_json::from_str(SAMPLE).expect("the sample is good");
+    let sample: Value = serde_json::from_str(SAMPLE).expect("the sample is valid");
     let mut paths = Vec::new();
     leaves(&sample["settings"], "/settings".into(), &mut paths);
     let changes: [Option<Value>; 7] = [
@@ -406,11 +406,11 @@
                 Ok(config) => config,
             };
             served += 1;
-            let kinds = config.settings.request_classes.len();
-            let (common, _) = SharedContext::new(config.names, config.limits);
-            let (now, longest) = (common.clock.now(), common.limits.max_budget);
-            let (_links, orders) = NodeConnectionServer::new(&common).expect("polls");
-            let mut nodes = NodePool::new(orders, common);
+            let class_count = config.settings.request_classes.len();
+            let (shared, _) = SharedContext::new(config.names, config.limits);
+            let (now, longest) = (shared.clock.now(), shared.limits.max_budget);
+            let (_server, commands) = NodeConnectionServer::new(&shared).expect("polls");
+            let mut nodes = NodePool::new(commands, shared);
             let mut router = Router::new(config.settings, 1, now);
             for event in config.known.events {
                 if let DiscoveryEvent::Endpoints { endpoints, is_snapshot } = event.event {
@@ -422,12 +422,12 @@
                 }
             }
             router.record_purge(now, Some(3), 0, 0);
-            for (kind, object) in (0..kinds).flat_map(|k| [(k, 1), (k, 3)]) {
+            for (class, object) in (0..class_count).flat_map(|class| [(class, 1), (class, 3)]) {
                 let mut request = router_request(object, now, now + longest);
-                request.class = kind;
+                request.class = class;
                 for later in [0, 1, 500_000_000] {
-                    if let RouteDecision::Attempt(send) = router.route(now + later, &request) {
-                        let AttemptSpec { node, source, .. } = send;
+                    if let RouteDecision::Attempt(spec) = router.route(now + later, &request) {
+                        let AttemptSpec { node, source, .. } = spec;
                         request.attempts.push(Attempt { node, source, sent_at: now + later, outcome: None });
                         router.next_check(now + later, &request);
                         request.attempts.last_mut().expect("sent").outcome = Some(Outcome::Error);
@@ -439,14 +439,14 @@
     }
     assert!(refused > 100 && served > 50, "{refused} refused, {served} served");
     // The order of the request classes does not matter if the lists per class have the same order.
-    let mut turned = sample.clone();
+    let mut reordered = sample.clone();
     let lists =
         ["/classes", "/extra/freshForUs", "/extra/usableAfterUs", "/extra/multiPart", "/extra/neverKept"];
     for list in lists {
-        let list = turned["settings"].pointer_mut(list).and_then(Value::as_array_mut).expect("a list");
+        let list = reordered["settings"].pointer_mut(list).and_then(Value::as_array_mut).expect("a list");
         list.reverse();
     }
-    let [first, other] = [&sample, &turned].map(|s| Config::parse(&s.to_string()).expect("good"));
+    let [first, other] = [&sample, &reordered].map(|s| Config::parse(&s.to_string()).expect("valid"));
     let named = |c: &Config, name: &str| {
         let at = c.names.classes.iter().position(|k| k == name).expect("named");
         c.settings.request_classes[at].clone()
@@ -456,32 +456,32 @@
     }
     // Zone names may contain any characters.
     let spaced = SAMPLE.replace("\"edge\"", "\"north, by sea\"");
-    assert_eq!(Config::parse(&spaced).expect("good").names.zones["north, by sea"], 1);
+    assert_eq!(Config::parse(&spaced).expect("valid").names.zones["north, by sea"], 1);
 }
 
 fn router_request(object: u64, arrived: u64, deadline: u64) -> Request {
-    let (part, group, kind, size_kb) = (0, 0, 0, 10.0);
-    let (repeat, write, sends) = (false, false, Vec::new());
+    let (part, group, class, size_kb) = (0, 0, 0, 10.0);
+    let (is_client_retry, is_write, attempts) = (false, false, Vec::new());
     Request {
         object,
         part,
         group,
-        class: kind,
+        class,
         size_kb,
         arrived_at: arrived,
         deadline,
-        is_client_retry: repeat,
-        is_write: write,
-        attempts: sends,
+        is_client_retry,
+        is_write,
+        attempts,
     }
 }
 
 #[test]
 fn the_index_of_a_node_that_is_gone_is_reused() {
-    let config = Config::parse(SAMPLE).expect("the sample is good");
-    let (common, _) = SharedContext::new(config.names, limits());
-    let (_links, orders) = NodeConnectionServer::new(&common).expect("polls");
-    let mut nodes = NodePool::new(orders, common);
+    let config = Config::parse(SAMPLE).expect("the sample is valid");
+    let (shared, _) = SharedContext::new(config.names, limits());
+    let (_server, commands) = NodeConnectionServer::new(&shared).expect("polls");
+    let mut nodes = NodePool::new(commands, shared);
     let mut list = |name: &str, state, oldest, next| {
         let member = Endpoint {
             name: name.into(),
--- a/crates/director/tests/collisions.rs
+++ b/crates/director/tests/collisions.rs
@@ -33,7 +33,7 @@
     std::thread::sleep(Duration::from_millis(1_000));
     let stream = delayed_node.accept_waiting();
     let mut line = String::new();
-    BufReader::new(&stream).read_line(&mut line).expect("a send");
+    BufReader::new(&stream).read_line(&mut line).expect("an attempt");
     let left = 3_000 - start.elapsed().as_millis() as u64;
     assert!(wait_field(&line) <= left + WAIT_TOLERANCE_MS, "{line} with {left} ms left");
 }
@@ -70,7 +70,7 @@
     assert!(slow.is_healthy());
     slow.write(first);
     let mut others: Vec<Client> = (0..40).map(|_| harness.client()).collect();
-    others.iter_mut().skip(20).for_each(|c| assert!(c.is_healthy()));
+    others.iter_mut().skip(20).for_each(|client| assert!(client.is_healthy()));
     slow.write(rest);
     harness.cache.expect_pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"owed");
     slow.assert_success(1, b"owed");
@@ -106,7 +106,7 @@
         requests.extend([0x94, 0, 0xcc, call as u8]);
         requests.extend(b"\xa5alive\x91\x80");
     }
-    clients.iter_mut().for_each(|c| c.write(&requests));
+    clients.iter_mut().for_each(|client| client.write(&requests));
     harness.signal("CONT");
     for (number, client) in clients.iter_mut().enumerate() {
         let mut left = EACH;
@@ -119,8 +119,8 @@
     drop(clients);
     let mut harness = harness;
     let start = Instant::now();
-    while harness.child.try_wait().expect("asked").is_none() {
-        assert!(start.elapsed() < LONG_TIMEOUT, "it ends");
+    while harness.child.try_wait().expect("waited").is_none() {
+        assert!(start.elapsed() < LONG_TIMEOUT, "the program has not ended");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -176,7 +176,7 @@
         // Each signal writes to a log that is not read.
         (0..300).filter(|_| began).for_each(|_| signal(child.id(), "USR1"));
         let serves = alive_within(at, Duration::from_secs(3));
-        let ended = child.try_wait().expect("asked");
+        let ended = child.try_wait().expect("waited");
         let _ = child.kill();
         let _ = child.wait();
         std::fs::remove_file(&path).expect("removed");
@@ -216,7 +216,7 @@
     std::thread::sleep(Duration::from_millis(200));
     signal(child.id(), "HUP");
     std::thread::sleep(Duration::from_millis(100));
-    let ended = child.try_wait().expect("asked");
+    let ended = child.try_wait().expect("waited");
     if ended.is_none() {
         std::fs::write(&path, SAMPLE.replace("127.0.0.1:10080", &at.to_string())).expect("written");
     }
@@ -257,7 +257,9 @@
             client.send_request(1 + number as u8, 0x100 + number as u64, 2_000);
         }
         if round % 2 == 0 {
-            clients.iter().for_each(|c| SockRef::from(&c.0).set_linger(Some(Duration::ZERO)).expect("set"));
+            clients
+                .iter()
+                .for_each(|client| SockRef::from(&client.0).set_linger(Some(Duration::ZERO)).expect("set"));
         }
         drop(clients);
         std::thread::sleep(Duration::from_millis(250));
--- a/crates/director/tests/coordination.rs
+++ b/crates/director/tests/coordination.rs
@@ -161,8 +161,8 @@
         .collect();
     let holder = |role: u16| {
         (0..3).find_map(|n| {
-            let own = status(at[n])?.roles.iter().find(|d| d.role == role)?.own_lease?;
-            Some((n, own.token.term))
+            let lease = status(at[n])?.roles.iter().find(|d| d.role == role)?.own_lease?;
+            Some((n, lease.token.term))
         })
     };
     let (first, term) = wait_for("there is a holder", || holder(1));
@@ -195,8 +195,8 @@
         .collect();
     let holder = || {
         (0..4).find_map(|n| {
-            let own = status(at[n])?.roles.iter().find(|d| d.role == 0)?.own_lease?;
-            Some((n, own.token.term))
+            let lease = status(at[n])?.roles.iter().find(|d| d.role == 0)?.own_lease?;
+            Some((n, lease.token.term))
         })
     };
     let (first, _) = wait_for("there is an assigner", holder);
--- a/crates/director/tests/coordination_settings_format.rs
+++ b/crates/director/tests/coordination_settings_format.rs
@@ -140,8 +140,8 @@
     };
     assert_eq!(tag.to_string(), "a1-b2-c3-d4");
     assert_eq!("a1-b2-c3-d4".parse(), Ok(tag));
-    for odd in ["", "a1-b2-c3", "a1-b2-c3-x", "a1-100000000-c3-d4"] {
-        assert_eq!(odd.parse::<HealthCheckTag>(), Err(InvalidTag), "{odd}");
+    for invalid in ["", "a1-b2-c3", "a1-b2-c3-x", "a1-100000000-c3-d4"] {
+        assert_eq!(invalid.parse::<HealthCheckTag>(), Err(InvalidTag), "{invalid}");
     }
 }
 
@@ -153,9 +153,9 @@
         let (mut stream, _) = listener.accept().expect("called");
         // An array of four: the message type, the call number, the method, and an empty field map with the body.
         let call = b"\x94\x00\x01\xa4duty\x92\x80\xc4\x0a\x92\x92\x07\x08\x91\xa4Show";
-        let mut came = vec![0; call.len()];
-        stream.read_exact(&mut came).expect("a call");
-        assert_eq!(came.escape_ascii().to_string(), call.escape_ascii().to_string());
+        let mut received = vec![0; call.len()];
+        stream.read_exact(&mut received).expect("a call");
+        assert_eq!(received.escape_ascii().to_string(), call.escape_ascii().to_string());
         let body = b"\x91\x81\xa9HandsOver\x92\x01\xc3";
         stream.write_all(b"\x94\x01\x01\xc0\x92\xc4").expect("answered");
         stream.write_all(&[body.len() as u8]).expect("answered");
--- a/crates/director/tests/crossings.rs
+++ b/crates/director/tests/crossings.rs
@@ -69,17 +69,17 @@
     let mut client = harness.client();
     client.send_request(1, 0x77, 4_000);
     let NodeMessage { line, mut stream, .. } = harness.cache.expect_pull();
-    let name = line.split(' ').nth(1).expect("a name");
+    let request_id = line.split(' ').nth(1).expect("a request id");
     // The director is stopped, so that it sees the answer and the reset at the same time.
     harness.signal("STOP");
-    let answer = format!("{name} ACK how=HIT,entity=t1,issued=1 5\r\nwhole\r\n");
+    let answer = format!("{request_id} ACK how=HIT,entity=t1,issued=1 5\r\nwhole\r\n");
     (&*stream).write_all(answer.as_bytes()).expect("written");
     SockRef::from(&*stream).set_linger(Some(Duration::ZERO)).expect("set");
     SockRef::from(&*stream).shutdown(std::net::Shutdown::Read).expect("shut");
     assert_eq!(harness.cache.next_message().line, "closed");
     let start = Instant::now();
     while Arc::get_mut(&mut stream).is_none() {
-        assert!(start.elapsed() < LONG_TIMEOUT, "its reader ends");
+        assert!(start.elapsed() < LONG_TIMEOUT, "the reader has not ended");
     }
     drop(stream);
     harness.signal("CONT");
@@ -103,12 +103,12 @@
 fn stop_and_read_connection(harness: Harness, delayed_node: &DelayedNodeStub) -> String {
     std::thread::scope(|scope| {
         let mut stream = delayed_node.accept_waiting();
-        let came = scope.spawn(move || {
-            let mut came = String::new();
-            stream.read_to_string(&mut came).map(|_| came).expect("closed")
+        let received = scope.spawn(move || {
+            let mut received = String::new();
+            stream.read_to_string(&mut received).map(|_| received).expect("closed")
         });
         assert_stops(harness);
-        came.join().expect("read")
+        received.join().expect("read")
     })
 }
 
@@ -116,8 +116,8 @@
 fn assert_stops(mut harness: Harness) {
     harness.signal("TERM");
     let start = Instant::now();
-    while harness.child.try_wait().expect("asked").is_none() {
-        assert!(start.elapsed() < LONG_TIMEOUT, "it ends");
+    while harness.child.try_wait().expect("waited").is_none() {
+        assert!(start.elapsed() < LONG_TIMEOUT, "the program has not ended");
         std::thread::sleep(Duration::from_millis(5));
     }
     assert!(harness.child.wait().expect("ends").success());
@@ -128,34 +128,34 @@
     let delayed_node = DelayedNodeStub::start();
     let harness = Harness::with_config(|config| with_delayed_node(&config, "cache-a", &delayed_node));
     // A partial message, and a request whose attempt waits for a connection.
-    let (mut half, mut waits) = (harness.client(), harness.client());
-    half.write(&[0x94, 0, 1, 0xa5, b'a', b'l']);
-    waits.send_request(1, 0x77, 5_000);
+    let (mut partial_client, mut queued_client) = (harness.client(), harness.client());
+    partial_client.write(&[0x94, 0, 1, 0xa5, b'a', b'l']);
+    queued_client.send_request(1, 0x77, 5_000);
     harness.wait_for_counter("sends", 1);
     harness.reload();
     harness.signal("TERM");
     harness.wait_for_log("stopping in_flight=1");
-    half.write(b"ive\x91\x80");
-    assert_eq!(half.read_response(), (1, Response::Health(false)));
+    partial_client.write(b"ive\x91\x80");
+    assert_eq!(partial_client.read_response(), (1, Response::Health(false)));
     // An idle connection is closed once no more are accepted, although the other request is still open.
-    half.assert_closed();
+    partial_client.assert_closed();
     let mut stream = delayed_node.accept_waiting();
     let mut line = vec![0; 21];
-    stream.read_exact(&mut line).expect("a send");
-    let name = String::from_utf8_lossy(&line[5..]).into_owned();
+    stream.read_exact(&mut line).expect("an attempt");
+    let request_id = String::from_utf8_lossy(&line[5..]).into_owned();
     let body = vec![7; 240_000];
-    let head = format!("{name} ACK how=HIT,entity=t1,issued=1 {}\r\n", body.len());
+    let head = format!("{request_id} ACK how=HIT,entity=t1,issued=1 {}\r\n", body.len());
     stream.write_all(&[head.as_bytes(), &body, b"\r\n"].concat()).expect("written");
-    waits.assert_success(1, &body);
-    waits.assert_closed();
+    queued_client.assert_success(1, &body);
+    queued_client.assert_closed();
     assert_stops(harness);
 }
 
 #[test]
 fn shutdown_waits_for_responses_that_are_read_slowly() {
     let harness = Harness::start();
-    let (mut client, mut half) = (harness.client(), harness.client());
-    let delayed_node = request_bytes(9, 0x99, 3_000, &[]);
+    let (mut client, mut partial_client) = (harness.client(), harness.client());
+    let late_request = request_bytes(9, 0x99, 3_000, &[]);
     SockRef::from(&client.0).set_recv_buffer_size(4_096).expect("set");
     let body = vec![7; 240_000];
     for call in 1..=4 {
@@ -164,12 +164,12 @@
     }
     harness.wait_for_counter("satisfied", 4);
     // Another client sends a partial request, the rest of which follows after the signal.
-    half.write(&delayed_node[..20]);
+    partial_client.write(&late_request[..20]);
     harness.signal("TERM");
     harness.wait_for_log("stopping");
-    half.write(&delayed_node[20..]);
+    partial_client.write(&late_request[20..]);
     harness.cache.expect_pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"owed too");
-    half.assert_success(9, b"owed too");
+    partial_client.assert_success(9, b"owed too");
     for _ in 0..4 {
         assert!(client.read_response().1 == Response::Success(body.clone(), vec![]));
     }
@@ -182,18 +182,18 @@
 #[test]
 fn a_request_on_a_connection_chosen_for_eviction_is_answered() {
     let harness = Harness::with_config(|config| config.replace("\"sockets\": 1024", "\"sockets\": 64"));
-    let mut resting: Vec<Client> = (0..29).map(|_| harness.client()).collect();
-    assert!(resting.iter_mut().all(Client::is_healthy));
+    let mut idle_clients: Vec<Client> = (0..29).map(|_| harness.client()).collect();
+    assert!(idle_clients.iter_mut().all(Client::is_healthy));
     harness.signal("STOP");
     harness.signal("HUP");
-    resting[0].send_request(1, 0x77, 4_000);
+    idle_clients[0].send_request(1, 0x77, 4_000);
     let mut new: Vec<Client> = (0..3).map(|_| harness.client()).collect();
     harness.signal("CONT");
     harness.cache.expect_pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"owed");
-    resting[0].assert_success(1, b"owed");
+    idle_clients[0].assert_success(1, b"owed");
     assert!(new.iter_mut().all(Client::is_healthy));
     // The evicted connections were closed without a reset.
-    for client in &mut resting[1..4] {
+    for client in &mut idle_clients[1..4] {
         assert_eq!(client.0.read(&mut [0; 8]).expect("no reset"), 0);
     }
     assert_eq!(harness.current_counters()["made_room"], 3);
@@ -221,14 +221,14 @@
     type Leave = fn(Client);
     let ways_to_leave: [Leave; 3] = [
         drop,
-        |c| {
-            SockRef::from(&c.0).set_linger(Some(Duration::ZERO)).expect("set");
-            drop(c);
+        |client| {
+            SockRef::from(&client.0).set_linger(Some(Duration::ZERO)).expect("set");
+            drop(client);
         },
-        |mut c| {
-            c.write(b"\x93\x02\xadcancelRequest\x91\x01");
+        |mut client| {
+            client.write(b"\x93\x02\xadcancelRequest\x91\x01");
             // The connection stays open until the program ends.
-            std::thread::spawn(move || c.0.read(&mut [0; 8]));
+            std::thread::spawn(move || client.0.read(&mut [0; 8]));
         },
     ];
     for leave in ways_to_leave {
@@ -290,13 +290,13 @@
     }
     let mut good = harness.client();
     good.send_request(1, 0x99, 4_000);
-    let own = loop {
-        let told = harness.cache.next_message();
-        if told.line.contains("key=0000000000000099") {
-            break told;
+    let pull = loop {
+        let message = harness.cache.next_message();
+        if message.line.contains("key=0000000000000099") {
+            break message;
         }
     };
-    own.answer("ACK", "how=HIT,entity=t1,issued=1", b"good");
+    pull.answer("ACK", "how=HIT,entity=t1,issued=1", b"good");
     good.assert_success(1, b"good");
     let start = Instant::now();
     let left = loop {
@@ -379,9 +379,10 @@
         // The attempt uses a new connection, or another node if it had been handed to the connection that ended.
         let start = Instant::now();
         let again = loop {
-            let told = [&harness.cache, &harness.parent].into_iter().find_map(|n| n.messages.try_recv().ok());
-            match told.filter(|t| t.line.starts_with("PULL ")) {
-                Some(told) => break told,
+            let message =
+                [&harness.cache, &harness.parent].into_iter().find_map(|n| n.messages.try_recv().ok());
+            match message.filter(|message| message.line.starts_with("PULL ")) {
+                Some(message) => break message,
                 None => assert!(start.elapsed() < LONG_TIMEOUT, "sent again"),
             }
         };
--- a/crates/director/tests/help/mod.rs
+++ b/crates/director/tests/help/mod.rs
@@ -36,8 +36,8 @@
 }
 
 /// The configuration with a delayed node in place of one of its nodes, and a connect timeout of 4 s to wait for it.
-pub(crate) fn with_delayed_node(config: &str, node: &str, late: &DelayedNodeStub) -> String {
-    with_node_address(config, node, late.address)
+pub(crate) fn with_delayed_node(config: &str, node: &str, delayed_node: &DelayedNodeStub) -> String {
+    with_node_address(config, node, delayed_node.address)
         .replace("\"dialTimeoutUs\": 400000", "\"dialTimeoutUs\": 4000000")
 }
 
@@ -50,7 +50,7 @@
 
 impl NodeMessage {
     pub(crate) fn request_id(&self) -> &str {
-        self.line.split(' ').nth(1).expect("a name")
+        self.line.split(' ').nth(1).expect("a request id")
     }
 
     pub(crate) fn field(&self, name: &str) -> Option<&str> {
@@ -62,8 +62,8 @@
         (&*self.stream).write_all(bytes).expect("written");
     }
 
-    pub(crate) fn answer(&self, word: &str, fields: &str, body: &[u8]) {
-        self.write(format!("{} {word} {fields} {}\r\n", self.request_id(), body.len()).as_bytes());
+    pub(crate) fn answer(&self, status: &str, fields: &str, body: &[u8]) {
+        self.write(format!("{} {status} {fields} {}\r\n", self.request_id(), body.len()).as_bytes());
         self.write(body);
         self.write(b"\r\n");
     }
@@ -276,16 +276,16 @@
     }
 
     /// Starts the director with a changed sample configuration and further environment variables.
-    pub(crate) fn with_config_and_env(change: impl Fn(String) -> String, more: &[(&str, &OsStr)]) -> Harness {
+    pub(crate) fn with_config_and_env(change: impl Fn(String) -> String, env: &[(&str, &OsStr)]) -> Harness {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let (cache, parent, origin) = (NodeStub::start(), NodeStub::start(), NodeStub::start());
         let feed = FeedStub(TcpListener::bind("127.0.0.1:0").expect("bound"));
-        let at = feed.0.local_addr().expect("bound");
+        let feed_address = feed.0.local_addr().expect("bound");
         let config = SAMPLE
             .replace("127.0.0.1:11001", &cache.address.to_string())
             .replace("127.0.0.1:11002", &parent.address.to_string())
             .replace("127.0.0.1:11003", &origin.address.to_string())
-            .replace("127.0.0.1:7070", &at.to_string())
+            .replace("127.0.0.1:7070", &feed_address.to_string())
             .replace("127.0.0.1:10080", "127.0.0.1:0")
             // Prevents hedged attempts, which a busy test machine could cause otherwise.
             .replace("\"aimUs\": 300000", "\"aimUs\": 3000000");
@@ -294,17 +294,18 @@
         std::fs::write(&path, change(config)).expect("written");
         let mut child = Command::new(env!("CARGO_BIN_EXE_sablecross-director"))
             .env("NODE_CONFIG", &path)
-            .envs(more.iter().copied())
+            .envs(env.iter().copied())
             .stderr(Stdio::piped())
             .spawn()
             .expect("starts");
         let (line, log) = channel();
         let stderr = BufReader::new(child.stderr.take().expect("piped"));
         thread::spawn(move || stderr.lines().map_while(Result::ok).all(|l| line.send(l).is_ok()));
-        let mut world = Harness { cache, parent, feed, child, config_path: path, address: at, log };
-        let serving = world.wait_for_log("serving ");
-        world.address = serving.rsplit('=').next().and_then(|a| a.parse().ok()).expect("an address");
-        world
+        let mut harness =
+            Harness { cache, parent, feed, child, config_path: path, address: feed_address, log };
+        let serving = harness.wait_for_log("serving ");
+        harness.address = serving.rsplit('=').next().and_then(|a| a.parse().ok()).expect("an address");
+        harness
     }
 
     /// The next log line that contains these words.
@@ -376,16 +377,16 @@
 }
 
 pub(crate) fn signal(process: u32, name: &str) {
-    let done = Command::new("kill").args(["-s", name, &process.to_string()]).status().expect("signalled");
-    assert!(done.success());
+    let status = Command::new("kill").args(["-s", name, &process.to_string()]).status().expect("signalled");
+    assert!(status.success());
 }
 
-/// An encoded request with these further fields.
-pub(crate) fn request_bytes(call: u8, object: u64, budget_ms: u64, more: &[(&str, &str)]) -> Vec<u8> {
-    let (name, budget) = (format!("{:08x}{object:08x}", u32::from(call)), budget_ms.to_string());
+/// An encoded request with these additional fields.
+pub(crate) fn request_bytes(call: u8, object: u64, budget_ms: u64, extra_fields: &[(&str, &str)]) -> Vec<u8> {
+    let (request_id, budget) = (format!("{:08x}{object:08x}", u32::from(call)), budget_ms.to_string());
     let object = format!("{object:016x}");
-    let mut fields = vec![("rid", &*name), ("budget", &*budget), ("obj", &*object), ("piece", "0")];
-    fields.extend([("lot", "17"), ("mem", "10.5")].iter().chain(more));
+    let mut fields = vec![("rid", &*request_id), ("budget", &*budget), ("obj", &*object), ("piece", "0")];
+    fields.extend([("lot", "17"), ("mem", "10.5")].iter().chain(extra_fields));
     let mut out = vec![0x94, 0, 0xcc, call];
     rmp::encode::write_str(&mut out, "footage").expect("written");
     out.push(0x92);
@@ -415,8 +416,14 @@
         self.send_request_with(call, object, budget_ms, &[]);
     }
 
-    pub(crate) fn send_request_with(&mut self, call: u8, object: u64, budget_ms: u64, more: &[(&str, &str)]) {
-        self.write(&request_bytes(call, object, budget_ms, more));
+    pub(crate) fn send_request_with(
+        &mut self,
+        call: u8,
+        object: u64,
+        budget_ms: u64,
+        extra_fields: &[(&str, &str)],
+    ) {
+        self.write(&request_bytes(call, object, budget_ms, extra_fields));
     }
 
     pub(crate) fn is_healthy(&mut self) -> bool {
@@ -425,10 +432,10 @@
     }
 
     pub(crate) fn read_string(&mut self) -> String {
-        let length = decode::read_str_len(&mut self.0).expect("a text");
+        let length = decode::read_str_len(&mut self.0).expect("a string");
         let mut text = vec![0; length as usize];
-        self.0.read_exact(&mut text).expect("a text");
-        String::from_utf8(text).expect("a text")
+        self.0.read_exact(&mut text).expect("a string");
+        String::from_utf8(text).expect("a string")
     }
 
     pub(crate) fn read_fields(&mut self) -> Vec<(String, String)> {
@@ -437,15 +444,15 @@
     }
 
     pub(crate) fn read_response(&mut self) -> (u8, Response) {
-        assert_eq!(decode::read_array_len(&mut self.0).expect("an answer"), 4);
+        assert_eq!(decode::read_array_len(&mut self.0).expect("a response"), 4);
         assert_eq!(decode::read_int::<u8, _>(&mut self.0).expect("a type"), 1);
         let call = decode::read_int(&mut self.0).expect("a call");
         let mut first = [0; 1];
         self.0.read_exact(&mut first).expect("an error or nil");
         if first == [0x92] {
-            let answer = Response::Error(self.read_string(), self.read_fields());
+            let response = Response::Error(self.read_string(), self.read_fields());
             decode::read_nil(&mut self.0).expect("nil");
-            return (call, answer);
+            return (call, response);
         }
         assert_eq!((first, decode::read_array_len(&mut self.0).expect("a result")), ([0xc0], 2));
         self.0.read_exact(&mut first).expect("a result");
@@ -467,15 +474,15 @@
     }
 
     pub(crate) fn assert_rejected(&mut self) -> u8 {
-        let (call, answer) = self.read_response();
-        assert!(matches!(&answer, Response::Error(word, _) if word == "Rejected"), "{answer:?}");
+        let (call, response) = self.read_response();
+        assert!(matches!(&response, Response::Error(word, _) if word == "Rejected"), "{response:?}");
         call
     }
 
     pub(crate) fn assert_success(&mut self, call: u8, body: &[u8]) {
-        let (answered, answer) = self.read_response();
-        assert_eq!(answered, call);
-        assert!(answer == Response::Success(body.to_vec(), vec![]), "call {call} has other bytes");
+        let (answered_call, response) = self.read_response();
+        assert_eq!(answered_call, call);
+        assert!(response == Response::Success(body.to_vec(), vec![]), "call {call} got another response");
     }
 
     /// Checks that the connection ends without further bytes.
--- a/crates/director/tests/settings_format.rs
+++ b/crates/director/tests/settings_format.rs
@@ -14,7 +14,7 @@
 
 /// The sample with the value at a JSON pointer replaced or removed.
 fn changed(place: &str, to: &str) -> String {
-    let mut all: Value = serde_json::from_str(SAMPLE).expect("the sample is good");
+    let mut all: Value = serde_json::from_str(SAMPLE).expect("the sample is valid");
     let (above, key) = place.rsplit_once('/').expect("a place");
     let key = key.replace("~1", "/");
     match (all.pointer_mut(above).expect(place), to) {
@@ -38,7 +38,7 @@
 
 #[test]
 fn the_sample_configuration_loads_to_these_values() {
-    let config = Config::parse(SAMPLE).expect("the sample is good");
+    let config = Config::parse(SAMPLE).expect("the sample is valid");
     assert_eq!((config.name.as_str(), config.seed), ("sample", 0x6e1f_0c27_a4d5_9b83));
     assert_eq!(config.listen.to_string(), "127.0.0.1:10080");
     assert_eq!(config.feeds.iter().map(ToString::to_string).collect::<Vec<_>>(), ["127.0.0.1:7070"]);
@@ -126,7 +126,7 @@
     let text = SAMPLE
         .replace("\"feed\": ", "\"feeds\": [\"127.0.0.1:1\", \"[::1]:2\"], \"feed\": ")
         .replace("\"known\": {\"n\": 1,", "\"known\": {\"n\": 41,");
-    let config = Config::parse(&text).expect("good");
+    let config = Config::parse(&text).expect("valid");
     let feeds: Vec<_> = config.feeds.iter().map(ToString::to_string).collect();
     assert_eq!(feeds, ["127.0.0.1:7070", "127.0.0.1:1", "[::1]:2"]);
     assert_eq!((config.known.last, config.known.events.len()), (41, 1));
--- a/crates/director/tests/sockets.rs
+++ b/crates/director/tests/sockets.rs
@@ -223,13 +223,13 @@
     bad.send_request_with(8, 0x56, 3_000, &[("rid", "0000000900000055")]);
     assert_eq!(bad.read_response(), (8, Response::Error("Failed".into(), vec![])));
     // Many unusable messages on one connection: it is closed.
-    let mut stubborn = harness.client();
-    let unfit: Vec<u8> =
+    let mut unusable_client = harness.client();
+    let unusable_messages: Vec<u8> =
         (1..=20).flat_map(|n| [&[0x94, 0, n], &b"\xa5other\x92\x80\xc4\x00"[..]].concat()).collect();
-    stubborn.write(&unfit);
-    stubborn.0.set_read_timeout(Some(LONG_TIMEOUT)).expect("set");
+    unusable_client.write(&unusable_messages);
+    unusable_client.0.set_read_timeout(Some(LONG_TIMEOUT)).expect("set");
     let mut rest = Vec::new();
-    let _ = stubborn.0.read_to_end(&mut rest);
+    let _ = unusable_client.0.read_to_end(&mut rest);
     assert!(rest.len() < 20 * 12, "{}", rest.len());
     // A truncated message does not affect other clients.
     bad.write(&[0x94, 0, 6, 0xa7]);
@@ -263,11 +263,11 @@
     });
     let mut good = harness.client();
     assert!(good.is_healthy());
-    let half =
+    let partial_message =
         [&[0x94, 0, 1, 0xa7][..], b"footage", &[0x92, 0x80, 0xc6, 0, 3, 0xa9, 0x80], &[0; 200_000]].concat();
-    let mut halves: Vec<Client> = (0..20).map(|_| harness.client()).collect();
+    let mut partial_clients: Vec<Client> = (0..20).map(|_| harness.client()).collect();
     // Connections without room for their message are closed during the write.
-    halves.iter_mut().for_each(|c| drop(c.0.write_all(&half)));
+    partial_clients.iter_mut().for_each(|client| drop(client.0.write_all(&partial_message)));
     let start = Instant::now();
     let closed = loop {
         let closed = harness.current_counters()["bad_messages"];
@@ -277,25 +277,25 @@
         thread::sleep(Duration::from_millis(5));
     };
     assert!((12..20).contains(&closed), "{closed} of 20 closed");
-    drop(halves);
+    drop(partial_clients);
     // Connections that sent nothing or a partial message are closed to make room for others, or by their timeout.
     good.send_request(1, 0x77, 4_000);
     let open = harness.cache.expect_pull();
     let start = Instant::now();
-    let mut crowd: Vec<Client> = (0..60).map(|_| harness.client()).collect();
-    crowd.iter_mut().skip(30).for_each(|c| c.write(&[0x94, 0, 1]));
+    let mut idle_clients: Vec<Client> = (0..60).map(|_| harness.client()).collect();
+    idle_clients.iter_mut().skip(30).for_each(|client| client.write(&[0x94, 0, 1]));
     // A client that sends a complete message and a part of the next one together.
-    let mut halfway = harness.client();
-    halfway.write(b"\x94\x00\xcc\xff\xa5alive\x91\x80\x94\x00");
-    assert_eq!(halfway.read_response(), (255, Response::Health(true)));
+    let mut mixed_client = harness.client();
+    mixed_client.write(b"\x94\x00\xcc\xff\xa5alive\x91\x80\x94\x00");
+    assert_eq!(mixed_client.read_response(), (255, Response::Health(true)));
     for call in 2..=40 {
         let mut new = harness.client();
         new.send_request(call, u64::from(call), 2_000);
         harness.cache.expect_pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"new");
         new.assert_success(call, b"new");
     }
-    crowd.iter_mut().for_each(Client::assert_closed);
-    halfway.assert_closed();
+    idle_clients.iter_mut().for_each(Client::assert_closed);
+    mixed_client.assert_closed();
     assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
     open.answer("ACK", "how=HIT,entity=t1,issued=1", b"served");
     good.assert_success(1, b"served");
@@ -398,7 +398,7 @@
     // part of a core gets them, interrupt reads: this must not restart the timeout.
     let start = Instant::now();
     let process = harness.child.id();
-    let held = thread::spawn(move || {
+    let signals = thread::spawn(move || {
         while start.elapsed() < Duration::from_millis(3_500) {
             ["STOP", "CONT"].iter().for_each(|name| signal(process, name));
             thread::sleep(Duration::from_millis(50));
@@ -406,7 +406,7 @@
     });
     let (last, stream) = harness.feed.accept_call();
     let took = start.elapsed();
-    held.join().expect("ends");
+    signals.join().expect("ends");
     assert_eq!(last, 2);
     assert!((1_900..3_300).contains(&took.as_millis()), "{took:?}");
     send_event(&stream, 3, &endpoint_event(3, "cache-a", harness.cache.address, "ready"));
@@ -456,7 +456,7 @@
     client.assert_success(1, b"not from the one that drains");
     send_event(&stream, 5, &endpoint_event(5, "cache-a", harness.cache.address, "ready"));
     harness.wait_for_discovery_events(5);
-    assert!(harness.child.try_wait().expect("asked").is_none());
+    assert!(harness.child.try_wait().expect("waited").is_none());
     harness.feed = feed;
 }
 
@@ -515,7 +515,7 @@
     harness.cache.expect_pull().answer("ACK", "how=HIT,entity=t1,issued=1", b"late");
     late_client.assert_success(2, b"late");
     thread::sleep(Duration::from_millis(900));
-    assert_eq!(harness.child.try_wait().expect("asked"), None, "a request is open");
+    assert_eq!(harness.child.try_wait().expect("waited"), None, "a request is open");
     open.answer("ACK", "how=HIT,entity=t1,issued=1", b"open");
     client.assert_success(1, b"open");
     client.assert_closed();
--- a/crates/director/tests/start.rs
+++ b/crates/director/tests/start.rs
@@ -53,7 +53,7 @@
         .spawn()
         .expect("starts");
     let start = Instant::now();
-    while child.try_wait().expect("asked").is_none() {
+    while child.try_wait().expect("waited").is_none() {
         assert!(start.elapsed() < FAILED_START_TIMEOUT, "the program has not ended");
         std::thread::sleep(Duration::from_millis(20));
     }
--- a/crates/director/tests/wire_format.rs
+++ b/crates/director/tests/wire_format.rs
@@ -197,8 +197,8 @@
 
 #[test]
 fn lines_to_nodes() {
-    let room = MemoryBudget::new(100);
-    let asked = |tag: Option<&str>, mark: Option<&str>, length| IncomingRequest {
+    let memory_budget = MemoryBudget::new(100);
+    let request = |tag: Option<&str>, idempotency_key: Option<&str>, length| IncomingRequest {
         client: 1,
         call: CallId { number: 7, generation: 0 },
         cancellation: CancellationFlag::default(),
@@ -209,9 +209,9 @@
         group: 17,
         size_kb: 1.0,
         client_tag: tag.map(Into::into),
-        idempotency_key: mark.map(Into::into),
+        idempotency_key: idempotency_key.map(Into::into),
         is_client_retry: false,
-        body: room.allocate_body(length).expect("room").into(),
+        body: memory_budget.allocate_body(length).expect("room").into(),
         arrived_at: 0,
         budget: 0,
     };
@@ -225,11 +225,11 @@
         refresh: false,
         retention_rank: 0,
     };
-    let line = |asked: &IncomingRequest, send: &AttemptSpec, source, way| {
-        let head = node_protocol::pull_head(asked, send, "footage", source, way);
-        String::from_utf8(head.with_wait(send.timeout)).expect("text")
+    let line = |request: &IncomingRequest, spec: &AttemptSpec, source, way| {
+        let head = node_protocol::pull_head(request, spec, "footage", source, way);
+        String::from_utf8(head.with_wait(spec.timeout)).expect("text")
     };
-    let plain = asked(None, None, 0);
+    let plain = request(None, None, 0);
     let start = "PULL 9b1f03aa5c7e2d41 class=footage,key=00000000000000ff,part=3,wait=1500";
     assert_eq!(line(&plain, &bare, None, None), format!("{start} 0\r\n"));
     let full = AttemptSpec {
@@ -241,20 +241,20 @@
     };
     let rest = ",miss=parent-a,way=hub-1+origin,prio=2,within=2500,f=collapse+refresh,mine=t1,once=m7 2\r\n";
     assert_eq!(
-        line(&asked(Some("t1"), Some("m7"), 2), &full, Some("parent-a"), Some("hub-1+origin")),
+        line(&request(Some("t1"), Some("m7"), 2), &full, Some("parent-a"), Some("hub-1+origin")),
         format!("{start}{rest}")
     );
-    let one = [
+    let single_fields = [
         (AttemptSpec { retention_rank: 1, ..bare }, ",prio=1"),
         (AttemptSpec { max_age: Some(0), ..bare }, ",within=1"),
         (AttemptSpec { coalesce: true, ..bare }, ",f=collapse"),
         (AttemptSpec { refresh: true, ..bare }, ",f=refresh"),
     ];
-    for (send, field) in one {
-        assert_eq!(line(&plain, &send, None, None), format!("{start}{field} 0\r\n"));
+    for (spec, field) in single_fields {
+        assert_eq!(line(&plain, &spec, None, None), format!("{start}{field} 0\r\n"));
     }
-    assert_eq!(line(&asked(Some("t1"), None, 0), &bare, None, None), format!("{start},mine=t1 0\r\n"));
-    assert_eq!(line(&asked(None, Some("m7"), 0), &bare, None, None), format!("{start},once=m7 0\r\n"));
+    assert_eq!(line(&request(Some("t1"), None, 0), &bare, None, None), format!("{start},mine=t1 0\r\n"));
+    assert_eq!(line(&request(None, Some("m7"), 0), &bare, None, None), format!("{start},once=m7 0\r\n"));
     // A node is given at least 1 ms.
     assert_eq!(
         node_protocol::pull_head(&plain, &bare, "footage", None, None).with_wait(0),
@@ -327,7 +327,7 @@
 fn causes_of_invalid_events() {
     let endpoint = json!({"name": "a", "address": "127.0.0.1:1", "zone": "z", "type": "t", "group": 0,
         "status": "odd", "since_ms": 0});
-    let odd = json!({"n": 4, "members": {"snapshot": true, "endpoints": [endpoint]}}).to_string();
+    let unknown_status = json!({"n": 4, "members": {"snapshot": true, "endpoints": [endpoint]}}).to_string();
     let cases = [
         ("{}", "an event has no number"),
         (r#"{"n": -1, "purge": {}}"#, "an event has no number"),
@@ -336,7 +336,7 @@
         (r#"{"n": 4, "purge": {"group": -1}}"#, "event 4: invalid value: integer `-1`, expected u32"),
         (r#"{"n": 4, "members": {"snapshot": true}}"#, "event 4: missing field `endpoints`"),
         (r#"{"n": 4, "members": {"endpoints": []}}"#, "event 4: missing field `snapshot`"),
-        (&odd, "event 4: a: unknown status odd"),
+        (&unknown_status, "event 4: a: unknown status odd"),
     ];
     for (text, cause) in cases {
         assert_eq!(event(text).expect_err(text), cause);
