--- a/crates/director/src/wire/client_connection.rs
+++ b/crates/director/src/wire/client_connection.rs
@@ -303,8 +303,8 @@
     ///
     /// A response past its deadline is still written, because a client's budget may be as short as 1 ms, less than a
     /// request takes to pass through the director. It is left out once it is late by `max_answer_lateness`. A response
-    /// that is begun may be finished up to `write_finish_grace` late, because cutting it short would end all other calls
-    /// on the connection.
+    /// that is begun has until `write_finish_grace` after its deadline, or after its begin if that is later, because
+    /// cutting it short would end all other calls on the connection.
     pub(super) fn write(&mut self, shared: &SharedContext) -> Result<(), CloseReason> {
         loop {
             let now = shared.clock.now();
--- a/crates/director/tests/codec.rs
+++ b/crates/director/tests/codec.rs
@@ -182,7 +182,7 @@
 
 #[test]
 fn answer_heads() {
-    const NAME: &str = "9b1f03aa5c7e2d41";
+    const REQUEST_ID: &str = "9b1f03aa5c7e2d41";
     let cases = [
         ("ACK how=HIT,entity=t1,issued=17 5", Some((Outcome::Success, Some(true), Some("t1"), false, 5))),
         ("ACK how=MISS,entity=t1 5", Some((Outcome::Success, Some(false), Some("t1"), false, 5))),
@@ -202,14 +202,14 @@
         ("WHAT - 0", None),
     ];
     for (rest, want) in cases {
-        let line = format!("{NAME} {rest}");
+        let line = format!("{REQUEST_ID} {rest}");
         let head = node_protocol::parse_answer_head(line.as_bytes());
         let got = head.map(|h| (h.outcome, h.is_cache_hit, h.tag, h.is_unchanged, h.body_length));
         assert_eq!(got, want, "{rest}");
     }
     assert_eq!(node_protocol::parse_answer_head(b"short ACK - 0"), None);
     assert_eq!(node_protocol::parse_answer_head(b"\xff\xfe ACK - 0"), None);
-    let line = format!("{NAME} ACK stats=active:7;cpu:0.61;x1:x 0");
+    let line = format!("{REQUEST_ID} ACK stats=active:7;cpu:0.61;x1:x 0");
     let load = node_protocol::parse_answer_head(line.as_bytes()).and_then(|h| h.load).expect("a report");
     assert_eq!((load.cpu_utilization, load.link_utilization), (Some(0.61), None));
 }
@@ -389,7 +389,7 @@
             let (above, key) = path.rsplit_once('/').expect("a path");
             match (all.pointer_mut(above).expect("above"), change) {
                 (Value::Object(fields), None) => drop(fields.remove(key)),
-                (Value::Array(items), None) => drop(items.remove(key.parse().expect("a place"))),
+                (Value::Array(items), None) => drop(items.remove(key.parse().expect("an index"))),
                 (fields, Some(value)) => {
                     *fields.pointer_mut(&format!("/{key}")).expect("there") = value.clone()
                 }
--- a/crates/director/tests/settings_format.rs
+++ b/crates/director/tests/settings_format.rs
@@ -13,20 +13,20 @@
 const FAULTY: &str = include_str!("data/faulty_settings.tsv");
 
 /// The sample with the value at a JSON pointer replaced or removed.
-fn changed(place: &str, to: &str) -> String {
+fn changed(pointer: &str, to: &str) -> String {
     let mut all: Value = serde_json::from_str(SAMPLE).expect("the sample is valid");
-    let (above, key) = place.rsplit_once('/').expect("a place");
+    let (above, key) = pointer.rsplit_once('/').expect("a pointer");
     let key = key.replace("~1", "/");
-    match (all.pointer_mut(above).expect(place), to) {
-        (Value::Object(fields), "-") => drop(fields.remove(&key).expect(place)),
+    match (all.pointer_mut(above).expect(pointer), to) {
+        (Value::Object(fields), "-") => drop(fields.remove(&key).expect(pointer)),
         (Value::Object(fields), to) => {
             drop(fields.insert(key, serde_json::from_str(to).expect("a value")));
         }
-        (Value::Array(items), "-") => drop(items.remove(key.parse().expect("a place"))),
+        (Value::Array(items), "-") => drop(items.remove(key.parse().expect("an index"))),
         (Value::Array(items), to) => {
-            items[key.parse::<usize>().expect("a place")] = serde_json::from_str(to).expect("a value");
+            items[key.parse::<usize>().expect("an index")] = serde_json::from_str(to).expect("a value");
         }
-        _ => unreachable!("{place}"),
+        _ => unreachable!("{pointer}"),
     }
     all.to_string()
 }
@@ -137,8 +137,8 @@
     let rows: Vec<Vec<&str>> = FAULTY.lines().map(|row| row.split('\t').collect()).collect();
     assert!(rows.len() > 150, "{}", rows.len());
     for row in rows {
-        let [place, to, want] = row[..] else { panic!("{row:?}") };
-        assert_eq!(parse_error(&changed(place, to)).as_deref().unwrap_or("+"), want, "{place} {to}");
+        let [pointer, to, expected] = row[..] else { panic!("{row:?}") };
+        assert_eq!(parse_error(&changed(pointer, to)).as_deref().unwrap_or("+"), expected, "{pointer} {to}");
     }
 }
 
--- a/crates/director/tests/sockets.rs
+++ b/crates/director/tests/sockets.rs
@@ -17,8 +17,8 @@
     assert!(client.is_healthy());
     client.send_request(1, 0x77, 2_000);
     let first = harness.cache.expect_pull();
-    let want = "PULL 0000000100000077 class=footage,key=0000000000000077,part=0,wait=";
-    assert!(first.line.starts_with(want), "{}", first.line);
+    let expected = "PULL 0000000100000077 class=footage,key=0000000000000077,part=0,wait=";
+    assert!(first.line.starts_with(expected), "{}", first.line);
     assert_eq!(first.field("miss"), Some("parent-a"));
     assert_eq!((first.field("prio"), first.field("f")), (Some("1"), Some("collapse")));
     let wait: u64 = first.field("wait").and_then(|w| w.parse().ok()).expect("a time");
--- a/crates/director/tests/syscalls.rs
+++ b/crates/director/tests/syscalls.rs
@@ -27,7 +27,7 @@
     /// Starts the director without faults, with a request class that must not run twice.
     fn with_effects() -> FaultSetup {
         let fault_plan = FaultPlan::new("");
-        let effect = |c: String| c.replacen("\"idempotent\"", "\"at_most_once\"", 1);
+        let effect = |config: String| config.replacen("\"idempotent\"", "\"at_most_once\"", 1);
         let harness = Harness::with_config_and_env(effect, &fault_plan.environment());
         FaultSetup { fault_plan, harness }
     }
--- a/crates/director/tests/wire_format.rs
+++ b/crates/director/tests/wire_format.rs
@@ -166,7 +166,7 @@
 
 #[test]
 fn answer_heads_of_nodes() {
-    const NAME: &str = "9b1f03aa5c7e2d41";
+    const REQUEST_ID: &str = "9b1f03aa5c7e2d41";
     let cases = [
         ("ACK - 5", Outcome::Success, None, None, false, 5),
         ("ACK how=HIT,entity=t1,issued=17 5", Outcome::Success, Some(true), Some("t1"), false, 5),
@@ -182,14 +182,14 @@
         ("STALE - 0", Outcome::NotSent, None, None, false, 0),
     ];
     for (rest, outcome, hit, tag, unchanged, length) in cases {
-        let line = format!("{NAME} {rest}");
+        let line = format!("{REQUEST_ID} {rest}");
         let head = node_protocol::parse_answer_head(line.as_bytes()).expect(rest);
-        assert_eq!(&head.request_id, NAME.as_bytes());
+        assert_eq!(&head.request_id, REQUEST_ID.as_bytes());
         let read = (head.outcome, head.is_cache_hit, head.tag, head.is_unchanged, head.body_length);
         assert_eq!(read, (outcome, hit, tag, unchanged, length), "{rest}");
         assert_eq!(head.load, None);
     }
-    let line = format!("{NAME} ACK stats=active:7;cpu:0.61;x0:0.1;x1:0.25,entity=t1 0");
+    let line = format!("{REQUEST_ID} ACK stats=active:7;cpu:0.61;x0:0.1;x1:0.25,entity=t1 0");
     let load =
         node_protocol::parse_answer_head(line.as_bytes()).and_then(|head| head.load).expect("a report");
     assert_eq!((load.cpu_utilization, load.link_utilization), (Some(0.61), Some(0.25)));
