--- a/crates/director/tests/codec.rs
+++ b/crates/director/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Tables of what is read and written, without sockets.
+//! Encoding, decoding and configuration, without sockets.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -59,7 +59,7 @@
 ];
 
 #[test]
-fn a_request_is_read_completely_or_not_at_all() {
+fn a_request_is_decoded_only_when_complete() {
     let (names, limits) = (names(), limits());
     let bytes = request_bytes("readings", &FIELDS, b"body");
     let fields = RequestFields {
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn an_unusable_request_is_distinguished_from_bytes_that_end_a_connection() {
+fn unusable_requests_are_distinguished_from_invalid_bytes() {
     let (names, limits) = (names(), limits());
     let with = |name: &str, value: &str| {
         let fields: Vec<_> = FIELDS.iter().map(|&(n, v)| (n, if n == name { value } else { v })).collect();
@@ -99,7 +99,7 @@
     let mut no_body = request_bytes("footage", &FIELDS, b"");
     no_body.truncate(no_body.len() - 2);
     no_body.push(0xc0);
-    let unfit = [
+    let unusable = [
         request_bytes("other", &FIELDS, b""),
         with("rid", "9b1f"),
         with("rid", "9B1F03AA5C7E2D41"),
@@ -127,7 +127,7 @@
         no_body,
         vec![0x94, 0, 7, 0xa7, b'f', b'o', b'o', b't', b'a', b'g', b'e', 0x91, 0x80],
     ];
-    for (i, bytes) in unfit.iter().enumerate() {
+    for (i, bytes) in unusable.iter().enumerate() {
         let read = rpc::decode(bytes, &names, &limits);
         assert!(
             matches!(read, Ok((Message::Unusable { call: 7, .. }, n)) if n == bytes.len()),
@@ -135,7 +135,7 @@
         );
     }
     let deep: Vec<u8> = std::iter::repeat_n(0x91, 40).collect();
-    let ends: [&[u8]; 9] = [
+    let invalid: [&[u8]; 9] = [
         &[0xc1],
         &[0x07],
         &[0x93, 2, 0xa1, b'x'],
@@ -146,18 +146,18 @@
         &[0xdd, 0xff, 0xff, 0xff, 0xff],
         &deep,
     ];
-    for bytes in ends {
+    for bytes in invalid {
         let read = rpc::decode(bytes, &names, &limits);
-        // What is cut short may still be a message; here it may not.
-        let over = matches!(read, Err(DecodeError::Invalid(_))) || bytes == [0x93, 2, 0xa1, b'x'];
-        assert!(over, "{bytes:?}: {read:?}");
+        // All cases are invalid, except one that is only incomplete.
+        let is_rejected = matches!(read, Err(DecodeError::Invalid(_))) || bytes == [0x93, 2, 0xa1, b'x'];
+        assert!(is_rejected, "{bytes:?}: {read:?}");
     }
     let endless = vec![0; limits.max_head_bytes + limits.max_body_bytes + 1];
     assert!(rpc::decode(&[&[0xdc, 0x3f, 0xff], &endless[..]].concat(), &names, &limits).is_err());
 }
 
 #[test]
-fn other_messages_and_all_answers() {
+fn other_messages_and_all_responses() {
     let (names, limits) = (names(), limits());
     let mut alive = vec![0x94, 0, 8];
     text(&mut alive, "alive");
@@ -181,8 +181,8 @@
 }
 
 #[test]
-fn heads_of_answers() {
-    const NAME: &str = "9b1f03aa5c7e2d41";
+fn answer_heads() {
+    const REQUEST_ID: &str = "9b1f03aa5c7e2d41";
     let cases = [
         ("ACK how=HIT,entity=t1,issued=17 5", Some((Outcome::Success, Some(true), Some("t1"), false, 5))),
         ("ACK how=MISS,entity=t1 5", Some((Outcome::Success, Some(false), Some("t1"), false, 5))),
@@ -202,21 +202,21 @@
         ("WHAT - 0", None),
     ];
     for (rest, want) in cases {
-        let line = format!("{NAME} {rest}");
+        let line = format!("{REQUEST_ID} {rest}");
         let head = node_protocol::parse_answer_head(line.as_bytes());
         let got = head.map(|h| (h.outcome, h.is_cache_hit, h.tag, h.is_unchanged, h.body_length));
         assert_eq!(got, want, "{rest}");
     }
     assert_eq!(node_protocol::parse_answer_head(b"short ACK - 0"), None);
     assert_eq!(node_protocol::parse_answer_head(b"\xff\xfe ACK - 0"), None);
-    let line = format!("{NAME} ACK stats=active:7;cpu:0.61;x1:x 0");
+    let line = format!("{REQUEST_ID} ACK stats=active:7;cpu:0.61;x1:x 0");
     let load = node_protocol::parse_answer_head(line.as_bytes()).and_then(|h| h.load).expect("a report");
     assert_eq!((load.cpu_utilization, load.link_utilization), (Some(0.61), None));
 }
 
 #[test]
-fn every_field_of_a_send_is_written() {
-    let room = MemoryBudget::new(100);
+fn every_field_of_an_attempt_is_written() {
+    let memory_budget = MemoryBudget::new(100);
     let incoming = |tag: Option<&str>| IncomingRequest {
         client: 1,
         call: CallId { number: 7, generation: 0 },
@@ -230,7 +230,7 @@
         client_tag: tag.map(Into::into),
         idempotency_key: tag.map(|_| "m7".into()),
         is_client_retry: false,
-        body: room.allocate_body(2).expect("room").into(),
+        body: memory_budget.allocate_body(2).expect("room").into(),
         arrived_at: 0,
         budget: 0,
     };
@@ -246,9 +246,9 @@
     };
     let full = AttemptSpec { max_age: Some(1), coalesce: true, refresh: true, retention_rank: 2, ..bare };
     let start = "PULL 9b1f03aa5c7e2d41 class=footage,key=00000000000000ff,part=3,wait=1500";
-    let line = |request: &IncomingRequest, send: &AttemptSpec, source| {
+    let line = |request: &IncomingRequest, spec: &AttemptSpec, source| {
         String::from_utf8(
-            node_protocol::pull_head(request, send, "footage", source, None).with_wait(send.timeout),
+            node_protocol::pull_head(request, spec, "footage", source, None).with_wait(spec.timeout),
         )
         .expect("text")
     };
@@ -260,14 +260,14 @@
     assert_eq!(node_protocol::kill_line(b"9b1f03aa5c7e2d41"), b"KILL 9b1f03aa5c7e2d41\r\n");
 }
 
-/// Where a director sends each of these objects, and from where they are filled, by name; its list comes in
-/// this order, at addresses of its own.
+/// The names of the primary and the source of each of 40 objects, at the director with this index. Its endpoint list has
+/// this order and addresses of its own.
 fn primaries(number: usize, order: impl Iterator<Item = usize>) -> Vec<(String, String)> {
-    let config = Config::parse(SAMPLE).expect("the sample is good");
-    let (common, _) = SharedContext::new(config.names, limits());
-    let now = common.clock.now();
-    let (_links, orders) = NodeConnectionServer::new(&common).expect("polls");
-    let mut nodes = NodePool::new(orders, common);
+    let config = Config::parse(SAMPLE).expect("the sample is valid");
+    let (shared, _) = SharedContext::new(config.names, limits());
+    let now = shared.clock.now();
+    let (_server, commands) = NodeConnectionServer::new(&shared).expect("polls");
+    let mut nodes = NodePool::new(commands, shared);
     let member = |i: usize| Endpoint {
         name: format!("s-{:08x}", i * 0x0135_79bd),
         address: SocketAddr::from(([127, number as u8, 0, i as u8], 10_080)),
@@ -293,37 +293,37 @@
             is_write: false,
             attempts: Vec::new(),
         };
-        let RouteDecision::Attempt(send) = router.route(now, &request) else { panic!("not sent") };
+        let RouteDecision::Attempt(spec) = router.route(now, &request) else { panic!("no attempt") };
         let name = |node| nodes.name(node).to_owned();
-        (name(send.node), send.source.map(name).unwrap_or_default())
+        (name(spec.node), spec.source.map(name).unwrap_or_default())
     };
     (0..40).map(primary).collect()
 }
 
 #[test]
-fn directors_and_restarts_agree_on_primaries_whatever_the_addresses() {
+fn primaries_do_not_depend_on_addresses_or_list_order() {
     let one = primaries(1, 0..9);
     for (number, order) in [(2, vec![8, 7, 6, 5, 4, 3, 2, 1, 0]), (3, vec![4, 0, 8, 2, 6, 1, 5, 3, 7])] {
         assert_eq!(primaries(number, order.into_iter()), one, "director {number}");
     }
     let used: HashSet<&String> = one.iter().flat_map(|(primary, source)| [primary, source]).collect();
-    assert_eq!(used.len(), 9, "all caches and parents have their part");
+    assert_eq!(used.len(), 9, "all caches and parents are used");
 }
 
 #[test]
-fn bodies_in_hand_are_bounded() {
-    let room = MemoryBudget::new(10);
-    let first = room.allocate_body(6).expect("room");
-    assert!(room.allocate_body(5).is_none() && room.allocate_body(usize::MAX).is_none());
-    let second = room.allocate_body(4).expect("room");
+fn memory_for_bodies_is_bounded() {
+    let budget = MemoryBudget::new(10);
+    let first = budget.allocate_body(6).expect("room");
+    assert!(budget.allocate_body(5).is_none() && budget.allocate_body(usize::MAX).is_none());
+    let second = budget.allocate_body(4).expect("room");
     drop(first);
-    assert!(room.allocate_body(6).is_some() && room.allocate_body(7).is_none());
+    assert!(budget.allocate_body(6).is_some() && budget.allocate_body(7).is_none());
     drop(second);
 }
 
 #[test]
-fn a_faulty_configuration_is_named_by_its_key() {
-    let config = Config::parse(SAMPLE).expect("the sample is good");
+fn an_invalid_configuration_is_reported_with_its_key() {
+    let config = Config::parse(SAMPLE).expect("the sample is valid");
     assert_eq!((config.settings.zone, config.names.classes.len()), (1, 2));
     assert_eq!(config.names.zones, HashMap::from([("hub".into(), 0), ("edge".into(), 1)]));
     let cases = [
@@ -354,7 +354,7 @@
     assert!(Config::parse("{").is_err_and(|e| e.to_string().starts_with("configuration:")));
 }
 
-/// Each leaf of the settings, as a path.
+/// Collects the path of each leaf of a JSON value.
 fn leaves(value: &Value, path: String, to: &mut Vec<String>) {
     match value {
         Value::Object(fields) => fields.iter().for_each(|(k, v)| leaves(v, format!("{path}/{k}"), to)),
@@ -365,11 +365,11 @@
     }
 }
 
-/// Settings of other customers: keys that are missing, unknown, of another type or far out of range end the start
-/// with the key, or the program works with them.
+/// Guards against settings of other installations that are accepted and then fail: each setting is removed, or replaced by
+/// values of another type or far out of range. Either the start fails with the key, or the router works with the settings.
 #[test]
-fn settings_that_are_missing_unknown_or_extreme_are_refused_by_name_or_served() {
-    let sample: Value = serde_json::from_str(SAMPLE).expect("the sample is good");
+fn missing_unknown_or_extreme_settings_are_rejected_by_key_or_work() {
+    let sample: Value = serde_json::from_str(SAMPLE).expect("the sample is valid");
     let mut paths = Vec::new();
     leaves(&sample["settings"], "/settings".into(), &mut paths);
     let changes: [Option<Value>; 7] = [
@@ -389,7 +389,7 @@
             let (above, key) = path.rsplit_once('/').expect("a path");
             match (all.pointer_mut(above).expect("above"), change) {
                 (Value::Object(fields), None) => drop(fields.remove(key)),
-                (Value::Array(items), None) => drop(items.remove(key.parse().expect("a place"))),
+                (Value::Array(items), None) => drop(items.remove(key.parse().expect("an index"))),
                 (fields, Some(value)) => {
                     *fields.pointer_mut(&format!("/{key}")).expect("there") = value.clone()
                 }
@@ -406,11 +406,11 @@
                 Ok(config) => config,
             };
             served += 1;
-            let kinds = config.settings.request_classes.len();
-            let (common, _) = SharedContext::new(config.names, config.limits);
-            let (now, longest) = (common.clock.now(), common.limits.max_budget);
-            let (_links, orders) = NodeConnectionServer::new(&common).expect("polls");
-            let mut nodes = NodePool::new(orders, common);
+            let class_count = config.settings.request_classes.len();
+            let (shared, _) = SharedContext::new(config.names, config.limits);
+            let (now, longest) = (shared.clock.now(), shared.limits.max_budget);
+            let (_server, commands) = NodeConnectionServer::new(&shared).expect("polls");
+            let mut nodes = NodePool::new(commands, shared);
             let mut router = Router::new(config.settings, 1, now);
             for event in config.known.events {
                 if let DiscoveryEvent::Endpoints { endpoints, is_snapshot } = event.event {
@@ -422,12 +422,12 @@
                 }
             }
             router.record_purge(now, Some(3), 0, 0);
-            for (kind, object) in (0..kinds).flat_map(|k| [(k, 1), (k, 3)]) {
+            for (class, object) in (0..class_count).flat_map(|class| [(class, 1), (class, 3)]) {
                 let mut request = router_request(object, now, now + longest);
-                request.class = kind;
+                request.class = class;
                 for later in [0, 1, 500_000_000] {
-                    if let RouteDecision::Attempt(send) = router.route(now + later, &request) {
-                        let AttemptSpec { node, source, .. } = send;
+                    if let RouteDecision::Attempt(spec) = router.route(now + later, &request) {
+                        let AttemptSpec { node, source, .. } = spec;
                         request.attempts.push(Attempt { node, source, sent_at: now + later, outcome: None });
                         router.next_check(now + later, &request);
                         request.attempts.last_mut().expect("sent").outcome = Some(Outcome::Error);
@@ -438,15 +438,15 @@
         }
     }
     assert!(refused > 100 && served > 50, "{refused} refused, {served} served");
-    // Kinds in another order, with lists in the same one, are the same kinds.
-    let mut turned = sample.clone();
+    // The order of the request classes does not matter if the lists per class have the same order.
+    let mut reordered = sample.clone();
     let lists =
         ["/classes", "/extra/freshForUs", "/extra/usableAfterUs", "/extra/multiPart", "/extra/neverKept"];
     for list in lists {
-        let list = turned["settings"].pointer_mut(list).and_then(Value::as_array_mut).expect("a list");
+        let list = reordered["settings"].pointer_mut(list).and_then(Value::as_array_mut).expect("a list");
         list.reverse();
     }
-    let [first, other] = [&sample, &turned].map(|s| Config::parse(&s.to_string()).expect("good"));
+    let [first, other] = [&sample, &reordered].map(|s| Config::parse(&s.to_string()).expect("valid"));
     let named = |c: &Config, name: &str| {
         let at = c.names.classes.iter().position(|k| k == name).expect("named");
         c.settings.request_classes[at].clone()
@@ -454,34 +454,34 @@
     for name in ["footage", "readings"] {
         assert_eq!(named(&first, name), named(&other, name));
     }
-    // Zones are called by the list as by the settings, whatever their names hold.
+    // Zone names may contain any characters.
     let spaced = SAMPLE.replace("\"edge\"", "\"north, by sea\"");
-    assert_eq!(Config::parse(&spaced).expect("good").names.zones["north, by sea"], 1);
+    assert_eq!(Config::parse(&spaced).expect("valid").names.zones["north, by sea"], 1);
 }
 
 fn router_request(object: u64, arrived: u64, deadline: u64) -> Request {
-    let (part, group, kind, size_kb) = (0, 0, 0, 10.0);
-    let (repeat, write, sends) = (false, false, Vec::new());
+    let (part, group, class, size_kb) = (0, 0, 0, 10.0);
+    let (is_client_retry, is_write, attempts) = (false, false, Vec::new());
     Request {
         object,
         part,
         group,
-        class: kind,
+        class,
         size_kb,
         arrived_at: arrived,
         deadline,
-        is_client_retry: repeat,
-        is_write: write,
-        attempts: sends,
+        is_client_retry,
+        is_write,
+        attempts,
     }
 }
 
 #[test]
-fn the_number_of_a_node_that_is_gone_comes_free() {
-    let config = Config::parse(SAMPLE).expect("the sample is good");
-    let (common, _) = SharedContext::new(config.names, limits());
-    let (_links, orders) = NodeConnectionServer::new(&common).expect("polls");
-    let mut nodes = NodePool::new(orders, common);
+fn the_index_of_a_node_that_is_gone_is_reused() {
+    let config = Config::parse(SAMPLE).expect("the sample is valid");
+    let (shared, _) = SharedContext::new(config.names, limits());
+    let (_server, commands) = NodeConnectionServer::new(&shared).expect("polls");
+    let mut nodes = NodePool::new(commands, shared);
     let mut list = |name: &str, state, oldest, next| {
         let member = Endpoint {
             name: name.into(),
@@ -499,12 +499,16 @@
     assert_eq!(
         list("b", EndpointState::Ready, 6, 9),
         Some(1),
-        "a request from before may still have sent to it"
+        "an older request in flight may still use the index"
+    );
+    assert_eq!(list("c", EndpointState::Ready, 7, 9), Some(0), "no older request is in flight");
+    assert_eq!(
+        list("a", EndpointState::Ready, 7, 9),
+        Some(2),
+        "a node whose index was reused gets a new one"
     );
-    assert_eq!(list("c", EndpointState::Ready, 7, 9), Some(0), "none from before is in flight");
-    assert_eq!(list("a", EndpointState::Ready, 7, 9), Some(2), "a name that comes back is a new node");
     assert_eq!(list("unheard", EndpointState::Gone, 7, 9), None);
-    // One that is gone and back keeps its number.
+    // A node that is back before its index is reused keeps the index.
     assert_eq!(list("b", EndpointState::Gone, 8, 10), Some(1));
     assert_eq!(list("b", EndpointState::Ready, 8, 10), Some(1));
     assert_eq!(list("d", EndpointState::Ready, 50, 50), Some(3));
--- a/crates/director/tests/coordination_settings_format.rs
+++ b/crates/director/tests/coordination_settings_format.rs
@@ -1,5 +1,5 @@
-//! The coordination settings with every key and every default, the tag of a health check, and the frame of a call
-//! between members, as literals: a rename in the source must not change them.
+//! The coordination settings with every key and default, the tag of a health check, and the frames of a call between members,
+//! as literals: a rename in the source must not change them.
 #![cfg(feature = "coordination")]
 
 use std::io::{Read, Write};
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_named_by_file_line_key_and_cause() {
+fn errors_name_file_line_key_and_cause() {
     let voter = "(voter (number . 0) (address . \"127.0.0.1:1\"))";
     let mut lines = Vec::new();
     for text in [
@@ -127,35 +127,35 @@
 }
 
 #[test]
-fn the_names_and_numbers_of_what_a_member_can_own() {
+fn role_names_and_numbers() {
     assert_eq!(ROLES, [(0, "dealing"), (1, "driving"), (2, "warming")]);
     assert_eq!((HIERARCHY_ROLE, WARMING_ROLE, role_name(1), role_name(3)), (1, 2, "driving", "unknown"));
 }
 
 #[test]
-fn the_tag_of_a_health_check() {
+fn health_check_tag_format() {
     let tag = HealthCheckTag {
         token: FencingToken { term: 0xa1, holder: Member { number: 0xb2, incarnation: 0xc3 } },
         sequence: 0xd4,
     };
     assert_eq!(tag.to_string(), "a1-b2-c3-d4");
     assert_eq!("a1-b2-c3-d4".parse(), Ok(tag));
-    for odd in ["", "a1-b2-c3", "a1-b2-c3-x", "a1-100000000-c3-d4"] {
-        assert_eq!(odd.parse::<HealthCheckTag>(), Err(InvalidTag), "{odd}");
+    for invalid in ["", "a1-b2-c3", "a1-b2-c3-x", "a1-100000000-c3-d4"] {
+        assert_eq!(invalid.parse::<HealthCheckTag>(), Err(InvalidTag), "{invalid}");
     }
 }
 
 #[test]
-fn a_call_is_this_frame_and_its_answer_that_one() {
+fn call_and_reply_frames() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let at = listener.local_addr().expect("bound");
     let voter = std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("called");
-        // An array of four: a call, its number, the method, and no fields beside the body.
+        // An array of four: the message type, the call number, the method, and an empty field map with the body.
         let call = b"\x94\x00\x01\xa4duty\x92\x80\xc4\x0a\x92\x92\x07\x08\x91\xa4Show";
-        let mut came = vec![0; call.len()];
-        stream.read_exact(&mut came).expect("a call");
-        assert_eq!(came.escape_ascii().to_string(), call.escape_ascii().to_string());
+        let mut received = vec![0; call.len()];
+        stream.read_exact(&mut received).expect("a call");
+        assert_eq!(received.escape_ascii().to_string(), call.escape_ascii().to_string());
         let body = b"\x91\x81\xa9HandsOver\x92\x01\xc3";
         stream.write_all(b"\x94\x01\x01\xc0\x92\xc4").expect("answered");
         stream.write_all(&[body.len() as u8]).expect("answered");
--- a/crates/director/tests/wire_format.rs
+++ b/crates/director/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! The bytes of all that goes over the wire, written out: messages of clients and their answers, lines of nodes,
-//! events of the control feed, calls between directors, and the line of the counters, which scripts read.
+//! The wire formats as literal bytes: messages of clients and the responses, lines to and from nodes, events of the discovery
+//! feed, calls between directors, and the counter line, which scripts read.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -37,7 +37,7 @@
     }
 }
 
-/// A request with every field, and one with those alone that must be there.
+/// A request with every field.
 const FULL: &str = "
     94 00 cd012c a8 72656164696e6773 92 89
     a3 726964 b0 39623166303361613563376532643431
@@ -50,7 +50,8 @@
     a5 746f6b656e b0 64303661363666306265363334316539
     a5 616761696e a1 31
     c4 04 626f6479";
-const LEAST: &str = "
+/// A request with the required fields only.
+const MINIMAL: &str = "
     94 00 07 a7 666f6f74616765 92 84
     a3 726964 b0 39623166303361613563376532643431
     a6 627564676574 a1 30
@@ -59,7 +60,7 @@
     c4 00";
 
 #[test]
-fn messages_of_clients() {
+fn client_messages() {
     let (names, limits) = (names(), limits());
     let read = |hex: &str| {
         let bytes = bytes(hex);
@@ -81,7 +82,7 @@
         is_client_retry: true,
     };
     assert_eq!(read(FULL), Message::Request { call: 300, fields: full, body: b"body" });
-    let least = RequestFields {
+    let minimal = RequestFields {
         request_id: *b"9b1f03aa5c7e2d41",
         class: 0,
         budget_ms: 0,
@@ -93,7 +94,7 @@
         idempotency_key: None,
         is_client_retry: false,
     };
-    assert_eq!(read(LEAST), Message::Request { call: 7, fields: least, body: b"" });
+    assert_eq!(read(MINIMAL), Message::Request { call: 7, fields: minimal, body: b"" });
     assert_eq!(read("94 00 08 a5 616c697665 91 80"), Message::HealthCheck { call: 8 });
     assert_eq!(read("93 02 ad 63616e63656c52657175657374 91 ceffffffff"), Message::Cancel { call: u32::MAX });
     assert_eq!(
@@ -101,29 +102,29 @@
         Message::PeerCall { call: 9, body: &[1, 2, 3] }
     );
     let Message::Unusable { call: 10, cause } = read("94 00 0a a6 636c69707379 92 80 c4 00") else {
-        panic!("a call that can't be used")
+        panic!("an unusable call")
     };
     assert_eq!(cause.to_string(), "unknown method");
 }
 
-/// What a client is told of a request that can't be used goes to the log, by the cause.
+/// The cause of an unusable request is logged; the client gets a plain error.
 #[test]
-fn causes_of_requests_that_cannot_be_used() {
+fn causes_of_unusable_requests() {
     let (names, limits) = (names(), limits());
     let cases = [
         ("a6 627564676574 a1 30", "a6 627564676574 a1 78", "a field is not a number"),
         ("a6 627564676574 a1 30", "a6 627564676574 a8 3939393939393939", "budget out of range"),
-        ("a6 627564676574", "a6 627564676575", "a field is missing"),
-        ("b0 37663361", "b0 58663361", "not 16 hex digits"),
-        ("92 84", "91 84", "not fields and a body"),
-        ("92 84", "92 07", "not of the type that belongs there"),
+        ("a6 627564676574", "a6 627564676575", "a required field is missing"),
+        ("b0 37663361", "b0 58663361", "a field is not 16 lowercase hex digits"),
+        ("92 84", "91 84", "the parameters are not fields and a body"),
+        ("92 84", "92 07", "a value has the wrong type"),
         ("a5 7069656365 a1 30", "a3 6d656d a2 2d34", "size out of range"),
-        ("a5 7069656365 a1 30", "a3 766572 a1 3d", "a field is no word"),
-        ("a5 7069656365 a1 30", "07 a1 30", "not a text"),
+        ("a5 7069656365 a1 30", "a3 766572 a1 3d", "a field is empty, too long or not alphanumeric"),
+        ("a5 7069656365 a1 30", "07 a1 30", "a name or value is not a string"),
     ];
     for (from, to, cause) in cases {
-        assert!(LEAST.contains(from), "{from}");
-        let bytes = bytes(&LEAST.replacen(from, to, 1));
+        assert!(MINIMAL.contains(from), "{from}");
+        let bytes = bytes(&MINIMAL.replacen(from, to, 1));
         let (message, _) = rpc::decode(&bytes, &names, &limits).expect("a message");
         let Message::Unusable { call: 7, cause: read } = message else { panic!("{to}: {message:?}") };
         assert_eq!(read.to_string(), cause, "{to}");
@@ -131,7 +132,7 @@
 }
 
 #[test]
-fn answers_to_clients() {
+fn responses_to_clients() {
     let framed = |call, length, unchanged| {
         let frame = rpc::encode_success(call, length, unchanged);
         format!("{} {}", hex(&frame.before_body), hex(&frame.after_body))
@@ -164,8 +165,8 @@
 }
 
 #[test]
-fn heads_of_answers_of_nodes() {
-    const NAME: &str = "9b1f03aa5c7e2d41";
+fn answer_heads_of_nodes() {
+    const REQUEST_ID: &str = "9b1f03aa5c7e2d41";
     let cases = [
         ("ACK - 5", Outcome::Success, None, None, false, 5),
         ("ACK how=HIT,entity=t1,issued=17 5", Outcome::Success, Some(true), Some("t1"), false, 5),
@@ -181,14 +182,14 @@
         ("STALE - 0", Outcome::NotSent, None, None, false, 0),
     ];
     for (rest, outcome, hit, tag, unchanged, length) in cases {
-        let line = format!("{NAME} {rest}");
+        let line = format!("{REQUEST_ID} {rest}");
         let head = node_protocol::parse_answer_head(line.as_bytes()).expect(rest);
-        assert_eq!(&head.request_id, NAME.as_bytes());
+        assert_eq!(&head.request_id, REQUEST_ID.as_bytes());
         let read = (head.outcome, head.is_cache_hit, head.tag, head.is_unchanged, head.body_length);
         assert_eq!(read, (outcome, hit, tag, unchanged, length), "{rest}");
         assert_eq!(head.load, None);
     }
-    let line = format!("{NAME} ACK stats=active:7;cpu:0.61;x0:0.1;x1:0.25,entity=t1 0");
+    let line = format!("{REQUEST_ID} ACK stats=active:7;cpu:0.61;x0:0.1;x1:0.25,entity=t1 0");
     let load =
         node_protocol::parse_answer_head(line.as_bytes()).and_then(|head| head.load).expect("a report");
     assert_eq!((load.cpu_utilization, load.link_utilization), (Some(0.61), Some(0.25)));
@@ -196,8 +197,8 @@
 
 #[test]
 fn lines_to_nodes() {
-    let room = MemoryBudget::new(100);
-    let asked = |tag: Option<&str>, mark: Option<&str>, length| IncomingRequest {
+    let memory_budget = MemoryBudget::new(100);
+    let request = |tag: Option<&str>, idempotency_key: Option<&str>, length| IncomingRequest {
         client: 1,
         call: CallId { number: 7, generation: 0 },
         cancellation: CancellationFlag::default(),
@@ -208,9 +209,9 @@
         group: 17,
         size_kb: 1.0,
         client_tag: tag.map(Into::into),
-        idempotency_key: mark.map(Into::into),
+        idempotency_key: idempotency_key.map(Into::into),
         is_client_retry: false,
-        body: room.allocate_body(length).expect("room").into(),
+        body: memory_budget.allocate_body(length).expect("room").into(),
         arrived_at: 0,
         budget: 0,
     };
@@ -224,11 +225,11 @@
         refresh: false,
         retention_rank: 0,
     };
-    let line = |asked: &IncomingRequest, send: &AttemptSpec, source, way| {
-        let head = node_protocol::pull_head(asked, send, "footage", source, way);
-        String::from_utf8(head.with_wait(send.timeout)).expect("text")
+    let line = |request: &IncomingRequest, spec: &AttemptSpec, source, way| {
+        let head = node_protocol::pull_head(request, spec, "footage", source, way);
+        String::from_utf8(head.with_wait(spec.timeout)).expect("text")
     };
-    let plain = asked(None, None, 0);
+    let plain = request(None, None, 0);
     let start = "PULL 9b1f03aa5c7e2d41 class=footage,key=00000000000000ff,part=3,wait=1500";
     assert_eq!(line(&plain, &bare, None, None), format!("{start} 0\r\n"));
     let full = AttemptSpec {
@@ -240,21 +241,21 @@
     };
     let rest = ",miss=parent-a,way=hub-1+origin,prio=2,within=2500,f=collapse+refresh,mine=t1,once=m7 2\r\n";
     assert_eq!(
-        line(&asked(Some("t1"), Some("m7"), 2), &full, Some("parent-a"), Some("hub-1+origin")),
+        line(&request(Some("t1"), Some("m7"), 2), &full, Some("parent-a"), Some("hub-1+origin")),
         format!("{start}{rest}")
     );
-    let one = [
+    let single_fields = [
         (AttemptSpec { retention_rank: 1, ..bare }, ",prio=1"),
         (AttemptSpec { max_age: Some(0), ..bare }, ",within=1"),
         (AttemptSpec { coalesce: true, ..bare }, ",f=collapse"),
         (AttemptSpec { refresh: true, ..bare }, ",f=refresh"),
     ];
-    for (send, field) in one {
-        assert_eq!(line(&plain, &send, None, None), format!("{start}{field} 0\r\n"));
+    for (spec, field) in single_fields {
+        assert_eq!(line(&plain, &spec, None, None), format!("{start}{field} 0\r\n"));
     }
-    assert_eq!(line(&asked(Some("t1"), None, 0), &bare, None, None), format!("{start},mine=t1 0\r\n"));
-    assert_eq!(line(&asked(None, Some("m7"), 0), &bare, None, None), format!("{start},once=m7 0\r\n"));
-    // A millisecond at least is told.
+    assert_eq!(line(&request(Some("t1"), None, 0), &bare, None, None), format!("{start},mine=t1 0\r\n"));
+    assert_eq!(line(&request(None, Some("m7"), 0), &bare, None, None), format!("{start},once=m7 0\r\n"));
+    // A node is given at least 1 ms.
     assert_eq!(
         node_protocol::pull_head(&plain, &bare, "footage", None, None).with_wait(0),
         b"PULL 9b1f03aa5c7e2d41 class=footage,key=00000000000000ff,part=3,wait=1 0\r\n"
@@ -268,7 +269,7 @@
 }
 
 #[test]
-fn events_of_members_and_purges() {
+fn endpoint_and_purge_events() {
     let text = r#"{"n": 12, "at_ms": 5, "members": {"index": 3, "snapshot": false, "endpoints": [
         {"name": "cache-a", "address": "127.0.0.1:11001", "zone": "edge", "type": "small", "group": 4,
          "status": "ready", "weight": 1, "since_ms": 1700000000123},
@@ -323,10 +324,10 @@
 }
 
 #[test]
-fn events_that_are_none_have_their_cause() {
+fn causes_of_invalid_events() {
     let endpoint = json!({"name": "a", "address": "127.0.0.1:1", "zone": "z", "type": "t", "group": 0,
         "status": "odd", "since_ms": 0});
-    let odd = json!({"n": 4, "members": {"snapshot": true, "endpoints": [endpoint]}}).to_string();
+    let unknown_status = json!({"n": 4, "members": {"snapshot": true, "endpoints": [endpoint]}}).to_string();
     let cases = [
         ("{}", "an event has no number"),
         (r#"{"n": -1, "purge": {}}"#, "an event has no number"),
@@ -335,7 +336,7 @@
         (r#"{"n": 4, "purge": {"group": -1}}"#, "event 4: invalid value: integer `-1`, expected u32"),
         (r#"{"n": 4, "members": {"snapshot": true}}"#, "event 4: missing field `endpoints`"),
         (r#"{"n": 4, "members": {"endpoints": []}}"#, "event 4: missing field `snapshot`"),
-        (&odd, "event 4: a: unknown status odd"),
+        (&unknown_status, "event 4: a: unknown status odd"),
     ];
     for (text, cause) in cases {
         assert_eq!(event(text).expect_err(text), cause);
@@ -346,20 +347,20 @@
 
 #[test]
 #[cfg(not(feature = "hierarchy"))]
-fn a_hierarchy_is_refused_by_a_program_without_them() {
+fn hierarchy_events_are_rejected_without_the_feature() {
     let cause = "event 9: a hierarchy, which this program was built without";
-    assert_eq!(event(HIERARCHY).expect_err("none can be"), cause);
+    assert_eq!(event(HIERARCHY).expect_err("rejected"), cause);
 }
 
 #[test]
 #[cfg(feature = "hierarchy")]
-fn a_hierarchy_is_read_by_a_program_with_them() {
-    // Its own form is the tests' of the hierarchy; here is the word by which an event names it.
+fn hierarchy_events_are_read_with_the_feature() {
+    // The hierarchy's tests cover the form of a hierarchy; this checks the key by which an event contains one.
     assert!(event(HIERARCHY).is_err_and(|e| e.starts_with("event 9: ") && !e.contains("neither")));
 }
 
 #[test]
-fn the_line_of_the_counters() {
+fn counter_line() {
     let counters = Counters {
         received: 1,
         succeeded: 2,
@@ -380,7 +381,7 @@
         ..Counters::default()
     };
     let mut counters = counters;
-    let ends = [
+    let outcomes = [
         Outcome::Success,
         Outcome::Miss,
         Outcome::Overloaded,
@@ -391,7 +392,7 @@
         Outcome::Cancelled,
         Outcome::NotSent,
     ];
-    for (i, outcome) in ends.into_iter().enumerate() {
+    for (i, outcome) in outcomes.into_iter().enumerate() {
         (0..=i).for_each(|_| counters.record_outcome(outcome));
     }
     assert_eq!(
