--- a/crates/coordination/src/assignment_replica.rs
+++ b/crates/coordination/src/assignment_replica.rs
@@ -1,15 +1,15 @@
-//! A voter's replica of the assignment.
+//! A voter's replica of the assignment of targets to members.
 
 use crate::messages::{Assignment, AssignmentVersion, Reply};
 use crate::{FencingGuard, FencingToken, Member, Ns, StaleToken};
 
-/// The newest assignment, with the change that led to it.
+/// The newest assignment, with the change from the one before.
 #[derive(Clone, Debug)]
 pub(crate) struct AssignmentReplica {
     current: Assignment,
     last_change: Option<Change>,
     guard: FencingGuard,
-    /// For how long a sign of life of the assigner confirms the assignment to members.
+    /// How long a message of the assigner confirms the assignment to members.
     validity: Ns,
     confirmed_until: Ns,
 }
@@ -23,13 +23,13 @@
 
 impl Change {
     fn between(old: &Assignment, new: &Assignment) -> Change {
-        let missing_in = |of: &[Member], all: &[Member]| {
-            all.iter().copied().filter(|member| of.binary_search(member).is_err()).collect()
+        let members_missing_from = |base: &[Member], members: &[Member]| {
+            members.iter().copied().filter(|member| base.binary_search(member).is_err()).collect()
         };
         Change {
             since: old.version,
-            joined: missing_in(&old.members, &new.members),
-            left: missing_in(&new.members, &old.members),
+            joined: members_missing_from(&old.members, &new.members),
+            left: members_missing_from(&new.members, &old.members),
         }
     }
 }
@@ -53,8 +53,8 @@
         self.guard.rejected_count()
     }
 
-    /// Stores an assignment that is newer. The current one again confirms only that its assigner is alive. Returns the version
-    /// that is held then.
+    /// Stores the assignment if it is newer. If it is the current one, it only confirms that the assigner is alive.
+    /// Returns the version that is stored afterwards.
     pub(crate) fn store(
         &mut self,
         now: Ns,
@@ -69,7 +69,7 @@
         Ok(self.confirm_current(now, assignment.version))
     }
 
-    /// The assigner is alive and goes by this version. Returns the version that is held.
+    /// The assigner is alive, and `version` is its current assignment. Returns the version that is stored.
     pub(crate) fn confirm(
         &mut self,
         now: Ns,
@@ -87,7 +87,7 @@
         self.current.version
     }
 
-    /// Takes over an assignment that the new assigner knows from elsewhere.
+    /// Adopts a newer assignment that this member knows when it becomes the assigner.
     pub(crate) fn adopt(&mut self, assignment: &Assignment) {
         if assignment.version > self.current.version {
             self.current = assignment.clone();
@@ -95,7 +95,7 @@
         }
     }
 
-    /// What a member that goes by `version` has to know.
+    /// The replies to the heartbeat of a member whose assignment has this version.
     pub(crate) fn replies_to_heartbeat(&self, now: Ns, version: AssignmentVersion) -> Vec<Reply> {
         let mut replies = Vec::new();
         if version < self.current.version {
@@ -107,7 +107,7 @@
         replies
     }
 
-    /// The change alone, if the member has the version before it; else the complete assignment.
+    /// Returns only the change if the member has the version before it, and the complete assignment otherwise.
     fn update_from(&self, version: AssignmentVersion) -> Reply {
         match &self.last_change {
             Some(change) if change.since == version => Reply::AssignmentChanged {
--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -1,16 +1,16 @@
-//! Everything that one process does for coordination.
+//! The coordination state machine of one process.
 //!
-//! A [`Coordinator`] sends heartbeats to the voters, goes by the assignment in force and checks the health of its own
-//! targets. If the process is a voter, it also votes, is a candidate for each role, and performs the roles it holds:
-//! it assigns targets, and reads and writes the registers of the others.
+//! A [`Coordinator`] sends heartbeats to the voters, follows the current assignment and checks the health of its own
+//! targets. If the process is a voter, the coordinator also grants leases, is a candidate for each role, and performs
+//! the roles that it holds: it assigns targets, and reads and writes the registers of the other roles.
 //!
 //! | module | content |
 //! | --- | --- |
-//! | this one | heartbeats, calls to the voters and their replies |
+//! | this module | heartbeats, calls to the voters and their replies |
 //! | `roles` | leases, registers, hand-overs |
-//! | `assignments` | making assignments, going by them, health checks |
-//! | `requests` | what others, or operators, ask of this member |
-//! | `reconfiguration` | a change of the voters |
+//! | `assignments` | making and following assignments, health checks |
+//! | `requests` | requests of other members and of operators |
+//! | `reconfiguration` | changes of the voters at run time |
 
 mod assignments;
 mod reconfiguration;
@@ -31,62 +31,64 @@
     Action, CoordinationConfig, FencingToken, HotObject, LeaseCandidate, Member, MemberVersion, Ns, VoterNode,
 };
 
-/// Observations are not fetched from a voter with so many outstanding calls, but from the next one.
+/// A voter with at least this many outstanding calls is considered unresponsive: observations are fetched from the
+/// next voter.
 const UNRESPONSIVE_AFTER_CALLS: usize = 4;
 
-/// Whether the process takes part.
+/// Whether the process takes part in coordination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Running,
-    /// It ends soon: it sends no heartbeats and checks nothing any more.
+    /// The process is about to end: it sends no heartbeats and no health checks.
     Leaving,
-    /// A later incarnation of its number is in the fleet: it does nothing any more.
+    /// A newer incarnation of the same member number is running: this process does nothing any more.
     Displaced,
 }
 
-/// The assignment role, while this member holds it.
+/// The state of the assignment role while this member holds it.
 #[derive(Clone, Debug)]
 struct Assigner {
     token: FencingToken,
-    /// Counts its assignments.
+    /// The number of the latest assignment of this term.
     number: u64,
     next_at: Ns,
-    /// The version that each voter holds, by index: a voter that holds the current one is not sent it again.
+    /// The version that each voter stores, by voter index. The assignment is sent only to voters that don't store the
+    /// current version.
     stored: Vec<AssignmentVersion>,
 }
 
-/// A version that this member publishes as a role's holder.
+/// A version that this member publishes as the holder of a role.
 #[derive(Clone, Debug)]
 struct Outgoing {
     number: u64,
     bytes: Vec<u8>,
 }
 
-/// What is published by the holders of roles, as this member sees it.
+/// The versions published by the holders of roles, as this member knows them.
 #[derive(Clone, Debug, Default)]
 struct Publications {
-    /// The newest version received.
+    /// The newest version received, by role.
     received: BTreeMap<RoleId, u64>,
-    /// The version in use.
+    /// The version that this member applies, by role.
     applied: BTreeMap<RoleId, AppliedVersion>,
-    /// What this member publishes itself.
+    /// What this member publishes as a holder, by role.
     outgoing: BTreeMap<RoleId, Outgoing>,
 }
 
-/// What goes to the voters with the next heartbeat.
+/// Reports that are sent to the voters with the next heartbeat.
 #[derive(Clone, Debug, Default)]
 struct Reports {
     observations: Vec<HealthObservation>,
     hot_objects: Vec<HotObjectCount>,
 }
 
-/// Everything that one process does for coordination. Messages to a voter in the same process don't leave it.
+/// The coordination state machine of one process. Messages to a voter in the same process are handled directly.
 #[derive(Debug)]
 pub struct Coordinator {
     me: Member,
     config: CoordinationConfig,
     phase: Phase,
-    /// Whether this incarnation was in an assignment.
+    /// Whether this incarnation has been in an assignment.
     has_joined: bool,
     voter_node: Option<VoterNode>,
     candidates: BTreeMap<RoleId, LeaseCandidate>,
@@ -95,10 +97,10 @@
     assignment: Assignment,
     assignment_valid_until: Ns,
     checks: HealthCheckSchedule,
-    /// The latest term of an assignment that a target has admitted.
+    /// The highest term of an assignment that a target is known to have admitted.
     newest_checked_term: u64,
     reports: Reports,
-    /// The newest observation received from each voter, by index.
+    /// The sequence number of the newest observation received from each voter, by voter index.
     health_sequences: Vec<u64>,
     publications: Publications,
     role_reports: BTreeMap<RoleId, String>,
@@ -111,7 +113,8 @@
 }
 
 impl Coordinator {
-    /// A process that has just started. `seed` spreads its attempts and checks and should differ between members.
+    /// Creates the coordinator of a process that has just started. `seed` randomizes the times of its attempts and
+    /// checks and should differ between members.
     pub fn new(me: Member, config: CoordinationConfig, seed: u64, now: Ns) -> Coordinator {
         let voter = config.voter_index(me.number);
         let mut coordinator = Coordinator {
@@ -149,12 +152,12 @@
         self.me
     }
 
-    /// Takes what the caller has to do since the last time.
+    /// Returns the actions since the last call, which the caller has to carry out.
     pub fn take_actions(&mut self) -> Vec<Action> {
         self.actions.drain(..).collect()
     }
 
-    /// When [`step`](Self::step) is to be called next.
+    /// Returns when to call [`step`](Self::step) next.
     pub fn next_wakeup(&self) -> Ns {
         if self.is_displaced() {
             return Ns::MAX;
@@ -169,22 +172,22 @@
         all.fold(self.next_heartbeat, Ns::min)
     }
 
-    /// The token of a role that this member holds now. To be asked right before each effect.
+    /// Returns the token of a role that this member holds now. Callers must check it immediately before each effect.
     pub fn token(&self, now: Ns, role: RoleId) -> Option<FencingToken> {
         self.candidates.get(&role)?.token(now)
     }
 
-    /// Whether a later incarnation of its number has taken its place.
+    /// Whether a newer incarnation of the same member number has replaced this process.
     pub fn is_displaced(&self) -> bool {
         self.phase == Phase::Displaced
     }
 
-    /// The assignment that this member goes by.
+    /// The assignment that this member follows.
     pub fn assignment(&self) -> &Assignment {
         &self.assignment
     }
 
-    /// Does what is due.
+    /// Does everything that is due at this time.
     pub fn step(&mut self, now: Ns) {
         if self.is_displaced() {
             return;
@@ -205,34 +208,35 @@
         self.step_checks(now);
     }
 
-    /// Which published version of a role this member applies. Its holder waits for that, so it is reported at once.
+    /// Sets which published version of a role this member applies. The holder of the role waits for this, so it is
+    /// reported at once.
     pub fn set_applied_version(&mut self, now: Ns, role: RoleId, applied: AppliedVersion) {
         self.publications.applied.insert(role, applied);
         self.next_heartbeat = self.next_heartbeat.min(now);
     }
 
-    /// Which published version of a role each member applies, as this member's voter knows it.
+    /// Returns which published version of a role each member applies, as this member's voter knows it.
     pub fn applied_versions(&self, role: RoleId) -> Vec<MemberVersion> {
         self.voter_node.iter().flat_map(|node| node.applied_versions(role)).collect()
     }
 
-    /// Publishes a version to all members by the voters, as the role's holder.
+    /// As the holder of a role, publishes a version to all members through the voters.
     pub fn publish(&mut self, now: Ns, role: RoleId, number: u64, bytes: Vec<u8>) {
         self.publications.outgoing.insert(role, Outgoing { number, bytes });
         self.next_heartbeat = self.next_heartbeat.min(now);
     }
 
-    /// What this member's clients request most; goes to the voters with the next heartbeat.
+    /// Sets the objects that this member's clients request most. They are reported with the next heartbeat.
     pub fn report_hot_objects(&mut self, hot_objects: Vec<HotObjectCount>) {
         self.reports.hot_objects = hot_objects;
     }
 
-    /// What the fleet requests most, as this member's voter knows it.
+    /// Returns the objects that the fleet requests most, as this member's voter knows them.
     pub fn hottest_objects(&self) -> Vec<HotObject> {
         self.voter_node.as_ref().map(VoterNode::hottest_objects).unwrap_or_default()
     }
 
-    /// What operators see of a role that this member holds.
+    /// Sets the status line that operators see for a role that this member holds.
     pub fn set_role_status(&mut self, role: RoleId, text: String) {
         self.role_reports.insert(role, text);
     }
@@ -255,15 +259,16 @@
             let messages = self.heartbeat_messages(now, voter, &reports, fetch_from == Some(voter));
             self.send(now, voter, messages);
         }
-        self.end_overtaken_assigner(now);
+        self.end_superseded_assigner(now);
     }
 
-    /// Observations are fetched from one voter, another one at each member; from the next one while that one does not reply.
+    /// Returns the voter to fetch observations from. The member's number decides which voter comes first; voters that
+    /// don't reply are skipped.
     fn voter_to_fetch_from(&self) -> Option<u32> {
         let count = self.config.voter_count();
         let first = self.me.number % count.max(1);
-        let mut in_turn = (0..count).map(|offset| (first + offset) % count);
-        in_turn.find(|voter| self.calls.count(*voter) < UNRESPONSIVE_AFTER_CALLS)
+        let mut voters_in_order = (0..count).map(|offset| (first + offset) % count);
+        voters_in_order.find(|voter| self.calls.count(*voter) < UNRESPONSIVE_AFTER_CALLS)
     }
 
     fn heartbeat_messages(&self, now: Ns, voter: u32, reports: &Reports, fetch_health: bool) -> Vec<Message> {
@@ -294,7 +299,7 @@
         messages
     }
 
-    /// Sends messages to a voter: by a call, or directly if it is in this process.
+    /// Sends messages to a voter: by a call, or directly if the voter is in this process.
     fn send(&mut self, now: Ns, voter: u32, messages: Vec<Message>) {
         if let Some(node) = self.voter_node.as_mut().filter(|node| node.index() == voter) {
             let replies = node.on_messages(now, self.me, &messages);
@@ -304,7 +309,7 @@
         }
     }
 
-    /// The replies of a voter to a call.
+    /// Handles the replies of a voter to a call.
     pub fn on_replies(&mut self, now: Ns, voter: u32, call_id: u64, replies: Vec<Reply>) {
         if let Some(called_at) = self.calls.end(voter, call_id) {
             self.handle_replies(now, called_at, voter, replies);
@@ -325,7 +330,8 @@
             Reply::Lease { role, reply } => self.on_lease_reply(now, voter, role, reply),
             Reply::Assigned(assignment) => self.on_assignment(now, assignment),
             Reply::AssignmentChanged { since, version, assigner, joined, left } => {
-                // A change of another version than its own was overtaken: the next heartbeat asks again.
+                // The change applies to another version than this member's: the next heartbeat requests the update
+                // again.
                 if since == self.assignment.version {
                     let members = self.changed_members(&joined, &left);
                     self.on_assignment(now, Assignment { version, assigner, members });
@@ -350,7 +356,7 @@
                     node.on_newest_token(voter, role, token, is_certain);
                 }
             }
-            // To operators only.
+            // Only operators receive these.
             Reply::Status(_) | Reply::HandOverStarted { .. } | Reply::ProposalResult { .. } => {}
         }
     }
@@ -363,8 +369,9 @@
         }
     }
 
-    /// A later incarnation of this member's number was heard of. If this one has not joined yet, its clock was set back: it goes
-    /// on as a later one. If it has, another process has taken its place.
+    /// A newer incarnation of this member's number is known to a voter. If this incarnation has not been in an
+    /// assignment yet, its clock was set back, and it continues with a higher incarnation. Otherwise another process
+    /// has replaced it.
     fn on_later_incarnation(&mut self, now: Ns, incarnation: u64) {
         if incarnation < self.me.incarnation {
             return;
--- a/crates/coordination/src/coordinator/assignments.rs
+++ b/crates/coordination/src/coordinator/assignments.rs
@@ -1,4 +1,4 @@
-//! Making assignments, going by the one in force, and the health checks that follow from it.
+//! Making and following assignments, and the health checks that result from them.
 
 use std::collections::BTreeSet;
 
@@ -9,13 +9,14 @@
 use crate::{Action, FencingToken, Member, Ns};
 
 impl Coordinator {
-    /// Replaces the set of targets of health checks.
+    /// Replaces the set of targets whose health the fleet checks.
     pub fn update_targets(&mut self, now: Ns, targets: &BTreeSet<u64>) {
         self.checks.update_targets(now, targets);
-        self.take_own_targets(now);
+        self.update_own_targets(now);
     }
 
-    /// A target has answered a check that carried `token`, or has rejected it for a newer token.
+    /// Handles the result of a health check that carried `token`: the state of the target, or the newer token for
+    /// which the target rejected the check.
     pub fn on_check_result(
         &mut self,
         now: Ns,
@@ -37,7 +38,8 @@
         }
     }
 
-    /// A target knows of a newer assignment than the one that the check's token is of.
+    /// A target has admitted a newer token than the one of the check. If the check was made under the current
+    /// assignment, that assignment is no longer valid.
     fn on_newer_assignment(&mut self, token: FencingToken, newest: AssignmentVersion) {
         let is_current = token == self.assignment.version.token(self.me);
         if is_current && newest > self.assignment.version {
@@ -46,8 +48,9 @@
         }
     }
 
-    /// The targets of this member are checked two heartbeats from now at the earliest: by then it knows what others observed.
-    fn take_own_targets(&mut self, now: Ns) {
+    /// Updates which targets belong to this member. New ones are checked two heartbeat intervals from now at the
+    /// earliest, when this member has received the observations of others.
+    fn update_own_targets(&mut self, now: Ns) {
         let not_before = now + 2 * self.config.heartbeat_interval;
         self.checks.assign(&self.assignment.members, self.me, not_before);
     }
@@ -91,7 +94,7 @@
         }
     }
 
-    /// The members of the assignment after a change.
+    /// Applies a change to the members of the current assignment.
     pub(super) fn changed_members(&self, joined: &[Member], left: &[Member]) -> Vec<Member> {
         let current = self.assignment.members.iter().copied();
         let mut members: Vec<Member> = current.filter(|member| !left.contains(member)).collect();
@@ -100,8 +103,9 @@
         members
     }
 
-    /// A voter's assignment; one that is not newer is ignored. Checks of targets that stay this member's go on. A confirmation
-    /// that was received for the earlier assignment is not worth more than one for the new one.
+    /// Applies an assignment from a voter, unless it is not newer than the current one. Checks of targets that still
+    /// belong to this member continue. The confirmation of the previous assignment does not extend the validity
+    /// beyond that of a fresh confirmation of the new one.
     pub(super) fn on_assignment(&mut self, now: Ns, new: Assignment) {
         if new.version <= self.assignment.version {
             self.stale_assignments_ignored += u64::from(new.version < self.assignment.version);
@@ -122,10 +126,11 @@
         self.assignment = new;
         let valid_until = now + self.config.assignment_validity();
         self.assignment_valid_until = self.assignment_valid_until.min(valid_until);
-        self.take_own_targets(now);
+        self.update_own_targets(now);
     }
 
-    /// The assignment is valid from when the call was made, not from when the reply came.
+    /// Extends the validity of the assignment, counted from when the call was made and not from when the reply
+    /// arrived.
     pub(super) fn on_assignment_confirmed(&mut self, called_at: Ns, version: AssignmentVersion) {
         let is_own = version == self.assignment.version && self.assignment.members.contains(&self.me);
         if is_own {
@@ -142,7 +147,8 @@
         }
     }
 
-    /// As the assigner: sends the assignment to voters that don't hold it, and confirms it to the others.
+    /// As the assigner, sends the assignment to voters that don't store its current version, and confirms it to the
+    /// others.
     pub(super) fn step_assigner(&mut self, now: Ns) {
         let Some((token, assignment)) = self.next_assignment(now) else { return };
         let stored = self.assigner.as_ref().map(|assigner| assigner.stored.clone()).unwrap_or_default();
@@ -156,15 +162,16 @@
         }
     }
 
-    /// The assignment among the members that are alive now, if it is time to send one: a new version if they have changed.
+    /// As the assigner, returns the assignment of targets to the members that are alive, if it is time to send one.
+    /// It has a new version if the members have changed.
     fn next_assignment(&mut self, now: Ns) -> Option<(FencingToken, Assignment)> {
-        let held = self.token(now, ASSIGNMENT_ROLE);
+        let current_token = self.token(now, ASSIGNMENT_ROLE);
         let assigner = self.assigner.as_mut().filter(|assigner| now >= assigner.next_at)?;
         assigner.next_at = now + self.config.heartbeat_interval;
         let token = assigner.token;
         let node = self.voter_node.as_ref()?;
-        // Not past the lease; the guards of the voters would reject it all the same.
-        if held != Some(token) {
+        // Assignments are sent only while the lease is held. The guards of the voters would reject later ones.
+        if current_token != Some(token) {
             return None;
         }
         let members = node.alive_members(now);
@@ -176,8 +183,8 @@
         Some((token, Assignment { version, assigner: token.holder, members }))
     }
 
-    /// Ends the assignment role if a target has admitted an assignment of a later term.
-    pub(super) fn end_overtaken_assigner(&mut self, now: Ns) {
+    /// Gives up the assignment role if a target has admitted an assignment of a higher term.
+    pub(super) fn end_superseded_assigner(&mut self, now: Ns) {
         let newest = self.newest_checked_term;
         if self.assigner.as_ref().is_some_and(|assigner| assigner.token.term < newest) {
             self.end_lease(now, ASSIGNMENT_ROLE, newest);
--- a/crates/coordination/src/coordinator/reconfiguration.rs
+++ b/crates/coordination/src/coordinator/reconfiguration.rs
@@ -1,16 +1,18 @@
-//! A change of the voters while the process runs.
+//! Changes of the voters at run time.
 
 use super::Coordinator;
 use crate::messages::{AssignmentVersion, RoleId};
 use crate::{Action, CoordinationConfig, LeaseCandidate, Ns, ReconfigureError, VoterNode};
 
 impl Coordinator {
-    /// Takes over settings with one voter more or one less: two majorities of sets that differ by one voter have a voter in
-    /// common. The next change should come when all members have this one; what guards reject does not depend on it.
+    /// Applies settings with one voter added or removed. This is safe because majorities of two sets that differ by
+    /// one voter have a voter in common. The next change should wait until all members have applied this one, but
+    /// the fencing guards reject stale tokens regardless.
     ///
     /// # Errors
     ///
-    /// [`ReconfigureError`] if more than one voter, or anything else, has changed. Nothing is taken over then.
+    /// Returns [`ReconfigureError`] if more than one voter, or any other setting, has changed. Nothing is applied in
+    /// that case.
     pub fn reconfigure(&mut self, now: Ns, config: CoordinationConfig) -> Result<(), ReconfigureError> {
         let (old, new) = (&self.config.voters, &config.voters);
         let left: Vec<u32> = old.iter().copied().filter(|voter| !new.contains(voter)).collect();
@@ -38,14 +40,14 @@
         Ok(())
     }
 
-    /// Hands over its roles by the voters that granted them, and is no voter any more.
+    /// Hands its roles over through the voters that granted them, and ends its own voter.
     fn stop_voting(&mut self, now: Ns) {
         self.hand_over_all(now);
         self.candidates.clear();
         self.voter_node = None;
     }
 
-    /// Forgets everything that is kept by the index of a voter.
+    /// Resets all state that is kept by voter index.
     fn reset_voter_indexes(&mut self) {
         let count = self.config.voters.len();
         self.health_sequences = vec![0; count];
@@ -55,7 +57,7 @@
         }
     }
 
-    /// Takes over its new index, if it is a voter now.
+    /// Updates the own voter and candidates to the new voter index, or creates them if the member has become a voter.
     fn reconfigure_voter(&mut self, now: Ns) {
         let Some(voter) = self.config.voter_index(self.me.number) else { return };
         match self.voter_node.as_mut() {
--- a/crates/coordination/src/coordinator/requests.rs
+++ b/crates/coordination/src/coordinator/requests.rs
@@ -1,4 +1,4 @@
-//! What other members, or operators, ask of this one.
+//! Requests of other members and of operators to this member.
 
 use thiserror::Error;
 
@@ -6,11 +6,11 @@
 use crate::messages::{MemberStatus, Message, OwnLease, Reply, RoleId, RoleReport, RoleStatus};
 use crate::{Action, LeaseRequest, Member, Ns, VoterNode};
 
-/// A member that was named as the successor waits for this part of a round before it acquires the lease: the other voters
-/// hear of the hand-over in about the same moment.
+/// A named successor waits for the round timeout divided by this before it acquires the lease, because the other
+/// voters learn of the hand-over at about the same time.
 const HAND_OVER_DELAYS_PER_ROUND: Ns = 5;
 
-/// Why a proposal was not taken up. On the wire this is its text.
+/// Why a proposal was rejected. Its text is sent in the reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 enum ProposalError {
     #[error("member {} holds the role: ask there", .0.number)]
@@ -20,27 +20,27 @@
 }
 
 impl Coordinator {
-    /// Handles a call of another member, or of an operator.
+    /// Handles a call of another member or of an operator.
     pub fn on_request(&mut self, now: Ns, from: Member, messages: &[Message]) -> Vec<Reply> {
         let mut replies = Vec::new();
-        let mut to_voter = Vec::new();
+        let mut voter_messages = Vec::new();
         for message in messages {
             match self.on_operator_message(now, message) {
                 Some(reply) => replies.push(reply),
-                None => to_voter.push(message.clone()),
+                None => voter_messages.push(message.clone()),
             }
         }
-        let is_taking_part = !self.is_displaced() && !to_voter.is_empty();
-        if let Some(node) = self.voter_node.as_mut().filter(|_| is_taking_part) {
-            replies.extend(node.on_messages(now, from, &to_voter));
+        let passes_to_voter = !self.is_displaced() && !voter_messages.is_empty();
+        if let Some(node) = self.voter_node.as_mut().filter(|_| passes_to_voter) {
+            replies.extend(node.on_messages(now, from, &voter_messages));
         }
-        for message in &to_voter {
+        for message in &voter_messages {
             self.claim_released_lease(now, message);
         }
         replies
     }
 
-    /// None: the message is the voter's.
+    /// Returns the reply to an operator's message, or `None` if the message is for the voter.
     fn on_operator_message(&mut self, now: Ns, message: &Message) -> Option<Reply> {
         match message {
             Message::ShowStatus => Some(Reply::Status(self.status(now))),
@@ -84,7 +84,7 @@
             roles: self.role_status(now),
             assignment: self.assignment.clone(),
             assignment_valid_for: self.assignment_valid_until.saturating_sub(now),
-            target_count: self.checks.own_count() as u32,
+            target_count: self.checks.own_target_count() as u32,
             checks_sent: self.checks.checks_sent(),
             rejected_here: node.map_or(0, VoterNode::rejected_count),
             stale_assignments_ignored: self.stale_assignments_ignored,
--- a/crates/coordination/src/coordinator/roles.rs
+++ b/crates/coordination/src/coordinator/roles.rs
@@ -1,4 +1,4 @@
-//! Leases and registers of the roles that this member is a candidate for or holds.
+//! Leases and registers of the roles for which this member is a candidate or the holder.
 
 use std::collections::BTreeMap;
 
@@ -11,8 +11,8 @@
 const MS: Ns = 1_000_000;
 
 impl Coordinator {
-    /// Hands a role over to a voter by its member's number, or to the next voter that is alive. Returns whether this member
-    /// held the role.
+    /// Hands a role over to the voter with this member number, or to the next voter that is alive. Returns whether
+    /// this member held the role.
     pub fn hand_over(&mut self, now: Ns, role: RoleId, to: Option<u32>) -> bool {
         let number = to.or_else(|| self.next_voter_alive());
         let to = self.assignment.members.iter().copied().find(|member| Some(member.number) == number);
@@ -23,7 +23,8 @@
         true
     }
 
-    /// The process ends soon: hands its roles over, and has its targets pass to others.
+    /// Prepares for the end of the process: hands over its roles, and announces to the voters that it leaves, so that
+    /// its targets move to other members.
     pub fn leave(&mut self, now: Ns) {
         self.hand_over_all(now);
         if !self.is_displaced() {
@@ -35,8 +36,8 @@
         }
     }
 
-    /// Replaces the value of the register of a role that this member holds. [`Action::RegisterStored`] tells when a majority
-    /// of the voters has stored it.
+    /// Writes the register of a role that this member holds. [`Action::RegisterStored`] reports when a majority of
+    /// the voters has stored the value.
     pub fn write_register(&mut self, now: Ns, role: RoleId, bytes: Vec<u8>) {
         if let Some(register) = self.registers.get_mut(&role) {
             let actions = register.write(now, bytes);
@@ -44,7 +45,7 @@
         }
     }
 
-    /// A candidate for each role.
+    /// Creates a candidate for each role.
     pub(super) fn new_candidates(&self, now: Ns, voter: u32, seed: u64) -> BTreeMap<RoleId, LeaseCandidate> {
         let config = self.config.lease_config();
         let candidate = |(index, role): (usize, &RoleId)| {
@@ -54,7 +55,7 @@
         self.config.roles.iter().enumerate().map(candidate).collect()
     }
 
-    /// Replaces the candidates there are, as this member has another incarnation now.
+    /// Replaces the existing candidates after this member has got another incarnation.
     pub(super) fn restart_candidates(&mut self, now: Ns) {
         let voter = self.voter_node.as_ref().map_or(0, VoterNode::index);
         let new = self.new_candidates(now, voter, self.me.incarnation);
@@ -72,15 +73,15 @@
         }
     }
 
-    /// Ends all roles without a hand-over.
+    /// Ends all roles without handing them over.
     pub(super) fn drop_all_roles(&mut self, now: Ns) {
-        let held: Vec<(RoleId, u64)> = self
+        let held_leases: Vec<(RoleId, u64)> = self
             .candidates
             .iter()
             .filter(|(_, candidate)| candidate.lease_until().is_some())
             .map(|(role, candidate)| (*role, candidate.token(now).map_or(0, |token| token.term)))
             .collect();
-        for (role, term) in held {
+        for (role, term) in held_leases {
             self.on_role_lost(role, term, LeaseEnd::Rejected);
         }
         self.candidates.clear();
@@ -115,7 +116,8 @@
         }
     }
 
-    /// A token of this member was rejected. A late reply to an earlier lease says nothing of the present one.
+    /// Handles the rejection of a token of this member. A late rejection that belongs to an earlier lease does not
+    /// end the current one.
     pub(super) fn on_stale_token(&mut self, now: Ns, role: RoleId, highest: FencingToken) {
         self.own_rejections += 1;
         if self.token(now, role).is_some_and(|own| highest > own) {
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Ends a lease, as a later term is known.
+    /// Ends the lease of a role because a higher term is known.
     pub(super) fn end_lease(&mut self, now: Ns, role: RoleId, highest_term: u64) {
         if let Some(candidate) = self.candidates.get_mut(&role) {
             let actions = candidate.on_rejected(now, highest_term);
@@ -215,7 +217,7 @@
         }
     }
 
-    /// The next voter in the configuration's order that is in the assignment.
+    /// Returns the next voter in the configured order that is in the assignment.
     fn next_voter_alive(&self) -> Option<u32> {
         let own = self.voter_node.as_ref().map_or(0, |node| node.index() as usize);
         let voters = &self.config.voters;
--- a/crates/coordination/src/fencing.rs
+++ b/crates/coordination/src/fencing.rs
@@ -1,4 +1,4 @@
-//! Fencing: the token that accompanies each effect, and the check at the effect.
+//! Fencing: the token that accompanies each effect, and the guard that checks it where the effect takes place.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -7,18 +7,18 @@
 
 /// Accompanies each effect of a role's holder. The term grows with each change of the holder.
 ///
-/// Voters without a disk may forget a grant and grant the same term twice. A [`FencingGuard`] then admits the holder
-/// that it met first.
+/// Voters keep nothing on disk, so they may forget a grant and grant the same term twice. A [`FencingGuard`] then
+/// admits the first holder of that term that reaches it and rejects the other.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FencingToken {
-    /// The term of the lease; 0 is no lease and never admitted.
+    /// The term of the lease. 0 means that there is no lease; it is never admitted.
     pub term: u64,
-    /// Who holds the lease.
+    /// The holder of the lease.
     #[serde(rename = "owner")]
     pub holder: Member,
 }
 
-/// A token was rejected: its bearer does not hold the role any more and has to acquire a term above `highest`.
+/// A token was rejected. Its sender no longer holds the role and has to acquire the lease at a term above `highest`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error(
     "stale token: term {} is rejected, term {} of member {} is in force: acquire the lease again",
@@ -27,12 +27,12 @@
 pub struct StaleToken {
     /// The rejected token.
     pub token: FencingToken,
-    /// The highest token that the guard has admitted.
+    /// The newest token that the guard has admitted.
     pub highest: FencingToken,
 }
 
-/// Admits the effects of the newest holder only. The check must be atomic with the effect: under the same lock, in the
-/// same commit.
+/// Admits effects of the newest holder only. The check must be atomic with the effect, for example under the same
+/// lock or in the same transaction.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct FencingGuard {
     highest: FencingToken,
@@ -40,16 +40,16 @@
 }
 
 impl FencingGuard {
-    /// A guard that has admitted this token before, as restored from disk.
+    /// Restores a guard that had admitted this token as its newest one.
     pub fn with_highest(highest: FencingToken) -> FencingGuard {
         FencingGuard { highest, rejected: 0 }
     }
 
-    /// Admits a token with a higher term than any before, or the highest token again.
+    /// Admits a token with a higher term than all before, or the newest token again.
     ///
     /// # Errors
     ///
-    /// [`StaleToken`] for an older term, for another holder of the same term, and for term 0.
+    /// Returns [`StaleToken`] for an older term, for another holder of the same term, and for term 0.
     pub fn admit(&mut self, token: FencingToken) -> Result<(), StaleToken> {
         let newer = token.term > self.highest.term || token == self.highest;
         if newer && token.term > 0 {
@@ -60,12 +60,12 @@
         Err(StaleToken { token, highest: self.highest })
     }
 
-    /// The highest token admitted so far.
+    /// The newest token admitted so far.
     pub fn highest(&self) -> FencingToken {
         self.highest
     }
 
-    /// How many tokens were rejected: effects of former holders that would have done harm.
+    /// The number of rejected tokens, each an effect of a former holder that was prevented.
     pub fn rejected_count(&self) -> u64 {
         self.rejected
     }
--- a/crates/coordination/src/health_check_schedule.rs
+++ b/crates/coordination/src/health_check_schedule.rs
@@ -1,4 +1,4 @@
-//! When this member checks which target.
+//! Decides when this member checks the health of which target.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,9 +10,9 @@
 #[derive(Clone, Copy, Debug)]
 struct Target {
     is_own: bool,
-    /// When it was observed last, by any member.
+    /// When the target was last observed, by any member.
     observed_at: Option<Ns>,
-    /// When it is to be checked next.
+    /// When the target is checked next.
     due_at: Ns,
     /// When the outstanding check was sent.
     sent_at: Option<Ns>,
@@ -26,7 +26,7 @@
     }
 }
 
-/// A check that got no answer in time.
+/// A health check that was not answered in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct TimedOutCheck {
     /// The target that did not answer.
@@ -35,8 +35,8 @@
     pub(crate) sent_at: Ns,
 }
 
-/// Checks each target at a steady interval, whichever member did so before. Every target belongs to one member at a
-/// time; a check that was missed is not made up for.
+/// Schedules the health checks so that each target is checked at a fixed interval across the fleet. Each target
+/// belongs to one member at a time. A missed check is not made up for.
 #[derive(Clone, Debug)]
 pub(crate) struct HealthCheckSchedule {
     interval: Ns,
@@ -47,27 +47,27 @@
 }
 
 impl HealthCheckSchedule {
-    /// A schedule without targets. `seed` spreads the first checks and should differ between members.
+    /// Creates a schedule without targets. `seed` spreads the first checks and should differ between members.
     pub(crate) fn new(interval: Ns, timeout: Ns, seed: u64) -> HealthCheckSchedule {
         HealthCheckSchedule { interval, timeout, seed, targets: BTreeMap::new(), checks_sent: 0 }
     }
 
-    /// How many targets belong to this member.
-    pub(crate) fn own_count(&self) -> usize {
+    /// The number of targets that belong to this member.
+    pub(crate) fn own_target_count(&self) -> usize {
         self.targets.values().filter(|target| target.is_own).count()
     }
 
-    /// How many checks were sent.
+    /// The number of checks sent.
     pub(crate) fn checks_sent(&self) -> u64 {
         self.checks_sent
     }
 
-    /// When a check is due or times out next.
+    /// Returns when the next check is due or times out.
     pub(crate) fn next_wakeup(&self) -> Ns {
         self.targets.values().map(|target| target.next_wakeup(self.timeout)).min().unwrap_or(Ns::MAX)
     }
 
-    /// Replaces the set of targets. New ones are checked first at different moments of the interval.
+    /// Replaces the set of targets. The first checks of new targets are spread over the interval.
     pub(crate) fn update_targets(&mut self, now: Ns, targets: &BTreeSet<u64>) {
         self.targets.retain(|target, _| targets.contains(target));
         for target in targets {
@@ -77,12 +77,13 @@
         }
     }
 
-    /// Assigns the targets to `members`. One that comes to this member is checked an interval after it was observed last,
-    /// and not before `not_before`: by then this member knows what others observed, even if it was cut off from them.
+    /// Assigns the targets to `members`. A target that newly belongs to this member is checked one interval after any
+    /// member last observed it, and not before `not_before`. By that time this member has received the observations
+    /// of others, even if it was disconnected from them.
     pub(crate) fn assign(&mut self, members: &[Member], me: Member, not_before: Ns) {
         let shares = RendezvousShares::from_weights(members.iter().map(|member| (*member, 1.0)));
-        for (number, target) in &mut self.targets {
-            let is_own = shares.owner(*number) == Some(me);
+        for (id, target) in &mut self.targets {
+            let is_own = shares.owner(*id) == Some(me);
             if is_own && !target.is_own {
                 let due_at = target.observed_at.map_or(target.due_at, |at| at + self.interval);
                 target.due_at = due_at.max(not_before);
@@ -91,39 +92,41 @@
         }
     }
 
-    /// Another member observed the target. This member's own observations come back by the voters with a little delay; they
-    /// are recognized by that and change nothing.
+    /// Handles an observation of the target that a voter passed on. This member's own observations also come back
+    /// from the voters, at most a quarter of the interval after they were made; observations within that time of the
+    /// last one are ignored.
     pub(crate) fn on_observation(&mut self, target: u64, at: Ns) {
-        let echo_delay = self.interval / 4;
-        let is_newer = |target: &&mut Target| target.observed_at.is_none_or(|last| last + echo_delay < at);
+        let max_echo_delay = self.interval / 4;
+        let is_newer =
+            |target: &&mut Target| target.observed_at.is_none_or(|last| last + max_echo_delay < at);
         if let Some(target) = self.targets.get_mut(&target).filter(is_newer) {
             target.observed_at = Some(at);
             target.due_at = target.due_at.max(at + self.interval);
         }
     }
 
-    /// Takes the targets that are due; the caller sends a check to each.
+    /// Takes the targets whose check is due. The caller sends a check to each.
     pub(crate) fn take_due(&mut self, now: Ns) -> Vec<u64> {
         let mut due = Vec::new();
-        for (number, target) in &mut self.targets {
+        for (id, target) in &mut self.targets {
             if target.is_own && target.sent_at.is_none() && now >= target.due_at {
                 target.sent_at = Some(now);
                 target.due_at = (target.due_at + self.interval).max(now + self.interval / 2);
-                due.push(*number);
+                due.push(*id);
             }
         }
         self.checks_sent += due.len() as u64;
         due
     }
 
-    /// Puts off what is due, as this member has no valid assignment.
+    /// Postpones the checks that are due, because this member has no valid assignment.
     pub(crate) fn postpone_due(&mut self, now: Ns) {
         for target in self.targets.values_mut().filter(|target| now >= target.due_at) {
             target.due_at = now + self.interval / 4;
         }
     }
 
-    /// The target answered; returns whether a check was outstanding.
+    /// Records that the target answered. Returns whether a check was outstanding.
     pub(crate) fn on_answer(&mut self, now: Ns, target: u64) -> bool {
         let Some(target) = self.targets.get_mut(&target) else { return false };
         let was_outstanding = target.sent_at.take().is_some();
@@ -133,7 +136,7 @@
         was_outstanding
     }
 
-    /// The target rejected the check, which tells nothing of its health.
+    /// Records that the target rejected the check, which says nothing about its health.
     pub(crate) fn on_rejected(&mut self, target: u64) {
         if let Some(target) = self.targets.get_mut(&target) {
             target.sent_at = None;
@@ -143,11 +146,11 @@
     /// Takes the outstanding checks that have timed out.
     pub(crate) fn take_timed_out(&mut self, now: Ns) -> Vec<TimedOutCheck> {
         let mut timed_out = Vec::new();
-        for (number, target) in &mut self.targets {
+        for (id, target) in &mut self.targets {
             if let Some(sent_at) = target.sent_at.filter(|sent_at| now >= sent_at + self.timeout) {
                 target.sent_at = None;
                 target.observed_at = Some(sent_at);
-                timed_out.push(TimedOutCheck { target: *number, sent_at });
+                timed_out.push(TimedOutCheck { target: *id, sent_at });
             }
         }
         timed_out
--- a/crates/coordination/src/lease_candidate.rs
+++ b/crates/coordination/src/lease_candidate.rs
@@ -1,44 +1,46 @@
-//! Acquiring the lease of one role at the voters, renewing it, and handing it over.
+//! Acquires the lease of one role from the voters, renews it and hands it over.
 
 use crate::voter::{LeaseReply, LeaseRequest};
 use crate::voter_set::VoterSet;
 use crate::{FencingToken, Member, Ns};
 
-/// Multiplier and increment of the linear congruential generator that spreads attempts (Knuth's MMIX).
+/// Multiplier and increment of the linear congruential generator (Knuth's MMIX) that randomizes the delays of
+/// attempts.
 const LCG_MULTIPLIER: u64 = 6_364_136_223_846_793_005;
 const LCG_INCREMENT: u64 = 1_442_695_040_888_963_407;
 
-/// Failed attempts double the spread of the next ones up to this many times.
+/// Each failed attempt in a row doubles the random part of the next delay, up to this many times.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// A holder renews when this part of its lease has passed.
+/// The holder renews its lease this many times per lease duration.
 const RENEWALS_PER_LEASE: Ns = 4;
 
-/// The same at all members.
+/// Lease settings, which must be the same at all members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseConfig {
-    /// How many voters there are.
+    /// The number of voters.
     pub voter_count: u32,
     /// The duration of a lease.
     pub duration: Ns,
-    /// How long the replies of one round of requests are waited for.
+    /// How long a candidate waits for the replies to one round of requests.
     pub round_timeout: Ns,
-    /// An attempt is delayed by this for each candidate with a lower rank, and by up to this much at random.
+    /// The delay of an attempt grows by this for each candidate with a lower rank, and by a random part of up to
+    /// this.
     pub claim_spacing: Ns,
 }
 
-/// What the caller has to do for a candidate.
+/// An action that the caller has to carry out for a candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum CandidateAction {
-    /// Send a request to the voter of this index.
+    /// Send a request to the voter with this index.
     Send(u32, LeaseRequest),
-    /// The lease is held: effects with this token are allowed for as long as [`LeaseCandidate::token`] returns it.
+    /// The candidate holds the lease. Effects with this token are allowed while [`LeaseCandidate::token`] returns it.
     Acquired(FencingToken),
-    /// The lease is not held any more.
+    /// The candidate no longer holds the lease.
     Ended {
         /// The term of the lease.
         term: u64,
-        /// Why it ended.
+        /// Why the lease ended.
         reason: LeaseEnd,
     },
 }
@@ -46,11 +48,11 @@
 /// Why a lease ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LeaseEnd {
-    /// No majority renewed it in time.
+    /// No majority of the voters renewed the lease in time.
     Expired,
-    /// The holder gave it back.
+    /// The holder released the lease.
     HandedOver,
-    /// A guard or a voter knew of a later holder.
+    /// A guard or a voter knows of a later holder, or a newer incarnation has replaced this member.
     Rejected,
 }
 
@@ -68,8 +70,8 @@
         term: u64,
         granted: VoterSet,
     },
-    /// `until` counts from when the round that a majority granted was sent, so that the lease ends here before it ends
-    /// at the voters.
+    /// `until` counts from when the round that a majority granted was sent. The lease therefore ends at the holder
+    /// before it ends at the voters.
     Holding {
         term: u64,
         until: Ns,
@@ -84,24 +86,25 @@
     granted: VoterSet,
 }
 
-/// A member that wants to hold a role: it waits, asks whether the lease is free, acquires it at a majority of the
-/// voters, and renews it until it is handed over, rejected or expired.
+/// A member that wants to hold a role. It waits for its next attempt, asks the voters whether the lease is free (the
+/// pre-vote), acquires the lease from a majority of them, and renews it until it is handed over, rejected or expired.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseCandidate {
     me: Member,
     config: LeaseConfig,
-    /// Its position among the candidates.
+    /// Position among the candidates of the role. A lower rank attempts earlier.
     rank: u32,
     round: u64,
     highest_term: u64,
     state: CandidateState,
-    /// Attempts that failed in a row.
+    /// Number of failed attempts in a row.
     failures: u32,
     random_state: u64,
 }
 
 impl LeaseCandidate {
-    /// A candidate that waits for its first attempt. `seed` should differ between members.
+    /// Creates a candidate that waits for its first attempt. `seed` randomizes its delays and should differ between
+    /// members.
     pub fn new(me: Member, rank: u32, config: LeaseConfig, seed: u64, now: Ns) -> LeaseCandidate {
         let mut candidate = LeaseCandidate {
             me,
@@ -113,11 +116,11 @@
             failures: 0,
             random_state: seed,
         };
-        candidate.wait(now, 0);
+        candidate.begin_wait(now, 0);
         candidate
     }
 
-    /// The token for an effect now, if the lease is held. To be asked right before each effect.
+    /// Returns the token while the lease is held. Callers must check it immediately before each effect.
     pub fn token(&self, now: Ns) -> Option<FencingToken> {
         match self.state {
             CandidateState::Holding { term, until, .. } if now < until => {
@@ -127,12 +130,12 @@
         }
     }
 
-    /// When the lease ends, if it is held and not renewed meanwhile.
+    /// Returns when a held lease ends unless it is renewed.
     pub fn lease_until(&self) -> Option<Ns> {
         if let CandidateState::Holding { until, .. } = self.state { Some(until) } else { None }
     }
 
-    /// When [`step`](Self::step) is to be called next.
+    /// Returns when to call [`step`](Self::step) next.
     pub fn next_wakeup(&self) -> Ns {
         match &self.state {
             CandidateState::Waiting { until } => *until,
@@ -143,7 +146,7 @@
         }
     }
 
-    /// Does what is due: begins an attempt, gives up on one, renews the lease or ends it.
+    /// Does what is due: begins an attempt, gives up on a timed-out one, renews the lease or ends it.
     pub fn step(&mut self, now: Ns) -> Vec<CandidateAction> {
         let timed_out = |since: Ns| now >= since + self.config.round_timeout;
         match self.state {
@@ -154,7 +157,7 @@
                 self.fail(now, 0)
             }
             CandidateState::Holding { term, until, .. } if now >= until => {
-                self.wait(now, 0);
+                self.begin_wait(now, 0);
                 vec![CandidateAction::Ended { term, reason: LeaseEnd::Expired }]
             }
             CandidateState::Holding { term, until, next_renewal, .. } if now >= next_renewal => {
@@ -164,7 +167,7 @@
         }
     }
 
-    /// Handles a voter's reply. One to an earlier round tells the highest term only.
+    /// Handles a voter's reply. From a reply to an earlier round only the highest term is used.
     pub fn on_reply(&mut self, now: Ns, voter: u32, reply: LeaseReply) -> Vec<CandidateAction> {
         let round = match reply {
             LeaseReply::PreVoteResult { round, highest_term, .. }
@@ -191,7 +194,7 @@
         }
     }
 
-    /// A guard rejected the token: the lease is lost, and the next attempt needs a term above `highest_term`.
+    /// A guard rejected the token: the lease is lost, and the next attempt uses a term above `highest_term`.
     pub fn on_rejected(&mut self, now: Ns, highest_term: u64) -> Vec<CandidateAction> {
         self.highest_term = self.highest_term.max(highest_term);
         let CandidateState::Holding { term, .. } = self.state else { return Vec::new() };
@@ -200,18 +203,18 @@
         actions
     }
 
-    /// Gives the lease back before it ends, as at a planned stop. A named successor may acquire it at once. The caller
-    /// has to complete every effect before.
+    /// Releases the lease before it expires, as at a planned stop. A named successor may acquire it at once. The
+    /// caller must have completed all effects of the role before this call.
     pub fn hand_over(&mut self, now: Ns, to: Option<Member>) -> Vec<CandidateAction> {
         let CandidateState::Holding { term, .. } = self.state else { return Vec::new() };
-        self.wait(now, self.config.duration);
+        self.begin_wait(now, self.config.duration);
         let mut actions = vec![CandidateAction::Ended { term, reason: LeaseEnd::HandedOver }];
         actions.extend(self.send_to_all(LeaseRequest::Release { from: self.me, term, to }));
         actions
     }
 
-    /// The voters have changed by one. Replies of before don't count any more; a lease that is held goes on and is
-    /// renewed at once. Two majorities of sets that differ by one voter have a voter in common.
+    /// Applies a change of one voter. Replies to earlier rounds no longer count. A held lease continues and is
+    /// renewed at once, which is safe because majorities of two sets that differ by one voter have a voter in common.
     pub fn reconfigure(&mut self, now: Ns, rank: u32, config: LeaseConfig) {
         (self.config, self.rank) = (config, rank);
         self.round += 1;
@@ -220,19 +223,20 @@
                 (*renewal, *next_renewal) = (None, now);
             }
             CandidateState::Waiting { .. } => {}
-            CandidateState::PreVoting { .. } | CandidateState::Acquiring { .. } => self.wait(now, 0),
+            CandidateState::PreVoting { .. } | CandidateState::Acquiring { .. } => self.begin_wait(now, 0),
         }
     }
 
-    /// Brings the next attempt forward: the lease was handed over to this member.
+    /// Moves the next attempt forward to `at`, as the lease was handed over to this member.
     pub fn schedule_claim(&mut self, at: Ns) {
         if let CandidateState::Waiting { until } = &mut self.state {
             *until = at.min(*until);
         }
     }
 
-    /// Waits for at least `min_delay`, longer by rank and at random; the random part grows with each failure.
-    fn wait(&mut self, now: Ns, min_delay: Ns) {
+    /// Delays the next attempt by `min_delay`, a part that grows with the rank, and a random part that grows with
+    /// each failure.
+    fn begin_wait(&mut self, now: Ns, min_delay: Ns) {
         self.random_state = self.random_state.wrapping_mul(LCG_MULTIPLIER).wrapping_add(LCG_INCREMENT);
         let spread = self.config.claim_spacing << self.failures.min(MAX_BACKOFF_DOUBLINGS);
         let jitter = if spread > 0 { (self.random_state >> 33) % spread } else { 0 };
@@ -240,8 +244,8 @@
         self.state = CandidateState::Waiting { until: now + min_delay + by_rank + jitter };
     }
 
-    /// Ends an attempt or a lease without success. What a minority granted would keep others out until it ends, so it
-    /// is released.
+    /// Ends an attempt or a lease without success and releases it, because grants from a minority of the voters would
+    /// block other candidates until they expire.
     fn fail(&mut self, now: Ns, min_delay: Ns) -> Vec<CandidateAction> {
         let released = match self.state {
             CandidateState::Acquiring { term, .. } | CandidateState::Holding { term, .. } => {
@@ -250,7 +254,7 @@
             CandidateState::Waiting { .. } | CandidateState::PreVoting { .. } => Vec::new(),
         };
         self.failures += 1;
-        self.wait(now, min_delay);
+        self.begin_wait(now, min_delay);
         released
     }
 
@@ -281,12 +285,17 @@
         self.send_acquire(term)
     }
 
-    /// `held_for`: how long another member holds the lease still.
-    fn on_pre_vote_result(&mut self, now: Ns, voter: u32, held_for: Option<Ns>) -> Vec<CandidateAction> {
+    /// `other_remaining`: how long the lease of another member remains granted, if one holds it.
+    fn on_pre_vote_result(
+        &mut self,
+        now: Ns,
+        voter: u32,
+        other_remaining: Option<Ns>,
+    ) -> Vec<CandidateAction> {
         let CandidateState::PreVoting { replied, .. } = &mut self.state else { return Vec::new() };
-        if let Some(remaining) = held_for {
+        if let Some(remaining) = other_remaining {
             self.failures = 0;
-            self.wait(now, remaining);
+            self.begin_wait(now, remaining);
             return Vec::new();
         }
         replied.insert(voter);
--- a/crates/coordination/src/register_replica.rs
+++ b/crates/coordination/src/register_replica.rs
@@ -1,22 +1,23 @@
-//! A voter's replica of a role's register.
+//! A voter's replica of the register of a role.
 
 use crate::messages::RegisterValue;
 use crate::voter_set::VoterSet;
 use crate::{FencingGuard, FencingToken, StaleToken};
 
-/// What a replica returns to a read.
+/// The result of a read from one replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ReadValue {
-    /// The newest value that it holds.
+    /// The newest value that the replica stores.
     pub(crate) value: RegisterValue,
-    /// Whether it can't have forgotten a value that was written before.
+    /// Whether the replica can't have forgotten a value that was written before.
     pub(crate) is_complete: bool,
 }
 
-/// One of the replicas of a register, at a voter. A read or a write with a token shuts out all older tokens.
+/// One voter's replica of a register. After a read or a write with a token, it rejects all older tokens.
 ///
-/// A voter without a disk forgets at a restart whom it had shut out. It takes part again once a majority of the other
-/// voters, or all of them, have sent the newest token that they know.
+/// A voter keeps nothing on disk, so after a restart it no longer knows which tokens it has to reject. It handles
+/// reads and writes again once it has received the newest known token from a majority of the voters, counting only
+/// voters that are not recovering themselves, or from all other voters.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct RegisterReplica {
     guard: FencingGuard,
@@ -25,83 +26,85 @@
     recovery: Option<Recovery>,
 }
 
-/// The replies of other voters after a restart.
+/// The replies of other voters during the recovery from a restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Recovery {
-    me: u32,
+    own_index: u32,
     voter_count: u32,
     replied: VoterSet,
-    /// Of those, the ones that have not forgotten themselves.
+    /// Those voters that replied and were not recovering themselves.
     certain: VoterSet,
 }
 
 impl RegisterReplica {
-    /// The replica of voter `me` after a start without memory.
-    pub(crate) fn new(me: u32, voter_count: u32) -> RegisterReplica {
-        let is_alone = voter_count <= 1;
+    /// Creates the replica of the voter with index `own_index` after a start; nothing is stored.
+    pub(crate) fn new(own_index: u32, voter_count: u32) -> RegisterReplica {
+        let is_single_voter = voter_count <= 1;
         let mut replied = VoterSet::default();
-        replied.insert(me);
-        let recovery = Recovery { me, voter_count, replied, certain: VoterSet::default() };
+        replied.insert(own_index);
+        let recovery = Recovery { own_index, voter_count, replied, certain: VoterSet::default() };
         RegisterReplica {
             guard: FencingGuard::default(),
             value: RegisterValue::default(),
-            is_complete: is_alone,
-            recovery: (!is_alone).then_some(recovery),
+            is_complete: is_single_voter,
+            recovery: (!is_single_voter).then_some(recovery),
         }
     }
 
-    /// The guard that rejects former holders.
+    /// The guard that rejects tokens of former holders.
     pub(crate) fn guard(&self) -> &FencingGuard {
         &self.guard
     }
 
-    /// The voters have changed: a recovery under way begins again.
-    pub(crate) fn on_voters_changed(&mut self, me: u32, voter_count: u32) {
+    /// Applies a change of the voters. An unfinished recovery starts over.
+    pub(crate) fn on_voters_changed(&mut self, own_index: u32, voter_count: u32) {
         if self.recovery.is_some() {
-            *self = RegisterReplica { guard: self.guard.clone(), ..RegisterReplica::new(me, voter_count) };
+            *self =
+                RegisterReplica { guard: self.guard.clone(), ..RegisterReplica::new(own_index, voter_count) };
         }
     }
 
-    /// The voters that it still has to ask for their newest token.
+    /// The voters that have not sent their newest token yet.
     pub(crate) fn unqueried_voters(&self) -> VoterSet {
         self.recovery.map_or(VoterSet::default(), |recovery| {
             VoterSet::first(recovery.voter_count).without(recovery.replied)
         })
     }
 
-    /// The newest token it knows, for another voter that recovers.
+    /// The newest token that the replica knows, for another voter that recovers.
     pub(crate) fn newest_token(&self) -> FencingToken {
         self.guard.highest()
     }
 
-    /// Whether it still recovers from a restart: it may have forgotten newer tokens.
+    /// Whether the replica is recovering from a restart: it may have forgotten newer tokens.
     pub(crate) fn is_recovering(&self) -> bool {
         self.recovery.is_some()
     }
 
-    /// Another voter's newest token; `is_certain` if that voter does not recover itself.
+    /// Handles another voter's newest token. `is_certain` means that the other voter is not recovering itself.
     pub(crate) fn on_newest_token(&mut self, voter: u32, newest: FencingToken, is_certain: bool) {
-        let is_other = |recovery: &&mut Recovery| voter < recovery.voter_count && voter != recovery.me;
-        let Some(recovery) = self.recovery.as_mut().filter(is_other) else { return };
+        let is_other_voter =
+            |recovery: &&mut Recovery| voter < recovery.voter_count && voter != recovery.own_index;
+        let Some(recovery) = self.recovery.as_mut().filter(is_other_voter) else { return };
         recovery.replied.insert(voter);
         if is_certain {
             recovery.certain.insert(voter);
         }
-        let is_over = recovery.certain.is_majority_of(recovery.voter_count)
+        let is_recovered = recovery.certain.is_majority_of(recovery.voter_count)
             || recovery.replied.len() == recovery.voter_count;
         if newest > self.guard.highest() {
             self.guard = FencingGuard::with_highest(newest);
         }
-        if is_over {
+        if is_recovered {
             self.recovery = None;
         }
     }
 
-    /// Reads the value and shuts out older tokens; no result while it recovers.
+    /// Returns the value and rejects older tokens from then on. Returns `None` while the replica recovers.
     ///
     /// # Errors
     ///
-    /// [`StaleToken`] if a newer token has read or written before.
+    /// Returns [`StaleToken`] if a newer token has read or written before.
     pub(crate) fn read(&mut self, token: FencingToken) -> Option<Result<ReadValue, StaleToken>> {
         if self.is_recovering() {
             return None;
@@ -110,12 +113,12 @@
         Some(admitted.map(|()| ReadValue { value: self.value.clone(), is_complete: self.is_complete }))
     }
 
-    /// Takes a value that is newer than its own, and returns the sequence number that was written; no result while it
-    /// recovers. Writing a value twice changes nothing.
+    /// Stores a value that is newer than the stored one, and returns the sequence number of the given value. Returns
+    /// `None` while the replica recovers. Writes are idempotent.
     ///
     /// # Errors
     ///
-    /// [`StaleToken`] if a newer token has read or written before.
+    /// Returns [`StaleToken`] if a newer token has read or written before.
     pub(crate) fn write(&mut self, value: RegisterValue) -> Option<Result<u64, StaleToken>> {
         if self.is_recovering() {
             return None;
--- a/crates/coordination/src/register_writer.rs
+++ b/crates/coordination/src/register_writer.rs
@@ -1,8 +1,10 @@
-//! The holder's access to its role's register: what a holder must remember beyond its own process.
+//! Reads and writes the register of a role on behalf of its holder. The register stores the state that has to outlive
+//! the holder's process.
 //!
-//! The register is one value, replicated to the voters and replaced at each write. Terms are its ballots (Lamport's
-//! single-decree Paxos, 1998; Gafni and Lamport's Disk Paxos): a holder reads from a majority, which shuts out all
-//! older holders there, writes back what it read under its own token, and writes its own values from then on.
+//! The register is a single value that is replicated to the voters; each write replaces it. The terms of leases serve
+//! as ballots (Lamport's single-decree Paxos, 1998; Gafni and Lamport's Disk Paxos). A new holder reads from a
+//! majority of the voters, after which those voters reject all older holders. It writes the newest value that it read
+//! back under its own token, and only then writes its own values.
 
 use crate::messages::RegisterValue;
 use crate::register_replica::ReadValue;
@@ -26,18 +28,18 @@
     }
 }
 
-/// What the caller has to do for a writer.
+/// An action that the caller has to carry out for a writer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum RegisterAction {
     /// Send a read to these voters.
     Read(VoterSet),
     /// Send a write to these voters.
     Write(VoterSet, RegisterValue),
-    /// A majority holds this value. Sequence number 0: nothing was ever written.
+    /// A majority of the voters stores this value. Sequence number 0 means that nothing was ever written.
     Stored(RegisterValue),
 }
 
-/// Reads and writes the register of one role, from the time its lease is acquired to its end.
+/// Reads and writes the register of one role, from when its lease is acquired until it ends.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct RegisterWriter {
     token: FencingToken,
@@ -46,12 +48,12 @@
     next_attempt: Ns,
     phase: Phase,
     value: RegisterValue,
-    /// Written next, once the write under way is stored.
+    /// The next value to write, once the current write is stored.
     queued: Option<Vec<u8>>,
 }
 
 impl RegisterWriter {
-    /// A writer that begins with its read at the next [`step`](Self::step).
+    /// Creates a writer that starts reading at the next [`step`](Self::step).
     pub(crate) fn new(token: FencingToken, voter_count: u32, round_timeout: Ns, now: Ns) -> RegisterWriter {
         RegisterWriter {
             token,
@@ -64,17 +66,18 @@
         }
     }
 
-    /// The token under which it reads and writes.
+    /// The token that accompanies its reads and writes.
     pub(crate) fn token(&self) -> FencingToken {
         self.token
     }
 
-    /// When [`step`](Self::step) is to be called next.
+    /// Returns when to call [`step`](Self::step) next.
     pub(crate) fn next_wakeup(&self) -> Ns {
         if matches!(self.phase, Phase::Idle) { Ns::MAX } else { self.next_attempt }
     }
 
-    /// The voters have changed: a majority of the new ones has to store what a majority of the old ones holds.
+    /// The voters have changed. Writes the value again, because a majority of the new voters has to store what a
+    /// majority of the old ones stores; an unfinished read starts over.
     pub(crate) fn on_voters_changed(&mut self, now: Ns, voter_count: u32) -> Vec<RegisterAction> {
         self.voter_count = voter_count;
         if matches!(self.phase, Phase::Reading { .. }) {
@@ -85,7 +88,7 @@
         self.begin_write(now)
     }
 
-    /// Sends the read or the write again to voters that have not replied.
+    /// Sends the read or write again to voters that have not replied.
     pub(crate) fn step(&mut self, now: Ns) -> Vec<RegisterAction> {
         if now < self.next_wakeup() {
             return Vec::new();
@@ -101,16 +104,16 @@
         }
     }
 
-    /// A voter's value, read with the token `to`. A majority of voters that can't have forgotten a value is enough; else
-    /// all have to reply, and the newest of their values counts.
+    /// Handles a voter's reply to a read with `token`. The read ends once a majority of the voters has sent complete
+    /// replies (the voter can't have forgotten a value), or once all voters have replied. The newest value read counts.
     pub(crate) fn on_read(
         &mut self,
         now: Ns,
         voter: u32,
-        to: FencingToken,
+        token: FencingToken,
         read: ReadValue,
     ) -> Vec<RegisterAction> {
-        if to != self.token || voter >= self.voter_count {
+        if token != self.token || voter >= self.voter_count {
             return Vec::new();
         }
         let Phase::Reading { replied, complete, newest } = &mut self.phase else { return Vec::new() };
@@ -125,12 +128,12 @@
         if !complete.is_majority_of(self.voter_count) && !all_replied {
             return Vec::new();
         }
-        // A value that a minority holds is stored by a majority before anything is built upon it.
+        // The value may be stored by a minority only: a majority has to store it before the holder builds on it.
         self.value = RegisterValue { token: self.token, ..std::mem::take(newest) };
         self.begin_write(now)
     }
 
-    /// Replaces the value. A write that waits already is dropped for this one.
+    /// Replaces the value. Only the latest value is kept while an earlier write is unfinished.
     pub(crate) fn write(&mut self, now: Ns, bytes: Vec<u8>) -> Vec<RegisterAction> {
         if !matches!(self.phase, Phase::Idle) {
             self.queued = Some(bytes);
@@ -140,7 +143,7 @@
         self.begin_write(now)
     }
 
-    /// A voter has stored the value of this token and sequence number.
+    /// A voter has stored the value with this token and sequence number.
     pub(crate) fn on_written(
         &mut self,
         now: Ns,
--- a/crates/coordination/src/voter.rs
+++ b/crates/coordination/src/voter.rs
@@ -1,14 +1,14 @@
-//! Granting the lease of one role.
+//! Grants the lease of one role.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Member, Ns};
 
-/// What a [`LeaseCandidate`](crate::LeaseCandidate) asks of a voter. `round` comes back in the reply.
+/// A request of a [`LeaseCandidate`](crate::LeaseCandidate) to a voter. The reply repeats `round`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum LeaseRequest {
-    /// Would the lease be granted, and above which term? Changes nothing at the voter, so that a candidate that
-    /// reaches only a minority can't drive terms up.
+    /// Asks whether the lease would be granted, and which is the highest term. A pre-vote changes nothing at the
+    /// voter, so that a candidate that reaches only a minority of the voters can't raise terms.
     #[serde(rename = "Look")]
     PreVote {
         /// The candidate's round of requests.
@@ -16,25 +16,25 @@
         /// The candidate.
         from: Member,
     },
-    /// Grant the lease at this term, or renew it.
+    /// Asks for the lease at this term, or for its renewal.
     #[serde(rename = "Claim")]
     Acquire {
         /// The candidate's round of requests.
         round: u64,
         /// The candidate, or the holder that renews.
         from: Member,
-        /// The term to be granted or renewed.
+        /// The requested term; the term of the lease for a renewal.
         term: u64,
         /// The duration of the lease.
         lease: Ns,
     },
-    /// The holder gives the lease back before it ends. There is no reply.
+    /// The holder releases the lease before it expires. There is no reply.
     Release {
         /// The holder.
         from: Member,
         /// The term of its lease.
         term: u64,
-        /// A successor that may acquire the lease at once; without one anybody may.
+        /// A successor that may acquire the lease at once. Without a successor, any candidate may.
         to: Option<Member>,
     },
 }
@@ -42,7 +42,7 @@
 /// A voter's reply to a [`LeaseRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum LeaseReply {
-    /// To [`LeaseRequest::PreVote`].
+    /// Reply to [`LeaseRequest::PreVote`].
     #[serde(rename = "Seen")]
     PreVoteResult {
         /// The round of the request.
@@ -50,7 +50,7 @@
         /// The highest term that the voter knows of.
         #[serde(rename = "highest")]
         highest_term: u64,
-        /// Another member that holds the lease still.
+        /// Another member that currently holds the lease.
         #[serde(rename = "held")]
         holder: Option<LeaseHolder>,
     },
@@ -61,7 +61,7 @@
         /// The granted term.
         term: u64,
     },
-    /// Another member holds the lease, or the term is not above the highest one.
+    /// Another member holds the lease, or the requested term is not above the highest one.
     #[serde(rename = "Refused")]
     Rejected {
         /// The round of the request.
@@ -69,7 +69,7 @@
         /// The highest term that the voter knows of.
         #[serde(rename = "highest")]
         highest_term: u64,
-        /// Another member that holds the lease still.
+        /// Another member that currently holds the lease.
         #[serde(rename = "held")]
         holder: Option<LeaseHolder>,
     },
@@ -81,7 +81,7 @@
 pub struct LeaseHolder {
     /// The holder.
     pub member: Member,
-    /// How long the voter grants it the lease still.
+    /// How long the lease remains granted at the voter.
     pub remaining: Ns,
 }
 
@@ -104,15 +104,15 @@
     until: Ns,
 }
 
-/// Extends a lease by a hundredth, in case the holder's clock runs slower than the voter's.
-fn with_clock_drift(lease: Ns) -> Ns {
+/// Extends a lease by 1 percent, in case the holder's clock runs slower than the voter's.
+fn with_clock_drift_margin(lease: Ns) -> Ns {
     lease + lease / 100
 }
 
 /// Grants the lease of one role to one member at a time.
 ///
-/// A voter that keeps nothing on disk forgets its grants at a restart. It does not reply until every lease that it may
-/// have granted has ended.
+/// A voter keeps nothing on disk, so it forgets its grants when it restarts. After a restart it is silent: it does
+/// not reply until every lease that it may have granted has expired.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
     highest_term: u64,
@@ -122,39 +122,44 @@
 }
 
 impl Voter {
-    /// A voter that may have granted leases before and has forgotten them. `max_lease` bounds the duration of a lease
-    /// and has to be the same at all voters.
+    /// Creates a voter that may have granted leases before a restart and has forgotten them. `max_lease` bounds the
+    /// duration of a lease and must be the same at all voters.
     pub fn without_memory(now: Ns, max_lease: Ns) -> Voter {
-        Voter { highest_term: 0, grant: None, silent_until: now + with_clock_drift(max_lease), max_lease }
+        Voter {
+            highest_term: 0,
+            grant: None,
+            silent_until: now + with_clock_drift_margin(max_lease),
+            max_lease,
+        }
     }
 
-    /// A voter that has surely granted nothing before: it replies at once.
+    /// Creates a voter that has certainly granted nothing before. It replies at once.
     pub fn first_start(now: Ns, max_lease: Ns) -> Voter {
         Voter { silent_until: now, ..Voter::without_memory(now, max_lease) }
     }
 
-    /// The highest term that it has granted or heard of.
+    /// The highest term that the voter has granted or learned of.
     pub fn highest_term(&self) -> u64 {
         self.highest_term
     }
 
-    /// Takes note of a higher term that was met elsewhere: the next lease needs a term above it.
+    /// Records a term that was learned elsewhere, so that the next lease needs a higher one.
     pub fn observe_term(&mut self, term: u64) {
         self.highest_term = self.highest_term.max(term);
     }
 
-    /// For how long it does not reply yet, if it does not.
+    /// The remaining time of the silence after a restart, if the voter is still silent.
     pub fn silent_for(&self, now: Ns) -> Option<Ns> {
         (now < self.silent_until).then(|| self.silent_until - now)
     }
 
-    /// Who holds the lease, and for how long still.
+    /// Returns who holds the lease and for how long.
     pub fn holder(&self, now: Ns) -> Option<LeaseHolder> {
         let grant = self.grant.filter(|grant| now < grant.until)?;
         Some(LeaseHolder { member: grant.to, remaining: grant.until - now })
     }
 
-    /// Handles a request. There is no reply to a release, nor to anything while the voter is silent.
+    /// Handles a request. There is no reply to a release, or to any request while the voter is silent.
     pub fn on_request(&mut self, now: Ns, request: LeaseRequest) -> Option<LeaseReply> {
         if self.silent_for(now).is_some() {
             if let LeaseRequest::Acquire { term, .. } = request {
@@ -177,8 +182,8 @@
         }
     }
 
-    fn other_holder(&self, now: Ns, than: Member) -> Option<LeaseHolder> {
-        self.holder(now).filter(|holder| holder.member != than)
+    fn other_holder(&self, now: Ns, candidate: Member) -> Option<LeaseHolder> {
+        self.holder(now).filter(|holder| holder.member != candidate)
     }
 
     fn is_granted(&self, to: Member, term: u64) -> bool {
@@ -187,20 +192,21 @@
 
     fn on_acquire(&mut self, now: Ns, round: u64, from: Member, term: u64, lease: Ns) -> LeaseReply {
         let holder = self.other_holder(now, from);
-        let renews = self.is_granted(from, term);
-        let is_old = term < self.highest_term || term == self.highest_term && !renews;
-        if holder.is_some() || is_old {
+        let is_renewal = self.is_granted(from, term);
+        let is_stale = term < self.highest_term || term == self.highest_term && !is_renewal;
+        if holder.is_some() || is_stale {
             return LeaseReply::Rejected { round, highest_term: self.highest_term, holder };
         }
         self.highest_term = term;
-        // A renewal that was overtaken by a later one must not shorten the lease.
-        let earliest = self.grant.filter(|_| renews).map_or(0, |grant| grant.until);
-        let until = (now + with_clock_drift(lease.min(self.max_lease))).max(earliest);
+        // A delayed renewal that arrives after a later one must not shorten the lease.
+        let earliest = self.grant.filter(|_| is_renewal).map_or(0, |grant| grant.until);
+        let until = (now + with_clock_drift_margin(lease.min(self.max_lease))).max(earliest);
         self.grant = Some(Grant { to: from, term, until });
         LeaseReply::Granted { round, term }
     }
 
-    /// A named successor has the rest of the lease to acquire it before others.
+    /// Releases the lease. A named successor becomes the grantee for the rest of the lease, so that it can acquire
+    /// the lease before other candidates.
     fn on_release(&mut self, from: Member, term: u64, to: Option<Member>) {
         if let Some(grant) = self.grant.filter(|_| self.is_granted(from, term)) {
             self.grant = to.map(|to| Grant { to, ..grant });
--- a/crates/coordination/src/voter_node.rs
+++ b/crates/coordination/src/voter_node.rs
@@ -1,4 +1,4 @@
-//! Everything that a voter keeps for the fleet.
+//! The state that one voter stores for the fleet.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,7 +15,7 @@
     StaleToken, Voter,
 };
 
-/// What a role's holder publishes to all members.
+/// What the holder of a role publishes to all members.
 #[derive(Clone, Debug, Default)]
 struct Publication {
     guard: FencingGuard,
@@ -28,19 +28,19 @@
 pub struct MemberVersion {
     /// The member.
     pub member: Member,
-    /// Its version.
+    /// The version that the member applies.
     pub applied: AppliedVersion,
 }
 
-/// A voter: grants leases, detects failures, holds the assignment, registers, observations and publications. It replies
-/// to each call at once, from what it holds, and keeps nothing on disk.
+/// A voter. It grants leases, detects failed members, and stores the assignment, registers, health observations and
+/// publications. It replies to each call immediately from memory and keeps nothing on disk.
 #[derive(Clone, Debug)]
 pub struct VoterNode {
     index: u32,
     voters: BTreeMap<RoleId, Voter>,
     registers: BTreeMap<RoleId, RegisterReplica>,
     failure_detector: FailureDetector,
-    /// The newest incarnation heard of, by member's number.
+    /// The newest known incarnation of each member, by member number.
     incarnations: BTreeMap<u32, u64>,
     started_at: Ns,
     failure_timeout: Ns,
@@ -48,12 +48,12 @@
     health_log: HealthLog,
     hot_objects: HotObjectCounts,
     publications: BTreeMap<RoleId, Publication>,
-    /// By role and member's number.
+    /// By role and member number.
     applied_versions: BTreeMap<(RoleId, u32), MemberVersion>,
 }
 
 impl VoterNode {
-    /// The voter of this index in the configuration's order, after a start without memory.
+    /// Creates the voter with this index in the configured order, after a start without stored state.
     pub fn new(index: u32, config: &CoordinationConfig, now: Ns) -> VoterNode {
         let voter = |role: &RoleId| (*role, Voter::without_memory(now, config.lease_duration));
         let register = |role: &RoleId| (*role, RegisterReplica::new(index, config.voter_count()));
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The voters have changed; this one has a new index.
+    /// Applies a change of the voters, which gives this voter a new index.
     pub fn reconfigure(&mut self, index: u32, config: &CoordinationConfig) {
         self.index = index;
         for register in self.registers.values_mut() {
@@ -81,17 +81,17 @@
         }
     }
 
-    /// Its index in the configuration's order.
+    /// The voter's index in the configured order.
     pub fn index(&self) -> u32 {
         self.index
     }
 
-    /// The newest assignment it holds.
+    /// The newest assignment that the voter stores.
     pub fn assignment(&self) -> &Assignment {
         self.assignment.current()
     }
 
-    /// How many stale tokens it has rejected.
+    /// The number of stale tokens that the voter has rejected.
     pub fn rejected_count(&self) -> u64 {
         let publications = self.publications.values().map(|publication| &publication.guard);
         let registers = self.registers.values().map(RegisterReplica::guard);
@@ -99,12 +99,12 @@
         rejected + self.assignment.rejected_count()
     }
 
-    /// How long it does not grant leases yet after its start.
+    /// How long the voter remains silent after its start, during which it grants no leases.
     pub fn silent_for(&self, now: Ns) -> Ns {
         self.voters.values().filter_map(|voter| voter.silent_for(now)).max().unwrap_or(0)
     }
 
-    /// The roles as it sees them.
+    /// The roles as this voter knows them.
     pub fn role_status(&self, now: Ns) -> impl Iterator<Item = RoleStatus> + '_ {
         self.voters.iter().map(move |(role, voter)| RoleStatus {
             role: *role,
@@ -114,12 +114,12 @@
         })
     }
 
-    /// Which published version of a role each member applies.
+    /// Returns which published version of a role each member applies.
     pub fn applied_versions(&self, role: RoleId) -> impl Iterator<Item = MemberVersion> + '_ {
         self.applied_versions.range((role, 0)..=(role, u32::MAX)).map(|(_, version)| *version)
     }
 
-    /// What it has to ask other voters after its start: the voter's index and the message.
+    /// The queries that the voter sends to other voters after its start, each with the index of the voter to ask.
     pub fn pending_queries(&self) -> impl Iterator<Item = (u32, Message)> + '_ {
         self.registers.iter().flat_map(|(role, register)| {
             let voters = register.unqueried_voters().iter();
@@ -127,38 +127,39 @@
         })
     }
 
-    /// Another voter's reply to such a query.
+    /// Handles another voter's reply to a query of [`pending_queries`](Self::pending_queries).
     pub fn on_newest_token(&mut self, voter: u32, role: RoleId, newest: FencingToken, is_certain: bool) {
         if let Some(register) = self.registers.get_mut(&role) {
             register.on_newest_token(voter, newest, is_certain);
         }
     }
 
-    /// The most requested objects of the fleet, the most requested first.
+    /// The most requested objects of the fleet, in descending order.
     pub fn hottest_objects(&self) -> Vec<HotObject> {
         self.hot_objects.hottest()
     }
 
-    /// The members that are to have targets. For one failure timeout after its start the voter has not heard of all members: it
-    /// leaves nobody out who is in the assignment already.
+    /// Returns the members that are to get targets. During one failure timeout after its start, the voter may not
+    /// have received heartbeats from all members yet, so it keeps those that are in the assignment and have not left.
     pub fn alive_members(&self, now: Ns) -> Vec<Member> {
         let mut alive: BTreeSet<Member> = self.failure_detector.alive_members(now).into_iter().collect();
         if now < self.started_at + self.failure_timeout {
-            let numbers: BTreeSet<u32> = alive.iter().map(|member| member.number).collect();
-            let is_unheard = |member: &&Member| {
-                !numbers.contains(&member.number) && !self.failure_detector.has_left(**member)
+            let heard_numbers: BTreeSet<u32> = alive.iter().map(|member| member.number).collect();
+            let is_not_heard_from = |member: &&Member| {
+                !heard_numbers.contains(&member.number) && !self.failure_detector.has_left(**member)
             };
-            alive.extend(self.assignment().members.iter().filter(is_unheard));
+            alive.extend(self.assignment().members.iter().filter(is_not_heard_from));
         }
         alive.into_iter().collect()
     }
 
-    /// Takes over an assignment that the new assigner knows from elsewhere.
+    /// Adopts a newer assignment that this member knows when it becomes the assigner.
     pub fn adopt_assignment(&mut self, assignment: &Assignment) {
         self.assignment.adopt(assignment);
     }
 
-    /// Handles a member's messages. Those of an earlier incarnation are not handled; the reply names the later one.
+    /// Handles a member's messages. If a newer incarnation of the sender is known, the messages are ignored and the
+    /// reply names that incarnation.
     pub fn on_messages(&mut self, now: Ns, from: Member, messages: &[Message]) -> Vec<Reply> {
         if let Some(later) = self.later_incarnation(from) {
             return vec![Reply::Displaced(later)];
@@ -166,7 +167,7 @@
         messages.iter().flat_map(|message| self.on_message(now, from, message)).collect()
     }
 
-    /// The newest incarnation of the sender's number, if it is a later one.
+    /// Returns the newest incarnation of the sender's number if it is newer than the sender.
     fn later_incarnation(&mut self, from: Member) -> Option<u64> {
         let newest = self.incarnations.entry(from.number).or_insert(from.incarnation);
         *newest = (*newest).max(from.incarnation);
@@ -215,7 +216,7 @@
                 self.on_applied_version(*role, from, *received, *applied)
             }
             Message::FetchNewestToken(role) => self.newest_token(*role),
-            // The coordinator replies to these.
+            // The coordinator handles these itself.
             Message::ShowStatus | Message::HandOver { .. } | Message::Propose { .. } => None,
         };
         reply.into_iter().collect()
