--- a/crates/coordination/src/action.rs
+++ b/crates/coordination/src/action.rs
@@ -1,48 +1,48 @@
-//! What a coordinator has its caller do.
+//! The actions that a coordinator returns to its caller.
 
 use crate::messages::{HealthObservation, Message, RegisterValue, RoleId};
 use crate::{FencingToken, LeaseEnd};
 
-/// What the caller of a [`Coordinator`](crate::Coordinator) has to do.
+/// An action that the caller of a [`Coordinator`](crate::Coordinator) has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send messages to a voter in one call.
-    /// [`Coordinator::on_replies`](crate::Coordinator::on_replies) takes what comes back, if anything does.
+    /// Send messages to a voter in one call. Pass the replies, if any arrive, to
+    /// [`Coordinator::on_replies`](crate::Coordinator::on_replies).
     Call {
-        /// The voter's index in the order of the configuration.
+        /// The voter's index in the configured order.
         voter: u32,
         /// Identifies the call in `on_replies`.
         call_id: u64,
-        /// The messages.
+        /// The messages to send.
         messages: Vec<Message>,
     },
-    /// Check the health of a target.
-    /// [`Coordinator::on_check_result`](crate::Coordinator::on_check_result) takes the result.
+    /// Check the health of a target. Pass the result to
+    /// [`Coordinator::on_check_result`](crate::Coordinator::on_check_result).
     CheckHealth {
-        /// The target.
+        /// The target to check.
         target: u64,
-        /// Accompanies the check; the target rejects older ones.
+        /// Accompanies the check. The target rejects older tokens.
         token: FencingToken,
     },
-    /// A role's holder has published a newer version to all members.
+    /// The holder of a role has published a newer version to all members.
     Published {
         /// The role.
         role: RoleId,
         /// The published version.
         bytes: Vec<u8>,
     },
-    /// Targets were observed, by this member or by others.
+    /// Health observations by this member or by others.
     HealthObservations(Vec<HealthObservation>),
-    /// From here on calls name voters by their index in this order.
+    /// The voters have changed. From now on, calls name voters by their index in this order.
     VotersChanged(Vec<u32>),
-    /// This member holds the role from here on.
+    /// This member has acquired the role.
     RoleAcquired {
         /// The role.
         role: RoleId,
-        /// Accompanies each effect.
+        /// Accompanies each effect of the role.
         token: FencingToken,
     },
-    /// This member does not hold the role any more.
+    /// This member no longer holds the role.
     RoleLost {
         /// The role.
         role: RoleId,
@@ -51,18 +51,18 @@
         /// Why the lease ended.
         reason: LeaseEnd,
     },
-    /// A majority of the voters holds this value of the register of an own role.
+    /// A majority of the voters stores this value in the register of a role that this member holds.
     RegisterStored {
         /// The role.
         role: RoleId,
-        /// The value.
+        /// The stored value.
         value: RegisterValue,
     },
-    /// An operator's proposal for an own role.
+    /// An operator's proposal for a role that this member holds.
     Proposal {
         /// The role.
         role: RoleId,
-        /// The proposal.
+        /// The content of the proposal.
         bytes: Vec<u8>,
     },
     /// Write a line to the log.
--- a/crates/coordination/src/health_log.rs
+++ b/crates/coordination/src/health_log.rs
@@ -1,12 +1,12 @@
-//! Observations of targets, at a voter.
+//! A voter's log of health observations.
 
 use std::collections::BTreeMap;
 
 use crate::Ns;
 use crate::messages::{HealthObservation, HealthState};
 
-/// An observation older than this is not returned.
-const MAX_AGE: Ns = 10_000_000_000;
+/// Observations older than this are not returned.
+const MAX_OBSERVATION_AGE: Ns = 10_000_000_000;
 
 #[derive(Clone, Copy, Debug)]
 struct Entry {
@@ -15,12 +15,12 @@
     state: HealthState,
 }
 
-/// The newest observation of each target, numbered in the order in which they came in, so that members can ask for what
-/// is new.
+/// The newest observation of each target. Observations are numbered in the order of arrival, so that members can
+/// fetch only those that are new to them.
 #[derive(Clone, Debug)]
 pub(crate) struct HealthLog {
     by_target: BTreeMap<u64, Entry>,
-    /// Targets by the sequence number of their entry.
+    /// The target of each entry, by the entry's sequence number.
     by_sequence: BTreeMap<u64, u64>,
     next_sequence: u64,
 }
@@ -30,12 +30,12 @@
         HealthLog { by_target: BTreeMap::new(), by_sequence: BTreeMap::new(), next_sequence: 1 }
     }
 
-    /// The sequence number of the newest entry; 0: there is none.
+    /// The sequence number of the newest entry, or 0 if there is none.
     pub(crate) fn last_sequence(&self) -> u64 {
         self.next_sequence - 1
     }
 
-    /// Records an observation, unless a later one of the target is known.
+    /// Records an observation, unless a later observation of the target is known.
     pub(crate) fn record(&mut self, now: Ns, observation: HealthObservation) {
         let HealthObservation { target, age, state } = observation;
         let observed_at = now.saturating_sub(age);
@@ -50,8 +50,8 @@
         self.by_sequence.insert(sequence, target);
     }
 
-    /// What was recorded after a sequence number. A number that this log has not reached is of an earlier incarnation of the
-    /// voter: all is returned.
+    /// Returns the observations after a sequence number. A number that this log has not reached comes from an earlier
+    /// incarnation of the voter, so all observations are returned.
     pub(crate) fn since(&self, now: Ns, sequence: u64) -> Vec<HealthObservation> {
         let first = if sequence >= self.next_sequence { 0 } else { sequence + 1 };
         let entries = self.by_sequence.range(first..).filter_map(|(_, target)| {
@@ -59,6 +59,6 @@
             let age = now.saturating_sub(entry.observed_at);
             Some(HealthObservation { target: *target, age, state: entry.state })
         });
-        entries.filter(|observation| observation.age < MAX_AGE).collect()
+        entries.filter(|observation| observation.age < MAX_OBSERVATION_AGE).collect()
     }
 }
--- a/crates/coordination/src/hot_object_counts.rs
+++ b/crates/coordination/src/hot_object_counts.rs
@@ -1,18 +1,18 @@
-//! What the fleet requests most, at a voter.
+//! A voter's counts of the objects that the fleet requests most.
 
 use std::collections::BTreeMap;
 
 use crate::messages::HotObjectCount;
 use crate::{HotObject, Ns};
 
-/// Counts are halved in this time.
+/// The counts are halved after this time.
 const HALF_LIFE: Ns = 5_000_000_000;
-/// So many objects are kept at a halving, and returned.
+/// At most this many objects are returned, or kept when the counts are halved.
 const MAX_OBJECTS: usize = 512;
-/// The most that one report adds to an object.
-const MAX_COUNT: f32 = 1e6;
+/// The most that one report adds to the count of an object.
+const MAX_REPORTED_COUNT: f32 = 1e6;
 
-/// Sums of the counts that members report, with exponential decay.
+/// Sums of the request counts that members report, with exponential decay.
 #[derive(Clone, Debug)]
 pub(crate) struct HotObjectCounts {
     counts: BTreeMap<HotObject, f32>,
@@ -24,11 +24,11 @@
         HotObjectCounts { counts: BTreeMap::new(), halved_at: now }
     }
 
-    /// Adds a member's counts.
+    /// Adds the counts that a member reports.
     pub(crate) fn add(&mut self, now: Ns, reported: &[HotObjectCount]) {
         for HotObjectCount { object, count } in reported {
             if count.is_finite() && *count > 0.0 {
-                *self.counts.entry(*object).or_default() += count.min(MAX_COUNT);
+                *self.counts.entry(*object).or_default() += count.min(MAX_REPORTED_COUNT);
             }
         }
         if now >= self.halved_at + HALF_LIFE || self.counts.len() > 2 * MAX_OBJECTS {
@@ -37,19 +37,19 @@
         }
     }
 
-    /// Halves all counts, and drops objects past the limit with the lowest ones.
+    /// Halves all counts, and removes the objects with the lowest counts if there are more than [`MAX_OBJECTS`].
     fn halve(&mut self) {
         let mut descending: Vec<f32> = self.counts.values().copied().collect();
         descending.sort_by(|a, b| b.total_cmp(a));
-        let dropped_up_to = descending.get(MAX_OBJECTS).copied().unwrap_or(0.0);
+        let drop_threshold = descending.get(MAX_OBJECTS).copied().unwrap_or(0.0);
         self.counts.retain(|_, count| {
-            let is_kept = *count > dropped_up_to;
+            let is_kept = *count > drop_threshold;
             *count /= 2.0;
             is_kept
         });
     }
 
-    /// The most requested objects, the most requested first.
+    /// Returns the most requested objects, in descending order.
     pub(crate) fn hottest(&self) -> Vec<HotObject> {
         let mut all: Vec<(HotObject, f32)> =
             self.counts.iter().map(|(object, count)| (*object, *count)).collect();
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,27 +1,28 @@
-//! Coordination of a fleet of directors that may talk to one another: leases, fencing, membership, shared health
-//! checks. No I/O.
+//! Coordination of a fleet of directors that exchange messages: leases, fencing, membership and shared health checks.
+//! The crate does no I/O.
 //!
-//! Some work is done by one director on behalf of all: it is a *role*, and a role has at most one holder at a time.
-//! A few directors are *voters*. A majority of them grants the lease of a role ([`LeaseCandidate`] asks, [`Voter`]
-//! grants); the grant carries a term that grows with each new holder. The term and the holder form a
-//! [`FencingToken`] that accompanies each effect, and a [`FencingGuard`] at the effect rejects older ones. The lease
-//! keeps holders out of each other's way; safety rests on the guard alone, as a lease can end between the check of
-//! the clock and the effect.
+//! Some work is done by one director on behalf of the whole fleet. Such work is a *role*, and a role has at most one
+//! holder at a time. A few directors are *voters*: a [`LeaseCandidate`] requests the lease of a role, and each
+//! [`Voter`] grants or rejects it. The candidate becomes the holder when a majority of the voters has granted the
+//! lease. The lease carries a term that grows with each new holder. The term and the holder form a [`FencingToken`]
+//! that accompanies each effect of the holder, and a [`FencingGuard`] where the effect takes place rejects older
+//! tokens. Leases keep holders from competing; safety rests on the guards alone, because a lease can expire between
+//! the holder's check of its clock and the effect.
 //!
 //! | module | content |
 //! | --- | --- |
-//! | `coordinator` | [`Coordinator`]: everything that one process does; owns the state machines below |
-//! | `voter_node` | [`VoterNode`]: everything that a voter keeps for the fleet |
-//! | `messages` | what members send to voters, and the replies |
+//! | `coordinator` | [`Coordinator`]: the coordination of one process; owns the state machines below |
+//! | `voter_node` | [`VoterNode`]: the state that one voter stores for the fleet |
+//! | `messages` | messages from members to voters, and the replies |
 //! | `lease_candidate`, `voter` | acquiring, renewing and granting a lease |
-//! | `fencing` | tokens, and the check at the effect |
-//! | `register_writer`, `register_replica` | one value a role, replicated to the voters, written by the holder only |
-//! | `failure_detector`, `rendezvous_shares` | who is alive, and which member a target belongs to |
-//! | `health_check_schedule`, `cache_warmer` | when to check a node, what to fetch into a cold cache |
+//! | `fencing` | fencing tokens, and the guard that checks them |
+//! | `register_writer`, `register_replica` | one value per role, replicated to the voters, written by the holder only |
+//! | `failure_detector`, `rendezvous_shares` | which members are alive, and which member a target belongs to |
+//! | `health_check_schedule`, `cache_warmer` | when to check a node, and what to fetch into a cold cache |
 //!
-//! Callers pass the time and received messages in, and carry out the actions that come back. Times are whole
-//! nanoseconds ([`Ns`]) of a monotonic clock that also counts while the machine is suspended. They are meaningful in
-//! one process only: messages carry durations and ages, never points in time.
+//! Callers pass in the time and the received messages, and carry out the returned actions. Times are integer
+//! nanoseconds ([`Ns`]) of a monotonic clock that also advances while the machine is suspended. A time is meaningful
+//! in one process only, so messages carry durations and ages but never points in time.
 
 mod action;
 mod assignment_replica;
--- a/crates/coordination/src/member.rs
+++ b/crates/coordination/src/member.rs
@@ -2,13 +2,13 @@
 
 use serde::{Deserialize, Serialize};
 
-/// One process of the fleet. A director that restarts keeps its number and has a new, higher incarnation, so that
+/// One process of the fleet. A director that restarts keeps its number and gets a new, higher incarnation, so that
 /// messages of the earlier process can be told apart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
     /// The director's number in the settings.
     pub number: u32,
-    /// Grows with each start of the process: milliseconds since the Unix epoch at its start.
+    /// The time when the process started, in milliseconds since the Unix epoch. It grows with each start.
     #[serde(rename = "life")]
     pub incarnation: u64,
 }
--- a/crates/coordination/src/messages.rs
+++ b/crates/coordination/src/messages.rs
@@ -1,9 +1,10 @@
-//! What members send to voters, and what voters reply.
+//! Messages from members to voters, and the voters' replies.
 //!
-//! One call carries several messages, none of which waits for another. Any of them may be lost, duplicated or late.
+//! One call carries several messages, which are handled independently of each other. Any of them may be lost,
+//! duplicated or delayed.
 //!
-//! Messages are encoded as MessagePack: enum variants go by their name, fields by their position. Names that differ from
-//! those in the source are pinned with `serde(rename)`; fields must not be reordered.
+//! Messages are encoded as MessagePack: enum variants by name, fields by position. Encoded names that differ from the
+//! names in the source are set with `serde(rename)`. The order of fields must not change.
 
 mod assignment;
 mod status;
@@ -19,39 +20,39 @@
 /// The health of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum HealthState {
-    /// It serves; with its utilization from 0 to 1, if it reports one.
+    /// The target serves requests. The value is its utilization from 0 to 1, if it reports one.
     #[serde(rename = "Well")]
     Healthy(Option<f32>),
-    /// It reports that it can't serve.
+    /// The target reports that it can't serve requests.
     #[serde(rename = "Ailing")]
     Unhealthy,
-    /// It did not answer in time.
+    /// The target did not answer the check in time.
     #[serde(rename = "Silent")]
     TimedOut,
 }
 
-/// What a health check found.
+/// The result of a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HealthObservation {
-    /// The target: a hash of its name.
+    /// The target, as a hash of its name.
     #[serde(rename = "chore")]
     pub target: u64,
-    /// How long ago it was observed.
+    /// The time since the target was observed.
     pub age: Ns,
-    /// What was observed.
+    /// The observed state.
     pub state: HealthState,
 }
 
-/// How often an object was requested lately.
+/// How often an object was requested recently.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HotObjectCount {
     /// The object.
     pub object: HotObject,
-    /// Requests, older ones counting less.
+    /// The number of requests, weighted by recency.
     pub count: f32,
 }
 
-/// The version of something published that a member applies.
+/// The published version that a member applies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AppliedVersion {
     /// The version's number.
@@ -60,62 +61,62 @@
     pub digest: u64,
 }
 
-/// One call.
+/// One call, with the messages that it carries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Request {
-    /// Who calls.
+    /// The calling member.
     pub from: Member,
-    /// What it sends, to be handled in this order.
+    /// The messages, handled in this order.
     #[serde(rename = "words")]
     pub messages: Vec<Message>,
 }
 
-/// A message to a voter, or of an operator to any member.
+/// A message from a member to a voter, or from an operator to any member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// The sender is alive and goes by this version of the assignment.
+    /// The sender is alive, and its assignment has this version.
     #[serde(rename = "Here")]
     Heartbeat(AssignmentVersion),
-    /// The sender is about to end.
+    /// The sender is about to stop.
     #[serde(rename = "Leaves")]
     Leave,
-    /// A request of a candidate.
+    /// A request of a lease candidate.
     #[serde(rename = "Ask")]
     Lease {
-        /// The role whose lease is meant.
+        /// The role whose lease is requested.
         role: RoleId,
         /// The request.
         request: LeaseRequest,
     },
-    /// The assigner's: store this assignment and pass it on to members.
+    /// From the assigner: store this assignment and pass it on to members.
     #[serde(rename = "Deal")]
     Assign(Assignment),
-    /// The assigner's: it is alive, and this version is still in force.
+    /// From the assigner: it is alive, and this version is its current assignment.
     #[serde(rename = "Deals")]
     ConfirmAssignment {
         /// The assigner's token.
         token: FencingToken,
-        /// The version in force.
+        /// The version of the current assignment.
         version: AssignmentVersion,
     },
-    /// What the sender's health checks found.
+    /// Results of the sender's health checks.
     #[serde(rename = "Found")]
     ReportHealth(Vec<HealthObservation>),
-    /// What the sender's clients request most.
+    /// The objects that the sender's clients request most.
     #[serde(rename = "Hot")]
     ReportHotObjects(Vec<HotObjectCount>),
-    /// Asks for the observations after this sequence number.
+    /// Requests the health observations after this sequence number.
     #[serde(rename = "Facts")]
     FetchHealth(u64),
-    /// A guard has admitted a later term than the voters know of.
+    /// A guard has admitted a higher term than the voters know of.
     #[serde(rename = "Behind")]
     ReportNewerTerm {
         /// The role.
         role: RoleId,
-        /// The later term.
+        /// The higher term.
         term: u64,
     },
-    /// The holder reads its role's register.
+    /// The holder of a role reads its register.
     #[serde(rename = "Read")]
     ReadRegister {
         /// The role.
@@ -123,7 +124,7 @@
         /// The holder's token.
         token: FencingToken,
     },
-    /// The holder replaces the value of its role's register.
+    /// The holder of a role replaces the value of its register.
     #[serde(rename = "Write")]
     WriteRegister {
         /// The role.
@@ -131,7 +132,7 @@
         /// The new value.
         value: RegisterValue,
     },
-    /// The holder's: pass this on to all members, unless a later version comes.
+    /// From the holder of a role: pass this version on to all members, unless a later one arrives.
     #[serde(rename = "Tell")]
     Publish {
         /// The role.
@@ -142,20 +143,20 @@
         token: FencingToken,
         /// The version's number.
         number: u64,
-        /// The version.
+        /// The content of the version.
         bytes: Vec<u8>,
     },
-    /// Which published version the sender has received and which one it applies.
+    /// Reports which published version the sender has received, and which one it applies.
     #[serde(rename = "Has")]
     ReportAppliedVersion {
         /// The role whose holder publishes.
         role: RoleId,
         /// The newest version received.
         received: u64,
-        /// The version in use.
+        /// The version that the sender applies.
         applied: AppliedVersion,
     },
-    /// A voter that recovers from a restart asks another for the newest token it knows.
+    /// From a voter that recovers from a restart: requests the newest token that another voter knows.
     #[serde(rename = "Learn")]
     FetchNewestToken(RoleId),
     /// An operator's proposal to the holder of a role.
@@ -163,17 +164,17 @@
     Propose {
         /// The role.
         role: RoleId,
-        /// The proposal.
+        /// The content of the proposal.
         bytes: Vec<u8>,
     },
-    /// An operator asks for the member's status.
+    /// An operator requests the status of the member.
     #[serde(rename = "Show")]
     ShowStatus,
-    /// An operator asks the holder to hand a role over.
+    /// An operator requests that the holder hands over a role.
     HandOver {
         /// The role.
         role: RoleId,
-        /// The successor's number; without one the next voter that is alive.
+        /// The member number of the successor. Without one, the next voter that is alive succeeds.
         to: Option<u32>,
     },
 }
@@ -181,139 +182,139 @@
 /// The value of a role's register.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RegisterValue {
-    /// Counts the writes; 0: nothing was ever written.
+    /// The number of writes so far. 0 means that nothing was ever written.
     #[serde(rename = "count")]
     pub sequence: u64,
-    /// Who wrote it.
+    /// The token of the holder that wrote the value.
     #[serde(rename = "by")]
     pub token: FencingToken,
-    /// What was written.
+    /// The content of the value.
     pub bytes: Vec<u8>,
 }
 
-/// A reply to a [`Message`]. Some messages have none, some have several.
+/// A reply to a [`Message`]. Some messages have no reply, and some have several.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
-    /// To [`Message::Lease`].
+    /// Reply to [`Message::Lease`].
     #[serde(rename = "Said")]
     Lease {
-        /// The role whose lease is meant.
+        /// The role whose lease was requested.
         role: RoleId,
         /// The voter's reply.
         reply: LeaseReply,
     },
-    /// To a heartbeat with an older version: the assignment in force.
+    /// Reply to a heartbeat with an older version: the current assignment.
     #[serde(rename = "Dealt")]
     Assigned(Assignment),
-    /// To a heartbeat with the version before the one in force: what has changed.
+    /// Reply to a heartbeat with the version before the current one: the change between the two.
     #[serde(rename = "Moved")]
     AssignmentChanged {
         /// The version that the change applies to.
         since: AssignmentVersion,
-        /// The version in force.
+        /// The version of the current assignment.
         #[serde(rename = "stamp")]
         version: AssignmentVersion,
-        /// Who made it.
+        /// The member that made the assignment.
         #[serde(rename = "dealer")]
         assigner: Member,
-        /// Members that it has more.
+        /// The members that were added.
         joined: Vec<Member>,
-        /// Members that it has no more.
+        /// The members that were removed.
         left: Vec<Member>,
     },
-    /// To the assigner: the version that the voter holds.
+    /// Reply to the assigner: the version that the voter stores.
     #[serde(rename = "Keeps")]
     AssignmentStored(AssignmentVersion),
-    /// To a heartbeat: the assigner is alive, and this version is in force.
+    /// Reply to a heartbeat: the assigner is alive, and this is the version of its current assignment.
     #[serde(rename = "Holds")]
     AssignmentConfirmed(AssignmentVersion),
-    /// This later incarnation of the sender's number was heard of: another process has the number, or the sender's clock was
-    /// set back.
+    /// A newer incarnation of the sender's number is known. Either another process uses the number, or the sender's
+    /// clock was set back.
     Displaced(u64),
-    /// To [`Message::FetchHealth`].
+    /// Reply to [`Message::FetchHealth`].
     #[serde(rename = "Facts")]
     HealthObservations {
         /// The sequence number of the newest observation.
         #[serde(rename = "upto")]
         up_to: u64,
-        /// What is new.
+        /// The observations after the requested sequence number.
         #[serde(rename = "findings")]
         observations: Vec<HealthObservation>,
     },
-    /// The sender's token was rejected.
+    /// The sender's token was rejected as stale.
     #[serde(rename = "Old")]
     StaleToken {
         /// The role.
         role: RoleId,
-        /// The token in force.
+        /// The newest token that was admitted.
         highest: FencingToken,
     },
-    /// To [`Message::ReadRegister`].
+    /// Reply to [`Message::ReadRegister`].
     #[serde(rename = "Kept")]
     RegisterRead {
         /// The role.
         #[serde(rename = "duty")]
         role: RoleId,
-        /// The token that read.
+        /// The token of the read.
         #[serde(rename = "to")]
         token: FencingToken,
-        /// The voter's value.
+        /// The value that the voter stores.
         #[serde(rename = "entry")]
         value: RegisterValue,
-        /// Whether the voter can't have forgotten a later value.
+        /// Whether the voter can't have forgotten a newer value.
         #[serde(rename = "whole")]
         is_complete: bool,
     },
-    /// To [`Message::WriteRegister`].
+    /// Reply to [`Message::WriteRegister`].
     #[serde(rename = "Wrote")]
     RegisterWritten {
         /// The role.
         #[serde(rename = "duty")]
         role: RoleId,
-        /// The token that wrote.
+        /// The token of the write.
         #[serde(rename = "by")]
         token: FencingToken,
-        /// The sequence number of the value.
+        /// The sequence number of the written value.
         #[serde(rename = "count")]
         sequence: u64,
     },
-    /// To [`Message::FetchNewestToken`].
+    /// Reply to [`Message::FetchNewestToken`].
     #[serde(rename = "Learnt")]
     NewestToken {
         /// The role.
         role: RoleId,
-        /// The newest token that has accessed the register.
+        /// The newest token that has read or written the register.
         token: FencingToken,
-        /// Whether the voter can't have forgotten a newer one.
+        /// Whether the voter can't have forgotten a newer token.
         is_certain: bool,
     },
-    /// To [`Message::ReportAppliedVersion`]: a later version than the sender has received.
+    /// Reply to [`Message::ReportAppliedVersion`]: a newer version than the sender has received.
     #[serde(rename = "Told")]
     Published {
         /// The role.
         role: RoleId,
         /// The version's number.
         number: u64,
-        /// The version.
+        /// The content of the version.
         bytes: Vec<u8>,
     },
-    /// To [`Message::ShowStatus`].
+    /// Reply to [`Message::ShowStatus`].
     #[serde(rename = "Shown")]
     Status(MemberStatus),
-    /// To [`Message::HandOver`].
+    /// Reply to [`Message::HandOver`].
     #[serde(rename = "HandsOver")]
     HandOverStarted {
         /// The role.
         role: RoleId,
-        /// Whether the member held the role.
+        /// Whether the member held the role, so that the hand-over has started.
         started: bool,
     },
-    /// To [`Message::Propose`].
+    /// Reply to [`Message::Propose`].
     #[serde(rename = "Wished")]
     ProposalResult {
         /// The role.
         role: RoleId,
-        /// Whether the holder has taken the proposal up; else why not.
+        /// Whether the holder has accepted the proposal, or why not.
         result: Result<(), String>,
     },
 }
--- a/crates/coordination/src/messages/status.rs
+++ b/crates/coordination/src/messages/status.rs
@@ -1,63 +1,63 @@
-//! What operators see of a member. It is also printed as JSON, by the pinned names.
+//! The status of a member for operators. It is also printed as JSON, with the names given in `serde(rename)`.
 
 use serde::{Deserialize, Serialize};
 
 use super::{Assignment, RoleId};
 use crate::{FencingToken, LeaseHolder, Member, Ns};
 
-/// What operators see of a member.
+/// The status of a member for operators.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Who it is.
+    /// The identity of the member.
     #[serde(rename = "me")]
     pub member: Member,
-    /// Its index among the voters, if it votes.
+    /// The member's index among the voters, if it is a voter.
     pub voter: Option<u32>,
-    /// How long its voter does not reply yet after a restart.
+    /// How long its voter remains silent after a restart.
     #[serde(rename = "silent")]
     pub silent_for: Ns,
-    /// The roles as its voter sees them.
+    /// The roles as its voter knows them.
     #[serde(rename = "duties")]
     pub roles: Vec<RoleStatus>,
-    /// The assignment it goes by.
+    /// The assignment that the member follows.
     #[serde(rename = "roster")]
     pub assignment: Assignment,
-    /// For how long its share of the assignment is valid; 0: not now.
+    /// How long the assignment remains valid for the member. 0 means that it is not valid.
     #[serde(rename = "holds")]
     pub assignment_valid_for: Ns,
-    /// How many targets belong to it.
+    /// The number of targets that belong to the member.
     #[serde(rename = "chores")]
     pub target_count: u32,
-    /// How many health checks it has sent.
+    /// The number of health checks that the member has sent.
     #[serde(rename = "probes")]
     pub checks_sent: u64,
-    /// Stale tokens that its voter has rejected.
+    /// The number of stale tokens that the member's voter has rejected.
     #[serde(rename = "refused")]
     pub rejected_here: u64,
-    /// Older assignments that it was sent and has ignored.
+    /// The number of older assignments that the member has received and ignored.
     #[serde(rename = "passed_over")]
     pub stale_assignments_ignored: u64,
-    /// How often its own tokens were rejected, by voters or by targets.
+    /// The number of the member's own tokens that voters or targets have rejected.
     #[serde(rename = "was_refused")]
     pub own_rejections: u64,
-    /// What its own roles report.
+    /// The status lines of the roles that the member holds.
     #[serde(rename = "status")]
     pub role_status: Vec<RoleReport>,
 }
 
-/// A role as a voter sees it, and as the member itself does if it holds the role.
+/// A role as a voter knows it, with the lease if the member itself holds the role.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RoleStatus {
     /// The role.
     #[serde(rename = "duty")]
     pub role: RoleId,
-    /// The highest term that the voter knows of.
+    /// The highest term that the voter knows.
     #[serde(rename = "highest")]
     pub highest_term: u64,
-    /// Whom the voter has granted the lease.
+    /// The member to which the voter has granted the lease.
     #[serde(rename = "owner")]
     pub holder: Option<LeaseHolder>,
-    /// The lease, if this member holds it.
+    /// The member's own lease, if it holds the role.
     #[serde(rename = "own")]
     pub own_lease: Option<OwnLease>,
 }
@@ -68,7 +68,7 @@
 pub struct OwnLease {
     /// The holder's token.
     pub token: FencingToken,
-    /// How long the lease lasts, unless it is renewed.
+    /// How long the lease lasts unless it is renewed.
     pub remaining: Ns,
 }
 
@@ -84,7 +84,7 @@
     }
 }
 
-/// What a role reports to operators.
+/// The status line of a role for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(RoleId, String)", into = "(RoleId, String)")]
 pub struct RoleReport {
--- a/crates/coordination/src/voter_set.rs
+++ b/crates/coordination/src/voter_set.rs
@@ -1,19 +1,19 @@
 //! Sets of voters.
 
-/// A set of voters by their index in the configuration's order, below [`VoterSet::CAPACITY`].
+/// A set of voters by their index in the configured order, which is below [`VoterSet::CAPACITY`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct VoterSet(u64);
 
 impl VoterSet {
-    /// Indexes from here on can't be members of a set.
+    /// Higher indexes can't be in a set.
     pub(crate) const CAPACITY: u32 = 64;
 
-    /// The set of the first `count` voters.
+    /// Returns the set of the first `count` voters.
     pub(crate) fn first(count: u32) -> VoterSet {
         VoterSet((1u64 << count.min(Self::CAPACITY - 1)) - 1)
     }
 
-    /// Adds a voter; an index past the capacity is ignored.
+    /// Adds a voter. An index beyond the capacity is ignored.
     pub(crate) fn insert(&mut self, voter: u32) {
         if voter < Self::CAPACITY {
             self.0 |= 1 << voter;
@@ -25,22 +25,22 @@
         voter < Self::CAPACITY && self.0 >> voter & 1 == 1
     }
 
-    /// How many voters are in the set.
+    /// The number of voters in the set.
     pub(crate) fn len(self) -> u32 {
         self.0.count_ones()
     }
 
-    /// The voters of this set that are not in `other`.
+    /// Returns the voters of this set that are not in `other`.
     pub(crate) fn without(self, other: VoterSet) -> VoterSet {
         VoterSet(self.0 & !other.0)
     }
 
-    /// Whether these are more than half of `voter_count` voters.
+    /// Whether the set contains more than half of `voter_count` voters.
     pub(crate) fn is_majority_of(self, voter_count: u32) -> bool {
         self.len() * 2 > voter_count
     }
 
-    /// The voters in ascending order.
+    /// Returns the voters in ascending order.
     pub(crate) fn iter(self) -> impl Iterator<Item = u32> {
         (0..Self::CAPACITY).filter(move |voter| self.contains(*voter))
     }
