--- a/crates/controller-log/src/lib.rs
+++ b/crates/controller-log/src/lib.rs
@@ -1,5 +1,5 @@
 //! The write-ahead log of the hierarchy controller, in a database file. A record is durable before any action that
-//! follows from it is carried out. Records that a checkpoint makes needless are removed in the same transaction.
+//! depends on it is carried out. Records that a checkpoint makes obsolete are removed in the same transaction.
 
 use std::path::{Path, PathBuf};
 
@@ -10,40 +10,42 @@
 
 /// The records as JSON, by their index in the log.
 const RECORDS: TableDefinition<u64, &[u8]> = TableDefinition::new("records");
-/// The newest token that wrote: its term, and the number and incarnation of its holder.
+/// The newest token that has written: its term, and the number and incarnation of its holder.
 const NEWEST_TOKEN: TableDefinition<(), (u64, u32, u64)> = TableDefinition::new("newest");
 
 /// Why the log can't be opened, read or written.
 #[derive(Debug, Error)]
 pub enum ControllerLogError {
-    /// The file is no database, or another process has it open.
-    #[error("{}: the log can't be opened (is another controller running on it?): {cause}", .file.display())]
+    /// The file is not a database, or another process has it open.
+    #[error("{}: the log can't be opened (is another controller using it?): {cause}", .file.display())]
     Open {
         /// The file.
         file: PathBuf,
-        /// What the database reports.
+        /// The error of the database.
         cause: redb::Error,
     },
-    /// The record is not stored, so nothing may follow from it. Writing it may be tried again.
-    #[error("the log can't be written, so nothing more is sent until it can be (is the disk full?): {0}")]
+    /// The record is not stored, so no action that depends on it may be carried out. The caller may retry the write.
+    #[error(
+        "the log can't be written, so no version is published until a write succeeds (is the disk full?): {0}"
+    )]
     Write(#[source] redb::Error),
     /// The tables can't be read.
     #[error("the log can't be read: {0}")]
     Read(#[source] redb::Error),
-    /// A stored record is not what it should be.
+    /// A stored record is not valid JSON of a record.
     #[error("entry {index} of the log can't be read: {cause}")]
     Decode {
         /// The index of the record.
         index: u64,
-        /// What is wrong with it.
+        /// Why the record can't be decoded.
         cause: serde_json::Error,
     },
-    /// A record can't be written as JSON.
+    /// A record can't be encoded as JSON.
     #[error("entry {index} of the log can't be encoded: {cause}")]
     Encode {
         /// The index that the record would have.
         index: u64,
-        /// What is wrong with it.
+        /// Why the record can't be encoded.
         cause: serde_json::Error,
     },
     /// A newer holder of the role has written to the log.
@@ -51,26 +53,26 @@
     StaleToken(#[from] StaleToken),
 }
 
-/// What became of a record.
+/// The result of appending a record.
 enum AppendOutcome {
     Stored,
-    /// The token is not the newest one.
+    /// The token was rejected as stale.
     Rejected(StaleToken),
 }
 
-/// An open log. Only one process can have it open.
+/// An open log. Only one process at a time can have it open.
 pub struct ControllerLog {
     file: PathBuf,
-    /// None after a failed write: the database then rejects all others until it is opened again.
+    /// `None` after a failed write, because the database then rejects all writes until it is opened again.
     database: Option<Database>,
     next_index: u64,
 }
 
 impl ControllerLog {
-    /// Opens the log, or creates it. Returns it with its records, the oldest first.
+    /// Opens the log, or creates it. Returns the log and its records, oldest first.
     ///
     /// # Errors
-    /// If the file can't be opened, or a record can't be read.
+    /// Returns an error if the file can't be opened or a record can't be read.
     pub fn open(file: &Path) -> Result<(ControllerLog, Vec<RolloutRecord>), ControllerLogError> {
         let mut log = ControllerLog { file: file.to_path_buf(), database: None, next_index: 0 };
         let entries = read_entries(log.database()?).map_err(ControllerLogError::Read)?;
@@ -83,19 +85,19 @@
         Ok((log, records))
     }
 
-    /// Appends a record. Once this returns, the record survives the end of the process and of the machine.
+    /// Appends a record. When this returns, the record survives a crash of the process or the machine.
     ///
     /// # Errors
-    /// If the record is not stored.
+    /// Returns an error if the record is not stored.
     pub fn append(&mut self, record: &RolloutRecord) -> Result<(), ControllerLogError> {
         self.append_fenced(None, record)
     }
 
-    /// Appends a record on behalf of the holder of a role. A token that is older than the newest one that wrote is
-    /// rejected, in the transaction that would store the record.
+    /// Appends a record on behalf of the holder of a role. A token that is older than the newest one that has written,
+    /// or that belongs to another holder of the same term, is rejected in the transaction that would store the record.
     ///
     /// # Errors
-    /// If the record is not stored.
+    /// Returns an error if the record is not stored.
     pub fn append_as(
         &mut self,
         token: FencingToken,
@@ -104,10 +106,10 @@
         self.append_fenced(Some(token), record)
     }
 
-    /// The newest token that wrote. A new holder needs a later term.
+    /// Returns the newest token that has written. A new holder needs a higher term.
     ///
     /// # Errors
-    /// If the log can't be read.
+    /// Returns an error if the log can't be read.
     pub fn newest_token(&mut self) -> Result<FencingToken, ControllerLogError> {
         read_newest_token(self.database()?).map_err(ControllerLogError::Read)
     }
@@ -134,7 +136,7 @@
         }
     }
 
-    /// The database, which is opened if it is not open.
+    /// Returns the database, and opens it first if necessary.
     fn database(&mut self) -> Result<&Database, ControllerLogError> {
         let database = match self.database.take() {
             Some(database) => database,
@@ -145,7 +147,7 @@
     }
 }
 
-/// Opens the file, with both tables in it from the first time on.
+/// Opens or creates the file, and creates both tables if they don't exist.
 fn open_database(file: &Path) -> Result<Database, redb::Error> {
     let database = Database::create(file)?;
     let transaction = database.begin_write()?;
--- a/crates/hierarchy-controller/src/controller.rs
+++ b/crates/hierarchy-controller/src/controller.rs
@@ -1,4 +1,4 @@
-//! The state machine of the controller.
+//! The state machine of the hierarchy controller.
 
 use std::collections::VecDeque;
 
@@ -12,20 +12,20 @@
 use crate::membership::{Membership, MembershipChange, participant};
 use crate::register_log::{DecodeError, EncodeError, RegisterLog, encode_spec};
 
-/// The name of a proposal in the errors of its settings.
+/// Stands for the file name of a proposal in errors of its settings.
 const PROPOSAL_FILE: &str = "proposal";
 
-/// Something that the caller has to do.
+/// An action that the caller has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControllerAction {
-    /// Write this to the register as its whole content, and call [`HierarchyController::on_persisted`] once a majority
-    /// has stored it.
+    /// Replace the content of the register with these bytes, and call [`HierarchyController::on_persisted`] once a
+    /// majority of the voters has stored them.
     Persist(Vec<u8>),
-    /// Send the version to all members, repeatedly until each has applied it.
+    /// Send the version to all members, and repeat it until each member has applied it.
     Publish {
         /// The number of the version.
         number: u64,
-        /// The version; see [`decode_spec`](crate::decode_spec).
+        /// The encoded version; see [`decode_spec`](crate::decode_spec).
         bytes: Vec<u8>,
     },
     /// Write a line to the operators' log.
@@ -35,17 +35,17 @@
 /// Why a proposal was rejected.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum ProposalError {
-    /// The proposal is not text.
+    /// The proposal is not UTF-8 text.
     #[error(transparent)]
     NotUtf8(#[from] std::str::Utf8Error),
-    /// The proposal is not the text of a settings file.
+    /// The proposal is not a valid settings file.
     #[error("{}", join_errors(.0))]
     InvalidSettings(Vec<ConfigError>),
     /// The rollout rejected the version.
     #[error(transparent)]
     Rollout(#[from] RolloutError),
     /// The register has not been read yet.
-    #[error("the register is being read: propose again")]
+    #[error("the register has not been read yet: propose again later")]
     NotReady,
 }
 
@@ -53,7 +53,7 @@
     errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
 }
 
-/// Why the content of the register can't be continued from.
+/// Why a rollout can't be recovered from the content of the register.
 #[derive(Debug, Error)]
 enum RecoveryError {
     #[error(transparent)]
@@ -62,33 +62,33 @@
     Rollout(#[from] RolloutError),
 }
 
-/// What is known of the rollout.
+/// The state of the rollout, as far as it is known.
 enum State {
-    /// The register has not been read yet, or can't be.
+    /// The register has not been read yet, or its content is invalid.
     ReadingRegister,
-    /// Nothing was ever stored: the first proposal becomes the committed version.
+    /// Nothing was ever stored. The first proposal becomes the committed version.
     Empty,
     Running(Box<Rollout>),
 }
 
-/// What is written to the register.
+/// The current write to the register.
 #[derive(Debug, PartialEq)]
 enum PendingWrite {
     None,
-    /// These bytes have not been confirmed.
+    /// These bytes have been written, but a majority has not confirmed them yet.
     Unconfirmed(Vec<u8>),
-    /// The log is too long for the register: nothing more is written, and nothing more is sent.
+    /// The log is too long for the register. Nothing more is written or published.
     Blocked,
 }
 
-/// Rolls changes out while this member holds the role.
+/// Rolls out changes of the hierarchy while this member holds the role.
 pub struct HierarchyController {
     token: FencingToken,
     state: State,
-    /// The content of the register, or what is being written to it.
+    /// The content of the register, including an unconfirmed write.
     log: RegisterLog,
-    /// The actions of the rollout that are not carried out yet; all wait for a record that is not stored yet.
-    waiting: VecDeque<RolloutAction>,
+    /// Actions of the rollout that have not been carried out because an earlier record is not stored yet.
+    pending_actions: VecDeque<RolloutAction>,
     pending_write: PendingWrite,
     membership: Membership,
     last_rejection: Option<ProposalError>,
@@ -96,14 +96,14 @@
 }
 
 impl HierarchyController {
-    /// Starts when the role was acquired with this token. A member that is missing for `gone_after` nanoseconds is
-    /// considered gone for good.
+    /// Creates the controller when the role was acquired with this token. A member that is missing for `gone_after`
+    /// nanoseconds is considered permanently gone.
     pub fn new(token: FencingToken, gone_after: Ns) -> HierarchyController {
         HierarchyController {
             token,
             state: State::ReadingRegister,
             log: RegisterLog::default(),
-            waiting: VecDeque::new(),
+            pending_actions: VecDeque::new(),
             pending_write: PendingWrite::None,
             membership: Membership::new(gone_after),
             last_rejection: None,
@@ -116,17 +116,18 @@
         self.token
     }
 
-    /// Takes the actions that are due, in the order in which they have to be carried out.
+    /// Takes the actions that are due. The caller has to carry them out in this order.
     pub fn take_actions(&mut self) -> Vec<ControllerAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// The rollout, once the register was read and contains one.
+    /// The rollout, once the register has been read and contains one.
     pub fn rollout(&self) -> Option<&Rollout> {
         if let State::Running(rollout) = &self.state { Some(rollout) } else { None }
     }
 
-    /// One line for operators. The command line looks for `no change runs`, `0 missing` and `last refused` in it.
+    /// One status line for operators. The command line tool searches it for `no change runs`, `0 missing` and `last
+    /// refused`.
     pub fn status(&self) -> String {
         let status = match &self.state {
             State::ReadingRegister => "reading the register".into(),
@@ -139,14 +140,15 @@
         }
     }
 
-    /// A majority stores this content of the register: first the one that was read, then each that was written.
+    /// A majority of the voters stores this content of the register. The first call passes the content that was read,
+    /// and later calls pass content that was written.
     pub fn on_persisted(&mut self, now: Ns, value: &RegisterValue) {
         if matches!(self.state, State::ReadingRegister) {
             self.recover(now, &value.bytes);
         } else if matches!(&self.pending_write, PendingWrite::Unconfirmed(bytes) if *bytes == value.bytes) {
             self.pending_write = PendingWrite::None;
         }
-        self.carry_out_waiting();
+        self.execute_pending_actions();
     }
 
     fn recover(&mut self, now: Ns, bytes: &[u8]) {
@@ -157,9 +159,9 @@
         match self.recover_rollout(now, bytes) {
             Ok((log, rollout)) => {
                 self.log = log;
-                self.run(rollout);
+                self.start_rollout(rollout);
             }
-            // The register stays as it is: an operator has to look at it.
+            // The register keeps its content, so that an operator can inspect it.
             Err(error) => self.log_line(format!("hierarchy log of the register unreadable: {error}")),
         }
     }
@@ -170,45 +172,45 @@
         Ok((log, rollout))
     }
 
-    fn run(&mut self, rollout: Rollout) {
+    fn start_rollout(&mut self, rollout: Rollout) {
         self.state = State::Running(Box::new(rollout));
-        self.take_rollout_actions();
+        self.queue_rollout_actions();
     }
 
-    /// An operator proposes a version, as the text of a settings file.
+    /// Handles an operator's proposal of a version, given as the text of a settings file.
     ///
     /// # Errors
-    /// Why it was rejected; that is logged, and part of the status.
+    /// Returns why the proposal was rejected. The error is also logged and shown in the status.
     pub fn propose(&mut self, now: Ns, text: &[u8]) -> Result<(), ProposalError> {
         let result = self.try_propose(now, text);
         if let Err(error) = &result {
             self.log_line(format!("hierarchy proposal rejected: {error}"));
         }
         self.last_rejection = result.as_ref().err().cloned();
-        self.carry_out_waiting();
+        self.execute_pending_actions();
         result
     }
 
     fn try_propose(&mut self, now: Ns, text: &[u8]) -> Result<(), ProposalError> {
         let text = std::str::from_utf8(text)?;
-        let known = self.rollout().map(|rollout| rollout.published().version.clone());
-        let (number, version) =
-            parse_settings(PROPOSAL_FILE, text, known.as_ref()).map_err(ProposalError::InvalidSettings)?;
+        let published = self.rollout().map(|rollout| rollout.published().version.clone());
+        let (number, version) = parse_settings(PROPOSAL_FILE, text, published.as_ref())
+            .map_err(ProposalError::InvalidSettings)?;
         match &mut self.state {
             State::ReadingRegister => return Err(ProposalError::NotReady),
             State::Empty => {
                 let rollout = Rollout::new(number, version, self.membership.participants())?;
-                self.run(rollout);
+                self.start_rollout(rollout);
             }
             State::Running(rollout) => {
                 rollout.handle(RolloutInput::Propose { target: version }, now)?;
-                self.take_rollout_actions();
+                self.queue_rollout_actions();
             }
         }
         Ok(())
     }
 
-    /// The members that are alive, by the assignment in force.
+    /// Updates the members to those that are alive according to the current assignment.
     pub fn update_members(&mut self, now: Ns, alive: &[Member]) {
         for change in self.membership.update(now, alive) {
             match change {
@@ -234,7 +236,7 @@
         self.handle(now, RolloutInput::ParticipantGone { participant: participant(number) });
     }
 
-    /// A member reports the version that it applies.
+    /// Handles a member's report of the version that it applies.
     pub fn on_version_applied(&mut self, now: Ns, from: Member, number: u64, digest: u64) {
         if self.membership.is_current(from) {
             let participant = participant(from.number);
@@ -242,20 +244,20 @@
         }
     }
 
-    /// Rolls the running change back.
+    /// Rolls back the running change.
     ///
     /// # Errors
-    /// If no change is running.
+    /// Returns an error if no change is running.
     pub fn roll_back(&mut self, now: Ns) -> Result<(), ProposalError> {
         if let State::Running(rollout) = &mut self.state {
             rollout.handle(RolloutInput::RollBack, now)?;
-            self.take_rollout_actions();
-            self.carry_out_waiting();
+            self.queue_rollout_actions();
+            self.execute_pending_actions();
         }
         Ok(())
     }
 
-    /// Does what is due at this time; see [`HierarchyController::next_wakeup`].
+    /// Does everything that is due at this time; see [`HierarchyController::next_wakeup`].
     pub fn tick(&mut self, now: Ns) {
         let wakeup = self.rollout().and_then(Rollout::next_wakeup);
         if wakeup.is_some_and(|wakeup| wakeup <= now) {
@@ -263,7 +265,8 @@
         }
     }
 
-    /// When to call [`HierarchyController::update_members`] and [`HierarchyController::tick`] again at the latest.
+    /// Returns when to call [`HierarchyController::update_members`] and [`HierarchyController::tick`] again at the
+    /// latest.
     pub fn next_wakeup(&self) -> Ns {
         let rollout = self.rollout().and_then(Rollout::next_wakeup);
         self.membership.next_deadline().into_iter().chain(rollout).min().unwrap_or(Ns::MAX)
@@ -274,20 +277,20 @@
         if let Err(error) = rollout.handle(input, now) {
             self.log_line(format!("hierarchy input rejected: {error}"));
         }
-        self.take_rollout_actions();
-        self.carry_out_waiting();
+        self.queue_rollout_actions();
+        self.execute_pending_actions();
     }
 
-    fn take_rollout_actions(&mut self) {
+    fn queue_rollout_actions(&mut self) {
         if let State::Running(rollout) = &mut self.state {
-            self.waiting.extend(rollout.take_actions());
+            self.pending_actions.extend(rollout.take_actions());
         }
     }
 
-    /// Carries out what comes before the next record that is not stored yet, and starts to write that.
-    fn carry_out_waiting(&mut self) {
+    /// Carries out the pending actions up to the next record, and starts to write that record.
+    fn execute_pending_actions(&mut self) {
         while self.pending_write == PendingWrite::None {
-            let Some(action) = self.waiting.pop_front() else { return };
+            let Some(action) = self.pending_actions.pop_front() else { return };
             match action {
                 RolloutAction::Log(line) => self.log_line(line),
                 RolloutAction::Publish { number, version } => self.publish(number, &version),
@@ -296,11 +299,11 @@
         }
     }
 
-    /// Writes a record to the register, together with those that follow it directly.
+    /// Writes a record to the register, together with the records that directly follow it.
     fn persist(&mut self, record: RolloutRecord) {
         self.log.append(record);
-        while let Some(RolloutAction::Persist(_)) = self.waiting.front() {
-            if let Some(RolloutAction::Persist(next)) = self.waiting.pop_front() {
+        while let Some(RolloutAction::Persist(_)) = self.pending_actions.front() {
+            if let Some(RolloutAction::Persist(next)) = self.pending_actions.pop_front() {
                 self.log.append(next);
             }
         }
@@ -315,7 +318,7 @@
             }
             Err(error) => {
                 if matches!(error, EncodeError::TooLong { .. }) {
-                    // Nothing more is sent: the versions that members apply stay.
+                    // Nothing more is published either: the members keep the versions that they apply.
                     self.pending_write = PendingWrite::Blocked;
                 }
                 self.log_line(error.to_string());
@@ -338,8 +341,8 @@
 fn rollout_status(rollout: &Rollout) -> String {
     let change = match rollout.progress() {
         Some(progress) => {
-            let back = if progress.is_rollback { " as a rollback" } else { "" };
-            format!("change {} runs{back}, {} steps left", progress.change, progress.remaining_steps)
+            let suffix = if progress.is_rollback { " as a rollback" } else { "" };
+            format!("change {} runs{suffix}, {} steps left", progress.change, progress.remaining_steps)
         }
         None => "no change runs".into(),
     };
--- a/crates/hierarchy-controller/src/membership.rs
+++ b/crates/hierarchy-controller/src/membership.rs
@@ -12,19 +12,19 @@
     missing_since: Option<Ns>,
 }
 
-/// What changed for a rollout when the list of members was updated.
+/// A change of the members that matters to a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MembershipChange {
-    /// A member takes part that did not before; it applies no version yet.
+    /// A new member takes part. It applies no version yet.
     Joined(u32),
-    /// A member was restarted: what it applied before is gone.
+    /// A member was restarted. It no longer applies the version from before.
     Restarted(u32),
-    /// A member was missing for so long that it is considered gone for good.
+    /// A member was missing for too long and is considered permanently gone.
     Gone(u32),
 }
 
-/// The members of the fleet by number. One that is missing may be cut off and go on by the version that it has, so it
-/// counts until it is back, is restarted, or was missing for too long.
+/// The members of the fleet by number. A missing member may only be disconnected and may still apply its version, so
+/// it counts as a participant until it returns, is restarted, or has been missing for `gone_after`.
 #[derive(Clone, Debug)]
 pub(crate) struct Membership {
     members: BTreeMap<u32, KnownMember>,
@@ -32,19 +32,20 @@
 }
 
 impl Membership {
-    /// No members yet. One that is missing for `gone_after` nanoseconds is considered gone.
+    /// Creates an empty membership. A member that is missing for `gone_after` nanoseconds is considered gone.
     pub(crate) fn new(gone_after: Ns) -> Membership {
         Membership { members: BTreeMap::new(), gone_after }
     }
 
-    /// Updates the members by the list of those that are alive. Changes are in the order in which they apply.
+    /// Updates the members from the list of those that are alive. Returns the changes in the order in which they have
+    /// to be applied.
     pub(crate) fn update(&mut self, now: Ns, alive: &[Member]) -> Vec<MembershipChange> {
         let mut changes = Vec::new();
         for member in alive {
             let known = KnownMember { incarnation: member.incarnation, missing_since: None };
             match self.members.insert(member.number, known) {
                 None => changes.push(MembershipChange::Joined(member.number)),
-                Some(before) if before.incarnation != member.incarnation => {
+                Some(previous) if previous.incarnation != member.incarnation => {
                     changes.push(MembershipChange::Restarted(member.number));
                 }
                 Some(_) => {}
@@ -60,8 +61,8 @@
             if alive.iter().any(|member| member.number == *number) {
                 continue;
             }
-            let since = *known.missing_since.get_or_insert(now);
-            if now >= since + self.gone_after {
+            let missing_since = *known.missing_since.get_or_insert(now);
+            if now >= missing_since + self.gone_after {
                 gone.push(*number);
             }
         }
@@ -71,24 +72,25 @@
         gone
     }
 
-    /// Whether a message is of this member as it is known, and not of an earlier incarnation that was delayed.
+    /// Whether a message is from the current incarnation of the member, and not a delayed one from an earlier
+    /// incarnation.
     pub(crate) fn is_current(&self, member: Member) -> bool {
         self.members.get(&member.number).is_some_and(|known| known.incarnation == member.incarnation)
     }
 
-    /// All members as participants of a rollout.
+    /// Returns all members as participants of a rollout.
     pub(crate) fn participants(&self) -> Vec<Participant> {
         self.members.keys().map(|number| participant(*number)).collect()
     }
 
-    /// When the next missing member is considered gone.
+    /// Returns when the next missing member is considered gone.
     pub(crate) fn next_deadline(&self) -> Option<Ns> {
         let missing = self.members.values().filter_map(|known| known.missing_since);
-        missing.map(|since| since + self.gone_after).min()
+        missing.map(|missing_since| missing_since + self.gone_after).min()
     }
 }
 
-/// The name of a member in a rollout.
+/// Returns the name of a member as a participant of a rollout.
 pub(crate) fn participant(number: u32) -> Participant {
     format!("member-{number}").into()
 }
