--- a/crates/coordination/tests/cache_warmer.rs
+++ b/crates/coordination/tests/cache_warmer.rs
@@ -1,4 +1,4 @@
-//! Warming of cold caches by simulated fetches.
+//! Warming of cold caches, with simulated fetches.
 
 use sablecross_coordination::*;
 
@@ -16,8 +16,8 @@
     (0..n).map(|object| HotObject { object, part: 0, class: 0 }).collect()
 }
 
-/// Answers each fetch after `duration`; returns how many cache 7 made in each second.
-fn fetch_for(
+/// Answers each fetch after `duration`. Returns the number of fetches by cache 7 in each second.
+fn run_fetches(
     warmer: &mut CacheWarmer,
     seconds: u64,
     duration: Ns,
@@ -33,7 +33,7 @@
             warmer.on_fetch_ended(now, 7, outcome(n));
         }
         for _ in warmer.take_due(now) {
-            assert!(outstanding.is_none() || duration > LIMITS.fetch_timeout, "one at a time");
+            assert!(outstanding.is_none() || duration > LIMITS.fetch_timeout, "one fetch at a time");
             outstanding = Some(now);
             fetches[((now / SEC) - 100) as usize] += 1;
         }
@@ -42,42 +42,42 @@
 }
 
 #[test]
-fn a_cold_cache_fetches_within_its_capacity_and_no_more_once_it_is_warm() {
+fn cold_cache_is_warmed_within_its_capacity_until_it_is_warm() {
     let mut warmer = CacheWarmer::new(LIMITS);
     warmer.update_caches(100 * SEC, &[(7, 100 * SEC), (8, 0), (9, 80 * SEC)].into());
-    assert_eq!(warmer.caches().collect::<Vec<_>>(), [7], "neither of unknown start nor warm");
+    assert_eq!(warmer.caches().collect::<Vec<_>>(), [7], "only the cold cache with a known start time");
     warmer.set_objects(7, &objects(1_000));
-    let fetches = fetch_for(&mut warmer, 14, SEC / 50, |_| FetchOutcome::Fetched);
-    // A quarter of 40 a second at a quarter of its warmth, then rising.
+    let fetches = run_fetches(&mut warmer, 14, SEC / 50, |_| FetchOutcome::Fetched);
+    // At most a quarter of 40 requests per second, times the warmth, which starts at a quarter and rises.
     for (second, n) in fetches.iter().enumerate() {
         let warmth = (0.25 + 0.075 * (second as f64 + 1.0)).min(1.0);
         assert!(*n as f64 <= 10.0 * warmth + 1.0, "second {second}: {n}");
     }
     assert!(fetches[8] > 2 * fetches[0] && fetches[0] >= 2, "{fetches:?}");
-    assert_eq!(fetches[10..], [0; 4], "it is warm");
+    assert_eq!(fetches[10..], [0; 4], "the cache is warm");
 }
 
 #[test]
-fn the_pause_of_a_busy_cache_grows() {
+fn pause_grows_while_a_cache_is_busy() {
     let mut warmer = CacheWarmer::new(LIMITS);
     warmer.update_caches(100 * SEC, &[(7, 100 * SEC)].into());
     warmer.set_objects(7, &objects(1_000));
-    let fetches: usize = fetch_for(&mut warmer, 9, SEC / 50, |_| FetchOutcome::Busy).iter().sum();
+    let fetches: usize = run_fetches(&mut warmer, 9, SEC / 50, |_| FetchOutcome::Busy).iter().sum();
     assert!(fetches <= 4, "{fetches}");
-    // A cache that never answers is treated alike.
+    // A cache that never answers is treated in the same way.
     let mut warmer = CacheWarmer::new(LIMITS);
     warmer.update_caches(100 * SEC, &[(7, 100 * SEC)].into());
     warmer.set_objects(7, &objects(1_000));
-    let fetches: usize = fetch_for(&mut warmer, 9, 50 * SEC, |_| FetchOutcome::Fetched).iter().sum();
+    let fetches: usize = run_fetches(&mut warmer, 9, 50 * SEC, |_| FetchOutcome::Fetched).iter().sum();
     assert!(fetches <= 4, "{fetches}");
 }
 
 #[test]
-fn a_former_holder_stops_and_nothing_is_fetched_twice() {
+fn stale_token_stops_warming_and_no_object_is_fetched_twice() {
     let mut warmer = CacheWarmer::new(LIMITS);
     warmer.update_caches(100 * SEC, &[(7, 100 * SEC)].into());
     warmer.set_objects(7, &objects(5));
-    let fetches: usize = fetch_for(&mut warmer, 5, SEC / 50, |_| FetchOutcome::Fetched).iter().sum();
+    let fetches: usize = run_fetches(&mut warmer, 5, SEC / 50, |_| FetchOutcome::Fetched).iter().sum();
     warmer.set_objects(7, &objects(5));
     assert_eq!((fetches, warmer.take_due(106 * SEC)), (5, vec![]));
     warmer.set_objects(7, &objects(9));
@@ -85,7 +85,7 @@
     warmer.on_fetch_ended(107 * SEC, 7, FetchOutcome::StaleToken);
     warmer.set_objects(7, &objects(20));
     assert!(warmer.take_due(109 * SEC).is_empty() && warmer.next_wakeup() == Ns::MAX);
-    // A cache that has restarted is warmed again.
+    // A restarted cache is warmed again.
     let mut warmer = CacheWarmer::new(LIMITS);
     warmer.update_caches(100 * SEC, &[(7, 100 * SEC)].into());
     warmer.set_objects(7, &objects(1));
--- a/crates/coordination/tests/coordinator.rs
+++ b/crates/coordination/tests/coordinator.rs
@@ -1,5 +1,5 @@
-//! Members, voters and targets in simulated time: assignments, guards and registers under faults. Each test fails without the
-//! defence that it is for.
+//! Members, voters and targets in simulated time, with faults injected: assignments, guards and registers. Each test
+//! fails if the protection that it covers is removed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -48,13 +48,14 @@
     now: Ns,
     config: CoordinationConfig,
     members: BTreeMap<u32, Coordinator>,
-    /// The order of the voters by which each member numbers them.
+    /// The configured order of the voters at each member, by which the member numbers them.
     voter_orders: BTreeMap<u32, Vec<u32>>,
     targets: BTreeMap<u64, Target>,
     in_transit: Vec<(Ns, Envelope)>,
-    /// Links that lose everything: member, voter, and whether on the way to the voter.
+    /// Links that drop all messages: member, voter, and whether messages to the voter are dropped (otherwise its
+    /// replies).
     cut_links: BTreeSet<(u32, usize, bool)>,
-    /// Health checks of these members arrive at this time at the earliest.
+    /// The earliest time at which the health checks of a member arrive, by member number.
     delayed_until: BTreeMap<u32, Ns>,
     stalled: BTreeSet<u32>,
     rng: Pcg32,
@@ -82,7 +83,7 @@
             stored: Vec::new(),
             with_guards: true,
         };
-        (0..members).for_each(|m| fleet.start(m, 1));
+        (0..members).for_each(|member| fleet.start(member, 1));
         fleet
     }
 
@@ -100,7 +101,7 @@
         self.in_transit.push((self.now + delay, envelope));
     }
 
-    /// Carries out what a coordinator wants done.
+    /// Carries out the actions of a member's coordinator.
     fn execute_actions(&mut self, number: u32) {
         let Some(coordinator) = self.members.get_mut(&number) else { return };
         let me = coordinator.me();
@@ -134,7 +135,7 @@
         match envelope {
             Envelope::Call { from, at, voter, call_id, messages } => {
                 if self.stalled.contains(&at) {
-                    // It is handled when the process goes on.
+                    // The stalled process handles the call when it resumes.
                     return self
                         .in_transit
                         .push((self.now + 50 * MS, Envelope::Call { from, at, voter, call_id, messages }));
@@ -152,7 +153,9 @@
                         .in_transit
                         .push((self.now + 50 * MS, Envelope::Replies { to, voter, call_id, replies }));
                 }
-                if let Some(coordinator) = self.members.get_mut(&to.number).filter(|o| o.me() == to) {
+                if let Some(coordinator) =
+                    self.members.get_mut(&to.number).filter(|coordinator| coordinator.me() == to)
+                {
                     coordinator.on_replies(self.now, voter as u32, call_id, replies);
                     self.execute_actions(to.number);
                 }
@@ -164,9 +167,9 @@
                 let Some(node) = self.targets.get_mut(&target) else { return };
                 let rejected = node.guard.admit(token).err().filter(|_| self.with_guards);
                 let state = match rejected {
-                    Some(old) => {
+                    Some(stale) => {
                         node.rejected += 1;
-                        Err(old.highest)
+                        Err(stale.highest)
                     }
                     None => {
                         node.times.push(self.now);
@@ -177,7 +180,9 @@
                 self.post(Envelope::CheckResult { by, target, token, state });
             }
             Envelope::CheckResult { by, target, token, state } => {
-                if let Some(coordinator) = self.members.get_mut(&by.number).filter(|o| o.me() == by) {
+                if let Some(coordinator) =
+                    self.members.get_mut(&by.number).filter(|coordinator| coordinator.me() == by)
+                {
                     coordinator.on_check_result(self.now, target, token, state);
                     self.execute_actions(by.number);
                 }
@@ -197,7 +202,7 @@
             let due: Vec<u32> = self
                 .members
                 .iter()
-                .filter(|(n, o)| !self.stalled.contains(n) && o.next_wakeup() <= self.now)
+                .filter(|(n, coordinator)| !self.stalled.contains(n) && coordinator.next_wakeup() <= self.now)
                 .map(|(n, _)| *n)
                 .collect();
             for number in due {
@@ -210,25 +215,30 @@
     }
 
     fn holder(&self, role: u16) -> Option<u32> {
-        self.members.iter().find(|(_, o)| o.token(self.now, role).is_some()).map(|(n, _)| *n)
+        self.members
+            .iter()
+            .find(|(_, coordinator)| coordinator.token(self.now, role).is_some())
+            .map(|(n, _)| *n)
     }
 
-    /// The longest pause of any target from `from` on, and the most checks within any second.
+    /// Returns the longest time that any target was not checked since `from`, and the most checks of a target within
+    /// any second.
     fn longest_pause_and_burst(&self, from: Ns) -> (Ns, usize) {
-        let (mut longest, mut most) = (0, 0);
+        let (mut longest_pause, mut max_checks) = (0, 0);
         for node in self.targets.values() {
             let times: Vec<Ns> = node.times.iter().copied().filter(|t| *t >= from).collect();
             let ends = times.iter().copied().chain([self.now]);
             let begins = std::iter::once(from).chain(times.iter().copied());
-            longest = longest.max(begins.zip(ends).map(|(a, b)| b - a).max().unwrap_or(0));
+            longest_pause = longest_pause.max(begins.zip(ends).map(|(a, b)| b - a).max().unwrap_or(0));
             for (n, at) in times.iter().enumerate() {
-                most = most.max(times[n..].iter().take_while(|t| **t < at + SEC).count());
+                max_checks = max_checks.max(times[n..].iter().take_while(|t| **t < at + SEC).count());
             }
         }
-        (longest, most)
+        (longest_pause, max_checks)
     }
 
-    /// The terms of admitted tokens never decrease, and each term has one holder.
+    /// Returns an error unless the terms of each target's admitted tokens never decrease and each term has one
+    /// holder.
     fn check_token_order(&self) -> Result<(), String> {
         for (target, node) in &self.targets {
             let mut highest = FencingToken::default();
@@ -244,26 +254,26 @@
 }
 
 #[test]
-fn each_target_is_checked_at_a_steady_rate_by_one_member() {
+fn each_target_is_checked_at_a_fixed_rate() {
     let mut fleet = Fleet::new(6, 3, 24, 1);
     fleet.run(20 * SEC);
-    let (longest, most) = fleet.longest_pause_and_burst(4 * SEC);
-    assert!(longest <= 1_200 * MS && most <= 2, "{longest} {most}");
+    let (longest_pause, max_checks) = fleet.longest_pause_and_burst(4 * SEC);
+    assert!(longest_pause <= 1_200 * MS && max_checks <= 2, "{longest_pause} {max_checks}");
     let checks: usize =
         fleet.targets.values().map(|node| node.times.iter().filter(|t| **t >= 4 * SEC).count()).sum();
     assert!((24 * 15..=24 * 17).contains(&checks), "{checks}");
-    let by: BTreeSet<u32> =
+    let checking_members: BTreeSet<u32> =
         fleet.targets.values().flat_map(|node| node.admitted.iter().map(|t| t.holder.number)).collect();
-    assert!(by.len() >= 5, "{by:?}");
+    assert!(checking_members.len() >= 5, "{checking_members:?}");
     assert_eq!(fleet.targets.values().map(|node| node.rejected).sum::<u64>(), 0);
 }
 
 #[test]
-fn targets_of_dead_members_move_within_seconds_and_come_back_without_a_burst() {
+fn targets_of_dead_members_move_and_return_without_a_burst() {
     for seed in 0..20 {
         let mut fleet = Fleet::new(6, 3, 24, seed);
         fleet.run(6 * SEC);
-        // The assigner and one more member.
+        // Stop the assigner and one more member.
         let assigner = fleet.holder(ASSIGNMENT_ROLE).expect("an assigner");
         let other = (assigner + 3) % 6;
         fleet.members.remove(&assigner);
@@ -272,42 +282,45 @@
         fleet.start(assigner, 2);
         fleet.start(other, 2);
         fleet.run(26 * SEC);
-        let (longest, most) = fleet.longest_pause_and_burst(4 * SEC);
-        assert!(longest <= 5 * SEC, "seed {seed}: {longest}");
-        assert!(most <= 2, "seed {seed}: {most} in a second");
+        let (longest_pause, max_checks) = fleet.longest_pause_and_burst(4 * SEC);
+        assert!(longest_pause <= 5 * SEC, "seed {seed}: {longest_pause}");
+        assert!(max_checks <= 2, "seed {seed}: {max_checks} in a second");
         fleet.check_token_order().unwrap();
-        let last = |number: u32| {
+        let has_targets = |number: u32| {
             fleet.targets.values().any(|node| node.admitted.last().is_some_and(|t| t.holder.number == number))
         };
-        assert!(last(assigner) || last(other), "seed {seed}: the returned members have targets again");
+        assert!(
+            has_targets(assigner) || has_targets(other),
+            "seed {seed}: the returned members have targets again"
+        );
     }
 }
 
 #[test]
-fn a_stalled_member_has_no_effect_by_its_old_assignment() {
+fn late_checks_of_a_stalled_member_are_rejected() {
     let mut rejected = 0;
     for seed in 0..20 {
         let mut fleet = Fleet::new(6, 3, 24, seed);
         fleet.run(6 * SEC);
-        let one = 3 + (seed % 3) as u32;
-        // What it has sent arrives late, after the assignment that moved its targets.
-        fleet.delayed_until.insert(one, 12 * SEC);
+        let delayed_member = 3 + (seed % 3) as u32;
+        // The checks that the member has sent arrive late, after the assignment that moved its targets.
+        fleet.delayed_until.insert(delayed_member, 12 * SEC);
         fleet.run(7_500 * MS);
-        fleet.stalled.insert(one);
+        fleet.stalled.insert(delayed_member);
         fleet.run(12 * SEC);
-        fleet.stalled.remove(&one);
+        fleet.stalled.remove(&delayed_member);
         fleet.run(18 * SEC);
         fleet.check_token_order().unwrap();
         rejected += fleet.targets.values().map(|node| node.rejected).sum::<u64>();
-        let (longest, _) = fleet.longest_pause_and_burst(4 * SEC);
-        assert!(longest <= 5 * SEC, "seed {seed}: {longest}");
+        let (longest_pause, _) = fleet.longest_pause_and_burst(4 * SEC);
+        assert!(longest_pause <= 5 * SEC, "seed {seed}: {longest_pause}");
     }
-    assert!(rejected > 0, "no late effect arrived: the test shows nothing");
+    assert!(rejected > 0, "no late check arrived, so that nothing was tested");
 }
 
 #[test]
-fn without_guards_late_effects_of_former_holders_would_be_admitted() {
-    let disorder = (0..20).any(|seed| {
+fn late_checks_are_admitted_without_guards() {
+    let is_violated = (0..20).any(|seed| {
         let mut fleet = Fleet::new(6, 3, 24, seed);
         fleet.with_guards = false;
         fleet.run(6 * SEC);
@@ -317,55 +330,55 @@
         fleet.run(18 * SEC);
         fleet.check_token_order().is_err()
     });
-    assert!(disorder);
+    assert!(is_violated);
 }
 
 #[test]
-fn members_with_a_minority_of_the_voters_stop_their_checks() {
+fn members_that_reach_a_minority_of_voters_stop_their_checks() {
     for seed in 0..20 {
         let mut fleet = Fleet::new(9, 5, 24, seed);
         fleet.run(6 * SEC);
-        // Two voters, the assigner among them, and members 7 and 8 reach only each other.
+        // Two voters, including the assigner, and members 7 and 8 can reach only each other.
         let assigner = fleet.holder(ASSIGNMENT_ROLE).expect("an assigner");
-        let few: BTreeSet<u32> = [assigner, (assigner + 1) % 5, 7, 8].into();
-        for m in 0..9 {
-            for v in (0..5u32).filter(|v| few.contains(v) != few.contains(&m)) {
-                fleet.cut_links.insert((m, v as usize, true));
-                fleet.cut_links.insert((m, v as usize, false));
+        let minority: BTreeSet<u32> = [assigner, (assigner + 1) % 5, 7, 8].into();
+        for member in 0..9 {
+            for voter in (0..5u32).filter(|voter| minority.contains(voter) != minority.contains(&member)) {
+                fleet.cut_links.insert((member, voter as usize, true));
+                fleet.cut_links.insert((member, voter as usize, false));
             }
         }
         fleet.run(14 * SEC);
         let new_assigner = fleet.holder(ASSIGNMENT_ROLE).expect("the majority has an assigner");
-        assert!(!few.contains(&new_assigner), "seed {seed}");
-        // Members that are cut off have stopped before their targets moved.
+        assert!(!minority.contains(&new_assigner), "seed {seed}");
+        // Disconnected members have stopped their checks before their targets moved.
         for node in fleet.targets.values() {
             let late = node
                 .admitted
                 .iter()
                 .zip(&node.times)
-                .filter(|(t, at)| **at > 9 * SEC && few.contains(&t.holder.number));
+                .filter(|(t, at)| **at > 9 * SEC && minority.contains(&t.holder.number));
             assert_eq!(late.count(), 0, "seed {seed}");
         }
         fleet.cut_links.clear();
         fleet.run(20 * SEC);
         fleet.check_token_order().unwrap();
-        let (longest, most) = fleet.longest_pause_and_burst(4 * SEC);
-        assert!(longest <= 5 * SEC && most <= 2, "seed {seed}: {longest} {most}");
-        let back = fleet
+        let (longest_pause, max_checks) = fleet.longest_pause_and_burst(4 * SEC);
+        assert!(longest_pause <= 5 * SEC && max_checks <= 2, "seed {seed}: {longest_pause} {max_checks}");
+        let has_targets_again = fleet
             .targets
             .values()
             .flat_map(|node| node.admitted.last())
-            .any(|t| few.contains(&t.holder.number));
-        assert!(back, "seed {seed}: the others have targets again");
+            .any(|t| minority.contains(&t.holder.number));
+        assert!(has_targets_again, "seed {seed}: reconnected members have targets again");
     }
 }
 
 #[test]
-fn without_a_majority_roles_have_no_holder_until_it_returns() {
+fn roles_have_no_holder_without_a_majority_of_voters() {
     let mut fleet = Fleet::new(8, 5, 16, 3);
     fleet.run(6 * SEC);
-    (0..3).for_each(|v| {
-        fleet.members.remove(&v);
+    (0..3).for_each(|voter| {
+        fleet.members.remove(&voter);
     });
     fleet.run(12 * SEC);
     let at = fleet.now;
@@ -375,17 +388,17 @@
         fleet.targets.values().all(|node| node.times.last().is_some_and(|t| *t < at)),
         "no checks without a majority"
     );
-    (0..3).for_each(|v| fleet.start(v, 2));
+    (0..3).for_each(|voter| fleet.start(voter, 2));
     fleet.run(22 * SEC);
     fleet.check_token_order().unwrap();
     assert!(fleet.targets.values().all(|node| node.times.last().is_some_and(|t| *t > 21 * SEC)));
 }
 
 #[test]
-fn targets_overrule_voters_that_all_forgot_the_terms() {
+fn targets_reject_old_terms_of_voters_that_lost_their_state() {
     let mut fleet = Fleet::new(6, 3, 12, 5);
     fleet.run(6 * SEC);
-    // Let the terms grow first.
+    // Replace the assigner several times so that the term grows.
     for _ in 0..3 {
         let assigner = fleet.holder(ASSIGNMENT_ROLE).expect("an assigner");
         fleet.stalled.insert(assigner);
@@ -400,8 +413,8 @@
         .map(|t| AssignmentVersion::from_token(*t).term)
         .max();
     assert!(before >= Some(3));
-    // Every process restarts: only the targets know the terms.
-    (0..6).for_each(|m| fleet.start(m, 2));
+    // Every process restarts, so that only the targets know the terms.
+    (0..6).for_each(|member| fleet.start(member, 2));
     let from = fleet.now;
     fleet.run(from + 15 * SEC);
     fleet.check_token_order().unwrap();
@@ -412,23 +425,23 @@
             .all(|node| node.rejected > 0 || node.times.last().is_some_and(|t| *t > from + 3 * SEC))
     );
     for node in fleet.targets.values() {
-        let last = node.admitted.last().expect("checked");
+        let last = node.admitted.last().expect("the target was checked");
         assert!(
             AssignmentVersion::from_token(*last).term > before.unwrap_or(0),
-            "past what the targets knew"
+            "above the terms that the targets knew"
         );
         assert!(node.times.last().is_some_and(|t| *t > fleet.now - 2 * SEC));
     }
 }
 
 #[test]
-fn a_clock_set_back_before_a_restart_does_not_exclude_the_member() {
+fn member_rejoins_after_its_clock_was_set_back() {
     let mut fleet = Fleet::new(6, 3, 24, 7);
-    (0..6).for_each(|m| fleet.start(m, 1_000_000));
+    (0..6).for_each(|member| fleet.start(member, 1_000_000));
     fleet.run(6 * SEC);
     fleet.members.remove(&4);
     fleet.run(9 * SEC);
-    // Its incarnation is from an hour before.
+    // Its clock was set back, so its new incarnation is lower than the previous one.
     fleet.start(4, 900_000);
     fleet.run(16 * SEC);
     let coordinator = &fleet.members[&4];
@@ -437,25 +450,25 @@
 }
 
 #[test]
-fn a_stalled_process_is_displaced_by_a_later_one_of_its_number() {
+fn stalled_process_is_displaced_by_a_newer_incarnation() {
     let mut fleet = Fleet::new(6, 3, 24, 8);
     fleet.run(6 * SEC);
-    let old = fleet.members.remove(&5).expect("there");
+    let stalled_process = fleet.members.remove(&5).expect("member 5 runs");
     fleet.start(5, 2);
     fleet.run(10 * SEC);
-    let new = fleet.members.insert(5, old).expect("there");
-    // The stalled process goes on and learns of it.
+    let new_process = fleet.members.insert(5, stalled_process).expect("member 5 runs");
+    // The stalled process resumes and learns of the newer incarnation.
     fleet.run(11 * SEC);
     assert!(fleet.members[&5].is_displaced());
     let checks: Vec<usize> = fleet.targets.values().map(|node| node.admitted.len()).collect();
-    fleet.members.insert(5, new);
+    fleet.members.insert(5, new_process);
     fleet.run(14 * SEC);
     assert!(fleet.targets.values().zip(checks).any(|(b, n)| b.admitted.len() > n));
     fleet.check_token_order().unwrap();
 }
 
 #[test]
-fn a_planned_stop_hands_over_before_the_lease_ends() {
+fn leaving_member_hands_over_before_the_lease_expires() {
     for seed in 0..20 {
         let mut fleet = Fleet::new(6, 3, 24, seed);
         fleet.run(6 * SEC);
@@ -468,58 +481,63 @@
         fleet.run(now + 300 * MS);
         fleet.members.remove(&assigner);
         fleet.run(now + 600 * MS);
-        assert!(fleet.holder(ASSIGNMENT_ROLE).is_some_and(|o| o != assigner), "seed {seed}");
+        assert!(fleet.holder(ASSIGNMENT_ROLE).is_some_and(|holder| holder != assigner), "seed {seed}");
         fleet.run(now + 6 * SEC);
-        // Its targets did not wait until it counted as dead.
-        let (longest, most) = fleet.longest_pause_and_burst(now - 2 * SEC);
-        assert!(longest <= 2 * SEC && most <= 2, "seed {seed}: {longest} {most}");
+        // Its targets moved at once, without waiting for the failure timeout.
+        let (longest_pause, max_checks) = fleet.longest_pause_and_burst(now - 2 * SEC);
+        assert!(longest_pause <= 2 * SEC && max_checks <= 2, "seed {seed}: {longest_pause} {max_checks}");
     }
 }
 
 #[test]
-fn an_operator_hands_a_role_over() {
+fn operator_can_hand_over_a_role() {
     let mut fleet = Fleet::new(6, 3, 6, 2);
     fleet.run(6 * SEC);
     let holder = fleet.holder(HIERARCHY_ROLE).expect("a holder");
     let (to, now) = ((holder + 1) % 3, fleet.now);
     let by = Member { number: u32::MAX, incarnation: 0 };
-    // A member that does not hold it says so.
+    // A member that does not hold the role reports that no hand-over has started.
     let other = fleet
         .members
         .get_mut(&to)
-        .map(|o| o.on_request(now, by, &[Message::HandOver { role: HIERARCHY_ROLE, to: None }]));
+        .map(|node| node.on_request(now, by, &[Message::HandOver { role: HIERARCHY_ROLE, to: None }]));
     assert_eq!(other, Some(vec![Reply::HandOverStarted { role: HIERARCHY_ROLE, started: false }]));
     let replies = fleet
         .members
         .get_mut(&holder)
-        .map(|o| o.on_request(now, by, &[Message::HandOver { role: HIERARCHY_ROLE, to: Some(to) }]));
+        .map(|node| node.on_request(now, by, &[Message::HandOver { role: HIERARCHY_ROLE, to: Some(to) }]));
     assert_eq!(replies, Some(vec![Reply::HandOverStarted { role: HIERARCHY_ROLE, started: true }]));
     fleet.execute_actions(holder);
     fleet.run(now + SEC);
     assert_eq!(fleet.holder(HIERARCHY_ROLE), Some(to));
-    let terms: Vec<u64> =
-        fleet.acquired.iter().filter(|node| node.1 == HIERARCHY_ROLE).map(|node| node.2.term).collect();
+    let terms: Vec<u64> = fleet
+        .acquired
+        .iter()
+        .filter(|acquired| acquired.1 == HIERARCHY_ROLE)
+        .map(|acquired| acquired.2.term)
+        .collect();
     assert!(terms.windows(2).all(|w| w[0] < w[1]), "{terms:?}");
 }
 
-/// Holders of a role write its register one after another; the next one finds what was stored.
+/// Each holder of the role writes to its register. The value that a new holder reads must never be older than a
+/// stored one.
 #[test]
-fn every_later_holder_finds_what_a_register_has_stored() {
+fn new_holder_reads_the_stored_register_value() {
     for seed in 0..40 {
         let mut fleet = Fleet::new(5, 5, 0, seed);
         let mut next = 0u64;
         let mut incarnation = 1;
-        let mut acked: Vec<u64> = Vec::new();
-        let mut read = 0;
+        let mut stored_values: Vec<u64> = Vec::new();
+        let mut read_count = 0;
         for _ in 0..12 {
             fleet.run(fleet.now + SEC);
             let stored = std::mem::take(&mut fleet.stored);
             for (_, entry) in stored {
                 let value = entry.bytes.first().map_or(0, |b| u64::from(*b));
-                let newest = acked.last().copied().unwrap_or(0);
+                let newest = stored_values.last().copied().unwrap_or(0);
                 assert!(value >= newest, "seed {seed}: {value} after {newest}");
-                acked.push(value);
-                read += 1;
+                stored_values.push(value);
+                read_count += 1;
             }
             let now = fleet.now;
             if let Some(holder) = fleet.holder(HIERARCHY_ROLE) {
@@ -538,21 +556,21 @@
                 }
                 1 => fleet.stalled.clear(),
                 2 => {
-                    // One voter restarts without memory.
-                    let v = fleet.rng.random_range(0..5);
+                    // A voter restarts without stored state.
+                    let voter = fleet.rng.random_range(0..5);
                     incarnation += 1;
-                    fleet.stalled.remove(&v);
-                    fleet.start(v, incarnation);
+                    fleet.stalled.remove(&voter);
+                    fleet.start(voter, incarnation);
                 }
                 _ => {}
             }
         }
-        assert!(read > 2, "seed {seed}: {read}");
+        assert!(read_count > 2, "seed {seed}: {read_count}");
     }
 }
 
 #[test]
-fn odd_messages_do_no_harm() {
+fn out_of_range_messages_are_handled_safely() {
     let request = Request {
         from: Member { number: 3, incarnation: 9 },
         messages: vec![
@@ -572,72 +590,74 @@
         replies.iter().any(|a| matches!(a, Reply::StaleToken { role: HIERARCHY_ROLE, .. })),
         "a token without a term is not admitted: {replies:?}"
     );
-    // Odd tokens do not overflow.
-    let far = AssignmentVersion { term: u64::MAX, number: u64::MAX };
-    assert!(AssignmentVersion::from_token(far.token(request.from)).term > 0);
+    // Out-of-range tokens must not overflow.
+    let largest_version = AssignmentVersion { term: u64::MAX, number: u64::MAX };
+    assert!(AssignmentVersion::from_token(largest_version.token(request.from)).term > 0);
 }
 
 impl Fleet {
-    /// Changes the voters at all members, one member after another.
+    /// Changes the voters at all members, one member at a time.
     fn reconfigure(&mut self, voters: &[u32]) {
         self.config = CoordinationConfig { voters: voters.to_vec(), ..self.config.clone() };
         let (now, config) = (self.now, self.config.clone());
         let members: Vec<u32> = self.members.keys().copied().collect();
-        for m in members {
-            if let Some(coordinator) = self.members.get_mut(&m) {
-                coordinator.reconfigure(now, config.clone()).expect("one voter");
+        for member in members {
+            if let Some(coordinator) = self.members.get_mut(&member) {
+                coordinator.reconfigure(now, config.clone()).expect("one voter changes");
             }
-            self.execute_actions(m);
+            self.execute_actions(member);
         }
     }
 }
 
 #[test]
-fn voters_change_one_at_a_time_without_losing_a_stored_value() {
+fn changing_voters_one_at_a_time_keeps_the_register_value() {
     for seed in 0..20 {
         let mut fleet = Fleet::new(8, 3, 16, seed);
         fleet.run(6 * SEC);
-        let driver = fleet.holder(HIERARCHY_ROLE).expect("a holder");
+        let holder = fleet.holder(HIERARCHY_ROLE).expect("a holder");
         let now = fleet.now;
-        fleet.members.get_mut(&driver).expect("there").write_register(now, HIERARCHY_ROLE, vec![7]);
-        fleet.execute_actions(driver);
+        fleet.members.get_mut(&holder).expect("the holder runs").write_register(now, HIERARCHY_ROLE, vec![7]);
+        fleet.execute_actions(holder);
         fleet.run(now + SEC);
         let assigner = fleet.holder(ASSIGNMENT_ROLE).expect("an assigner");
         fleet.reconfigure(&[0, 1, 2, 5]);
         fleet.run(fleet.now + 2 * SEC);
-        assert_eq!(fleet.holder(ASSIGNMENT_ROLE), Some(assigner), "seed {seed}: the lease goes on");
+        assert_eq!(fleet.holder(ASSIGNMENT_ROLE), Some(assigner), "seed {seed}: the lease continues");
         fleet.reconfigure(&[0, 1, 2, 5, 6]);
         fleet.run(fleet.now + 2 * SEC);
-        // The assigner is no voter any more.
-        let left: Vec<u32> = [0, 1, 2, 5, 6].into_iter().filter(|v| *v != assigner).collect();
-        fleet.reconfigure(&left);
+        // Remove the assigner from the voters.
+        let remaining_voters: Vec<u32> =
+            [0, 1, 2, 5, 6].into_iter().filter(|voter| *voter != assigner).collect();
+        fleet.reconfigure(&remaining_voters);
         fleet.run(fleet.now + 2 * SEC);
-        let next = fleet.holder(ASSIGNMENT_ROLE).expect("another");
-        assert!(next != assigner && left.contains(&next), "seed {seed}");
-        // The others of the first three leave as well, one by one; those that joined have stored what was written.
-        let mut voters = left;
-        for gone in (0..3).filter(|v| *v != assigner) {
-            voters.retain(|v| *v != gone);
+        let next = fleet.holder(ASSIGNMENT_ROLE).expect("another assigner");
+        assert!(next != assigner && remaining_voters.contains(&next), "seed {seed}");
+        // Remove the other two of the first three voters one at a time. The voters that joined must have stored the
+        // value.
+        let mut voters = remaining_voters;
+        for removed in (0..3).filter(|voter| *voter != assigner) {
+            voters.retain(|voter| *voter != removed);
             fleet.reconfigure(&voters);
             fleet.run(fleet.now + 3 * SEC);
         }
         assert_eq!(voters, [5, 6]);
         fleet.stored.clear();
-        let driver = fleet.holder(HIERARCHY_ROLE).expect("a holder");
-        assert!(voters.contains(&driver));
-        fleet.stalled.insert(driver);
+        let holder = fleet.holder(HIERARCHY_ROLE).expect("a holder");
+        assert!(voters.contains(&holder));
+        fleet.stalled.insert(holder);
         fleet.run(fleet.now + 3 * SEC);
         fleet.stalled.clear();
         fleet.run(fleet.now + 3 * SEC);
         assert!(fleet.stored.iter().any(|(_, e)| e.bytes == [7]), "seed {seed}: {:?}", fleet.stored);
         fleet.check_token_order().unwrap();
-        let (longest, most) = fleet.longest_pause_and_burst(4 * SEC);
-        assert!(longest <= 5 * SEC && most <= 2, "seed {seed}: {longest} {most}");
+        let (longest_pause, max_checks) = fleet.longest_pause_and_burst(4 * SEC);
+        assert!(longest_pause <= 5 * SEC && max_checks <= 2, "seed {seed}: {longest_pause} {max_checks}");
     }
 }
 
 #[test]
-fn two_voters_at_once_or_another_lease_are_rejected() {
+fn changing_two_voters_or_other_settings_is_rejected() {
     let mut coordinator = Coordinator::new(Member { number: 0, incarnation: 1 }, config(3), 5, 0);
     let two = CoordinationConfig { voters: vec![0, 3, 4], ..config(3) };
     assert_eq!(coordinator.reconfigure(1, two), Err(ReconfigureError::TooManyChanges { joined: 2, left: 2 }));
--- a/crates/coordination/tests/leases.rs
+++ b/crates/coordination/tests/leases.rs
@@ -1,4 +1,4 @@
-//! Leases, fencing guards, shares and failure detection in simulated time.
+//! Leases, fencing guards, rendezvous shares and failure detection in simulated time.
 
 use std::collections::BTreeMap;
 
@@ -15,12 +15,13 @@
     Member { number, incarnation: 1 }
 }
 
-/// Voters and candidates whose messages take time.
+/// Voters and candidates that exchange messages with random delays.
 struct Simulation {
     now: Ns,
     voters: Vec<Voter>,
     candidates: Vec<LeaseCandidate>,
-    /// Links that lose everything: candidate, voter, and whether on the way to the voter.
+    /// Links that drop all messages: candidate, voter, and whether messages to the voter are dropped (otherwise its
+    /// replies).
     cut_links: Vec<(usize, usize, bool)>,
     stalled: Vec<usize>,
     in_transit: Vec<(Ns, usize, usize, Result<LeaseRequest, LeaseReply>)>,
@@ -30,10 +31,11 @@
 }
 
 impl Simulation {
-    fn new(claimants: u32, seed: u64) -> Simulation {
+    fn new(candidate_count: u32, seed: u64) -> Simulation {
         let mut rng = Pcg32::seed_from_u64(seed);
-        let candidates =
-            (0..claimants).map(|n| LeaseCandidate::new(member(n), n, CONFIG, rng.random(), 0)).collect();
+        let candidates = (0..candidate_count)
+            .map(|n| LeaseCandidate::new(member(n), n, CONFIG, rng.random(), 0))
+            .collect();
         Simulation {
             now: 0,
             voters: vec![Voter::first_start(0, LEASE); CONFIG.voter_count as usize],
@@ -80,7 +82,7 @@
                             self.in_transit.push((now + delay, candidate, voter, Err(reply)));
                         }
                     }
-                    // Messages to a stalled candidate wait.
+                    // Messages to a stalled candidate wait until it resumes.
                     Err(reply) if self.stalled.contains(&candidate) => {
                         self.in_transit.push((at.max(now), candidate, voter, Err(reply)))
                     }
@@ -110,20 +112,21 @@
 }
 
 #[test]
-fn the_holder_keeps_the_lease_and_another_follows_when_it_stalls() {
+fn holder_renews_its_lease_and_is_replaced_when_it_stalls() {
     let mut takeover_times = Vec::new();
     for seed in 0..200 {
         let mut sim = Simulation::new(6, seed);
         sim.run(3_000);
         let first = sim.holder().expect("a holder");
-        assert_eq!(sim.acquired.len(), 1, "renewed, not changed: {:?}", sim.acquired);
-        let stopped = sim.now;
+        assert_eq!(sim.acquired.len(), 1, "the lease is renewed and not lost: {:?}", sim.acquired);
+        let stalled_at = sim.now;
         sim.stalled.push(first);
         sim.run(3_000);
         let next = sim.holder().expect("another holder");
         assert!(next != first && sim.acquired[1].1.term > sim.acquired[0].1.term);
-        takeover_times.push((sim.acquired[1].0 - stopped) / MS);
-        // It goes on, finds its lease over, and claims nothing while another member holds it.
+        takeover_times.push((sim.acquired[1].0 - stalled_at) / MS);
+        // The former holder resumes, finds that its lease has expired, and acquires nothing while another member
+        // holds it.
         sim.stalled.clear();
         sim.run(3_000);
         assert_eq!(sim.holder(), Some(next));
@@ -138,16 +141,16 @@
         "time to a new holder: median {} ms, 99th percentile {} ms, lease 1000 ms",
         takeover_times[100], takeover_times[198]
     );
-    // Two simultaneous candidates may split the votes, and try again later.
+    // Two simultaneous candidates may split the votes and have to retry.
     assert!(takeover_times[197] <= 1_500 && takeover_times[199] <= 3_000, "{takeover_times:?}");
 }
 
 #[test]
-fn a_hand_over_takes_less_than_a_lease() {
+fn hand_over_takes_less_than_the_lease_duration() {
     for seed in 0..50 {
         let mut sim = Simulation::new(4, seed);
         sim.run(2_000);
-        let (first, begun) = (sim.holder().expect("a holder"), sim.now);
+        let (first, started_at) = (sim.holder().expect("a holder"), sim.now);
         let to = (first + 2) % 4;
         let actions = sim.candidates[first].hand_over(sim.now, Some(member(to as u32)));
         sim.execute(first, actions);
@@ -155,19 +158,20 @@
         let now = sim.now;
         sim.candidates[to].schedule_claim(now);
         sim.run(400);
-        assert_eq!(sim.holder(), Some(to), "the named successor holds it");
-        assert!(sim.acquired[1].0 - begun < 400 * MS, "{:?}", sim.acquired);
+        assert_eq!(sim.holder(), Some(to), "the named successor holds the lease");
+        assert!(sim.acquired[1].0 - started_at < 400 * MS, "{:?}", sim.acquired);
     }
 }
 
 #[test]
-fn links_cut_one_way_and_minorities_leave_at_most_one_holder() {
+fn one_way_link_failures_and_minorities_allow_at_most_one_holder() {
     for seed in 0..50 {
         let mut sim = Simulation::new(3, seed);
         sim.run(2_000);
         let holder = sim.holder().expect("a holder");
-        // It reaches all voters, but only two of five reach it: its lease ends, while its requests renew it at the
-        // voters, who can't grant another one until that is over.
+        // Its requests reach all voters, but only two of the five replies reach it. Its lease ends, while its
+        // requests keep renewing the grants, so that the voters grant the lease to another candidate only after those
+        // have expired.
         sim.cut_links = (2..5).map(|v| (holder, v, false)).collect();
         sim.run(8_000);
         let ended = sim.ended.iter().filter(|(_, _, candidate)| *candidate == holder).count();
@@ -175,13 +179,13 @@
         sim.cut_links.clear();
         sim.run(4_000);
         assert!(sim.holder().is_some());
-        // Nobody reaches more than two voters: there is no holder.
+        // No candidate reaches more than two voters, so that there is no holder.
         sim.cut_links = (0..3).flat_map(|candidate| (2..5).map(move |v| (candidate, v, true))).collect();
         sim.run(3_000);
         assert_eq!(sim.holder(), None);
         let term = sim.voters.iter().map(Voter::highest_term).max();
         sim.run(10_000);
-        assert_eq!(term, sim.voters.iter().map(Voter::highest_term).max(), "pre-votes raise no term");
+        assert_eq!(term, sim.voters.iter().map(Voter::highest_term).max(), "pre-votes don't raise terms");
         sim.cut_links.clear();
         sim.run(3_000);
         assert!(sim.holder().is_some());
@@ -189,29 +193,30 @@
 }
 
 #[test]
-fn restarted_voters_are_silent_for_what_they_may_have_granted() {
+fn restarted_voters_are_silent_until_forgotten_leases_expire() {
     for seed in 0..50 {
-        // All at once: `Simulation::run` checks that there are never two holders.
+        // All voters restart at once. `Simulation::run` checks that there are never two holders.
         let mut sim = Simulation::new(3, seed);
         sim.run(2_000);
         let holder = sim.holder().expect("a holder");
         let now = sim.now;
         sim.voters = vec![Voter::without_memory(now, LEASE); 5];
         sim.run(900);
-        assert!(sim.holder().is_none_or(|o| o == holder));
+        assert!(sim.holder().is_none_or(|current| current == holder));
         sim.run(3_000);
-        let second = sim.holder().expect("a holder after the silence");
-        // Terms began again from 0; a guard that knows a higher one rejects the token, and the next claim is above it.
+        let second = sim.holder().expect("a holder once the voters reply again");
+        // Terms restart from 0. A guard that knows a higher term rejects the token, and the next attempt uses a term
+        // above it.
         let mut guard = FencingGuard::with_highest(FencingToken { term: 40, holder: member(9) });
         let token = sim.candidates[second].token(sim.now).expect("a token");
-        let old = guard.admit(token).expect_err("refused");
-        assert!(old.to_string().contains("term 40") && guard.rejected_count() == 1);
+        let stale = guard.admit(token).expect_err("stale token");
+        assert!(stale.to_string().contains("term 40") && guard.rejected_count() == 1);
         let now = sim.now;
-        let actions = sim.candidates[second].on_rejected(now, old.highest.term);
+        let actions = sim.candidates[second].on_rejected(now, stale.highest.term);
         sim.execute(second, actions);
         assert_eq!(sim.candidates[second].token(now), None, "its lease has ended");
         sim.run(4_000);
-        // One after another, faster than a lease.
+        // The voters restart one after another, each sooner than a lease expires.
         for v in 0..5 {
             let now = sim.now;
             sim.voters[v] = Voter::without_memory(now, LEASE);
@@ -223,10 +228,11 @@
 }
 
 #[test]
-fn a_guard_admits_the_newest_token_only() {
+fn guard_admits_only_the_newest_token() {
     let token = |term, number, incarnation| FencingToken { term, holder: Member { number, incarnation } };
     let mut guard = FencingGuard::default();
-    // No token, a first one, the same again, an older one, a second holder of the term, its next incarnation.
+    // No token, a first one, the same again, an older one, another holder of the same term, a newer incarnation of
+    // the same term's holder.
     let cases = [
         (token(0, 0, 0), false),
         (token(2, 1, 1), true),
@@ -244,23 +250,23 @@
 }
 
 #[test]
-fn only_the_targets_of_a_changed_member_move_and_weights_count() {
+fn membership_change_moves_only_its_targets_and_weights_apply() {
     let fleet = |without: Option<u32>| {
         RendezvousShares::from_weights(
             (0..6).filter(|n| Some(*n) != without).map(|n| (member(n), if n == 0 { 2.0 } else { 1.0 })),
         )
     };
-    let (all, less) = (fleet(None), fleet(Some(3)));
+    let (all, without_member_3) = (fleet(None), fleet(Some(3)));
     let mut counts: BTreeMap<u32, usize> = BTreeMap::new();
     for target in 0..7_000 {
-        let (before, after) = (all.owner(target).unwrap(), less.owner(target).unwrap());
+        let (before, after) = (all.owner(target).unwrap(), without_member_3.owner(target).unwrap());
         *counts.entry(before.number).or_default() += 1;
         assert!(before == after || before.number == 3);
     }
     assert!((1_800..2_200).contains(&counts[&0]), "{counts:?}");
     assert!((1..6).all(|n| (850..1_150).contains(&counts[&n])), "{counts:?}");
     assert_eq!(RendezvousShares::from_weights([(member(1), 0.0), (member(2), f64::NAN)]).owner(1), None);
-    // A new incarnation gets its targets back.
+    // A restarted member gets its targets back.
     let restarted = RendezvousShares::from_weights(
         (0..6).map(|n| (Member { number: n, incarnation: 9 }, if n == 0 { 2.0 } else { 1.0 })),
     );
@@ -268,35 +274,36 @@
 }
 
 #[test]
-fn a_member_is_dead_after_seconds_and_not_for_lost_messages() {
+fn silent_member_is_detected_and_lost_heartbeats_are_tolerated() {
     let mut rng = Pcg32::seed_from_u64(1);
     let (mut detector, mut now) = (FailureDetector::default(), 0);
-    let (steady, gone) = (member(1), member(2));
+    let (steady_member, silent_member) = (member(1), member(2));
     for k in 0..20_000 {
         now += 250 * MS;
         // One message in ten is lost.
         if rng.random_range(0..10) > 0 {
-            detector.record_heartbeat(now, steady);
+            detector.record_heartbeat(now, steady_member);
         }
         if k < 100 {
-            detector.record_heartbeat(now, gone);
+            detector.record_heartbeat(now, silent_member);
         }
-        assert!(detector.suspicion_level(now, steady) < 1.0, "at message {k}");
-        let dead = detector.suspicion_level(now, gone) >= 1.0;
+        assert!(detector.suspicion_level(now, steady_member) < 1.0, "at message {k}");
+        let dead = detector.suspicion_level(now, silent_member) >= 1.0;
         assert!(k < 107 || dead || k < 112, "silent for {} messages", k - 99);
         assert!(k >= 107 || !dead);
     }
-    assert_eq!(detector.alive_members(now), [steady]);
-    // Its next incarnation counts as another member; a late message of the earlier one is ignored.
+    assert_eq!(detector.alive_members(now), [steady_member]);
+    // A new incarnation counts as another member, and a late heartbeat of the earlier one is ignored.
     detector.record_heartbeat(now, Member { number: 2, incarnation: 2 });
-    detector.record_heartbeat(now, gone);
-    assert_eq!(detector.alive_members(now), [steady, Member { number: 2, incarnation: 2 }]);
-    assert!(detector.suspicion_level(now, member(7)).is_infinite(), "unknown");
+    detector.record_heartbeat(now, silent_member);
+    assert_eq!(detector.alive_members(now), [steady_member, Member { number: 2, incarnation: 2 }]);
+    assert!(detector.suspicion_level(now, member(7)).is_infinite(), "a member without heartbeats");
 }
 
 #[test]
-fn a_heartbeat_costs_the_same_for_any_number_of_members() {
-    // A scan of all members at each heartbeat made a voter's cost grow with their square.
+fn heartbeat_cost_is_independent_of_the_number_of_members() {
+    // Guards against a scan of all members at each heartbeat, which made a voter's cost grow with the square of their
+    // number.
     let time = |members: u32| {
         let mut best = std::time::Duration::MAX;
         for _ in 0..3 {
--- a/crates/coordination/tests/model_check.rs
+++ b/crates/coordination/tests/model_check.rs
@@ -1,7 +1,9 @@
-//! Model checking of leases and fencing with stateright: three voters, two candidates, one guard; messages late, lost,
-//! duplicated and out of order, voters that restart without a disk, holders that stall between check, send and effect.
+//! Model checking of leases and fencing with stateright: three voters, two candidates and one guard. Messages are
+//! delayed, lost, duplicated and reordered; voters restart without stored state; holders stall between checking a
+//! token, sending an effect and the effect itself.
 //!
-//! `SABLECROSS_DUTY_STATES=N` searches so many states of each setting; by default as many as take seconds.
+//! `SABLECROSS_DUTY_STATES=N` sets the number of states to search for each configuration. The default takes a few
+//! seconds.
 
 use std::collections::BTreeSet;
 
@@ -14,36 +16,37 @@
 const CONFIG: LeaseConfig =
     LeaseConfig { voter_count: 3, duration: LEASE, round_timeout: 2, claim_spacing: 1 };
 
-/// A defence that is left out, to show that the search finds it.
+/// A protection that is removed, to show that the search finds the resulting violation.
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
     None,
-    /// A voter that has forgotten its grants grants at once.
+    /// A restarted voter grants leases immediately, although it has forgotten its grants.
     NoSilence,
-    /// Effects are admitted by the holder's clock alone.
+    /// Effects are admitted without a guard, based on the holder's clock alone.
     NoGuard,
-    /// The guard forgets at each effect.
+    /// The guard forgets its newest token after each effect.
     GuardForgets,
-    /// The holder checks its clock once when it acquires the lease, and there is no guard.
+    /// The holder checks its clock only once, when it acquires the lease, and there is no guard.
     ClockTrusted,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
+struct SystemState {
     now: Ns,
     voters: Vec<Voter>,
     candidates: Vec<LeaseCandidate>,
     requests: BTreeSet<(u32, usize, LeaseRequest)>,
-    /// The token that a holder has checked for its next effect.
+    /// The token that each candidate has checked for its next effect.
     checked: Vec<Option<FencingToken>>,
     effects: BTreeSet<FencingToken>,
     guard: FencingGuard,
-    /// The newest admitted token, and whether an older one, or a second holder of its term, was admitted after it.
+    /// The newest admitted token.
     newest: FencingToken,
+    /// Whether an older token than the newest one, or one of another holder of its term, was admitted.
     violation: bool,
     restarts: u8,
     duplicates: u8,
-    held: [bool; 2],
+    has_held: [bool; 2],
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -54,19 +57,19 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Move {
+enum Transition {
     Tick,
     Step(usize),
-    /// Arrives at a voter, and the reply arrives or is lost; or the request arrives once more later.
-    Ask(u32, usize, LeaseRequest, Delivery),
-    Check(usize),
-    Send(usize),
-    Effect(FencingToken, bool),
-    Restart(usize),
+    /// A request arrives at a voter. The reply arrives or is lost, or the request remains in transit as a duplicate.
+    DeliverRequest(u32, usize, LeaseRequest, Delivery),
+    CheckToken(usize),
+    SendEffect(usize),
+    DeliverEffect(FencingToken, bool),
+    RestartVoter(usize),
     HandOver(usize),
 }
 
-struct Search {
+struct LeaseModel {
     fault: Fault,
     until: Ns,
     restarts: u8,
@@ -74,20 +77,20 @@
     hand_over: bool,
 }
 
-impl Search {
-    fn actions_of(&self, world: &mut World, candidate: usize, actions_of: Vec<CandidateAction>) {
-        for act in actions_of {
-            match act {
+impl LeaseModel {
+    fn apply_actions(&self, state: &mut SystemState, candidate: usize, actions: Vec<CandidateAction>) {
+        for action in actions {
+            match action {
                 CandidateAction::Send(voter, request) => {
-                    // A pre-vote of an earlier round has no effect.
-                    world.requests.retain(|(_, s, a)| {
+                    // Pre-votes of earlier rounds have no effect, so they are removed.
+                    state.requests.retain(|(_, s, a)| {
                         *s != candidate
                             || !matches!(a, LeaseRequest::PreVote { .. })
                             || same_round(a, &request)
                     });
-                    world.requests.insert((voter, candidate, request));
+                    state.requests.insert((voter, candidate, request));
                 }
-                CandidateAction::Acquired(_) => world.held[candidate] = true,
+                CandidateAction::Acquired(_) => state.has_held[candidate] = true,
                 CandidateAction::Ended { .. } => {}
             }
         }
@@ -102,13 +105,13 @@
     Member { number: candidate as u32, incarnation: 1 }
 }
 
-impl Model for Search {
-    type State = World;
-    type Action = Move;
+impl Model for LeaseModel {
+    type State = SystemState;
+    type Action = Transition;
 
-    fn init_states(&self) -> Vec<World> {
+    fn init_states(&self) -> Vec<SystemState> {
         let candidate = |n: usize| LeaseCandidate::new(member(n), n as u32, CONFIG, 7, 0);
-        vec![World {
+        vec![SystemState {
             now: 0,
             voters: vec![Voter::first_start(0, LEASE); 3],
             candidates: vec![candidate(0), candidate(1)],
@@ -120,149 +123,149 @@
             violation: false,
             restarts: 0,
             duplicates: 0,
-            held: [false; 2],
+            has_held: [false; 2],
         }]
     }
 
-    fn actions(&self, world: &World, moves: &mut Vec<Move>) {
-        if world.now < self.until {
-            moves.push(Move::Tick);
+    fn actions(&self, state: &SystemState, transitions: &mut Vec<Transition>) {
+        if state.now < self.until {
+            transitions.push(Transition::Tick);
         }
-        for (n, candidate) in world.candidates.iter().enumerate() {
-            if world.now >= candidate.next_wakeup() {
-                moves.push(Move::Step(n));
+        for (n, candidate) in state.candidates.iter().enumerate() {
+            if state.now >= candidate.next_wakeup() {
+                transitions.push(Transition::Step(n));
             }
-            let token = candidate.token(world.now);
-            if token.is_some() && world.checked[n].is_none() {
-                moves.push(Move::Check(n));
+            let token = candidate.token(state.now);
+            if token.is_some() && state.checked[n].is_none() {
+                transitions.push(Transition::CheckToken(n));
             }
-            if world.checked[n].is_some() {
-                moves.push(Move::Send(n));
+            if state.checked[n].is_some() {
+                transitions.push(Transition::SendEffect(n));
             }
             if self.hand_over && token.is_some() {
-                moves.push(Move::HandOver(n));
+                transitions.push(Transition::HandOver(n));
             }
         }
-        for (v, n, request) in &world.requests {
-            moves.push(Move::Ask(*v, *n, *request, Delivery::Replied));
+        for (v, n, request) in &state.requests {
+            transitions.push(Transition::DeliverRequest(*v, *n, *request, Delivery::Replied));
             if matches!(request, LeaseRequest::Acquire { .. }) {
-                moves.push(Move::Ask(*v, *n, *request, Delivery::ReplyLost));
-                if world.duplicates < self.duplicates {
-                    moves.push(Move::Ask(*v, *n, *request, Delivery::Duplicated));
+                transitions.push(Transition::DeliverRequest(*v, *n, *request, Delivery::ReplyLost));
+                if state.duplicates < self.duplicates {
+                    transitions.push(Transition::DeliverRequest(*v, *n, *request, Delivery::Duplicated));
                 }
             }
         }
-        for token in &world.effects {
-            moves.push(Move::Effect(*token, false));
-            if world.duplicates < self.duplicates {
-                moves.push(Move::Effect(*token, true));
+        for token in &state.effects {
+            transitions.push(Transition::DeliverEffect(*token, false));
+            if state.duplicates < self.duplicates {
+                transitions.push(Transition::DeliverEffect(*token, true));
             }
         }
-        if world.restarts < self.restarts {
-            moves.extend((0..3).map(Move::Restart));
+        if state.restarts < self.restarts {
+            transitions.extend((0..3).map(Transition::RestartVoter));
         }
     }
 
-    fn next_state(&self, last: &World, a: Move) -> Option<World> {
-        let mut world = last.clone();
-        match a {
-            Move::Tick => world.now += 1,
-            Move::Step(n) => {
-                let actions_of = world.candidates[n].step(world.now);
-                self.actions_of(&mut world, n, actions_of);
+    fn next_state(&self, previous: &SystemState, transition: Transition) -> Option<SystemState> {
+        let mut state = previous.clone();
+        match transition {
+            Transition::Tick => state.now += 1,
+            Transition::Step(n) => {
+                let actions = state.candidates[n].step(state.now);
+                self.apply_actions(&mut state, n, actions);
             }
-            Move::Ask(v, n, request, delivery) => {
+            Transition::DeliverRequest(v, n, request, delivery) => {
                 if delivery == Delivery::Duplicated {
-                    world.duplicates += 1;
+                    state.duplicates += 1;
                 } else {
-                    world.requests.remove(&(v, n, request));
+                    state.requests.remove(&(v, n, request));
                 }
-                let reply = world.voters[v as usize].on_request(world.now, request);
+                let reply = state.voters[v as usize].on_request(state.now, request);
                 if let Some(reply) = reply.filter(|_| delivery != Delivery::ReplyLost) {
-                    let actions_of = world.candidates[n].on_reply(world.now, v, reply);
-                    self.actions_of(&mut world, n, actions_of);
+                    let actions = state.candidates[n].on_reply(state.now, v, reply);
+                    self.apply_actions(&mut state, n, actions);
                 }
             }
-            Move::Check(n) => world.checked[n] = world.candidates[n].token(world.now),
-            Move::Send(n) => {
-                // With the clock trusted, it goes on with what it has checked once.
+            Transition::CheckToken(n) => state.checked[n] = state.candidates[n].token(state.now),
+            Transition::SendEffect(n) => {
+                // With `Fault::ClockTrusted`, the holder keeps using the token that it has checked once.
                 let token = if self.fault == Fault::ClockTrusted {
-                    world.checked[n]
+                    state.checked[n]
                 } else {
-                    world.checked[n].take()
+                    state.checked[n].take()
                 };
-                world.effects.extend(token);
+                state.effects.extend(token);
             }
-            Move::Effect(token, duplicated) => {
+            Transition::DeliverEffect(token, duplicated) => {
                 if duplicated {
-                    world.duplicates += 1;
+                    state.duplicates += 1;
                 } else {
-                    world.effects.remove(&token);
+                    state.effects.remove(&token);
                 }
                 let is_admitted = match self.fault {
                     Fault::NoGuard | Fault::ClockTrusted => true,
                     Fault::GuardForgets => FencingGuard::default().admit(token).is_ok(),
-                    Fault::None | Fault::NoSilence => match world.guard.admit(token) {
+                    Fault::None | Fault::NoSilence => match state.guard.admit(token) {
                         Ok(()) => true,
-                        Err(old) => {
+                        Err(stale) => {
                             let n = token.holder.number as usize;
-                            if world.candidates[n].token(world.now) == Some(token) {
-                                let actions_of = world.candidates[n].on_rejected(world.now, old.highest.term);
-                                self.actions_of(&mut world, n, actions_of);
+                            if state.candidates[n].token(state.now) == Some(token) {
+                                let actions = state.candidates[n].on_rejected(state.now, stale.highest.term);
+                                self.apply_actions(&mut state, n, actions);
                             }
                             false
                         }
                     },
                 };
                 if is_admitted {
-                    let newer = token.term > world.newest.term || token == world.newest;
-                    world.violation |= !newer;
-                    world.newest = world.newest.max(token);
+                    let newer = token.term > state.newest.term || token == state.newest;
+                    state.violation |= !newer;
+                    state.newest = state.newest.max(token);
                 }
             }
-            Move::Restart(v) => {
-                world.restarts += 1;
-                world.voters[v] = match self.fault {
-                    Fault::NoSilence => Voter::first_start(world.now, LEASE),
-                    _ => Voter::without_memory(world.now, LEASE),
+            Transition::RestartVoter(v) => {
+                state.restarts += 1;
+                state.voters[v] = match self.fault {
+                    Fault::NoSilence => Voter::first_start(state.now, LEASE),
+                    _ => Voter::without_memory(state.now, LEASE),
                 };
             }
-            Move::HandOver(n) => {
-                world.checked[n] = None;
-                let actions_of = world.candidates[n].hand_over(world.now, Some(member(1 - n)));
-                self.actions_of(&mut world, n, actions_of);
-                world.candidates[1 - n].schedule_claim(world.now);
+            Transition::HandOver(n) => {
+                state.checked[n] = None;
+                let actions = state.candidates[n].hand_over(state.now, Some(member(1 - n)));
+                self.apply_actions(&mut state, n, actions);
+                state.candidates[1 - n].schedule_claim(state.now);
             }
         }
-        Some(world)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no effect of a former holder", |_, world: &World| !world.violation),
-            Property::always("one holder at a time", |_, world: &World| {
-                world.candidates.iter().filter(|s| s.token(world.now).is_some()).count() < 2
+            Property::always("no effect of a former holder", |_, state: &SystemState| !state.violation),
+            Property::always("one holder at a time", |_, state: &SystemState| {
+                state.candidates.iter().filter(|s| s.token(state.now).is_some()).count() < 2
             }),
-            Property::sometimes("both hold in turn", |_, world: &World| world.held == [true, true]),
+            Property::sometimes("both hold in turn", |_, state: &SystemState| state.has_held == [true, true]),
         ]
     }
 }
 
-fn states() -> usize {
+fn max_states() -> usize {
     std::env::var("SABLECROSS_DUTY_STATES").ok().and_then(|n| n.parse().ok()).unwrap_or(300_000)
 }
 
 #[test]
-fn no_older_token_is_admitted_and_no_two_hold_at_once() {
-    // (time, restarts of voters, duplicated messages, hand-overs)
+fn no_stale_token_is_admitted_and_no_two_members_hold_at_once() {
+    // Each entry: end time, restarts of voters, duplicated messages, whether roles are handed over.
     for (until, restarts, duplicates, hand_over) in
         [(9, 0, 0, false), (10, 1, 0, false), (9, 1, 1, false), (7, 0, 1, true), (12, 2, 0, false)]
     {
-        let search = Search { fault: Fault::None, until, restarts, duplicates, hand_over };
-        let checker = search.checker().threads(4).target_state_count(states()).spawn_bfs().join();
-        let wrong = ["no effect of a former holder", "one holder at a time"];
+        let model = LeaseModel { fault: Fault::None, until, restarts, duplicates, hand_over };
+        let checker = model.checker().threads(4).target_state_count(max_states()).spawn_bfs().join();
+        let safety_properties = ["no effect of a former holder", "one holder at a time"];
         let found: Vec<_> =
-            checker.discoveries().into_iter().filter(|(name, _)| wrong.contains(name)).collect();
+            checker.discoveries().into_iter().filter(|(name, _)| safety_properties.contains(name)).collect();
         assert!(found.is_empty(), "{found:?}");
         println!(
             "until {until}, restarts {restarts}, duplicates {duplicates}: {} states",
@@ -272,49 +275,52 @@
     }
 }
 
-/// Walks through random schedules; returns the properties that were violated, and in how many both held the lease in turn.
-fn walk(search: &Search, schedules: u64) -> (BTreeSet<&'static str>, u64) {
-    let (mut wrong, mut both) = (BTreeSet::new(), 0);
+/// Runs random schedules. Returns the violated properties, and the number of schedules in which both candidates held
+/// the lease in turn.
+fn run_random_schedules(model: &LeaseModel, schedules: u64) -> (BTreeSet<&'static str>, u64) {
+    let (mut violated, mut both_held) = (BTreeSet::new(), 0);
     for seed in 0..schedules {
         let mut rng = Pcg32::seed_from_u64(seed);
-        let mut world = search.init_states().remove(0);
+        let mut state = model.init_states().remove(0);
         for _ in 0..160 {
-            let mut moves = Vec::new();
-            search.actions(&world, &mut moves);
-            // Time passes now and then only, or nothing would arrive in time.
-            moves.retain(|m| *m != Move::Tick || rng.random_range(0..6) == 0);
-            if moves.is_empty() {
-                moves.push(Move::Tick);
+            let mut transitions = Vec::new();
+            model.actions(&state, &mut transitions);
+            // Time advances only occasionally, because otherwise no message would arrive in time.
+            transitions.retain(|m| *m != Transition::Tick || rng.random_range(0..6) == 0);
+            if transitions.is_empty() {
+                transitions.push(Transition::Tick);
             }
-            let Some(next) = search.next_state(&world, moves.swap_remove(rng.random_range(0..moves.len())))
+            let Some(next) =
+                model.next_state(&state, transitions.swap_remove(rng.random_range(0..transitions.len())))
             else {
                 break;
             };
-            world = next;
-            for p in search.properties().into_iter().filter(|p| p.expectation == Expectation::Always) {
-                if !(p.condition)(search, &world) {
-                    wrong.insert(p.name);
+            state = next;
+            for p in model.properties().into_iter().filter(|p| p.expectation == Expectation::Always) {
+                if !(p.condition)(model, &state) {
+                    violated.insert(p.name);
                 }
             }
         }
-        both += u64::from(world.held == [true, true]);
+        both_held += u64::from(state.has_held == [true, true]);
     }
-    (wrong, both)
+    (violated, both_held)
 }
 
 #[test]
-fn random_schedules_violate_nothing_and_missing_defences_are_found() {
-    let of = |fault, restarts, duplicates| Search { fault, until: 60, restarts, duplicates, hand_over: true };
-    let (wrong, both) = walk(&of(Fault::None, 3, 3), 20_000);
-    assert!(wrong.is_empty(), "{wrong:?}");
-    assert!(both > 2_000, "both hold in turn in {both} of 20,000 schedules");
+fn random_schedules_are_safe_and_removed_protections_are_detected() {
+    let of =
+        |fault, restarts, duplicates| LeaseModel { fault, until: 60, restarts, duplicates, hand_over: true };
+    let (violated, both_held) = run_random_schedules(&of(Fault::None, 3, 3), 20_000);
+    assert!(violated.is_empty(), "{violated:?}");
+    assert!(both_held > 2_000, "both hold in turn in {both_held} of 20,000 schedules");
     for (fault, broken) in [
         (Fault::NoGuard, "no effect of a former holder"),
         (Fault::GuardForgets, "no effect of a former holder"),
         (Fault::ClockTrusted, "no effect of a former holder"),
         (Fault::NoSilence, "one holder at a time"),
     ] {
-        let (wrong, _) = walk(&of(fault, 3, 3), 20_000);
-        assert!(wrong.contains(broken), "{broken}: {wrong:?}");
+        let (violated, _) = run_random_schedules(&of(fault, 3, 3), 20_000);
+        assert!(violated.contains(broken), "{broken}: {violated:?}");
     }
 }
--- a/crates/coordination/tests/scale.rs
+++ b/crates/coordination/tests/scale.rs
@@ -1,4 +1,4 @@
-//! Ten thousand members without sockets: what a voter and a member do, in counts.
+//! The work of a voter and of a member in a fleet of ten thousand, as counts of messages; no sockets.
 
 use std::collections::BTreeSet;
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_voter_sends_each_of_ten_thousand_members_only_what_changed() {
+fn voter_sends_only_the_change_to_each_of_ten_thousand_members() {
     let mut node = VoterNode::new(0, &config(), 0);
     let now = 2 * SEC;
     let all: Vec<Member> = (0..10_000).map(member).collect();
@@ -43,9 +43,10 @@
     };
     let first = AssignmentVersion { term: 1, number: 1 };
     assert_eq!(node.on_messages(now, member(0), &[assign(1, &all)]), [Reply::AssignmentStored(first)]);
-    let most = all.iter().filter(|m| m.number != 77).copied().collect::<Vec<_>>();
-    node.on_messages(now, member(0), &[assign(2, &most)]);
-    // A member with the assignment before gets the change; one with none gets all of it.
+    let remaining_members = all.iter().filter(|m| m.number != 77).copied().collect::<Vec<_>>();
+    node.on_messages(now, member(0), &[assign(2, &remaining_members)]);
+    // A member with the previous assignment gets only the change, and a member without one gets the complete
+    // assignment.
     let replies = node.on_messages(now, member(5), &[Message::Heartbeat(first)]);
     assert!(
         matches!(&replies[..], [Reply::AssignmentChanged { joined, left, .. }, Reply::AssignmentConfirmed(_)]
@@ -58,14 +59,15 @@
 }
 
 #[test]
-fn the_loss_of_one_member_of_ten_thousand_moves_only_its_targets() {
+fn losing_one_of_ten_thousand_members_moves_only_its_targets() {
     let members: Vec<(Member, f64)> = (0..10_000).map(|n| (member(n), 1.0)).collect();
     let shares = RendezvousShares::from_weights(members.iter().copied());
     let owners: Vec<Option<Member>> = (0..200u64).map(|c| shares.owner(c)).collect();
-    let lost = owners[0].expect("owned");
-    let less = RendezvousShares::from_weights(members.iter().copied().filter(|(m, _)| *m != lost));
+    let lost = owners[0].expect("an owner");
+    let remaining_shares =
+        RendezvousShares::from_weights(members.iter().copied().filter(|(m, _)| *m != lost));
     for (target, before) in owners.iter().enumerate() {
-        let now = less.owner(target as u64);
+        let now = remaining_shares.owner(target as u64);
         assert_eq!(now == *before, *before != Some(lost), "target {target}");
     }
     let holders: BTreeSet<u32> = owners.iter().flatten().map(|m| m.number).collect();
@@ -73,7 +75,7 @@
 }
 
 #[test]
-fn an_idle_member_makes_one_call_a_heartbeat_to_each_voter() {
+fn idle_member_makes_one_call_per_heartbeat_to_each_voter() {
     let mut coordinator = Coordinator::new(member(4_321), config(), 9, 0);
     coordinator.update_targets(0, &(0..200).collect());
     let (mut calls, mut now) = (0, 0);
@@ -94,5 +96,5 @@
         AssignmentVersion::default().token(member(1)),
         Ok(HealthState::Unhealthy),
     );
-    assert!(coordinator.take_actions().is_empty(), "a check that was never sent finds nothing");
+    assert!(coordinator.take_actions().is_empty(), "the result of a check that was never sent is ignored");
 }
