--- a/crates/controller-log/tests/disk_faults.rs
+++ b/crates/controller-log/tests/disk_faults.rs
@@ -1,4 +1,5 @@
-//! The log on a disk that fails for a while. The test starts itself again with the fault injection library preloaded.
+//! The log on a disk that fails temporarily. The test runs itself as a child process with the fault injection library
+//! preloaded.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -6,8 +7,8 @@
 use sablecross_controller_log::ControllerLog;
 use sablecross_hierarchy::RolloutRecord;
 
-/// The file to write, in the process that is started with the library.
-const FILE: &str = "SABLECROSS_STORE_TEST";
+/// Names the file to write, in the child process.
+const FILE_VARIABLE: &str = "SABLECROSS_STORE_TEST";
 const FAULTS: [&str; 5] = [
     "fail sync EIO",
     "fail sync ENOSPC",
@@ -18,7 +19,7 @@
 
 fn set_plan(plan: &Path, rules: &str) {
     std::fs::write(plan, rules).expect("written");
-    // The library reads its plan again within this time.
+    // The library rereads its plan within this time.
     std::thread::sleep(std::time::Duration::from_millis(40));
 }
 
@@ -32,34 +33,34 @@
     set_plan(&plan, &format!("{fault} 0 1000000000 100"));
     let failed = log.append(&record(1)).is_err();
     set_plan(&plan, "");
-    // A record that was not stored is stored once the disk works again.
+    // A record that was not stored can be stored once the disk works again.
     if failed {
         log.append(&record(1)).expect("written after");
     }
-    log.append(&record(2)).expect("written at last");
+    log.append(&record(2)).expect("written at the end");
     drop(log);
     assert_eq!(ControllerLog::open(file).expect("opened again").1.len(), 3);
 }
 
 #[test]
 fn the_log_can_be_written_once_the_disk_works_again() {
-    if let Ok(file) = std::env::var(FILE) {
+    if let Ok(file) = std::env::var(FILE_VARIABLE) {
         return write_under_faults(Path::new(&file));
     }
-    let own = std::env::current_exe().expect("its own name");
-    let library = own.with_file_name("libsablecross_fault_injection.so");
+    let test_executable = std::env::current_exe().expect("the path of the test executable");
+    let library = test_executable.with_file_name("libsablecross_fault_injection.so");
     for fault in FAULTS {
-        let folder = tempfile::tempdir().expect("a folder");
-        let plan = folder.path().join("plan");
+        let directory = tempfile::tempdir().expect("a temporary directory");
+        let plan = directory.path().join("plan");
         std::fs::write(&plan, "").expect("written");
-        let out = Command::new(&own)
+        let output = Command::new(&test_executable)
             .args(["--exact", "the_log_can_be_written_once_the_disk_works_again", "--nocapture"])
-            .env(FILE, folder.path().join("log.redb"))
+            .env(FILE_VARIABLE, directory.path().join("log.redb"))
             .env("SABLECROSS_STORE_FAULT", fault)
             .env("SABLECROSS_FAULTS", &plan)
             .env("LD_PRELOAD", &library)
             .output()
-            .expect("runs");
-        assert!(out.status.success(), "{fault}: {}", String::from_utf8_lossy(&out.stderr));
+            .expect("the child process runs");
+        assert!(output.status.success(), "{fault}: {}", String::from_utf8_lossy(&output.stderr));
     }
 }
--- a/crates/controller-log/tests/log.rs
+++ b/crates/controller-log/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log on disk, and a rollout that continues from it.
+//! The log on disk, and the recovery of a rollout from it.
 
 use std::path::Path;
 
@@ -16,7 +16,7 @@
     parse_settings("first", SETTINGS, None).unwrap()
 }
 
-/// The first version with another source of one node.
+/// Returns the first version with another source added to one node.
 fn second_version(first: &Hierarchy) -> Hierarchy {
     let settings = SETTINGS.replace("(sources \"a\")", "(sources \"a\" \"o\")");
     parse_settings("second", &settings, Some(first)).unwrap().1
@@ -27,7 +27,7 @@
     RolloutRecord::Checkpoint { number, next_change: 1, version }
 }
 
-/// The records of a rollout whose change has started.
+/// Returns the records of a rollout whose change has started.
 fn records_of_a_change() -> Vec<RolloutRecord> {
     let (number, first) = first_version();
     let mut rollout = Rollout::new(number, first.clone(), ["d".into()]).unwrap();
@@ -44,17 +44,17 @@
 }
 
 #[test]
-fn records_are_read_back_however_many_were_written() {
-    let folder = tempfile::tempdir().unwrap();
+fn any_number_of_records_is_read_back() {
+    let directory = tempfile::tempdir().unwrap();
     let records = records_of_a_change();
     assert_eq!(records.len(), 3, "{records:?}");
     for written in 0..=records.len() {
-        let file = folder.path().join(format!("{written}.redb"));
+        let file = directory.path().join(format!("{written}.redb"));
         let mut log = ControllerLog::open(&file).unwrap().0;
         for record in &records[..written] {
             log.append(record).unwrap();
         }
-        // Only one process can have it open.
+        // Only one process at a time can have the log open.
         assert!(matches!(ControllerLog::open(&file), Err(ControllerLogError::Open { .. })));
         drop(log);
         let read = read_back(&file);
@@ -62,7 +62,7 @@
         let recovered = Rollout::recover(&read, ["d".into()], 0);
         assert_eq!(recovered.is_ok(), written > 0);
         if let Ok(rollout) = recovered {
-            // A step that was written is published again under its number.
+            // A step whose record was stored is published again with the same number.
             assert_eq!(rollout.published().number, if written == 3 { 2 } else { 1 });
         }
     }
@@ -70,8 +70,8 @@
 
 #[test]
 fn a_checkpoint_removes_earlier_records() {
-    let folder = tempfile::tempdir().unwrap();
-    let file = folder.path().join("log.redb");
+    let directory = tempfile::tempdir().unwrap();
+    let file = directory.path().join("log.redb");
     let (number, version) = first_version();
     let mut log = ControllerLog::open(&file).unwrap().0;
     for number in number..number + 5 {
@@ -84,9 +84,9 @@
 }
 
 #[test]
-fn a_file_that_is_no_database_is_an_error() {
-    let folder = tempfile::tempdir().unwrap();
-    let file = folder.path().join("log.redb");
+fn opening_a_file_that_is_not_a_database_fails() {
+    let directory = tempfile::tempdir().unwrap();
+    let file = directory.path().join("log.redb");
     std::fs::write(&file, b"no database").unwrap();
     let error = ControllerLog::open(&file).map(|_| ()).unwrap_err();
     assert!(matches!(error, ControllerLogError::Open { .. }), "{error}");
@@ -94,9 +94,9 @@
 }
 
 #[test]
-fn a_record_that_is_damaged_is_named_by_its_index() {
-    let folder = tempfile::tempdir().unwrap();
-    let file = folder.path().join("log.redb");
+fn error_names_the_index_of_a_damaged_record() {
+    let directory = tempfile::tempdir().unwrap();
+    let file = directory.path().join("log.redb");
     drop(ControllerLog::open(&file).unwrap());
     let database = redb::Database::open(&file).unwrap();
     let transaction = database.begin_write().unwrap();
@@ -110,15 +110,15 @@
 }
 
 #[test]
-fn an_earlier_holder_of_the_role_is_rejected() {
-    let folder = tempfile::tempdir().unwrap();
-    let file = folder.path().join("fenced.redb");
+fn former_holders_are_rejected() {
+    let directory = tempfile::tempdir().unwrap();
+    let file = directory.path().join("fenced.redb");
     let (number, version) = first_version();
     let record = checkpoint(number, &version);
     let token = |term, number| FencingToken { term, holder: Member { number, incarnation: 1 } };
     let mut log = ControllerLog::open(&file).unwrap().0;
     assert_eq!(log.newest_token().unwrap(), FencingToken::default());
-    // (term, holder, whether it is stored): of two holders of one term the first one is it.
+    // Each entry: term, holder, whether the record is stored. Of two holders of one term, only the first is admitted.
     let cases = [(3, 1, true), (3, 1, true), (2, 2, false), (3, 2, false), (4, 2, true), (3, 1, false)];
     let mut newest = FencingToken::default();
     for (term, holder, is_stored) in cases {
@@ -130,17 +130,18 @@
             Err(error) => {
                 assert!(matches!(error, ControllerLogError::StaleToken(_)), "{error}");
                 assert!(error.to_string().contains("acquire the lease again"), "{error}");
-                // It names the term that a new lease has to be past.
+                // The error names the term that the next lease has to exceed.
                 assert!(error.to_string().contains(&format!("term {} of member", newest.term)), "{error}");
             }
         }
         assert_eq!(log.newest_token().unwrap(), newest);
     }
     drop(log);
-    // The token is stored with the records: a holder that was delayed until the log was opened again is rejected too.
+    // The token is stored with the records, so that a delayed former holder is rejected after the log was reopened,
+    // too.
     let (mut log, records) = ControllerLog::open(&file).unwrap();
     assert_eq!((records.len(), log.newest_token().unwrap()), (1, token(4, 2)));
     assert!(log.append_as(token(3, 1), &record).is_err());
     log.append(&record).unwrap();
-    assert_eq!(log.newest_token().unwrap(), token(4, 2), "a record without a token changes none");
+    assert_eq!(log.newest_token().unwrap(), token(4, 2), "a record without a token keeps the newest token");
 }
--- a/crates/controller-log/tests/stored_format.rs
+++ b/crates/controller-log/tests/stored_format.rs
@@ -1,4 +1,5 @@
-//! The bytes of the log on disk: each record as JSON, the tables of the database, and a file of an earlier program.
+//! The stored form of the log: each record as JSON, the tables of the database, and a file written by an earlier
+//! version of the program.
 
 use std::path::Path;
 
@@ -8,17 +9,17 @@
 use sablecross_hierarchy::spec::HierarchySpec;
 use sablecross_hierarchy::{RolloutOutcome, RolloutRecord};
 
-/// A version with every field set to a value of its own, and one node with the defaults.
+/// A version in which each field has a different value, and in which one node has the default values.
 const SPEC: &str = r#"{"head":{"version":3,"ceiling":500.0,"margin":0.1,"cold-from":0.3,"warm-after-ms":21000,"fall-multiple":2.5,"siblings":true,"hold-ms":1,"settle-ms":2,"give-up-ms":30001},"nodes":[{"name":"o","tier":0,"sources":[],"capacity":900.0,"demand":0.0,"hit":0.0,"share":256,"since-ms":0},{"name":"e","tier":2,"sources":["o"],"capacity":800.0,"demand":100.0,"hit":0.5,"share":64,"since-ms":7}]}"#;
 
 fn spec() -> HierarchySpec {
     serde_json::from_str(SPEC).expect("a version")
 }
 
-/// Every variant, with optional fields present and absent. `SPEC` stands for the version's text.
+/// One record of each variant, with and without optional fields. `SPEC` stands for the JSON of the version.
 fn examples() -> Vec<(RolloutRecord, &'static str)> {
     let version = spec();
-    let ended = |change, how| RolloutRecord::Ended { change, outcome: how };
+    let ended = |change, outcome| RolloutRecord::Ended { change, outcome };
     vec![
         (
             RolloutRecord::Checkpoint { number: 4, next_change: 9, version: version.clone() },
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn each_record_has_this_text() {
+fn record_encodings_are_unchanged() {
     for (record, text) in examples() {
         let text = text.replace("SPEC", SPEC);
         assert_eq!(serde_json::to_string(&record).expect("encoded"), text);
@@ -56,15 +57,15 @@
     }
 }
 
-/// What the tables contain.
+/// The content of the tables.
 #[derive(Debug, PartialEq)]
 struct Tables {
     records: Vec<(u64, String)>,
-    /// Term, and number and incarnation of the holder.
+    /// The term, and the number and incarnation of the holder.
     newest_token: Option<(u64, u32, u64)>,
 }
 
-/// Reads the tables without this crate: by their names and types alone.
+/// Reads the tables without this crate, by their names and types only.
 fn read_tables(file: &Path) -> Tables {
     let database = Database::open(file).expect("opened");
     let read = database.begin_read().expect("read");
@@ -90,7 +91,7 @@
     FencingToken { term, holder: Member { number: 2, incarnation: 1_700_000_000_123 } }
 }
 
-/// Writes all examples as `data/log-0.1.0.redb` has them.
+/// Writes all examples in the way in which `data/log-0.1.0.redb` was written.
 fn write_examples(file: &Path) {
     let (mut log, before) = ControllerLog::open(file).expect("opened");
     assert!(before.is_empty());
@@ -100,22 +101,22 @@
 }
 
 #[test]
-fn the_database_has_these_tables() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let file = folder.path().join("log.redb");
+fn database_tables_are_unchanged() {
+    let directory = tempfile::tempdir().expect("a temporary directory");
+    let file = directory.path().join("log.redb");
     drop(ControllerLog::open(&file).expect("opened"));
     assert_eq!(read_tables(&file), Tables { records: Vec::new(), newest_token: None });
     write_examples(&file);
     assert_eq!(read_tables(&file), example_tables());
 }
 
-/// `data/log-0.1.0.redb` was made by `write_examples` above with the program of commit 6b53750 (version 0.1.0, redb 4),
-/// into a new file, which was then compacted (`redb::Database::compact`). It is never to be written again: a later
-/// program has to read what that one left.
+/// `data/log-0.1.0.redb` was written by `write_examples` with the program of commit 6b53750 (version 0.1.0, redb 4)
+/// into a new file, and then compacted with `redb::Database::compact`. The file must never be written again, because
+/// it shows that later versions of the program can read it.
 #[test]
-fn a_file_of_the_first_program_is_read_and_goes_on() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let file = folder.path().join("log.redb");
+fn log_of_an_earlier_program_version_is_read_and_continued() {
+    let directory = tempfile::tempdir().expect("a temporary directory");
+    let file = directory.path().join("log.redb");
     let old = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/log-0.1.0.redb");
     std::fs::write(&file, std::fs::read(old).expect("the old file")).expect("copied");
     assert_eq!(read_tables(&file), example_tables());
@@ -125,7 +126,7 @@
     assert_eq!(records, expected);
     assert_eq!(log.newest_token().expect("read"), token(7));
 
-    // It goes on behind what was there, and an older token is still rejected.
+    // New records follow the existing ones, and an older token is still rejected.
     let next = RolloutRecord::StepCommitted { number: 8 };
     assert!(log.append_as(token(6), &next).is_err());
     log.append_as(token(8), &next).expect("written");
--- a/crates/hierarchy-controller/tests/controller.rs
+++ b/crates/hierarchy-controller/tests/controller.rs
@@ -1,4 +1,5 @@
-//! The controller, whose holder fails, or is delayed and resumes, at each of its actions.
+//! The controller under changes of the holder: the former holder fails, or is delayed and resumes, before each of its
+//! actions.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
@@ -10,8 +11,8 @@
 const MS: Ns = 1_000_000;
 const SEC: Ns = 1_000 * MS;
 
-/// The settings of an origin, two upper parents, two or three parents below them and a cache. The shape decides which
-/// upper parents each parent has, and whether there is a third parent.
+/// Returns the settings of an origin, two upper parents, two or three parents below them, and a cache. The shape
+/// decides which upper parents each parent fills from, and whether there is a third parent.
 fn settings(shape: usize) -> String {
     let (a, b) = [("\"u1\"", "\"u2\""), ("\"u2\"", "\"u1\""), ("\"u1\" \"u2\"", "\"u2\"")][shape % 3];
     let third = shape >= 3;
@@ -32,7 +33,7 @@
     )
 }
 
-/// The register of the voters, the members, and all controllers that ever held the role.
+/// The register of the voters, the members, and all controllers that have ever held the role.
 struct Fleet {
     now: Ns,
     register_guard: FencingGuard,
@@ -41,9 +42,9 @@
     members: Vec<(Member, VersionHolder)>,
     controllers: Vec<HierarchyController>,
     term: u64,
-    carried_out: usize,
-    lines: Vec<String>,
-    /// The largest difference between the numbers of successive versions that a member applied.
+    executed_actions: usize,
+    log_lines: Vec<String>,
+    /// The largest difference between the numbers of two successive versions that a member applied.
     max_gap: u64,
     rejected_actions: usize,
 }
@@ -60,8 +61,8 @@
             members,
             controllers: Vec::new(),
             term: 0,
-            carried_out: 0,
-            lines: Vec::new(),
+            executed_actions: 0,
+            log_lines: Vec::new(),
             max_gap: 0,
             rejected_actions: 0,
         };
@@ -69,7 +70,7 @@
         fleet
     }
 
-    /// Another member acquires the role. The earlier holders still exist, and are delayed.
+    /// Another member acquires the role. The controllers of former holders still exist, and are delayed.
     fn change_holder(&mut self) {
         self.term += 1;
         let token = FencingToken {
@@ -85,8 +86,8 @@
         self.controllers.push(next);
     }
 
-    /// Carries out an action of the current holder, or of an earlier one.
-    fn carry_out(&mut self, by: usize, action: ControllerAction) {
+    /// Carries out an action of the current or of a former holder.
+    fn execute_action(&mut self, by: usize, action: ControllerAction) {
         let token = self.controllers[by].token();
         match action {
             ControllerAction::Persist(bytes) => {
@@ -109,19 +110,23 @@
                 for (_, holder) in &mut self.members {
                     let before = holder.number();
                     let outcome = holder.offer(number, &version);
-                    assert_ne!(outcome, OfferOutcome::Conflicting, "one number, two versions");
+                    assert_ne!(
+                        outcome,
+                        OfferOutcome::Conflicting,
+                        "two different versions with the same number"
+                    );
                     assert!(holder.number() >= before);
                     if outcome == OfferOutcome::Accepted && before > 0 {
                         self.max_gap = self.max_gap.max(number - before);
                     }
                 }
             }
-            ControllerAction::Log(line) => self.lines.push(line),
+            ControllerAction::Log(line) => self.log_lines.push(line),
         }
     }
 
-    /// Lets the current holder go on for a while. Before action `limit` the role changes its holder: the earlier one then
-    /// carries out what it was about to do. Whether that happened.
+    /// Runs the current holder for `time`. Before action number `limit` the holder is replaced, and the former holder
+    /// then carries out its remaining actions late. Returns whether the holder was replaced.
     fn run(&mut self, time: Ns, limit: usize) -> bool {
         let until = self.now + time;
         while self.now < until {
@@ -146,17 +151,18 @@
                 }
                 let mut actions = actions.into_iter();
                 while let Some(action) = actions.next() {
-                    if self.carried_out == limit {
-                        // The delayed holder does this when it resumes.
-                        let late: Vec<ControllerAction> = std::iter::once(action).chain(actions).collect();
+                    if self.executed_actions == limit {
+                        // The former holder carries out these actions when it resumes.
+                        let late_actions: Vec<ControllerAction> =
+                            std::iter::once(action).chain(actions).collect();
                         self.change_holder();
-                        for action in late {
-                            self.carry_out(by, action);
+                        for action in late_actions {
+                            self.execute_action(by, action);
                         }
                         return true;
                     }
-                    self.carried_out += 1;
-                    self.carry_out(by, action);
+                    self.executed_actions += 1;
+                    self.execute_action(by, action);
                 }
             }
         }
@@ -169,16 +175,16 @@
     }
 
     fn is_settled(&self) -> bool {
-        let newest = self.controllers.last().and_then(HierarchyController::rollout).expect("a rollout");
-        newest.progress().is_none()
-            && newest.missing_participants().is_empty()
-            && self.members.iter().all(|(_, h)| h.number() == newest.published().number)
+        let rollout = self.controllers.last().and_then(HierarchyController::rollout).expect("a rollout");
+        rollout.progress().is_none()
+            && rollout.missing_participants().is_empty()
+            && self.members.iter().all(|(_, h)| h.number() == rollout.published().number)
     }
 }
 
-/// The holder is replaced before each of its actions in turn, and carries that out late.
+/// Replaces the holder before each of its actions in turn. The former holder then carries out that action late.
 #[test]
-fn a_holder_that_is_replaced_at_any_action_does_no_harm_and_the_change_ends() {
+fn change_completes_when_the_holder_is_replaced_before_any_action() {
     let (mut cases, mut rejected_actions) = (0, 0);
     for shape in 1..6 {
         for at in 0..200 {
@@ -186,7 +192,7 @@
             fleet.propose(0).expect("the first version");
             fleet.run(3 * SEC, usize::MAX);
             assert!(fleet.is_settled());
-            fleet.carried_out = 0;
+            fleet.executed_actions = 0;
             fleet.propose(shape).expect("a change");
             let is_replaced = fleet.run(60 * SEC, at);
             if is_replaced {
@@ -197,7 +203,8 @@
                 "shape {shape}, before action {at}: {:?}",
                 fleet.controllers.last().map(HierarchyController::status)
             );
-            // A change that was lost before its record was stored has never started, and is proposed again.
+            // A change whose record was not stored before the replacement never started, and would have to be
+            // proposed again.
             assert_eq!(fleet.max_gap, u64::from(at > 0), "shape {shape}, before action {at}");
             rejected_actions += fleet.rejected_actions;
             cases += 1;
@@ -210,21 +217,21 @@
 }
 
 #[test]
-fn holders_that_are_replaced_again_and_again_do_no_harm() {
+fn change_completes_when_the_holder_is_replaced_repeatedly() {
     for seed in 0..60 {
         let mut rng = Pcg32::seed_from_u64(seed);
         let mut fleet = Fleet::new();
         fleet.propose(0).expect("the first version");
         fleet.run(3 * SEC, usize::MAX);
         for _ in 0..6 {
-            // A proposal while another one runs may be rejected.
+            // A proposal during another change may be rejected.
             let _ = fleet.propose(rng.random_range(0..6));
-            fleet.carried_out = 0;
+            fleet.executed_actions = 0;
             let limit = rng.random_range(0..12);
             fleet.run(rng.random_range(1..4) * SEC, limit);
             if rng.random::<f64>() < 0.3 {
                 let n = rng.random_range(0..4);
-                // Restarted: it applies no version.
+                // A restarted member applies no version.
                 fleet.members[n] = (
                     Member { number: n as u32, incarnation: fleet.members[n].0.incarnation + 1 },
                     VersionHolder::new(),
@@ -234,47 +241,49 @@
                 fleet.controllers[by].update_members(now, &alive);
             }
         }
-        fleet.carried_out = 0;
+        fleet.executed_actions = 0;
         fleet.run(120 * SEC, usize::MAX);
-        let published = fleet.controllers.last().map(HierarchyController::status);
-        let newest = fleet.controllers.last().and_then(HierarchyController::rollout).expect("a rollout");
-        assert!(newest.progress().is_none(), "seed {seed}: {published:?}");
+        let status = fleet.controllers.last().map(HierarchyController::status);
+        let rollout = fleet.controllers.last().and_then(HierarchyController::rollout).expect("a rollout");
+        assert!(rollout.progress().is_none(), "seed {seed}: {status:?}");
     }
 }
 
 #[test]
-fn a_missing_member_is_waited_for_until_it_is_considered_gone() {
+fn rollout_waits_for_a_missing_member_until_it_is_considered_gone() {
     let mut fleet = Fleet::new();
     fleet.propose(0).expect("the first version");
     fleet.run(3 * SEC, usize::MAX);
-    let lost = fleet.members.pop().expect("four");
+    let missing_member = fleet.members.pop().expect("a member");
     let alive: Vec<Member> = fleet.members.iter().map(|m| m.0).collect();
     fleet.controllers[0].update_members(fleet.now, &alive);
     fleet.propose(1).expect("a change");
     fleet.run(5 * SEC, usize::MAX);
-    assert!(!fleet.is_settled(), "it waits for the one that is missing");
+    assert!(!fleet.is_settled(), "the change waits for the missing member");
     for _ in 0..40 {
         fleet.controllers[0].update_members(fleet.now, &alive);
         fleet.run(SEC, usize::MAX);
     }
     assert!(fleet.is_settled(), "{}", fleet.controllers[0].status());
-    // A late report of it changes nothing.
-    fleet.controllers[0].on_version_applied(fleet.now, lost.0, 1, 1);
+    // A late report of the missing member changes nothing.
+    fleet.controllers[0].on_version_applied(fleet.now, missing_member.0, 1, 1);
     assert!(fleet.is_settled());
 }
 
 #[test]
-fn invalid_proposals_and_registers_are_rejected_with_a_cause() {
+fn invalid_proposals_and_registers_are_rejected() {
     let mut fleet = Fleet::new();
-    let message =
-        fleet.controllers[0].propose(0, b"(hierarchy (version . 1)").expect_err("cut short").to_string();
+    let message = fleet.controllers[0]
+        .propose(0, b"(hierarchy (version . 1)")
+        .expect_err("truncated settings")
+        .to_string();
     assert!(message.contains("never closed"), "{message}");
     assert!(fleet.controllers[0].status().contains("last refused"));
     assert!(matches!(fleet.controllers[0].propose(0, &[0xff, 0xfe]), Err(ProposalError::NotUtf8(_))));
-    fleet.propose(0).expect("a first one");
+    fleet.propose(0).expect("the first version");
     fleet.run(3 * SEC, usize::MAX);
-    assert!(matches!(fleet.propose(0), Err(ProposalError::Rollout(_))), "it is committed already");
-    // A register with another format, or half of its content, is left as it is.
+    assert!(matches!(fleet.propose(0), Err(ProposalError::Rollout(_))), "the version is already committed");
+    // A register that has another format or is truncated keeps its content.
     for bytes in [vec![9, 9, 9], fleet.register.bytes[..fleet.register.bytes.len() / 2].to_vec(), vec![1]] {
         let token = FencingToken { term: 9, holder: Member { number: 1, incarnation: 1 } };
         let mut next = HierarchyController::new(token, SEC);
--- a/crates/hierarchy-controller/tests/stored_format.rs
+++ b/crates/hierarchy-controller/tests/stored_format.rs
@@ -1,4 +1,4 @@
-//! The bytes of the register and of what members are sent: MessagePack, written out in hex.
+//! The encodings of the register's content and of the messages to members: MessagePack, as hexadecimal literals.
 
 use sablecross_coordination::messages::RegisterValue;
 use sablecross_coordination::{FencingToken, Member};
@@ -8,19 +8,19 @@
 
 const SEC: u64 = 1_000_000_000;
 
-/// Every field has a value of its own.
-const TEXT: &str = r#"(hierarchy (version . 3) (ceiling . 500) (margin . 0.1) (cold-from . 0.3) (warm-after-ms . 21000)
+/// Each field has a different value.
+const SETTINGS: &str = r#"(hierarchy (version . 3) (ceiling . 500) (margin . 0.1) (cold-from . 0.3) (warm-after-ms . 21000)
   (fall-multiple . 2.5) (siblings . #t) (hold-ms . 1) (settle-ms . 2) (give-up-ms . 30001))
 (node (name . "o") (tier . 0) (capacity . 900))
 (node (name . "e") (tier . 2) (sources "o") (capacity . 800) (demand . 100) (hit . 0.5) (share . 64) (since-ms . 7))"#;
 
-/// The same version as an array of its header and its nodes, each an array of its fields in their order.
+/// The encoding of the same version: an array of the header and the nodes, each an array of its fields in order.
 const SPEC: &str = "929a03cb407f400000000000cb3fb999999999999acb3fd3333333333333cd5208cb4004000000000000c30102cd7531\
     9298a16f0090cb408c200000000000cb0000000000000000cb0000000000000000cd010000\
     98a1650291a16fcb4089000000000000cb4059000000000000cb3fe00000000000004007";
 
 fn version() -> HierarchySpec {
-    let (number, hierarchy) = spec::parse_settings("test", TEXT, None).expect("a version");
+    let (number, hierarchy) = spec::parse_settings("test", SETTINGS, None).expect("a version");
     HierarchySpec::from_hierarchy(number, &hierarchy)
 }
 
@@ -32,9 +32,9 @@
     (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex")).collect()
 }
 
-/// Every variant, with optional fields present and absent. `SPEC` stands for the version's bytes.
+/// One record of each variant, with and without optional fields. `SPEC` stands for the encoding of the version.
 fn examples() -> Vec<(RolloutRecord, &'static str)> {
-    let ended = |change, how| RolloutRecord::Ended { change, outcome: how };
+    let ended = |change, outcome| RolloutRecord::Ended { change, outcome };
     vec![
         (
             RolloutRecord::Checkpoint { number: 4, next_change: 9, version: version() },
@@ -68,18 +68,18 @@
     HierarchyController::new(FencingToken { term: 3, holder: Member { number: 1, incarnation: 1 } }, SEC)
 }
 
-fn entry(bytes: Vec<u8>) -> RegisterValue {
+fn register_value(bytes: Vec<u8>) -> RegisterValue {
     RegisterValue { sequence: 1, token: FencingToken::default(), bytes }
 }
 
 #[test]
-fn a_version_has_these_bytes() {
+fn version_encoding_is_unchanged() {
     assert_eq!(hex(&rmp_serde::to_vec(&version()).expect("encoded")), SPEC);
     assert_eq!(decode_spec(&bytes(SPEC)).expect("decoded"), version());
 }
 
 #[test]
-fn each_record_has_these_bytes() {
+fn record_encodings_are_unchanged() {
     for (record, text) in examples() {
         let text = text.replace("SPEC", SPEC);
         assert_eq!(hex(&rmp_serde::to_vec(&record).expect("encoded")), text, "{record:?}");
@@ -87,30 +87,31 @@
     }
 }
 
-/// What the first version makes a new holder store and send: the format, an array of records, and the version alone.
+/// Checks what a new holder writes and publishes for the first version: the format version and an array of records in
+/// the register, and the version alone in the message.
 #[test]
-fn the_register_begins_with_its_format() {
+fn register_starts_with_the_format_version() {
     let mut controller = new_controller();
-    controller.on_persisted(0, &entry(Vec::new()));
-    controller.propose(0, TEXT.as_bytes()).expect("accepted");
+    controller.on_persisted(0, &register_value(Vec::new()));
+    controller.propose(0, SETTINGS.as_bytes()).expect("accepted");
     let start = "81a57374617274930301SPEC".replace("SPEC", SPEC);
     let register = format!("0191{start}");
     let actions = controller.take_actions();
     let [ControllerAction::Persist(stored)] = &actions[..] else { panic!("{actions:?}") };
     assert_eq!(hex(stored), register);
-    controller.on_persisted(0, &entry(stored.clone()));
+    controller.on_persisted(0, &register_value(stored.clone()));
     let actions = controller.take_actions();
     let [ControllerAction::Publish { number: 3, bytes: sent }] = &actions[..] else { panic!("{actions:?}") };
     assert_eq!(hex(sent), SPEC);
 }
 
-/// A register that an earlier program left, with every kind of record, is read and continued from.
+/// A register with records of every kind, as an earlier version of the program wrote it, is read and continued from.
 #[test]
-fn a_register_of_the_first_program_is_read() {
+fn register_of_an_earlier_program_version_is_read() {
     let records: String = examples().iter().map(|(_, text)| text.replace("SPEC", SPEC)).collect();
     let mut controller = new_controller();
-    // The format, then an array of 13.
-    controller.on_persisted(0, &entry(bytes(&format!("019d{records}"))));
+    // The format version, then an array of 13 records.
+    controller.on_persisted(0, &register_value(bytes(&format!("019d{records}"))));
     let rollout = controller.rollout().expect("read");
     assert_eq!((rollout.published().number, rollout.committed().number, rollout.progress()), (6, 6, None));
     let actions = controller.take_actions();
@@ -119,7 +120,7 @@
         _ => None,
     });
     let (number, sent) = sent.expect("sent");
-    // The version goes by the number of its step.
+    // The version is published with the number of its step.
     assert_eq!(
         (number, decode_spec(&sent).expect("a version")),
         (
@@ -130,8 +131,8 @@
             }
         )
     );
-    // Another format is left as it is.
+    // A register with another format is ignored.
     let mut other = new_controller();
-    other.on_persisted(0, &entry(bytes(&format!("029d{records}"))));
+    other.on_persisted(0, &register_value(bytes(&format!("029d{records}"))));
     assert!(other.rollout().is_none());
 }
