--- a/crates/coordination/src/coordination_config.rs
+++ b/crates/coordination/src/coordination_config.rs
@@ -23,7 +23,7 @@
     pub lease_duration: Ns,
     /// How long a member waits for the replies to one round of requests to the voters.
     pub round_timeout: Ns,
-    /// The delay between the attempts of two candidates with successive ranks.
+    /// The delay between the attempts of two candidates with successive ranks; see [`LeaseConfig::claim_spacing`].
     pub claim_spacing: Ns,
     /// The interval between a member's heartbeats to the voters.
     pub heartbeat_interval: Ns,
@@ -89,6 +89,6 @@
         left: usize,
     },
     /// Settings other than the voters differ.
-    #[error("settings other than the voters have changed, which takes a restart")]
+    #[error("settings other than the voters have changed, which requires a restart")]
     RestartRequired,
 }
--- a/crates/coordination/src/coordinator/requests.rs
+++ b/crates/coordination/src/coordinator/requests.rs
@@ -35,7 +35,7 @@
             replies.extend(node.on_messages(now, from, &voter_messages));
         }
         for message in &voter_messages {
-            self.claim_released_lease(now, message);
+            self.schedule_attempt_after_release(now, message);
         }
         replies
     }
@@ -66,12 +66,12 @@
         Err(holder.map_or(ProposalError::NoHolder, |holder| ProposalError::HeldElsewhere(holder.member)))
     }
 
-    fn claim_released_lease(&mut self, now: Ns, message: &Message) {
+    fn schedule_attempt_after_release(&mut self, now: Ns, message: &Message) {
         if let Message::Lease { role, request: LeaseRequest::Release { to: Some(to), .. } } = message
             && *to == self.me
             && let Some(candidate) = self.candidates.get_mut(role)
         {
-            candidate.schedule_claim(now + self.config.round_timeout / HAND_OVER_DELAYS_PER_ROUND);
+            candidate.schedule_attempt(now + self.config.round_timeout / HAND_OVER_DELAYS_PER_ROUND);
         }
     }
 
--- a/crates/coordination/src/failure_detector.rs
+++ b/crates/coordination/src/failure_detector.rs
@@ -21,8 +21,8 @@
     mean_interval_ns: f64,
 }
 
-/// An accrual failure detector (Hayashibara 2004). It assumes exponentially distributed intervals instead of normally
-/// distributed ones, because the pauses of a stalled process are long.
+/// An accrual failure detector (Hayashibara 2004). It assumes that heartbeat intervals have an exponential tail instead
+/// of a normal distribution, because the pauses of a stalled process are long.
 #[derive(Clone, Debug, Default)]
 pub struct FailureDetector {
     heartbeats: BTreeMap<Member, Heartbeats>,
--- a/crates/coordination/src/health_check_schedule.rs
+++ b/crates/coordination/src/health_check_schedule.rs
@@ -93,8 +93,8 @@
     }
 
     /// Handles an observation of the target that a voter passed on. This member's own observations also come back
-    /// from the voters, at most a quarter of the interval after they were made; observations within that time of the
-    /// last one are ignored.
+    /// from the voters, with a short delay. To ignore them, an observation has to be newer than the last known one by
+    /// more than a quarter of the interval.
     pub(crate) fn on_observation(&mut self, target: u64, at: Ns) {
         let max_echo_delay = self.interval / 4;
         let is_newer =
--- a/crates/coordination/src/lease_candidate.rs
+++ b/crates/coordination/src/lease_candidate.rs
@@ -24,8 +24,8 @@
     pub duration: Ns,
     /// How long a candidate waits for the replies to one round of requests.
     pub round_timeout: Ns,
-    /// The delay of an attempt grows by this for each candidate with a lower rank, and by a random part of up to
-    /// this.
+    /// An attempt is delayed by this time for each candidate with a lower rank, plus a random part of up to this time
+    /// that doubles with each failed attempt.
     pub claim_spacing: Ns,
 }
 
@@ -228,7 +228,7 @@
     }
 
     /// Moves the next attempt forward to `at`, as the lease was handed over to this member.
-    pub fn schedule_claim(&mut self, at: Ns) {
+    pub fn schedule_attempt(&mut self, at: Ns) {
         if let CandidateState::Waiting { until } = &mut self.state {
             *until = at.min(*until);
         }
--- a/crates/coordination/tests/coordinator.rs
+++ b/crates/coordination/tests/coordinator.rs
@@ -29,7 +29,7 @@
     }
 }
 
-enum Envelope {
+enum Packet {
     Call { from: Member, at: u32, voter: usize, call_id: u64, messages: Vec<Message> },
     Replies { to: Member, voter: usize, call_id: u64, replies: Vec<Reply> },
     Check { by: Member, target: u64, token: FencingToken },
@@ -51,7 +51,7 @@
     /// The configured order of the voters at each member, by which the member numbers them.
     voter_orders: BTreeMap<u32, Vec<u32>>,
     targets: BTreeMap<u64, Target>,
-    in_transit: Vec<(Ns, Envelope)>,
+    in_transit: Vec<(Ns, Packet)>,
     /// Links that drop all messages: member, voter, and whether messages to the voter are dropped (otherwise its
     /// replies).
     cut_links: BTreeSet<(u32, usize, bool)>,
@@ -96,9 +96,9 @@
         self.voter_orders.insert(number, self.config.voters.clone());
     }
 
-    fn post(&mut self, envelope: Envelope) {
+    fn send(&mut self, packet: Packet) {
         let delay = self.rng.random_range(1..15) * MS;
-        self.in_transit.push((self.now + delay, envelope));
+        self.in_transit.push((self.now + delay, packet));
     }
 
     /// Carries out the actions of a member's coordinator.
@@ -113,13 +113,13 @@
                     if !self.cut_links.contains(&(me.number, voter, true))
                         && self.rng.random::<f64>() >= self.loss_rate
                     {
-                        self.post(Envelope::Call { from: me, at, voter, call_id, messages });
+                        self.send(Packet::Call { from: me, at, voter, call_id, messages });
                     }
                 }
                 Action::VotersChanged(voters) => {
                     self.voter_orders.insert(me.number, voters);
                 }
-                Action::CheckHealth { target, token } => self.post(Envelope::Check { by: me, target, token }),
+                Action::CheckHealth { target, token } => self.send(Packet::Check { by: me, target, token }),
                 Action::RoleAcquired { role, token } => self.acquired.push((self.now, role, token)),
                 Action::RegisterStored { value, .. } => self.stored.push((self.now, value)),
                 Action::HealthObservations(_)
@@ -131,27 +131,27 @@
         }
     }
 
-    fn deliver(&mut self, envelope: Envelope) {
-        match envelope {
-            Envelope::Call { from, at, voter, call_id, messages } => {
+    fn deliver(&mut self, packet: Packet) {
+        match packet {
+            Packet::Call { from, at, voter, call_id, messages } => {
                 if self.stalled.contains(&at) {
                     // The stalled process handles the call when it resumes.
                     return self
                         .in_transit
-                        .push((self.now + 50 * MS, Envelope::Call { from, at, voter, call_id, messages }));
+                        .push((self.now + 50 * MS, Packet::Call { from, at, voter, call_id, messages }));
                 }
                 let Some(coordinator) = self.members.get_mut(&at) else { return };
                 let replies = coordinator.on_request(self.now, from, &messages);
                 self.execute_actions(at);
                 if !self.cut_links.contains(&(from.number, voter, false)) {
-                    self.post(Envelope::Replies { to: from, voter, call_id, replies });
+                    self.send(Packet::Replies { to: from, voter, call_id, replies });
                 }
             }
-            Envelope::Replies { to, voter, call_id, replies } => {
+            Packet::Replies { to, voter, call_id, replies } => {
                 if self.stalled.contains(&to.number) {
                     return self
                         .in_transit
-                        .push((self.now + 50 * MS, Envelope::Replies { to, voter, call_id, replies }));
+                        .push((self.now + 50 * MS, Packet::Replies { to, voter, call_id, replies }));
                 }
                 if let Some(coordinator) =
                     self.members.get_mut(&to.number).filter(|coordinator| coordinator.me() == to)
@@ -160,9 +160,9 @@
                     self.execute_actions(to.number);
                 }
             }
-            Envelope::Check { by, target, token } => {
+            Packet::Check { by, target, token } => {
                 if let Some(until) = self.delayed_until.get(&by.number).filter(|u| **u > self.now) {
-                    return self.in_transit.push((*until, Envelope::Check { by, target, token }));
+                    return self.in_transit.push((*until, Packet::Check { by, target, token }));
                 }
                 let Some(node) = self.targets.get_mut(&target) else { return };
                 let rejected = node.guard.admit(token).err().filter(|_| self.with_guards);
@@ -177,9 +177,9 @@
                         Ok(HealthState::Healthy(Some(0.5)))
                     }
                 };
-                self.post(Envelope::CheckResult { by, target, token, state });
+                self.send(Packet::CheckResult { by, target, token, state });
             }
-            Envelope::CheckResult { by, target, token, state } => {
+            Packet::CheckResult { by, target, token, state } => {
                 if let Some(coordinator) =
                     self.members.get_mut(&by.number).filter(|coordinator| coordinator.me() == by)
                 {
@@ -195,10 +195,10 @@
             self.now += 5 * MS;
             let due: Vec<usize> =
                 (0..self.in_transit.len()).rev().filter(|n| self.in_transit[*n].0 <= self.now).collect();
-            let mut envelopes: Vec<(Ns, Envelope)> =
+            let mut packets: Vec<(Ns, Packet)> =
                 due.into_iter().map(|n| self.in_transit.swap_remove(n)).collect();
-            envelopes.sort_by_key(|(at, _)| *at);
-            envelopes.into_iter().for_each(|(_, envelope)| self.deliver(envelope));
+            packets.sort_by_key(|(at, _)| *at);
+            packets.into_iter().for_each(|(_, packet)| self.deliver(packet));
             let due: Vec<u32> = self
                 .members
                 .iter()
--- a/crates/coordination/tests/leases.rs
+++ b/crates/coordination/tests/leases.rs
@@ -156,7 +156,7 @@
         sim.execute(first, actions);
         sim.run(30);
         let now = sim.now;
-        sim.candidates[to].schedule_claim(now);
+        sim.candidates[to].schedule_attempt(now);
         sim.run(400);
         assert_eq!(sim.holder(), Some(to), "the named successor holds the lease");
         assert!(sim.acquired[1].0 - started_at < 400 * MS, "{:?}", sim.acquired);
--- a/crates/coordination/tests/model_check.rs
+++ b/crates/coordination/tests/model_check.rs
@@ -234,7 +234,7 @@
                 state.checked[n] = None;
                 let actions = state.candidates[n].hand_over(state.now, Some(member(1 - n)));
                 self.apply_actions(&mut state, n, actions);
-                state.candidates[1 - n].schedule_claim(state.now);
+                state.candidates[1 - n].schedule_attempt(state.now);
             }
         }
         Some(state)
--- a/crates/hierarchy-controller/src/controller.rs
+++ b/crates/hierarchy-controller/src/controller.rs
@@ -126,8 +126,8 @@
         if let State::Running(rollout) = &self.state { Some(rollout) } else { None }
     }
 
-    /// One status line for operators. The command line tool searches it for `no change runs`, `0 missing` and `last
-    /// refused`.
+    /// One status line for operators. The command line tool searches it for `no change runs`, `0 missing` and
+    /// `last refused`.
     pub fn status(&self) -> String {
         let status = match &self.state {
             State::ReadingRegister => "reading the register".into(),
--- a/crates/hierarchy-controller/tests/stored_format.rs
+++ b/crates/hierarchy-controller/tests/stored_format.rs
@@ -131,7 +131,7 @@
             }
         )
     );
-    // A register with another format is ignored.
+    // No rollout is recovered from a register with another format.
     let mut other = new_controller();
     other.on_persisted(0, &register_value(bytes(&format!("029d{records}"))));
     assert!(other.rollout().is_none());
