--- a/crates/director/src/dispatch/action_executor.rs
+++ b/crates/director/src/dispatch/action_executor.rs
@@ -1,5 +1,5 @@
-//! Carries out what the router decides: sends attempts to the pools, answers to the clients' thread, and sets timers.
-//! Each attempt and answer passes the invariants first.
+//! Carries out the router's decisions: sends attempts to the node pool and responses to the client thread, and sets
+//! timers. Each attempt and answer is checked against the invariants before it is sent.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -18,28 +18,28 @@
 use crate::wire::response::{PendingResponse, Response};
 use crate::wire::response_sender::ResponseSender;
 
-/// The end of an attempt for which there is no event: it timed out, was cancelled or could not be sent.
+/// The result of an attempt that ended without an event: it timed out, was cancelled or could not be sent.
 pub(super) struct LocalResult {
     pub(super) key: RequestKey,
     pub(super) attempt: usize,
     pub(super) result: AttemptResult,
 }
 
-/// The dispatcher's side of the router: everything that a decision needs to be carried out.
+/// Executes the router's decisions, and holds the state that this needs.
 pub(super) struct ActionExecutor {
-    /// The time of the event that is being handled.
+    /// The local time at which the current event or timer is handled.
     pub(super) now: Ns,
     pub(super) shared: Arc<SharedContext>,
     pub(super) nodes: NodePool,
     pub(super) requests: InflightRequests,
     pub(super) timers: TimerQueue,
     pub(super) counters: Counters,
-    /// Results that are still to be handed to the router, in their order.
+    /// Results that have not been passed to the router yet, oldest first.
     pub(super) local_results: VecDeque<LocalResult>,
     responses: ResponseSender,
-    /// Responses for which there was no room in the queue to the clients' thread.
+    /// Responses that found the queue to the client thread full, oldest first.
     unsent_responses: VecDeque<PendingResponse>,
-    /// By request class.
+    /// The effect of each request class, by the router's index of the class.
     effects: Vec<Effect>,
 }
 
@@ -64,12 +64,12 @@
         }
     }
 
-    /// Takes the time of what is handled next.
+    /// Updates the current time before the next event or timer is handled.
     pub(super) fn update_time(&mut self) {
         self.now = self.shared.clock.now();
     }
 
-    /// Sends a response without a deadline of its own, and closes the call.
+    /// Sends a response that has no deadline of its own, with the default write timeout, and closes the call.
     pub(super) fn respond(&mut self, client: ClientId, call: CallId, response: Response) {
         let deadline = self.now + self.shared.limits.default_write_timeout;
         self.respond_by(client, call, deadline, response);
@@ -81,8 +81,8 @@
         self.flush_responses();
     }
 
-    /// Hands over the responses that found no room, in their order. There are never more than the calls that clients
-    /// may have open.
+    /// Sends the waiting responses in order, as far as the queue to the client thread has room. There are never more of
+    /// them than calls that clients may have open.
     pub(super) fn flush_responses(&mut self) {
         while let Some(response) = self.unsent_responses.pop_front() {
             if let Err(response) = self.responses.send(response) {
@@ -96,16 +96,17 @@
         !self.unsent_responses.is_empty()
     }
 
-    /// Has the clients' thread end its connections once nothing is open on them.
+    /// Tells the client thread to end each connection once no call is open on it.
     pub(super) fn begin_client_shutdown(&self) {
         self.responses.begin_shutdown();
     }
 
-    /// Gives a request its one final answer.
+    /// Sends the single final answer to a request.
     pub(super) fn answer(&mut self, key: RequestKey, response: Response) {
         let Some(request) = self.requests.get_mut(key) else { return };
         if let Err(violation) = invariants::check_answer(request.is_answered) {
-            // Of two attempts that are outstanding at once both may succeed: the second answer is for nobody.
+            // Two attempts that are outstanding at the same time may both succeed: the answer of the second one is
+            // dropped, and is no violation.
             if !matches!(response, Response::Success(_)) {
                 self.counters.record_violation(request.id_text(), violation);
             }
@@ -130,13 +131,13 @@
         }
     }
 
-    /// Ends an attempt; its result is handed to the router after the present event.
+    /// Records the result of an attempt. It is passed to the router after the current event.
     pub(super) fn end_attempt(&mut self, key: RequestKey, attempt: usize, outcome: Outcome, elapsed: Ns) {
         let result = AttemptResult { outcome, elapsed, is_cache_hit: None, is_final: false };
         self.local_results.push_back(LocalResult { key, attempt, result });
     }
 
-    /// Abandons an attempt, if it is outstanding.
+    /// Abandons an attempt if it is still outstanding.
     pub(super) fn abandon_attempt(&mut self, key: RequestKey, attempt: usize, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(key) else { return };
         let Some(connection) = request.end_attempt(attempt) else { return };
@@ -145,7 +146,7 @@
         self.end_attempt(key, attempt, outcome, elapsed);
     }
 
-    /// Whether the invariants allow this attempt now.
+    /// Checks whether the invariants allow this attempt now.
     fn check_attempt(&self, key: RequestKey, spec: &AttemptSpec, prior: &[Attempt]) -> Result<(), Violation> {
         let request = self.requests.get(key).ok_or(Violation::AttemptAfterAnswer)?;
         let proposed = ProposedAttempt {
@@ -160,11 +161,11 @@
         proposed.check(self.now)
     }
 
-    /// An attempt that violates an invariant is not sent.
+    /// Ends an attempt that violates an invariant, without sending it.
     fn reject_attempt(&mut self, key: RequestKey, attempt: usize, violation: Violation) {
         if let Some(request) = self.requests.get_mut(key) {
             request.record_attempt(None);
-            // A client may go in the moment in which the attempt is chosen.
+            // A client may disconnect while the attempt is being chosen, so this is not counted as a violation.
             if violation != Violation::AttemptForGoneClient {
                 self.counters.record_violation(request.id_text(), violation);
             }
@@ -201,7 +202,7 @@
                 let timer = Timer::AttemptTimeout { key: id, attempt };
                 self.timers.schedule(self.now + spec.timeout, timer, |key| requests.contains(key));
             }
-            // It was never sent: how soon it ended has nothing to do with its node.
+            // The attempt was never sent, so its duration says nothing about the node.
             Err(outcome) => self.end_attempt(id, attempt, outcome, Ns::MAX),
         }
     }
@@ -221,7 +222,7 @@
     fn withdraw(&mut self, id: u64, attempt: usize) {
         let Some(request) = self.requests.get(id) else { return };
         let Some(connection) = request.connection_of(attempt) else { return };
-        // What is not begun ends by an event of its connection.
+        // An attempt that has not begun to be written is ended by an event of its connection.
         if !self.nodes.withdraw_unbegun(connection, &request.incoming.request_id) {
             self.abandon_attempt(id, attempt, Outcome::Cancelled);
         }
--- a/crates/director/src/dispatch/discovery.rs
+++ b/crates/director/src/dispatch/discovery.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher does with the events of discovery: endpoints, purges, versions of the parent hierarchy.
+//! How the dispatcher applies discovery events: endpoint lists, purges and versions of the parent hierarchy.
 
 use sablecross::Ns;
 
@@ -8,9 +8,9 @@
 use crate::parent_hierarchy::VersionAnnouncement;
 
 impl Dispatcher {
-    /// Takes in the events that are known at the start.
+    /// Applies the events that are known at startup.
     pub(crate) fn apply_known_events(&mut self, events: Vec<NumberedEvent>) {
-        // The starts of all nodes first: of several that are known at once the latest bounds the ages of the others.
+        // The start times of all nodes are observed first: the latest of them bounds the ages of the other nodes.
         for event in &events {
             if let DiscoveryEvent::Endpoints { endpoints, .. } = &event.event {
                 self.executor.nodes.observe_starts(endpoints);
@@ -19,7 +19,7 @@
         events.into_iter().for_each(|event| self.on_discovery_event(event.event));
     }
 
-    /// Takes in one event.
+    /// Applies one event.
     pub(crate) fn on_discovery_event(&mut self, event: DiscoveryEvent) {
         self.executor.counters.discovery_events += 1;
         match event {
@@ -42,7 +42,7 @@
     }
 
     fn on_purge(&mut self, object: Option<u64>, group: u32) {
-        // An attempt that waits for its connection asks for a copy from before the purge.
+        // An attempt that still waits for its connection would accept a copy from before the purge, so it is withdrawn.
         let ActionExecutor { nodes, requests, .. } = &mut self.executor;
         nodes.withdraw(|candidate| {
             requests.get(candidate.key).is_some_and(|request| match object {
@@ -50,8 +50,8 @@
                 None => request.incoming.group == group,
             })
         });
-        // It was made no later than now. The time that its maker wrote on it is of another wall clock than this
-        // machine's, either of which may be off: an age measured between the two can be too long.
+        // A purge was made no later than now, so its age is at least 0. Its timestamp comes from another machine's wall
+        // clock. Either clock may be wrong, and an age computed from both could be too large.
         const AGE: Ns = 0;
         self.table.router.record_purge(self.executor.now, object, group, AGE);
     }
@@ -60,7 +60,7 @@
         if let Some((updates, applied)) = self.hierarchy.adopt(version) {
             self.table.router.update_endpoints(self.executor.now, &updates, false);
             self.coordination.hierarchy_applied(applied);
-            // One that finds no room is reported with the next event, or when discovery is called again.
+            // If the queue is full, the version is reported with the next event, or when discovery is called again.
             let _ = self.applied_versions.try_send(applied);
         }
     }
--- a/crates/director/src/dispatch/dispatcher.rs
+++ b/crates/director/src/dispatch/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher and its loop.
+//! The dispatcher: its state, its event loop and the phases of a shutdown.
 
 use std::sync::Arc;
 
@@ -17,45 +17,46 @@
 use crate::wire::node_pool::NodePool;
 use crate::wire::response_sender::ResponseSender;
 
-/// Why the dispatcher ended without having been asked to.
+/// Why the dispatcher stopped without a shutdown request.
 #[derive(Debug, Error)]
 pub(crate) enum DispatchError {
-    /// A thread without which the director can't serve has ended.
+    /// An essential thread, without which the director can't serve, has ended.
     #[error("thread {0} ended")]
     ThreadEnded(&'static str),
-    /// All threads that send events have ended.
+    /// All threads that send events to the dispatcher have ended.
     #[error("no thread is left that sends events")]
     NoEventSource,
 }
 
-/// How far the director's shutdown has come.
+/// The phases of the director, from serving to the end of a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Phase {
-    /// Nobody has asked for it.
+    /// No shutdown has been requested.
     Serving,
-    /// The signal came at this time; requests are still taken for a while.
+    /// The stop signal was received at this time. Requests are still accepted for the duration of
+    /// `Limits::shutdown_delay`.
     ShutdownRequested { at: Ns },
-    /// New requests are rejected; the clients' thread ends its connections.
+    /// New requests are rejected, and the client thread closes its connections as they become idle.
     Draining,
-    /// All connections of clients have ended.
+    /// All client connections have ended.
     ClientsFinished,
 }
 
-/// Owns the router and all requests in flight.
+/// Owns the router and all requests in flight, and handles one event at a time.
 pub(crate) struct Dispatcher {
     pub(super) table: InflightTable,
     pub(super) executor: ActionExecutor,
     pub(super) hierarchy: ParentHierarchy,
     pub(super) coordination: CoordinationHandle,
-    /// To the discovery client, which reports the version of the hierarchy that is active here.
+    /// The queue to the discovery client, which reports the active hierarchy version to discovery.
     pub(super) applied_versions: Sender<AppliedVersion>,
     pub(super) phase: Phase,
-    /// Whether any endpoint is known yet.
+    /// Whether discovery has listed any endpoint so far.
     pub(super) has_endpoints: bool,
 }
 
 impl Dispatcher {
-    /// A dispatcher without requests and endpoints.
+    /// Creates a dispatcher without requests or endpoints.
     pub(crate) fn new(
         router: Router,
         nodes: NodePool,
@@ -76,8 +77,7 @@
         }
     }
 
-    /// Handles events until a shutdown is complete. The end of a thread without which the director can't serve is an
-    /// error.
+    /// Handles events until a shutdown is complete. Returns an error if an essential thread ends before that.
     pub(crate) fn run(&mut self, events: &Receiver<Event>) -> Result<(), DispatchError> {
         loop {
             self.executor.update_time();
@@ -85,7 +85,8 @@
             self.run_due_timers();
             self.executor.flush_responses();
             self.advance_shutdown();
-            // All that clients were owed is written, or they have gone; what is still outstanding is for nobody.
+            // Every client has received its responses or has disconnected, so attempts that are still outstanding no
+            // longer matter.
             if self.phase == Phase::ClientsFinished && self.executor.requests.is_empty() {
                 return Ok(());
             }
@@ -101,14 +102,16 @@
         }
     }
 
-    /// Tells the router how late threads were woken since the last turn.
+    /// Reports the longest wakeup delay since the last iteration to the router: that of the dispatcher's own next
+    /// timer, or that of another thread.
     fn take_wakeup_delay(&mut self) {
-        let own = self.executor.timers.next_deadline().map_or(0, |due| self.executor.now.saturating_sub(due));
-        let delay = own.max(self.executor.shared.take_wakeup_delay());
+        let own_delay =
+            self.executor.timers.next_deadline().map_or(0, |due| self.executor.now.saturating_sub(due));
+        let delay = own_delay.max(self.executor.shared.take_wakeup_delay());
         self.table.router.record_wakeup_delay(self.executor.now, delay);
     }
 
-    /// Waits for an event until the next time at which something is to be done without one.
+    /// Waits for the next event, at most until work is due without one.
     fn next_event(&self, events: &Receiver<Event>) -> Result<Event, RecvTimeoutError> {
         match self.next_wakeup() {
             None => events.recv().map_err(|_| RecvTimeoutError::Disconnected),
@@ -124,7 +127,7 @@
         [timer, poll].into_iter().flatten().min()
     }
 
-    /// Some time after the signal to stop no more requests are taken; those in flight go on to their end.
+    /// Stops accepting requests once `shutdown_delay` has passed since the stop signal. Requests in flight continue.
     fn advance_shutdown(&mut self) {
         let delay = self.executor.shared.limits.shutdown_delay;
         if let Phase::ShutdownRequested { at } = self.phase
@@ -150,7 +153,7 @@
         }
     }
 
-    /// Hands the router the results that came without an event, and writes its log lines.
+    /// Passes the results of attempts that ended without an event to the router, and writes the router's log lines.
     fn process_local_results(&mut self) {
         while let Some(LocalResult { key, attempt, result }) = self.executor.local_results.pop_front() {
             self.process_result(key, attempt, result);
@@ -169,7 +172,8 @@
         self.table.on_attempt_result(key, attempt, result, self.executor.now, &mut self.executor);
     }
 
-    /// A request whose client has gone is over, though the event of that still waits behind others.
+    /// Cancels a request whose client has cancelled it or disconnected, even if the event that reports this is still
+    /// queued.
     fn cancel_if_client_gone(&mut self, key: RequestKey) {
         let request = self.executor.requests.get(key);
         if request.is_some_and(|request| request.incoming.cancellation.is_cancelled()) {
@@ -177,7 +181,7 @@
         }
     }
 
-    /// A request is no longer wanted: no answer is owed, and its attempts are cancelled.
+    /// Cancels a request that its client no longer waits for: no answer is sent, and its attempts are cancelled.
     pub(super) fn cancel_request(&mut self, key: RequestKey) {
         let Some(request) = self.executor.requests.get_mut(key).filter(|request| !request.is_answered) else {
             return;
@@ -191,7 +195,7 @@
         }
     }
 
-    /// Writes the line of the counters to the log.
+    /// Logs the current values of all counters.
     pub(crate) fn log_counters(&mut self) {
         let ActionExecutor { counters, requests, nodes, shared, .. } = &mut self.executor;
         counters.in_flight = requests.unanswered_count() as u64;
--- a/crates/director/src/dispatch/event_handlers.rs
+++ b/crates/director/src/dispatch/event_handlers.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher does for each event.
+//! The dispatcher's handlers, one for each kind of event.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -65,7 +65,7 @@
             self.executor.counters.cancelled += 1;
             return;
         }
-        if self.has_no_room_for(client) {
+        if self.lacks_capacity_for(client) {
             return self.refuse_call(client, call, true);
         }
         if self.executor.requests.has_conflicting_id(&incoming) {
@@ -80,14 +80,15 @@
         self.table.admit(key, request, self.executor.now, &mut self.executor);
     }
 
-    fn has_no_room_for(&self, client: ClientId) -> bool {
+    fn lacks_capacity_for(&self, client: ClientId) -> bool {
         let (limits, requests) = (&self.executor.shared.limits, &self.executor.requests);
         matches!(self.phase, Phase::Draining | Phase::ClientsFinished)
             || requests.open_calls(client) >= limits.max_open_per_client
             || requests.len() >= limits.max_requests
     }
 
-    /// Answers a call of which no request is made: rejects it for want of room, fails it if it can't be used.
+    /// Answers a call for which no request is created: rejects it if there is no capacity for it, fails it if it is
+    /// invalid.
     fn refuse_call(&mut self, client: ClientId, call: CallId, is_overload: bool) {
         let counters = &mut self.executor.counters;
         counters.received += 1;
@@ -103,7 +104,7 @@
         self.executor.respond(client, call, response);
     }
 
-    /// A node has answered an attempt: its copy goes to the client, its outcome to the router.
+    /// Handles a node's answer to an attempt: forwards the copy to the client, and passes the outcome to the router.
     fn on_attempt_ended(&mut self, connection: NodeConnectionId, ended: AttemptEnded) {
         let node = self.executor.nodes.node_of(connection);
         if let (Some(load), Some(node)) = (ended.load, node) {
@@ -114,7 +115,7 @@
         let Some(request) = self.executor.requests.get_mut(key) else { return };
         request.end_attempt(attempt);
         let outcome = match ended.copy {
-            Some(copy) => self.pass_on_copy(key, copy, ended.outcome),
+            Some(copy) => self.forward_copy(key, copy, ended.outcome),
             None => ended.outcome,
         };
         let result = AttemptResult {
@@ -126,21 +127,24 @@
         self.process_result(key, attempt, result);
     }
 
-    /// Answers with a node's copy, without its body where the client holds the very same; the outcome then.
-    fn pass_on_copy(&mut self, key: RequestKey, copy: CachedCopy, outcome: Outcome) -> Outcome {
+    /// Answers the client with a node's copy, and returns the outcome of the attempt. The body is left out if the
+    /// client holds the same copy, as shown by its tag.
+    fn forward_copy(&mut self, key: RequestKey, copy: CachedCopy, outcome: Outcome) -> Outcome {
         let request = self.executor.requests.get(key);
         let client_tag = request.and_then(|request| request.incoming.client_tag.as_deref());
-        let is_held_by_client = client_tag == Some(&*copy.tag);
-        if copy.body.is_none() && !is_held_by_client {
-            // Nothing to pass on: the client holds no copy that was named as current.
+        let client_has_copy = client_tag == Some(&*copy.tag);
+        if copy.body.is_none() && !client_has_copy {
+            // The node reports the client's copy as current and sent no body, but the client holds no copy with this
+            // tag.
             return Outcome::Error;
         }
-        let body = copy.body.filter(|_| copy.tag.is_empty() || !is_held_by_client);
+        let body = copy.body.filter(|_| copy.tag.is_empty() || !client_has_copy);
         self.executor.answer(key, Response::Success(body));
         outcome
     }
 
-    /// A connection to a node is over. Of its attempts those that were begun may have run; the others never did.
+    /// Handles the loss of a connection to a node. Attempts that were at least partly written may have run on the node;
+    /// the others never did.
     fn on_connection_lost(
         &mut self,
         connection: NodeConnectionId,
@@ -150,7 +154,8 @@
         for InflightAttempt { key, attempt, sent_at } in self.executor.nodes.on_connection_lost(connection) {
             let Some(request) = self.executor.requests.get_mut(key) else { continue };
             request.end_attempt(attempt);
-            // A connection that is reset while it is idle does not count against its node.
+            // A node that resets an idle connection is not to blame: attempts that were not begun on it count as not
+            // sent.
             let outcome = match loss {
                 ConnectionLoss::Unreachable => Outcome::ConnectFailed,
                 ConnectionLoss::Broken if begun_requests.contains(&request.incoming.request_id) => {
@@ -200,7 +205,7 @@
     }
 }
 
-/// A request as the router sees it, before its first attempt.
+/// Builds the router's view of a request that has no attempts yet.
 fn request_for_router(incoming: &IncomingRequest, deadline: Ns) -> Request {
     Request {
         object: incoming.object,
--- a/crates/director/src/dispatch/inflight_requests.rs
+++ b/crates/director/src/dispatch/inflight_requests.rs
@@ -1,4 +1,4 @@
-//! What is kept of the requests in flight beside the router's view of them.
+//! The dispatcher's state of the requests in flight, in addition to the state that the router keeps.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -12,16 +12,16 @@
 /// A request in flight.
 pub(super) struct InflightRequest {
     pub(super) incoming: Box<IncomingRequest>,
-    /// The client's own deadline less the answer margin.
+    /// The client's deadline minus the answer margin.
     pub(super) deadline: Ns,
-    /// Whether the one final answer was given, or none is owed any more.
+    /// Whether the final answer has been sent, or none is needed any more.
     pub(super) is_answered: bool,
-    /// The hierarchy by which its fills go: the one that was active when it arrived.
+    /// The hierarchy version that determines its fill paths: the one that was active when the request arrived.
     pub(super) hierarchy: Option<Arc<ActiveHierarchy>>,
-    /// By attempt, the connection on which it is outstanding.
-    outstanding_on: Vec<Option<NodeConnectionId>>,
-    /// All connections that carried an attempt. None carries a second one: a late answer to the first would be taken
-    /// for that of the second.
+    /// The connection on which each attempt is outstanding; `None` if the attempt has ended or was never sent.
+    connections_by_attempt: Vec<Option<NodeConnectionId>>,
+    /// All connections that have carried an attempt of this request. None of them carries a second one, because a late
+    /// answer to the first attempt could be mistaken for an answer to the second.
     used_connections: Vec<NodeConnectionId>,
 }
 
@@ -36,12 +36,12 @@
             deadline,
             is_answered: false,
             hierarchy,
-            outstanding_on: Vec::new(),
+            connections_by_attempt: Vec::new(),
             used_connections: Vec::new(),
         }
     }
 
-    /// Its id, as it stands in the log.
+    /// The request id as printed in the log.
     pub(super) fn id_text(&self) -> &str {
         request_id_text(&self.incoming.request_id)
     }
@@ -51,23 +51,23 @@
     }
 
     pub(super) fn attempt_count(&self) -> usize {
-        self.outstanding_on.len()
+        self.connections_by_attempt.len()
     }
 
-    /// Notes the next attempt and its connection; none if it could not be sent.
+    /// Records the next attempt with its connection, or with `None` if it could not be sent.
     pub(super) fn record_attempt(&mut self, connection: Option<NodeConnectionId>) {
-        self.outstanding_on.push(connection);
+        self.connections_by_attempt.push(connection);
         self.used_connections.extend(connection);
     }
 
-    /// The connection on which an attempt is outstanding.
+    /// Returns the connection on which an attempt is outstanding.
     pub(super) fn connection_of(&self, attempt: usize) -> Option<NodeConnectionId> {
-        self.outstanding_on.get(attempt).copied().flatten()
+        self.connections_by_attempt.get(attempt).copied().flatten()
     }
 
-    /// An attempt is no longer outstanding; the connection on which it was.
+    /// Marks an attempt as no longer outstanding, and returns the connection on which it was.
     pub(super) fn end_attempt(&mut self, attempt: usize) -> Option<NodeConnectionId> {
-        self.outstanding_on.get_mut(attempt).and_then(Option::take)
+        self.connections_by_attempt.get_mut(attempt).and_then(Option::take)
     }
 
     fn has_same_target(&self, other: &IncomingRequest) -> bool {
@@ -76,13 +76,13 @@
     }
 }
 
-/// The requests in flight: by key, by the client's call and by request id.
+/// The requests in flight, indexed by key, by the client's call and by request id.
 #[derive(Default)]
 pub(super) struct InflightRequests {
     requests: BTreeMap<RequestKey, InflightRequest>,
-    /// By client, the requests of its calls that are open, by the number of the call.
+    /// The requests of each client's open calls, by the number of the call.
     by_call: HashMap<ClientId, HashMap<u32, RequestKey>>,
-    /// The first request in flight with each id.
+    /// The first request in flight for each request id.
     by_request_id: HashMap<RequestId, RequestKey>,
     next_key: RequestKey,
 }
@@ -108,12 +108,12 @@
         self.requests.get_mut(&key)
     }
 
-    /// The key of the next request that is inserted.
+    /// Returns the key that the next inserted request will get.
     pub(super) fn next_key(&self) -> RequestKey {
         self.next_key
     }
 
-    /// The key of the oldest request in flight, or of the next one if there is none.
+    /// Returns the key of the oldest request in flight, or the next key if there is none.
     pub(super) fn oldest_key(&self) -> RequestKey {
         self.requests.first_key_value().map_or(self.next_key, |(key, _)| *key)
     }
@@ -126,8 +126,8 @@
         self.by_call.get(&client).map_or(0, HashMap::len)
     }
 
-    /// Whether a request for something else is in flight under the same id: an answer to one could be taken for that
-    /// of the other.
+    /// Whether a request for a different object, part or class is in flight under the same request id. An answer to one
+    /// of them could be mistaken for an answer to the other.
     pub(super) fn has_conflicting_id(&self, incoming: &IncomingRequest) -> bool {
         let first = self.by_request_id.get(&incoming.request_id).and_then(|key| self.requests.get(key));
         first.is_some_and(|request| !request.has_same_target(incoming))
@@ -148,7 +148,7 @@
         key
     }
 
-    /// A request is released.
+    /// Removes a request that the router has released.
     pub(super) fn remove(&mut self, key: RequestKey) {
         if let Some(request) = self.requests.remove(&key)
             && self.by_request_id.get(&request.incoming.request_id) == Some(&key)
@@ -157,12 +157,12 @@
         }
     }
 
-    /// A client's call is answered or cancelled; the request it made, if it is one.
+    /// Closes a call that was answered or cancelled, and returns its request if the call has one.
     pub(super) fn close_call(&mut self, client: ClientId, number: u32) -> Option<RequestKey> {
         self.by_call.get_mut(&client)?.remove(&number)
     }
 
-    /// A client has gone; the requests of its open calls, oldest first.
+    /// Closes all calls of a client that has disconnected, and returns their requests, oldest first.
     pub(super) fn close_client(&mut self, client: ClientId) -> Vec<RequestKey> {
         let calls = self.by_call.remove(&client).unwrap_or_default();
         let mut keys: Vec<RequestKey> = calls.into_values().collect();
--- a/crates/director/src/dispatch/mod.rs
+++ b/crates/director/src/dispatch/mod.rs
@@ -1,5 +1,5 @@
-//! The dispatcher thread: it owns the router, the requests in flight, the timers and the pools of node connections,
-//! and handles one event after the other. It never touches a socket.
+//! The dispatcher thread: it owns the router, the requests in flight, the timers and the pool of node connections, and
+//! handles one event after the other. It never uses a socket.
 
 mod action_executor;
 mod discovery;
