--- a/crates/director/src/coordination/agent.rs
+++ b/crates/director/src/coordination/agent.rs
@@ -1,7 +1,8 @@
-//! The thread that carries out what the [`Coordinator`] decides.
+//! The thread that carries out the decisions of the [`Coordinator`].
 //!
-//! It owns the connections to voters and checked nodes, waits for any of them and for what the dispatcher hands on, and never
-//! blocks on one alone. The roles that this director may hold are in the submodules `hierarchy` and `warming`.
+//! It owns the connections to voters and health-checked nodes, waits for all of them and for messages from the
+//! dispatcher at the same time, and never blocks on a single one. The roles that this director may hold are in the
+//! submodules `hierarchy` and `warming`.
 
 mod hierarchy;
 mod warming;
@@ -31,23 +32,23 @@
 use crate::shared::SharedContext;
 
 const WAKER_TOKEN: Token = Token(usize::MAX);
-const POLL_EVENTS: usize = 256;
-/// The thread wakes up at least this often.
+const POLL_EVENT_CAPACITY: usize = 256;
+/// The longest time between two wakeups of the thread.
 const MAX_POLL_WAIT: Ns = 250 * NS_PER_MS;
-/// Observations older than this are not passed to the router as load reports.
+/// Health observations of this age or older are not passed to the router as load reports.
 const MAX_LOAD_REPORT_AGE: Ns = 1_000 * NS_PER_MS;
-/// After the request to stop the thread runs on for this long, so that roles are handed over.
-const HAND_OVER_TIME: Ns = 300 * NS_PER_MS;
+/// How long the thread keeps running after the request to stop, so that its roles are handed over.
+const HANDOVER_PERIOD: Ns = 300 * NS_PER_MS;
 
-/// The agent of coordination: state and connections of its thread.
+/// The coordination agent: the state and the connections of its thread.
 pub struct Agent {
     coordinator: Coordinator,
     shared: Arc<SharedContext>,
     inbox: Receiver<AgentEvent>,
     poll: Poll,
     voters: VoterConnections,
-    /// Whether this director checks nodes.
-    is_checking: bool,
+    /// Whether this director checks the health of nodes.
+    checks_health: bool,
     nodes: CheckedNodes,
     endpoints: EndpointList,
     hierarchy: HierarchyRole,
@@ -56,10 +57,10 @@
 }
 
 impl Agent {
-    /// The agent, and what wakes it up when something is put into its inbox.
+    /// Creates the agent, and the waker that wakes it up when a message is put into its inbox.
     pub(super) fn new(
         settings: CoordinationSettings,
-        own: &Settings,
+        router_settings: &Settings,
         shared: Arc<SharedContext>,
         inbox: Receiver<AgentEvent>,
         request_counts: Option<RequestCounts>,
@@ -68,8 +69,8 @@
         let waker = Arc::new(Waker::new(poll.registry(), WAKER_TOKEN)?);
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         let incarnation = since_epoch.map_or(1, |elapsed| elapsed.as_millis() as u64);
-        let number = u32::try_from(own.director_index).unwrap_or(u32::MAX);
-        let seed = mix(incarnation ^ own.director_index as u64);
+        let number = u32::try_from(router_settings.director_index).unwrap_or(u32::MAX);
+        let seed = mix(incarnation ^ router_settings.director_index as u64);
         let now = shared.clock.now();
         let voters = VoterConnections::new(&settings.config.voters, &settings.voter_addresses);
         tracing::info!(number, incarnation, voters = voters.len(), "coordination member");
@@ -79,19 +80,19 @@
             inbox,
             poll,
             voters,
-            is_checking: settings.probing,
+            checks_health: settings.probing,
             nodes: CheckedNodes::new(),
-            endpoints: EndpointList::new(own),
+            endpoints: EndpointList::new(router_settings),
             hierarchy: HierarchyRole::new(settings.member_gone_after),
-            warming: WarmingRole::new(settings.warming, own, request_counts, now),
+            warming: WarmingRole::new(settings.warming, router_settings, request_counts, now),
             stop_requested_at: None,
         };
         Ok((agent, waker))
     }
 
-    /// Runs until the dispatcher has ended, or a little after it requested to stop.
+    /// Runs until the dispatcher has ended, or until the handover period after a request to stop has passed.
     pub fn serve(mut self) {
-        let mut events = Events::with_capacity(POLL_EVENTS);
+        let mut events = Events::with_capacity(POLL_EVENT_CAPACITY);
         loop {
             let now = self.shared.clock.now();
             self.step(now);
@@ -175,13 +176,13 @@
         self.execute_actions(now);
     }
 
-    /// Handles what the dispatcher has handed on. Returns false when the thread is to end.
+    /// Handles the messages from the dispatcher. Returns false when the thread is to end.
     fn handle_inbox(&mut self, now: Ns) -> bool {
         loop {
             match self.inbox.try_recv() {
                 Ok(event) => self.handle_event(event, now),
                 Err(TryRecvError::Empty) => {
-                    return self.stop_requested_at.is_none_or(|at| now < at + HAND_OVER_TIME);
+                    return self.stop_requested_at.is_none_or(|at| now < at + HANDOVER_PERIOD);
                 }
                 Err(TryRecvError::Disconnected) => return false,
             }
@@ -220,19 +221,19 @@
                 None
             }
         };
-        // The dispatcher outlives this thread, except at the end of the program.
+        // The dispatcher outlives this thread, except at the end of the program, when the answer is no longer needed.
         let _ = self.shared.events.send(Event::PeerCallAnswered { client, call, body });
     }
 
     fn on_endpoints_changed(&mut self, endpoints: &[Endpoint], is_snapshot: bool, now: Ns) {
         self.endpoints.update(endpoints, is_snapshot);
-        if self.is_checking {
+        if self.checks_health {
             self.nodes.update(endpoints, is_snapshot, self.poll.registry(), now);
             self.coordinator.update_targets(now, &self.nodes.targets());
         }
     }
 
-    /// Takes over settings with other voters, one more or one less, or with other addresses of theirs.
+    /// Applies reloaded settings. They may have one voter more or one voter less, or other addresses of voters.
     fn reconfigure(&mut self, settings: CoordinationSettings, now: Ns) {
         let voters = settings.config.voters.clone();
         if let Err(e) = self.coordinator.reconfigure(now, settings.config) {
@@ -244,7 +245,7 @@
         tracing::info!(voters = voters.len(), "reload coordination");
     }
 
-    /// Carries out what the coordinator decides, and what follows from it.
+    /// Executes the coordinator's actions, and the actions that result from them.
     fn execute_actions(&mut self, now: Ns) {
         loop {
             let actions = self.coordinator.take_actions();
@@ -298,7 +299,7 @@
         }
     }
 
-    /// Passes fresh observations with a utilization to the router.
+    /// Passes recent health observations that contain a utilization to the router.
     fn report_load(&self, observations: &[HealthObservation]) {
         let fresh = observations.iter().filter(|observation| observation.age < MAX_LOAD_REPORT_AGE);
         let reports: Vec<(String, LoadReport)> = fresh
@@ -310,7 +311,7 @@
             })
             .collect();
         if !reports.is_empty() {
-            // A full queue has news enough; the next observation comes soon.
+            // If the queue is full, the reports are dropped: the next observation follows soon.
             let _ = self.shared.events.try_send(Event::HealthReports(reports));
         }
     }
--- a/crates/director/src/coordination/agent/hierarchy.rs
+++ b/crates/director/src/coordination/agent/hierarchy.rs
@@ -1,4 +1,4 @@
-//! The hierarchy role: carrying out changes of the hierarchy, and announcing published versions to the dispatcher.
+//! The hierarchy role: carries out changes of the hierarchy, and announces published versions to the dispatcher.
 
 use sablecross::Ns;
 use sablecross_coordination::FencingToken;
@@ -11,34 +11,35 @@
 use crate::events::Event;
 use crate::parent_hierarchy::VersionAnnouncement;
 
-/// The controller of the hierarchy, while this director holds the role.
+/// The state of the hierarchy role: the hierarchy controller, while this director holds the role.
 pub(super) struct HierarchyRole {
     member_gone_after: Ns,
     controller: Option<HierarchyController>,
 }
 
 impl HierarchyRole {
-    /// The role is not held. A change stops waiting for a member that is missing for `member_gone_after`.
+    /// Creates the state of a director that does not hold the role. A change of the hierarchy stops waiting for a
+    /// member that has been missing for `member_gone_after`.
     pub(super) fn new(member_gone_after: Ns) -> HierarchyRole {
         HierarchyRole { member_gone_after, controller: None }
     }
 
-    /// The role is held from here on.
+    /// Creates the controller when the role is acquired.
     pub(super) fn begin(&mut self, token: FencingToken) {
         self.controller = Some(HierarchyController::new(token, self.member_gone_after));
     }
 
-    /// The role is not held any more.
+    /// Drops the controller when the role is lost.
     pub(super) fn end(&mut self) {
         self.controller = None;
     }
 
-    /// When the controller has something to do.
+    /// Returns when the controller's next action is due.
     pub(super) fn next_wakeup(&self) -> Ns {
         self.controller.as_ref().map_or(Ns::MAX, HierarchyController::next_wakeup)
     }
 
-    /// The register holds this value.
+    /// Tells the controller that the register stores this value, if the value was written under the controller's token.
     pub(super) fn on_register_stored(&mut self, now: Ns, value: &RegisterValue) {
         if let Some(controller) =
             self.controller.as_mut().filter(|controller| controller.token() == value.token)
@@ -47,17 +48,17 @@
         }
     }
 
-    /// An operator proposes a version.
+    /// Passes a version that an operator proposes to the controller.
     pub(super) fn propose(&mut self, now: Ns, version: &[u8]) {
         if let Some(controller) = self.controller.as_mut() {
-            // The log and the status for operators tell why a proposal is rejected.
+            // The controller reports why it rejects a proposal in the log and in the status for operators.
             let _ = controller.propose(now, version);
         }
     }
 }
 
 impl Agent {
-    /// Carries changes of the hierarchy on, while the role is held.
+    /// Advances a change of the hierarchy while this director holds the role.
     pub(super) fn step_hierarchy(&mut self, now: Ns) {
         let Some(controller) = self.hierarchy.controller.as_mut() else { return };
         let coordinator = &mut self.coordinator;
@@ -69,7 +70,8 @@
         controller.tick(now);
         let token = controller.token();
         for action in controller.take_actions() {
-            // Not past the lease; the guards of the voters would reject it all the same.
+            // The lease is checked before each action. Once it has expired, the remaining actions are dropped; the
+            // voters' guards would reject them in any case.
             if coordinator.token(now, HIERARCHY_ROLE) != Some(token) {
                 break;
             }
@@ -85,12 +87,13 @@
         self.execute_actions(now);
     }
 
-    /// Passes a published version to the dispatcher.
+    /// Announces a published version to the dispatcher.
     pub(super) fn announce_hierarchy(&self, bytes: &[u8]) {
         match VersionAnnouncement::from_controller(bytes) {
             Ok(announcement) => {
                 let event = DiscoveryEvent::Hierarchy(Box::new(announcement));
-                // The dispatcher outlives this thread, except at the end of the program.
+                // The dispatcher outlives this thread, except at the end of the program, when the version is no longer
+                // needed.
                 let _ = self.shared.events.send(Event::Discovery(event));
             }
             Err(e) => tracing::warn!("published hierarchy can't be used: {e}"),
--- a/crates/director/src/coordination/agent/warming.rs
+++ b/crates/director/src/coordination/agent/warming.rs
@@ -1,4 +1,5 @@
-//! The warming role: cold caches fetch what the fleet requests most. Every director reports what its own clients request.
+//! The warming role: its holder has cold caches fetch the objects that the fleet requests most. Every director reports
+//! which objects its own clients request most.
 
 use sablecross::{Ns, Settings, mix};
 use sablecross_coordination::messages::HotObjectCount;
@@ -11,71 +12,73 @@
 use crate::coordination::health_check;
 use crate::coordination_settings::WARMING_ROLE;
 
-/// How often requests are reported and caches are looked at.
+/// The interval at which request counts are reported and the cold caches are updated.
 const REPORT_INTERVAL: Ns = 1_000 * NS_PER_MS;
-/// How many objects are reported.
+/// The maximum number of objects in a report.
 const MAX_REPORTED_OBJECTS: usize = 24;
-/// What is left of the counts of requests after a report.
-const REPORT_DECAY: f64 = 0.5;
+/// The factor by which all request counts are multiplied after a report.
+const REPORT_DECAY_FACTOR: f64 = 0.5;
 
-/// A lease of the role, with the state of warming.
-struct HeldRole {
+/// The state of warming while this director holds the lease of the role.
+struct WarmingLease {
     token: FencingToken,
     warmer: CacheWarmer,
 }
 
-/// The warming role, and the counts of requests by which every director contributes to it.
+/// The warming role, and the request counts by which every director contributes to it.
 pub(super) struct WarmingRole {
-    /// None: caches are not warmed.
+    /// `None` if caches are not warmed.
     limits: Option<WarmingLimits>,
-    held: Option<HeldRole>,
+    lease: Option<WarmingLease>,
     request_counts: Option<RequestCounts>,
     next_report: Ns,
 }
 
 impl WarmingRole {
-    /// The role is not held. How warm a cache is depends on the director's own settings.
+    /// Creates the state of a director that does not hold the role. The initial share of a cold cache and the time
+    /// until it is warm are taken from the router's slow start settings.
     pub(super) fn new(
         limits: Option<WarmingLimits>,
-        own: &Settings,
+        router_settings: &Settings,
         request_counts: Option<RequestCounts>,
         now: Ns,
     ) -> WarmingRole {
         let limits = limits.map(|limits| WarmingLimits {
-            initial_share: own.slow_start_initial_share,
-            warm_up_time: own.slow_start_window,
+            initial_share: router_settings.slow_start_initial_share,
+            warm_up_time: router_settings.slow_start_window,
             ..limits
         });
-        WarmingRole { limits, held: None, request_counts, next_report: now }
+        WarmingRole { limits, lease: None, request_counts, next_report: now }
     }
 
-    /// The role is held from here on.
+    /// Starts warming when the role is acquired.
     pub(super) fn begin(&mut self, token: FencingToken) {
-        self.held = self.limits.map(|limits| HeldRole { token, warmer: CacheWarmer::new(limits) });
+        self.lease = self.limits.map(|limits| WarmingLease { token, warmer: CacheWarmer::new(limits) });
     }
 
-    /// The role is not held any more.
+    /// Stops warming when the role is lost.
     pub(super) fn end(&mut self) {
-        self.held = None;
+        self.lease = None;
     }
 
-    /// When a fetch is due or times out.
+    /// Returns when the next fetch is due or times out.
     pub(super) fn next_wakeup(&self) -> Ns {
-        self.held.as_ref().map_or(Ns::MAX, |held| held.warmer.next_wakeup())
+        self.lease.as_ref().map_or(Ns::MAX, |lease| lease.warmer.next_wakeup())
     }
 
-    /// A fetch by a cache has ended.
+    /// Reports the end of a cache's fetch to the warmer.
     pub(super) fn on_fetch_ended(&mut self, now: Ns, cache: u64, outcome: FetchOutcome) {
-        if let Some(held) = self.held.as_mut() {
-            held.warmer.on_fetch_ended(now, cache, outcome);
+        if let Some(lease) = self.lease.as_mut() {
+            lease.warmer.on_fetch_ended(now, cache, outcome);
         }
     }
 
-    /// What clients of this director requested most since the last time; none if nobody counts, or another thread counts now.
+    /// Returns the objects that this director's clients have requested most, and decays the counts. Returns `None` if
+    /// requests are not counted, or if the counts are unusable because a thread panicked while it held their lock.
     fn take_report(&self) -> Option<Vec<HotObjectCount>> {
         let mut counts = self.request_counts.as_ref()?.lock().ok()?;
         let top = counts.top(MAX_REPORTED_OBJECTS);
-        counts.decay(REPORT_DECAY);
+        counts.decay(REPORT_DECAY_FACTOR);
         Some(top.into_iter().map(|(object, count)| HotObjectCount { object, count: count as f32 }).collect())
     }
 
@@ -85,7 +88,7 @@
 }
 
 impl Agent {
-    /// Reports requests, and warms caches while the role is held.
+    /// Reports request counts, and warms caches while this director holds the role.
     pub(super) fn step_warming(&mut self, now: Ns) {
         if now >= self.warming.next_report {
             self.warming.next_report = now + REPORT_INTERVAL;
@@ -97,9 +100,10 @@
         self.send_due_fetches(now);
     }
 
-    /// Tells the warmer which caches are cold, and which of the hottest objects belong to each.
+    /// Tells the warmer when each cache has started, and which of the hottest objects belong to each cache that it
+    /// warms.
     fn update_cold_caches(&mut self, now: Ns) {
-        let Some(HeldRole { warmer, .. }) = self.warming.held.as_mut() else { return };
+        let Some(WarmingLease { warmer, .. }) = self.warming.lease.as_mut() else { return };
         let names = &self.shared.names;
         let hottest = self.coordinator.hottest_objects();
         warmer.update_caches(now, &self.endpoints.cache_starts(names));
@@ -111,7 +115,7 @@
     }
 
     fn send_due_fetches(&mut self, now: Ns) {
-        let Some(HeldRole { token, warmer }) = self.warming.held.as_mut() else { return };
+        let Some(WarmingLease { token, warmer }) = self.warming.lease.as_mut() else { return };
         let token = *token;
         let due = warmer.take_due(now);
         if due.is_empty() {
@@ -119,7 +123,7 @@
         }
         let parents = self.endpoints.parent_ring(&self.shared.names);
         for Fetch { cache, object } in due {
-            // Right before each effect.
+            // The lease is checked right before each fetch. Once it has expired, no further fetches are sent.
             if self.coordinator.token(now, WARMING_ROLE) != Some(token) {
                 return;
             }
@@ -127,7 +131,7 @@
         }
     }
 
-    /// Has a cache fetch an object from the parent it belongs to.
+    /// Sends a cache the request to fetch an object from the parent that the object is filled from.
     fn send_fetch(
         &mut self,
         cache: u64,
@@ -147,7 +151,8 @@
     }
 }
 
-/// Sixteen digits that no client's request has, as the first one is `d`.
+/// Returns a request id of 16 hex digits. Its first digit is `d`, so that it differs from the id of every client's
+/// request.
 fn fetch_request_id(tag: health_check::HealthCheckTag) -> String {
     format!("d{:015x}", mix(tag.token.term ^ mix(tag.sequence)) >> 4)
 }
--- a/crates/director/src/coordination/checked_nodes.rs
+++ b/crates/director/src/coordination/checked_nodes.rs
@@ -1,4 +1,4 @@
-//! The nodes whose health is checked, and that fetch objects to be warmed.
+//! The nodes whose health is checked, and which are told to fetch objects for warming.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,38 +12,38 @@
 use crate::discovery_event::Endpoint;
 use crate::wire::node_protocol;
 
-/// Poll tokens of nodes' connections begin here; those below are of voters.
+/// The first poll token of the connections to nodes. Lower tokens belong to the voters.
 const FIRST_POLL_TOKEN: usize = 1 << 16;
-/// The most bytes of answers that are not handled yet.
+/// The maximum number of received bytes of one connection that are not handled yet.
 const MAX_RECEIVED_BYTES: usize = 256 << 10;
-/// The line end after a body.
+/// The length of the line end after a body.
 const BODY_END_BYTES: usize = 2;
 
 struct CheckedNode {
     name: String,
     poll_token: usize,
     connection: OutboundConnection,
-    /// The token of each outstanding check, by its sequence number.
+    /// The fencing token of each outstanding check, by the check's sequence number.
     outstanding_checks: BTreeMap<u64, FencingToken>,
-    /// Bytes of a body that are still to come; nobody needs them.
+    /// The number of bytes of a body that have not been skipped yet. Bodies are not used.
     body_bytes_to_skip: usize,
 }
 
 impl CheckedNode {
-    /// The connection has ended: no answers come on it any more, nor the rest of a body.
+    /// Resets the state of a connection that has ended: neither answers nor the rest of a body will arrive on it.
     fn on_connection_lost(&mut self) {
         self.outstanding_checks.clear();
         self.body_bytes_to_skip = 0;
     }
 
-    /// Sends a line. What has no answer ends by its timeout.
+    /// Sends a line. A check or fetch that gets no answer ends by its timeout.
     fn send(&mut self, line: &str, registry: &Registry, now: Ns) {
         if !self.connection.send(line.as_bytes(), registry, Token(self.poll_token), now) {
             self.on_connection_lost();
         }
     }
 
-    /// The next complete line, without the bodies before it.
+    /// Removes and returns the next complete line, and skips the bodies before it.
     fn next_line(&mut self) -> Option<Vec<u8>> {
         let received = &mut self.connection.received;
         let skipped = self.body_bytes_to_skip.min(received.len());
@@ -76,22 +76,22 @@
 
 /// The result of a health check.
 pub(super) struct CheckResult {
-    /// The token that the check carried.
+    /// The fencing token that the check carried.
     pub(super) token: FencingToken,
-    /// The node's health, or the newer token that it has admitted.
+    /// The node's health, or the newer fencing token that the node has already accepted.
     pub(super) result: Result<HealthState, FencingToken>,
 }
 
-/// What a node has answered.
+/// The answers of a node.
 #[derive(Default)]
 pub(super) struct NodeAnswers {
     /// Results of health checks.
     pub(super) checks: Vec<CheckResult>,
-    /// Ends of fetches.
+    /// Outcomes of fetches.
     pub(super) fetches: Vec<FetchOutcome>,
 }
 
-/// The nodes of the list with their connections. A target is a node by the rank of its name.
+/// The listed nodes with their connections. A target is a node, identified by the rank of its name.
 pub(super) struct CheckedNodes {
     nodes: BTreeMap<u64, CheckedNode>,
     targets_by_poll_token: BTreeMap<usize, u64>,
@@ -100,7 +100,7 @@
 }
 
 impl CheckedNodes {
-    /// No nodes yet.
+    /// Creates an empty set of nodes.
     pub(super) fn new() -> CheckedNodes {
         CheckedNodes {
             nodes: BTreeMap::new(),
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Follows the list of endpoints: all of them in a snapshot, else the changed ones.
+    /// Applies a change of the endpoint list: all endpoints for a snapshot, otherwise only the changed ones.
     pub(super) fn update(&mut self, endpoints: &[Endpoint], is_snapshot: bool, registry: &Registry, now: Ns) {
         if is_snapshot {
             let listed: BTreeSet<u64> = endpoints.iter().map(|endpoint| rank(&endpoint.name)).collect();
@@ -153,17 +153,17 @@
         }
     }
 
-    /// All nodes.
+    /// Returns the targets of all nodes.
     pub(super) fn targets(&self) -> BTreeSet<u64> {
         self.nodes.keys().copied().collect()
     }
 
-    /// A node's name in the list.
+    /// Returns a node's name in the endpoint list.
     pub(super) fn name(&self, target: u64) -> Option<&str> {
         self.nodes.get(&target).map(|node| node.name.as_str())
     }
 
-    /// The node of a connection.
+    /// Returns the node whose connection has this poll token.
     pub(super) fn target_of(&self, poll_token: usize) -> Option<u64> {
         self.targets_by_poll_token.get(&poll_token).copied()
     }
@@ -178,22 +178,22 @@
         node.send(&line, registry, now);
     }
 
-    /// Sends a fetch whose line is made for its tag.
+    /// Sends a fetch request. `build_line` builds its line from its tag.
     pub(super) fn send_fetch(
         &mut self,
         target: u64,
         token: FencingToken,
-        line: impl FnOnce(HealthCheckTag) -> String,
+        build_line: impl FnOnce(HealthCheckTag) -> String,
         registry: &Registry,
         now: Ns,
     ) {
         let Some(node) = self.nodes.get_mut(&target) else { return };
         self.last_sequence += 1;
-        let line = line(HealthCheckTag { token, sequence: self.last_sequence });
+        let line = build_line(HealthCheckTag { token, sequence: self.last_sequence });
         node.send(&line, registry, now);
     }
 
-    /// Writes what waits for the connection.
+    /// Writes unsent bytes once the connection is writable.
     pub(super) fn on_writable(&mut self, target: u64, registry: &Registry, now: Ns) {
         if let Some(node) = self.nodes.get_mut(&target)
             && !node.connection.write(registry, now)
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Reads answers; none if the connection has ended.
+    /// Reads the answers that have arrived. Returns no answers if the connection has ended.
     pub(super) fn on_readable(&mut self, target: u64, registry: &Registry, now: Ns) -> NodeAnswers {
         let mut answers = NodeAnswers::default();
         let Some(node) = self.nodes.get_mut(&target) else { return answers };
@@ -214,12 +214,12 @@
             node.handle_line(&line, &mut answers);
         }
         if node.outstanding_checks.is_empty() {
-            node.connection.all_answered();
+            node.connection.on_all_answered();
         }
         answers
     }
 
-    /// Closes connections whose answers are overdue.
+    /// Closes the connections on which an answer is overdue.
     pub(super) fn close_stuck(&mut self, registry: &Registry, now: Ns) {
         for node in self.nodes.values_mut().filter(|node| node.connection.is_stuck(now)) {
             node.connection.close(registry, now);
--- a/crates/director/src/coordination/endpoint_list.rs
+++ b/crates/director/src/coordination/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints as coordination needs it: which caches there are and which objects belong to them.
+//! The endpoint list as coordination needs it: the known caches, and the objects that each of them owns.
 
 use std::collections::BTreeMap;
 
@@ -11,11 +11,11 @@
 /// A hash ring of nodes of one kind.
 pub(super) struct NodeRing {
     ring: HashRing,
-    /// Nodes by their index in the ring.
+    /// The targets of the nodes, by their index in the ring.
     targets: Vec<u64>,
 }
 
-/// All endpoints by the rank of their names.
+/// All endpoints, by the rank of their names.
 pub(super) struct EndpointList {
     endpoints: BTreeMap<u64, Endpoint>,
     parent_kind: Option<usize>,
@@ -23,7 +23,7 @@
 }
 
 impl EndpointList {
-    /// An empty list. The director's settings tell which kinds are not caches.
+    /// Creates an empty list. The router's settings determine which kinds of nodes are not caches.
     pub(super) fn new(settings: &Settings) -> EndpointList {
         EndpointList {
             endpoints: BTreeMap::new(),
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Follows the list: all endpoints in a snapshot, else the changed ones.
+    /// Applies a change of the endpoint list: all endpoints for a snapshot, otherwise only the changed ones.
     pub(super) fn update(&mut self, endpoints: &[Endpoint], is_snapshot: bool) {
         if is_snapshot {
             self.endpoints.clear();
@@ -47,12 +47,12 @@
         }
     }
 
-    /// An endpoint's name.
+    /// Returns an endpoint's name.
     pub(super) fn name(&self, target: u64) -> Option<&str> {
         self.endpoints.get(&target).map(|endpoint| endpoint.name.as_str())
     }
 
-    /// When each ready cache has started.
+    /// Returns the start time of each ready cache.
     pub(super) fn cache_starts(&self, names: &NameTable) -> BTreeMap<u64, Ns> {
         let ready = self
             .endpoints
@@ -61,13 +61,13 @@
         ready.map(|(target, endpoint)| (*target, endpoint.started_at)).collect()
     }
 
-    /// The hash ring of the caches in a cache's location.
+    /// Builds the hash ring of the caches in the zone of `cache`.
     pub(super) fn cache_ring_of(&self, cache: u64, names: &NameTable) -> Option<NodeRing> {
         let zone = &self.endpoints.get(&cache)?.zone;
         Some(self.ring(|endpoint| endpoint.zone == *zone && self.is_cache(endpoint, names)))
     }
 
-    /// The hash ring of all parents.
+    /// Builds the hash ring of all parents.
     pub(super) fn parent_ring(&self, names: &NameTable) -> NodeRing {
         self.ring(|endpoint| {
             let kind = kind_of(endpoint, names);
@@ -75,7 +75,7 @@
         })
     }
 
-    /// The parent that an object is filled from: the first one on the ring that is ready.
+    /// Returns the parent that an object is filled from: the first ready one on the hash ring.
     pub(super) fn parent_of(&self, object: &HotObject, parents: &NodeRing) -> Option<&str> {
         let is_ready = |index: usize| {
             let parent = parents.targets.get(index).and_then(|target| self.endpoints.get(target));
@@ -101,14 +101,14 @@
 }
 
 impl NodeRing {
-    /// Whether an object belongs to this cache.
+    /// Whether this cache owns the object.
     pub(super) fn is_owner(&self, cache: u64, object: &HotObject) -> bool {
         let owner = self.ring.owner(cache_position(object.object, object.part), |_| true);
         owner.and_then(|index| self.targets.get(index)) == Some(&cache)
     }
 }
 
-/// An endpoint's kind by its number; none for a kind that the settings don't name.
+/// Returns the index of an endpoint's kind, or `None` if the settings don't name that kind.
 fn kind_of(endpoint: &Endpoint, names: &NameTable) -> Option<usize> {
     names.node_kinds.get(&endpoint.kind).copied()
 }
--- a/crates/director/src/coordination/health_check.rs
+++ b/crates/director/src/coordination/health_check.rs
@@ -1,4 +1,5 @@
-//! Health checks on the wire: the `METER` line with a tag that carries the token, and the answer to it.
+//! Health checks and fetch requests on the wire: the `METER` line with a tag that carries the fencing token, the answer
+//! to it, and the `PULL` line of a fetch.
 
 #[cfg(test)]
 mod tests;
@@ -11,12 +12,13 @@
 use sablecross_inflight::settings;
 use thiserror::Error;
 
-/// Identifies a health check or a fetch: the fencing token and a sequence number, as four hexadecimal numbers.
+/// Identifies a health check or a fetch. Its text form has four hexadecimal numbers: the term, the holder's number and
+/// incarnation, and the sequence number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HealthCheckTag {
-    /// Which holder sent it; a node rejects older ones.
+    /// The fencing token of the holder that sent it. A node rejects older tokens.
     pub token: FencingToken,
-    /// Which of the director's checks and fetches it is.
+    /// The number of this check or fetch among those of the director.
     pub sequence: u64,
 }
 
@@ -27,7 +29,7 @@
     }
 }
 
-/// The text is not a tag.
+/// The error for a text that is not a tag.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("not four hexadecimal numbers joined by hyphens")]
 pub struct InvalidTag;
@@ -45,12 +47,12 @@
     }
 }
 
-/// The line that has a node report its health.
+/// Returns the line that asks a node to report its health.
 pub(super) fn check_request(tag: HealthCheckTag) -> String {
     format!("METER {tag}\r\n")
 }
 
-/// The line that has a cache fetch an object on behalf of the fleet, from the node `source`.
+/// Returns the line that tells a cache to fetch an object from the node `source` on behalf of the fleet.
 pub(super) fn fetch_request(
     request_id: &str,
     object: &HotObject,
@@ -65,16 +67,16 @@
     )
 }
 
-/// An answer to a health check.
+/// A node's answer to a health check.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct CheckAnswer {
     /// The tag of the check.
     pub(super) tag: HealthCheckTag,
-    /// The node's health, or the newer token that it has admitted.
+    /// The node's health, or the newer fencing token that the node has already accepted.
     pub(super) result: Result<HealthState, FencingToken>,
 }
 
-/// Parses an answer to a health check; none if the line is not one.
+/// Parses an answer to a health check. Returns `None` if the line is not one.
 pub(super) fn parse_answer(line: &str) -> Option<CheckAnswer> {
     let mut words = line.trim_end().split(' ');
     let (tag, status, fields) = (words.next()?.parse().ok()?, words.next()?, words.next()?);
--- a/crates/director/src/coordination/health_check/tests.rs
+++ b/crates/director/src/coordination/health_check/tests.rs
@@ -1,4 +1,4 @@
-//! The lines to nodes and their answers, as literals: a rename in the source must not change them.
+//! Lines to nodes and their answers, compared with literals: a rename in the source must not change the wire format.
 
 use super::*;
 
@@ -8,7 +8,7 @@
 };
 
 #[test]
-fn requests() {
+fn request_lines_are_unchanged() {
     assert_eq!(check_request(TAG), "METER a1-b2-c3-d4\r\n");
     let object = HotObject { object: 0xabc, part: 5, class: 6 };
     assert_eq!(
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn answers() {
+fn answer_lines_are_parsed() {
     let parsed = |line: &str| parse_answer(line).map(|answer| (answer.tag, answer.result));
     let healthy = |utilization| Some((TAG, Ok(HealthState::Healthy(utilization))));
     assert_eq!(parsed("a1-b2-c3-d4 READY stats=cpu:0.25 0\r\n"), healthy(Some(0.25)));
@@ -28,7 +28,7 @@
     assert_eq!(parsed("a1-b2-c3-d4 AILING - 0"), Some((TAG, Ok(HealthState::Unhealthy))));
     let newest = FencingToken { term: 0xa2, holder: Member { number: 1, incarnation: 2 } };
     assert_eq!(parsed("a1-b2-c3-d4 STALE newest=a2-1-2-0 0"), Some((TAG, Err(newest))));
-    for odd in [
+    for malformed in [
         "",
         "a1-b2-c3-d4",
         "a1-b2-c3-d4 READY",
@@ -36,6 +36,6 @@
         "a1-b2-c3-d4 STALE - 0",
         "a1-b2-c3-d4 NEW - 0",
     ] {
-        assert_eq!(parsed(odd), None, "{odd}");
+        assert_eq!(parsed(malformed), None, "{malformed}");
     }
 }
--- a/crates/director/src/coordination/member_client.rs
+++ b/crates/director/src/coordination/member_client.rs
@@ -1,4 +1,4 @@
-//! One call to a member from outside the fleet, for operators' commands and tests.
+//! A single call to a member from outside the fleet, for operators' commands and tests.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,16 +10,16 @@
 use crate::name_table::PEER_CALL_METHOD;
 use crate::wire::rpc::{self, DecodeError};
 
-/// The id of the only call on its connection.
+/// The id of the call, which is the only one on its connection.
 const RPC_ID: u32 = 1;
 const READ_BYTES: usize = 4_096;
 
-/// Calls a member and waits for its replies for at most `timeout`.
+/// Calls a member, and waits for its replies for at most `timeout`.
 ///
 /// # Errors
 ///
-/// The connection's; [`ErrorKind::InvalidData`] for an answer that can't be decoded, or if the director answers no calls of
-/// members; [`ErrorKind::TimedOut`].
+/// The error of the connection; [`ErrorKind::InvalidData`] if the answer can't be decoded or the director does not
+/// answer calls of members; [`ErrorKind::TimedOut`] if there is no complete answer in time.
 pub fn call_member(member: SocketAddr, request: &Request, timeout: Duration) -> io::Result<Vec<Reply>> {
     let deadline = Instant::now() + timeout;
     let mut stream = TcpStream::connect_timeout(&member, timeout)?;
@@ -32,7 +32,9 @@
         match rpc::decode_response(&received, &limits) {
             Ok((_, Some(body), _)) => return rmp_serde::from_slice(body).map_err(invalid_data),
             Ok((_, None, _)) => {
-                return Err(invalid_data("it answers no coordination calls (is SABLECROSS_DUTY set there?)"));
+                return Err(invalid_data(
+                    "the director does not answer coordination calls (is SABLECROSS_DUTY set there?)",
+                ));
             }
             Err(DecodeError::Invalid(cause)) => return Err(invalid_data(cause)),
             Err(DecodeError::Incomplete) if Instant::now() >= deadline => {
--- a/crates/director/src/coordination/mod.rs
+++ b/crates/director/src/coordination/mod.rs
@@ -1,13 +1,14 @@
-//! Coordination with other directors, where they may talk to one another: the thread that speaks with voters and checked
-//! nodes, and the dispatcher's handle of it. Decisions are made by `sablecross-coordination`.
+//! Coordination with other directors, for installations in which directors may communicate with each other: the thread
+//! that communicates with voters and health-checked nodes, and the dispatcher's handle to it. Decisions are made by
+//! `sablecross-coordination`.
 //!
 //! | module | content |
 //! | --- | --- |
-//! | `agent` | the thread: carries out decisions |
-//! | `voter_connections`, `checked_nodes`, `outbound_connection` | connections, without blocking |
-//! | `health_check` | health checks and fetches on the wire |
-//! | `endpoint_list` | which caches there are and what belongs to them |
-//! | `member_client` | one call from outside the fleet, for operators |
+//! | `agent` | the thread, which carries out decisions |
+//! | `voter_connections`, `checked_nodes`, `outbound_connection` | non-blocking connections |
+//! | `health_check` | health checks and fetch requests on the wire |
+//! | `endpoint_list` | the known caches, and the objects that each of them owns |
+//! | `member_client` | a single call from outside the fleet, for operators |
 
 mod agent;
 mod checked_nodes;
@@ -37,21 +38,21 @@
 pub use health_check::{HealthCheckTag, InvalidTag};
 pub use member_client::call_member;
 
-/// Counts of requests are kept for so many objects.
-const COUNTED_OBJECTS: usize = 64;
+/// The maximum number of objects for which requests are counted.
+const MAX_COUNTED_OBJECTS: usize = 64;
 
-/// How often this director's clients request which object.
+/// The number of requests of this director's clients, by object.
 type RequestCounts = Arc<Mutex<SpaceSaving<HotObject>>>;
 
-/// What the dispatcher hands on to the agent.
+/// A message from the dispatcher to the agent.
 enum AgentEvent {
-    /// Another director, or an operator, has called.
+    /// A call from another director or an operator.
     PeerCall { client: ClientId, call: CallId, body: Vec<u8> },
-    /// The list of endpoints has changed.
+    /// The endpoint list has changed.
     EndpointsChanged { endpoints: Vec<Endpoint>, is_snapshot: bool },
-    /// The dispatcher applies this version of the hierarchy now.
+    /// The dispatcher now applies this version of the hierarchy.
     HierarchyApplied(AppliedVersion),
-    /// The settings were read again.
+    /// The settings were reloaded.
     Reconfigure(Box<CoordinationSettings>),
     /// The program is about to end.
     Stop,
@@ -60,20 +61,20 @@
 struct AgentLink {
     inbox: Sender<AgentEvent>,
     waker: Arc<Waker>,
-    /// Counted where caches are warmed.
+    /// The request counts, if caches are warmed.
     request_counts: Option<RequestCounts>,
 }
 
-/// The dispatcher's handle of the agent. Without settings there is no agent, and nothing happens.
+/// The dispatcher's handle to the agent. Without settings there is no agent, and messages are dropped.
 #[derive(Default)]
 pub struct CoordinationHandle(Option<AgentLink>);
 
 impl CoordinationHandle {
-    /// The handle, and the agent whose [`Agent::serve`] is to run in a thread of its own.
+    /// Creates the handle, and the agent whose [`Agent::serve`] is to run in a thread of its own.
     ///
     /// # Errors
     ///
-    /// The operating system's, if it has no poll for the agent.
+    /// The error of the operating system if the agent's poll can't be created.
     pub fn start(
         coordination: Option<CoordinationSettings>,
         settings: &Settings,
@@ -82,59 +83,62 @@
         let Some(coordination) = coordination else { return Ok((CoordinationHandle::default(), None)) };
         let (inbox, from_dispatcher) = bounded(shared.limits.event_queue_length);
         let is_warming = coordination.warming.is_some();
-        let request_counts = is_warming.then(|| Arc::new(Mutex::new(SpaceSaving::new(COUNTED_OBJECTS))));
+        let request_counts = is_warming.then(|| Arc::new(Mutex::new(SpaceSaving::new(MAX_COUNTED_OBJECTS))));
         let (agent, waker) =
             Agent::new(coordination, settings, Arc::clone(shared), from_dispatcher, request_counts.clone())?;
         Ok((CoordinationHandle(Some(AgentLink { inbox, waker, request_counts })), Some(agent)))
     }
 
-    /// Hands an event on; false if there is no agent or no room.
+    /// Sends a message to the agent. Returns false if there is no agent or its queue is full.
     fn send(&self, event: AgentEvent) -> bool {
         let Some(AgentLink { inbox, waker, .. }) = &self.0 else { return false };
         let is_sent = inbox.try_send(event).is_ok();
-        // Without it the agent wakes up a little later.
+        // If waking fails, the agent handles the message when it wakes up by itself, a little later.
         let _ = waker.wake();
         is_sent
     }
 
-    /// Counts a request of a client.
+    /// Counts a client's request.
     pub fn record_request(&self, object: u64, part: u32, class: usize) {
         let counts = self.0.as_ref().and_then(|link| link.request_counts.as_ref());
-        // A request is not counted while the agent reads the counts.
+        // The request is not counted if the agent is reading the counts at this moment.
         if let Some(mut counts) = counts.and_then(|counts| counts.try_lock().ok()) {
             counts.add(HotObject { object, part, class: class as u16 }, 1.0);
         }
     }
 
-    /// Hands a peer's call to the agent, which answers it; false if there is no agent or no room.
+    /// Forwards another director's call to the agent, which answers it. Returns false if there is no agent or its queue
+    /// is full.
     pub fn forward_call(&self, client: ClientId, call: CallId, body: Vec<u8>) -> bool {
         self.send(AgentEvent::PeerCall { client, call, body })
     }
 
-    /// The list of endpoints has changed: all of them in a snapshot, else the changed ones.
+    /// Reports a change of the endpoint list: all endpoints for a snapshot, otherwise only the changed ones.
     pub fn update_endpoints(&self, endpoints: &[Endpoint], is_snapshot: bool) {
         if self.0.is_some() {
-            // Without room the agent lacks the change until the next one: a node too many or too few is checked.
+            // If the queue is full, the agent misses this change until the next one, and checks one node too many or
+            // too few.
             self.send(AgentEvent::EndpointsChanged { endpoints: endpoints.to_vec(), is_snapshot });
         }
     }
 
-    /// Takes over settings that were read again.
+    /// Passes reloaded settings to the agent.
     pub fn reconfigure(&self, settings: CoordinationSettings) {
         if !self.send(AgentEvent::Reconfigure(Box::new(settings))) {
             tracing::error!("reload: coordination: it takes a restart");
         }
     }
 
-    /// The dispatcher applies this version of the hierarchy now.
+    /// Reports that the dispatcher now applies this version of the hierarchy.
     pub fn hierarchy_applied(&self, applied: AppliedVersion) {
         if self.0.is_some() {
-            // Without room it is reported with the next version; the holder of the hierarchy role waits meanwhile.
+            // If the queue is full, the version is reported with the next one. The holder of the hierarchy role waits
+            // meanwhile.
             self.send(AgentEvent::HierarchyApplied(applied));
         }
     }
 
-    /// The program is about to end: roles are handed over.
+    /// Tells the agent that the program is about to end, so that its roles are handed over.
     pub fn stop(&self) {
         self.send(AgentEvent::Stop);
     }
--- a/crates/director/src/coordination/voter_connections.rs
+++ b/crates/director/src/coordination/voter_connections.rs
@@ -1,4 +1,4 @@
-//! Calls to the voters.
+//! The connections to the voters, and the calls on them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,15 +13,15 @@
 use crate::name_table::PEER_CALL_METHOD;
 use crate::wire::rpc::{self, DecodeError};
 
-/// The most bytes of replies that are not handled yet.
+/// The maximum number of received bytes of one connection that are not handled yet.
 const MAX_RECEIVED_BYTES: usize = 240_000;
 
-/// A voter's connection, and the calls that are outstanding on it.
+/// A connection to a voter, and the calls that are outstanding on it.
 struct VoterConnection {
     connection: OutboundConnection,
     last_rpc_id: u32,
-    /// The coordinator's id of each call, by its id on the wire.
-    calls: BTreeMap<u32, u64>,
+    /// The coordinator's id of each outstanding call, by the id of the call on the wire.
+    outstanding_calls: BTreeMap<u32, u64>,
 }
 
 impl VoterConnection {
@@ -29,23 +29,23 @@
         VoterConnection {
             connection: OutboundConnection::new(address),
             last_rpc_id: 0,
-            calls: BTreeMap::new(),
+            outstanding_calls: BTreeMap::new(),
         }
     }
 
     fn begin_call(&mut self, call_id: u64) -> u32 {
         self.last_rpc_id = self.last_rpc_id.wrapping_add(1);
-        self.calls.insert(self.last_rpc_id, call_id);
+        self.outstanding_calls.insert(self.last_rpc_id, call_id);
         self.last_rpc_id
     }
 
-    /// Takes the complete replies off what was received; false if it is not the protocol.
+    /// Decodes and removes the complete replies among the received bytes. Returns false if they violate the protocol.
     fn decode_replies(&mut self, limits: &Limits, replies: &mut Vec<CallReplies>) -> bool {
         let mut used = 0;
         let is_valid = loop {
             match rpc::decode_response(&self.connection.received[used..], limits) {
                 Ok((rpc_id, body, length)) => {
-                    let call_id = self.calls.remove(&rpc_id);
+                    let call_id = self.outstanding_calls.remove(&rpc_id);
                     let decoded = body.and_then(|body| rmp_serde::from_slice(body).ok());
                     let reply = call_id.zip(decoded);
                     replies.extend(reply.map(|(call_id, replies)| CallReplies { call_id, replies }));
@@ -68,15 +68,15 @@
     pub(super) replies: Vec<Reply>,
 }
 
-/// The connections to all voters, by their index. A connection's poll token is the voter's index.
+/// The connections to all voters, by voter index. The poll token of a connection is the index of its voter.
 pub(super) struct VoterConnections {
     voters: Vec<VoterConnection>,
-    /// Where each voter listens, by its member's number; also of former voters.
+    /// The address of each voter, by member number. The addresses of former voters are kept.
     addresses: BTreeMap<u32, SocketAddr>,
 }
 
 impl VoterConnections {
-    /// Connections to voters with these numbers and addresses.
+    /// Creates connections to voters with these member numbers and addresses.
     pub(super) fn new(numbers: &[u32], addresses: &[SocketAddr]) -> VoterConnections {
         VoterConnections {
             voters: addresses.iter().copied().map(VoterConnection::new).collect(),
@@ -84,17 +84,17 @@
         }
     }
 
-    /// How many voters there are.
+    /// Returns the number of voters.
     pub(super) fn len(&self) -> usize {
         self.voters.len()
     }
 
-    /// Takes note of voters' addresses, as the settings name them now.
+    /// Records the addresses of voters from reloaded settings.
     pub(super) fn add_addresses(&mut self, numbers: &[u32], addresses: Vec<SocketAddr>) {
         self.addresses.extend(numbers.iter().copied().zip(addresses));
     }
 
-    /// Connects to voters that have another address now.
+    /// Closes the connection to each voter whose address has changed. The next call uses the new address.
     pub(super) fn apply_addresses(&mut self, numbers: &[u32], registry: &Registry, now: Ns) {
         for (number, voter) in numbers.iter().zip(&mut self.voters) {
             if let Some(address) = self.addresses.get(number) {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Replaces all connections, as the voters have changed.
+    /// Replaces all connections after the set of voters has changed.
     pub(super) fn replace(&mut self, numbers: &[u32], registry: &Registry, now: Ns) {
         for voter in &mut self.voters {
             voter.connection.close(registry, now);
@@ -112,7 +112,7 @@
         self.voters = known.copied().map(VoterConnection::new).collect();
     }
 
-    /// Sends messages to a voter. What can't be sent is lost, like a message on its way.
+    /// Sends messages to a voter. Messages that can't be sent are lost, like messages that are lost in transit.
     pub(super) fn call(
         &mut self,
         from: Member,
@@ -126,20 +126,20 @@
         let Ok(body) = rmp_serde::to_vec(&Request { from, messages }) else { return };
         let bytes = rpc::encode_call(voter.begin_call(call_id), PEER_CALL_METHOD, &body);
         if !voter.connection.send(&bytes, registry, Token(index as usize), now) {
-            voter.calls.clear();
+            voter.outstanding_calls.clear();
         }
     }
 
-    /// Writes what waits for the connection.
+    /// Writes unsent bytes once the connection is writable.
     pub(super) fn on_writable(&mut self, index: usize, registry: &Registry, now: Ns) {
         if let Some(voter) = self.voters.get_mut(index)
             && !voter.connection.write(registry, now)
         {
-            voter.calls.clear();
+            voter.outstanding_calls.clear();
         }
     }
 
-    /// Reads replies. A connection that does not speak the protocol is closed.
+    /// Reads the replies that have arrived. A connection that violates the protocol is closed.
     pub(super) fn on_readable(
         &mut self,
         index: usize,
@@ -151,23 +151,23 @@
         let Some(voter) = self.voters.get_mut(index) else { return replies };
         let is_open = voter.connection.read(registry, now, MAX_RECEIVED_BYTES);
         let is_valid = voter.decode_replies(limits, &mut replies);
-        if voter.calls.is_empty() {
-            voter.connection.all_answered();
+        if voter.outstanding_calls.is_empty() {
+            voter.connection.on_all_answered();
         }
         if !is_valid {
             voter.connection.close(registry, now);
         }
         if !is_valid || !is_open {
-            voter.calls.clear();
+            voter.outstanding_calls.clear();
         }
         replies
     }
 
-    /// Closes connections whose answers are overdue.
+    /// Closes the connections on which an answer is overdue.
     pub(super) fn close_stuck(&mut self, registry: &Registry, now: Ns) {
         for voter in self.voters.iter_mut().filter(|voter| voter.connection.is_stuck(now)) {
             voter.connection.close(registry, now);
-            voter.calls.clear();
+            voter.outstanding_calls.clear();
         }
     }
 }
--- a/crates/director/src/coordination_off.rs
+++ b/crates/director/src/coordination_off.rs
@@ -1,4 +1,5 @@
-//! Without the feature `coordination` a director does nothing on behalf of others: the handle has no agent behind it.
+//! The interface of the module `coordination` for builds without the feature of that name. There is no agent, and the
+//! handle does nothing.
 
 use std::io;
 use std::sync::Arc;
@@ -11,11 +12,11 @@
 use crate::parent_hierarchy::AppliedVersion;
 use crate::shared::SharedContext;
 
-/// There is none.
+/// The coordination agent, of which this build has none.
 pub enum Agent {}
 
 impl Agent {
-    /// Never called.
+    /// Never called, as there is no agent.
     pub fn serve(self) {
         match self {}
     }
@@ -26,7 +27,7 @@
 pub struct CoordinationHandle;
 
 impl CoordinationHandle {
-    /// No agent.
+    /// Creates a handle without an agent.
     pub fn start(
         _: Option<CoordinationSettings>,
         _: &Settings,
@@ -38,7 +39,7 @@
     /// Does nothing.
     pub fn record_request(&self, _object: u64, _part: u32, _class: usize) {}
 
-    /// Nobody answers.
+    /// Returns false, as there is no agent to answer the call.
     pub fn forward_call(&self, _client: ClientId, _call: CallId, _body: Vec<u8>) -> bool {
         false
     }
@@ -46,7 +47,7 @@
     /// Does nothing.
     pub fn update_endpoints(&self, _endpoints: &[Endpoint], _is_snapshot: bool) {}
 
-    /// Never called.
+    /// Never called, as there are no settings.
     pub fn reconfigure(&self, settings: CoordinationSettings) {
         match settings {}
     }
--- a/crates/director/src/coordination_settings.rs
+++ b/crates/director/src/coordination_settings.rs
@@ -1,5 +1,5 @@
-//! The settings of coordination: `(duty ...)` and `(voter ...)` forms in the file that `SABLECROSS_DUTY` names, the same at
-//! all directors.
+//! The settings of coordination: `(duty ...)` and `(voter ...)` forms in the file that `SABLECROSS_DUTY` names. The
+//! settings are the same at all directors.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,25 +16,25 @@
 /// The environment variable that names the settings file.
 const FILE_VARIABLE: &str = "SABLECROSS_DUTY";
 
-/// Voters are counted in 64-bit sets, and more of them only make each lease slower.
+/// The maximum number of voters. Sets of voters are 64-bit masks, and more voters only make each lease slower.
 const MAX_VOTERS: usize = 15;
 
-/// The role of carrying out changes of the hierarchy.
+/// The role whose holder carries out changes of the hierarchy.
 pub const HIERARCHY_ROLE: RoleId = 1;
 
-/// The role of warming cold caches.
+/// The role whose holder warms cold caches.
 pub const WARMING_ROLE: RoleId = 2;
 
 /// The roles that a member can hold, with their names in commands and log lines.
 pub const ROLES: [(RoleId, &str); 3] =
     [(ASSIGNMENT_ROLE, "dealing"), (HIERARCHY_ROLE, "driving"), (WARMING_ROLE, "warming")];
 
-/// A role's name in commands and log lines.
+/// Returns a role's name in commands and log lines.
 pub fn role_name(role: RoleId) -> &'static str {
     ROLES.iter().find(|known| known.0 == role).map_or("unknown", |known| known.1)
 }
 
-/// A form of the settings file. The names of fields are the settings' keys: error lines name them too.
+/// A form of the settings file. The names of the fields are the keys of the settings, and error messages name them.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 enum SettingsForm {
@@ -49,19 +49,19 @@
     #[garde(range(min = 50, max = 600_000))]
     #[serde(default = "defaults::lease_ms")]
     lease_ms: u64,
-    /// How long the replies of voters are waited for.
+    /// The timeout for the replies of voters.
     #[garde(range(min = 5, max = 60_000))]
     #[serde(default = "defaults::round_ms")]
     round_ms: u64,
-    /// The delay between the attempts of two candidates.
+    /// The delay between the attempts of two candidates to acquire a lease.
     #[garde(range(min = 1, max = 60_000))]
     #[serde(default = "defaults::apart_ms")]
     apart_ms: u64,
-    /// The interval of heartbeats.
+    /// The interval between heartbeats.
     #[garde(range(min = 20, max = 60_000))]
     #[serde(default = "defaults::beat_ms")]
     beat_ms: u64,
-    /// The interval of health checks of one node.
+    /// The interval between health checks of one node.
     #[garde(range(min = 20, max = 600_000))]
     #[serde(default = "defaults::probe_ms")]
     probe_ms: u64,
@@ -69,7 +69,7 @@
     #[garde(range(min = 5, max = 60_000))]
     #[serde(default = "defaults::patience_ms")]
     patience_ms: u64,
-    /// A change of the hierarchy stops waiting for a member that is missing for so long.
+    /// How long a member may be missing before a change of the hierarchy stops waiting for it.
     #[garde(range(min = 1_000, max = 86_400_000))]
     #[serde(default = "defaults::gone_after_ms")]
     gone_after_ms: u64,
@@ -81,15 +81,15 @@
     #[garde(skip)]
     #[serde(default)]
     warming: bool,
-    /// Requests a second that a warm cache can serve.
+    /// The number of requests per second that a warm cache can serve.
     #[garde(range(min = 0.1, max = 1e6))]
     #[serde(default = "defaults::warm_bears")]
     warm_bears: f64,
-    /// The part of a cold cache's capacity that warming may use.
+    /// The fraction of a cold cache's capacity that warming may use.
     #[garde(range(min = 0.01, max = 1.0))]
     #[serde(default = "defaults::warm_part")]
     warm_part: f64,
-    /// A cache is warmed with this many objects at most.
+    /// The maximum number of objects that a cache is warmed with.
     #[garde(range(min = 1, max = 100_000))]
     #[serde(default = "defaults::warm_objects")]
     warm_objects: usize,
@@ -98,15 +98,15 @@
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 struct VoterForm {
-    /// The director's number.
+    /// The director's member number.
     #[garde(range(max = 1_000_000))]
     number: u32,
-    /// Where it listens for clients.
+    /// The address on which it listens for clients.
     #[garde(skip)]
     address: SocketAddr,
 }
 
-/// Defaults of [`DutyForm`], by its keys.
+/// The default values of [`DutyForm`], one function for each key.
 mod defaults {
     pub(super) fn lease_ms() -> u64 {
         1_000
@@ -161,10 +161,10 @@
     Read {
         /// The file that the environment variable names.
         file: String,
-        /// Why.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The file's content is wrong.
+    /// The file's content is invalid.
     #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
     Invalid(Vec<ConfigError>),
 }
@@ -172,21 +172,21 @@
 /// The settings of coordination.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CoordinationSettings {
-    /// Voters, roles and times.
+    /// The voters, the roles and the timeouts.
     pub config: CoordinationConfig,
-    /// Where the voters listen, in the order of `config.voters`.
+    /// The addresses of the voters, in the order of `config.voters`.
     pub voter_addresses: Vec<SocketAddr>,
     /// Whether the health of nodes is checked.
     pub probing: bool,
-    /// A change of the hierarchy stops waiting for a member that is missing for so long, in nanoseconds.
+    /// How long a member may be missing before a change of the hierarchy stops waiting for it, in nanoseconds.
     pub member_gone_after: sablecross::Ns,
-    /// How cold caches are warmed, if they are. How warm a cache is at its start, and how soon it is warm, are the director's
-    /// own settings and not set here.
+    /// How cold caches are warmed, or `None` if they are not. The initial share of a cold cache and the time until it
+    /// is warm are the director's own settings, and are not set here.
     pub warming: Option<WarmingLimits>,
 }
 
 impl CoordinationSettings {
-    /// Reads the file that the environment variable names; none if it is not set.
+    /// Reads the file that the environment variable names. Returns `None` if the variable is not set.
     pub fn from_env() -> Option<Result<CoordinationSettings, CoordinationSettingsError>> {
         let file = std::env::var(FILE_VARIABLE).ok()?;
         Some(match std::fs::read_to_string(&file) {
@@ -199,13 +199,13 @@
     ///
     /// # Errors
     ///
-    /// What is wrong, with line, column and key.
+    /// Each error names the line, the column and the key.
     pub fn parse(file: &str, text: &str) -> Result<CoordinationSettings, Vec<ConfigError>> {
         let forms = sablecross_sexpr_config::parse_forms::<SettingsForm>(file, text)?;
         let (duty, voters) = collect_forms(file, &forms).map_err(|error| vec![error])?;
         check_across_forms(file, &duty, &voters).map_err(|error| vec![error])?;
         Ok(CoordinationSettings {
-            config: config(&duty, &voters),
+            config: coordination_config(&duty, &voters),
             voter_addresses: voters.iter().map(|voter| voter.address).collect(),
             probing: duty.probing,
             member_gone_after: duty.gone_after_ms * NS_PER_MS,
@@ -214,7 +214,7 @@
     }
 }
 
-/// The one `duty` form and the `voter` forms.
+/// Returns the only `duty` form and all `voter` forms.
 fn collect_forms(
     file: &str,
     forms: &[Located<SettingsForm>],
@@ -257,7 +257,7 @@
     Ok(())
 }
 
-/// An error of no one form.
+/// Builds an error that belongs to no single form. It names line 1 and column 1.
 fn file_error(file: &str, key: &str, problem: &str, remedy: &str) -> ConfigError {
     ConfigError {
         file: file.into(),
@@ -269,7 +269,7 @@
     }
 }
 
-fn config(duty: &DutyForm, voters: &[VoterForm]) -> CoordinationConfig {
+fn coordination_config(duty: &DutyForm, voters: &[VoterForm]) -> CoordinationConfig {
     CoordinationConfig {
         voters: voters.iter().map(|voter| voter.number).collect(),
         roles: ROLES.iter().map(|role| role.0).collect(),
@@ -282,7 +282,8 @@
     }
 }
 
-/// Placeholders of a warm cache for what the director's own settings tell.
+/// Builds the limits of warming. `initial_share` and `warm_up_time` are placeholders: the agent replaces them by the
+/// director's own settings.
 fn warming_limits(duty: &DutyForm) -> WarmingLimits {
     WarmingLimits {
         warm_requests_per_second: duty.warm_bears,
