--- a/crates/director/src/clock.rs
+++ b/crates/director/src/clock.rs
@@ -1,16 +1,16 @@
-//! The local clock: monotonic time alone. The wall clock may step at any time, so nothing is measured by it.
+//! The local clock. It uses monotonic time only, because the wall clock may step at any time.
 
 use std::time::{Duration, Instant};
 
 use sablecross::Ns;
 
-/// Nanoseconds in a millisecond.
+/// The number of nanoseconds in a millisecond.
 pub const NS_PER_MS: Ns = 1_000_000;
 
-/// The local time at which the program starts, two years: times before the start stay in range.
+/// The local time at which the program starts: two years, so that times before the start stay in range.
 const START: Ns = 2 * 366 * 86_400 * 1_000 * NS_PER_MS;
 
-/// A clock that begins with the program.
+/// A monotonic clock that starts with the program.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -22,13 +22,13 @@
         Clock { start: Instant::now() }
     }
 
-    /// The local time in nanoseconds.
+    /// Returns the local time in nanoseconds.
     pub fn now(&self) -> Ns {
         let elapsed = u64::try_from(self.start.elapsed().as_nanos()).unwrap_or(u64::MAX);
         START.saturating_add(elapsed)
     }
 
-    /// The time that is left until then.
+    /// Returns the time left until `at`, or zero if `at` has passed.
     pub fn until(&self, at: Ns) -> Duration {
         Duration::from_nanos(at.saturating_sub(self.now()))
     }
--- a/crates/director/src/counters.rs
+++ b/crates/director/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counts of what was received, attempted and answered, and the log line that lists them.
+//! Counters of requests, attempts and answers, and the log line that lists them.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,46 +6,46 @@
 use sablecross::Outcome;
 use sablecross::invariants::{BeginDenied, Violation};
 
-/// Counted by the dispatcher.
+/// The counters of the dispatcher.
 #[derive(Default, Debug)]
 pub struct Counters {
     /// Calls for objects.
     pub received: u64,
     /// Requests that were answered with the object.
     pub succeeded: u64,
-    /// Of those, the ones whose client held the current copy.
+    /// Succeeded requests whose client already held the current copy.
     pub unchanged: u64,
-    /// Calls that were rejected.
+    /// Rejected calls.
     pub rejected: u64,
-    /// Of those, the ones for which there was no room, before the router was asked.
+    /// Rejected calls for which there was no capacity, before the router was asked.
     pub rejected_overload: u64,
-    /// Calls that failed.
+    /// Failed calls.
     pub failed: u64,
-    /// Of those, the ones that could not be used.
+    /// Failed calls that were invalid.
     pub unusable: u64,
-    /// Requests whose client cancelled them or went.
+    /// Requests whose client cancelled them or disconnected.
     pub cancelled: u64,
     /// Requests that are not answered yet.
     pub in_flight: u64,
     /// Attempts.
     pub attempts: u64,
-    /// Of those, the ones past the first of a request.
+    /// Attempts after the first one of a request.
     pub further_attempts: u64,
-    /// How attempts ended.
+    /// The outcomes of attempts.
     pub outcomes: OutcomeCounts,
-    /// Answers that were given after their client's deadline.
+    /// Answers that were sent after their client's deadline.
     pub late: u64,
     /// Connections to nodes made since the start.
     pub connections_opened: u64,
     /// Connections to nodes that are open.
     pub connections_open: u64,
-    /// Events of discovery.
+    /// Discovery events.
     pub discovery_events: u64,
-    /// Attempts and answers that were chosen against an invariant, and not carried out.
+    /// Attempts and answers that violated an invariant and were not sent.
     pub violations: u64,
 }
 
-/// How many attempts ended with each outcome.
+/// The number of attempts that ended with each outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OutcomeCounts {
     success: u64,
@@ -59,44 +59,46 @@
     miss: u64,
 }
 
-/// Counted by the threads that serve connections.
+/// The counters of the threads that serve connections.
 #[derive(Default, Debug)]
 pub struct ConnectionCounters {
-    /// Responses that were written to their end.
+    /// Responses that were written completely.
     pub answers: AtomicU64,
-    /// The bytes of their bodies.
+    /// The bytes of the bodies of these responses.
     pub answer_bytes: AtomicU64,
-    /// Responses that were not begun, or not finished, by their time.
+    /// Responses that were not begun or not completed in time.
     pub unsent_answers: AtomicU64,
     /// The bytes of bodies that nodes sent.
     pub body_bytes: AtomicU64,
-    /// Faulty messages of clients.
+    /// Invalid messages of clients.
     pub bad_messages: AtomicU64,
     /// Faults of nodes that ended their connection.
     pub bad_lines: AtomicU64,
-    /// Connections of clients.
+    /// Client connections.
     pub clients: AtomicU64,
-    /// Connections of clients that were closed as one of their times was over.
+    /// Client connections that were closed because a timeout had expired.
     pub idle_closed: AtomicU64,
-    /// Connections of clients that were closed to make room for others.
+    /// Client connections that were closed to make room for others.
     pub evicted_for_room: AtomicU64,
-    /// Connections of clients that were closed at once, as there was no room.
+    /// Client connections that were closed at once because there was no room.
     pub rejected_connections: AtomicU64,
-    /// Attempts that were not begun, as their time was over.
+    /// Attempts that were not begun because their time had expired.
     pub expired: AtomicU64,
-    /// Attempts that were not begun, as they had been withdrawn.
+    /// Attempts that were not begun because they had been withdrawn.
     pub withdrawn: AtomicU64,
-    /// Attempts that were not begun, as their client had gone.
+    /// Attempts that were not begun because their client had disconnected.
     pub client_gone: AtomicU64,
-    /// Times an attempt waited as it had to be looked first whether its client was there.
+    /// How often an attempt waited because it had to be checked first whether its client was still connected.
     pub unconfirmed: AtomicU64,
-    /// Times the process was stopped for longer than a request may lose unnoticed.
+    /// How often the process was stopped for longer than a request may lose without being noticed (see
+    /// `StallDetector`).
     pub stalls: AtomicU64,
-    /// Connections that could not be made, accepted or watched for want of something on this machine.
+    /// Connections that could not be established, accepted or registered for polling because this machine lacked a
+    /// resource.
     pub shortages: AtomicU64,
-    /// Calls of the feed.
+    /// Calls of the discovery feed.
     pub feed_calls: AtomicU64,
-    /// Gaps in the event stream, for which the feed was called again.
+    /// Gaps in the event stream, after which the feed was called again.
     pub feed_gaps: AtomicU64,
     /// Events that could not be used.
     pub feed_skipped: AtomicU64,
@@ -119,13 +121,13 @@
 }
 
 impl Counters {
-    /// Counts and logs that something was chosen against an invariant, with the request's id.
+    /// Counts and logs the violation of an invariant, with the id of the request.
     pub fn record_violation(&mut self, request_id: &str, violation: Violation) {
         self.violations += 1;
         tracing::error!("violation request={request_id} rule={violation:?}");
     }
 
-    /// Counts the end of an attempt.
+    /// Counts the end of an attempt by its outcome.
     pub fn record_outcome(&mut self, outcome: Outcome) {
         let outcomes = &mut self.outcomes;
         let counter = match outcome {
@@ -143,7 +145,7 @@
     }
 }
 
-// The names in these lines are read by the operators' tools.
+// The names in these lines must not change, because operators' tools read them.
 
 impl fmt::Display for OutcomeCounts {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -221,8 +223,8 @@
     }
 }
 
-/// The number of threads and the most memory used so far, where the system knows them, in the form of the counters'
-/// line.
+/// Returns the number of threads and the peak memory use, in the form of the line of counters. A value that the system
+/// does not report is left out.
 pub fn process_usage() -> String {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let field = |key: &str, name: &str| {
--- a/crates/director/src/discovery_event.rs
+++ b/crates/director/src/discovery_event.rs
@@ -1,4 +1,4 @@
-//! The events of discovery, decoded.
+//! Discovery events, decoded from JSON.
 
 use std::net::SocketAddr;
 
@@ -13,31 +13,31 @@
 /// The content of an event.
 #[derive(Debug, PartialEq)]
 pub enum DiscoveryEvent {
-    /// The endpoints, or changes of them.
+    /// The list of endpoints, or changes to it.
     Endpoints {
-        /// Those that are listed.
+        /// The listed endpoints.
         endpoints: Vec<Endpoint>,
-        /// Whether all others are gone.
+        /// Whether the list is complete, so that all other endpoints are gone.
         is_snapshot: bool,
     },
-    /// Copies from before it may not be served any more. The time at which it was made is not read: it is measured by
-    /// another clock.
+    /// A purge: copies from before it must no longer be served. The time at which it was made is not read, because it
+    /// was measured by another clock.
     Purge {
-        /// The object that is purged; none: all objects of the group.
+        /// The purged object, or `None` if all objects of the group are purged.
         object: Option<u64>,
         /// The group of objects.
         group: u32,
     },
-    /// A version of the hierarchy of parents, for programs that are built with hierarchies.
+    /// A version of the parent hierarchy, for programs that are built with the feature `hierarchy`.
     Hierarchy(Box<VersionAnnouncement>),
 }
 
 /// A node, as discovery lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its name, which no other node has.
+    /// Its unique name.
     pub name: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     /// The name of its zone.
     pub zone: String,
@@ -45,13 +45,13 @@
     pub kind: String,
     /// Its cell within the zone.
     pub cell: usize,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub state: EndpointState,
-    /// The Unix time of its start in nanoseconds, by the clock of whoever lists it; 0: long ago.
+    /// The Unix time of its start in nanoseconds, by the clock of the source that lists it; 0 if it started long ago.
     pub started_at: Ns,
 }
 
-/// An event with its number. Numbers rise by one from event to event.
+/// An event with its number. Numbers increase by one from event to event.
 #[derive(Debug)]
 pub struct NumberedEvent {
     /// The number.
@@ -63,7 +63,7 @@
 /// The events that a configuration holds.
 #[derive(Debug)]
 pub struct KnownEvents {
-    /// The number of the last event that is known.
+    /// The number of the last known event.
     pub last: u64,
     /// The events.
     pub events: Vec<NumberedEvent>,
@@ -72,7 +72,7 @@
 /// Why an event can't be used.
 #[derive(Debug, Error)]
 pub enum DiscoveryEventError {
-    /// It is not known which event it is.
+    /// The event has no number.
     #[error("an event has no number")]
     NoNumber,
     /// The event with this number can't be used.
@@ -80,24 +80,24 @@
     Unusable {
         /// The number of the event.
         number: u64,
-        /// What is wrong with it.
+        /// Why the event can't be used.
         cause: EventCause,
     },
 }
 
-/// What is wrong with an event.
+/// Why an event with a number can't be used.
 #[derive(Debug, Error)]
 pub enum EventCause {
-    /// It is of no known kind.
+    /// The event is not of a known kind.
     #[error("neither members nor a purge")]
     UnknownKind,
-    /// A field is missing, or not of its type.
+    /// A field is missing or has the wrong type.
     #[error(transparent)]
     Fields(#[from] serde_json::Error),
-    /// The key of a purge is no number in hexadecimal digits.
+    /// The key of a purge is not a hexadecimal number.
     #[error("key is no object")]
     NoObject,
-    /// An endpoint has a status that is not known.
+    /// An endpoint has an unknown status.
     #[error("{endpoint}: unknown status {status}")]
     UnknownStatus {
         /// The name of the endpoint.
@@ -139,10 +139,10 @@
 }
 
 impl NumberedEvent {
-    /// Reads an event.
+    /// Decodes an event.
     ///
     /// # Errors
-    /// Names the number of the event, if it has one, and what is wrong.
+    /// Names the number of the event, if it has one, and the cause.
     pub fn from_json(event: &Value) -> Result<NumberedEvent, DiscoveryEventError> {
         let number = event.get("n").and_then(Value::as_u64).ok_or(DiscoveryEventError::NoNumber)?;
         let event = DiscoveryEvent::from_json(event)
@@ -155,7 +155,7 @@
     fn from_json(event: &Value) -> Result<DiscoveryEvent, EventCause> {
         if let Some(members) = event.get("members") {
             let listed = RawEndpoints::deserialize(members)?;
-            let endpoints = listed.endpoints.into_iter().map(endpoint).collect::<Result<_, _>>()?;
+            let endpoints = listed.endpoints.into_iter().map(decode_endpoint).collect::<Result<_, _>>()?;
             Ok(DiscoveryEvent::Endpoints { endpoints, is_snapshot: listed.snapshot })
         } else if let Some(purge) = event.get("purge") {
             let purge = RawPurge::deserialize(purge)?;
@@ -172,7 +172,7 @@
     }
 }
 
-fn endpoint(raw: RawEndpoint) -> Result<Endpoint, EventCause> {
+fn decode_endpoint(raw: RawEndpoint) -> Result<Endpoint, EventCause> {
     let state = match raw.status.as_str() {
         "ready" => EndpointState::Ready,
         "draining" => EndpointState::Draining,
--- a/crates/director/src/events.rs
+++ b/crates/director/src/events.rs
@@ -1,4 +1,4 @@
-//! The events that all other threads send to the dispatcher, and the values in them.
+//! The events that all other threads send to the dispatcher, and the types that they contain.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,38 +10,38 @@
 use crate::discovery_event::DiscoveryEvent;
 use crate::memory_budget::Body;
 
-/// The number of a client's connection. None is used twice.
+/// The number of a client connection. Numbers are never reused.
 pub type ClientId = u64;
 
-/// The number of a connection to a node. None is used twice.
+/// The number of a connection to a node. Numbers are never reused.
 pub type NodeConnectionId = u64;
 
-/// The dispatcher's number of a request in flight. Numbers rise, and none is used twice.
+/// The dispatcher's number of a request in flight. Numbers increase and are never reused.
 pub type RequestKey = u64;
 
-/// The 16 hex digits that name a request all its way.
+/// The id of a request, 16 hex digits. It is the same from the client to the nodes.
 pub type RequestId = [u8; 16];
 
-/// One call on a client's connection.
+/// A call on a client connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallId {
-    /// The client's number of the call.
+    /// The number that the client gave the call.
     pub number: u32,
-    /// Tells the uses of a number apart, as a client may use one again.
+    /// Distinguishes calls with the same number, because a client may reuse a number.
     pub generation: u64,
 }
 
-/// Shows other threads that something is cancelled, ahead of the events and commands to that effect.
+/// Tells other threads that a request or an attempt is cancelled, before the events and commands to that effect arrive.
 #[derive(Clone, Debug, Default)]
 pub struct CancellationFlag(Arc<AtomicBool>);
 
 impl CancellationFlag {
-    /// Sets the flag for good.
+    /// Sets the flag. It is never reset.
     pub fn cancel(&self) {
         self.0.store(true, Ordering::SeqCst);
     }
 
-    /// Whether it is set.
+    /// Whether the flag is set.
     pub fn is_cancelled(&self) -> bool {
         self.0.load(Ordering::SeqCst)
     }
@@ -50,35 +50,35 @@
 /// A client's request.
 #[derive(Debug)]
 pub struct IncomingRequest {
-    /// The connection on which it came.
+    /// The connection on which it arrived.
     pub client: ClientId,
-    /// The call that it is.
+    /// The call by which the client sent it.
     pub call: CallId,
-    /// Set once the client has cancelled it or has gone.
+    /// Set once the client has cancelled the request or has disconnected.
     pub cancellation: CancellationFlag,
-    /// Its name towards clients and nodes.
+    /// Its id in messages with clients and nodes.
     pub request_id: RequestId,
-    /// The router's index of its class.
+    /// The router's index of its request class.
     pub class: usize,
-    /// The object.
+    /// The requested object.
     pub object: u64,
     /// The part of the object.
     pub part: u32,
-    /// The object's group, by which it may be purged.
+    /// The object's group, by which the object may be purged.
     pub group: u32,
-    /// The size of the object, in KB; 0: not known.
+    /// The size of the object in KB, or 0 if it is unknown.
     pub size_kb: f64,
     /// The tag of the copy that the client holds.
     pub client_tag: Option<Box<str>>,
-    /// By which nodes know a repeat of a deduplicated request.
+    /// The key by which nodes recognize a repeat of a deduplicated request.
     pub idempotency_key: Option<Box<str>>,
-    /// The client has marked it as a repeat of an earlier request.
+    /// Whether the client has marked it as a repeat of an earlier request.
     pub is_client_retry: bool,
-    /// The body that goes along to the node.
+    /// The body that is sent to the node.
     pub body: Arc<Body>,
-    /// When it arrived, or the earliest time at which it may have.
+    /// When it arrived, or the earliest time at which it may have arrived.
     pub arrived_at: Ns,
-    /// How long its client waits from then on.
+    /// How long its client waits for an answer, from `arrived_at` on.
     pub budget: Ns,
 }
 
@@ -87,24 +87,24 @@
 pub struct CachedCopy {
     /// Its tag; empty if the node gave none.
     pub tag: Box<str>,
-    /// None if the copy that the client holds is the current one.
+    /// `None` if the copy that the client holds is current.
     pub body: Option<Arc<Body>>,
 }
 
-/// How a node ended an attempt.
+/// A node's answer to an attempt.
 #[derive(Debug)]
 pub struct AttemptEnded {
     /// The request of the attempt.
     pub request_id: RequestId,
     /// The outcome.
     pub outcome: Outcome,
-    /// Whether a cached copy was served, where the node reports it.
+    /// Whether the node served a cached copy, if it reports that.
     pub is_cache_hit: Option<bool>,
     /// The node's load report.
     pub load: Option<LoadReport>,
-    /// The copy, if it was a success.
+    /// The copy, if the attempt succeeded.
     pub copy: Option<CachedCopy>,
-    /// When all of the answer had come.
+    /// When the answer was complete.
     pub ended_at: Ns,
 }
 
@@ -113,23 +113,23 @@
 pub enum ConnectionLoss {
     /// It was never established.
     Unreachable,
-    /// It could not be made, for want of something on this machine, which does not count against the node.
+    /// It could not be established because this machine lacks a resource, which does not count against the node.
     LocalShortage,
-    /// It had been established.
+    /// It was established, and then lost.
     Broken,
 }
 
-/// A message to the dispatcher.
+/// An event for the dispatcher.
 pub enum Event {
-    /// A client asks for an object.
+    /// A client has requested an object.
     Request(Box<IncomingRequest>),
-    /// The number of a call is known, but no request can be made of it.
+    /// A call whose number is known, but from which no request can be made.
     Unusable {
         /// The connection.
         client: ClientId,
         /// The call.
         call: CallId,
-        /// Whether there is no room for it; else it can't be used.
+        /// Whether there is no memory for its body. Otherwise its content is invalid.
         is_overload: bool,
     },
     /// A client asks whether the director is ready for requests.
@@ -139,14 +139,14 @@
         /// The call.
         call: CallId,
     },
-    /// A client does not want the answer to a call any more.
+    /// A client has cancelled a call.
     Cancelled {
         /// The connection.
         client: ClientId,
-        /// The client's number of the call; the call that has it now, if any, came before.
+        /// The number that the client gave the call. A call that has this number now arrived before the cancellation.
         call: u32,
     },
-    /// A connection of a client is over: nothing is owed on it.
+    /// A client connection has ended. No answers are needed on it.
     ClientDisconnected {
         /// The connection.
         client: ClientId,
@@ -158,52 +158,52 @@
         /// How the attempt ended.
         result: Box<AttemptEnded>,
     },
-    /// A connection to a node is over.
+    /// A connection to a node has ended.
     ConnectionLost {
         /// The connection.
         connection: NodeConnectionId,
         /// How it was lost.
         loss: ConnectionLoss,
-        /// The requests whose attempts are written, if only in part, and not ended.
+        /// The requests whose attempts have been written, at least in part, and have not ended.
         begun_requests: BTreeSet<RequestId>,
     },
-    /// An attempt was not begun to be written in its time, or before it was withdrawn, and never will be.
+    /// An attempt expired or was withdrawn before any of it was written, and is never sent.
     AttemptNotSent {
         /// The connection.
         connection: NodeConnectionId,
         /// The request of the attempt.
         request_id: RequestId,
     },
-    /// An event of discovery.
+    /// A discovery event.
     Discovery(DiscoveryEvent),
-    /// Another director calls on behalf of the fleet.
+    /// Another director, or an operator, has made a coordination call.
     PeerCalled {
         /// The connection.
         client: ClientId,
         /// The call.
         call: CallId,
-        /// Its messages.
+        /// The encoded messages.
         body: Vec<u8>,
     },
-    /// The coordination's answer to a call of another director.
+    /// The answer of the coordination agent to such a call.
     PeerCallAnswered {
         /// The connection.
         client: ClientId,
         /// The call.
         call: CallId,
-        /// The replies; none if the call can't be answered.
+        /// The encoded replies, or `None` if the call can't be answered.
         body: Option<Vec<u8>>,
     },
-    /// The coordination's settings were read again.
+    /// The coordination settings were reloaded.
     CoordinationReloaded(Box<CoordinationSettings>),
-    /// What health checks of any director found lately, by the names of nodes.
+    /// The load that recent health checks of any director have found, by the names of nodes.
     HealthReports(Vec<(String, LoadReport)>),
-    /// The signal to stop came.
+    /// The signal to stop was received.
     Shutdown,
-    /// All connections of clients have ended, and no more are accepted.
+    /// All client connections have ended, and no more are accepted.
     ClientsFinished,
-    /// The signal to log the counters came.
+    /// The signal to log the counters was received.
     LogCounters,
-    /// A thread without which the director can't serve has ended; its name.
+    /// An essential thread, without which the director can't serve, has ended. Contains its name.
     ThreadEnded(&'static str),
 }
--- a/crates/director/src/limits.rs
+++ b/crates/director/src/limits.rs
@@ -1,4 +1,4 @@
-//! All sizes, counts and times that bound this program. What is decided within them is the router's.
+//! All sizes, counts and times that limit this program. Decisions within these limits are made by the router.
 
 use std::time::Duration;
 
@@ -6,105 +6,108 @@
 
 use crate::clock::NS_PER_MS;
 
-/// The bounds of the program. Times are in nanoseconds.
+/// The limits of the program. Times are in nanoseconds.
 #[derive(Debug)]
 pub struct Limits {
-    /// Connections of clients.
+    /// The maximum number of client connections.
     pub max_client_connections: usize,
-    /// Connections to all nodes.
+    /// The maximum number of connections to all nodes together.
     pub max_node_connections: usize,
-    /// Connections to one node.
+    /// The maximum number of connections to one node.
     pub max_connections_per_node: usize,
-    /// Calls open on one connection of a client, past which more are rejected.
+    /// The number of open calls on one client connection at which further calls are rejected.
     pub max_open_per_client: usize,
-    /// Calls open on one connection of a client, past which no more is read of it.
+    /// The number of open calls on one client connection at which no more is read from it.
     pub max_unanswered_per_client: usize,
-    /// Attempts outstanding on one connection to a node.
+    /// The maximum number of attempts that are outstanding on one connection to a node.
     pub max_open_per_connection: usize,
-    /// Requests in flight.
+    /// The maximum number of requests in flight.
     pub max_requests: usize,
-    /// The length of one body.
+    /// The maximum length of a body.
     pub max_body_bytes: usize,
-    /// The memory of all bodies and of buffers that have grown.
+    /// The maximum memory for all bodies, and for buffers that have grown.
     pub body_memory_bytes: usize,
-    /// The length of a message without its body.
+    /// The maximum length of a message without its body.
     pub max_head_bytes: usize,
-    /// The length of a line of a node.
+    /// The maximum length of a line from a node.
     pub max_line_bytes: usize,
-    /// How deep the values of a message may be nested.
+    /// The maximum nesting depth of the values of a message.
     pub max_nesting_depth: usize,
-    /// How many values a message may hold.
+    /// The maximum number of values in a message.
     pub max_values: usize,
-    /// Messages of one connection that can't be used, at which it is closed.
+    /// The number of unusable messages on one client connection at which it is closed.
     pub max_unusable_messages: usize,
-    /// The length of the buffer of a client's connection, before it grows.
+    /// The length of the read buffer of a client connection, before it grows.
     pub initial_read_bytes: usize,
-    /// Messages that are read of one connection, or events that are taken, before others have their turn.
+    /// The maximum number of messages that are read from one connection, or of events that are handled, before others
+    /// have their turn.
     pub max_messages_per_turn: usize,
-    /// Events that wait for the dispatcher.
+    /// The capacity of the queue of events to the dispatcher.
     pub event_queue_length: usize,
-    /// Responses that wait for the clients' thread.
+    /// The capacity of the queue of responses to the client thread.
     pub response_queue_length: usize,
-    /// Commands that wait for the node connections' thread.
+    /// The capacity of the queue of commands to the thread of node connections.
     pub command_queue_length: usize,
-    /// Moves of the feed, and applied versions, that wait for the discovery thread.
+    /// The capacity of each queue to the discovery thread: that of feed moves, and that of applied versions.
     pub feed_move_queue_length: usize,
-    /// The stack of each thread beside the main one.
+    /// The stack size of each thread other than the main thread and the log thread.
     pub thread_stack_bytes: usize,
-    /// The length of an event of discovery.
+    /// The maximum length of a discovery event.
     pub max_feed_event_bytes: usize,
-    /// The time in which a connection must be established.
+    /// The time within which a connection must be established.
     pub connect_timeout: Ns,
-    /// The time after which an idle connection to a node is not used again.
+    /// How long a connection to a node may be idle before it is no longer used.
     pub node_idle_timeout: Ns,
-    /// A connection that has been silent for so long, since it took an attempt that is abandoned, is not used again.
+    /// If a connection to a node has been silent for this long since it took an attempt, and that attempt is abandoned,
+    /// the connection is not used again.
     pub silence_threshold: Ns,
-    /// A request is answered this much before its client's deadline.
+    /// How long before its client's deadline a request is answered at the latest.
     pub answer_margin: Ns,
-    /// The longest time that a client may give a request.
+    /// The longest time that a client may allow for a request.
     pub max_budget: Ns,
-    /// The largest size that a client may name, in KB.
+    /// The largest object size that a client may state, in KB.
     pub max_size_kb: f64,
-    /// The time in which a message without a deadline of its own must be written.
+    /// The time within which a message without a deadline of its own must be written.
     pub default_write_timeout: Ns,
-    /// The time in which a message of a client must be complete, and in which its first one must come.
+    /// The time within which a client must complete a message, and within which it must send its first one.
     pub partial_message_timeout: Ns,
-    /// The time after which a connection of a client that sends nothing more is closed.
+    /// How long a client connection may be idle before it is closed.
     pub client_idle_timeout: Ns,
-    /// The time in which a new connection is not blamed for its silence.
+    /// How long after it was accepted a client connection that has sent no message yet is not preferred for eviction.
     pub new_client_grace: Ns,
-    /// The pause before a call that failed for want of descriptors, memory or ports is made again.
+    /// The delay before a system call that failed for lack of descriptors, memory or ports is retried.
     pub shortage_retry_interval: Ns,
-    /// The pause before an attempt is looked at again whose client is not known to be there.
+    /// The delay before the next check of an attempt that waits until its client is known to be connected.
     pub client_check_interval: Ns,
-    /// The longest wait for clients: a process that was stopped finds out by a wait that ended late.
+    /// The longest wait of the client thread. A wait that ends later shows that the process was stopped.
     pub max_poll_wait: Ns,
-    /// How often connections are looked at without a cause of their own.
+    /// The interval between periodic checks of all connections, in addition to checks that an event triggers.
     pub sweep_interval: Ns,
-    /// A response is not begun any more so long after its client's deadline.
+    /// How long after its client's deadline a response may still begin to be written. Later it is dropped.
     pub max_answer_lateness: Ns,
-    /// What is begun in time may be finished this much later: cut short, it would end all that is open beside it.
+    /// How long after its deadline a message that was begun in time may still be completed. Cutting it short would end
+    /// everything else that is open on the connection.
     pub write_finish_grace: Ns,
-    /// Silence of the event stream after which it counts as dead.
+    /// The duration of silence after which the event stream counts as dead.
     pub feed_silence_timeout: Duration,
-    /// How often it is looked, while the stream is silent, whether the feed has moved.
+    /// How often the discovery thread checks whether the feed has moved, while the stream is silent.
     pub feed_poll_interval: Duration,
-    /// The pause after a call of the feed that failed or ended at once.
+    /// The delay after a call of the feed that failed or ended at once.
     pub feed_retry_delay: Duration,
-    /// How long requests are still taken after the signal to stop.
+    /// How long requests are still accepted after the signal to stop.
     pub shutdown_delay: Ns,
-    /// How often it is looked during a shutdown whether all is written.
+    /// How often the progress is checked during a shutdown, until everything is written.
     pub shutdown_poll_interval: Ns,
-    /// How long a client's connection that is closed has to take its last bytes.
+    /// How long a client connection that is being closed may take to receive its last bytes.
     pub closing_timeout: Ns,
-    /// Connections of clients that are closed and not ended yet.
+    /// The maximum number of client connections that are being closed.
     pub max_closing_clients: usize,
 }
 
 impl Limits {
-    /// From what the machine allows, and the times that the settings give for connections to nodes. `sockets` counts
-    /// file descriptors: those that no limit here uses are spare for connections that are closing, the event stream,
-    /// the listener and the log.
+    /// Derives the limits from what the machine allows, and from the times that the settings give for connections to
+    /// nodes. `sockets` is a number of file descriptors: those that no limit here uses are spare for connections that
+    /// are closing, the event stream, the listener and the log.
     pub fn new(sockets: usize, memory_mb: usize, connect_timeout: Ns, keepalive: Ns) -> Limits {
         Limits {
             max_client_connections: sockets / 3 + 8,
--- a/crates/director/src/memory_budget.rs
+++ b/crates/director/src/memory_budget.rs
@@ -1,16 +1,16 @@
-//! Bodies, which are shared and never copied, within a bound on the memory of all of them.
+//! Bodies, which are shared and never copied, with a limit on the memory of all of them.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The memory for bodies.
+/// The memory for bodies, with its limit.
 #[derive(Debug)]
 pub struct MemoryBudget {
     max_bytes: usize,
     reserved_bytes: AtomicUsize,
 }
 
-/// A part of the memory that is reserved until this is dropped.
+/// A part of the memory, which is reserved until this is dropped.
 #[derive(Debug)]
 pub struct Reservation {
     bytes: usize,
@@ -25,19 +25,19 @@
 }
 
 impl MemoryBudget {
-    /// A budget of so many bytes.
+    /// Creates a budget of `max_bytes`.
     pub fn new(max_bytes: usize) -> Arc<MemoryBudget> {
         Arc::new(MemoryBudget { max_bytes, reserved_bytes: AtomicUsize::new(0) })
     }
 
-    /// Reserves memory, if so much is left.
+    /// Reserves memory. Returns `None` if not enough is left.
     pub fn reserve(self: &Arc<MemoryBudget>, bytes: usize) -> Option<Reservation> {
         let add = |reserved: usize| reserved.checked_add(bytes).filter(|&total| total <= self.max_bytes);
         self.reserved_bytes.fetch_update(Ordering::Relaxed, Ordering::Relaxed, add).ok()?;
         Some(Reservation { bytes, budget: Arc::clone(self) })
     }
 
-    /// A body of zeros of this length, if there is memory for it.
+    /// Allocates a body that is filled with zeros. Returns `None` if there is not enough memory for it.
     pub fn allocate_body(self: &Arc<MemoryBudget>, length: usize) -> Option<Body> {
         let reservation = self.reserve(length)?;
         Some(Body { bytes: vec![0; length], _reservation: reservation })
@@ -45,12 +45,12 @@
 }
 
 impl Body {
-    /// Its bytes.
+    /// Returns its bytes.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// Its bytes, to be filled in.
+    /// Returns its bytes, to be filled in.
     pub fn bytes_mut(&mut self) -> &mut [u8] {
         &mut self.bytes
     }
--- a/crates/director/src/name_table.rs
+++ b/crates/director/src/name_table.rs
@@ -1,17 +1,17 @@
-//! The names that clients, nodes and discovery use for what the router numbers.
+//! The names that clients, nodes and discovery use in place of the router's indexes.
 
 use std::collections::HashMap;
 
 use sablecross_inflight::settings::{Result, SettingsError, SettingsMap};
 use serde_json::Value;
 
-/// The method by which directors call one another.
+/// The method of calls between directors.
 pub const PEER_CALL_METHOD: &str = "duty";
 
 /// The names of request classes, zones and kinds of nodes.
 #[derive(Debug, Default)]
 pub struct NameTable {
-    /// By the router's index of the request class: the method by which clients call it.
+    /// The method by which clients call each request class, by the router's index of the class.
     pub classes: Vec<String>,
     /// The router's index of each zone.
     pub zones: HashMap<String, usize>,
@@ -22,10 +22,11 @@
 }
 
 impl NameTable {
-    /// Reads the names. `raw` are the same settings as JSON: lists of endpoints call zones and kinds by the very names.
+    /// Reads the names from the settings. `raw` holds the same settings as JSON, because endpoint lists name zones and
+    /// kinds exactly as they are written there.
     ///
     /// # Errors
-    /// Names the first key that is missing or faulty.
+    /// Names the first key that is missing or invalid.
     pub fn from_settings(settings: &SettingsMap, raw: &Value) -> Result<NameTable> {
         let class_count: usize = settings.get("classes.count")?;
         let class = |index| settings.text(&format!("classes.{index}.name")).map(str::to_owned);
--- a/crates/director/src/node_registry.rs
+++ b/crates/director/src/node_registry.rs
@@ -1,5 +1,6 @@
-//! The router's indexes of nodes, and the endpoints as the router reads them. A node is known by its name: addresses
-//! differ from director to director, and a new node may have the address of one that has gone.
+//! Assigns the router's indexes to nodes, and converts endpoints to the form that the router reads. A node is
+//! identified by its name: its address differs from director to director, and a new node may get the address of one
+//! that has gone.
 
 use std::collections::HashMap;
 
@@ -14,21 +15,22 @@
 struct KnownNode {
     /// Empty if the index is free.
     name: String,
-    /// Once it is gone, the key of the first request that came after: when all before that are over, none can have
-    /// sent to the node, and its index is free for another.
-    gone_before: Option<RequestKey>,
-    start: Start,
+    /// Once the node is gone, the key of the first request that arrived afterwards. When all earlier requests have
+    /// ended, none in flight can have sent an attempt to the node, and its index can be assigned to another node.
+    first_request_after_gone: Option<RequestKey>,
+    start: StartTime,
     state: EndpointState,
 }
 
-/// When a node started: as it was listed, and in local time, which stays the same for as long as the listed one does.
+/// The start time of a node, as listed and in local time. The local time stays the same for as long as the listed one
+/// does.
 #[derive(Clone, Copy, Default, PartialEq)]
-struct Start {
+struct StartTime {
     listed: Ns,
     local: Ns,
 }
 
-/// All nodes that are known.
+/// All known nodes.
 #[derive(Default)]
 pub struct NodeRegistry {
     /// By the router's index.
@@ -39,40 +41,41 @@
 }
 
 impl NodeRegistry {
-    /// The router's index of a node.
+    /// Returns the router's index of a node.
     pub fn index_of(&self, name: &str) -> Option<usize> {
         self.indexes.get(name).copied()
     }
 
-    /// The name of a node.
+    /// Returns the name of a node, or an empty string for an unknown index.
     pub fn name(&self, node: usize) -> &str {
         self.nodes.get(node).map_or("", |known| &known.name)
     }
 
-    /// The state of a node by the last endpoint list.
+    /// Returns the state of a node in the last endpoint list.
     pub fn state(&self, node: usize) -> EndpointState {
         self.nodes.get(node).map_or(EndpointState::Gone, |known| known.state)
     }
 
-    /// Frees the indexes of nodes that went before the oldest request in flight came, and that are not in use.
+    /// Frees the indexes of nodes that were gone before the oldest request in flight arrived, and that are not in use.
     pub fn release_unused(&mut self, oldest: RequestKey, is_unused: impl Fn(usize) -> bool) {
         for (node, known) in self.nodes.iter_mut().enumerate() {
-            if is_unused(node) && known.gone_before.take_if(|first| *first <= oldest).is_some() {
+            if is_unused(node) && known.first_request_after_gone.take_if(|first| *first <= oldest).is_some() {
                 self.indexes.remove(&std::mem::take(&mut known.name));
                 self.free_indexes.push(node);
             }
         }
     }
 
-    /// Takes in the starts of all endpoints of an event, or of several, before any of them is read.
+    /// Observes the start times of all endpoints of one or more events. This must be done before any of them is
+    /// converted.
     pub fn observe_starts(&mut self, endpoints: &[Endpoint], now: Ns) {
         for endpoint in endpoints {
             self.source_clock.observe(endpoint.started_at, now);
         }
     }
 
-    /// One endpoint as the router reads it; none if the settings do not know its zone or kind, or it went before it
-    /// was known.
+    /// Converts an endpoint to the form that the router reads. Returns `None` if the settings don't name its zone or
+    /// kind, or if it was gone before it became known.
     pub fn endpoint_update(
         &mut self,
         names: &NameTable,
@@ -102,20 +105,20 @@
         })
     }
 
-    /// When a node started, in local time; 0: long ago.
+    /// Returns the start time of a node in local time, or 0 if it started long ago.
     fn local_start(&mut self, node: usize, listed: Ns, now: Ns) -> Ns {
         let start = &mut self.nodes[node].start;
         if start.listed != listed {
             let local = self.source_clock.local_time(listed, now).max(1);
-            *start = Start { listed, local: if listed == 0 { 0 } else { local } };
+            *start = StartTime { listed, local: if listed == 0 { 0 } else { local } };
         }
         start.local
     }
 
-    /// The index of a node that was not known: one that is free, or a new one.
+    /// Assigns an index to a new node: a free one if there is one, otherwise the next one.
     fn assign_index(&mut self, name: &str) -> usize {
         let node = self.free_indexes.pop().unwrap_or(self.nodes.len());
-        tracing::info!("node {node} is {name}");
+        tracing::info!("node {name} has index {node}");
         if node == self.nodes.len() {
             self.nodes.push(KnownNode::default());
         }
@@ -124,8 +127,8 @@
         node
     }
 
-    /// Notes the states of nodes; those that a snapshot leaves out are gone. `next` is the key of the request to come.
-    /// Returns the nodes that are gone, also those that were before.
+    /// Records the states of nodes. Nodes that a snapshot leaves out are gone. `next` is the key of the next request.
+    /// Returns the nodes that this list declares as gone, including those that were gone before.
     pub fn mark_gone(
         &mut self,
         updates: &[EndpointUpdate],
@@ -144,10 +147,10 @@
                 known.state = EndpointState::Gone;
                 gone.push(node);
                 if !known.name.is_empty() {
-                    known.gone_before.get_or_insert(next);
+                    known.first_request_after_gone.get_or_insert(next);
                 }
             } else if listed.is_some() {
-                known.gone_before = None;
+                known.first_request_after_gone = None;
             }
         }
         gone
--- a/crates/director/src/os_error.rs
+++ b/crates/director/src/os_error.rs
@@ -1,14 +1,16 @@
-//! What errors of system calls mean, by their numbers: many have no kind of their own in the standard library.
+//! Classifies errors of system calls by their numbers, because many have no `ErrorKind` of their own.
 
 use std::io::{self, ErrorKind};
 
-/// The connection or the file is as it was, and nothing has come yet. A program that is stopped and continued, as one
-/// held to part of a core is, has its waits interrupted: times count by the clock alone.
+/// Whether the call was interrupted or would have blocked, so that the connection or file is unchanged. The waits of a
+/// process that is stopped and continued are interrupted, for example when the process is limited to a part of a core,
+/// so callers measure time by the clock only.
 pub(crate) fn is_would_block(e: &io::Error) -> bool {
     matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::WouldBlock)
 }
 
-/// This machine, not the other end, is short of something: descriptors, memory, ports, threads, a way out. It passes.
+/// Whether this machine, not the peer, lacks a resource: descriptors, memory, ports, threads or a route. Such errors
+/// are transient.
 pub(crate) fn is_local_shortage(e: &io::Error) -> bool {
     const SHORTAGES: [i32; 11] = [
         libc::EMFILE,
@@ -26,7 +28,7 @@
     e.raw_os_error().is_some_and(|number| SHORTAGES.contains(&number))
 }
 
-/// An accept that took a connection which had failed already, or was interrupted: the next one may follow at once.
+/// Whether an `accept` was interrupted, or took a connection that had already failed. It can be called again at once.
 pub(crate) fn is_failed_connection(e: &io::Error) -> bool {
     const FAILED: [i32; 11] = [
         libc::ECONNABORTED,
@@ -44,7 +46,7 @@
     e.raw_os_error().is_some_and(|number| FAILED.contains(&number))
 }
 
-/// There is no way to the other end just now; where that lasts, it may be the other end's fault as well.
+/// Whether there is currently no route to the peer. If this lasts, the peer may be the cause as well.
 pub(crate) fn is_network_trouble(e: &io::Error) -> bool {
     const NETWORK: [i32; 3] = [libc::EADDRNOTAVAIL, libc::ENETDOWN, libc::ENETUNREACH];
     e.raw_os_error().is_some_and(|number| NETWORK.contains(&number))
--- a/crates/director/src/parent_hierarchy.rs
+++ b/crates/director/src/parent_hierarchy.rs
@@ -1,8 +1,8 @@
 //! The hierarchy of parent caches, as this director applies it.
 //!
-//! Versions come from the director's own file, from events and from the hierarchy controller; the one with the largest
-//! number is applied. The version decides how many virtual nodes each parent takes in the ring of parents, and which
-//! path a fill takes beyond its source. The decision module still chooses the source.
+//! Versions come from the director's own settings file, from discovery events and from the hierarchy controller. The
+//! one with the highest number is applied. It determines how many virtual nodes each parent has in the hash ring of
+//! parents, and which path a fill takes beyond its source. The router still chooses the source.
 //!
 //! `parent_hierarchy_off.rs` has the same interface for builds without the feature `hierarchy`.
 
@@ -28,14 +28,14 @@
 /// Why an announced version can't be applied.
 #[derive(Debug, Error)]
 pub enum AnnouncementError {
-    /// The event does not have the form of a version.
+    /// The event can't be decoded as a version.
     #[error(transparent)]
     Event(#[from] serde_json::Error),
-    /// The controller's message does not have the form of a version.
+    /// The controller's message can't be decoded as a version.
     #[cfg(feature = "coordination")]
     #[error(transparent)]
     Message(#[from] DecodeError),
-    /// Names are not unique, or sources unknown.
+    /// Names are not unique, or a source is unknown.
     #[error(transparent)]
     Spec(#[from] SpecError),
     /// The settings file can't be read.
@@ -43,7 +43,7 @@
     FileUnreadable {
         /// The file.
         file: PathBuf,
-        /// What the system reports.
+        /// The error of the operating system.
         cause: std::io::Error,
     },
     /// The settings file is invalid.
@@ -58,55 +58,55 @@
     errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
 }
 
-/// Where a version came from, as the log names it.
+/// How a version was announced, as printed in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum VersionOrigin {
+enum AnnouncementChannel {
     Event,
     #[cfg(feature = "coordination")]
     Controller,
     File,
 }
 
-impl VersionOrigin {
+impl AnnouncementChannel {
     fn as_str(self) -> &'static str {
         match self {
-            VersionOrigin::Event => "event",
+            AnnouncementChannel::Event => "event",
             #[cfg(feature = "coordination")]
-            VersionOrigin::Controller => "controller",
-            VersionOrigin::File => "file",
+            AnnouncementChannel::Controller => "controller",
+            AnnouncementChannel::File => "file",
         }
     }
 }
 
-/// A version that was announced to this director and checked, but is not applied yet.
+/// A version that was announced to this director and validated, but is not applied yet.
 #[derive(Debug, PartialEq)]
 pub struct VersionAnnouncement {
     number: u64,
     version: Hierarchy,
-    origin: VersionOrigin,
+    channel: AnnouncementChannel,
 }
 
 impl VersionAnnouncement {
-    /// The version of an event.
+    /// Decodes and validates the version of a discovery event.
     ///
     /// # Errors
     /// Why the version can't be applied.
     pub fn from_event(event: &Value) -> Result<VersionAnnouncement, AnnouncementError> {
         let spec = HierarchySpec::deserialize(event)?;
-        VersionAnnouncement::from_spec(&spec, VersionOrigin::Event)
+        VersionAnnouncement::from_spec(&spec, AnnouncementChannel::Event)
     }
 
-    /// The version of a message of the hierarchy controller.
+    /// Decodes and validates the version of a message of the hierarchy controller.
     ///
     /// # Errors
     /// Why the version can't be applied.
     #[cfg(feature = "coordination")]
     pub fn from_controller(message: &[u8]) -> Result<VersionAnnouncement, AnnouncementError> {
         let spec = decode_spec(message)?;
-        VersionAnnouncement::from_spec(&spec, VersionOrigin::Controller)
+        VersionAnnouncement::from_spec(&spec, AnnouncementChannel::Controller)
     }
 
-    /// The version of the settings file, if the environment names one.
+    /// Reads and validates the version of the settings file. Returns `None` if the environment names no file.
     pub fn from_settings_file() -> Option<Result<VersionAnnouncement, AnnouncementError>> {
         let file = std::env::var(FILE_VARIABLE).ok()?;
         Some(VersionAnnouncement::read_file(&file))
@@ -116,29 +116,29 @@
         let text = std::fs::read_to_string(file)
             .map_err(|cause| AnnouncementError::FileUnreadable { file: file.into(), cause })?;
         let (number, version) = parse_settings(file, &text, None).map_err(AnnouncementError::Settings)?;
-        VersionAnnouncement::checked(number, version, VersionOrigin::File)
+        VersionAnnouncement::checked(number, version, AnnouncementChannel::File)
     }
 
     fn from_spec(
         spec: &HierarchySpec,
-        origin: VersionOrigin,
+        channel: AnnouncementChannel,
     ) -> Result<VersionAnnouncement, AnnouncementError> {
         let (number, version) = spec.to_hierarchy(None)?;
-        VersionAnnouncement::checked(number, version, origin)
+        VersionAnnouncement::checked(number, version, channel)
     }
 
-    /// Rejects what no plan leads through, wherever it came from.
+    /// Rejects a version that contains a loop or a node without a path to the origin, however it was announced.
     fn checked(
         number: u64,
         version: Hierarchy,
-        origin: VersionOrigin,
+        channel: AnnouncementChannel,
     ) -> Result<VersionAnnouncement, AnnouncementError> {
         Admission::check_structure(&version)?;
-        Ok(VersionAnnouncement { number, version, origin })
+        Ok(VersionAnnouncement { number, version, channel })
     }
 }
 
-/// The version that a director reports to apply.
+/// The version that a director reports as applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AppliedVersion {
     /// Its number.
@@ -147,7 +147,8 @@
     pub digest: u64,
 }
 
-/// A version that is applied. A request keeps the one that it was routed by for as long as it is in flight.
+/// A version that is applied. A request keeps the version that was active when it arrived for as long as it is in
+/// flight.
 #[derive(Debug)]
 pub struct ActiveHierarchy {
     version: Hierarchy,
@@ -165,14 +166,14 @@
         }
     }
 
-    /// The virtual nodes that a parent does not take in the ring of parents.
+    /// Returns the number of virtual nodes that a parent leaves to others in the hash ring of parents.
     fn withheld_virtual_nodes(&self, name: &str) -> u16 {
         let parent = self.version.node_id(name).filter(|id| self.edge_parents.contains(id));
         let parent = parent.and_then(|id| self.version.get(id));
         parent.map_or(FULL_SHARE, |node| FULL_SHARE - node.ring_share.min(FULL_SHARE))
     }
 
-    /// The path of an object's fill beyond its source, if there is more on it than the origin.
+    /// Returns the path of an object's fill beyond its source, or `None` if there is only the origin on it.
     pub fn fill_path(&self, source: &str, object: u64) -> Option<String> {
         let id = self.version.node_id(source)?;
         let path = self.fill_paths.path(&self.version, id, parent_position(object), |_| true);
@@ -181,14 +182,14 @@
     }
 }
 
-/// The preferred sources of the edge caches: of those nodes that no other node fills from.
+/// Returns the preferred sources of the edge caches, which are the nodes that no other node fills from.
 fn edge_parents(version: &Hierarchy) -> BTreeSet<NodeId> {
     let sources: BTreeSet<NodeId> = version.iter().flat_map(|(_, node)| node.sources.to_vec()).collect();
     let edge = version.iter().filter(|(id, node)| node.tier > 1 && !sources.contains(id));
     edge.flat_map(|(id, _)| preferred_sources(version, id)).collect()
 }
 
-/// A node's active sources of the highest tier.
+/// Returns a node's active sources that have the highest tier.
 fn preferred_sources(version: &Hierarchy, id: NodeId) -> Vec<NodeId> {
     let tier = |source: NodeId| version.get(source).map(|node| node.tier);
     let highest = version.active_sources(id).filter_map(tier).max();
@@ -202,28 +203,29 @@
     update: EndpointUpdate,
 }
 
-/// The dispatcher's part of the hierarchy: the applied version, and the parents that it concerns.
+/// The dispatcher's state of the hierarchy: the applied version, and the parents that it affects.
 #[derive(Debug, Default)]
 pub struct ParentHierarchy {
     holder: VersionHolder,
     active: Option<Arc<ActiveHierarchy>>,
     parent_kind: Option<usize>,
-    /// The listed parents by node, to be listed again when a version changes their virtual nodes.
+    /// The listed parents, by node. They are listed again in the router when a version changes their virtual nodes.
     parents: BTreeMap<usize, ListedParent>,
 }
 
 impl ParentHierarchy {
-    /// Without a version. `parent_kind` is the kind of machine that parents are.
+    /// Creates the state without a version. `parent_kind` is the kind of node that parents are.
     pub fn new(parent_kind: Option<usize>) -> ParentHierarchy {
         ParentHierarchy { parent_kind, ..ParentHierarchy::default() }
     }
 
-    /// The applied version.
+    /// Returns the applied version.
     pub fn active(&self) -> Option<&Arc<ActiveHierarchy>> {
         self.active.as_ref()
     }
 
-    /// Sets the withheld virtual nodes of the parents among these updates. A snapshot replaces all earlier updates.
+    /// Sets the number of withheld virtual nodes of each parent among these updates. A snapshot replaces all earlier
+    /// updates.
     pub fn update_parents(
         &mut self,
         updates: &mut [EndpointUpdate],
@@ -245,10 +247,11 @@
         }
     }
 
-    /// Applies an announced version if it is newer than the applied one. Nothing follows from one that is older. One
-    /// that is applied already is reported again, as the report may have been lost.
+    /// Applies an announced version if it is newer than the applied one. A version that is older, or that has the same
+    /// number but other content, is ignored. The version that is already applied is reported again, because the first
+    /// report may have been lost.
     ///
-    /// Returns the parents whose virtual nodes may have changed, as they are to be listed now, and the version to report.
+    /// Returns the listings of the parents whose virtual nodes may have changed, and the version to report.
     pub fn adopt(
         &mut self,
         announcement: &VersionAnnouncement,
@@ -271,7 +274,7 @@
     }
 
     fn activate(&mut self, announcement: &VersionAnnouncement, before: u64) -> Vec<EndpointUpdate> {
-        let VersionAnnouncement { number, version, origin } = announcement;
+        let VersionAnnouncement { number, version, channel } = announcement;
         let active = Arc::new(ActiveHierarchy::new(version));
         let mut updates = Vec::with_capacity(self.parents.len());
         for parent in self.parents.values_mut() {
@@ -281,7 +284,7 @@
         let used = updates.iter().filter(|update| update.withheld_virtual_nodes < FULL_SHARE).count();
         tracing::info!(
             "hierarchy in force version={number} before={before} by={} nodes={} parents={used}",
-            origin.as_str(),
+            channel.as_str(),
             version.len()
         );
         if used == 0 {
--- a/crates/director/src/parent_hierarchy_off.rs
+++ b/crates/director/src/parent_hierarchy_off.rs
@@ -1,5 +1,5 @@
-//! The interface of `parent_hierarchy.rs` for builds without the feature `hierarchy`: no version can be announced, so
-//! there is none to apply.
+//! The interface of `parent_hierarchy.rs` for builds without the feature `hierarchy`: no version can be announced or
+//! applied.
 
 use std::sync::Arc;
 
@@ -15,12 +15,12 @@
     Unsupported,
 }
 
-/// A version that was announced to this director: there can be none.
+/// A version that was announced to this director, of which there is none in this build.
 #[derive(Debug, PartialEq)]
 pub enum VersionAnnouncement {}
 
 impl VersionAnnouncement {
-    /// The version of an event, which this program can't apply.
+    /// Rejects the version of a discovery event, as this build can't apply one.
     ///
     /// # Errors
     /// Always.
@@ -28,13 +28,13 @@
         Err(AnnouncementError::Unsupported)
     }
 
-    /// The version of the settings file, which this program does not read.
+    /// Returns `None`, as this build does not read the settings file.
     pub fn from_settings_file() -> Option<Result<VersionAnnouncement, AnnouncementError>> {
         None
     }
 }
 
-/// The version that a director reports to apply.
+/// The version that a director reports as applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AppliedVersion {
     /// Its number.
@@ -43,33 +43,33 @@
     pub digest: u64,
 }
 
-/// A version that is applied: there is none.
+/// A version that is applied, of which there is none in this build.
 #[derive(Debug)]
 pub enum ActiveHierarchy {}
 
 impl ActiveHierarchy {
-    /// The path of an object's fill beyond its source.
+    /// Returns the path of an object's fill beyond its source.
     pub fn fill_path(&self, _source: &str, _object: u64) -> Option<String> {
         match *self {}
     }
 }
 
-/// The dispatcher's part of the hierarchy, without any effect.
+/// The dispatcher's state of the hierarchy, which has no effect in this build.
 #[derive(Debug, Default)]
 pub struct ParentHierarchy;
 
 impl ParentHierarchy {
-    /// Without a version.
+    /// Creates the state without a version.
     pub fn new(_parent_kind: Option<usize>) -> ParentHierarchy {
         ParentHierarchy
     }
 
-    /// The applied version: none.
+    /// Returns `None`, as no version is applied.
     pub fn active(&self) -> Option<&Arc<ActiveHierarchy>> {
         None
     }
 
-    /// Leaves the updates as they are.
+    /// Leaves the updates unchanged.
     pub fn update_parents(
         &mut self,
         _updates: &mut [EndpointUpdate],
@@ -78,7 +78,7 @@
     ) {
     }
 
-    /// Applies an announced version: there can be none.
+    /// Never called, as no version can be announced.
     pub fn adopt(
         &mut self,
         announcement: &VersionAnnouncement,
--- a/crates/director/src/shared.rs
+++ b/crates/director/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all threads share.
+//! The state that all threads share.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,11 +13,11 @@
 use crate::memory_budget::MemoryBudget;
 use crate::name_table::NameTable;
 
-/// What all threads share.
+/// The state that all threads share.
 pub struct SharedContext {
     /// The names that clients, nodes and discovery use.
     pub names: NameTable,
-    /// The bounds of the program.
+    /// The limits of the program.
     pub limits: Limits,
     /// The local clock.
     pub clock: Clock,
@@ -25,16 +25,16 @@
     pub counters: ConnectionCounters,
     /// The memory for bodies.
     pub memory_budget: Arc<MemoryBudget>,
-    /// The queue to the dispatcher.
+    /// The queue of events to the dispatcher.
     pub events: Sender<Event>,
-    /// When all connections of clients were last looked at.
+    /// When all client connections were last checked.
     clients_checked_at: AtomicU64,
-    /// The longest delay of a thread's wakeup that the dispatcher has not taken yet.
+    /// The longest delay of a thread's wakeup since the dispatcher last took this value.
     wakeup_delay: AtomicU64,
 }
 
 impl SharedContext {
-    /// Also gives the dispatcher's end of the event queue.
+    /// Creates the state, and the dispatcher's end of the event queue.
     pub fn new(names: NameTable, limits: Limits) -> (Arc<SharedContext>, Receiver<Event>) {
         let (events, to_dispatcher) = bounded(limits.event_queue_length);
         let shared = SharedContext {
@@ -50,22 +50,23 @@
         (Arc::new(shared), to_dispatcher)
     }
 
-    /// All that had come from clients at this time, and the ends of their connections, has been read.
+    /// Records that everything that clients had sent by the time `at` has been read, including the ends of their
+    /// connections.
     pub fn record_clients_checked(&self, at: Ns) {
         self.clients_checked_at.store(at, Ordering::Release);
     }
 
-    /// A thread was woken so long after the time that it had asked for.
+    /// Records that a thread was woken `delay` later than it had requested.
     pub fn record_wakeup_delay(&self, delay: Ns) {
         self.wakeup_delay.fetch_max(delay, Ordering::Relaxed);
     }
 
-    /// The longest delay since the last call; 0 if there was none.
+    /// Returns the longest delay since the last call, or 0 if there was none.
     pub fn take_wakeup_delay(&self) -> Ns {
         self.wakeup_delay.swap(0, Ordering::Relaxed)
     }
 
-    /// When it was last known of all clients whether they are there.
+    /// Returns the last time at which it was known for every client whether it was connected.
     pub fn clients_checked_at(&self) -> Ns {
         self.clients_checked_at.load(Ordering::Acquire)
     }
--- a/crates/director/src/source_clock.rs
+++ b/crates/director/src/source_clock.rs
@@ -1,9 +1,10 @@
-//! The clock of whoever stamps the events of discovery, as far as it can be inferred from its stamps.
+//! An estimate of the clock by which discovery events are stamped, inferred from the stamps.
 //!
-//! This machine's wall clock may be off from it by an hour, and step; so ages of stamps are not measured against it. A
-//! stamp that has been received has passed at its source: the latest one, plus the monotonic time since it was
-//! received, is a lower bound of the source's clock. Ages by that bound are never too long: a node that started is
-//! taken as colder than it is by the way of the latest stamp through discovery, and never as warmer.
+//! This machine's wall clock may differ from the source's clock by an hour, and may step, so the age of a stamp is not
+//! measured by it. A stamp that has been received has already passed at its source: the latest stamp, plus the
+//! monotonic time since it was received, is a lower bound of the source's clock. Ages computed from this bound are
+//! never too large. A node that has started counts as colder than it is by the time that the latest stamp took through
+//! discovery, and never as warmer.
 
 use sablecross::Ns;
 
@@ -20,19 +21,19 @@
 }
 
 impl SourceClock {
-    /// A stamp was received at this local time.
+    /// Records a stamp that was received at the local time `now`.
     pub(crate) fn observe(&mut self, stamp: Ns, now: Ns) {
         if stamp > self.lower_bound(now) {
             self.latest = Some(Observation { stamp, received_at: now });
         }
     }
 
-    /// The earliest that the source's clock can be at this local time.
+    /// Returns the earliest time that the source's clock can show at the local time `now`.
     fn lower_bound(&self, now: Ns) -> Ns {
         self.latest.map_or(0, |latest| latest.stamp.saturating_add(now.saturating_sub(latest.received_at)))
     }
 
-    /// The local time of a stamp that was observed, or a later one.
+    /// Converts an observed stamp to local time. The result may be later than the true time, but never earlier.
     pub(crate) fn local_time(&self, stamp: Ns, now: Ns) -> Ns {
         let age = self.lower_bound(now).saturating_sub(stamp);
         now.saturating_sub(age)
--- a/crates/director/src/stall_detector.rs
+++ b/crates/director/src/stall_detector.rs
@@ -1,4 +1,4 @@
-//! How long bytes may have lain unread as this process was stopped, or held to a part of a core.
+//! Detects how long input may have lain unread because this process was stopped, or limited to a part of a core.
 
 use std::time::Duration;
 
@@ -9,41 +9,51 @@
 #[cfg(test)]
 mod tests;
 
-/// What is no longer than this is the usual way through the program.
-const THRESHOLD: Ns = 20 * NS_PER_MS;
+/// Delays up to this length are usual while the program works, and are not reported.
+const STALL_THRESHOLD: Ns = 20 * NS_PER_MS;
 
-/// Watches the waits of one thread.
+/// Observes the waits of one thread.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StallDetector {
     last_wakeup: Ns,
-    /// Found at a wait that may not have reported all that came before its end.
+    /// The time found at the last wait, if that wait may not have reported all input that arrived before its end.
     carried_over: Ns,
 }
 
 impl StallDetector {
-    /// The thread is awake now.
+    /// Creates a detector for a thread that is awake at `now`.
     pub(crate) fn new(now: Ns) -> StallDetector {
         StallDetector { last_wakeup: now, carried_over: 0 }
     }
 
-    /// A wait of at most so long that began at `entered` is over. Returns how long before now, at most, what is found
-    /// then may have come, beside the length of the wait itself; 0 if that is no more than usual. What a wait has not
-    /// reported the next one finds: it was interrupted, or ended late, so that more may have come since it found something.
-    pub(crate) fn on_wakeup(&mut self, entered: Ns, wait: Duration, now: Ns, has_reported_all: bool) -> Ns {
-        let busy = entered.saturating_sub(self.last_wakeup);
+    /// Records the end of a wait that began at `wait_began` and was to last `max_wait` at most. Returns how long, at
+    /// most, the input that is found now may have lain unread, beside the length of the wait itself, or 0 if that is no
+    /// more than usual.
+    ///
+    /// A wait may not have reported all input if it was interrupted, if it found more than it could report, or if it
+    /// ended late, so that more input arrived after it had found something. The next wait finds that input, so the time
+    /// is carried over to it.
+    pub(crate) fn on_wakeup(
+        &mut self,
+        wait_began: Ns,
+        max_wait: Duration,
+        now: Ns,
+        has_reported_all: bool,
+    ) -> Ns {
+        let busy = wait_began.saturating_sub(self.last_wakeup);
         self.last_wakeup = now;
-        let waited = now.saturating_sub(entered);
-        let planned = u64::try_from(wait.as_nanos()).unwrap_or(Ns::MAX);
-        // A wait that lasted longer than it could has ended late: what came may have come at its beginning.
-        let overslept = if waited > planned.saturating_add(THRESHOLD) { waited } else { 0 };
-        let unread = self.carried_over + busy + overslept;
-        let may_have_missed = !has_reported_all || overslept > 0;
+        let waited = now.saturating_sub(wait_began);
+        let planned = u64::try_from(max_wait.as_nanos()).unwrap_or(Ns::MAX);
+        // A wait that lasted longer than its maximum ended late, and the input may have arrived at its beginning.
+        let overrun = if waited > planned.saturating_add(STALL_THRESHOLD) { waited } else { 0 };
+        let unread = self.carried_over + busy + overrun;
+        let may_have_missed = !has_reported_all || overrun > 0;
         self.carried_over = if may_have_missed { unread } else { 0 };
-        if unread > THRESHOLD { unread } else { 0 }
+        if unread > STALL_THRESHOLD { unread } else { 0 }
     }
 
-    /// Whether the next wait is to look at once for what the last one may have missed. What it finds counts from the last
-    /// one's begin, so that nothing may come while it waits.
+    /// Whether the next wait must return at once, to find the input that the last one may have missed. That input
+    /// counts as arrived at the beginning of the last wait, so no other input may arrive during the next one.
     pub(crate) fn must_look_again(&self) -> bool {
         self.carried_over > 0
     }
