--- a/crates/director/src/lib.rs
+++ b/crates/director/src/lib.rs
@@ -1,11 +1,12 @@
 //! One director on real sockets: it answers the requests of clients by forwarding them to cache nodes, parents and the
 //! origin, as the router of the root package decides.
 //!
-//! Three threads hold sockets, in `wire`: one for clients, one for nodes, one for the event stream of discovery. They
-//! send `events` to the dispatcher; the dispatcher, in `dispatch`, owns the router and all requests
-//! in flight, and answers with responses and commands. `process` reads the configuration, starts the threads and
-//! handles signals. `coordination` and `parent_hierarchy` are compiled with the features of their names; the other
-//! modules are values without sockets and threads that these share.
+//! Three threads own sockets, in `wire`: one for clients, one for nodes, and one for the event stream of discovery.
+//! They send `events` to the dispatcher. The dispatcher, in `dispatch`, owns the router and all requests in flight, and
+//! answers with responses and commands. `process` reads the configuration, starts the threads and handles signals.
+//! `coordination` and `parent_hierarchy` are only compiled with the features `coordination` and `hierarchy`; without
+//! them, modules with the same interface and no effect take their place. The other modules are types without sockets
+//! and threads, which the modules above share.
 
 pub mod clock;
 #[cfg_attr(not(feature = "coordination"), path = "coordination_off.rs")]
--- a/crates/director/src/main.rs
+++ b/crates/director/src/main.rs
@@ -1,4 +1,4 @@
-//! One sablecross director: `NODE_CONFIG` names its configuration.
+//! The program of one sablecross director. `NODE_CONFIG` names its configuration file.
 
 use std::process::ExitCode;
 
--- a/crates/director/src/process/config.rs
+++ b/crates/director/src/process/config.rs
@@ -1,4 +1,4 @@
-//! Reads and checks the configuration, a JSON file that `NODE_CONFIG` names.
+//! Reads and validates the configuration, a JSON file that `NODE_CONFIG` names.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use crate::limits::Limits;
 use crate::name_table::NameTable;
 
-/// The variable that names the file.
+/// The environment variable that names the file.
 const FILE_VARIABLE: &str = "NODE_CONFIG";
 
 /// A director's configuration.
@@ -20,26 +20,26 @@
 pub struct Config {
     /// The director's name.
     pub name: String,
-    /// Where it listens for clients.
+    /// The address on which it listens for clients.
     pub listen: SocketAddr,
-    /// The event stream of discovery, then others with the same events, for when it is down.
+    /// The feeds of discovery: the home feed first, then others with the same events, for when the home feed is down.
     pub feeds: Vec<SocketAddr>,
-    /// For the router's random choices.
+    /// The seed of the router's random choices.
     pub seed: u64,
     /// The router's settings.
     pub settings: Settings,
     /// The names that clients, nodes and discovery use.
     pub names: NameTable,
-    /// The bounds of this program.
+    /// The limits of this program.
     pub limits: Limits,
-    /// The events of discovery that are known at the start.
+    /// The discovery events that are known at startup.
     pub known: KnownEvents,
 }
 
-/// Why there is no configuration. Each error names the file.
+/// Why the configuration can't be loaded. Each error names the file, or the environment variable if it is not set.
 #[derive(Debug, Error)]
 pub enum ConfigLoadError {
-    /// No file is named.
+    /// The environment variable is not set.
     #[error("{FILE_VARIABLE}: not set")]
     NotSet,
     /// The file can't be read.
@@ -47,29 +47,29 @@
     Unreadable {
         /// The file.
         path: String,
-        /// Why it can't be read.
+        /// The error of the operating system.
         cause: io::Error,
     },
-    /// It is not JSON, or not all of it is there.
+    /// The file is not JSON, or is incomplete.
     #[error("{cause} ({FILE_VARIABLE}: {path})")]
     InvalidJson {
         /// The file.
         path: String,
-        /// Where it is not.
+        /// The error, which names the place in the file.
         cause: ConfigError,
     },
-    /// A key is missing or faulty.
+    /// A key is missing or invalid.
     #[error("{cause} ({FILE_VARIABLE}: {path})")]
     InvalidSetting {
         /// The file.
         path: String,
-        /// Names the key.
+        /// The error, which names the key.
         cause: ConfigError,
     },
 }
 
 impl ConfigLoadError {
-    /// Whether the file may be readable a little later as it is, or once it has been written to its end.
+    /// Whether the same file may be readable a little later, or once it has been written completely.
     pub fn is_transient(&self) -> bool {
         matches!(self, ConfigLoadError::Unreadable { .. } | ConfigLoadError::InvalidJson { .. })
     }
@@ -78,22 +78,22 @@
 /// What is wrong with a configuration. Each error but the first names the key.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// It is not JSON.
+    /// The text is not JSON.
     #[error("configuration: {0}")]
     Json(#[from] serde_json::Error),
-    /// The key must be there.
+    /// A required key is missing.
     #[error("{key}: missing")]
     Missing {
         /// The key.
         key: String,
     },
-    /// Its value must be a string.
+    /// The value must be a string.
     #[error("{key}: not a string")]
     NotAString {
         /// The key.
         key: String,
     },
-    /// Its value must be an address with a port.
+    /// The value must be an address with a port.
     #[error("{key}: not an address: {value}")]
     NotAnAddress {
         /// The key.
@@ -101,33 +101,33 @@
         /// The value.
         value: String,
     },
-    /// Its value must be a list.
+    /// The value must be a list.
     #[error("{key}: not a list")]
     NotAList {
         /// The key.
         key: &'static str,
     },
-    /// The seed must be hexadecimal digits.
+    /// The seed must be a hexadecimal number.
     #[error("seed: not hexadecimal: {value}")]
     NotHexadecimal {
         /// The value.
         value: String,
     },
-    /// Its value must be a whole number.
+    /// The value must be a whole number.
     #[error("{key}: not a whole number")]
     NotANumber {
         /// The key.
         key: &'static str,
     },
-    /// Its value must be a whole number above 0.
+    /// The value must be a whole number above 0.
     #[error("{key}: not a count: {value}")]
-    NotACount {
+    NotAPositiveNumber {
         /// The key.
         key: String,
         /// The value.
         value: Value,
     },
-    /// Its value is larger than this machine can count.
+    /// The value is larger than a `usize` of this machine.
     #[error("{key}: too large: {value}")]
     TooLarge {
         /// The key.
@@ -135,10 +135,10 @@
         /// The value.
         value: u64,
     },
-    /// An event of discovery that is known at the start can't be used.
+    /// An event that is known at startup can't be used.
     #[error("known.events: {0}")]
     Event(#[from] DiscoveryEventError),
-    /// The settings can't be used.
+    /// The router's settings can't be used.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
 }
@@ -151,7 +151,7 @@
     /// Reads the file that `NODE_CONFIG` names.
     ///
     /// # Errors
-    /// Names the file, and the key at fault.
+    /// Names the file, and the key if one is missing or invalid.
     pub fn load() -> Result<Config, ConfigLoadError> {
         let path = std::env::var(FILE_VARIABLE).map_err(|_| ConfigLoadError::NotSet)?;
         let text = match std::fs::read_to_string(&path) {
@@ -164,10 +164,10 @@
         })
     }
 
-    /// Reads a configuration.
+    /// Parses a configuration.
     ///
     /// # Errors
-    /// Names the key at fault.
+    /// Names the key that is missing or invalid.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let root: Value = serde_json::from_str(text)?;
         let seed = string(&root, "seed")?;
@@ -206,7 +206,7 @@
     text.parse().map_err(|_| ConfigError::NotAnAddress { key: key.to_owned(), value: text.to_owned() })
 }
 
-/// `feed`, and `feeds` where the installation has more than one; the platform names none.
+/// Reads `feed`, and `feeds` if the installation has more than one feed. The platform does not set `feeds`.
 fn feeds(root: &Value) -> Result<Vec<SocketAddr>, ConfigError> {
     let mut feeds = vec![address(root, "feed")?];
     if let Some(more) = root.get("feeds") {
@@ -229,16 +229,17 @@
     Ok(KnownEvents { last, events })
 }
 
-/// One of the machine's limits.
+/// Reads one of the machine's limits.
 fn limit(root: &Value, name: &str) -> Result<usize, ConfigError> {
     let key = format!("limits.{name}");
     let value = root.pointer(&format!("/limits/{name}")).ok_or_else(|| missing(&key))?;
     let count = value.as_u64().filter(|&count| count > 0);
-    let count = count.ok_or_else(|| ConfigError::NotACount { key: key.clone(), value: value.clone() })?;
+    let count =
+        count.ok_or_else(|| ConfigError::NotAPositiveNumber { key: key.clone(), value: value.clone() })?;
     usize::try_from(count).map_err(|_| ConfigError::TooLarge { key, value: count })
 }
 
-/// Nested settings as values by their paths, as the decoder reads them.
+/// Flattens nested settings into values by their paths, as the decoder reads them.
 fn settings_map(settings: &Value) -> SettingsMap {
     let mut pairs = Vec::new();
     flatten(String::new(), settings, &mut pairs);
@@ -258,16 +259,16 @@
             }
         }
         Value::Array(items) => {
-            let items: Vec<String> = items.iter().map(leaf_text).collect();
+            let items: Vec<String> = items.iter().map(scalar_text).collect();
             pairs.push((path, items.join(",")));
         }
-        other => pairs.push((path, leaf_text(other))),
+        other => pairs.push((path, scalar_text(other))),
     }
 }
 
-fn leaf_text(value: &Value) -> String {
+fn scalar_text(value: &Value) -> String {
     match value {
-        // A comma divides the items of a list.
+        // A comma separates the items of a list, so it can't be part of a text.
         Value::String(text) => text.replace([' ', ','], "_"),
         other => other.to_string(),
     }
--- a/crates/director/src/process/director.rs
+++ b/crates/director/src/process/director.rs
@@ -1,4 +1,4 @@
-//! Puts a director together and starts its threads.
+//! Assembles a director and starts its threads.
 
 use std::error::Error as StdError;
 use std::io;
@@ -29,7 +29,7 @@
 use crate::wire::node_pool::NodePool;
 use crate::wire::response_sender::ResponseSender;
 
-/// Why a director can't start, or has ended by itself.
+/// Why a director can't start, or has stopped without a request.
 #[derive(Debug, Error)]
 pub(super) enum RunError {
     #[error("signals: {0}")]
@@ -38,7 +38,7 @@
     Config(#[from] ConfigLoadError),
     #[error("feed: missing")]
     NoFeed,
-    /// The settings file of the coordination or of the hierarchy is faulty; the error names it.
+    /// The settings file of coordination or of the hierarchy is invalid. The error names the file.
     #[error(transparent)]
     SettingsFile(Box<dyn StdError + Send + Sync>),
     #[error("listen: {address}: {cause}")]
@@ -69,15 +69,15 @@
     known: KnownEvents,
 }
 
-/// Runs a director until it has been stopped, or can't serve any more.
+/// Runs a director until it has been stopped, or can no longer serve.
 pub(super) fn run(startup: &StartupRetry) -> Result<(), RunError> {
-    // First of all: a signal that comes during the start must not end the program.
+    // Signals are handled before anything else, because a signal during startup must not end the program.
     let signals = startup.retry(|| Signals::new(HANDLED_SIGNALS)).map_err(RunError::Signals)?;
     let config = load_config(startup)?;
     Director::assemble(signals, config, startup)?.serve(startup)
 }
 
-/// The configuration; one that can't be read for a moment is read again.
+/// Loads the configuration. If the file can't be read because of a transient error, it is read again.
 fn load_config(startup: &StartupRetry) -> Result<Config, ConfigLoadError> {
     loop {
         match Config::load() {
@@ -168,19 +168,19 @@
     }
 }
 
-/// Listens for clients; also the address, which the system chooses where none is set.
+/// Listens for clients. Also returns the address, as the system chooses a port if none is set.
 fn bind_clients(
     address: SocketAddr,
     shared: &Arc<SharedContext>,
     startup: &StartupRetry,
 ) -> Result<(ClientServer, ResponseSender, SocketAddr), RunError> {
-    let failed = |cause| RunError::Listen { address, cause };
-    let (clients, responses) = startup.retry(|| ClientServer::bind(address, shared)).map_err(failed)?;
-    let listen = clients.local_addr().map_err(failed)?;
+    let listen_error = |cause| RunError::Listen { address, cause };
+    let (clients, responses) = startup.retry(|| ClientServer::bind(address, shared)).map_err(listen_error)?;
+    let listen = clients.local_addr().map_err(listen_error)?;
     Ok((clients, responses, listen))
 }
 
-/// Starts the coordination's thread. Requests never depend on it: its end ends nothing else.
+/// Starts the thread of coordination. Requests never depend on it, so the director goes on when it ends.
 fn spawn_agent(agent: Agent, stack_bytes: usize) -> Result<(), RunError> {
     const NAME: &str = "coordination";
     let spawned = thread::Builder::new().name(NAME.into()).stack_size(stack_bytes).spawn(|| agent.serve());
--- a/crates/director/src/process/logging.rs
+++ b/crates/director/src/process/logging.rs
@@ -1,7 +1,7 @@
-//! The log: a line for each event on standard error, with its fields, as text or as JSON.
+//! The log: one line for each event on standard error, with its fields, as text or as JSON.
 //!
-//! Lines are written by a thread of their own. Whoever reads them may stop reading, go, or have no room left on its
-//! disk: the threads that serve never wait for that. Lines that find the queue full are dropped and counted.
+//! A separate thread writes the lines. The reader of standard error may stop reading, exit, or have no disk space left:
+//! the threads that serve requests never wait for that. Lines that find the queue full are dropped and counted.
 
 use std::io::{self, Write, stderr};
 use std::sync::Arc;
@@ -19,23 +19,24 @@
 
 use super::startup::StartupRetry;
 
-/// The variable that selects which modules are logged, and from which level on: `info` if it is not set or can't be read.
+/// The environment variable that selects which modules are logged, and from which level on. The filter is `info` if the
+/// variable is not set or can't be parsed.
 const FILTER_VARIABLE: &str = "RUST_LOG";
-/// The variable that selects how lines are written; `json`: each is an object.
+/// The environment variable that selects the format of the lines. With `json`, each line is a JSON object.
 const FORMAT_VARIABLE: &str = "SABLECROSS_LOG";
-/// Lines that wait to be written.
+/// The maximum number of lines that wait to be written.
 const QUEUE_LENGTH: usize = 4_096;
 const STACK_BYTES: usize = 128 << 10;
-/// How long the end of the program waits for its last lines to be written.
+/// How long the end of the program waits for the last lines to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
 enum Message {
     Line(Vec<u8>),
-    /// All lines before it are to be written; then this is dropped.
+    /// All lines before this message are to be written; then the sender is dropped.
     Flush(Sender<()>),
 }
 
-/// The writer of the threads that log: it queues their lines.
+/// The writer of the threads that log, which queues their lines.
 #[derive(Clone)]
 struct LineQueue {
     messages: Sender<Message>,
@@ -55,7 +56,8 @@
     }
 }
 
-/// Writes lines until the program ends. One that can't be written is lost: there is nowhere else to report it.
+/// Writes lines until the program ends. A line that can't be written is lost, because the error can't be reported
+/// anywhere else.
 fn write_lines(messages: &Receiver<Message>, dropped: &AtomicU64) {
     for message in messages {
         let line = match message {
@@ -73,13 +75,14 @@
     }
 }
 
-/// The log of a program, until it ends.
+/// The log of the program.
 pub(super) struct LogWriter {
     messages: Option<Sender<Message>>,
 }
 
 impl LogWriter {
-    /// Once, at the start of the program. Without a thread for it lines are written directly.
+    /// Starts the log. This is called once, when the program starts. If the thread can't be started, lines are written
+    /// directly.
     pub(super) fn start(startup: &StartupRetry) -> LogWriter {
         let (messages, waiting) = bounded(QUEUE_LENGTH);
         let dropped = Arc::new(AtomicU64::new(0));
@@ -96,22 +99,22 @@
         LogWriter { messages: started.is_ok().then_some(messages) }
     }
 
-    /// Waits a little for the last lines.
+    /// Waits for a bounded time until the last lines are written.
     pub(super) fn flush(self) {
         let Some(messages) = self.messages else { return };
         let (written, done) = bounded(0);
         if messages.send_timeout(Message::Flush(written), FLUSH_TIMEOUT).is_ok() {
-            // It is dropped once its turn has come.
+            // This wait ends when the log thread drops the sender, after it has written all lines before the message.
             let _ = done.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
 
 fn subscribe(writer: BoxMakeWriter) {
-    let asked = std::env::var(FILTER_VARIABLE).unwrap_or_default();
-    let filter = asked.parse::<Targets>().ok().filter(|_| !asked.is_empty());
+    let directives = std::env::var(FILTER_VARIABLE).unwrap_or_default();
+    let filter = directives.parse::<Targets>().ok().filter(|_| !directives.is_empty());
     let filter = filter.unwrap_or_else(|| Targets::new().with_default(Level::INFO));
-    // An error of the log must not be written to the log: that would panic.
+    // An error of the log must not be logged, because that would panic.
     let lines = fmt::layer().with_writer(writer).with_ansi(false).log_internal_errors(false);
     let layer = match std::env::var(FORMAT_VARIABLE).as_deref() {
         Ok("json") => lines.json().flatten_event(true).with_filter(filter).boxed(),
--- a/crates/director/src/process/mod.rs
+++ b/crates/director/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! The director as a program: configuration, log, signals, start and end.
+//! The director as a program: configuration, log, signals, startup and shutdown.
 
 pub mod config;
 mod director;
@@ -11,7 +11,7 @@
 use logging::LogWriter;
 use startup::StartupRetry;
 
-/// Runs a director from its configuration to the last answer, with its log.
+/// Runs a director with its log, from loading its configuration until it has shut down, and returns the exit code.
 pub fn run() -> ExitCode {
     let startup = StartupRetry::new();
     let log = LogWriter::start(&startup);
--- a/crates/director/src/process/signals.rs
+++ b/crates/director/src/process/signals.rs
@@ -1,4 +1,4 @@
-//! What signals ask for: to stop, to log the counters, to read the configuration again.
+//! Handles the signals to stop, to log the counters and to reload the configuration.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -18,11 +18,12 @@
 /// The signals that are handled.
 pub(super) const HANDLED_SIGNALS: [i32; 3] = [SIGHUP, SIGTERM, SIGUSR1];
 
-/// How long a configuration that can't be read, or not all of it, is read again, and how often.
+/// How long a reload is retried if the configuration can't be read or is incomplete.
 const RELOAD_TIMEOUT: Duration = Duration::from_secs(3);
+/// The interval between these retries.
 const RELOAD_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What of the configuration can't change while the director runs.
+/// The part of the configuration that can't change while the director runs.
 pub(super) struct FixedConfig {
     name: String,
     listen: SocketAddr,
@@ -41,27 +42,27 @@
     fixed: FixedConfig,
     events: Sender<Event>,
     moves: Sender<FeedMove>,
-    /// Moves that the discovery client has not come to yet: a later one takes the place of the oldest, so that no
-    /// signal waits behind a feed that is down.
-    superseded_moves: Receiver<FeedMove>,
-    /// Until when a reload that failed is tried again.
-    reload_until: Option<Instant>,
+    /// The moves that the discovery client has not taken yet. If the queue is full, the oldest one is removed to make
+    /// room for a new one, so that no signal waits behind a feed that is down.
+    pending_moves: Receiver<FeedMove>,
+    /// The time until which a failed reload is retried.
+    reload_deadline: Option<Instant>,
 }
 
 impl SignalHandler {
-    /// `superseded_moves` is the other end of `moves`.
+    /// Creates a handler. `pending_moves` is the receiving end of `moves`.
     pub(super) fn new(
         signals: Signals,
         fixed: FixedConfig,
         events: Sender<Event>,
         moves: Sender<FeedMove>,
-        superseded_moves: Receiver<FeedMove>,
+        pending_moves: Receiver<FeedMove>,
     ) -> SignalHandler {
-        SignalHandler { signals, fixed, events, moves, superseded_moves, reload_until: None }
+        SignalHandler { signals, fixed, events, moves, pending_moves, reload_deadline: None }
     }
 
-    /// Handles signals until the dispatcher is gone. A reload that fails is tried again for a while, during which
-    /// other signals are handled: the file may just be being written, or no descriptor be left to read it.
+    /// Handles signals until the dispatcher is gone. A failed reload is retried for a while, during which other signals
+    /// are handled: the file may still be being written, or no descriptor may be left to read it.
     pub(super) fn run(mut self) {
         loop {
             for signal in self.next_signals() {
@@ -69,14 +70,14 @@
                     return;
                 }
             }
-            if let Some(until) = self.reload_until {
-                self.reload(until);
+            if let Some(deadline) = self.reload_deadline {
+                self.reload(deadline);
             }
         }
     }
 
     fn next_signals(&mut self) -> Vec<i32> {
-        if self.reload_until.is_some() {
+        if self.reload_deadline.is_some() {
             std::thread::sleep(RELOAD_RETRY_INTERVAL);
             self.signals.pending().collect()
         } else {
@@ -87,7 +88,7 @@
     fn on_signal(&mut self, signal: i32) -> Result<(), SendError<Event>> {
         match signal {
             SIGHUP => {
-                self.reload_until = Some(Instant::now() + RELOAD_TIMEOUT);
+                self.reload_deadline = Some(Instant::now() + RELOAD_TIMEOUT);
                 self.reload_coordination()?;
                 self.reload_hierarchy()
             }
@@ -96,18 +97,21 @@
         }
     }
 
-    fn reload(&mut self, until: Instant) {
+    fn reload(&mut self, deadline: Instant) {
         match self.reload_config() {
-            Ok(()) => self.reload_until = None,
-            Err(e) if Instant::now() < until && e.is_transient() => tracing::debug!("reload waits: {e}"),
+            Ok(()) => self.reload_deadline = None,
+            Err(e) if Instant::now() < deadline && e.is_transient() => {
+                tracing::debug!("reload: retrying: {e}")
+            }
             Err(e) => {
                 tracing::error!("reload failed, the old configuration stays: {e}");
-                self.reload_until = None;
+                self.reload_deadline = None;
             }
         }
     }
 
-    /// Reads the configuration again: discovery moves, all else takes a restart. A faulty one changes nothing.
+    /// Reloads the configuration. Only the feeds and the known events of discovery are applied; all other changes take
+    /// a restart. An invalid configuration changes nothing.
     fn reload_config(&self) -> Result<(), ConfigLoadError> {
         let config = Config::load()?;
         let unchanged = [
@@ -122,12 +126,12 @@
         let mut latest = FeedMove { feeds: config.feeds, known: config.known };
         while let Err(TrySendError::Full(returned)) = self.moves.try_send(latest) {
             latest = returned;
-            let _ = self.superseded_moves.try_recv();
+            let _ = self.pending_moves.try_recv();
         }
         Ok(())
     }
 
-    /// Reads the coordination's settings file again; an error once the dispatcher is gone.
+    /// Reloads the settings file of coordination. Returns an error if the dispatcher is gone.
     fn reload_coordination(&self) -> Result<(), SendError<Event>> {
         match CoordinationSettings::from_env() {
             Some(Ok(settings)) => self.events.send(Event::CoordinationReloaded(Box::new(settings))),
@@ -139,7 +143,7 @@
         }
     }
 
-    /// Reads the hierarchy's settings file again; an error once the dispatcher is gone.
+    /// Reloads the settings file of the hierarchy. Returns an error if the dispatcher is gone.
     fn reload_hierarchy(&self) -> Result<(), SendError<Event>> {
         match VersionAnnouncement::from_settings_file() {
             Some(Ok(version)) => {
--- a/crates/director/src/process/startup.rs
+++ b/crates/director/src/process/startup.rs
@@ -1,4 +1,4 @@
-//! Calls of the start that fail for a moment are made again, for a bounded time.
+//! Retries calls that fail transiently during startup, for a bounded time.
 
 use std::io::{self, ErrorKind};
 use std::thread;
@@ -9,45 +9,46 @@
 use crate::events::Event;
 use crate::os_error;
 
-/// A start that can't be has ended after this.
+/// How long calls are retried during startup before it fails.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(5);
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Tells the dispatcher when a thread without which the director can't serve ends, even by a panic.
-struct EndOfThread {
+/// Notifies the dispatcher when an essential thread, without which the director can't serve, ends, even by a panic.
+struct ThreadEndNotifier {
     name: &'static str,
     events: Sender<Event>,
 }
 
-impl Drop for EndOfThread {
+impl Drop for ThreadEndNotifier {
     fn drop(&mut self) {
         let _ = self.events.send(Event::ThreadEnded(self.name));
     }
 }
 
-/// Makes calls of the start again.
+/// Retries calls during startup.
 pub(super) struct StartupRetry {
-    until: Instant,
+    deadline: Instant,
 }
 
 impl StartupRetry {
-    /// The start begins now.
+    /// Starts the startup timeout.
     pub(super) fn new() -> StartupRetry {
-        StartupRetry { until: Instant::now() + STARTUP_TIMEOUT }
+        StartupRetry { deadline: Instant::now() + STARTUP_TIMEOUT }
     }
 
-    /// Whether what failed so may go well before the start's time is over; it has waited a little then.
+    /// Whether a call that failed with this error may be retried: the error is transient, and the startup timeout has
+    /// not expired. Waits for the retry interval if so.
     pub(super) fn may_retry(&self, error: &io::Error) -> bool {
-        // The program before this one may not have let go of its address yet.
+        // The previous instance of the program may not have released its address yet.
         let is_transient = os_error::is_local_shortage(error) || error.kind() == ErrorKind::AddrInUse;
-        let may_retry = is_transient && Instant::now() < self.until;
+        let may_retry = is_transient && Instant::now() < self.deadline;
         if may_retry {
             thread::sleep(RETRY_INTERVAL);
         }
         may_retry
     }
 
-    /// Makes a call until it goes well, its error is none that passes, or the start's time is over.
+    /// Repeats a call until it succeeds, fails with an error that is not transient, or the startup timeout expires.
     pub(super) fn retry<T>(&self, mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
         loop {
             match call() {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Starts a thread whose end ends the program.
+    /// Starts an essential thread, whose end ends the program.
     pub(super) fn spawn_essential(
         &self,
         name: &'static str,
@@ -65,18 +66,19 @@
         events: &Sender<Event>,
         run: impl FnOnce() + Send + 'static,
     ) -> io::Result<()> {
-        // What the thread runs is handed over once there is one: a thread that can't be made would drop it.
-        let (hand_over, handed) = bounded::<Box<dyn FnOnce() + Send>>(1);
+        // The closure is sent to the thread once it has started: an attempt to start a thread that fails drops what it
+        // was given, and the closure would be lost for the next attempt.
+        let (closure_sender, closure_receiver) = bounded::<Box<dyn FnOnce() + Send>>(1);
         self.retry(|| {
-            let (events, handed) = (events.clone(), handed.clone());
+            let (events, closure_receiver) = (events.clone(), closure_receiver.clone());
             let body = move || {
-                let _end = EndOfThread { name, events };
-                if let Ok(run) = handed.recv() {
+                let _end = ThreadEndNotifier { name, events };
+                if let Ok(run) = closure_receiver.recv() {
                     run();
                 }
             };
             thread::Builder::new().name(name.into()).stack_size(stack_bytes).spawn(body)
         })?;
-        hand_over.send(Box::new(run)).map_err(|_| ErrorKind::BrokenPipe.into())
+        closure_sender.send(Box::new(run)).map_err(|_| ErrorKind::BrokenPipe.into())
     }
 }
