--- a/crates/director/src/name_table.rs
+++ b/crates/director/src/name_table.rs
@@ -13,9 +13,9 @@
 pub struct NameTable {
     /// The method by which clients call each request class, by the router's index of the class.
     pub classes: Vec<String>,
-    /// The router's index of each zone.
+    /// The router's index of each zone, by the zone's name.
     pub zones: HashMap<String, usize>,
-    /// The router's index of each kind of node.
+    /// The router's index of each kind of node, by the kind's name.
     pub node_kinds: HashMap<String, usize>,
     /// Whether calls of other directors are answered.
     pub answers_peers: bool,
--- a/crates/director/src/node_registry.rs
+++ b/crates/director/src/node_registry.rs
@@ -33,7 +33,7 @@
 /// All known nodes.
 #[derive(Default)]
 pub struct NodeRegistry {
-    /// By the router's index.
+    /// The nodes, by the router's index.
     nodes: Vec<KnownNode>,
     indexes: HashMap<String, usize>,
     free_indexes: Vec<usize>,
--- a/crates/director/src/process/signals.rs
+++ b/crates/director/src/process/signals.rs
@@ -100,9 +100,7 @@
     fn reload(&mut self, deadline: Instant) {
         match self.reload_config() {
             Ok(()) => self.reload_deadline = None,
-            Err(e) if Instant::now() < deadline && e.is_transient() => {
-                tracing::debug!("reload: retrying: {e}")
-            }
+            Err(e) if Instant::now() < deadline && e.is_transient() => tracing::debug!("reload retry: {e}"),
             Err(e) => {
                 tracing::error!("reload failed, the old configuration stays: {e}");
                 self.reload_deadline = None;
