--- a/crates/director/src/coordination_settings.rs
+++ b/crates/director/src/coordination_settings.rs
@@ -224,14 +224,14 @@
         match &form.value {
             SettingsForm::Duty(new) => {
                 if duty.replace(new.clone()).is_some() {
-                    return Err(form.error(file, "duty", "a second one", "keep one"));
+                    return Err(form.error(file, "duty", "a second (duty ...) form", "keep one"));
                 }
             }
             SettingsForm::Voter(new) => {
                 let is_same = |known: &VoterForm| known.number == new.number || known.address == new.address;
                 if voters.iter().any(is_same) {
-                    let problem = "its number or address is another voter's too";
-                    return Err(form.error(file, "voter", problem, "each votes once"));
+                    let problem = "another voter has the same number or address";
+                    return Err(form.error(file, "voter", problem, "each voter needs its own"));
                 }
                 voters.push(new.clone());
             }
--- a/crates/director/src/discovery_event.rs
+++ b/crates/director/src/discovery_event.rs
@@ -89,13 +89,13 @@
 #[derive(Debug, Error)]
 pub enum EventCause {
     /// The event is not of a known kind.
-    #[error("neither members nor a purge")]
+    #[error("neither members, a purge nor a hierarchy")]
     UnknownKind,
     /// A field is missing or has the wrong type.
     #[error(transparent)]
     Fields(#[from] serde_json::Error),
     /// The key of a purge is not a hexadecimal number.
-    #[error("key is no object")]
+    #[error("key is not a 64-bit hexadecimal number")]
     NoObject,
     /// An endpoint has an unknown status.
     #[error("{endpoint}: unknown status {status}")]
--- a/crates/director/src/parent_hierarchy_off.rs
+++ b/crates/director/src/parent_hierarchy_off.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Error)]
 pub enum AnnouncementError {
     /// The program was built without the feature.
-    #[error("a hierarchy, which this program was built without")]
+    #[error("this program was built without the feature `hierarchy`")]
     Unsupported,
 }
 
--- a/crates/director/src/process/config.rs
+++ b/crates/director/src/process/config.rs
@@ -120,7 +120,7 @@
         key: &'static str,
     },
     /// The value must be a whole number above 0.
-    #[error("{key}: not a count: {value}")]
+    #[error("{key}: not a whole number above 0: {value}")]
     NotAPositiveNumber {
         /// The key.
         key: String,
--- a/crates/director/src/process/director.rs
+++ b/crates/director/src/process/director.rs
@@ -32,7 +32,7 @@
 /// Why a director can't start, or has stopped without a request.
 #[derive(Debug, Error)]
 pub(super) enum RunError {
-    #[error("signals: {0}")]
+    #[error("signals: handlers can't be registered: {0}")]
     Signals(io::Error),
     #[error(transparent)]
     Config(#[from] ConfigLoadError),
@@ -43,11 +43,11 @@
     SettingsFile(Box<dyn StdError + Send + Sync>),
     #[error("listen: {address}: {cause}")]
     Listen { address: SocketAddr, cause: io::Error },
-    #[error("connections to nodes: {0}")]
+    #[error("connections to nodes: the poll can't be created: {0}")]
     NodeConnections(io::Error),
-    #[error("coordination: {0}")]
+    #[error("coordination: the poll can't be created: {0}")]
     Coordination(io::Error),
-    #[error("thread {name}: {cause}")]
+    #[error("thread {name}: can't be started: {cause}")]
     Thread { name: &'static str, cause: io::Error },
     #[error(transparent)]
     Dispatch(#[from] DispatchError),
