--- a/crates/director/src/coordination_off.rs
+++ b/crates/director/src/coordination_off.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// Does nothing.
+/// A handle without an agent, which does nothing.
 #[derive(Default)]
 pub struct CoordinationHandle;
 
--- a/crates/director/src/coordination_settings.rs
+++ b/crates/director/src/coordination_settings.rs
@@ -241,6 +241,7 @@
     Ok((duty, voters))
 }
 
+/// Checks the rules that concern several keys or forms.
 fn check_across_forms(file: &str, duty: &DutyForm, voters: &[VoterForm]) -> Result<(), ConfigError> {
     if voters.is_empty() || voters.len() > MAX_VOTERS {
         let problem = format!("between 1 and {MAX_VOTERS} voters are needed");
--- a/crates/director/src/counters.rs
+++ b/crates/director/src/counters.rs
@@ -72,7 +72,7 @@
     pub body_bytes: AtomicU64,
     /// Invalid messages of clients.
     pub bad_messages: AtomicU64,
-    /// Faults of nodes that ended their connection.
+    /// Faults of nodes that caused their connection to be closed.
     pub bad_lines: AtomicU64,
     /// Client connections.
     pub clients: AtomicU64,
--- a/crates/director/src/process/config.rs
+++ b/crates/director/src/process/config.rs
@@ -55,7 +55,7 @@
     InvalidJson {
         /// The file.
         path: String,
-        /// The error, which names the place in the file.
+        /// The error, which names the line and column.
         cause: ConfigError,
     },
     /// A key is missing or invalid.
@@ -75,7 +75,7 @@
     }
 }
 
-/// What is wrong with a configuration. Each error but the first names the key.
+/// What is wrong with a configuration. Each error except the first names the key.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// The text is not JSON.
--- a/crates/director/src/shared.rs
+++ b/crates/director/src/shared.rs
@@ -13,7 +13,7 @@
 use crate::memory_budget::MemoryBudget;
 use crate::name_table::NameTable;
 
-/// The state that all threads share.
+/// The names, limits, clock, counters and queues that all threads use.
 pub struct SharedContext {
     /// The names that clients, nodes and discovery use.
     pub names: NameTable,
@@ -27,7 +27,7 @@
     pub memory_budget: Arc<MemoryBudget>,
     /// The queue of events to the dispatcher.
     pub events: Sender<Event>,
-    /// When all client connections were last checked.
+    /// The time up to which everything that clients had sent has been read.
     clients_checked_at: AtomicU64,
     /// The longest delay of a thread's wakeup since the dispatcher last took this value.
     wakeup_delay: AtomicU64,
