--- a/crates/director/src/process/director.rs
+++ b/crates/director/src/process/director.rs
@@ -180,7 +180,7 @@
     Ok((clients, responses, listen))
 }
 
-/// Starts the thread of coordination. Requests never depend on it, so the director goes on when it ends.
+/// Starts the coordination thread. Requests never depend on it, so the director keeps serving when it ends.
 fn spawn_agent(agent: Agent, stack_bytes: usize) -> Result<(), RunError> {
     const NAME: &str = "coordination";
     let spawned = thread::Builder::new().name(NAME.into()).stack_size(stack_bytes).spawn(|| agent.serve());
--- a/crates/director/src/stall_detector.rs
+++ b/crates/director/src/stall_detector.rs
@@ -27,8 +27,8 @@
     }
 
     /// Records the end of a wait that began at `wait_began` and was to last `max_wait` at most. Returns how long, at
-    /// most, the input that is found now may have lain unread, beside the length of the wait itself, or 0 if that is no
-    /// more than usual.
+    /// most, the input that is found now may have lain unread, not counting the wait itself if it ended in time. The
+    /// result is 0 if that is no more than the stall threshold.
     ///
     /// A wait may not have reported all input if it was interrupted, if it found more than it could report, or if it
     /// ended late, so that more input arrived after it had found something. The next wait finds that input, so the time
