--- a/crates/hierarchy/src/admission.rs
+++ b/crates/hierarchy/src/admission.rs
@@ -1,4 +1,4 @@
-//! Decides whether a version may become the target of a change. A rejection names the node and the cause.
+//! Checks whether a version may become the target of a change. A rejection names the node and the cause.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::topological_order::TopologicalOrder;
 use crate::version::{FULL_SHARE, Hierarchy, HierarchyNode, NodeId};
 
-/// The largest capacity and demand of a node, in requests a second.
+/// The largest capacity and the largest demand of a node, in requests per second.
 const MAX_LOAD: f64 = 1e9;
 
 /// Why a version is rejected.
@@ -22,19 +22,19 @@
     UnknownSource {
         /// The node that names the source.
         node: Arc<str>,
-        /// The name of the source, or its number.
+        /// The name of the missing source, or its number if the name is not known.
         source_name: String,
     },
-    /// A source is not nearer to the origin than the node.
+    /// A source is of a tier that the node may not fill from, or an origin has a source.
     #[error(
         "{node} (tier {tier}): its source {source_name} is of tier {source_tier} (name one nearer to the origin)"
     )]
     SourceTier {
         /// The node that names the source.
         node: Arc<str>,
-        /// Its tier.
+        /// The tier of the node.
         tier: u8,
-        /// The source.
+        /// The name of the source.
         source_name: Arc<str>,
         /// The tier of the source.
         source_tier: u8,
@@ -45,13 +45,13 @@
         /// The node.
         node: Arc<str>,
     },
-    /// A fill could come back to a node that it has passed.
+    /// A fill could return to a node that it has passed.
     #[error("a fill could run in a loop: {} (remove one of these sources)", .path.join(" > "))]
     Cycle {
-        /// The nodes of the loop; the first and the last are the same.
+        /// The nodes of the loop; the first and the last node are the same.
         path: Vec<Arc<str>>,
     },
-    /// The nodes of a tier get more load than they can take together.
+    /// The nodes of a tier together get more load than their total capacity.
     #[error(
         "tier {tier} gets {load:.0} requests a second and can take {capacity:.0} \
          (add to it, or raise the hit ratios below it)"
@@ -59,12 +59,12 @@
     TierOverloaded {
         /// The tier.
         tier: u8,
-        /// Requests a second that it gets.
+        /// The load in requests per second.
         load: f64,
-        /// Requests a second that it can take.
+        /// The capacity in requests per second.
         capacity: f64,
     },
-    /// A node gets more load than it can take.
+    /// A node gets more load than its capacity.
     #[error(
         "{node} gets {load:.0} requests a second and can take {capacity:.0} \
          (give the nodes that fill from it another source)"
@@ -72,20 +72,20 @@
     NodeOverloaded {
         /// The node.
         node: Arc<str>,
-        /// Requests a second that it gets.
+        /// The load in requests per second.
         load: f64,
-        /// Requests a second that it can take.
+        /// The capacity in requests per second.
         capacity: f64,
     },
-    /// The origin gets more load than its ceiling and margin leave.
+    /// The origin gets more load than the ceiling less the margin.
     #[error("the origin gets {load:.0} fetches a second, of {limit:.0} that ceiling and margin leave")]
     OriginOverloaded {
-        /// Fetches a second that it gets.
+        /// The load in fetches per second.
         load: f64,
-        /// Fetches a second that it may get.
+        /// The limit in fetches per second.
         limit: f64,
     },
-    /// Its written form is not one version.
+    /// The spec can't be converted to a version.
     #[error("{0} (give each node one name and one form)")]
     InvalidSpec(#[from] SpecError),
     /// No node is of tier 0.
@@ -103,8 +103,8 @@
     },
 }
 
-/// Admits versions one after another. The topological order of the last one is kept, so that the cost of a check for
-/// loops depends on what changes, not on the size of the version.
+/// Admits successive versions. The topological order of the last one is kept, so that the cost of the loop check depends
+/// on the size of the change, not on the size of the version.
 #[derive(Clone, Debug)]
 pub struct Admission {
     order: TopologicalOrder,
@@ -115,17 +115,18 @@
     /// Admits the first version.
     ///
     /// # Errors
-    /// Why it is rejected.
+    /// The rule that the version violates.
     pub fn new(first: Hierarchy) -> Result<Admission, AdmissionError> {
         let mut admission = Admission::empty(&first);
         admission.admit(&first)?;
         Ok(admission)
     }
 
-    /// Starts from a version that is applied already. It may be an intermediate one, so its load is not checked.
+    /// Starts from a version that is applied already. It may be an intermediate version of a change, so its load is not
+    /// checked.
     ///
     /// # Errors
-    /// What is wrong with its nodes and sources.
+    /// The rule about nodes, sources or loops that the version violates.
     pub fn from_active(version: Hierarchy) -> Result<Admission, AdmissionError> {
         let mut admission = Admission::empty(&version);
         admission.check_nodes_and_cycles(&version)?;
@@ -138,11 +139,11 @@
         Admission { order: TopologicalOrder::default(), last }
     }
 
-    /// Checks a version that a participant is about to apply, which may be an intermediate one. The load is not
-    /// checked: the steps of the plan bound it.
+    /// Checks a version that a participant is about to apply. It may be an intermediate version of a change. The load is
+    /// not checked, because the steps of the plan bound it.
     ///
     /// # Errors
-    /// Why it must not be applied.
+    /// The rule that the version violates; it must not be applied.
     pub fn check_structure(version: &Hierarchy) -> Result<(), AdmissionError> {
         Admission::from_active(version.clone())?;
         check_paths_to_origin(version, RequiredPaths::NodesInUse)
@@ -153,18 +154,18 @@
         &self.last
     }
 
-    /// Admits a version.
+    /// Checks a version and makes it the last admitted one.
     ///
     /// # Errors
-    /// Why it is rejected; the last admitted version stays.
+    /// The rule that the version violates; the last admitted version stays.
     pub fn admit(&mut self, version: &Hierarchy) -> Result<(), AdmissionError> {
         self.check_nodes_and_cycles(version)?;
         let checked =
             check_paths_to_origin(version, RequiredPaths::AllNodes).and_then(|()| check_loads(version));
         if let Err(error) = checked {
-            // The order has the edges of the rejected version; those of the last one, which had no cycle, come back.
+            // The order has the edges of the rejected version. Restore those of the last one, which had no cycle.
             let last = self.last.clone();
-            self.move_edges(version, &last).map_err(|cycle| cycle_error(&last, &cycle))?;
+            self.replace_edges(version, &last).map_err(|cycle| cycle_error(&last, &cycle))?;
             return Err(error);
         }
         self.last = version.clone();
@@ -177,12 +178,12 @@
         }
         check_changed_nodes(&self.last, version)?;
         let last = self.last.clone();
-        self.move_edges(&last, version).map_err(|cycle| cycle_error(version, &cycle))
+        self.replace_edges(&last, version).map_err(|cycle| cycle_error(version, &cycle))
     }
 
-    /// Moves the order from the edges of one version to those of another. On a cycle it is put back as it was, and the
-    /// cycle is returned.
-    fn move_edges(&mut self, from: &Hierarchy, to: &Hierarchy) -> Result<(), Vec<u32>> {
+    /// Replaces the edges of one version with those of another in the topological order. If the new edges close a cycle,
+    /// restores the old ones and returns the cycle.
+    fn replace_edges(&mut self, from: &Hierarchy, to: &Hierarchy) -> Result<(), Vec<u32>> {
         let nodes = to.iter().last().map_or(0, |(id, _)| id as usize + 1);
         self.order.grow(nodes.max(self.order.len()));
         let (mut removed, mut added) = (Vec::new(), Vec::new());
@@ -196,7 +197,7 @@
             if let Err(cycle) = self.order.insert_edge(node, source) {
                 added[..index].iter().for_each(|&(node, source)| self.order.remove_edge(node, source));
                 for &(node, source) in &removed {
-                    // These were there before, so they close no cycle.
+                    // These edges were in the acyclic graph before, so they close no cycle.
                     let _ = self.order.insert_edge(node, source);
                 }
                 return Err(cycle);
@@ -206,7 +207,7 @@
     }
 }
 
-/// The edges from a node to its sources.
+/// The edges from a node to its sources; none if there is no node.
 fn edges(id: NodeId, node: Option<&Arc<HierarchyNode>>) -> Vec<(NodeId, NodeId)> {
     node.map_or_else(Vec::new, |node| node.sources.iter().map(|source| (id, *source)).collect())
 }
@@ -215,8 +216,8 @@
     AdmissionError::Cycle { path: cycle.iter().map(|node| version.node_name(*node).into()).collect() }
 }
 
-/// Checks what concerns a node and its sources alone, for each node that changed. A node whose source was removed has
-/// changed too, or names a source that is not in the version.
+/// Checks the value ranges and the sources of each node that changed. If a node was removed, the sources of all nodes
+/// are checked, since an unchanged node may still name it.
 fn check_changed_nodes(last: &Hierarchy, version: &Hierarchy) -> Result<(), AdmissionError> {
     let mut is_node_removed = false;
     for difference in last.diff(version) {
@@ -248,9 +249,9 @@
             };
             return Err(AdmissionError::UnknownSource { node: Arc::clone(&node.name), source_name });
         };
-        let is_too_far =
+        let is_tier_forbidden =
             if version.rules.allows_siblings { source.tier > node.tier } else { source.tier >= node.tier };
-        if is_too_far || node.is_origin() {
+        if is_tier_forbidden || node.is_origin() {
             return Err(AdmissionError::SourceTier {
                 node: Arc::clone(&node.name),
                 tier: node.tier,
@@ -278,15 +279,15 @@
     Ok(())
 }
 
-/// Which nodes need a path to an origin.
+/// The nodes that need a path to an origin.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum RequiredPaths {
     AllNodes,
-    /// Those that another node may fill from, or that have demand of their own.
+    /// The nodes that another node may fill from, and those that have demand from clients.
     NodesInUse,
 }
 
-/// Checks that nodes lead to an origin over nodes that take requests.
+/// Checks that the required nodes have a path to an origin through nodes that take virtual nodes.
 fn check_paths_to_origin(version: &Hierarchy, required: RequiredPaths) -> Result<(), AdmissionError> {
     let index = NodeIndex::from_versions(&[version]);
     let dependents = dependents(version, &index);
@@ -318,7 +319,7 @@
     }
 }
 
-/// For each node those that may fill from it; none for a node that takes no requests.
+/// For each node the nodes that may fill from it; none for a node that takes no virtual nodes.
 fn dependents(version: &Hierarchy, index: &NodeIndex) -> Vec<Vec<u32>> {
     let mut dependents = vec![Vec::new(); index.ids.len()];
     for (at, id) in index.ids.iter().enumerate() {
@@ -352,7 +353,7 @@
 }
 
 fn check_tier_loads(graph: &FlowGraph<'_>) -> Result<(), AdmissionError> {
-    /// The sums of a tier's nodes, in requests a second.
+    /// Sums over the nodes of a tier, in requests per second.
     #[derive(Clone, Copy, Default)]
     struct TierLoad {
         load: f64,
--- a/crates/hierarchy/src/fill_path.rs
+++ b/crates/hierarchy/src/fill_path.rs
@@ -1,7 +1,7 @@
 //! The path of an object's fill through a version.
 //!
-//! Each tier is a hash ring, built by the decision module's own function. So the fills of one object meet at the same
-//! node of each tier, wherever they come from.
+//! Each tier is a hash ring, which the hash ring of the decision module builds. So all fills of one object that pass a
+//! tier go through the same node of it, whichever node they start at.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,8 @@
 
 use crate::version::{FULL_SHARE, Hierarchy, NodeId};
 
-/// The most nodes that a path passes. A longer one is cut; no admitted version has such a path.
+/// The maximum number of nodes on a path. A longer path is truncated; the tiers of a settings file, 0 to 7, allow one
+/// only through siblings.
 pub const MAX_PATH_LENGTH: usize = 16;
 
 /// The hash rings of one version, one for each tier.
@@ -23,7 +24,7 @@
 pub enum FillRejection {
     /// The fill has passed this node before.
     Loop,
-    /// The fill has passed too many nodes.
+    /// The fill has passed [`MAX_PATH_LENGTH`] nodes or more.
     TooLong,
 }
 
@@ -43,8 +44,8 @@
         FillPaths { rings: rings.collect() }
     }
 
-    /// The source that a node fills an object from, of those that are usable: one of the highest tier, the nearest to
-    /// the object's position on the ring.
+    /// The source that a node fills an object from: of its usable sources of the highest tier, the one that owns the
+    /// object's position on the ring. `None` if no source is usable.
     pub fn next_source(
         &self,
         version: &Hierarchy,
@@ -60,8 +61,8 @@
         self.rings.get(&highest)?.owner(position, is_candidate).map(|index| index as NodeId)
     }
 
-    /// The path of an object's fill from a node to the origin, or as far as there are usable sources. The node itself
-    /// is not part of it.
+    /// The path of an object's fill from a node to the origin, or to the first node that has no usable source. The path
+    /// does not include the node that it starts at.
     pub fn path(
         &self,
         version: &Hierarchy,
@@ -81,11 +82,11 @@
     }
 }
 
-/// Checks whether a node may pass a fill on that names the nodes that it has passed. This catches loops that no plan
-/// allows, should participants apply versions that do not follow one another.
+/// Checks whether a node may forward a fill, given the names of the nodes that the fill has passed. This check stops
+/// loops that no plan allows, which can occur if participants apply versions that are not successive.
 ///
 /// # Errors
-/// Why the fill must not be passed on.
+/// The reason why the node must not forward the fill.
 pub fn check_fill_path<'a>(
     own_name: &str,
     passed: impl Iterator<Item = &'a str>,
--- a/crates/hierarchy/src/lib.rs
+++ b/crates/hierarchy/src/lib.rs
@@ -1,16 +1,16 @@
 //! The hierarchy of parent caches between the edge and the origin, and how it changes in service.
 //!
-//! - [`version`]: one version of the hierarchy, and what differs between two;
-//! - [`spec`]: its written form in settings files, events, messages and logs;
-//! - [`topological_order`]: orders that find loops, incrementally and in full;
-//! - [`admission`]: whether a version may be the target of a change at all;
-//! - [`load_flow`]: the load of each node, and the most it can be while two versions are in use;
+//! - [`version`]: one version of the hierarchy, and the difference between two versions;
+//! - [`spec`]: the serialized form of a version in settings files, events, messages and logs;
+//! - [`topological_order`]: topological orders that detect cycles, incremental and by a full sort;
+//! - [`admission`]: the check whether a version may be the target of a change;
+//! - [`load_flow`]: the load of each node, and its peak while two versions are in use;
 //! - [`plan`](mod@plan): the steps from one version to another;
-//! - [`rollout`]: the state machine that rolls a change out, with its log;
-//! - [`version_holder`]: what a participant keeps of the versions that it is sent;
+//! - [`rollout`]: the state machine that rolls out a change, and its write-ahead log;
+//! - [`version_holder`]: the version that a participant applies;
 //! - [`fill_path`]: the path of an object's fill through a version.
 //!
-//! Nothing here reads a clock, a file or a socket.
+//! The crate does no I/O and reads no clock: callers pass the time in.
 
 pub mod admission;
 pub mod fill_path;
--- a/crates/hierarchy/src/load_flow.rs
+++ b/crates/hierarchy/src/load_flow.rs
@@ -1,9 +1,9 @@
-//! The load of each node, and the most it can be while participants apply two successive versions.
+//! The load of each node, and its peak while participants apply two successive versions.
 //!
-//! A request that a node can't answer itself goes to one of its sources, in proportion to their virtual nodes. The
-//! load is linear in the clients' demand, so the worst mixture of two versions is found exactly by one pass from the
-//! target backwards, in which each node uses the worse of its two versions. Objects that have moved to a node are not
-//! cached there yet: the node passes all requests for them on.
+//! A request that a node can't answer from its cache goes to one of its sources, in proportion to their virtual nodes.
+//! The load is linear in the clients' demand, so the peak over all mixtures of two versions is found exactly by one pass
+//! backwards from the target, in which each node uses whichever of its two versions sends more load to the target.
+//! Objects that have moved to a node are not cached there yet, so the node forwards all requests for them.
 
 use std::sync::Arc;
 
@@ -12,76 +12,76 @@
 use crate::topological_order::topological_sort;
 use crate::version::{COLD_LOAD_FRACTION, Hierarchy, HierarchyNode, HierarchyRules, NodeId};
 
-/// Tolerance of comparisons between sums, in requests a second.
+/// The tolerance for comparisons of sums of loads, in requests per second.
 pub(crate) const LOAD_TOLERANCE: f64 = 1e-6;
 
-/// A node as one version has it, with its sources by their index.
+/// A node of one version, with its sources as indexes of a [`NodeIndex`].
 #[derive(Clone, Debug)]
 pub struct FlowNode {
-    /// The node.
+    /// The node as the version defines it.
     pub node: Arc<HierarchyNode>,
     /// The indexes of its sources.
     pub sources: Vec<u32>,
 }
 
-/// The flow of requests through one version. Nodes are numbered by a [`NodeIndex`].
+/// The flow of requests through one version. All vectors are indexed by the positions of a [`NodeIndex`].
 #[derive(Clone, Debug)]
 pub struct FlowGraph<'a> {
-    /// The nodes; none where the version does not have the node.
+    /// The nodes; `None` for a node that the version does not have.
     pub nodes: Vec<Option<&'a FlowNode>>,
     /// For each node the sources that it may fill from.
     pub possible_sources: Vec<Vec<u32>>,
-    /// The requests a second that each node gets.
+    /// The load of each node, in requests per second.
     pub incoming_load: Vec<f64>,
-    /// All nodes; who fills from whom comes first.
+    /// All nodes, each before its sources.
     pub topological_order: Vec<u32>,
-    /// For each node the sources that it fills from as long as all are up, with their parts of what it passes on.
+    /// For each node the sources that it fills from while all are up, each with its fraction of the forwarded load.
     preferred_sources: Vec<Vec<(u32, f64)>>,
 }
 
 /// Why one version must not follow another.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TransitionViolation {
-    /// A fill could come back to a node that it has passed, along these nodes.
+    /// A fill could return to a node that it has passed, along this path.
     Cycle(Vec<u32>),
     /// A node could get requests while it has no source in one of the two versions.
     NoPathToOrigin(u32),
-    /// A node would get more load than it can take.
+    /// A node could get more load than it can take.
     NodeOverloaded {
         /// The index of the node.
         node: u32,
-        /// Requests a second that it would get.
+        /// The load in requests per second.
         load: f64,
-        /// Requests a second that it can take.
+        /// The capacity at the node's warmth, in requests per second.
         capacity: f64,
     },
-    /// The origin could get more load than its ceiling and margin leave.
+    /// The origin could get more load than the ceiling less the margin.
     OriginOverloaded {
-        /// Fetches a second that it could get.
+        /// The peak load in fetches per second.
         peak: f64,
-        /// Fetches a second that it may get.
+        /// The limit in fetches per second.
         limit: f64,
     },
 }
 
-/// The load of a step from one version to another.
+/// The load during a step from one version to another.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TransitionLoad {
-    /// The most fetches a second that the origin can get.
+    /// The peak load of the origin, in fetches per second.
     pub origin_peak: f64,
-    /// The fetches a second that the origin gets before the step.
+    /// The load of the origin before the step, in fetches per second.
     pub origin_before: f64,
-    /// Requests a second that go to another node than before.
+    /// The load that goes to another node than before the step, in requests per second.
     pub moved_load: f64,
-    /// The warmth, from 0 to 1, that these nodes need before the step.
+    /// The nodes that must be warm to some degree before the step, each with its required warmth from 0 to 1.
     pub required_warmth: Vec<(u32, f64)>,
 }
 
 impl<'a> FlowGraph<'a> {
-    /// The flow through a version.
+    /// Computes the flow through a version.
     ///
     /// # Errors
-    /// A cycle, from a node back to it.
+    /// A cycle; its first and last node are the same.
     pub fn new(nodes: Vec<Option<&'a FlowNode>>) -> Result<FlowGraph<'a>, Vec<u32>> {
         let share = |index: u32| nodes[index as usize].map_or(0, |flow| flow.node.ring_share);
         let takes_requests = |flow: &FlowNode| -> Vec<u32> {
@@ -99,25 +99,25 @@
         Ok(graph)
     }
 
-    /// Adds what each node passes on to the load of its sources.
+    /// Adds the load that each node forwards to the load of its sources.
     fn propagate_load(&mut self) {
         for &index in &self.topological_order {
-            let passed_on = self.incoming_load[index as usize] * self.miss_ratio(index);
+            let forwarded = self.incoming_load[index as usize] * self.miss_ratio(index);
             for &(source, part) in &self.preferred_sources[index as usize] {
-                self.incoming_load[source as usize] += passed_on * part;
+                self.incoming_load[source as usize] += forwarded * part;
             }
         }
     }
 
-    /// The part of its requests that a node passes on.
+    /// The fraction of its requests that a node forwards.
     fn miss_ratio(&self, index: u32) -> f64 {
         self.node(index).map_or(0.0, |node| 1.0 - node.hit_ratio)
     }
 
-    /// The requests a second that a node passes on to each source.
+    /// The load that a node forwards to each source, in requests per second.
     fn outgoing_load(&self, index: u32) -> impl Iterator<Item = (u32, f64)> + '_ {
-        let passed_on = self.incoming_load[index as usize] * self.miss_ratio(index);
-        self.preferred_sources[index as usize].iter().map(move |&(source, part)| (source, passed_on * part))
+        let forwarded = self.incoming_load[index as usize] * self.miss_ratio(index);
+        self.preferred_sources[index as usize].iter().map(move |&(source, part)| (source, forwarded * part))
     }
 
     /// The node with this index, if the version has it.
@@ -146,7 +146,7 @@
     preferred().map(|source| (source, share(source) / total)).collect()
 }
 
-/// The requests a second that a node can take at a warmth from 0 to 1.
+/// The load that a node can take at a warmth from 0 to 1, in requests per second.
 pub fn usable_capacity(node: &HierarchyNode, rules: &HierarchyRules, warmth: f64) -> f64 {
     if warmth >= 1.0 {
         return node.capacity;
@@ -154,7 +154,7 @@
     node.capacity * (COLD_LOAD_FRACTION * rules.collapse_multiple * warmth).min(1.0)
 }
 
-/// The warmth of a node at a Unix time, from 0 to 1, estimated by how long it has been running.
+/// The warmth of a node at the Unix time `now`, from 0 to 1, estimated from the time since its start.
 pub fn warmth(node: &HierarchyNode, rules: &HierarchyRules, now: Ns) -> f64 {
     if node.started_at == 0 || node.is_origin() || rules.slow_start_window == 0 {
         return 1.0;
@@ -171,11 +171,11 @@
     rules: &'a HierarchyRules,
     /// The topological order of both versions together.
     order: Vec<u32>,
-    /// For each node the requests a second that the step moves to it; 0 for the origin.
+    /// For each node the load that the step moves to it, in requests per second; 0 for the origin.
     moved_load: Vec<f64>,
 }
 
-/// Checks whether one version may follow another at the Unix time `now`, whoever applies which of the two.
+/// Checks whether one version may follow another at the Unix time `now`, whichever of the two each participant applies.
 ///
 /// # Errors
 /// The bound that the step would violate.
@@ -187,7 +187,7 @@
 ) -> Result<TransitionLoad, TransitionViolation> {
     let union = union_of_sources(before, after);
     let order = topological_sort(&union).map_err(TransitionViolation::Cycle)?;
-    if let Some(node) = find_stranded(before, after, &union) {
+    if let Some(node) = find_dead_end(before, after, &union) {
         return Err(TransitionViolation::NoPathToOrigin(node));
     }
     let moved_load = moved_load(before, after);
@@ -213,9 +213,10 @@
     .collect()
 }
 
-/// A node that may get requests by one of the versions while it has no source in the other one: a participant that
-/// applies that one could not fill. So a node is listed before it is a source, and no one's source before it goes.
-fn find_stranded(before: &FlowGraph<'_>, after: &FlowGraph<'_>, union: &[Vec<u32>]) -> Option<u32> {
+/// Finds a node that may get requests by one of the versions while it has no source in the other one. If it applied the
+/// other version, it could not fill. So a node has to be in the version before others fill from it, and it can be removed
+/// only when none does any more.
+fn find_dead_end(before: &FlowGraph<'_>, after: &FlowGraph<'_>, union: &[Vec<u32>]) -> Option<u32> {
     let mut is_source = vec![false; union.len()];
     union.iter().flatten().for_each(|&source| is_source[source as usize] = true);
     let is_dead_end = |graph: &FlowGraph<'_>, index: u32| match graph.node(index) {
@@ -229,7 +230,7 @@
     })
 }
 
-/// For each node the requests a second that it gets from another node than before; 0 for the origin.
+/// For each node the load that it gets from nodes that sent it less before, in requests per second; 0 for the origin.
 fn moved_load(before: &FlowGraph<'_>, after: &FlowGraph<'_>) -> Vec<f64> {
     let mut moved = vec![0.0; before.nodes.len()];
     let indexes = 0..before.nodes.len() as u32;
@@ -254,11 +255,11 @@
 }
 
 impl Transition<'_> {
-    /// The most fetches a second that the origin can get.
+    /// Checks the peak load of the origin against its limit, and returns the peak in fetches per second.
     fn check_origin(&self) -> Result<f64, TransitionViolation> {
         let peak = self.peak_load(|index| self.before.is_origin(index) || self.after.is_origin(index));
         let limit = self.rules.ceiling * (1.0 - self.rules.margin);
-        // A step that moves nothing and does not add to the load is possible above the limit too.
+        // Above the limit, a step is still allowed if it moves no load and does not raise the load of the origin.
         let adds_load = peak > self.before.origin_load() + LOAD_TOLERANCE
             || self.moved_load.iter().any(|&moved| moved > LOAD_TOLERANCE);
         if peak > limit + LOAD_TOLERANCE && adds_load {
@@ -267,7 +268,7 @@
         Ok(peak)
     }
 
-    /// The nodes that have to be warm before the step, with the warmth that they need.
+    /// Checks the load of all nodes except the origin, and returns those that need warmth before the step.
     fn check_nodes(&self, now: Ns) -> Result<Vec<(u32, f64)>, TransitionViolation> {
         let mut required_warmth = Vec::new();
         for index in 0..self.before.nodes.len() as u32 {
@@ -280,7 +281,8 @@
         Ok(required_warmth)
     }
 
-    /// The warmth that a node needs before the step, if it is cold and gets more than it can take when coldest.
+    /// Checks the load of a node. Returns the warmth that it needs before the step if it is cold and its load rises above
+    /// its capacity at the initial warmth.
     fn check_node(
         &self,
         index: u32,
@@ -289,15 +291,15 @@
     ) -> Result<Option<f64>, TransitionViolation> {
         let old = self.before.incoming_load[index as usize];
         let new = self.after.incoming_load[index as usize];
-        let gets_more = new > old + LOAD_TOLERANCE;
-        if new > node.capacity + LOAD_TOLERANCE && gets_more {
+        let load_rises = new > old + LOAD_TOLERANCE;
+        if new > node.capacity + LOAD_TOLERANCE && load_rises {
             return Err(TransitionViolation::NodeOverloaded {
                 node: index,
                 load: new,
                 capacity: node.capacity,
             });
         }
-        if warmth(node, self.rules, now) >= 1.0 || !gets_more {
+        if warmth(node, self.rules, now) >= 1.0 || !load_rises {
             return Ok(None);
         }
         let load = self.peak_load(|target| target == index);
@@ -305,7 +307,7 @@
         if load <= capacity + LOAD_TOLERANCE {
             return Ok(None);
         }
-        // A node that gets requests already warms up while the step waits; one that gets none stays cold.
+        // A node that gets requests already warms up while the step waits. A node that gets none stays cold.
         let gets_requests = old > 0.0 && self.before.node(index).is_some_and(|node| node.ring_share > 0);
         if !gets_requests {
             return Err(TransitionViolation::NodeOverloaded { node: index, load, capacity });
@@ -314,18 +316,18 @@
         Ok(Some((load / full_load.max(f64::MIN_POSITIVE)).min(1.0)))
     }
 
-    /// The most that the targets can get together, in requests a second, over all mixtures of the two versions.
+    /// The peak of the load that the targets get together, in requests per second, over all mixtures of the two versions.
     fn peak_load(&self, is_target: impl Fn(u32) -> bool) -> f64 {
-        // For each node the requests that reach a target for one that comes to the node.
+        // For each node the number of requests that reach a target for each request that the node gets.
         let mut reach = vec![0.0f64; self.before.nodes.len()];
         let mut peak = 0.0;
         for &index in self.order.iter().rev() {
             let at = index as usize;
-            // The same for one that the node passes on.
-            let passed_on = |graph: &FlowGraph<'_>| -> f64 {
+            // The number of requests that reach a target for each request that the node forwards.
+            let reach_of_forwarded = |graph: &FlowGraph<'_>| -> f64 {
                 graph.preferred_sources[at].iter().map(|&(source, part)| part * reach[source as usize]).sum()
             };
-            let (old, new) = (passed_on(self.before), passed_on(self.after));
+            let (old, new) = (reach_of_forwarded(self.before), reach_of_forwarded(self.after));
             let is_target = is_target(index);
             reach[at] = if is_target {
                 1.0
@@ -343,15 +345,15 @@
     }
 }
 
-/// Numbers the nodes of some versions without gaps.
+/// Assigns consecutive indexes to the nodes of one or more versions.
 #[derive(Clone, Debug, Default)]
 pub struct NodeIndex {
-    /// The node at each index, in ascending order.
+    /// The id of the node at each index, in ascending order.
     pub ids: Vec<NodeId>,
 }
 
 impl NodeIndex {
-    /// All nodes of these versions.
+    /// Indexes all nodes of these versions.
     pub fn from_versions(versions: &[&Hierarchy]) -> NodeIndex {
         let mut ids: Vec<NodeId> = versions.iter().flat_map(|h| h.iter().map(|(id, _)| id)).collect();
         ids.sort_unstable();
@@ -359,18 +361,18 @@
         NodeIndex { ids }
     }
 
-    /// The index of a node.
+    /// The index of a node, if one of the versions has it.
     pub fn position(&self, id: NodeId) -> Option<u32> {
         self.ids.binary_search(&id).ok().map(|index| index as u32)
     }
 
-    /// A node with its sources' indexes. Sources that no version has are left out.
+    /// Converts the sources of a node to indexes. Sources that none of the versions has are left out.
     pub fn flow_node(&self, node: &Arc<HierarchyNode>) -> FlowNode {
         let sources = node.sources.iter().filter_map(|source| self.position(*source)).collect();
         FlowNode { node: Arc::clone(node), sources }
     }
 
-    /// The nodes of a version at their indexes.
+    /// The nodes of a version, by index; `None` for a node that the version does not have.
     pub fn flow_nodes(&self, version: &Hierarchy) -> Vec<Option<FlowNode>> {
         self.ids.iter().map(|id| version.get(*id).map(|node| self.flow_node(node))).collect()
     }
--- a/crates/hierarchy/src/plan/mod.rs
+++ b/crates/hierarchy/src/plan/mod.rs
@@ -1,17 +1,17 @@
 //! Plans the steps from one version of the hierarchy to another.
 //!
-//! During a step each participant applies either the version before it or the version after it. Whoever applies which,
-//! no fill may run in a loop, no cold node may get more load than it can take, and the origin has to stay below its
-//! ceiling.
+//! During a step each participant applies either the version before the step or the version after it. Whichever each of
+//! them applies, no fill may run in a loop, no cold node may get more load than it can take, and the load of the origin
+//! has to stay below the ceiling less the margin.
 //!
-//! Each node that changes has a track (`tracks`): the states that it passes through. A node that joins the ring of its
-//! tier takes its virtual nodes in quarters, one that leaves gives them up in quarters, and one that changes its tier
-//! does both, with its sources changed in between, when no one fills from it. A step advances any number of tracks by
-//! any number of states.
+//! Each node that changes has a track (`tracks`): the sequence of states that it passes through. A node that joins the
+//! ring of its tier takes its virtual nodes in quarters, a node that leaves gives them up in quarters, and a node that
+//! changes its tier does both, with its sources changed in between, while no node fills from it. A step advances any
+//! number of tracks by any number of states.
 //!
-//! For small changes a breadth-first search (`search`) finds the fewest steps that there are. For large ones a sweep
-//! (`sweep`) advances as many tracks as a step can take, those nearest to the origin first: a node whose new sources
-//! are all in place can't close a loop, so that loops alone never stop the sweep.
+//! For small changes, a breadth-first search (`search`) finds a plan with the fewest steps. For large changes, a greedy
+//! sweep (`sweep`) advances as many tracks in each step as the bounds allow, those of the nodes nearest to the origin
+//! first. A node whose new sources are all in place can't close a loop, so loops alone never block the sweep.
 
 mod schedule;
 mod search;
@@ -28,29 +28,29 @@
 
 pub use self::sweep::MAX_SWEEP_EVALUATIONS;
 
-/// The numbers of parts in which virtual nodes are taken and given up. A change for which no plan is found is tried
-/// again with finer parts.
+/// The numbers of equal parts in which nodes take and give up their virtual nodes. If no plan is found with one number,
+/// the next one is tried, so that less load moves at a time.
 const SHARE_PARTS: [u16; 3] = [4, 16, 64];
 
-/// The most combinations of states for which the fewest steps are searched.
+/// The largest number of combinations of states for which the fewest steps are searched.
 const MAX_SEARCHED_STATES: usize = 768;
 
-/// One step of a plan: the version that follows, and what the step costs.
+/// One step of a plan: the version that it publishes, its load and its preconditions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlanStep {
     /// The version that is published.
     pub target: Hierarchy,
-    /// The nodes that differ from the version before.
+    /// The nodes that differ from the previous version.
     pub changed_nodes: Vec<NodeId>,
-    /// The most fetches a second that the origin can get during the step.
+    /// The peak load of the origin during the step, in fetches per second.
     pub origin_peak: f64,
-    /// The fetches a second that the origin gets before the step.
+    /// The load of the origin before the step, in fetches per second.
     pub origin_before: f64,
-    /// Requests a second that go to another node than before.
+    /// The load that goes to another node than before the step, in requests per second.
     pub moved_load: f64,
     /// The warmth that nodes need before the step.
     pub required_warmth: Vec<RequiredWarmth>,
-    /// How long after the previous step this one may start at the earliest.
+    /// The minimum time between the previous step and this one.
     pub min_delay: Ns,
 }
 
@@ -66,25 +66,25 @@
 /// The steps of a change.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// The steps in their order; none if the two versions have the same nodes.
+    /// The steps in order; none if the two versions have the same nodes.
     pub steps: Vec<PlanStep>,
-    /// Whether no plan over the same states has fewer steps.
+    /// Whether the plan is known to have the fewest steps of all plans over the same states.
     pub is_minimal: bool,
-    /// How many candidate steps were evaluated.
+    /// The number of candidate steps that were evaluated.
     pub evaluations: usize,
 }
 
-/// Why there is no plan: the bound that was exceeded least.
+/// Why no plan was found. Of all bounds that candidate steps exceeded, this is the one with the smallest excess.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum PlanError {
-    /// A fill could come back to a node that it has passed.
+    /// A fill could return to a node that it has passed.
     #[error("after {done} of {of} moves a fill could run in a loop: {}", .path.join(" > "))]
     Cycle {
-        /// The moves that were possible.
+        /// The number of state changes (moves) that were possible.
         done: usize,
-        /// The moves of the whole change.
+        /// The number of state changes (moves) of the whole change.
         of: usize,
-        /// The nodes of the loop; the first and the last are the same.
+        /// The nodes of the loop; the first and the last node are the same.
         path: Vec<Arc<str>>,
     },
     /// A node could get requests while none of its sources leads to the origin.
@@ -92,57 +92,58 @@
         "after {done} of {of} moves {node} could get requests and has no path to the origin (give it a source)"
     )]
     NoPathToOrigin {
-        /// The moves that were possible.
+        /// The number of state changes (moves) that were possible.
         done: usize,
-        /// The moves of the whole change.
+        /// The number of state changes (moves) of the whole change.
         of: usize,
         /// The node.
         node: Arc<str>,
     },
-    /// A node would get more load than it can take.
+    /// A node could get more load than it can take.
     #[error(
         "after {done} of {of} moves {node} would get {load:.0} requests a second and could take {capacity:.0}: \
          raise its capacity, or start it earlier"
     )]
     NodeOverloaded {
-        /// The moves that were possible.
+        /// The number of state changes (moves) that were possible.
         done: usize,
-        /// The moves of the whole change.
+        /// The number of state changes (moves) of the whole change.
         of: usize,
         /// The node.
         node: Arc<str>,
-        /// Requests a second that it would get.
+        /// The load in requests per second.
         load: f64,
-        /// Requests a second that it can take then.
+        /// The capacity at the node's warmth, in requests per second.
         capacity: f64,
     },
-    /// The origin could get more load than its ceiling and margin leave.
+    /// The origin could get more load than the ceiling less the margin.
     #[error(
         "after {done} of {of} moves the origin could get {peak:.0} fetches a second, of {limit:.0}: \
          raise the ceiling, or move less at a time"
     )]
     OriginOverloaded {
-        /// The moves that were possible.
+        /// The number of state changes (moves) that were possible.
         done: usize,
-        /// The moves of the whole change.
+        /// The number of state changes (moves) of the whole change.
         of: usize,
-        /// Fetches a second that it could get.
+        /// The peak load in fetches per second.
         peak: f64,
-        /// Fetches a second that it may get.
+        /// The limit in fetches per second.
         limit: f64,
     },
-    /// The change is too large for the bound on the planner's work.
+    /// The change is too large for the limit on evaluated candidate steps.
     #[error(
-        "too much at once: {evaluations} steps were tried and none ended it; change fewer nodes at a time"
+        "the change is too large: no plan was found after {evaluations} candidate steps; change fewer nodes at a time"
     )]
     TooLarge {
-        /// The candidate steps that were evaluated.
+        /// The number of candidate steps that were evaluated.
         evaluations: usize,
     },
 }
 
 impl PlanError {
-    /// How far past its bound a step was. The least excess of all candidates is what stands in the way of each plan.
+    /// The ratio of a step's load to its bound; a loop or a missing path counts as larger than any ratio. The smallest
+    /// excess of all candidates belongs to the bound that stands in the way of every plan.
     fn excess(&self) -> f64 {
         match self {
             PlanError::Cycle { .. } | PlanError::NoPathToOrigin { .. } => f64::MAX,
@@ -152,56 +153,57 @@
         }
     }
 
-    /// The error with the smaller excess; the earlier one of two that are equal.
-    fn milder(earlier: Option<PlanError>, later: PlanError) -> PlanError {
+    /// Returns the error with the smaller excess, or the earlier one if both are equal.
+    fn with_smaller_excess(earlier: Option<PlanError>, later: PlanError) -> PlanError {
         earlier.filter(|earlier| earlier.excess() <= later.excess()).unwrap_or(later)
     }
 }
 
-/// The positions after each step of a plan.
-struct Route {
-    stops: Vec<Position>,
+/// The position after each step of a plan.
+struct StepPositions {
+    positions: Vec<Position>,
     is_minimal: bool,
 }
 
-/// Plans the steps from the committed version to one that was admitted, at the Unix time `now`.
+/// Plans the steps from the committed version to an admitted one, at the Unix time `now`.
 ///
 /// # Errors
-/// The bound that stands in the way if no plan was found.
+/// The bound with the smallest excess, if no plan was found.
 pub fn plan(from: &Hierarchy, to: &Hierarchy, now: Ns) -> Result<Plan, PlanError> {
     let mut evaluations = 0;
-    let mut mildest = None;
+    let mut least_exceeded = None;
     for parts in SHARE_PARTS {
         let space = PlanSpace::new(from, to, now, parts);
-        match find_route(&space, &mut evaluations) {
-            Ok(route) => {
-                let steps = schedule::steps(&space, &route.stops);
-                return Ok(Plan { steps, is_minimal: route.is_minimal, evaluations });
+        match find_steps(&space, &mut evaluations) {
+            Ok(found) => {
+                let steps = schedule::steps(&space, &found.positions);
+                return Ok(Plan { steps, is_minimal: found.is_minimal, evaluations });
             }
-            Err(error) => mildest = Some(PlanError::milder(mildest, error)),
+            Err(error) => least_exceeded = Some(PlanError::with_smaller_excess(least_exceeded, error)),
         }
     }
-    Err(mildest.unwrap_or(PlanError::TooLarge { evaluations }))
+    Err(least_exceeded.unwrap_or(PlanError::TooLarge { evaluations }))
 }
 
-fn find_route(space: &PlanSpace<'_>, evaluations: &mut usize) -> Result<Route, PlanError> {
+fn find_steps(space: &PlanSpace<'_>, evaluations: &mut usize) -> Result<StepPositions, PlanError> {
     if space.state_count() <= MAX_SEARCHED_STATES {
         let mut searched = 0;
         let found = search::fewest_steps(space, &mut searched);
         *evaluations += searched;
         match found {
-            // It may still be found with more steps than the fewest.
+            // The sweep may still find a plan, though not one with the fewest steps.
             Err(PlanError::TooLarge { .. }) => {}
-            found => return found.map(|stops| Route { stops, is_minimal: true }),
+            found => return found.map(|positions| StepPositions { positions, is_minimal: true }),
         }
     }
     let mut swept = 0;
     let found = sweep::large_steps(space, &mut swept);
     *evaluations += swept;
-    found.map(|stops| Route { stops, is_minimal: false })
+    found.map(|positions| StepPositions { positions, is_minimal: false })
 }
 
-/// A single step from one version to another, without any check: to revert a step, and for comparison.
+/// Returns a single step from one version to another without any check. It serves to revert a step, to change rules
+/// alone, and for comparison with a plan.
 pub fn direct_step(from: &Hierarchy, to: &Hierarchy) -> PlanStep {
     PlanStep {
         target: to.clone(),
--- a/crates/hierarchy/src/plan/schedule.rs
+++ b/crates/hierarchy/src/plan/schedule.rs
@@ -1,4 +1,4 @@
-//! Turns the positions of a route into steps: the version of each, its load, and when it may start.
+//! Converts the positions of a plan to steps: the version of each step, its load, and the time at which it may start.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,24 +10,24 @@
 use crate::load_flow::{TransitionLoad, warmth};
 use crate::version::{Hierarchy, HierarchyNode, NodeId};
 
-/// The steps of a route.
-pub(super) fn steps(space: &PlanSpace<'_>, stops: &[Position]) -> Vec<PlanStep> {
+/// The steps that lead through these positions.
+pub(super) fn steps(space: &PlanSpace<'_>, positions: &[Position]) -> Vec<PlanStep> {
     let mut schedule = Schedule::new(space);
-    stops.iter().map(|position| schedule.next_step(position)).collect()
+    positions.iter().map(|position| schedule.next_step(position)).collect()
 }
 
-/// Where a plan stands after some of its steps.
+/// The state after the steps that were scheduled so far.
 struct Schedule<'a> {
     space: &'a PlanSpace<'a>,
     position: Position,
-    /// The version with all sources, also with those that are not in it (yet, or any more).
+    /// The version with all sources, including those that are not in the version yet or not any more.
     version: Hierarchy,
-    /// The version as it is published.
+    /// The version as it is published, without sources that are not in it.
     published: Hierarchy,
-    /// When each node gets its first request, of those that get one by a step of this plan.
+    /// The time of the first request of each node that a step of this plan lets take requests.
     first_requests: BTreeMap<u32, Ns>,
     time: Ns,
-    /// Whether the last step moved load, so that objects have to be filled.
+    /// Whether the last step moved load, so that the objects that moved have to be filled before the next step.
     has_moved_load: bool,
 }
 
@@ -53,7 +53,7 @@
         self.has_moved_load = load.moved_load > 0.0;
 
         let changes = self.changes_to(position);
-        self.note_first_requests(&changes);
+        self.record_first_requests(&changes);
         self.version = self.version.with_changes(changes);
         let target = without_missing_sources(&self.version);
         let changed_nodes = self.published.diff(&target).map(|difference| difference.node).collect();
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The load of the step to a position, which the planner has checked before.
+    /// The load of the step to a position. The planner has checked the step, so its evaluation succeeds.
     fn transition_load(&self, position: &Position) -> TransitionLoad {
         let mut evaluations = 0;
         let before = self.space.flow_graph(&self.position).ok();
@@ -84,20 +84,21 @@
         load.unwrap_or_default()
     }
 
-    /// How long after the last step the next one may start: once moved objects are filled and nodes are warm enough.
+    /// The minimum time between the last step and the next one: until moved objects are filled and all nodes have the
+    /// required warmth.
     fn min_delay(&self, load: &TransitionLoad) -> Ns {
         let fill_time = if self.has_moved_load { self.space.to.rules.fill_window } else { 0 };
         let ready = load.required_warmth.iter().map(|&(node, required)| self.warm_at(node, required));
         ready.fold(fill_time, |delay, ready| delay.max(ready.saturating_sub(self.time)))
     }
 
-    /// When a node has the required warmth. It warms up from its first request on.
+    /// The time at which a node has the required warmth. A node warms up from its first request on.
     fn warm_at(&self, node: u32, required: f64) -> Ns {
         let (space, rules) = (self.space, &self.space.to.rules);
         let initial = rules.slow_start_initial_share;
         let (since, at_start) = match self.first_requests.get(&node) {
             Some(&first_request) => (first_request, initial),
-            // A node that got requests before the plan has the warmth that it has.
+            // A node that got requests before this plan is as warm as the time since its start implies.
             None => {
                 let node = space.from.get(space.index.ids[node as usize]);
                 (space.now, node.map_or(initial, |node| warmth(node, rules, space.now)))
@@ -107,7 +108,7 @@
         since + (part * rules.slow_start_window as f64) as Ns
     }
 
-    /// The nodes that differ between the current position and the next one.
+    /// The nodes whose states differ between the current position and the given one, each with its new state.
     fn changes_to(&self, position: &Position) -> Vec<(NodeId, Option<Arc<HierarchyNode>>)> {
         let mut changes = Vec::new();
         for (index, track) in self.space.tracks.iter().enumerate() {
@@ -120,7 +121,7 @@
         changes
     }
 
-    fn note_first_requests(&mut self, changes: &[(NodeId, Option<Arc<HierarchyNode>>)]) {
+    fn record_first_requests(&mut self, changes: &[(NodeId, Option<Arc<HierarchyNode>>)]) {
         for (id, node) in changes {
             let takes_requests = node.as_ref().is_some_and(|node| node.ring_share > 0);
             if let Some(index) = self.space.index.position(*id)
@@ -132,7 +133,7 @@
     }
 }
 
-/// The version without sources that are not in it: no one fills from these.
+/// Removes sources that are not in the version, from which no node fills.
 fn without_missing_sources(version: &Hierarchy) -> Hierarchy {
     let mut changes: Vec<(NodeId, Option<Arc<HierarchyNode>>)> = Vec::new();
     for (id, node) in version.iter() {
--- a/crates/hierarchy/src/plan/search.rs
+++ b/crates/hierarchy/src/plan/search.rs
@@ -1,25 +1,26 @@
-//! Finds the fewest steps of a small change: breadth first over all combinations of states.
+//! Finds the fewest steps of a small change by a breadth-first search over all combinations of states.
 
 use super::PlanError;
 use super::tracks::{PlanSpace, Position};
 
-/// The most candidate steps that are evaluated. Each costs time in proportion to nodes and sources.
+/// The maximum number of candidate steps that are evaluated. The time of each is proportional to the number of nodes and
+/// sources.
 const MAX_SEARCH_EVALUATIONS: usize = 8_000;
 
-/// A state is an index into `positions`; the first is the start, the last the end of all tracks.
+/// A breadth-first search. A state is an index into `positions`: the first is the start of all tracks, the last their end.
 struct Search<'a> {
     space: &'a PlanSpace<'a>,
     positions: Vec<Position>,
-    /// The state from which each state was reached first.
+    /// The state from which each state was reached first; `None` for the start and for states not reached.
     parents: Vec<Option<usize>>,
     reached: Vec<bool>,
-    mildest: Option<PlanError>,
+    least_exceeded: Option<PlanError>,
 }
 
-/// The positions after each of the fewest steps.
+/// Finds the positions after each step of a plan with the fewest steps.
 ///
 /// # Errors
-/// The bound that stands in the way, or [`PlanError::TooLarge`].
+/// The bound with the smallest excess if there is no plan, or [`PlanError::TooLarge`].
 pub(super) fn fewest_steps(
     space: &PlanSpace<'_>,
     evaluations: &mut usize,
@@ -30,9 +31,9 @@
         level = search.next_level(&level, evaluations)?;
     }
     if search.is_goal_reached() {
-        return Ok(search.route());
+        return Ok(search.positions_to_goal());
     }
-    Err(search.mildest.unwrap_or(PlanError::TooLarge { evaluations: *evaluations }))
+    Err(search.least_exceeded.unwrap_or(PlanError::TooLarge { evaluations: *evaluations }))
 }
 
 impl<'a> Search<'a> {
@@ -40,7 +41,7 @@
         let positions = all_positions(space);
         let mut reached = vec![false; positions.len()];
         reached[0] = true;
-        Search { space, parents: vec![None; positions.len()], positions, reached, mildest: None }
+        Search { space, parents: vec![None; positions.len()], positions, reached, least_exceeded: None }
     }
 
     fn goal(&self) -> usize {
@@ -51,7 +52,7 @@
         self.reached[self.goal()]
     }
 
-    /// The states that one step from a state of this level reaches, and no earlier step did.
+    /// Finds the states that one step from a state of this level reaches and that were not reached before.
     fn next_level(&mut self, level: &[usize], evaluations: &mut usize) -> Result<Vec<usize>, PlanError> {
         let mut next = Vec::new();
         for &from in level {
@@ -69,9 +70,10 @@
         evaluations: &mut usize,
         next: &mut Vec<usize>,
     ) -> Result<(), PlanError> {
-        // A state that is reached contains no loop: its step was checked.
+        // A reached state contains no loop, because the step that reached it was checked.
         let Ok(before) = self.space.flow_graph(&self.positions[from]) else { return Ok(()) };
-        // Those that advance the most come first, so that of plans with equally many steps the quicker one is found.
+        // The states that advance the most are tried first, so that of plans with equally many steps the one that
+        // advances faster is found.
         for to in (from + 1..self.positions.len()).rev() {
             if self.reached[to] || !is_ahead(&self.positions[from], &self.positions[to]) {
                 continue;
@@ -90,23 +92,24 @@
                 }
                 Err(violation) => {
                     let error = self.space.error(&self.positions[from], violation);
-                    self.mildest = Some(PlanError::milder(self.mildest.take(), error));
+                    self.least_exceeded =
+                        Some(PlanError::with_smaller_excess(self.least_exceeded.take(), error));
                 }
             }
         }
         Ok(())
     }
 
-    /// The positions from the start, without it, to the goal.
-    fn route(&self) -> Vec<Position> {
-        let mut stops = Vec::new();
+    /// The positions on the way from the start to the goal, without the start.
+    fn positions_to_goal(&self) -> Vec<Position> {
+        let mut path = Vec::new();
         let mut state = self.goal();
         while let Some(parent) = self.parents[state] {
-            stops.push(self.positions[state].clone());
+            path.push(self.positions[state].clone());
             state = parent;
         }
-        stops.reverse();
-        stops
+        path.reverse();
+        path
     }
 }
 
@@ -124,7 +127,7 @@
     (0..space.state_count()).map(decode).collect()
 }
 
-/// Whether no track goes back from one position to the other.
+/// Whether no track is at an earlier state in `to` than in `from`.
 fn is_ahead(from: &Position, to: &Position) -> bool {
     from.iter().zip(to).all(|(from, to)| to >= from)
 }
--- a/crates/hierarchy/src/plan/sweep.rs
+++ b/crates/hierarchy/src/plan/sweep.rs
@@ -1,34 +1,35 @@
-//! Plans a large change: each step advances as many tracks as it can.
+//! Plans a large change with a greedy sweep: each step advances as many tracks as the bounds allow.
 
 use super::PlanError;
 use super::tracks::{PlanSpace, Position};
 use crate::load_flow::{FlowGraph, TransitionViolation};
 
-/// The most candidate steps that are evaluated. Each costs time in proportion to nodes and sources.
+/// The maximum number of candidate steps that are evaluated. The time of each is proportional to the number of nodes and
+/// sources.
 pub const MAX_SWEEP_EVALUATIONS: usize = 4_000;
 
-/// One step that is being put together.
+/// A step under construction.
 struct StepBuilder<'a> {
     space: &'a PlanSpace<'a>,
     before: &'a FlowGraph<'a>,
     end: &'a Position,
-    /// The furthest position found so far.
+    /// The furthest position that no bound forbids, of those tried so far.
     position: Position,
     last_violation: Option<TransitionViolation>,
     evaluations: &'a mut usize,
 }
 
-/// The positions after each step, until all tracks are at their end.
+/// Finds the positions after each step of a plan that advances all tracks to their end.
 ///
 /// # Errors
-/// The bound that stands in the way, or [`PlanError::TooLarge`].
+/// The bound that prevents any advance, or [`PlanError::TooLarge`].
 pub(super) fn large_steps(
     space: &PlanSpace<'_>,
     evaluations: &mut usize,
 ) -> Result<Vec<Position>, PlanError> {
     let end = space.end();
     let mut position: Position = vec![0; end.len()];
-    let mut stops = Vec::new();
+    let mut positions = Vec::new();
     while position != end {
         let before = space
             .flow_graph(&position)
@@ -52,13 +53,13 @@
             return Err(space.error(&position, violation));
         }
         position = next;
-        stops.push(position.clone());
+        positions.push(position.clone());
     }
-    Ok(stops)
+    Ok(positions)
 }
 
 impl StepBuilder<'_> {
-    /// Advances these tracks as far as possible: all of them to their end at once, else each half by itself.
+    /// Advances these tracks as far as possible: all of them to their end at once, or else each half of them separately.
     fn advance(&mut self, tracks: &[usize]) {
         if tracks.is_empty() || *self.evaluations >= MAX_SWEEP_EVALUATIONS {
             return;
@@ -77,7 +78,8 @@
         }
     }
 
-    /// Advances one track half of its way, a quarter of it, and so on down to one state.
+    /// Advances one track by half of its remaining states or, if that violates a bound, by a quarter of them, and so on
+    /// down to one state.
     fn advance_partly(&mut self, track: usize) {
         let mut states = (self.end[track] - self.position[track]) / 2;
         while states > 0 {
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Takes the candidate as the step's position if no bound is violated.
+    /// Makes the candidate the position of the step if it violates no bound. Returns whether it did.
     fn accept(&mut self, candidate: Position) -> bool {
         match self.space.evaluate(self.before, &candidate, self.evaluations) {
             Ok(_) => {
--- a/crates/hierarchy/src/plan/tracks.rs
+++ b/crates/hierarchy/src/plan/tracks.rs
@@ -1,4 +1,4 @@
-//! The states that each changing node passes through, and the candidate steps between them.
+//! The states that each changing node passes through, and the evaluation of candidate steps between them.
 
 use std::sync::Arc;
 
@@ -10,31 +10,32 @@
 };
 use crate::version::{FULL_SHARE, Hierarchy, HierarchyNode};
 
-/// The index of the state of each track.
+/// For each track the index of its current state.
 pub(super) type Position = Vec<u16>;
 
-/// A node that is there, or none where it is not (yet, or any more).
+/// A node as a version defines it, or `None` if the version does not have it.
 type NodeState = Option<Arc<HierarchyNode>>;
 
-/// The states that one node passes through. The first is the one before the change.
+/// The states that one node passes through, from the one before the change to the one after it.
 pub(super) struct Track {
     pub(super) node: u32,
     pub(super) states: Vec<Option<FlowNode>>,
 }
 
-/// Everything that a plan from one version to another can go through.
+/// The search space of plans from one version to another.
 pub(super) struct PlanSpace<'a> {
     pub(super) index: NodeIndex,
     pub(super) from: &'a Hierarchy,
     pub(super) to: &'a Hierarchy,
     pub(super) tracks: Vec<Track>,
     pub(super) now: Ns,
-    /// The nodes of `from`, which those of the tracks replace.
+    /// The nodes of `from`. The states of the tracks replace those that change.
     base: Vec<Option<FlowNode>>,
 }
 
 impl<'a> PlanSpace<'a> {
-    /// The states between two versions, with virtual nodes moved in so many parts.
+    /// Creates the search space between two versions, in which nodes take and give up a full share of virtual nodes in
+    /// this many parts.
     pub(super) fn new(from: &'a Hierarchy, to: &'a Hierarchy, now: Ns, parts: u16) -> PlanSpace<'a> {
         let index = NodeIndex::from_versions(&[from, to]);
         let base = index.flow_nodes(from);
@@ -48,17 +49,17 @@
         PlanSpace { index, from, to, tracks, now, base }
     }
 
-    /// The position at which all tracks are finished.
+    /// The position at which each track is at its last state.
     pub(super) fn end(&self) -> Position {
         self.tracks.iter().map(|track| track.states.len() as u16 - 1).collect()
     }
 
-    /// The number of positions there are.
+    /// The number of positions in the search space.
     pub(super) fn state_count(&self) -> usize {
         self.tracks.iter().fold(1usize, |count, track| count.saturating_mul(track.states.len()))
     }
 
-    /// The version at a position. A loop is an error.
+    /// The flow through the version at a position. The error is a cycle.
     pub(super) fn flow_graph(&self, position: &Position) -> Result<FlowGraph<'_>, Vec<u32>> {
         let mut nodes: Vec<Option<&FlowNode>> = self.base.iter().map(Option::as_ref).collect();
         for (track, &state) in self.tracks.iter().zip(position) {
@@ -67,7 +68,7 @@
         FlowGraph::new(nodes)
     }
 
-    /// Checks a step to a position, and counts that.
+    /// Checks a step to a position, and increments the count of evaluations.
     pub(super) fn evaluate(
         &self,
         before: &FlowGraph<'_>,
@@ -79,7 +80,7 @@
         check_transition(before, &after, &self.to.rules, self.now)
     }
 
-    /// What a violation of a step from this position says to an operator.
+    /// Converts a violation of a step from this position to an error for operators.
     pub(super) fn error(&self, position: &Position, violation: TransitionViolation) -> PlanError {
         let moves = |position: &Position| position.iter().map(|&state| usize::from(state)).sum();
         let (done, of) = (moves(position), moves(&self.end()));
@@ -106,17 +107,17 @@
     }
 }
 
-/// Sorts tracks so that the nodes that are nearest to the origin in this version come first.
+/// Sorts tracks so that those of the nodes nearest to the origin in this version come first.
 fn sort_by_distance(tracks: &mut [Track], index: &NodeIndex, version: &Hierarchy) {
     let nodes = index.flow_nodes(version);
-    // A version with a loop has no order; no plan leads there.
+    // A version with a loop has no topological order, and no plan leads to it.
     let Ok(graph) = FlowGraph::new(nodes.iter().map(Option::as_ref).collect()) else { return };
     let mut ranks = vec![0; graph.topological_order.len()];
     graph.topological_order.iter().enumerate().for_each(|(rank, &node)| ranks[node as usize] = rank);
     tracks.sort_by_key(|track| std::cmp::Reverse(ranks[track.node as usize]));
 }
 
-/// The states of one node from before to after, both included.
+/// The states of one node from `before` to `after`, including both.
 fn node_states(
     before: Option<&Arc<HierarchyNode>>,
     after: Option<&Arc<HierarchyNode>>,
@@ -126,12 +127,13 @@
     match (before, after) {
         (None, None) => {}
         (None, Some(new)) => {
-            // It is listed before it takes virtual nodes: others may name it as a source while no one fills from it.
+            // The node is in the version before it takes virtual nodes, so that others can name it as a source while no
+            // node fills from it yet.
             states.push(with_share(new, 0));
             states.extend(share_ramp(new, 0, new.ring_share, parts));
         }
         (Some(old), None) => {
-            // No one fills from it any more before it is taken out.
+            // The node gives up all virtual nodes before it is removed, so that no node fills from it any more.
             states.extend(share_ramp(old, old.ring_share, 0, parts));
             states.push(None);
         }
@@ -154,7 +156,7 @@
     Some(Arc::new(HierarchyNode { ring_share, ..node.clone() }))
 }
 
-/// The states of a node from one share to another, part by part, without the one that it starts at.
+/// The states of a node as its share changes from one value to another, part by part, without the initial state.
 fn share_ramp(node: &HierarchyNode, from: u16, to: u16, parts: u16) -> Vec<NodeState> {
     let part = FULL_SHARE / parts;
     let mut states = Vec::new();
@@ -166,7 +168,7 @@
     states
 }
 
-/// The states up to the node as it is, also where its share does not change.
+/// The states as the node's share changes to its final value. If the share does not change, the only state is the node.
 fn ramp_or_node(node: &Arc<HierarchyNode>, from: u16, parts: u16) -> Vec<NodeState> {
     let ramp = share_ramp(node, from, node.ring_share, parts);
     if ramp.is_empty() { vec![Some(Arc::clone(node))] } else { ramp }
--- a/crates/hierarchy/src/rollout/active_change.rs
+++ b/crates/hierarchy/src/rollout/active_change.rs
@@ -5,14 +5,15 @@
 use crate::plan::PlanStep;
 use crate::version::Hierarchy;
 
-/// How far the current step of a change is.
+/// The stage of the current step of a change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Stage {
-    /// The version is published; not every participant applies it yet.
+    /// The version is published, and at least one participant has not reported that it applies it.
     Publishing { since: Ns },
-    /// Every participant applies it; requests that were routed by the version before may still be in flight.
+    /// Every participant applies the version, but requests that were routed by the previous version may still be in
+    /// flight.
     Draining { until: Ns },
-    /// Moved objects are being filled and cold nodes warm up.
+    /// The minimum delay before the next step: moved objects are being filled, and cold nodes warm up.
     Waiting { until: Ns },
 }
 
@@ -21,17 +22,18 @@
 pub(super) struct ActiveChange {
     /// The number of the change.
     pub(super) id: u64,
-    /// The version that a rollback leads to: the one committed when no change ran.
+    /// The target of a rollback: the version that was committed when no change was running.
     pub(super) baseline: Hierarchy,
-    /// Where the steps lead: the proposed version, or the baseline during a rollback.
+    /// The version that the steps lead to: the proposed version, or the baseline during a rollback.
     pub(super) target: Hierarchy,
     pub(super) is_rollback: bool,
-    /// The remaining steps. The first one is the current step, which was published last.
+    /// The remaining steps. The first one is the current step, whose version was published last.
     pub(super) steps: Vec<PlanStep>,
-    /// The versions that were committed before the current one, the oldest first.
+    /// The versions that were committed before the current one, oldest first.
     pub(super) history: Vec<Hierarchy>,
     pub(super) stage: Stage,
-    /// Whether the timeout of the current step has been handled; during a rollback it is only logged, once.
+    /// Whether the publish timeout of the current step has been handled. During a rollback the timeout is only logged,
+    /// once for each step.
     pub(super) timeout_handled: bool,
 }
 
@@ -49,7 +51,7 @@
         }
     }
 
-    /// Turns the change round to its baseline.
+    /// Makes the baseline the target. Has no effect if the change is being rolled back already.
     pub(super) fn start_rollback(&mut self) {
         if !self.is_rollback {
             self.is_rollback = true;
--- a/crates/hierarchy/src/rollout/messages.rs
+++ b/crates/hierarchy/src/rollout/messages.rs
@@ -1,4 +1,4 @@
-//! What a rollout takes in, asks its caller to do, and writes to its log.
+//! The inputs, actions, log records and errors of a rollout.
 
 use std::sync::Arc;
 
@@ -21,39 +21,39 @@
         /// The proposed version.
         target: Hierarchy,
     },
-    /// A participant reports the version that it applies, after each change and whenever it connects.
+    /// A participant reports the version that it applies. It does so after each version change and on each connect.
     VersionApplied {
-        /// Who reports it.
+        /// The reporting participant.
         participant: Participant,
-        /// The number of the version; 0 if it has none.
+        /// The number of the version; 0 if the participant applies no version.
         number: u64,
         /// The digest of the version's content.
         digest: u64,
     },
     /// A participant is permanently gone: it applies no further version and sends no further fills.
     ParticipantGone {
-        /// Who is gone.
+        /// The participant that is gone.
         participant: Participant,
     },
     /// A measurement of the fleet's health.
     HealthReport {
-        /// Fetches a second that the origin counted.
+        /// The load that the origin measured, in fetches per second.
         origin_load: f64,
-        /// Nodes that most directors consider down.
+        /// The nodes that the majority of directors considers down.
         down_nodes: Vec<NodeId>,
     },
     /// An operator asks for the running change to be rolled back.
     RollBack,
-    /// Time has passed; see [`Rollout::next_wakeup`](super::Rollout::next_wakeup).
+    /// A timer has expired; see [`Rollout::next_wakeup`](super::Rollout::next_wakeup).
     Tick,
 }
 
-/// Something that the caller has to do, in the order in which actions are taken.
+/// Something that the caller has to do. Actions are carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RolloutAction {
-    /// Write the record to durable storage before any later action is carried out.
+    /// Write the record to durable storage. It must be durable before any later action is carried out.
     Persist(RolloutRecord),
-    /// Send the version to all participants, repeatedly until each has applied it.
+    /// Send the version to all participants, and resend it until each has applied it.
     Publish {
         /// The number of the version.
         number: u64,
@@ -64,14 +64,14 @@
     Log(String),
 }
 
-/// An entry of the rollout's write-ahead log. Each is written before the action that it announces.
+/// An entry of the rollout's write-ahead log. Each entry is written before the action that it announces.
 ///
-/// Names and order of variants and fields are the stored format; see `tests/stored_format.rs` of the controller and
-/// its log.
+/// The serialized names and the order of variants and fields are the stored format, which `tests/stored_format.rs` of
+/// the crates `hierarchy-controller` and `controller-log` pin.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum RolloutRecord {
-    /// Every participant applies this version and no change runs: earlier records are no longer needed.
+    /// Every participant applies this version and no change is running, so earlier records are no longer needed.
     #[serde(rename = "start")]
     Checkpoint {
         /// The last version number that was assigned.
@@ -98,14 +98,14 @@
         #[serde(rename = "home")]
         baseline: HierarchySpec,
     },
-    /// The change that is queued behind the running one, or none if the queued change was dropped.
+    /// A change was queued behind the running one, or the queued change was dropped.
     #[serde(rename = "waits")]
     Queued {
-        /// The version that the queued change leads to.
+        /// The version that the queued change leads to; `None` if the queued change was dropped.
         #[serde(rename = "aim")]
         target: Option<HierarchySpec>,
     },
-    /// The change is going to be rolled back.
+    /// A rollback of the change starts.
     #[serde(rename = "back")]
     RollbackStarted {
         /// The number of the change.
@@ -157,25 +157,27 @@
     /// Every participant applies the baseline again.
     #[serde(rename = "rolled-back")]
     RolledBack,
-    /// The queued change took its place.
+    /// The queued change replaced it.
     #[serde(rename = "superseded")]
     Superseded,
-    /// Neither the target nor the baseline could be reached: the committed version stays.
+    /// Neither the target nor the baseline could be reached. The committed version stays in use.
     #[serde(rename = "left")]
     Abandoned,
 }
 
-/// Why an input was rejected, or a log could not be recovered from.
+/// Why an input was rejected, or why a log could not be recovered.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum RolloutError {
-    /// The proposed version must not be applied at all.
+    /// The version violates a rule of admission, so it must not be applied.
     #[error("rejected: {0}")]
     NotAdmitted(#[from] AdmissionError),
-    /// There are no safe steps from the committed version to the proposed one.
+    /// No sequence of safe steps from the committed version to the proposed one was found.
     #[error("no plan: {0}")]
     NoPlan(#[from] PlanError),
-    /// One change runs and another one is queued already.
-    #[error("change {running} runs and another one is queued: propose again when that one has started")]
+    /// One change is running and another one is queued already.
+    #[error(
+        "change {running} is running and another one is queued: propose again when the queued one has started"
+    )]
     Busy {
         /// The number of the running change.
         running: u64,
@@ -183,23 +185,23 @@
     /// The proposed version is committed, or is the target of the running change.
     #[error("this version is already active")]
     AlreadyActive,
-    /// A participant applies a later version than the log knows of.
+    /// A participant applies a version that is newer than the last one in the log.
     #[error(
         "{participant} applies version {applied} and this log ends at {last_number}: it is an old copy; \
-         find the newest log, or start again from the version that is applied"
+         restore the newest log, or start a new one from the applied version"
     )]
     Stale {
-        /// The participant that applies the later version.
+        /// The participant that applies the newer version.
         participant: Participant,
-        /// The number that the participant applies.
+        /// The number of the version that the participant applies.
         applied: u64,
-        /// The last number that this log has assigned.
+        /// The last version number that is assigned in this log.
         last_number: u64,
     },
-    /// There is no change to roll back.
+    /// A rollback was requested, but no change is running.
     #[error("no change is running")]
     NotRunning,
-    /// The records are not a log that a rollout has written.
+    /// No rollout can have written these records in this order.
     #[error("the log does not begin with a checkpoint, or its records contradict each other")]
     InvalidLog,
 }
--- a/crates/hierarchy/src/rollout/mod.rs
+++ b/crates/hierarchy/src/rollout/mod.rs
@@ -1,10 +1,10 @@
-//! Rolls a change of the hierarchy out, step by step.
+//! Rolls out a change of the hierarchy step by step.
 //!
-//! A step is started only when every participant applies the version of the step before, and no request that was
-//! routed by an earlier version is in flight any more. So at most two successive versions are in use at any time, and
-//! the plan guarantees that these two together contain no loop.
+//! A step starts only when every participant applies the version of the previous step, and no request that was routed
+//! by an earlier version is in flight any more. So at most two successive versions are in use at any time, and the
+//! plan guarantees that the edges of these two versions together contain no loop.
 //!
-//! There is no I/O here: the caller carries out each [`RolloutAction`] in order and passes on what it learns as
+//! This module does no I/O. The caller carries out each [`RolloutAction`] in order and reports events as
 //! [`RolloutInput`]. A [`RolloutAction::Persist`] must be durable before any later action is carried out.
 
 mod active_change;
@@ -26,7 +26,7 @@
 use crate::spec::HierarchySpec;
 use crate::version::{Hierarchy, NodeId};
 
-/// What a participant last reported, of the version that was published last.
+/// The version that a participant last reported as applied, if it is the one that was published last.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct AppliedVersion {
     number: u64,
@@ -42,45 +42,45 @@
     pub version: &'a Hierarchy,
 }
 
-/// How far the running change is.
+/// The progress of the running change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChangeProgress {
     /// The number of the change.
     pub change: u64,
-    /// Whether it is being rolled back.
+    /// Whether the change is being rolled back.
     pub is_rollback: bool,
-    /// The steps that are not finished, the current one included.
+    /// The number of unfinished steps, including the current one.
     pub remaining_steps: usize,
 }
 
-/// The state machine that rolls changes out, one at a time. One further change may be queued.
+/// The state machine that rolls out changes one at a time. One further change may be queued.
 #[derive(Clone, Debug)]
 pub struct Rollout {
     admission: Admission,
-    /// The last version that every participant applied.
+    /// The last version that every participant has applied.
     committed: Hierarchy,
     committed_number: u64,
     /// The last version number that was assigned.
     last_number: u64,
-    /// The version that was committed when no change ran.
+    /// The version that was committed when no change was running.
     baseline: Hierarchy,
     next_change_id: u64,
     change: Option<ActiveChange>,
     /// The target of the change that starts after the running one.
     queued: Option<Hierarchy>,
     participants: BTreeMap<Participant, AppliedVersion>,
-    /// Set once a participant was found to be ahead of the log: nothing is published any more.
+    /// Set once a participant reports a version that is newer than the log. Nothing is published from then on.
     stale: Option<RolloutError>,
-    /// Fetches a second that the origin counted last.
+    /// The last reported load of the origin, in fetches per second.
     origin_load: Option<f64>,
     actions: Vec<RolloutAction>,
 }
 
 impl Rollout {
-    /// Starts from a version that every participant applies, or will apply before any other.
+    /// Creates a rollout whose committed version is one that every participant applies, or will apply before any other.
     ///
     /// # Errors
-    /// [`RolloutError::NotAdmitted`] if the version must not be applied.
+    /// [`RolloutError::NotAdmitted`] if the version is not admitted.
     pub fn new(
         number: u64,
         version: Hierarchy,
@@ -120,7 +120,7 @@
         })
     }
 
-    /// Takes the actions that are due, in the order in which they have to be carried out.
+    /// Removes and returns the pending actions, in the order in which they have to be carried out.
     pub fn take_actions(&mut self) -> Vec<RolloutAction> {
         std::mem::take(&mut self.actions)
     }
@@ -131,12 +131,12 @@
         NumberedVersion { number: self.last_number, version }
     }
 
-    /// The last version that every participant applied.
+    /// The last version that every participant has applied.
     pub fn committed(&self) -> NumberedVersion<'_> {
         NumberedVersion { number: self.committed_number, version: &self.committed }
     }
 
-    /// The running change, if there is one.
+    /// The progress of the running change, if there is one.
     pub fn progress(&self) -> Option<ChangeProgress> {
         self.change.as_ref().map(|change| ChangeProgress {
             change: change.id,
@@ -145,7 +145,8 @@
         })
     }
 
-    /// When the next [`RolloutInput::Tick`] is due; none while only a participant's report can help.
+    /// When the next [`RolloutInput::Tick`] is due; `None` if no change is running, or only reports of participants can
+    /// advance it.
     pub fn next_wakeup(&self) -> Option<Ns> {
         let change = self.change.as_ref()?;
         let timeout = self.committed.rules.step_timeout;
@@ -166,10 +167,10 @@
         missing.map(|(participant, _)| Arc::clone(participant)).collect()
     }
 
-    /// Reacts to an event at the time `now`. The actions that follow from it are taken by [`Rollout::take_actions`].
+    /// Handles an event at the time `now`. [`Rollout::take_actions`] returns the actions that result from it.
     ///
     /// # Errors
-    /// A proposal or a rollback that is not possible is rejected; the state stays as it was.
+    /// A proposal or a rollback that is not possible is rejected, and the state is unchanged.
     pub fn handle(&mut self, input: RolloutInput, now: Ns) -> Result<(), RolloutError> {
         match input {
             RolloutInput::Propose { target } => self.propose(target, now)?,
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Queues a change behind the running one. It is planned once it is known from which version it starts.
+    /// Queues a change behind the running one. It is planned when it starts, since only then its first version is known.
     fn queue(&mut self, target: Hierarchy, running: u64, now: Ns) -> Result<(), RolloutError> {
         self.admission.clone().admit(&target)?;
         let spec = HierarchySpec::from_hierarchy(self.last_number, &target);
@@ -219,7 +220,7 @@
         Ok(())
     }
 
-    /// The version with the node numbers of the committed one: nodes are identified by their names.
+    /// Renumbers the nodes of a version to match the committed one. Nodes are identified by their names.
     fn with_committed_ids(&self, version: &Hierarchy) -> Result<Hierarchy, AdmissionError> {
         let spec = HierarchySpec::from_hierarchy(self.last_number, version);
         let (_, version) = spec.to_hierarchy(Some(&self.committed))?;
@@ -238,7 +239,7 @@
             return;
         }
         let known = self.participants.entry(participant).or_default();
-        // A report of an older number is late, or from a participant that has yet to apply the newest.
+        // A report of an older number was delayed, or its participant has not applied the newest version yet.
         if applied.number == self.last_number {
             *known = applied;
         }
@@ -260,13 +261,13 @@
         }
     }
 
-    /// Whether one of the remaining steps changes the node.
+    /// Whether any of the remaining steps changes the node.
     fn is_changing(&self, node: NodeId) -> bool {
         let Some(change) = &self.change else { return false };
         change.steps.iter().any(|step| step.changed_nodes.contains(&node))
     }
 
-    /// The published version, as long as not every participant is known to apply it.
+    /// The published version, while at least one participant has not reported that it applies it.
     fn uncommitted(&self) -> Option<&Hierarchy> {
         let change = self.change.as_ref()?;
         let is_publishing = matches!(change.stage, Stage::Publishing { .. });
@@ -290,8 +291,8 @@
         self.actions.push(RolloutAction::Log(line));
     }
 
-    /// Everything that decides what the rollout does next, for a search over its states. Points in time are given by
-    /// their distance from `now`, so that the same state at another time has the same key.
+    /// A key of the state that determines the rollout's next actions, by which a model checker recognizes states that
+    /// it has visited. Times are relative to `now`, so that the same state at another time has the same key.
     pub fn state_key(&self, now: Ns) -> impl std::hash::Hash + Eq + use<> {
         let change = self.change.as_ref().map(|change| {
             let steps: Vec<u64> = change.steps.iter().map(|step| step.target.digest()).collect();
--- a/crates/hierarchy/src/rollout/recovery.rs
+++ b/crates/hierarchy/src/rollout/recovery.rs
@@ -1,4 +1,4 @@
-//! Rebuilds a rollout from the records that an earlier one has written.
+//! Rebuilds a rollout from the log records of an earlier process.
 
 use sablecross::Ns;
 
@@ -9,13 +9,13 @@
 use crate::spec::HierarchySpec;
 use crate::version::Hierarchy;
 
-/// A step that was published and that not every participant is known to apply.
+/// A step that was published but not committed: at least one participant did not report that it applies it.
 struct PendingStep {
     is_rollback: bool,
     version: Hierarchy,
 }
 
-/// Applies records one after another.
+/// The state that results from the records read so far.
 #[derive(Default)]
 struct Replay {
     rollout: Option<Rollout>,
@@ -23,11 +23,11 @@
 }
 
 impl Rollout {
-    /// Continues from the log of a rollout that ended at any point. The version that was published last is published
-    /// again.
+    /// Recovers a rollout from its log, which may end after any record. The version that was published last is
+    /// published again.
     ///
     /// # Errors
-    /// [`RolloutError::InvalidLog`] if no rollout can have written these records.
+    /// [`RolloutError::InvalidLog`] if no rollout can have written these records in this order.
     pub fn recover(
         records: &[RolloutRecord],
         participants: impl IntoIterator<Item = Participant>,
@@ -52,7 +52,7 @@
         Ok(rollout)
     }
 
-    /// Puts the recovered change back into the stage that its last record left it in.
+    /// Restores the stage of the recovered change: a pending step is published again; without one, the change drains.
     fn resume_step(&mut self, pending: Option<PendingStep>, now: Ns) {
         let Some(change) = self.change.as_mut() else { return };
         match pending {
@@ -63,7 +63,7 @@
                 change.steps = vec![direct_step(&self.committed, &step.version)];
                 change.stage = Stage::Publishing { since: now };
             }
-            // Requests that were routed by an earlier version may still be in flight.
+            // The log does not tell whether requests that were routed by an earlier version have ended.
             None => {
                 change.steps = vec![direct_step(&self.committed, &self.committed)];
                 change.stage = Stage::Draining { until: now + self.committed.rules.drain_window };
@@ -75,7 +75,7 @@
 impl Replay {
     fn apply(&mut self, record: &RolloutRecord, now: Ns) -> Result<(), RolloutError> {
         if let RolloutRecord::Checkpoint { number, next_change, version } = record {
-            let mut rollout = Rollout::at(*number, self.read(version)?, [])?;
+            let mut rollout = Rollout::at(*number, self.decode_version(version)?, [])?;
             rollout.next_change_id = *next_change;
             *self = Replay { rollout: Some(rollout), pending: None };
             return Ok(());
@@ -83,7 +83,7 @@
         match record {
             RolloutRecord::Checkpoint { .. } => {}
             RolloutRecord::Started { change, target, baseline } => {
-                let (target, baseline) = (self.read(target)?, self.read(baseline)?);
+                let (target, baseline) = (self.decode_version(target)?, self.decode_version(baseline)?);
                 let rollout = self.rollout()?;
                 rollout.next_change_id = change + 1;
                 rollout.queued = None;
@@ -91,7 +91,7 @@
                 rollout.change = Some(ActiveChange::new(*change, baseline, target, now));
             }
             RolloutRecord::Queued { target } => {
-                let target = target.as_ref().map(|spec| self.read(spec)).transpose()?;
+                let target = target.as_ref().map(|spec| self.decode_version(spec)).transpose()?;
                 self.rollout()?.queued = target;
             }
             RolloutRecord::RollbackStarted { .. } => {
@@ -100,7 +100,7 @@
                 }
             }
             RolloutRecord::StepStarted { number, is_rollback, version, .. } => {
-                let version = self.read(version)?;
+                let version = self.decode_version(version)?;
                 self.rollout()?.last_number = *number;
                 self.pending = Some(PendingStep { is_rollback: *is_rollback, version });
             }
@@ -123,13 +123,13 @@
         Ok(())
     }
 
-    /// The rollout so far; every record but a checkpoint needs one.
+    /// The rollout so far. Every record except a checkpoint needs a preceding checkpoint.
     fn rollout(&mut self) -> Result<&mut Rollout, RolloutError> {
         self.rollout.as_mut().ok_or(RolloutError::InvalidLog)
     }
 
-    /// A version of the log. Its nodes get the numbers that they have in the committed version.
-    fn read(&self, spec: &HierarchySpec) -> Result<Hierarchy, RolloutError> {
+    /// Decodes a version of the log. Its nodes get the numbers that they have in the committed version.
+    fn decode_version(&self, spec: &HierarchySpec) -> Result<Hierarchy, RolloutError> {
         let known = self.rollout.as_ref().map(|rollout| &rollout.committed);
         let (_, version) = spec.to_hierarchy(known).map_err(|_| RolloutError::InvalidLog)?;
         Ok(version)
--- a/crates/hierarchy/src/rollout/rollback.rs
+++ b/crates/hierarchy/src/rollout/rollback.rs
@@ -1,4 +1,4 @@
-//! Takes a change back to its baseline.
+//! Rolls a change back to its baseline.
 
 use sablecross::Ns;
 
@@ -7,7 +7,7 @@
 use crate::plan::direct_step;
 
 impl Rollout {
-    /// An operator asks for a rollback; one that is under way goes on.
+    /// Handles an operator's request for a rollback. A rollback that is already running continues.
     pub(super) fn roll_back_on_request(&mut self, now: Ns) -> Result<(), RolloutError> {
         let Some(change) = &self.change else { return Err(RolloutError::NotRunning) };
         if !change.is_rollback {
@@ -16,8 +16,8 @@
         Ok(())
     }
 
-    /// Starts the rollback of the running change. A step that not every participant applies is reverted first, under a
-    /// new number; the rest is planned once that is committed.
+    /// Starts the rollback of the running change. A step that is not committed is reverted first, under a new version
+    /// number; the remaining steps are planned once the revert is committed.
     pub(super) fn roll_back(&mut self, now: Ns, reason: &str) {
         let Some(change) = self.change.as_mut() else { return };
         let is_publishing = matches!(change.stage, Stage::Publishing { .. }) && !change.steps.is_empty();
@@ -31,7 +31,8 @@
         if is_publishing {
             self.publish_step(now);
         } else if is_waiting {
-            // Requests of earlier versions have ended already; while draining, that is waited for first.
+            // No request of an earlier version is in flight any more. While draining, `on_drained` continues the
+            // rollback instead.
             self.continue_rollback(now);
         }
     }
@@ -44,19 +45,19 @@
         }
     }
 
-    /// Goes back over the versions that were committed, in reverse. Each was checked for loops together with the one
-    /// that followed it; the bounds on load can't be kept on this path.
+    /// Rolls back through the committed versions in reverse order. Each of them was checked for loops together with
+    /// its successor, but the bounds on load are not enforced on this path.
     pub(super) fn retrace(&mut self, now: Ns) {
         let Some(change) = self.change.as_mut() else { return };
         let Some(start) = change.history.iter().rposition(|version| *version == change.target) else {
             return self.finish(RolloutOutcome::Abandoned);
         };
-        let mut before = self.committed.clone();
+        let mut previous = self.committed.clone();
         let mut steps = Vec::new();
         for version in change.history[start..].iter().rev() {
-            if *version != before {
-                steps.push(direct_step(&before, version));
-                before = version.clone();
+            if *version != previous {
+                steps.push(direct_step(&previous, version));
+                previous = version.clone();
             }
         }
         if steps.is_empty() {
--- a/crates/hierarchy/src/rollout/steps.rs
+++ b/crates/hierarchy/src/rollout/steps.rs
@@ -1,4 +1,5 @@
-//! Starts changes and advances them: publish a step, wait until it is committed, drain, wait, publish the next one.
+//! Starts changes and advances them. For each step: publish its version, wait until every participant applies it,
+//! drain requests of the previous version, and wait for the minimum delay of the next step.
 
 use sablecross::Ns;
 
@@ -31,7 +32,7 @@
         let mut change = ActiveChange::new(id, self.baseline.clone(), target, now);
         change.steps = planned.steps;
         if change.steps.is_empty() {
-            // Only the rules have changed.
+            // The nodes are the same and only the rules differ.
             change.steps = vec![direct_step(&self.committed, &change.target)];
         }
         self.change = Some(change);
@@ -39,7 +40,7 @@
         Ok(())
     }
 
-    /// Publishes the first of the remaining steps under a new number.
+    /// Publishes the version of the first remaining step under a new number.
     pub(super) fn publish_step(&mut self, now: Ns) {
         let Some(change) = self.change.as_mut() else { return };
         let Some(step) = change.steps.first() else { return };
@@ -67,13 +68,13 @@
         self.publish();
     }
 
-    /// Advances the running change as far as it goes at this time.
+    /// Advances the running change through all stages that are due.
     pub(super) fn advance(&mut self, now: Ns) {
-        // Each call moves the change to its next stage, so this ends.
+        // Each iteration moves the change to its next stage, so the loop terminates.
         while self.stale.is_none() && self.advance_stage(now) {}
     }
 
-    /// Moves the running change to its next stage if that is due; whether it did.
+    /// Moves the running change to its next stage if that is due. Returns whether it did.
     fn advance_stage(&mut self, now: Ns) -> bool {
         let Some(change) = &self.change else { return false };
         let timeout = self.committed.rules.step_timeout;
@@ -99,7 +100,8 @@
         }
     }
 
-    /// Every participant applies the published version.
+    /// Commits the published version, which every participant applies, and starts to drain. Returns whether a step was
+    /// committed.
     fn commit_step(&mut self, now: Ns) -> bool {
         let Some(change) = self.change.as_mut() else { return false };
         let Some(step) = change.steps.first() else { return false };
@@ -111,7 +113,8 @@
         true
     }
 
-    /// Participants are missing for too long: the change is rolled back. A rollback can only wait for them.
+    /// Handles participants that did not report the published version within `step_timeout`: the change is rolled back.
+    /// A rollback goes on waiting for them.
     fn on_publish_timeout(&mut self, now: Ns) {
         let missing = format!("missing={}", self.missing_participants().join(","));
         let Some(change) = self.change.as_mut() else { return };
@@ -124,7 +127,7 @@
         }
     }
 
-    /// No request of an earlier version is in flight any more: the step is over.
+    /// Ends a step once no request of an earlier version is in flight any more.
     fn on_drained(&mut self, now: Ns) {
         if self.queued.is_some() && self.supersede(now) {
             return;
@@ -144,7 +147,8 @@
         self.publish_step(now);
     }
 
-    /// Whether the origin can take the load of the next step, by what it counted last. A rollback is never held up.
+    /// Whether the origin can take the load that the next step adds to its last reported load. A rollback is never
+    /// delayed by the origin's load.
     pub(super) fn origin_can_take_next_step(&self) -> bool {
         let Some(change) = &self.change else { return true };
         let Some(next) = change.steps.get(1) else { return true };
@@ -154,7 +158,8 @@
         change.is_rollback || self.origin_load.is_none_or(|load| load + added <= limit)
     }
 
-    /// The steps are finished and the target is not reached: after a recovery, or in the middle of a rollback.
+    /// Plans the remaining steps when all known steps are finished but the target is not reached, which happens after a
+    /// recovery and during a rollback.
     pub(super) fn replan(&mut self, now: Ns) {
         let Some(change) = self.change.as_mut() else { return };
         match plan(&self.committed, &change.target, now) {
@@ -174,10 +179,11 @@
         }
     }
 
-    /// The queued change takes the place of the running one and is planned from the committed version. Whether it did.
+    /// Replaces the running change with the queued one, which is planned from the committed version. Returns whether it
+    /// did.
     pub(super) fn supersede(&mut self, now: Ns) -> bool {
         let Some(target) = self.queued.clone() else { return false };
-        // The version whose node numbers it has may not be committed any more.
+        // The target was numbered by the version that was committed when it was queued, which may be another one now.
         let target = self.with_committed_ids(&target).unwrap_or(target);
         if let Err(error) = self.check_startable(&target, now) {
             self.drop_queued(&error);
@@ -188,7 +194,7 @@
         true
     }
 
-    /// Whether a change from the committed version to this one could be started.
+    /// Checks whether a change from the committed version to `target` can be started.
     fn check_startable(&self, target: &Hierarchy, now: Ns) -> Result<(), RolloutError> {
         self.admission.clone().admit(target)?;
         if self.committed != *target {
@@ -197,7 +203,7 @@
         Ok(())
     }
 
-    /// Starts the queued change, now that none is running. It stays queued in the log until its start is logged.
+    /// Starts the queued change when no change is running. It stays queued in the log until its start is logged.
     pub(super) fn start_queued(&mut self, now: Ns) {
         let Some(target) = self.queued.clone() else { return };
         let started = match self.with_committed_ids(&target) {
@@ -217,22 +223,22 @@
         self.log(format!("hierarchy queued change dropped: {reason}"));
     }
 
-    /// The target is reached.
+    /// Ends the running change, whose target is reached, and starts the queued one.
     pub(super) fn end(&mut self, now: Ns) {
         let is_rollback = self.change.as_ref().is_some_and(|change| change.is_rollback);
         self.finish(if is_rollback { RolloutOutcome::RolledBack } else { RolloutOutcome::Completed });
         self.start_queued(now);
     }
 
-    /// Ends the running change. Unless it was superseded, the log is cut back to a checkpoint.
+    /// Ends the running change with an outcome. Unless it was superseded, a checkpoint makes its records obsolete.
     pub(super) fn finish(&mut self, outcome: RolloutOutcome) {
         let Some(change) = self.change.take() else { return };
-        // The committed version was admitted, or lies between two that were.
+        // The committed version was admitted, or is an intermediate version between two that were.
         if let Ok(admission) = Admission::from_active(self.committed.clone()) {
             self.admission = admission;
         }
         self.persist(RolloutRecord::Ended { change: change.id, outcome });
-        // A superseded change leaves an intermediate version, so its records and baseline are needed further on.
+        // A superseded change leaves an intermediate version: its records and baseline are needed by the next change.
         if outcome != RolloutOutcome::Superseded {
             self.baseline = self.committed.clone();
             self.write_checkpoint();
--- a/crates/hierarchy/src/spec/mod.rs
+++ b/crates/hierarchy/src/spec/mod.rs
@@ -1,4 +1,4 @@
-//! The written form of a version: in settings files (S-expressions), and by serde in events, messages and logs.
+//! The serialized form of a version: S-expressions in settings files, and serde formats in events, messages and logs.
 
 mod settings_file;
 
@@ -14,47 +14,47 @@
 pub use sablecross_sexpr_config::ConfigError;
 
 const NANOS_PER_MILLI: u64 = 1_000_000;
-/// The longest duration in settings: a day.
+/// The longest duration that settings accept: one day.
 const MAX_DURATION_MS: u64 = 86_400_000;
 
-/// One form of a settings file.
+/// One S-expression form of a settings file.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum SpecForm {
-    /// The settings of the hierarchy; there is one such form.
+    /// The settings of the hierarchy. A file has exactly one such form.
     #[serde(rename = "hierarchy")]
     Hierarchy(#[garde(dive)] SpecHeader),
-    /// A node.
+    /// One node of the hierarchy.
     #[serde(rename = "node")]
     Node(#[garde(dive)] NodeSpec),
 }
 
 /// The settings of a whole hierarchy.
 ///
-/// The fields are the keys of the settings file, in kebab case, also in the errors of their validation. Their order is
-/// the order in messages.
+/// The field names in kebab case are the keys of the settings file, which validation errors name. The order of fields is
+/// their order in messages.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct SpecHeader {
-    /// The number of the version. Of two versions the one with the larger number is newer.
+    /// The number of the version. A newer version has a larger number.
     #[garde(range(min = 1))]
     pub version: u64,
-    /// The fetches a second that the origin may get.
+    /// The maximum load of the origin, in fetches per second.
     #[garde(range(min = 0.0, max = 1e9))]
     pub ceiling: f64,
-    /// The part of `ceiling` that plans keep free.
+    /// The fraction of `ceiling` that plans leave unused.
     #[garde(range(min = 0.0, max = 0.9))]
     #[serde(default = "default_margin")]
     pub margin: f64,
-    /// The warmth of a node that has just started.
+    /// The warmth of a node that has just started, from 0 to 1.
     #[garde(range(min = 0.0, max = 1.0))]
     #[serde(default = "default_cold_from")]
     pub cold_from: f64,
-    /// Milliseconds until a node is warm.
+    /// The time from a node's start until it is warm, in milliseconds.
     #[garde(range(max = MAX_DURATION_MS))]
     #[serde(default = "default_warm_after_ms")]
     pub warm_after_ms: u64,
-    /// The multiple of what its warmth allows at which a cold node collapses.
+    /// The load at which a cold node collapses, as a multiple of its capacity times its warmth.
     #[garde(range(min = 0.0, max = 100.0))]
     #[serde(default = "default_fall_multiple")]
     pub fall_multiple: f64,
@@ -62,15 +62,16 @@
     #[garde(skip)]
     #[serde(default)]
     pub siblings: bool,
-    /// The longest time in milliseconds that a request is in flight.
+    /// The longest time that a request is in flight, in milliseconds.
     #[garde(range(max = MAX_DURATION_MS))]
     #[serde(default = "default_hold_ms")]
     pub hold_ms: u64,
-    /// Milliseconds until a moved part of a ring is filled.
+    /// The time until the objects of a moved part of a ring are filled, in milliseconds.
     #[garde(range(max = MAX_DURATION_MS))]
     #[serde(default = "default_settle_ms")]
     pub settle_ms: u64,
-    /// Milliseconds that a step may wait for participants, or for the origin's load, before it is rolled back.
+    /// The longest time in milliseconds that a step waits for participants, or for the origin's load to fall, before the
+    /// change is rolled back.
     #[garde(range(min = 1, max = MAX_DURATION_MS))]
     #[serde(default = "default_give_up_ms")]
     pub give_up_ms: u64,
@@ -101,7 +102,7 @@
     FULL_SHARE
 }
 
-/// Allows the characters that lines of the protocol and of logs can carry in a name.
+/// Checks that a name has only characters that need no escaping in lines of the protocol and of logs.
 fn validate_name(name: &str, _: &()) -> garde::Result {
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || "._:-".contains(c);
     if name.chars().all(is_allowed) {
@@ -111,74 +112,74 @@
     }
 }
 
-/// A node. As in [`SpecHeader`], fields are keys, and their order is the order in messages.
+/// One node. As in [`SpecHeader`], field names are keys, and the order of fields is their order in messages.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct NodeSpec {
-    /// The name, by which nodes of successive versions are the same.
+    /// The name, which identifies the node in successive versions.
     #[garde(length(min = 1, max = 64), custom(validate_name))]
     pub name: String,
     /// The distance from the origin, which is tier 0.
     #[garde(range(max = 7))]
     pub tier: u8,
-    /// The names of the nodes that it fills from.
+    /// The names of the nodes that this node fills from.
     #[garde(length(max = 64))]
     #[serde(default)]
     pub sources: Vec<String>,
-    /// The requests a second that it can take when it is warm.
+    /// The load that the node can take when it is warm, in requests per second.
     #[garde(range(min = 0.0, max = 1e9))]
     pub capacity: f64,
-    /// The requests a second that it gets from clients.
+    /// The load from clients, in requests per second.
     #[garde(range(min = 0.0, max = 1e9))]
     #[serde(default)]
     pub demand: f64,
-    /// The part of its requests that it answers from its cache.
+    /// The fraction of its requests that the node answers from its cache.
     #[garde(range(min = 0.0, max = 1.0))]
     #[serde(default)]
     pub hit: f64,
-    /// The virtual nodes that it takes in the ring of its tier, of [`FULL_SHARE`].
+    /// The number of virtual nodes that the node takes in the ring of its tier, out of [`FULL_SHARE`].
     #[garde(range(max = FULL_SHARE))]
     #[serde(default = "default_share")]
     pub share: u16,
-    /// The Unix time of its start in milliseconds if it is cold; 0 if it has been running for long.
+    /// The Unix time of the node's start in milliseconds; 0 if the node has been running for long and is warm.
     #[garde(skip)]
     #[serde(default)]
     pub since_ms: u64,
 }
 
-/// A complete version as events, messages and logs carry it.
+/// A complete version, in the form that events, messages and logs carry.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct HierarchySpec {
     /// The settings of the hierarchy.
     #[serde(rename = "head")]
     pub header: SpecHeader,
-    /// All nodes, the origin included.
+    /// All nodes, including the origin.
     #[serde(rename = "nodes")]
     pub nodes: Vec<NodeSpec>,
 }
 
-/// Why a written form is not a version.
+/// Why a spec can't be converted to a version.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SpecError {
     /// Two nodes have the same name.
-    #[error("{node}: a node stands twice")]
+    #[error("{node}: two nodes have this name")]
     DuplicateNode {
-        /// The name.
+        /// The name that both nodes have.
         node: String,
     },
-    /// A node names a source that is not there.
+    /// A node names a source that the spec does not define.
     #[error("{node}: no node is called {source_name}")]
     UnknownSource {
-        /// The node.
+        /// The node that names the source.
         node: String,
-        /// The name of the source.
+        /// The name of the missing source.
         source_name: String,
     },
 }
 
 impl HierarchySpec {
-    /// The written form of a version.
+    /// Converts a version to its serialized form.
     pub fn from_hierarchy(number: u64, version: &Hierarchy) -> HierarchySpec {
         let rules = &version.rules;
         let header = SpecHeader {
@@ -206,11 +207,11 @@
         HierarchySpec { header, nodes: nodes.collect() }
     }
 
-    /// The version with its number. Nodes that `known` has keep their ids; others get new ones. Nodes that are
-    /// unchanged are shared with `known`, so that versions are quickly compared.
+    /// Converts the spec to a version and returns it with its number. Nodes that `known` has keep their ids; others get
+    /// new ones. Unchanged nodes are shared with `known`, so that comparing the two versions is cheap.
     ///
     /// # Errors
-    /// If names are not unique, or sources are unknown.
+    /// If two nodes have the same name, or a source is not defined.
     pub fn to_hierarchy(&self, known: Option<&Hierarchy>) -> Result<(u64, Hierarchy), SpecError> {
         let ids = self.assign_ids(known)?;
         let rules = Arc::new(self.header.to_rules());
--- a/crates/hierarchy/src/spec/settings_file.rs
+++ b/crates/hierarchy/src/spec/settings_file.rs
@@ -1,4 +1,4 @@
-//! A version in a settings file.
+//! Parses and writes the settings file of a version.
 
 use std::collections::{HashMap, HashSet};
 
@@ -7,26 +7,26 @@
 use super::{HierarchySpec, NodeSpec, SpecForm, SpecHeader};
 use crate::version::{FULL_SHARE, Hierarchy};
 
-/// The most errors of a file that are reported at a time.
+/// The maximum number of errors that are reported for a file.
 const MAX_ERRORS: usize = 20;
 
-/// Reads a settings file: the number of the version, and the version. `file` is the name in errors. Nodes that `known`
-/// has keep their ids.
+/// Parses the text of a settings file and returns the version with its number. Errors name the file as `file`. Nodes that
+/// `known` has keep their ids.
 ///
 /// # Errors
-/// What is wrong with the file, each by its place, key and cause.
+/// All errors of the file up to a limit, each with its line, column, key and cause.
 pub fn parse_settings(
     file: &str,
     text: &str,
     known: Option<&Hierarchy>,
 ) -> Result<(u64, Hierarchy), Vec<ConfigError>> {
     let forms: Vec<Located<SpecForm>> = sablecross_sexpr_config::parse_forms(file, text)?;
-    let mut collected = Collected::default();
+    let mut collected = CollectedForms::default();
     for form in &forms {
         collected.add(file, form);
     }
     collected.check_sources(file);
-    let Collected { header, nodes, mut errors, .. } = collected;
+    let CollectedForms { header, nodes, mut errors, .. } = collected;
     let Some(header) = header else {
         let remedy = "begin with (hierarchy (version . 1) (ceiling . 100))";
         errors.push(file_error(file, "hierarchy", "no (hierarchy ...) form".into(), remedy));
@@ -46,26 +46,26 @@
     ConfigError { file: file.into(), line: 1, column: 1, key: key.into(), problem, remedy: remedy.into() }
 }
 
-/// The forms of a file by their kind, and what is wrong with them.
+/// The forms of a file by their kind, and the errors found in them.
 #[derive(Default)]
-struct Collected<'a> {
+struct CollectedForms<'a> {
     header: Option<&'a SpecHeader>,
     nodes: Vec<(&'a Located<SpecForm>, &'a NodeSpec)>,
-    /// The line of each node.
+    /// The line of each node's form, by the node's name.
     lines: HashMap<&'a str, usize>,
     errors: Vec<ConfigError>,
 }
 
-impl<'a> Collected<'a> {
+impl<'a> CollectedForms<'a> {
     fn add(&mut self, file: &str, form: &'a Located<SpecForm>) {
         match &form.value {
             SpecForm::Hierarchy(header) if self.header.is_none() => self.header = Some(header),
             SpecForm::Hierarchy(_) => {
-                self.errors.push(form.error(file, "hierarchy", "a second head", "keep one (hierarchy ...)"));
+                self.errors.push(form.error(file, "hierarchy", "a second form", "keep one (hierarchy ...)"));
             }
             SpecForm::Node(node) => {
                 if let Some(line) = self.lines.insert(&node.name, form.line) {
-                    let problem = format!("{} stands on line {line} already", node.name);
+                    let problem = format!("{} is already defined on line {line}", node.name);
                     self.errors.push(form.error(file, "node.name", problem, "give each node one form"));
                 }
                 self.nodes.push((form, node));
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Checks that sources are nodes of the file and stand once.
+    /// Checks that each source is a node of the file and is listed once.
     fn check_sources(&mut self, file: &str) {
         for (form, node) in &self.nodes {
             let mut seen = HashSet::new();
@@ -81,11 +81,11 @@
                 let key = format!("node.sources[{index}]");
                 if !self.lines.contains_key(&**source) {
                     let problem = format!("{}: no node is called {source}", node.name);
-                    let remedy = "add a form for it, or take it away";
+                    let remedy = "add a form for it, or remove it";
                     self.errors.push(form.error(file, &key, problem, remedy));
                 }
                 if !seen.insert(source) {
-                    let problem = format!("{}: {source} stands twice", node.name);
+                    let problem = format!("{}: {source} is listed twice", node.name);
                     self.errors.push(form.error(file, &key, problem, "keep one"));
                 }
             }
@@ -94,7 +94,7 @@
 }
 
 impl HierarchySpec {
-    /// The text of a settings file with this content.
+    /// Formats the spec as the text of a settings file.
     pub fn to_settings_text(&self) -> String {
         let mut text = self.header.to_form();
         for node in &self.nodes {
@@ -124,7 +124,7 @@
 }
 
 impl NodeSpec {
-    /// The form of the node, without keys that have their default.
+    /// Formats the node as a form, without the keys that have their default value.
     fn to_form(&self) -> String {
         let mut form = format!("(node (name . \"{}\") (tier . {})", self.name, self.tier);
         if !self.sources.is_empty() {
--- a/crates/hierarchy/src/topological_order.rs
+++ b/crates/hierarchy/src/topological_order.rs
@@ -1,28 +1,31 @@
-//! Topological orders of a graph of sources: one that is kept up edge by edge, and a full sort.
+//! Topological orders of the graph of sources: one that is updated edge by edge, and a full sort.
 //!
-//! The incremental one is by Pearce and Kelly, "A dynamic topological sort algorithm for directed acyclic graphs"
-//! (2006): an edge that agrees with the order costs nothing, one against it only the nodes between its ends.
+//! The incremental algorithm is by Pearce and Kelly, "A dynamic topological sort algorithm for directed acyclic graphs"
+//! (2006). An edge that agrees with the order needs no reordering; for any other edge, only nodes between the positions
+//! of its ends are visited and reordered.
 
-/// An acyclic graph with its topological order. An edge from `a` to `b` means that `a` fills from `b`; `a` comes first.
+/// An acyclic graph with its topological order. An edge from `a` to `b` means that `a` fills from `b`, and `a` precedes
+/// `b` in the order.
 #[derive(Clone, Debug, Default)]
 pub struct TopologicalOrder {
     positions: Vec<u32>,
     sources: Vec<Vec<u32>>,
     dependents: Vec<Vec<u32>>,
-    /// The number of the search that visited each node last, so that nothing has to be cleared between searches.
+    /// The number of the last search that visited each node, so that no search has to clear the marks of the previous
+    /// one.
     visited: Vec<u32>,
     search: u32,
 }
 
 impl TopologicalOrder {
-    /// A graph of so many nodes, numbered from 0, without edges.
+    /// Creates a graph without edges whose nodes are numbered from 0.
     pub fn new(nodes: usize) -> TopologicalOrder {
         let mut order = TopologicalOrder::default();
         order.grow(nodes);
         order
     }
 
-    /// Adds nodes until there are so many. Has no effect if there are more.
+    /// Adds nodes until the graph has this many. Has no effect if it has more.
     pub fn grow(&mut self, nodes: usize) {
         let old = self.positions.len();
         self.positions.extend((old..nodes).map(|node| node as u32));
@@ -37,12 +40,12 @@
         self.positions.len()
     }
 
-    /// Whether there are no nodes.
+    /// Whether the graph has no nodes.
     pub fn is_empty(&self) -> bool {
         self.positions.is_empty()
     }
 
-    /// The position of a node in the order: after those that fill from it.
+    /// The position of a node in the order. The nodes that fill from it have smaller positions.
     pub fn position(&self, node: u32) -> u32 {
         self.positions[node as usize]
     }
@@ -52,10 +55,10 @@
         &self.sources[node as usize]
     }
 
-    /// Adds an edge.
+    /// Adds the edge from `a` to `b`.
     ///
     /// # Errors
-    /// An edge that would close a cycle is not added: the cycle is returned, from `a` back to `a`.
+    /// If the edge would close a cycle, it is not added, and the cycle from `a` back to `a` is returned.
     pub fn insert_edge(&mut self, a: u32, b: u32) -> Result<(), Vec<u32>> {
         if a == b {
             return Err(vec![a, a]);
@@ -74,7 +77,7 @@
         Ok(())
     }
 
-    /// Removes an edge, if it is there.
+    /// Removes the edge from `a` to `b`, if the graph has it.
     pub fn remove_edge(&mut self, a: u32, b: u32) {
         self.sources[a as usize].retain(|&source| source != b);
         self.dependents[b as usize].retain(|&dependent| dependent != a);
@@ -89,12 +92,12 @@
         self.search
     }
 
-    /// All nodes that are reached from `from` and come before the position `high`. An error is the cycle that an edge
-    /// from `to` to `from` would close.
+    /// Finds all nodes that can be reached from `from` and have a smaller position than `high`. If `to` can be reached,
+    /// the error is the cycle that an edge from `to` to `from` would close.
     fn descendants(&mut self, from: u32, to: u32, high: u32) -> Result<Vec<u32>, Vec<u32>> {
         let search = self.start_search();
         let mut found = vec![from];
-        // The path of the depth-first search: each node with the index of its next source.
+        // The stack of the depth-first search: each node with the index of its next source.
         let mut path: Vec<(u32, usize)> = vec![(from, 0)];
         self.visited[from as usize] = search;
         while let Some((node, next)) = path.last_mut() {
@@ -118,7 +121,7 @@
         Ok(found)
     }
 
-    /// All nodes that reach `from` and come after the position `low`.
+    /// Finds all nodes from which `from` can be reached and that have a larger position than `low`.
     fn ancestors(&mut self, from: u32, low: u32) -> Vec<u32> {
         let search = self.start_search();
         let (mut found, mut next) = (vec![from], 0);
@@ -137,7 +140,7 @@
         found
     }
 
-    /// Puts the ancestors before the descendants, on the positions that both together have.
+    /// Places the ancestors before the descendants, reusing the positions of both.
     fn reorder(&mut self, mut ancestors: Vec<u32>, mut descendants: Vec<u32>) {
         ancestors.sort_unstable_by_key(|&node| self.position(node));
         descendants.sort_unstable_by_key(|&node| self.position(node));
@@ -151,10 +154,10 @@
     }
 }
 
-/// Sorts all nodes of a graph, given by the sources of each: who fills from whom comes first.
+/// Sorts all nodes of a graph, given the sources of each node, so that each node precedes its sources.
 ///
 /// # Errors
-/// A cycle, from a node back to it.
+/// A cycle, if the graph has one; its first and last node are the same.
 pub fn topological_sort(sources: &[Vec<u32>]) -> Result<Vec<u32>, Vec<u32>> {
     let mut unsorted_dependents = vec![0u32; sources.len()];
     sources.iter().flatten().for_each(|&source| unsorted_dependents[source as usize] += 1);
@@ -176,8 +179,8 @@
     Err(find_cycle(sources, &unsorted_dependents))
 }
 
-/// A cycle among the nodes that could not be sorted. Each of these is the source of another one, so that walking from
-/// one to its dependent, again and again, ends in a cycle.
+/// Finds a cycle among the nodes that could not be sorted. Each of them is the source of another one, so repeatedly
+/// moving from a node to its dependent reaches a cycle.
 fn find_cycle(sources: &[Vec<u32>], unsorted_dependents: &[u32]) -> Vec<u32> {
     let is_unsorted = |node: usize| unsorted_dependents[node] > 0;
     let mut dependent = vec![u32::MAX; sources.len()];
@@ -185,18 +188,18 @@
         sources.iter().for_each(|&source| dependent[source as usize] = node as u32);
     }
     let Some(start) = (0..sources.len()).find(|&node| is_unsorted(node)) else { return Vec::new() };
-    let mut at = start as u32;
+    let mut current = start as u32;
     let mut visited = vec![false; sources.len()];
-    while !std::mem::replace(&mut visited[at as usize], true) {
-        at = dependent[at as usize];
+    while !std::mem::replace(&mut visited[current as usize], true) {
+        current = dependent[current as usize];
     }
-    let mut cycle = vec![at];
-    let mut next = dependent[at as usize];
-    while next != at {
+    let mut cycle = vec![current];
+    let mut next = dependent[current as usize];
+    while next != current {
         cycle.push(next);
         next = dependent[next as usize];
     }
-    cycle.push(at);
+    cycle.push(current);
     cycle.reverse();
     cycle
 }
--- a/crates/hierarchy/src/version.rs
+++ b/crates/hierarchy/src/version.rs
@@ -1,4 +1,4 @@
-//! One version of the hierarchy: a persistent map, so that a copy costs two reference counts.
+//! One version of the hierarchy. Its maps are persistent, so that a clone only increments reference counts.
 
 use std::sync::{Arc, OnceLock};
 
@@ -6,57 +6,58 @@
 use imbl::ordmap::DiffItem;
 use sablecross::Ns;
 
-/// The number of a node. A node keeps it through successive versions; another process may number nodes differently.
+/// The number of a node. A node keeps its number in successive versions; another process may number nodes differently.
 pub type NodeId = u32;
 
-/// All virtual nodes that a node can take in the ring of its tier.
+/// The number of virtual nodes that a node takes in the hash ring of its tier when it takes its full share.
 pub const FULL_SHARE: u16 = 256;
 
-/// The part of the load at which a cold node collapses that it may get, as in the decision module.
+/// The fraction of its collapse load that a cold node may get. The decision module uses the same fraction.
 pub const COLD_LOAD_FRACTION: f64 = 0.5;
 
-/// The settings of a whole hierarchy and of its changes. Durations are in nanoseconds.
+/// The settings that apply to a whole hierarchy and to its changes. Durations are in nanoseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HierarchyRules {
-    /// The fetches a second that the origin may get.
+    /// The maximum load of the origin, in fetches per second.
     pub ceiling: f64,
-    /// The part of `ceiling` that plans keep free.
+    /// The fraction of `ceiling` that plans leave unused.
     pub margin: f64,
     /// The warmth of a node that has just started, from 0 to 1.
     pub slow_start_initial_share: f64,
-    /// How long after its start a node is warm.
+    /// The time from a node's start until it is warm.
     pub slow_start_window: Ns,
-    /// The multiple of what its warmth allows at which a cold node collapses.
+    /// The load at which a cold node collapses, as a multiple of its capacity times its warmth.
     pub collapse_multiple: f64,
     /// Whether a node may fill from a node of its own tier.
     pub allows_siblings: bool,
-    /// The longest time that a request is in flight: so long a version is in use after a newer one was applied.
+    /// The longest time that a request is in flight. A version stays in use for this time after a newer one was applied.
     pub drain_window: Ns,
-    /// How long a moved part of a ring takes to fill.
+    /// The time until the objects of a moved part of a ring are filled.
     pub fill_window: Ns,
-    /// How long a step may wait for participants, or for the origin's load, before it is rolled back.
+    /// The longest time that a step waits for participants, or for the origin's load to fall, before the change is
+    /// rolled back.
     pub step_timeout: Ns,
 }
 
-/// An origin or a cache of one version.
+/// An origin or a cache node in one version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HierarchyNode {
-    /// The name, by which nodes of different processes are the same.
+    /// The name, which identifies the node across processes.
     pub name: Arc<str>,
     /// The distance from the origin, which is tier 0.
     pub tier: u8,
-    /// The nodes that it fills from. Those of the highest tier are preferred and share the objects by their ring; the
-    /// next tier is used when none of these is up.
+    /// The nodes that this node fills from. Those of the highest tier are preferred, and their hash ring distributes the
+    /// objects among them; the next lower tier is used when none of them is up.
     pub sources: Arc<[NodeId]>,
-    /// The requests a second that it can take when it is warm.
+    /// The load that the node can take when it is warm, in requests per second.
     pub capacity: f64,
-    /// The requests a second that it gets from clients.
+    /// The load from clients, in requests per second.
     pub demand: f64,
-    /// The part of its requests that it answers from its cache.
+    /// The fraction of its requests that the node answers from its cache.
     pub hit_ratio: f64,
-    /// The virtual nodes that it takes in the ring of its tier, of [`FULL_SHARE`].
+    /// The number of virtual nodes that the node takes in the ring of its tier, out of [`FULL_SHARE`].
     pub ring_share: u16,
-    /// The Unix time of its start in nanoseconds; 0 if it has been running for long.
+    /// The Unix time of the node's start in nanoseconds; 0 if the node has been running for long and is warm.
     pub started_at: Ns,
 }
 
@@ -67,62 +68,62 @@
     }
 }
 
-/// A version: its settings and its nodes. It is never changed; each change makes a new version.
+/// A version of the hierarchy: its settings and its nodes. It is immutable; each change creates a new version.
 #[derive(Clone, Debug)]
 pub struct Hierarchy {
     /// The settings.
     pub rules: Arc<HierarchyRules>,
     nodes: OrdMap<NodeId, Arc<HierarchyNode>>,
     ids: OrdMap<Arc<str>, NodeId>,
-    /// Computed once for all clones.
+    /// The content hash, computed once and shared by all clones.
     digest: Arc<OnceLock<u64>>,
 }
 
 /// A node that differs between two versions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeDifference {
-    /// The node.
+    /// The number of the node.
     pub node: NodeId,
-    /// The node before, if it was there.
+    /// The node in the earlier version, if that version has it.
     pub before: Option<Arc<HierarchyNode>>,
-    /// The node after, if it is there.
+    /// The node in the later version, if that version has it.
     pub after: Option<Arc<HierarchyNode>>,
 }
 
 impl PartialEq for Hierarchy {
     fn eq(&self, other: &Self) -> bool {
-        // Clones share their digest.
+        // Only clones of the same version share the allocation of their digest.
         Arc::ptr_eq(&self.digest, &other.digest)
             || self.rules == other.rules && self.nodes.diff(&other.nodes).next().is_none()
     }
 }
 
 impl Hierarchy {
-    /// A version without nodes.
+    /// Creates a version without nodes.
     pub fn new(rules: HierarchyRules) -> Self {
         Hierarchy { rules: Arc::new(rules), nodes: OrdMap::new(), ids: OrdMap::new(), digest: Arc::default() }
     }
 
-    /// The version with other settings.
+    /// Returns a version with the same nodes and these settings.
     pub fn with_rules(&self, rules: Arc<HierarchyRules>) -> Self {
         Hierarchy { rules, digest: Arc::default(), ..self.clone() }
     }
 
-    /// The version with this node, in place of one with the same id.
+    /// Returns a version in which this node is added, or replaces the one with the same id.
     pub fn with_node(&self, id: NodeId, node: impl Into<Arc<HierarchyNode>>) -> Self {
         let mut next = self.clone();
         next.insert(id, node.into());
         next
     }
 
-    /// The version without this node.
+    /// Returns a version without this node.
     pub fn without_node(&self, id: NodeId) -> Self {
         let mut next = self.clone();
         next.remove(id);
         next
     }
 
-    /// The version with each of these nodes replaced, or removed where there is none.
+    /// Returns a version with these changes: `Some` adds or replaces a node, `None` removes it.
     pub fn with_changes(
         &self,
         changes: impl IntoIterator<Item = (NodeId, Option<Arc<HierarchyNode>>)>,
@@ -160,7 +161,7 @@
         self.ids.get(name).copied()
     }
 
-    /// The name of a node; `?` if it is not in the version.
+    /// The name of a node, or `?` if it is not in the version.
     pub fn node_name(&self, id: NodeId) -> &str {
         self.get(id).map_or("?", |node| &node.name)
     }
@@ -170,12 +171,12 @@
         self.nodes.len()
     }
 
-    /// Whether there are no nodes.
+    /// Whether the version has no nodes.
     pub fn is_empty(&self) -> bool {
         self.nodes.is_empty()
     }
 
-    /// A name that two nodes have.
+    /// A name that two nodes have, if there is one.
     pub fn duplicate_name(&self) -> Option<&str> {
         if self.ids.len() == self.nodes.len() {
             return None;
@@ -184,18 +185,19 @@
         nodes.find(|(id, node)| self.node_id(&node.name) != Some(*id)).map(|(_, node)| &*node.name)
     }
 
-    /// All nodes by their ids.
+    /// Iterates over all nodes in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (NodeId, &Arc<HierarchyNode>)> {
         self.nodes.iter().map(|(id, node)| (*id, node))
     }
 
-    /// The nodes that a node may fill from: its sources that are in the version and take virtual nodes.
+    /// The nodes that a node may fill from: those of its sources that are in the version and take virtual nodes.
     pub fn active_sources(&self, id: NodeId) -> impl Iterator<Item = NodeId> + '_ {
         let sources = self.get(id).map(|node| &node.sources[..]).unwrap_or_default();
         sources.iter().copied().filter(|source| self.get(*source).is_some_and(|node| node.ring_share > 0))
     }
 
-    /// The nodes that differ, by their ids. Parts that both versions share are skipped.
+    /// The nodes that differ between this version and a later one, in the order of their ids. Subtrees that both maps
+    /// share are skipped.
     pub fn diff<'a>(&'a self, after: &'a Hierarchy) -> impl Iterator<Item = NodeDifference> + 'a {
         self.nodes.diff(&after.nodes).filter_map(|item| {
             let (node, before, after) = match item {
@@ -203,7 +205,7 @@
                 DiffItem::Remove(id, node) => (*id, Some(node), None),
                 DiffItem::Update { old: (id, old), new: (_, new) } => (*id, Some(old), Some(new)),
             };
-            // Two nodes that were created separately may be equal.
+            // Two nodes that were created separately may be equal, and are no difference then.
             (before != after).then(|| NodeDifference { node, before: before.cloned(), after: after.cloned() })
         })
     }
@@ -224,7 +226,7 @@
         for value in [rules.drain_window, rules.fill_window, rules.step_timeout] {
             hash.write_u64(value);
         }
-        // By name, as each process assigns ids by itself.
+        // Nodes are hashed in the order of their names, because each process assigns its own ids.
         for (name, id) in &self.ids {
             if let Some(node) = self.get(*id) {
                 self.hash_node(&mut hash, name, node);
@@ -258,8 +260,8 @@
 
 impl FnvHash {
     const PRIME: u64 = 0x0100_0000_01b3;
-    /// Ends each text, so that two texts don't run into each other.
-    const TEXT_END: u8 = 0xff;
+    /// Terminates each string, so that the boundary between two strings affects the hash. UTF-8 has no such byte.
+    const STRING_TERMINATOR: u8 = 0xff;
 
     fn write_byte(&mut self, byte: u8) {
         self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(Self::PRIME);
@@ -275,6 +277,6 @@
 
     fn write_str(&mut self, text: &str) {
         text.bytes().for_each(|byte| self.write_byte(byte));
-        self.write_byte(Self::TEXT_END);
+        self.write_byte(Self::STRING_TERMINATOR);
     }
 }
--- a/crates/hierarchy/tests/rollout.rs
+++ b/crates/hierarchy/tests/rollout.rs
@@ -233,7 +233,7 @@
             .handle(RolloutInput::Propose { target: twice })
             .unwrap_err()
             .to_string()
-            .contains("n2: a node stands twice")
+            .contains("n2: two nodes have this name")
     );
 }
 
--- a/crates/hierarchy/tests/stored_format.rs
+++ b/crates/hierarchy/tests/stored_format.rs
@@ -114,15 +114,15 @@
         (node("(tier . 0)"), "f.scm:2:1: node: missing field `capacity`"),
         (
             node("(tier . 1) (capacity . 9) (sources \"p\" \"p\")"),
-            "f.scm:2:1: node.sources[0]: o: no node is called p (add a form for it, or take it away) | f.scm:2:1: node.sources[1]: o: no node is called p (add a form for it, or take it away) | f.scm:2:1: node.sources[1]: o: p stands twice (keep one)",
+            "f.scm:2:1: node.sources[0]: o: no node is called p (add a form for it, or remove it) | f.scm:2:1: node.sources[1]: o: no node is called p (add a form for it, or remove it) | f.scm:2:1: node.sources[1]: o: p is listed twice (keep one)",
         ),
         (
             head("") + "(node (name . \"o\") (tier . 0) (capacity . 9))",
-            "f.scm:2:1: node.name: o stands on line 2 already (give each node one form)",
+            "f.scm:2:1: node.name: o is already defined on line 2 (give each node one form)",
         ),
         (
             head("") + "(hierarchy (version . 1) (ceiling . 1))",
-            "f.scm:2:1: hierarchy: a second head (keep one (hierarchy ...))",
+            "f.scm:2:1: hierarchy: a second form (keep one (hierarchy ...))",
         ),
         (
             "(node (name . \"o\") (tier . 0) (capacity . 9))".into(),
--- a/crates/hierarchy/tests/versions.rs
+++ b/crates/hierarchy/tests/versions.rs
@@ -28,9 +28,9 @@
             format!(
                 "{HEAD}\n(node (name . \"a\") (tier . 0) (capacity . 1))\n(node (name . \"a\") (tier . 0) (capacity . 1))"
             ),
-            "f:3:1: node.name: a stands on line 2 already",
+            "f:3:1: node.name: a is already defined on line 2",
         ),
-        (format!("{HEAD}\n{HEAD}"), "f:2:1: hierarchy: a second head"),
+        (format!("{HEAD}\n{HEAD}"), "f:2:1: hierarchy: a second form"),
         (
             "(node (name . \"a\") (tier . 0) (capacity . 1))".into(),
             "f:1:1: hierarchy: no (hierarchy ...) form",
