--- a/crates/cli/src/coordination.rs
+++ b/crates/cli/src/coordination.rs
@@ -1,4 +1,5 @@
-//! `sablecross coordination ...` (`duty` up to 0.1.0): who holds which role in a fleet, hand-overs, hierarchy changes.
+//! The command `sablecross coordination` (`duty` up to 0.1.0), which shows the holders of the fleet's roles, hands roles
+//! over, and proposes hierarchy changes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,29 +16,30 @@
 
 use crate::CommandOutcome;
 
-/// The interval at which a change is looked at.
+/// The interval at which the status of a running change is polled.
 const FOLLOW_INTERVAL: Duration = Duration::from_millis(100);
-/// The interval at which a new holder is looked for, and for how long at least.
+/// The interval at which the directors are polled for the new holder after a hand-over.
 const HAND_OVER_INTERVAL: Duration = Duration::from_millis(50);
+/// The minimum time for which the directors are polled for the new holder.
 const MIN_HAND_OVER_WAIT: Duration = Duration::from_secs(2);
 
-/// Which directors are asked.
+/// The directors that a command calls.
 #[derive(Args)]
 pub(crate) struct Target {
-    /// The coordination settings, as the directors have them: all voters are asked.
+    /// The coordination settings file of the directors; all voters in it are called.
     #[arg(long, conflicts_with = "at")]
     settings: Option<PathBuf>,
-    /// A director's address; more than one may be named.
+    /// The address of a director; may be given more than once.
     #[arg(long)]
     at: Vec<SocketAddr>,
-    /// The timeout of each call, in seconds.
+    /// The timeout of each call in seconds.
     #[arg(long, default_value_t = 2.0)]
     time: f64,
 }
 
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// The status of each director: holders, terms, the assignment of health checks, rejected tokens. Changes nothing.
+    /// Shows the status of each director: holders, terms, the assignment of health checks, rejected tokens. Changes nothing.
     Show {
         #[command(flatten)]
         target: Target,
@@ -46,18 +48,19 @@
     },
     /// Proposes a version of the hierarchy to the holder of `driving`, and follows the change to its end.
     Change {
-        /// As an S-expression: see docs/hierarchy-operators.md.
+        /// The settings file of the version, as S-expressions: see docs/hierarchy-operators.md.
         file: PathBuf,
-        /// Seconds after which it is no longer followed; it goes on all the same.
+        /// Seconds for which the change is followed; afterwards it continues unobserved.
         #[arg(long, default_value_t = 600.0)]
         follow: f64,
         #[command(flatten)]
         target: Target,
     },
-    /// Asks the holder of a role to release it, to the voter of this number or to the next one; waits for the new holder.
+    /// Asks the holder of a role to release it to another voter, and waits for the new holder.
     HandOver {
         /// dealing, driving or warming
         role: String,
+        /// The number of the voter that gets the role; without it, the next voter gets it.
         #[arg(long)]
         to: Option<u32>,
         #[command(flatten)]
@@ -65,8 +68,8 @@
     },
 }
 
-/// The sender of calls from outside the fleet.
-const OUTSIDE: Member = Member { number: u32::MAX, incarnation: 0 };
+/// The sender of calls that come from outside the fleet.
+const OUTSIDE_MEMBER: Member = Member { number: u32::MAX, incarnation: 0 };
 
 impl Target {
     fn addresses(&self) -> Result<Vec<SocketAddr>, Vec<String>> {
@@ -78,9 +81,9 @@
             Some(file) => {
                 let name = file.display().to_string();
                 let text = std::fs::read_to_string(file).map_err(|e| vec![format!("{name}: {e}")])?;
-                let setting = CoordinationSettings::parse(&name, &text);
-                Ok(setting
-                    .map_err(|f| f.iter().map(ToString::to_string).collect::<Vec<_>>())?
+                let settings = CoordinationSettings::parse(&name, &text);
+                Ok(settings
+                    .map_err(|errors| errors.iter().map(ToString::to_string).collect::<Vec<_>>())?
                     .voter_addresses)
             }
         }
@@ -91,7 +94,7 @@
     }
 
     fn send(&self, address: SocketAddr, message: Message) -> Result<Vec<Reply>, String> {
-        let request = Request { from: OUTSIDE, messages: vec![message] };
+        let request = Request { from: OUTSIDE_MEMBER, messages: vec![message] };
         call_member(address, &request, self.timeout()).map_err(|e| format!("{address}: {e}"))
     }
 
@@ -101,7 +104,7 @@
             Reply::Status(status) => Some(status),
             _ => None,
         });
-        status.ok_or(format!("{address}: its reply holds no status"))
+        status.ok_or(format!("{address}: the reply has no status"))
     }
 }
 
@@ -189,23 +192,23 @@
     );
 }
 
-/// One line for each role: which of the members asked holds it.
+/// Prints a line for each role that names its holder among the called members.
 fn print_holders(statuses: &BTreeMap<SocketAddr, MemberStatus>) {
     for (role, name) in ROLES {
         let holds = |status: &&MemberStatus| {
-            status.roles.iter().any(|held| held.role == role && held.own_lease.is_some())
+            status.roles.iter().any(|status| status.role == role && status.own_lease.is_some())
         };
         let holders: Vec<u32> = statuses.values().filter(holds).map(|status| status.member.number).collect();
         match holders[..] {
-            [] => eprintln!("{name}: none of those asked holds it"),
+            [] => eprintln!("{name}: none of the called members holds it"),
             [holder] => eprintln!("{name}: member {holder}"),
-            // The statuses are moments apart: a hand-over between them looks like two holders.
-            _ => eprintln!("{name}: members {holders:?}: it passed on meanwhile; ask again"),
+            // The statuses were read one after another, so a hand-over in between looks like two holders.
+            _ => eprintln!("{name}: members {holders:?}: the role was handed over meanwhile; ask again"),
         }
     }
 }
 
-/// The member that holds a role, as far as those asked know.
+/// The member that holds a role, according to the called members.
 struct Holder {
     address: SocketAddr,
     member: u32,
@@ -215,7 +218,7 @@
 fn find_holder(target: &Target, role: RoleId) -> Result<Option<Holder>, Vec<String>> {
     let holder = |address: SocketAddr| {
         let status = target.member_status(address).ok()?;
-        let lease = status.roles.iter().find(|held| held.role == role)?.own_lease?;
+        let lease = status.roles.iter().find(|status| status.role == role)?.own_lease?;
         Some(Holder { address, member: status.member.number, term: lease.token.term })
     };
     Ok(target.addresses()?.into_iter().filter_map(holder).max_by_key(|holder| holder.term))
@@ -231,7 +234,7 @@
     sablecross_hierarchy::spec::parse_settings(&name, &text, None)
         .map_err(|errors| errors.iter().map(ToString::to_string).collect::<Vec<_>>())?;
     let Some(holder) = find_holder(target, HIERARCHY_ROLE)? else {
-        eprintln!("driving: none of those asked holds it now: ask again");
+        eprintln!("driving: none of the called members holds it now: ask again");
         return Ok(CommandOutcome::Rejected);
     };
     let proposal = Message::Propose { role: HIERARCHY_ROLE, bytes: text.into_bytes() };
@@ -244,7 +247,7 @@
     follow_change(target, holder.address, follow)
 }
 
-/// Prints the progress of the change until it has ended, or for so many seconds.
+/// Prints the progress of the change until it has ended, for at most `follow` seconds.
 fn follow_change(
     target: &Target,
     proposed_to: SocketAddr,
@@ -256,7 +259,7 @@
     let mut last = String::new();
     while started.elapsed().as_secs_f64() < follow {
         std::thread::sleep(FOLLOW_INTERVAL);
-        // After a loss of the holder the next one goes on with the change.
+        // If the holder is lost, the next holder continues the change.
         let Some(holder) = find_holder(target, HIERARCHY_ROLE)? else { continue };
         let Ok(member) = target.member_status(holder.address) else { continue };
         let Some(status) = role_status(member, HIERARCHY_ROLE) else { continue };
@@ -270,17 +273,17 @@
             if has_run {
                 return Ok(CommandOutcome::Success);
             }
-            eprintln!("driving: the holder was lost before it kept the proposal: ask again");
+            eprintln!("driving: the holder was lost before it stored the proposal: ask again");
             return Ok(CommandOutcome::Rejected);
         }
         has_run |= !is_idle(&status);
         last = status;
     }
-    eprintln!("driving: the change still runs");
+    eprintln!("driving: the change is still running");
     Ok(CommandOutcome::Rejected)
 }
 
-/// Whether a status of the hierarchy role says that no change runs.
+/// Whether a status text of the hierarchy role reports that no change is running.
 fn is_idle(status: &str) -> bool {
     status.contains("no change runs")
 }
@@ -288,15 +291,15 @@
 fn hand_over(name: &str, to: Option<u32>, target: &Target) -> Result<CommandOutcome, Vec<String>> {
     let Some((role, _)) = ROLES.iter().find(|(_, known)| *known == name).copied() else {
         let known: Vec<&str> = ROLES.iter().map(|(_, known)| *known).collect();
-        return Err(vec![format!("{name}: no such role; there are {}", known.join(", "))]);
+        return Err(vec![format!("{name}: no such role; the roles are {}", known.join(", "))]);
     };
     let Some(holder) = find_holder(target, role)? else {
-        eprintln!("{name}: none of those asked holds it now");
+        eprintln!("{name}: none of the called members holds it now");
         return Ok(CommandOutcome::Rejected);
     };
     let replies = target.send(holder.address, Message::HandOver { role, to }).map_err(|e| vec![e])?;
     if !replies.contains(&Reply::HandOverStarted { role, started: true }) {
-        eprintln!("{name}: member {} held it and does not any more: ask again", holder.member);
+        eprintln!("{name}: member {} does not hold it any more: ask again", holder.member);
         return Ok(CommandOutcome::Rejected);
     }
     let started = Instant::now();
@@ -311,8 +314,8 @@
             next.term,
             started.elapsed().as_secs_f64()
         );
-        let is_wanted = to.is_none_or(|to| to == next.member);
-        return Ok(if is_wanted { CommandOutcome::Success } else { CommandOutcome::Rejected });
+        let is_requested = to.is_none_or(|to| to == next.member);
+        return Ok(if is_requested { CommandOutcome::Success } else { CommandOutcome::Rejected });
     }
     println!("{name}: member {} released it in term {}, nobody holds it yet", holder.member, holder.term);
     Ok(CommandOutcome::Rejected)
--- a/crates/cli/src/cost_slopes.rs
+++ b/crates/cli/src/cost_slopes.rs
@@ -1,4 +1,4 @@
-//! `sablecross slopes ...`
+//! The command `sablecross cost-slopes` (alias `slopes`), which measures the costs of the components.
 
 use clap::Args;
 use sablecross_capacity::suite;
@@ -8,67 +8,74 @@
 
 #[derive(Args)]
 pub(crate) struct Arguments {
-    /// Only costs whose names begin so.
+    /// Measures only the costs whose names begin with this prefix.
     #[arg(long, default_value = "")]
     only: String,
-    /// One line of JSON for each cost.
+    /// Prints one line of JSON for each cost.
     #[arg(long)]
     json: bool,
-    /// As forms for docs/capacity.scm, with this as their run: date and time.
+    /// Prints forms for docs/capacity.scm, with this text (date and time) as their run.
     #[arg(long, value_name = "RUN")]
     forms: Option<String>,
-    /// Names alone, nothing is measured.
+    /// Prints the names of the costs and measures nothing.
     #[arg(long)]
     names: bool,
-    /// One size of a cost of memory in this process: what the command asks of itself.
+    /// Measures a memory cost at one size in this process; the command starts itself so for each size.
     #[arg(long, hide = true, num_args = 2, value_names = ["NAME", "SIZE"])]
     bare: Vec<String>,
 }
 
-pub(crate) fn run(a: &Arguments) -> Result<CommandOutcome, Vec<String>> {
-    if let [name, size] = &a.bare[..] {
+pub(crate) fn run(arguments: &Arguments) -> Result<CommandOutcome, Vec<String>> {
+    if let [name, size] = &arguments.bare[..] {
         let size = size.parse().ok().filter(|s| *s > 0);
-        let size = size.ok_or_else(|| vec![format!("--bare {name}: the size is no count")])?;
+        let size = size.ok_or_else(|| vec![format!("--bare {name}: the size must be a positive integer")])?;
         let value =
             suite::measure_memory(name, size).ok_or_else(|| vec![format!("--bare {name}: no such cost")])?;
         println!("{value}");
         return Ok(CommandOutcome::Success);
     }
-    let known = suite::names().filter(|n| n.starts_with(&a.only)).collect::<Vec<_>>();
-    if known.is_empty() {
+    let selected = suite::names().filter(|n| n.starts_with(&arguments.only)).collect::<Vec<_>>();
+    if selected.is_empty() {
         let all: Vec<&str> = suite::names().collect();
-        return Err(vec![format!("--only {}: no cost begins so; there are {}", a.only, all.join(", "))]);
+        return Err(vec![format!(
+            "--only {}: no cost has this prefix; the costs are {}",
+            arguments.only,
+            all.join(", ")
+        )]);
     }
-    if a.names {
-        known.iter().for_each(|n| println!("{n}"));
+    if arguments.names {
+        selected.iter().for_each(|n| println!("{n}"));
         return Ok(CommandOutcome::Success);
     }
-    let own = std::env::current_exe().map_err(|e| vec![format!("this program: {e}")])?;
-    let ask = |name: &str, size: usize| {
+    let executable = std::env::current_exe().map_err(|e| vec![format!("this program: {e}")])?;
+    let measure_memory = |name: &str, size: usize| {
         let bare = ["slopes", "--bare", name, &size.to_string()];
-        let out = std::process::Command::new(&own).args(bare).output().ok()?;
+        let out = std::process::Command::new(&executable).args(bare).output().ok()?;
         std::str::from_utf8(&out.stdout).ok()?.trim().parse().ok()
     };
-    let director = || {
-        let mut command = std::process::Command::new(&own);
+    let director_command = || {
+        let mut command = std::process::Command::new(&executable);
         command.args(["testbed", "director"]);
         command
     };
-    let mut unfit = Vec::new();
-    let ways = suite::MeasurementEnvironment { measure_memory: &ask, director_command: &director };
-    let taken = suite::measure(&a.only, &ways, |cost| {
+    let mut unfitted = Vec::new();
+    let environment = suite::MeasurementEnvironment {
+        measure_memory: &measure_memory,
+        director_command: &director_command,
+    };
+    let result = suite::measure(&arguments.only, &environment, |cost| {
         if cost.fit().is_none() {
-            unfit.push(format!("{}: no line through {} points", cost.name, cost.points.len()));
+            unfitted.push(format!("{}: no line fits its {} points", cost.name, cost.points.len()));
         }
-        if let (Some(run), Some(form)) = (&a.forms, cost.fit().map(|l| cost.to_form(&l))) {
+        if let (Some(run), Some(form)) = (&arguments.forms, cost.fit().map(|l| cost.to_form(&l))) {
             println!("{form} (run . {run:?}))");
-        } else if a.json {
+        } else if arguments.json {
             println!("{}", json!({"cost": cost, "line": cost.fit()}));
         } else {
             println!("{cost}");
         }
     });
-    taken.map_err(|e| vec![format!("slopes: {e}")])?;
-    unfit.iter().for_each(|u| eprintln!("NOT WELL {u}"));
-    Ok(if unfit.is_empty() { CommandOutcome::Success } else { CommandOutcome::Rejected })
+    result.map_err(|e| vec![format!("slopes: {e}")])?;
+    unfitted.iter().for_each(|line| eprintln!("NOT WELL {line}"));
+    Ok(if unfitted.is_empty() { CommandOutcome::Success } else { CommandOutcome::Rejected })
 }
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `sablecross fleet-trial ...`
+//! The command `sablecross fleet-trial`, which runs a fleet trial.
 
 use std::path::PathBuf;
 
@@ -11,28 +11,29 @@
 pub(crate) struct Arguments {
     /// The trial, as an S-expression: see docs/spread-operators.md.
     file: PathBuf,
-    /// Where the report, the plot and the directors' logs go.
+    /// The folder for the report, the plot and the directors' logs.
     #[arg(long, default_value = "found/fleet")]
     out: PathBuf,
-    /// In place of the file's own.
+    /// Overrides the seed of the file.
     #[arg(long)]
     seed: Option<u64>,
+    /// Overrides the number of directors of the file.
     #[arg(long)]
     directors: Option<usize>,
-    /// Another build of the director to try, in place of this program's own.
+    /// The director program to run, instead of the director that is built into this program.
     #[arg(long)]
     director: Option<PathBuf>,
 }
 
-pub(crate) fn run(a: &Arguments) -> Result<CommandOutcome, Vec<String>> {
-    let mut trial = trial::settings(&a.file, fleet::settings::parse)?;
-    trial.seed = a.seed.unwrap_or(trial.seed);
-    trial.directors = a.directors.unwrap_or(trial.directors);
-    trial::run(&a.out, |own| {
-        let program = || match &a.director {
-            Some(other) => std::process::Command::new(other),
-            None => own(&["testbed", "director"]),
+pub(crate) fn run(arguments: &Arguments) -> Result<CommandOutcome, Vec<String>> {
+    let mut trial = trial::read_settings(&arguments.file, fleet::settings::parse)?;
+    trial.seed = arguments.seed.unwrap_or(trial.seed);
+    trial.directors = arguments.directors.unwrap_or(trial.directors);
+    trial::run(&arguments.out, |program| {
+        let director = || match &arguments.director {
+            Some(path) => std::process::Command::new(path),
+            None => program(&["testbed", "director"]),
         };
-        fleet::run(&trial, &program, &a.out, |line| eprintln!("{line}"))
+        fleet::run(&trial, &director, &arguments.out, |line| eprintln!("{line}"))
     })
 }
--- a/crates/cli/src/hierarchy.rs
+++ b/crates/cli/src/hierarchy.rs
@@ -1,4 +1,4 @@
-//! `sablecross hierarchy ...`: checks, shows, compares and plans versions of the hierarchy.
+//! The command `sablecross hierarchy`, which checks, shows, compares and plans versions of the hierarchy.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -22,20 +22,20 @@
 
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// Checks each file: its form, loops, paths to the origin, loads.
+    /// Checks each file for errors in its forms, loops, missing paths to the origin, and overload.
     Check {
         #[arg(required = true)]
         files: Vec<PathBuf>,
         #[arg(long)]
         json: bool,
     },
-    /// Shows the load of each node, or draws the hierarchy.
+    /// Shows the load of each node as a table, as JSON, or as a graph.
     Show {
         file: PathBuf,
         #[arg(long, value_enum, default_value_t = Form::Table)]
         form: Form,
     },
-    /// Shows what differs between two versions.
+    /// Shows the differences between two versions.
     Diff {
         before: PathBuf,
         after: PathBuf,
@@ -48,13 +48,13 @@
 
 #[derive(Args)]
 pub(crate) struct PlanArgs {
-    /// The current version.
+    /// The settings file of the current version.
     from: PathBuf,
-    /// The target.
+    /// The settings file of the target version.
     to: PathBuf,
     #[arg(long, value_enum, default_value_t = Form::Table)]
     form: Form,
-    /// Writes each step's version to this folder, as step-1.scm and so on.
+    /// Writes the version of each step to this folder, as step-1.scm and so on.
     #[arg(long)]
     steps: Option<PathBuf>,
 }
@@ -63,14 +63,14 @@
 pub(crate) enum Form {
     Table,
     Json,
-    /// For Graphviz.
+    /// A graph in the DOT language of Graphviz.
     Dot,
 }
 
-/// Error lines, each for one problem.
+/// Error messages, one for each problem.
 type ErrorLines = Vec<String>;
 
-/// Runs a command.
+/// Runs a subcommand.
 pub(crate) fn run(command: &Command) -> Result<CommandOutcome, ErrorLines> {
     match command {
         Command::Check { files, json } => check(files, *json),
@@ -91,7 +91,7 @@
 }
 
 fn check(files: &[PathBuf], as_json: bool) -> Result<CommandOutcome, ErrorLines> {
-    let mut verdict = CommandOutcome::Success;
+    let mut outcome = CommandOutcome::Success;
     let mut results = Vec::new();
     for file in files {
         let name = file.display().to_string();
@@ -100,7 +100,7 @@
             Err(lines) => (false, lines),
         };
         if !is_valid {
-            verdict = CommandOutcome::Rejected;
+            outcome = CommandOutcome::Rejected;
         }
         if as_json {
             results.push(json!({"file": name, "fit": is_valid, "said": lines}));
@@ -111,15 +111,15 @@
     if as_json {
         println!("{}", Value::from(results));
     }
-    Ok(verdict)
+    Ok(outcome)
 }
 
-/// A line about a valid file, or what is wrong with it.
+/// Checks a file. Returns a line that describes a valid file, or the errors.
 fn check_file(file: &Path) -> Result<String, ErrorLines> {
     let name = file.display();
     let (number, version) = load(file, None)?;
     Admission::new(version.clone()).map_err(|error| vec![format!("{name}: {error}")])?;
-    Ok(format!("{name}: version {number}, {} nodes: well", version.len()))
+    Ok(format!("{name}: version {number}, {} nodes: valid", version.len()))
 }
 
 fn compare(before: &Path, after: &Path, as_json: bool) -> Result<CommandOutcome, ErrorLines> {
@@ -135,7 +135,7 @@
     Ok(if lines.is_empty() { CommandOutcome::Success } else { CommandOutcome::Rejected })
 }
 
-/// The load of each node, in requests a second; nothing for a hierarchy with a loop.
+/// The load of each node, in requests per second; empty for a hierarchy with a loop.
 fn node_loads(version: &Hierarchy) -> BTreeMap<NodeId, f64> {
     let index = NodeIndex::from_versions(&[version]);
     let nodes = index.flow_nodes(version);
@@ -195,7 +195,7 @@
     out
 }
 
-/// A graph for Graphviz. Nodes that a plan changes carry the steps in which it does.
+/// Formats a version as a graph for Graphviz. The label of a node names the steps of a plan that change it.
 fn dot(version: &Hierarchy, loads: &BTreeMap<NodeId, f64>, steps: &BTreeMap<NodeId, Vec<usize>>) -> String {
     let mut graph = DiGraph::new();
     let mut vertices = BTreeMap::new();
@@ -218,7 +218,7 @@
     format!("{}", Dot::with_config(&graph, &[Config::EdgeNoLabel]))
 }
 
-/// One line for each difference between two versions.
+/// Describes each difference between two versions in one line.
 fn differences(old: &Hierarchy, new: &Hierarchy) -> Vec<String> {
     let mut lines = Vec::new();
     if old.rules != new.rules {
@@ -244,7 +244,7 @@
     lines
 }
 
-/// The settings that differ, by their keys in the file.
+/// Describes the settings that differ, by their keys in the settings file.
 fn rule_differences(old: &HierarchyRules, new: &HierarchyRules) -> String {
     let values = |rules: &HierarchyRules| {
         [
@@ -264,7 +264,7 @@
     changed.map(|((key, old), (_, new))| format!("{key} {old} to {new}")).collect::<Vec<_>>().join(", ")
 }
 
-/// What differs between a node of the old version and the same node of the new one.
+/// Describes the differences between a node of the old version and the same node of the new one.
 fn node_differences(
     old: &Hierarchy,
     before: &HierarchyNode,
@@ -313,7 +313,7 @@
     Ok(CommandOutcome::Success)
 }
 
-/// Says why there is no plan.
+/// Prints why there is no plan.
 fn reject(error: &dyn std::error::Error, form: Form) -> CommandOutcome {
     match form {
         Form::Json => println!("{}", json!({"refused": error.to_string()})),
@@ -322,7 +322,7 @@
     CommandOutcome::Rejected
 }
 
-/// Writes the version of each step as a settings file.
+/// Writes the version of each step to the folder as a settings file.
 fn write_steps(folder: &Path, number: u64, plan: &Plan) -> Result<(), ErrorLines> {
     std::fs::create_dir_all(folder).map_err(|error| vec![format!("{}: {error}", folder.display())])?;
     for (index, step) in plan.steps.iter().enumerate() {
@@ -334,7 +334,7 @@
     Ok(())
 }
 
-/// A plan with the two versions that it leads from and to.
+/// A plan with the versions that it starts from and leads to.
 struct PlannedChange<'a> {
     number: u64,
     from: &'a Hierarchy,
@@ -352,7 +352,7 @@
         }
     }
 
-    /// For each node the numbers of the steps that change it.
+    /// The numbers of the steps that change each node.
     fn steps_by_node(&self) -> BTreeMap<NodeId, Vec<usize>> {
         let mut steps: BTreeMap<NodeId, Vec<usize>> = BTreeMap::new();
         for (index, step) in self.plan.steps.iter().enumerate() {
@@ -361,7 +361,7 @@
         steps
     }
 
-    /// Each step with its differences from the step before.
+    /// Each step with the differences from the version before it.
     fn steps(&self) -> impl Iterator<Item = (&PlanStep, Vec<String>)> {
         let versions_before =
             std::iter::once(self.from).chain(self.plan.steps.iter().map(|step| &step.target));
@@ -387,9 +387,10 @@
     }
 
     fn table(&self) -> String {
-        let how = if self.plan.is_minimal { "there are no fewer" } else { "not searched for the fewest" };
+        let optimality =
+            if self.plan.is_minimal { "the fewest possible" } else { "not searched for the fewest" };
         let mut out = format!(
-            "version {} to {} in {} steps ({how})\n",
+            "version {} to {} in {} steps ({optimality})\n",
             self.number,
             self.target_number,
             self.plan.steps.len()
@@ -397,7 +398,7 @@
         for (index, (step, changes)) in self.steps().enumerate() {
             let _ = writeln!(
                 out,
-                "step {}: after {:.1} s; {:.0} requests a second go to another node; origin {:.0} a second at most, {:.0} before",
+                "step {}: after {:.1} s; {:.0} requests a second go to another node; origin at most {:.0} fetches a second, {:.0} before",
                 index + 1,
                 step.min_delay as f64 / NANOS_PER_SECOND,
                 step.moved_load,
@@ -406,7 +407,7 @@
             );
             for required in &step.required_warmth {
                 let name = step.target.node_name(required.node);
-                let _ = writeln!(out, "  once {name} is warm by {:.0}%", 100.0 * required.warmth);
+                let _ = writeln!(out, "  once {name} has a warmth of {:.0}%", 100.0 * required.warmth);
             }
             for change in changes {
                 let _ = writeln!(out, "  {change}");
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,5 +1,5 @@
-//! The command line of sablecross. Exit codes: 0 all is well, 1 what was asked about is refused or differs,
-//! 2 the command line or a file can't be used, 3 the machine was too busy for a verdict.
+//! The command line of sablecross. Exit codes: 0 success; 1 the checked input is rejected or differs, or the operation
+//! did not succeed; 2 the command line or a file can't be used; 3 the machine was too busy for a verdict.
 
 mod capacity;
 mod coordination;
@@ -17,7 +17,11 @@
 use clap::{Parser, Subcommand};
 
 #[derive(Parser)]
-#[command(name = "sablecross", version, about = "Looks after sablecross directors and what they work by")]
+#[command(
+    name = "sablecross",
+    version,
+    about = "Operates and tests sablecross directors, relays and the cache hierarchy"
+)]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -25,40 +29,43 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Versions of the hierarchy of upper caches: checked, shown, compared, planned.
+    /// Checks, shows, compares and plans versions of the cache hierarchy.
     #[command(subcommand)]
     Hierarchy(hierarchy::Command),
-    /// Duties on behalf of the fleet: who owns what, and hand-overs.
+    /// Shows the holders of the fleet's roles, hands roles over, and proposes hierarchy changes.
     #[command(subcommand, alias = "duty")]
     Coordination(coordination::Command),
-    /// A trial of a fleet on loopback: hundreds of directors, faults between them, how even the load stays.
+    /// Runs a fleet trial on loopback: hundreds of directors with injected faults; measures how even the load stays.
     FleetTrial(fleet::Arguments),
-    /// A trial of control at full size: thousands of hollow directors, real ones beside them, relays, faults.
+    /// Runs a scale trial of event distribution: thousands of simulated directors, some real ones, relays and faults.
     Scale(scale::Arguments),
-    /// A soak: directors under overlapping troubles, judged from outside by the invariants.
+    /// Runs soaks: directors under overlapping faults, checked from outside against the invariants.
     Soak(soak::Arguments),
-    /// Relays between one source of events and the directors: run, show, publish.
+    /// Runs a relay, shows the status of relays, and publishes events through them.
     #[command(subcommand)]
     Relay(relay::Command),
-    /// A small installation on loopback: real directors, stand-in nodes, load, a report.
+    /// Runs an experiment on loopback: real directors, stub nodes, generated load and a report.
     #[command(subcommand, alias = "lab")]
     Testbed(testbed::Command),
-    /// The tables of docs/CAPACITY.md, worked out from what was measured.
+    /// Computes the tables of docs/CAPACITY.md from measured costs.
     Capacity(capacity::Arguments),
-    /// What the parts cost as they grow: measured again, each with its line and where that bends.
+    /// Measures the costs of the components at several sizes, and fits a line to each cost.
     #[command(alias = "slopes")]
     CostSlopes(cost_slopes::Arguments),
 }
 
-/// How a command ended that could be carried out.
+/// The result of a command that could be carried out.
 enum CommandOutcome {
+    /// Exit code 0.
     Success,
+    /// Exit code 1: the checked input is rejected or differs, or the operation did not succeed.
     Rejected,
+    /// Exit code 3: the machine was too busy for a verdict.
     NotJudged,
 }
 
 fn main() -> ExitCode {
-    let done = match Cli::parse().command {
+    let result = match Cli::parse().command {
         Command::Capacity(arguments) => capacity::run(&arguments),
         Command::Coordination(command) => coordination::run(&command),
         Command::Hierarchy(command) => hierarchy::run(&command),
@@ -82,12 +89,12 @@
         Command::CostSlopes(arguments) => cost_slopes::run(&arguments),
         Command::Soak(arguments) => soak::run(&arguments),
     };
-    match done {
+    match result {
         Ok(CommandOutcome::Success) => ExitCode::SUCCESS,
         Ok(CommandOutcome::Rejected) => ExitCode::from(1),
         Ok(CommandOutcome::NotJudged) => ExitCode::from(3),
-        Err(faults) => {
-            faults.iter().for_each(|f| eprintln!("{f}"));
+        Err(errors) => {
+            errors.iter().for_each(|error| eprintln!("{error}"));
             ExitCode::from(2)
         }
     }
--- a/crates/cli/src/relay.rs
+++ b/crates/cli/src/relay.rs
@@ -1,4 +1,4 @@
-//! `sablecross relay ...`: runs a relay, shows what all relays know, publishes events.
+//! The command `sablecross relay`, which runs a relay, shows the status of all relays, and publishes events.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -14,44 +14,45 @@
 
 use crate::CommandOutcome;
 
-/// The longest status that is read.
+/// The maximum size of a status response.
 const MAX_STATUS_BYTES: usize = 64 << 20;
 
 #[derive(Args)]
 pub(crate) struct Target {
-    /// The settings of any relay: all members are asked.
+    /// The settings file of any relay; all members in it are called.
     #[arg(long)]
     settings: PathBuf,
-    /// Seconds that each is waited for; `publish`: that a leader is looked for.
+    /// The timeout of each call in seconds; for `publish`, the time to find a leader.
     #[arg(long, default_value_t = 5.0)]
     time: f64,
 }
 
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// Runs a relay until SIGTERM, which hands over; SIGUSR1 puts its status into the log.
+    /// Runs a relay until SIGTERM, on which it hands over leadership; SIGUSR1 writes its status to the log.
     Run {
-        /// Its settings: see docs/relay-operators.md.
+        /// The settings file of the relay: see docs/relay-operators.md.
         file: PathBuf,
-        /// Ends it with the program that started it, whose pipe its standard input is.
+        /// Exits when the parent process exits; standard input must be a pipe that the parent holds open.
         #[arg(long, hide = true)]
         with_parent: bool,
     },
-    /// All relays and their readers; for a number, since when it is in force everywhere or at whom it is missing. Changes nothing.
+    /// Shows all relays and their subscribers. Changes nothing.
     Show {
         #[command(flatten)]
         target: Target,
+        /// The number of an event; also shows since when it is in force everywhere, or where it is missing.
         #[arg(long)]
         number: Option<u64>,
         #[arg(long)]
         json: bool,
     },
-    /// Publishes events, each as JSON without its number, and prints their numbers.
+    /// Publishes events and prints their numbers. Each event is JSON without a number.
     Publish {
         #[command(flatten)]
         target: Target,
-        /// Idempotency key: the event is sent once however often it is published with it; several events get it with -1,
-        /// -2 and so on. Without it one is generated.
+        /// Idempotency key: an event is committed once, however often it is published with the same key. With several
+        /// events, -1, -2 and so on are appended. Without the option, a key is generated.
         #[arg(long)]
         mark: Option<String>,
         /// JSON, or @FILE
@@ -82,15 +83,15 @@
     }
 }
 
-/// What the relays have answered.
-struct Answers {
+/// The results of asking all relays for their status.
+struct FetchedStatuses {
     statuses: Vec<RelayStatus>,
-    /// Relays that have not, by their numbers, and why.
-    silent: Vec<(u32, String)>,
+    /// The numbers of relays that sent no status, each with the reason.
+    unreachable: Vec<(u32, String)>,
 }
 
-/// Asks all members at once: one that hangs holds nobody up.
-fn fetch_statuses(members: &[MemberForm], timeout: Duration) -> Answers {
+/// Fetches the statuses of all members concurrently, so that one that hangs does not delay the others.
+fn fetch_statuses(members: &[MemberForm], timeout: Duration) -> FetchedStatuses {
     let results: Vec<(u32, Result<RelayStatus, String>)> = std::thread::scope(|scope| {
         let fetches: Vec<_> = members
             .iter()
@@ -101,14 +102,14 @@
             .map(|(number, fetch)| (number, fetch.join().unwrap_or(Err("no answer".into()))));
         joined.collect()
     });
-    let mut answers = Answers { statuses: Vec::new(), silent: Vec::new() };
+    let mut fetched = FetchedStatuses { statuses: Vec::new(), unreachable: Vec::new() };
     for (number, result) in results {
         match result {
-            Ok(status) => answers.statuses.push(status),
-            Err(reason) => answers.silent.push((number, reason)),
+            Ok(status) => fetched.statuses.push(status),
+            Err(reason) => fetched.unreachable.push((number, reason)),
         }
     }
-    answers
+    fetched
 }
 
 fn fetch_status(address: SocketAddr, timeout: Duration) -> Result<RelayStatus, String> {
@@ -116,9 +117,9 @@
     let response =
         client.request("GET", "/v1/status", "Connection: close\r\n", b"").map_err(|e| e.to_string())?;
     if response.code != 200 {
-        return Err(format!("answer {}", response.code));
+        return Err(format!("GET /v1/status returned code {}", response.code));
     }
-    serde_json::from_slice(&response.body).map_err(|e| format!("its status can't be read: {e}"))
+    serde_json::from_slice(&response.body).map_err(|e| format!("the status can't be decoded: {e}"))
 }
 
 fn unix_ms() -> u64 {
@@ -135,28 +136,31 @@
 
 fn show(target: &Target, number: Option<u64>, as_json: bool) -> Result<CommandOutcome, Vec<String>> {
     let config = RelayServerConfig::load(&target.settings)?;
-    let Answers { statuses, silent } = fetch_statuses(&config.members, target.timeout());
+    let FetchedStatuses { statuses, unreachable } = fetch_statuses(&config.members, target.timeout());
     let fleet = merge_statuses(&statuses);
     let applied = number.map(|number| fleet.applied_status(number));
     let has_leader = statuses.iter().any(|status| status.role == RelayRole::Leader);
     let needs_leader = config.voters().next().is_some();
     let is_applied =
         applied.as_ref().is_none_or(|applied| applied.missing.is_empty() && applied.since_unix_ms.is_some());
-    let is_well = silent.is_empty() && (has_leader || !needs_leader) && is_applied;
+    let is_success = unreachable.is_empty() && (has_leader || !needs_leader) && is_applied;
     if as_json {
-        let silent: Vec<Value> =
-            silent.iter().map(|(number, reason)| json!({"number": number, "why": reason})).collect();
-        println!("{}", json!({"relays": statuses, "silent": silent, "whole": fleet, "in_force": applied}));
+        let unreachable: Vec<Value> =
+            unreachable.iter().map(|(number, reason)| json!({"number": number, "why": reason})).collect();
+        println!(
+            "{}",
+            json!({"relays": statuses, "silent": unreachable, "whole": fleet, "in_force": applied})
+        );
     } else {
         statuses.iter().for_each(print_status);
-        for (number, reason) in &silent {
+        for (number, reason) in &unreachable {
             println!("relay-{number:<4} no answer: {reason}");
         }
         if let Some(applied) = applied {
             print_applied(&applied, fleet.last_number);
         }
     }
-    Ok(if is_well { CommandOutcome::Success } else { CommandOutcome::Rejected })
+    Ok(if is_success { CommandOutcome::Success } else { CommandOutcome::Rejected })
 }
 
 fn print_status(status: &RelayStatus) {
@@ -208,7 +212,7 @@
     }
 }
 
-/// Reads an event of the command line and checks it before anything is published.
+/// Reads an event that is given on the command line as JSON or as @FILE, and checks it.
 fn read_event(index: usize, text: &str, max_bytes: usize) -> Result<Vec<u8>, String> {
     let (name, text) = match text.strip_prefix('@') {
         Some(file) => {
@@ -221,7 +225,7 @@
     Ok(text)
 }
 
-/// All events, or a line for each that can't be used.
+/// Reads and checks all events, before any of them is published. Returns an error for each that can't be used.
 fn read_events(texts: &[String], max_bytes: usize) -> Result<Vec<Vec<u8>>, Vec<String>> {
     let mut events = Vec::new();
     let mut errors = Vec::new();
@@ -237,7 +241,10 @@
 fn publish(target: &Target, mark: Option<&str>, texts: &[String]) -> Result<CommandOutcome, Vec<String>> {
     let config = RelayServerConfig::load(&target.settings)?;
     if config.voters().next().is_none() {
-        return Err(vec![format!("{}: no member votes: nobody takes events", target.settings.display())]);
+        return Err(vec![format!(
+            "{}: no member votes, so no member accepts events",
+            target.settings.display()
+        )]);
     }
     let events = read_events(texts, config.relay.event_bytes)?;
     let generated = format!("{}-{}", unix_ms(), std::process::id());
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -1,4 +1,4 @@
-//! `sablecross scale ...`
+//! The command `sablecross scale`, which runs a scale trial.
 
 use std::path::PathBuf;
 
@@ -11,32 +11,37 @@
 pub(crate) struct Arguments {
     /// The trial, as an S-expression: see docs/scale-operators.md.
     file: PathBuf,
-    /// Where the report, the plot and all logs go.
+    /// The folder for the report, the plot and all logs.
     #[arg(long, default_value = "found/scale")]
     out: PathBuf,
-    /// In place of the file's own.
+    /// Overrides the number of simulated directors of the file.
     #[arg(long)]
     hollow: Option<usize>,
+    /// Overrides the number of real directors of the file.
     #[arg(long)]
     real: Option<usize>,
+    /// Overrides the seed of the file.
     #[arg(long)]
     seed: Option<u64>,
+    /// Overrides the duration of the file, in seconds.
     #[arg(long)]
     seconds: Option<u64>,
-    /// The same with no relays: one source speaks with all directors.
+    /// Runs the trial without relays: one source sends events to all directors.
     #[arg(long)]
     star: bool,
 }
 
-pub(crate) fn run(a: &Arguments) -> Result<CommandOutcome, Vec<String>> {
-    let mut s = trial::settings(&a.file, scale::settings::parse)?;
-    s.hollow = a.hollow.unwrap_or(s.hollow);
-    s.real = a.real.unwrap_or(s.real);
-    s.seed = a.seed.unwrap_or(s.seed);
-    s.seconds = a.seconds.unwrap_or(s.seconds);
-    if a.star {
-        s = s.without_relays();
+pub(crate) fn run(arguments: &Arguments) -> Result<CommandOutcome, Vec<String>> {
+    let mut settings = trial::read_settings(&arguments.file, scale::settings::parse)?;
+    settings.hollow = arguments.hollow.unwrap_or(settings.hollow);
+    settings.real = arguments.real.unwrap_or(settings.real);
+    settings.seed = arguments.seed.unwrap_or(settings.seed);
+    settings.seconds = arguments.seconds.unwrap_or(settings.seconds);
+    if arguments.star {
+        settings = settings.without_relays();
     }
-    s.checked().map_err(|e| vec![e])?;
-    trial::run(&a.out, |program| scale::run(&s, program, &a.out, |line| eprintln!("{line}")))
+    settings.checked().map_err(|e| vec![e])?;
+    trial::run(&arguments.out, |program| {
+        scale::run(&settings, program, &arguments.out, |line| eprintln!("{line}"))
+    })
 }
--- a/crates/cli/src/testbed.rs
+++ b/crates/cli/src/testbed.rs
@@ -1,4 +1,4 @@
-//! `sablecross lab ...`
+//! The command `sablecross testbed` (alias `lab`), which runs experiments on loopback.
 
 use std::path::PathBuf;
 
@@ -11,25 +11,26 @@
 pub(crate) enum Command {
     /// Runs an experiment and writes report.txt, report.json and plot.svg.
     Run {
+        /// The experiment, as an S-expression.
         file: PathBuf,
-        /// Where the report and the directors' logs go.
+        /// The folder for the report and the directors' logs.
         #[arg(long, default_value = "found/lab")]
         out: PathBuf,
-        /// In place of the file's own.
+        /// Overrides the seed of the file.
         #[arg(long)]
         seed: Option<u64>,
     },
-    /// A director of an experiment: what `run` starts.
+    /// Runs a director of an experiment; `run` starts these.
     #[command(hide = true)]
     Director,
-    /// Hollow directors of a scale trial.
+    /// Runs simulated directors of a scale trial; `scale` starts these.
     #[command(hide = true)]
     Hollow,
 }
 
 pub(crate) fn run(command: &Command) -> Result<CommandOutcome, Vec<String>> {
     let Command::Run { file, out, seed } = command else { return Ok(CommandOutcome::Success) };
-    let mut experiment = trial::settings(file, settings::parse)?;
+    let mut experiment = trial::read_settings(file, settings::parse)?;
     experiment.seed = seed.unwrap_or(experiment.seed);
     trial::run(out, |program| {
         let director = || program(&["testbed", "director"]);
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -1,4 +1,4 @@
-//! What the commands that run a trial have in common.
+//! Functions shared by the commands that run a trial.
 
 use std::path::Path;
 use std::process::Command;
@@ -8,25 +8,26 @@
 
 use crate::CommandOutcome;
 
-/// The settings of a trial.
-pub(crate) fn settings<T>(
+/// Reads and parses the settings file of a trial.
+pub(crate) fn read_settings<T>(
     file: &Path,
-    read: fn(&str, &str) -> Result<T, Vec<ConfigError>>,
+    parse: fn(&str, &str) -> Result<T, Vec<ConfigError>>,
 ) -> Result<T, Vec<String>> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| vec![format!("{name}: {e}")])?;
-    read(&name, &text).map_err(|f| f.iter().map(ToString::to_string).collect())
+    parse(&name, &text).map_err(|errors| errors.iter().map(ToString::to_string).collect())
 }
 
-/// Runs it, with this program under other words as its processes; then writes and prints the report.
+/// Runs a trial, then writes and prints its report. `trial` gets a function that returns the command to start this
+/// program with other arguments, by which it starts its processes.
 pub(crate) fn run<R: TrialReport>(
     out: &Path,
     trial: impl FnOnce(&dyn Fn(&[&str]) -> Command) -> Result<R, TrialError>,
 ) -> Result<CommandOutcome, Vec<String>> {
-    let own = std::env::current_exe().map_err(|e| vec![format!("this program: {e}")])?;
-    let program = |words: &[&str]| {
-        let mut command = Command::new(&own);
-        command.args(words);
+    let executable = std::env::current_exe().map_err(|e| vec![format!("this program: {e}")])?;
+    let program = |args: &[&str]| {
+        let mut command = Command::new(&executable);
+        command.args(args);
         command
     };
     let report = trial(&program).map_err(|e| vec![e.to_string()])?;
--- a/crates/cli/tests/relay.rs
+++ b/crates/cli/tests/relay.rs
@@ -1,4 +1,4 @@
-//! `sablecross relay`: exit codes and words, of a relay that runs and of one that does not.
+//! Tests of the exit codes and messages of `sablecross relay`, with a running relay and without one.
 
 use std::net::TcpStream;
 use std::process::{Child, Command, Stdio};
@@ -7,10 +7,10 @@
 const LIST: &str = r#"{"members":{"index":1,"snapshot":true,"endpoints":[]}}"#;
 const PURGE: &str = r#"{"purge":{"key":"00000000000000aa","at":1764576000123}}"#;
 
-/// Ends with the test, however that ends.
-struct Running(Child);
+/// A child process that is killed when the test ends, also by a panic.
+struct KillOnDrop(Child);
 
-impl Drop for Running {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -23,8 +23,8 @@
     command
 }
 
-/// The exit code and all that was said.
-fn said(args: &[&str]) -> (i32, String) {
+/// Runs a command. Returns its exit code and the text of both output streams.
+fn run(args: &[&str]) -> (i32, String) {
     let out = sablecross(args).output().unwrap();
     let text = [out.stdout, out.stderr].map(|b| String::from_utf8(b).unwrap()).concat();
     (out.status.code().unwrap(), text)
@@ -43,59 +43,59 @@
     let settings = file("relay.scm", &format!("(relay (number . 0) (batch-ms . 20))\n{member}\n"));
     let s = settings.as_str();
     let typo = file("typo.scm", &format!("(relay (number . 0) (batch-mss . 20))\n{member}\n"));
-    let cut = format!("@{}", file("cut.json", "{\"purge\":\n {\"key\":\"00"));
-    let good = format!("@{}", file("good.json", PURGE));
-    for (args, code, words) in [
+    let truncated = format!("@{}", file("cut.json", "{\"purge\":\n {\"key\":\"00"));
+    let valid = format!("@{}", file("good.json", PURGE));
+    for (args, expected_code, message) in [
         (vec!["run", "nowhere.scm"], 2, "nowhere.scm: No such file"),
         (vec!["run", &typo], 2, "typo.scm:1:22: relay.batch-mss: unknown field"),
         (vec!["show", "--settings", s, "--time", "0.2"], 1, "relay-0    no answer"),
         (vec!["publish", "--settings", s, "--time", "0.2", PURGE], 1, "publish it again with --mark"),
-        (vec!["publish", "--settings", s, PURGE, &cut], 2, "cut.json: "),
+        (vec!["publish", "--settings", s, PURGE, &truncated], 2, "cut.json: "),
         (vec!["publish", "--settings", s, "{}"], 2, "event 1: the event has no members, purge or hierarchy"),
     ] {
-        let (ended, text) = said(&args);
-        assert!(ended == code && text.contains(words), "{args:?}: {ended}\n{text}");
+        let (code, text) = run(&args);
+        assert!(code == expected_code && text.contains(message), "{args:?}: {code}\n{text}");
     }
-    let mut run = sablecross(&["run", s, "--with-parent"]);
+    let mut command = sablecross(&["run", s, "--with-parent"]);
     let log = folder.path().join("log");
-    let child = run.stdin(Stdio::piped()).stderr(std::fs::File::create(&log).unwrap()).spawn().unwrap();
-    let mut running = Running(child);
-    let begun = Instant::now();
+    let child = command.stdin(Stdio::piped()).stderr(std::fs::File::create(&log).unwrap()).spawn().unwrap();
+    let mut relay = KillOnDrop(child);
+    let started = Instant::now();
     while TcpStream::connect(&at).is_err() {
-        assert!(begun.elapsed() < Duration::from_secs(10), "it does not serve");
+        assert!(started.elapsed() < Duration::from_secs(10), "the relay accepts no connections");
         std::thread::sleep(Duration::from_millis(20));
     }
-    let (ended, text) = said(&["publish", "--settings", s, PURGE]);
-    assert!(ended == 1 && text.contains("complete list"), "{ended} {text}");
-    let (ended, text) = said(&["publish", "--settings", s, "--mark", "m", LIST, &good]);
-    assert_eq!(ended, 0, "{text}");
+    let (code, text) = run(&["publish", "--settings", s, PURGE]);
+    assert!(code == 1 && text.contains("complete list"), "{code} {text}");
+    let (code, text) = run(&["publish", "--settings", s, "--mark", "m", LIST, &valid]);
+    assert_eq!(code, 0, "{text}");
     let numbers: Vec<u64> = text.lines().map(|l| l.parse().unwrap()).collect();
     assert_eq!(numbers[1], numbers[0] + 1);
-    assert_eq!(said(&["publish", "--settings", s, "--mark", "m", LIST, &good]), (0, text));
+    assert_eq!(run(&["publish", "--settings", s, "--mark", "m", LIST, &valid]), (0, text));
     let (n, later) = (numbers[1].to_string(), (numbers[1] + 1).to_string());
-    // It is noted by the next batch.
-    let begun = Instant::now();
-    let (ended, text) = loop {
-        let shown = said(&["show", "--settings", s, "--number", &n]);
-        if shown.0 == 0 || begun.elapsed() > Duration::from_secs(5) {
+    // The relay records since when the event is in force with its next batch.
+    let started = Instant::now();
+    let (code, text) = loop {
+        let shown = run(&["show", "--settings", s, "--number", &n]);
+        if shown.0 == 0 || started.elapsed() > Duration::from_secs(5) {
             break shown;
         }
     };
-    assert!(ended == 0 && text.contains("in force everywhere that counts since"), "{ended} {text}");
-    let (ended, text) = said(&["show", "--settings", s, "--number", &later]);
-    assert!(ended == 1 && text.contains("not told yet"), "{ended} {text}");
-    let (ended, text) = said(&["show", "--settings", s, "--json"]);
-    assert!(ended == 0 && text.starts_with("{") && text.contains("\"role\":\"owner\""), "{ended} {text}");
+    assert!(code == 0 && text.contains("in force everywhere that counts since"), "{code} {text}");
+    let (code, text) = run(&["show", "--settings", s, "--number", &later]);
+    assert!(code == 1 && text.contains("not told yet"), "{code} {text}");
+    let (code, text) = run(&["show", "--settings", s, "--json"]);
+    assert!(code == 0 && text.starts_with("{") && text.contains("\"role\":\"owner\""), "{code} {text}");
     let kill = |signal: &str| {
-        let sent = Command::new("kill").args([signal, &running.0.id().to_string()]).status();
+        let sent = Command::new("kill").args([signal, &relay.0.id().to_string()]).status();
         assert!(sent.unwrap().success());
     };
     kill("-USR1");
-    let begun = Instant::now();
+    let started = Instant::now();
     while !std::fs::read_to_string(&log).unwrap().contains("relay status {\"name\":\"relay-0\"") {
-        assert!(begun.elapsed() < Duration::from_secs(5), "no status in the log");
+        assert!(started.elapsed() < Duration::from_secs(5), "no status in the log");
         std::thread::sleep(Duration::from_millis(20));
     }
     kill("-TERM");
-    assert_eq!(running.0.wait().unwrap().code(), Some(0));
+    assert_eq!(relay.0.wait().unwrap().code(), Some(0));
 }
--- a/crates/hierarchy/benches/versions.rs
+++ b/crates/hierarchy/benches/versions.rs
@@ -1,4 +1,5 @@
-//! Versions against plain maps that are cloned; the incremental topological order against a full sort; plans.
+//! Benchmarks of versions against cloned plain maps, of the incremental topological order against a full sort, and of
+//! plans.
 
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -24,7 +25,7 @@
     }
 }
 
-/// Three tiers and an origin; each node fills from up to four of the tier before.
+/// Three tiers above an origin. Each node fills from up to four nodes of the next lower tier.
 fn random_hierarchy(nodes: u32, rng: &mut Pcg32) -> Hierarchy {
     let upper = (nodes / 20).max(2);
     let tier = |n: u32| match n {
@@ -59,7 +60,7 @@
     h
 }
 
-fn changed(h: &Hierarchy, id: NodeId) -> HierarchyNode {
+fn with_less_capacity(h: &Hierarchy, id: NodeId) -> HierarchyNode {
     let node = h.get(id).unwrap();
     HierarchyNode { capacity: node.capacity - 1.0, ..(**node).clone() }
 }
@@ -76,16 +77,16 @@
         group.bench_function(id("clone, persistent"), |b| b.iter(|| black_box(h.clone())));
         group.bench_function(id("clone, plain map"), |b| b.iter_with_large_drop(|| black_box(plain.clone())));
         group.bench_function(id("change one, persistent"), |b| {
-            b.iter(|| black_box(h.with_node(nodes / 2, changed(&h, nodes / 2))));
+            b.iter(|| black_box(h.with_node(nodes / 2, with_less_capacity(&h, nodes / 2))));
         });
         group.bench_function(id("change one, map of shared nodes"), |b| {
             b.iter_with_large_drop(|| {
                 let mut next = shared.clone();
-                next.insert(nodes / 2, Arc::new(changed(&h, nodes / 2)));
+                next.insert(nodes / 2, Arc::new(with_less_capacity(&h, nodes / 2)));
                 next
             });
         });
-        let next = h.with_node(nodes / 2, changed(&h, nodes / 2));
+        let next = h.with_node(nodes / 2, with_less_capacity(&h, nodes / 2));
         group.bench_function(id("differences, persistent"), |b| b.iter(|| black_box(h.diff(&next).count())));
         group.bench_function(id("get, persistent"), |b| b.iter(|| black_box(h.get(nodes / 3))));
         group.bench_function(id("get, plain map"), |b| b.iter(|| black_box(plain.get(&(nodes / 3)))));
@@ -102,7 +103,7 @@
             sources.iter().for_each(|&s| order.insert_edge(a as u32, s).unwrap());
         }
         let mut rng = Pcg32::seed_from_u64(2);
-        // Edges among all nodes that close no cycle, and one that does.
+        // Random edges, directed so that they agree with the order and close no cycle.
         let edges: Vec<(u32, u32)> = (0..64)
             .map(|_| {
                 let (a, b) = (rng.random_range(1..nodes), rng.random_range(1..nodes));
@@ -121,7 +122,7 @@
                 order.remove_edge(x, y);
             });
         });
-        // Against the order: nodes have to be reordered, or the edge closes a cycle.
+        // The reversed edges disagree with the order: nodes have to be reordered, or the edge closes a cycle.
         let against: Vec<(u32, u32)> = edges.iter().map(|(a, b)| (*b, *a)).collect();
         group.bench_function(BenchmarkId::new("an edge against the order, incremental", nodes), |b| {
             let mut next = 0;
--- a/crates/hierarchy/tests/model.rs
+++ b/crates/hierarchy/tests/model.rs
@@ -1,9 +1,10 @@
-//! Model checking of small hierarchies while they change, by stateright: versions delayed, lost, duplicated and
-//! reordered, the rollout killed, a second change while one runs, bad health. A fill goes by what each node applies.
+//! Model checking of changes of small hierarchies with stateright. Versions and reports are delayed, lost, duplicated
+//! and reordered, the rollout is killed and recovered, a second change is proposed while one is running, and health
+//! reports are bad. Each node routes fills by the version that it applies.
 //!
-//! `SABLECROSS_MODEL=all` searches every first version and every pair of changes on it (one of those that differ
-//! by the names of the nodes only), `N` one in N, `N:PART` another such part; without it a sample is searched, the same
-//! each time.
+//! `SABLECROSS_MODEL=all` searches every first version with every pair of changes of it, except those that differ from
+//! another by the names of nodes alone. `N` searches one in N of them, and `N:PART` another part of the same size.
+//! Without the variable, a fixed sample is searched.
 
 mod support;
 
@@ -25,13 +26,14 @@
     log: Vec<Arc<RolloutRecord>>,
     now: u64,
     holders: Vec<VersionHolder>,
-    /// The versions sent to each participant, which may take them in any order and any number of times, or never.
+    /// The version numbers sent to each participant, which may be delivered in any order, repeatedly, or never.
     sent: BTreeSet<(usize, u64)>,
     versions: Vec<(u64, Hierarchy)>,
-    /// Reports of participants on their way to the rollout.
+    /// The reports of participants that the rollout has not received yet: participant, number and digest.
     reports: BTreeSet<(usize, u64, u64)>,
-    /// For each node where a fill can be that started there, and when it started at the latest: all fills that are
-    /// possible, each of which stays or goes on. A fill that passes a node twice is found as one that started there.
+    /// All possible fills: for each start node and each node that a fill can have reached from there, the latest time at
+    /// which the fill can have started. Each fill may stay or advance. A fill that passes a node twice is found as one
+    /// that started at that node.
     fills: BTreeMap<(NodeId, NodeId), u64>,
     has_loop: bool,
     is_proposed: bool,
@@ -43,7 +45,7 @@
 impl ModelState {
     fn key(&self) -> impl Hash + Eq + '_ {
         let holders: Vec<u64> = self.holders.iter().map(VersionHolder::number).collect();
-        // Times count by how long ago they are: the same state later is the same state.
+        // Times are relative to now, so that the same state at another time has the same key.
         let fills: Vec<_> = self.fills.iter().map(|(k, at)| (*k, self.now - at)).collect();
         let flags = (self.is_proposed, self.is_second_proposed, self.kills, self.bad_reports, self.has_loop);
         (self.rollout.state_key(self.now), holders, &self.sent, &self.reports, fills, flags)
@@ -81,9 +83,9 @@
     second: Option<Hierarchy>,
     kills: u8,
     bad_reports: u8,
-    /// A fault for the search to find: the target is sent at once, without a plan.
+    /// Injects a fault that the search has to find: the target is sent directly, without a plan.
     skips_plan: bool,
-    /// Another one: a step is started while requests of earlier versions are in flight.
+    /// Injects a fault that the search has to find: a step starts while requests of earlier versions are in flight.
     skips_drain: bool,
 }
 
@@ -96,7 +98,8 @@
         for action in state.rollout.take_actions() {
             match action {
                 RolloutAction::Persist(record) => state.log.push(Arc::new(record)),
-                // Killed when all is stored and nothing is sent yet; kills at other actions have a test of their own.
+                // The rollout is killed when all records are stored and nothing is sent. The tests of `rollout.rs` kill
+                // it before each other action.
                 RolloutAction::Publish { .. } if kill => {}
                 RolloutAction::Publish { number, version } => {
                     if !state.versions.iter().any(|(n, _)| *n == number) {
@@ -109,10 +112,10 @@
         }
     }
 
-    /// Lets fills start and go on by the versions that nodes apply now.
+    /// Starts new fills and advances all fills by the versions that nodes apply now.
     fn advance_fills(&self, state: &mut ModelState) {
         if state.rollout.progress().is_none() {
-            // Only while something changes can a fill meet more than one version.
+            // Only while a change is running can a fill be routed by more than one version.
             state.fills.clear();
             return;
         }
@@ -229,7 +232,7 @@
                 state.reports.insert((p, n, version.digest()));
             }
             Event::Report(p, number, digest) => {
-                // A report may come twice: it changes nothing then.
+                // Each report is delivered twice: the second delivery must change nothing.
                 let participant = self.participants()[p].clone();
                 state.reports.remove(&(p, number, digest));
                 self.handle(
@@ -241,9 +244,9 @@
             Event::Tick => {
                 let wake = state.rollout.next_wakeup()?;
                 state.now = state.now.max(wake);
-                // No request is in flight for longer than this.
-                let (now, hold) = (state.now, self.from.rules.drain_window);
-                state.fills.retain(|_, at| self.skips_drain || *at + hold > now);
+                // No request is in flight for longer than the drain window.
+                let (now, drain_window) = (state.now, self.from.rules.drain_window);
+                state.fills.retain(|_, at| self.skips_drain || *at + drain_window > now);
                 self.handle(&mut state, RolloutInput::Tick);
             }
             Event::Kill => {
@@ -252,7 +255,7 @@
                 let log: Vec<RolloutRecord> = state.log.iter().map(|r| (**r).clone()).collect();
                 state.rollout = Rollout::recover(&log, self.participants(), state.now).ok()?;
                 self.carry_out(&mut state, false);
-                // Each reports what it applies when the rollout is back.
+                // When the rollout has recovered, each participant reports the version that it applies.
                 let current: Vec<_> = state
                     .holders
                     .iter()
@@ -270,7 +273,7 @@
             }
         }
         self.advance_fills(&mut state);
-        // What would change nothing is the same as lost.
+        // A message that would change nothing is equivalent to a lost one.
         let ModelState { sent, reports, holders, rollout, .. } = &mut state;
         sent.retain(|(p, n)| *n > holders[*p].number());
         reports.retain(|(_, n, _)| *n == rollout.published().number);
@@ -280,42 +283,47 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("no fill passes a node twice", |_, state: &ModelState| !state.has_loop),
-            Property::always("no one goes back to an older number", |_, state: &ModelState| {
+            Property::always("no participant is ahead of the log", |_, state: &ModelState| {
                 // No participant applies a version that is not in the log.
                 state.holders.iter().all(|h| h.number() <= state.rollout.published().number)
             }),
-            Property::eventually("every change ends, and all agree", |s: &Search, state: &ModelState| {
-                let committed = state.rollout.committed().version;
-                let one =
-                    *committed == s.target || *committed == s.from || s.second.as_ref() == Some(committed);
-                let agreed = state.holders.iter().all(|h| h.version() == Some(committed));
-                let agreed = agreed && state.sent.is_empty();
-                state.is_proposed && state.rollout.progress().is_none() && one && agreed
-            }),
+            Property::eventually(
+                "every change ends, and all participants agree",
+                |s: &Search, state: &ModelState| {
+                    let committed = state.rollout.committed().version;
+                    let is_known = *committed == s.target
+                        || *committed == s.from
+                        || s.second.as_ref() == Some(committed);
+                    let agreed = state.holders.iter().all(|h| h.version() == Some(committed));
+                    let agreed = agreed && state.sent.is_empty();
+                    state.is_proposed && state.rollout.progress().is_none() && is_known && agreed
+                },
+            ),
         ]
     }
 }
 
-fn states(search: Search) -> (usize, Vec<&'static str>) {
+/// Runs a search. Returns the number of states and the names of the violated properties.
+fn check_states(search: Search) -> (usize, Vec<&'static str>) {
     let checker = search.checker().spawn_bfs().join();
     (checker.unique_state_count(), checker.discoveries().keys().copied().collect())
 }
 
-/// One of each kind of triple that differs by the names of its nodes alone.
-fn first_of_its_kind(triple: [&[u8]; 3]) -> bool {
+/// Whether the triple is the representative of all triples that differ from it by a permutation of their nodes alone.
+fn is_canonical(triple: [&[u8]; 3]) -> bool {
     let n = triple[0].len();
     let code = |t: &[Vec<u8>]| t.concat();
     let own = code(&triple.map(<[u8]>::to_vec));
-    let mut names: Vec<Vec<usize>> = vec![vec![]];
+    let mut permutations: Vec<Vec<usize>> = vec![vec![]];
     for _ in 0..n {
-        names = names
+        permutations = permutations
             .into_iter()
             .flat_map(|p| {
                 (0..n).filter(|i| !p.contains(i)).map(|i| [p.clone(), vec![i]].concat()).collect::<Vec<_>>()
             })
             .collect();
     }
-    names.into_iter().all(|p| {
+    permutations.into_iter().all(|p| {
         let renamed: Vec<Vec<u8>> = triple
             .iter()
             .map(|masks| {
@@ -347,7 +355,7 @@
 
 #[test]
 fn every_change_ends_and_no_fill_passes_a_node_twice() {
-    // Of three nodes and the origin one triple in so many is searched; of fewer nodes all are.
+    // With three nodes and the origin, one in `each` triples is searched; with fewer nodes, all triples are.
     let selection = std::env::var("SABLECROSS_MODEL").unwrap_or_else(|_| "997".into());
     let (each, part) = match selection.split_once(':') {
         _ if selection == "all" => (1, 0),
@@ -359,7 +367,7 @@
         let masks = all_masks(n);
         let mut count = 0usize;
         for (a, b) in masks.iter().flat_map(|a| masks.iter().map(move |b| (a, b))).filter(|(a, b)| a != b) {
-            for c in masks.iter().filter(|c| first_of_its_kind([a, b, c])) {
+            for c in masks.iter().filter(|c| is_canonical([a, b, c])) {
                 count += 1;
                 let bounds = if n < 3 { (1, 1) } else { ((count % 2) as u8, 1 - (count % 2) as u8) };
                 if n < 3 || count % each == part {
@@ -376,7 +384,7 @@
                 while let Some((a, b, c, (kills, bad_reports))) =
                     triples.get(next.fetch_add(1, Ordering::Relaxed))
                 {
-                    let (count, found) = states(search(a, b, Some(c), *kills, *bad_reports));
+                    let (count, found) = check_states(search(a, b, Some(c), *kills, *bad_reports));
                     assert!(found.is_empty(), "{a:?} {b:?} {c:?}: {found:?}");
                     let all = states_in_all.fetch_add(count, Ordering::Relaxed) + count;
                     most.fetch_max(count, Ordering::Relaxed);
@@ -395,17 +403,17 @@
 
 #[test]
 fn injected_faults_are_found() {
-    // Two nodes that swap places: if the target is sent at once, a fill can run in a loop between them.
+    // Two nodes swap places. If the target is sent directly, a fill can run in a loop between them.
     let swapped: (&[u8], &[u8]) = (&[0b001, 0b010], &[0b100, 0b001]);
-    let jumped = Search { skips_plan: true, ..search(swapped.0, swapped.1, None, 0, 0) };
-    assert!(states(jumped).1.contains(&"no fill passes a node twice"));
-    assert!(states(search(swapped.0, swapped.1, None, 0, 0)).1.is_empty());
-    // If requests of earlier versions are not waited for, a fill can meet three versions.
+    let unplanned = Search { skips_plan: true, ..search(swapped.0, swapped.1, None, 0, 0) };
+    assert!(check_states(unplanned).1.contains(&"no fill passes a node twice"));
+    assert!(check_states(search(swapped.0, swapped.1, None, 0, 0)).1.is_empty());
+    // If a step does not wait for requests of earlier versions, a fill can be routed by three versions.
     let mut found = 0;
     let masks = all_masks(3);
     for (a, b) in masks.iter().flat_map(|a| masks.iter().map(move |b| (a, b))).step_by(7) {
         let skips_drain = Search { skips_drain: true, ..search(a, b, None, 0, 0) };
-        found += usize::from(states(skips_drain).1.contains(&"no fill passes a node twice"));
+        found += usize::from(check_states(skips_drain).1.contains(&"no fill passes a node twice"));
     }
     assert!(found > 0);
 }
--- a/crates/hierarchy/tests/plans.rs
+++ b/crates/hierarchy/tests/plans.rs
@@ -1,4 +1,5 @@
-//! Plans: no loop in any mixture, cold nodes and the origin within their bounds, the fewest steps.
+//! Tests of plans: no mixture of two versions has a loop, cold nodes and the origin stay within their bounds, and small
+//! changes take the fewest steps.
 
 mod support;
 
@@ -14,7 +15,8 @@
 };
 use support::{SEC, all_masks, from_masks, node, random, read, rules};
 
-/// Whether a fill can pass a node twice while each participant applies one of two versions, by a search of its own.
+/// Whether a fill can pass a node twice while each participant applies one of two versions. This search is independent
+/// of the code under test.
 fn has_loop(u: &Hierarchy, v: &Hierarchy) -> bool {
     let nodes: BTreeSet<NodeId> = u.iter().chain(v.iter()).map(|(id, _)| id).collect();
     let edges: BTreeMap<NodeId, BTreeSet<NodeId>> =
@@ -48,7 +50,7 @@
     steps.len()
 }
 
-/// The fewest steps, by a breadth-first search over all orders in which sets of nodes can change. Without load.
+/// The fewest steps without regard to load, by a breadth-first search over all orders in which sets of nodes can change.
 fn fewest_steps(from: &Hierarchy, to: &Hierarchy) -> usize {
     let changed: Vec<_> = from.diff(to).collect();
     let at = |mask: usize| {
@@ -84,7 +86,7 @@
             *counts.entry(n).or_insert(0) += 1;
         }
     }
-    // Some take several steps: a direct step would have been a loop.
+    // Some changes take several steps, because a direct step could cause a loop.
     assert!(counts[&2] > 100 && counts.contains_key(&3), "{counts:?}");
     assert_eq!(counts.values().sum::<usize>(), all.len() * all.len());
 }
@@ -117,7 +119,8 @@
     assert!(check_plan(&from, &to, &plan(&from, &to, 0).unwrap().steps) >= 2);
 }
 
-fn with_new(capacity: f64, since: u64) -> (Hierarchy, Hierarchy) {
+/// A version with two parents, and one in which a third parent of this capacity has joined that started at `since`.
+fn with_new_parent(capacity: f64, since: u64) -> (Hierarchy, Hierarchy) {
     let from = read(
         r#"(node (name . "o") (tier . 0) (capacity . 900))
         (node (name . "p1") (tier . 1) (sources "o") (capacity . 400) (hit . 0.8))
@@ -137,11 +140,12 @@
 
 #[test]
 fn a_cold_node_takes_its_virtual_nodes_as_it_warms_up() {
-    // Warm: listed, then used as a source, for 100 a second.
-    let (from, to) = with_new(110.0, 0);
+    // A warm node gets 100 requests a second in two steps: it is added, then it becomes a source.
+    let (from, to) = with_new_parent(110.0, 0);
     assert_eq!(plan(&from, &to, 0).unwrap().steps.len(), 2);
-    // Cold it can take a quarter of 110 at first, which is a quarter of its virtual nodes, and all once it is warm.
-    let (from, to) = with_new(110.0, 1_000 * SEC);
+    // A cold node can take a quarter of its 110 requests a second at first, so it takes a quarter of its virtual nodes,
+    // and all of them once it is warm.
+    let (from, to) = with_new_parent(110.0, 1_000 * SEC);
     let found = plan(&from, &to, 1_000 * SEC).unwrap();
     check_plan(&from, &to, &found.steps);
     assert!(found.steps.len() >= 3);
@@ -154,15 +158,16 @@
         last.required_warmth
     );
     assert!(last.min_delay >= 10 * SEC, "{}", last.min_delay);
-    // One that can take its whole load when cold takes it at once; one that is too small for its load never does.
+    // A node that can take its whole load when cold takes it in one step. A node that is too small for its load is
+    // rejected.
     assert_eq!(
         {
-            let (f, t) = with_new(900.0, 1);
+            let (f, t) = with_new_parent(900.0, 1);
             plan(&f, &t, 1).unwrap().steps.len()
         },
         2
     );
-    let (from, to) = with_new(60.0, 1_000 * SEC);
+    let (from, to) = with_new_parent(60.0, 1_000 * SEC);
     assert!(Admission::new(from.clone()).unwrap().admit(&to).is_err());
     let no = plan(&from, &to, 1_000 * SEC).unwrap_err();
     assert!(matches!(&no, PlanError::NodeOverloaded { node, .. } if &**node == "p3"), "{no}");
@@ -170,8 +175,8 @@
 
 #[test]
 fn the_origin_stays_below_its_ceiling_or_the_ceiling_is_named() {
-    // 300 a second at the parents, 60 of them at the origin; what moves is fetched again.
-    let (from, to) = with_new(400.0, 0);
+    // The parents get 300 requests a second, and the origin 60 of them. Objects that move are fetched again.
+    let (from, to) = with_new_parent(400.0, 0);
     let with =
         |h: &Hierarchy, ceiling: f64| h.with_rules(HierarchyRules { ceiling, ..(*h.rules).clone() }.into());
     let steps = |ceiling: f64| plan(&with(&from, ceiling), &with(&to, ceiling), 0).map(|p| p.steps);
@@ -191,7 +196,7 @@
     for seed in 0..300 {
         let mut rng = Pcg32::seed_from_u64(seed);
         let all = random(9, 3, 0.6, &mut rng);
-        // One of two parents is not there before the change, the other one not after it.
+        // Node 1 joins and node 2 leaves.
         let without = |h: &Hierarchy, gone: NodeId| {
             let fixed: Vec<_> = h
                 .iter()
@@ -226,19 +231,19 @@
     }
 }
 
-/// The load of the origin in one mixture of two versions.
+/// The load of the origin if the picked nodes apply the later version and all others the earlier one.
 fn mixture(before: &FlowGraph, after: &FlowGraph, pick: &[bool]) -> f64 {
     let n = before.nodes.len() as u32;
     let mixed: Vec<_> = (0..n)
         .map(|i| if pick[i as usize] { after.nodes[i as usize] } else { before.nodes[i as usize] })
         .collect();
-    // Shares are those of the dependent's version: here they are the same in both.
+    // The shares of sources belong to the version that the dependent applies; here both versions have the same shares.
     FlowGraph::new(mixed).unwrap().origin_load()
 }
 
 #[test]
 fn the_peak_bounds_each_mixture_and_one_reaches_it() {
-    let mut near = 0;
+    let mut exact = 0;
     for seed in 0..200 {
         let mut rng = Pcg32::seed_from_u64(seed);
         let from = random(9, 3, 0.6, &mut rng);
@@ -246,17 +251,17 @@
         for _ in 0..3 {
             let n = rng.random_range(1..9);
             let m = (**to.get(n).unwrap()).clone();
-            // Moved objects are not cached yet, which the mixtures here leave out: without hits there is no difference.
+            // The mixtures ignore that moved objects are not cached yet; hit ratios of 0 make this exact.
             to = to.with_node(n, HierarchyNode { sources: [rng.random_range(0..6)].into(), ..m });
         }
-        let bare = |h: &Hierarchy| {
+        let without_hits = |h: &Hierarchy| {
             h.with_changes(
                 h.iter()
                     .map(|(id, m)| (id, Some(HierarchyNode { hit_ratio: 0.0, ..(**m).clone() }.into())))
                     .collect::<Vec<_>>(),
             )
         };
-        let (from, to) = (bare(&from), bare(&to));
+        let (from, to) = (without_hits(&from), without_hits(&to));
         if has_loop(&from, &to) || Admission::new(to.clone()).is_err() {
             continue;
         }
@@ -269,16 +274,16 @@
             .map(|code| mixture(&u, &v, &(0..9).map(|i| code >> i & 1 == 1).collect::<Vec<_>>()))
             .fold(0.0, f64::max);
         assert!(worst <= load.origin_peak + 1e-6, "seed {seed}: {worst} > {}", load.origin_peak);
-        near += usize::from((worst - load.origin_peak).abs() < 1e-6);
+        exact += usize::from((worst - load.origin_peak).abs() < 1e-6);
     }
-    assert!(near > 30, "{near}");
+    assert!(exact > 30, "{exact}");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 5, rng_seed: proptest::test_runner::RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Ten thousand nodes and a hundred directors, each of which applies either of two versions: no fill passes a node
-    /// twice.
+    /// With ten thousand nodes and a hundred directors, each of which applies either of two successive versions, no fill
+    /// passes a node twice.
     #[test]
     fn at_ten_thousand_nodes_no_fill_passes_a_node_twice(seed in 0u64..1_000_000, moved in 20usize..400) {
         let mut rng = Pcg32::seed_from_u64(seed);
@@ -296,14 +301,15 @@
         let found = plan(&from, &to, 0).unwrap();
         let mut before = from.clone();
         for step in &found.steps {
-            // Each director and node applies one of the two; the fills of a hundred directors go by these.
+            // For each of a hundred directors, each node applies one of the two versions at random, and one fill is
+            // followed to the origin.
             for _director in 0..100 {
-                let late = rng.random::<u64>();
-                let of = |n: NodeId| if (late ^ u64::from(n).wrapping_mul(0x9e37_79b9_7f4a_7c15)) >> 63 == 1 { &before } else { &step.target };
+                let mixture_seed = rng.random::<u64>();
+                let of = |n: NodeId| if (mixture_seed ^ u64::from(n).wrapping_mul(0x9e37_79b9_7f4a_7c15)) >> 63 == 1 { &before } else { &step.target };
                 let mut at = rng.random_range(1_000..10_000);
                 let mut visited = BTreeSet::new();
                 while at != 0 {
-                    prop_assert!(visited.insert(at), "came to {at} twice");
+                    prop_assert!(visited.insert(at), "the fill passes {at} twice");
                     let used: Vec<NodeId> = of(at).active_sources(at).collect();
                     at = used[rng.random_range(0..used.len())];
                 }
--- a/crates/hierarchy/tests/rollout.rs
+++ b/crates/hierarchy/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Rollouts: killed at each action, superseded, rolled back, recovered from old logs.
+//! Tests of rollouts that are killed before each action, superseded, rolled back, and recovered from old logs.
 
 mod support;
 
@@ -11,7 +11,7 @@
 };
 use support::{SEC, from_masks};
 
-/// A rollout with its log and its participants, which apply the versions that they are sent.
+/// A rollout with its log and its participants, which apply the versions that are sent to them.
 struct Simulation {
     rollout: Rollout,
     log: Vec<RolloutRecord>,
@@ -19,7 +19,7 @@
     unreachable: Vec<Participant>,
     lines: Vec<String>,
     now: u64,
-    /// After so many actions the rollout is killed, and recovered from its log.
+    /// The number of actions after which the rollout is killed and recovered from its log.
     kill: Option<usize>,
     carried_out: usize,
 }
@@ -41,7 +41,7 @@
             }
             for action in actions {
                 if self.kill == Some(self.carried_out) {
-                    // Actions that are not carried out yet are lost.
+                    // Actions that were not carried out are lost.
                     self.kill = None;
                     let participants: Vec<Participant> = self.holders.keys().cloned().collect();
                     self.rollout = Rollout::recover(&self.log, participants, self.now).unwrap();
@@ -76,7 +76,7 @@
         result
     }
 
-    /// Ticks until no change is running, or it waits for a participant.
+    /// Advances the time and ticks until no change is running, or the change waits for a participant.
     fn run(&mut self) {
         self.carry_out();
         for _ in 0..200 {
@@ -103,7 +103,7 @@
     }
 }
 
-/// n1 over n2 over n3, and the same upside down: a change of several steps.
+/// Two versions with the chain n1, n2, n3 above the origin and its reverse, so that the change takes several steps.
 fn chain() -> (Hierarchy, Hierarchy) {
     (from_masks(&[0b0001, 0b0010, 0b0100]), from_masks(&[0b0100, 0b1000, 0b0001]))
 }
@@ -114,15 +114,15 @@
     let mut simulation = Simulation::new(&from);
     simulation.run();
     simulation.handle(RolloutInput::Propose { target: to.clone() }).unwrap();
-    let begun = simulation.now;
+    let started = simulation.now;
     simulation.run();
     simulation.assert_all_apply(&to);
     assert_eq!(simulation.outcomes(), [(1, RolloutOutcome::Completed)]);
     let steps =
         simulation.log.iter().filter(|r| matches!(r, RolloutRecord::StepStarted { .. })).count() as u64;
     assert!(steps >= 3, "{steps}");
-    // Each step waits for the requests of earlier versions; no load has moved here.
-    assert!(simulation.now - begun >= steps * 3 * SEC);
+    // Each step drains the requests of earlier versions for 3 s. No load moves here, so there is no other delay.
+    assert!(simulation.now - started >= steps * 3 * SEC);
     assert_eq!(simulation.handle(RolloutInput::Propose { target: to }), Err(RolloutError::AlreadyActive));
     assert_eq!(simulation.handle(RolloutInput::RollBack), Err(RolloutError::NotRunning));
 }
@@ -144,7 +144,7 @@
         simulation.run();
         assert_eq!(simulation.kill, None);
         if simulation.rollout.committed().version == &from {
-            // Not even its start was stored: it is as if it had not been proposed.
+            // The start of the change was not stored, so the proposal is lost.
             assert!(simulation.outcomes().is_empty() && kill <= before + 1, "{kill}");
             simulation.handle(RolloutInput::Propose { target: to.clone() }).unwrap();
             simulation.run();
@@ -161,7 +161,7 @@
 fn a_second_change_is_planned_from_the_committed_version_and_a_third_is_rejected() {
     let (from, to) = chain();
     let other = from_masks(&[0b0001, 0b0001, 0b0001]);
-    // Killed before each of its actions: the queued change is not lost, once it was stored.
+    // The rollout is killed before each of its actions. Once the queued change is stored, it is not lost.
     for kill in [None].into_iter().chain((0..48).map(Some)) {
         let mut simulation = Simulation::new(&from);
         simulation.run();
@@ -176,7 +176,8 @@
         simulation.run();
         if is_stored {
             simulation.assert_all_apply(&other);
-            // An end that was stored together with the checkpoint behind it may be in the log twice.
+            // An end that was stored together with the following checkpoint may be recorded twice, so this checks only
+            // that the log contains it.
             assert!(
                 simulation.outcomes().contains(&(2, RolloutOutcome::Completed)),
                 "{kill:?}: {:?}",
@@ -213,7 +214,7 @@
 
 #[test]
 fn nodes_are_the_same_by_their_names_after_a_recovery() {
-    // n1 is removed, so that a log without ids gives n2 and n3 other ones.
+    // n1 is removed, so that a recovery from the log, which has no ids, gives n2 and n3 other ids.
     let from = from_masks(&[0b0001, 0b0001, 0b0100]);
     let mut simulation = Simulation::new(&from);
     simulation.run();
@@ -221,7 +222,7 @@
     simulation.run();
     let participants: Vec<Participant> = simulation.holders.keys().cloned().collect();
     simulation.rollout = Rollout::recover(&simulation.log, participants, simulation.now).unwrap();
-    // Proposed with the first ids: n3 over the origin, n2 over n3.
+    // This target has the original ids: n3 fills from the origin, n2 from n3.
     let target = from_masks(&[0b0001, 0b1000, 0b0001]).without_node(1);
     simulation.handle(RolloutInput::Propose { target: target.clone() }).unwrap();
     simulation.run();
@@ -239,7 +240,7 @@
 
 #[test]
 fn a_queued_change_gets_the_node_ids_of_the_version_that_it_starts_from() {
-    // Both add a node; that of the first is committed when the second starts.
+    // Both changes add a node with the same id. That of the first is committed when the second starts.
     let from = from_masks(&[0b0001, 0b0001, 0b0001]);
     let mut simulation = Simulation::new(&from);
     simulation.run();
@@ -276,18 +277,18 @@
                 simulation.now = simulation.now.max(wake);
                 simulation.handle(RolloutInput::Tick).unwrap();
             }
-            let over = simulation.rollout.progress().is_none();
-            let untouched = over
+            let has_ended = simulation.rollout.progress().is_none();
+            let has_no_effect = has_ended
                 || matches!(&input, RolloutInput::HealthReport { origin_load, .. } if *origin_load < 2.0)
                     && simulation.rollout.progress().is_none_or(|progress| progress.remaining_steps <= 1);
-            // The same input once more changes nothing.
+            // The second time, the same input changes nothing.
             for _ in 0..2 {
-                let said = simulation.handle(input.clone());
-                assert!(said.is_ok() || over, "{said:?}");
+                let result = simulation.handle(input.clone());
+                assert!(result.is_ok() || has_ended, "{result:?}");
             }
             simulation.run();
             if simulation.outcomes() == [(1, RolloutOutcome::Completed)] {
-                assert!(untouched, "{why} after {ticks}: had no effect");
+                assert!(has_no_effect, "{why} after {ticks}: had no effect");
                 continue;
             }
             simulation.assert_all_apply(&from);
@@ -298,14 +299,15 @@
 }
 
 #[test]
-fn a_missing_participant_causes_a_rollback_and_holds_it() {
+fn a_missing_participant_causes_a_rollback_and_delays_it() {
     let (from, to) = chain();
     let mut simulation = Simulation::new(&from);
     simulation.run();
     simulation.unreachable = vec!["d2".into()];
     simulation.handle(RolloutInput::Propose { target: to.clone() }).unwrap();
     simulation.run();
-    // Rolled back for those that apply it; nothing more happens until it is known what the third applies.
+    // The step is reverted for the participants that applied it. The rollback then waits until the third reports a
+    // version or is gone.
     assert!(simulation.outcomes().is_empty() && simulation.rollout.next_wakeup().is_none());
     assert_eq!(simulation.rollout.missing_participants(), ["d2".into()]);
     assert!(simulation.lines.iter().any(|n| n.contains("rollback missing=d2")), "{:?}", simulation.lines);
@@ -317,7 +319,7 @@
         ..Simulation::new(&from)
     };
     gone.now = simulation.now;
-    // It comes back and applies the newest version only.
+    // The participant reconnects and applies only the newest version.
     simulation.unreachable.clear();
     let (number, version) =
         (simulation.rollout.published().number, simulation.rollout.published().version.clone());
@@ -328,7 +330,7 @@
     simulation.run();
     simulation.assert_all_apply(&from);
     assert_eq!(simulation.outcomes(), [(1, RolloutOutcome::RolledBack)]);
-    // Or it is known to be gone for good.
+    // Alternatively, the participant is reported as permanently gone.
     gone.holders.remove("d2");
     gone.handle(RolloutInput::ParticipantGone { participant: "d2".into() }).unwrap();
     gone.run();
@@ -339,12 +341,12 @@
 #[test]
 fn a_loaded_origin_delays_the_next_step_and_then_causes_a_rollback() {
     let (from, to) = chain();
-    let busy = HierarchyRules { ceiling: 100.0, ..(*from.rules).clone() };
-    let (from, to) = (from.with_rules(busy.clone().into()), to.with_rules(busy.into()));
+    let low_ceiling = HierarchyRules { ceiling: 100.0, ..(*from.rules).clone() };
+    let (from, to) = (from.with_rules(low_ceiling.clone().into()), to.with_rules(low_ceiling.into()));
     let mut simulation = Simulation::new(&from);
     simulation.run();
     simulation.handle(RolloutInput::Propose { target: to.clone() }).unwrap();
-    // 90 of 100 with a margin of a fifth.
+    // The load of 90 exceeds the limit of 80, the ceiling of 100 less the margin of a fifth.
     simulation.handle(RolloutInput::HealthReport { origin_load: 90.0, down_nodes: vec![] }).unwrap();
     let number = simulation.rollout.published().number;
     simulation.now = simulation.rollout.next_wakeup().unwrap();
@@ -352,16 +354,16 @@
     simulation.now += 10 * SEC;
     simulation.handle(RolloutInput::Tick).unwrap();
     assert_eq!(simulation.rollout.published().number, number);
-    let mut calm = Simulation {
+    let mut unloaded = Simulation {
         rollout: simulation.rollout.clone(),
         log: simulation.log.clone(),
         holders: simulation.holders.clone(),
         ..Simulation::new(&from)
     };
-    calm.now = simulation.now;
-    calm.handle(RolloutInput::HealthReport { origin_load: 10.0, down_nodes: vec![] }).unwrap();
-    calm.run();
-    calm.assert_all_apply(&to);
+    unloaded.now = simulation.now;
+    unloaded.handle(RolloutInput::HealthReport { origin_load: 10.0, down_nodes: vec![] }).unwrap();
+    unloaded.run();
+    unloaded.assert_all_apply(&to);
     simulation.run();
     simulation.assert_all_apply(&from);
     assert!(
@@ -383,9 +385,9 @@
     simulation.rollout = Rollout::recover(&old, participants, simulation.now).unwrap();
     simulation.log = old;
     simulation.run();
-    let said = simulation.handle(RolloutInput::Propose { target: from.clone() }).unwrap_err();
-    assert!(said.to_string().contains("it is an old copy"), "{said}");
-    // No participant has gone back.
+    let error = simulation.handle(RolloutInput::Propose { target: from.clone() }).unwrap_err();
+    assert!(error.to_string().contains("it is an old copy"), "{error}");
+    // No participant applies an older version again.
     assert!(simulation.holders.values().all(|h| h.version() == Some(&to)));
     assert_eq!(Rollout::recover(&[], [], 0).err(), Some(RolloutError::InvalidLog));
     let broken = [RolloutRecord::StepCommitted { number: 2 }];
--- a/crates/hierarchy/tests/stored_format.rs
+++ b/crates/hierarchy/tests/stored_format.rs
@@ -1,9 +1,9 @@
-//! The text of versions in events and settings files, their defaults and errors, and the digest that all holders of a
-//! version have to agree on.
+//! Pins the serialized form of versions in events and settings files, their defaults and errors, and the digest on which
+//! all participants have to agree.
 
 use sablecross_hierarchy::spec::{self, HierarchySpec, SpecForm};
 
-/// Every field has a value of its own.
+/// Each field of the header and of node e has a value other than its default.
 const SETTINGS: &str = r#"(hierarchy (version . 3) (ceiling . 500) (margin . 0.1) (cold-from . 0.3) (warm-after-ms . 21000)
   (fall-multiple . 2.5) (siblings . #t) (hold-ms . 1) (settle-ms . 2) (give-up-ms . 30001))
 (node (name . "o") (tier . 0) (capacity . 900))
@@ -12,11 +12,11 @@
 
 const EVENT: &str = r#"{"head":{"version":3,"ceiling":500.0,"margin":0.1,"cold-from":0.3,"warm-after-ms":21000,"fall-multiple":2.5,"siblings":true,"hold-ms":1,"settle-ms":2,"give-up-ms":30001},"nodes":[{"name":"o","tier":0,"sources":[],"capacity":900.0,"demand":0.0,"hit":0.0,"share":256,"since-ms":0},{"name":"e","tier":2,"sources":["o"],"capacity":800.0,"demand":100.0,"hit":0.5,"share":64,"since-ms":7}]}"#;
 
-/// Only what has to be given.
-const LEAST: &str =
+/// An event with the required fields only.
+const MINIMAL: &str =
     r#"{"head":{"version":1,"ceiling":100.0},"nodes":[{"name":"o","tier":0,"capacity":9.0}]}"#;
 
-/// The same with the defaults.
+/// The minimal event with the defaults of all other fields.
 const DEFAULTS: &str = r#"{"head":{"version":1,"ceiling":100.0,"margin":0.2,"cold-from":0.25,"warm-after-ms":20000,"fall-multiple":2.0,"siblings":false,"hold-ms":3000,"settle-ms":5000,"give-up-ms":30000},"nodes":[{"name":"o","tier":0,"sources":[],"capacity":9.0,"demand":0.0,"hit":0.0,"share":256,"since-ms":0}]}"#;
 
 fn event(settings: &str) -> String {
@@ -32,8 +32,8 @@
 fn a_version_has_this_text_in_events() {
     assert_eq!(event(SETTINGS), EVENT);
     assert_eq!(serde_json::to_string(&decoded(EVENT)).expect("encoded"), EVENT);
-    assert_eq!(serde_json::to_string(&decoded(LEAST)).expect("encoded"), DEFAULTS);
-    // Unknown keys are errors, at each level.
+    assert_eq!(serde_json::to_string(&decoded(MINIMAL)).expect("encoded"), DEFAULTS);
+    // An unknown key is an error at each level.
     for (key, odd) in [("\"head\"", "\"odd\""), ("\"version\"", "\"odd\""), ("\"tier\"", "\"odd\"")] {
         assert!(serde_json::from_str::<HierarchySpec>(&EVENT.replacen(key, odd, 1)).is_err(), "{key}");
     }
@@ -43,8 +43,8 @@
 fn a_version_has_this_text_in_settings_files() {
     assert_eq!(decoded(EVENT).to_settings_text(), SETTINGS);
     assert_eq!(event(&decoded(EVENT).to_settings_text()), EVENT);
-    let least = "(hierarchy (version . 1) (ceiling . 100))(node (name . \"o\") (tier . 0) (capacity . 9))";
-    assert_eq!(event(least), DEFAULTS);
+    let minimal = "(hierarchy (version . 1) (ceiling . 100))(node (name . \"o\") (tier . 0) (capacity . 9))";
+    assert_eq!(event(minimal), DEFAULTS);
 }
 
 #[test]
@@ -57,16 +57,16 @@
     }
 }
 
-/// Numbers of nodes are each holder's own, so that the digest goes by names.
+/// Each process numbers nodes itself, so the digest depends on the names of nodes and not on their numbers.
 #[test]
 fn a_version_has_this_digest() {
     let digest = |event: &str| decoded(event).to_hierarchy(None).expect("a version").1.digest();
     assert_eq!(digest(EVENT), 7_011_968_916_858_173_960);
     assert_eq!(digest(DEFAULTS), 9_500_622_338_283_066_805);
-    assert_eq!(digest(LEAST), digest(DEFAULTS));
+    assert_eq!(digest(MINIMAL), digest(DEFAULTS));
 }
 
-/// Each key out of its range is named as it stands in the file.
+/// The error for a value out of its range names the key as it is spelled in the file.
 #[test]
 fn errors_name_the_keys_of_the_file() {
     let head = |keys: &str| {
--- a/crates/hierarchy/tests/support/mod.rs
+++ b/crates/hierarchy/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Versions made for tests.
+//! Builders of versions for tests.
 #![allow(dead_code)]
 
 use rand::RngExt;
@@ -23,12 +23,12 @@
 
 pub(crate) const HEAD: &str = "(hierarchy (version . 1) (ceiling . 1000) (siblings . #t))";
 
-/// A version from the forms of its nodes; those of `known` keep their ids.
+/// Parses a version from the forms of its nodes. Nodes of `known` keep their ids.
 pub(crate) fn read(nodes: &str, known: Option<&Hierarchy>) -> Hierarchy {
     spec::parse_settings("test", &format!("{HEAD}{nodes}"), known).unwrap_or_else(|f| panic!("{f:?}")).1
 }
 
-/// The origin is node 0; each bit of `masks[n - 1]` is a source of node n. There is no load.
+/// Builds a version without load. The origin is node 0; bit s of `masks[n - 1]` makes node s a source of node n.
 pub(crate) fn from_masks(masks: &[u8]) -> Hierarchy {
     let mut h = Hierarchy::new(rules()).with_node(0, node("o", 0, &[]));
     for (i, mask) in masks.iter().enumerate() {
@@ -52,7 +52,7 @@
     }
 }
 
-/// All loop-free choices of sources of `n` nodes in which each leads to the origin.
+/// All loop-free choices of sources of `n` nodes in which each node has a path to the origin.
 pub(crate) fn all_masks(n: usize) -> Vec<Vec<u8>> {
     let each = 1u32 << (n + 1);
     let mut found = Vec::new();
@@ -61,34 +61,35 @@
         if masks.iter().enumerate().any(|(i, m)| m >> (i + 1) & 1 == 1 || *m == 0) {
             continue;
         }
-        // A node leads there if all of its sources do; with a loop some never do.
-        let mut leads = 1u8;
+        // A node leads to the origin if all of its sources do. The nodes of a loop never do.
+        let mut leads_to_origin = 1u8;
         for _ in 0..n {
             for (i, m) in masks.iter().enumerate() {
-                leads |= u8::from(m & !leads == 0) << (i + 1);
+                leads_to_origin |= u8::from(m & !leads_to_origin == 0) << (i + 1);
             }
         }
-        if leads.count_ones() as usize == n + 1 {
+        if leads_to_origin.count_ones() as usize == n + 1 {
             found.push(masks);
         }
     }
     found
 }
 
-/// Parents over an origin, and `edge` nodes with demand below them. Some parents fill from their own tier.
+/// Builds a random version: an origin, parents of tier 1, and `edge` nodes of tier 2 with demand. A parent fills from
+/// nodes of its own tier with the probability `siblings`.
 pub(crate) fn random(nodes: u32, edge: u32, siblings: f64, rng: &mut Pcg32) -> Hierarchy {
     let upper = nodes - edge - 1;
     let mut h = Hierarchy::new(rules()).with_node(0, HierarchyNode { capacity: 1e9, ..node("o", 0, &[]) });
-    let mut line: Vec<NodeId> = (1..=upper).collect();
-    // Siblings fill from those before them in a random order.
-    for i in (1..line.len()).rev() {
-        line.swap(i, rng.random_range(0..=i));
+    let mut parents: Vec<NodeId> = (1..=upper).collect();
+    // In a random order of the parents, each fills only from those before it, so that there is no loop.
+    for i in (1..parents.len()).rev() {
+        parents.swap(i, rng.random_range(0..=i));
     }
-    for (at, &n) in line.iter().enumerate() {
+    for (at, &n) in parents.iter().enumerate() {
         let mut sources = vec![0];
         if at > 0 && rng.random::<f64>() < siblings {
             sources = (0..rng.random_range(1..3))
-                .map(|_| line[rng.random_range(at.saturating_sub(50)..at)])
+                .map(|_| parents[rng.random_range(at.saturating_sub(50)..at)])
                 .collect();
             sources.sort_unstable();
             sources.dedup();
--- a/crates/hierarchy/tests/versions.rs
+++ b/crates/hierarchy/tests/versions.rs
@@ -1,4 +1,4 @@
-//! Settings files, versions, topological orders, admission, holders and fill paths.
+//! Tests of settings files, versions, topological orders, admission, version holders and fill paths.
 
 mod support;
 
@@ -81,7 +81,7 @@
     assert_eq!((next.node_id("p2"), next.node_id("p3")), (None, Some(4)));
     let names: Vec<_> = h.diff(&next).map(|d| h.node_name(d.node).to_owned()).collect();
     assert_eq!(names, ["p2", "e", "?"]);
-    // Another process that reads the same file assigns other ids and gets the same digest.
+    // Another process that reads the same file assigns other ids but gets the same digest.
     assert_eq!(read(&moved, None).digest(), next.digest());
     assert_ne!(h.digest(), next.digest());
     let json = serde_json::to_string(&spec::HierarchySpec::from_hierarchy(7, &h)).unwrap();
@@ -107,15 +107,15 @@
             if !tried[a as usize].contains(&b) {
                 tried[a as usize].push(b);
             }
-            let closes = a == b || topological_sort(&tried).is_err();
-            found[usize::from(closes)] += 1;
+            let closes_cycle = a == b || topological_sort(&tried).is_err();
+            found[usize::from(closes_cycle)] += 1;
             match order.insert_edge(a, b) {
                 Ok(()) => {
-                    assert!(!closes, "seed {seed}: {a} > {b}");
+                    assert!(!closes_cycle, "seed {seed}: {a} > {b}");
                     out = tried;
                 }
                 Err(cycle) => {
-                    assert!(closes, "seed {seed}: {a} > {b} closes nothing");
+                    assert!(closes_cycle, "seed {seed}: {a} > {b} closes no cycle");
                     assert_eq!(cycle.first(), cycle.last());
                     assert!(
                         cycle.windows(2).all(|w| w == [a, b] || out[w[0] as usize].contains(&w[1])),
@@ -184,7 +184,7 @@
         let mut tried = admission.clone();
         let error = tried.admit(&version).unwrap_err();
         assert!(error.to_string().contains(expected), "{error} / {expected}");
-        // A rejection leaves the state as it was: what was admitted before is admitted again.
+        // A rejection leaves the state unchanged, so that versions are admitted and rejected as before.
         assert_eq!(tried.last_admitted(), &base);
         tried.admit(&base.with_node(4, node("p3", 1, &[0]))).unwrap();
         assert!(
@@ -241,7 +241,8 @@
 fn fills_of_an_object_meet_at_one_node_of_each_tier() {
     let mut rng = Pcg32::seed_from_u64(5);
     let mut h = random(40, 20, 0.0, &mut rng);
-    // A tier in between: all of tier 2 fill from all of tier 1, the edge from all of tier 2.
+    // A tier in between is added: each node of tier 2 fills from all of tier 1, and each edge node from all of tiers 1
+    // and 2.
     let all: Vec<u32> = (1..20).collect();
     for n in 10..20 {
         let m = (**h.get(n).unwrap()).clone();
@@ -252,19 +253,20 @@
         h = h.with_node(n, HierarchyNode { tier: 3, sources: all.clone().into(), ..m });
     }
     let paths = FillPaths::from_hierarchy(&h);
-    let mut met = std::collections::BTreeSet::new();
+    let mut paths_found = std::collections::BTreeSet::new();
     for object in 0..200u64 {
         let position = object.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let first = paths.path(&h, 20, position, |_| true);
         assert_eq!(first.iter().map(|n| h.get(*n).unwrap().tier).collect::<Vec<_>>(), [2, 1, 0]);
         assert!((21..40).all(|e| paths.path(&h, e, position, |_| true) == first));
-        met.insert(first);
-        // A node that is not usable is skipped; if its whole tier is not, the next tier is used.
+        paths_found.insert(first);
+        // A node that is not usable is skipped. If no node of a tier is usable, the next lower tier is used.
         let down = paths.path(&h, 20, position, |n| !(10..20).contains(&n));
         assert_eq!(down.iter().map(|n| h.get(*n).unwrap().tier).collect::<Vec<_>>(), [1, 0]);
     }
-    assert!(met.len() > 50);
-    // A node without virtual nodes gets no objects; one with a quarter of them about a quarter of its objects.
+    assert!(paths_found.len() > 50);
+    // A node without virtual nodes gets no objects. With a quarter of its virtual nodes, it gets about a quarter of the
+    // objects.
     let of = |share: u16| {
         let m = (**h.get(1).unwrap()).clone();
         let h = h.with_node(1, HierarchyNode { ring_share: share, ..m });
@@ -278,7 +280,7 @@
 }
 
 #[test]
-fn a_fill_that_came_through_is_not_passed_on() {
+fn a_fill_that_passed_this_node_or_too_many_nodes_is_rejected() {
     assert_eq!(check_fill_path("c", ["a", "b"].into_iter()), Ok(()));
     assert_eq!(check_fill_path("b", ["a", "b"].into_iter()), Err(FillRejection::Loop));
     assert_eq!(check_fill_path("x", std::iter::repeat_n("a", 16)), Err(FillRejection::TooLong));
