--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,5 +1,5 @@
-//! The client side of the control feed, for whoever follows it: directors, relays, tests. No I/O: bytes come in, events
-//! go out.
+//! The client side of the control feed, for whoever follows it: directors, relays, tests. No I/O: bytes come in,
+//! events go out.
 //!
 //! [`EventStreamParser`] reads the response to one call, [`EventCursor`] knows which events are new, [`FeedSelector`]
 //! which feed to call next.
--- a/crates/relay/src/log.rs
+++ b/crates/relay/src/log.rs
@@ -1,5 +1,5 @@
-//! The numbered log: a snapshot, which is the list as it stands up to a number, and every later event that may
-//! still be active.
+//! The numbered log: a snapshot that holds the state up to a number, and every later event that may still be
+//! active.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -11,36 +11,38 @@
 use crate::retention::RetentionWindow;
 use crate::snapshot::Snapshot;
 
-/// The longest idempotency key, by which a publisher's event is known if it is sent again.
+/// The longest idempotency key. The key identifies a publisher's event if it is sent again.
 pub const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
 
-/// An event with its number, as voters send it to one another.
+/// An event with its number, as voters send it to each other.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Its number.
+    /// Number of the event.
     pub number: u64,
     /// Token of the leader that appended it.
     #[serde(rename = "by")]
     pub token: FencingToken,
     /// The event's JSON without its number.
     pub body: String,
-    /// The publisher's key, if it gave one.
+    /// The publisher's idempotency key, if it sent one.
     #[serde(rename = "mark")]
     pub idempotency_key: Option<String>,
 }
 
+/// An event that the log keeps individually.
 #[derive(Clone, Debug)]
 struct StoredEvent {
     kind: EventKind,
     token: FencingToken,
     idempotency_key: Option<String>,
-    /// When it was appended here.
+    /// Unix time in milliseconds at which it was appended to this log.
     appended_unix_ms: u64,
+    /// The bytes that subscribers are sent.
     frame: Box<[u8]>,
 }
 
 impl StoredEvent {
-    /// The event's JSON without its number; `number` is the event's.
+    /// Returns the event's JSON without its number. `number` is the event's number.
     fn body(&self, number: u64) -> String {
         let end = self.frame.len().saturating_sub(2);
         let rest = self.frame.get(frame_head_len(number)..end).unwrap_or_default();
@@ -71,14 +73,14 @@
     "the log holds {bytes} bytes of {limit}: all of it is active still, so no more is accepted until that has expired"
 )]
 pub struct LogFull {
-    /// Bytes of the log.
+    /// Size of the log in bytes.
     pub bytes: usize,
-    /// How many it may have.
+    /// Size limit in bytes.
     pub limit: usize,
 }
 
-/// Events with consecutive numbers, never truncated. Entries that may be truncated still are kept apart by
-/// voters.
+/// Events with consecutive numbers, which are never truncated. Voters keep entries that may still be truncated
+/// separately.
 #[derive(Clone, Debug)]
 pub struct Log {
     snapshot: Snapshot,
@@ -88,21 +90,21 @@
     event_bytes: usize,
     snapshot_bytes: usize,
     has_list: bool,
-    /// The endpoints of the list as it stands at the last number.
+    /// Names of the endpoints in the list as of the last number.
     endpoint_names: BTreeSet<String>,
-    /// The frames of the snapshot's list, with the snapshot's number.
+    /// The snapshot's number and the encoded frames of its list.
     cached_list: Option<(u64, Vec<u8>)>,
-    /// The last Unix ms that it was told.
-    told_unix_ms: u64,
+    /// The latest Unix time in milliseconds that a caller passed.
+    latest_unix_ms: u64,
 }
 
 impl Log {
-    /// An empty log.
+    /// Creates an empty log.
     pub fn new(retention: RetentionWindow) -> Log {
         Log::from_snapshot(retention, Snapshot::default())
     }
 
-    /// A log without events after this snapshot.
+    /// Creates a log that has this snapshot and no events after it.
     pub fn from_snapshot(retention: RetentionWindow, snapshot: Snapshot) -> Log {
         Log {
             events: VecDeque::new(),
@@ -113,32 +115,32 @@
             has_list: snapshot.has_list,
             endpoint_names: snapshot.members.keys().cloned().collect(),
             cached_list: None,
-            told_unix_ms: 0,
+            latest_unix_ms: 0,
             snapshot,
         }
     }
 
-    /// For how long it keeps events.
+    /// Returns for how long the log keeps events.
     pub fn retention(&self) -> RetentionWindow {
         self.retention
     }
 
-    /// What precedes the events that are kept one by one.
+    /// Returns the snapshot that precedes the events that are kept individually.
     pub fn snapshot(&self) -> &Snapshot {
         &self.snapshot
     }
 
-    /// The number of its last event, 0 before the first.
+    /// Returns the number of the last event; 0 if there is none.
     pub fn last_number(&self) -> u64 {
         self.snapshot.number + self.events.len() as u64
     }
 
-    /// The token of its last event.
+    /// Returns the token of the last event.
     pub fn last_token(&self) -> FencingToken {
         self.events.back().map_or(self.snapshot.token, |event| event.token)
     }
 
-    /// The token of the event with this number, if the log has it.
+    /// Returns the token of the event with this number, if the log has it.
     pub fn token_at(&self, number: u64) -> Option<FencingToken> {
         match number.checked_sub(self.snapshot.number + 1) {
             Some(index) => self.events.get(usize::try_from(index).ok()?).map(|event| event.token),
@@ -146,33 +148,33 @@
         }
     }
 
-    /// Whether it has a complete list.
+    /// Returns whether the log has a complete endpoint list.
     pub fn has_list(&self) -> bool {
         self.has_list
     }
 
-    /// How many endpoints the list has; none if there is no complete list.
+    /// Returns the number of endpoints in the list, or `None` if no complete list is known.
     pub fn endpoint_count(&self) -> Option<usize> {
         self.has_list.then_some(self.endpoint_names.len())
     }
 
-    /// Bytes of the snapshot and all events.
+    /// Returns the size of the snapshot and all events in bytes.
     pub fn size_bytes(&self) -> usize {
         self.event_bytes + self.snapshot_bytes
     }
 
-    /// Whether it has room for so many bytes more.
+    /// Returns an error if `additional_bytes` would take the log past `limit` bytes.
     pub fn check_capacity(&self, additional_bytes: usize, limit: usize) -> Result<(), LogFull> {
         let bytes = self.size_bytes();
         if bytes + additional_bytes > limit { Err(LogFull { bytes, limit }) } else { Ok(()) }
     }
 
-    /// The number of the event with this idempotency key, if that is kept still.
+    /// Returns the number of the event with this idempotency key, as long as the log keeps the event individually.
     pub fn number_of_key(&self, key: &str) -> Option<u64> {
         self.number_by_key.get(key).copied()
     }
 
-    /// Appends an event, at this Unix ms; returns its number.
+    /// Appends an event at `unix_ms`, and returns its number.
     pub fn append(
         &mut self,
         event: &Event,
@@ -180,7 +182,7 @@
         idempotency_key: Option<&str>,
         unix_ms: u64,
     ) -> u64 {
-        self.told_unix_ms = self.told_unix_ms.max(unix_ms);
+        self.latest_unix_ms = self.latest_unix_ms.max(unix_ms);
         let number = self.last_number() + 1;
         let frame = event.to_frame(number).into_boxed_slice();
         self.event_bytes += frame.len();
@@ -215,11 +217,11 @@
         }
     }
 
-    /// Moves events that have expired at this Unix ms into the snapshot: all of them at once, when the first has
-    /// been expired for a step. A snapshot that moved with each event would be sent over and over to a subscriber
-    /// that is behind it.
+    /// Moves the events that have expired at `unix_ms` into the snapshot: all of them at once, when the first has
+    /// been expired for a compaction step. A snapshot that moved with every event would be sent again and again to
+    /// a subscriber that is behind it.
     pub fn compact(&mut self, unix_ms: u64) {
-        self.told_unix_ms = self.told_unix_ms.max(unix_ms);
+        self.latest_unix_ms = self.latest_unix_ms.max(unix_ms);
         let step_ms = self.retention.compaction_step_ms();
         let first = self.events.front();
         if first.is_none_or(|event| !self.is_expired(event, unix_ms.saturating_sub(step_ms))) {
@@ -231,15 +233,17 @@
         }
     }
 
+    /// Returns whether an event may be moved into the snapshot at `unix_ms`.
     fn is_expired(&self, event: &StoredEvent, unix_ms: u64) -> bool {
         match event.kind {
-            // Without a list no subscriber follows from here yet.
+            // Until a complete list is known, no subscriber is sent events of this log.
             EventKind::Members { is_snapshot: false }
                 if !self.snapshot.has_list && self.snapshot.number > 0 =>
             {
                 true
             }
-            // One that was old as it came stays for a step, for subscribers that are nearly up to date.
+            // A purge that had expired when it was appended is kept for one step, so that subscribers that are
+            // nearly up to date are sent it and not the snapshot.
             EventKind::Purge { created_unix_ms } => {
                 let step_ms = self.retention.compaction_step_ms();
                 self.retention.is_expired(created_unix_ms, unix_ms)
@@ -249,7 +253,7 @@
         }
     }
 
-    /// The event is the first one, already taken off.
+    /// Applies the first event, which the caller has already removed, to the snapshot.
     fn move_into_snapshot(&mut self, event: StoredEvent) {
         let number = self.snapshot.number + 1;
         self.event_bytes -= event.frame.len();
@@ -268,18 +272,19 @@
         }
     }
 
-    /// Appends to `out` the bytes that a subscriber is sent after `cursor`: at least one event, and no further one
-    /// once `out` would have over `max_bytes`. Returns the number up to which it goes; `cursor` if there is nothing
-    /// to send.
+    /// Appends to `out` the bytes that a subscriber is sent after `cursor`: at least one event, and no further event
+    /// that would take the appended bytes past `max_bytes`. Returns the number up to which events were appended, or
+    /// `cursor` if there is nothing to send.
     ///
-    /// A subscriber that is behind the snapshot gets that, in full and not counted in `max_bytes`, and at least
-    /// one event more. Nor counts what the next snapshot may stand for: with a part of that it would be behind again.
+    /// A subscriber that is behind the snapshot is sent the whole snapshot, which does not count towards
+    /// `max_bytes`, and at least one event after it. The events that the next snapshot may include don't count
+    /// either: a subscriber that received only some of them would soon be behind the next snapshot.
     pub fn encode_after(&mut self, cursor: u64, max_bytes: usize, out: &mut Vec<u8>) -> u64 {
         let mut cursor = cursor;
         let len_before = out.len();
-        let mut uncounted = 0;
+        let mut uncounted_event_count = 0;
         if cursor < self.snapshot.number {
-            uncounted = self.expiring_count();
+            uncounted_event_count = self.expiring_count();
             if self.snapshot.has_list {
                 self.encode_snapshot(cursor, out);
             } else if !self.begins_with_list() {
@@ -291,7 +296,7 @@
         let end = max_bytes.saturating_add(start - len_before);
         let skipped = usize::try_from(cursor - self.snapshot.number).unwrap_or(usize::MAX);
         for (index, event) in self.events.iter().enumerate().skip(skipped) {
-            if index >= uncounted && out.len() > start && out.len() + event.frame.len() > end {
+            if index >= uncounted_event_count && out.len() > start && out.len() + event.frame.len() > end {
                 break;
             }
             out.extend_from_slice(&event.frame);
@@ -300,18 +305,19 @@
         cursor
     }
 
-    /// How many events the snapshot may have taken in a step from now.
+    /// Returns how many events may have moved into the snapshot one compaction step from now.
     fn expiring_count(&self) -> usize {
-        let until = self.told_unix_ms + self.retention.compaction_step_ms();
+        let until = self.latest_unix_ms + self.retention.compaction_step_ms();
         self.events.iter().take_while(|event| self.is_expired(event, until)).count()
     }
 
-    /// Whether the first event is a complete list, which can be sent in place of a snapshot.
+    /// Returns whether the first event is a complete list, which can be sent instead of a snapshot.
     fn begins_with_list(&self) -> bool {
         let list = EventKind::Members { is_snapshot: true };
         self.events.front().is_some_and(|event| event.kind == list)
     }
 
+    /// Appends the snapshot's frames to `out`, from the cache if the subscriber already has the hierarchy.
     fn encode_snapshot(&mut self, cursor: u64, out: &mut Vec<u8>) {
         let number = self.snapshot.number;
         if self.snapshot.hierarchy.as_ref().is_some_and(|hierarchy| hierarchy.number > cursor) {
@@ -324,7 +330,7 @@
         out.extend_from_slice(frames);
     }
 
-    /// Entries after this number, none before the snapshot, up to so many bytes and at least one.
+    /// Returns the entries after this number and after the snapshot, up to `max_bytes` but at least one.
     pub fn entries_after(&self, number: u64, max_bytes: usize) -> Vec<LogEntry> {
         let start = number.max(self.snapshot.number);
         let mut bytes = 0;
@@ -340,14 +346,15 @@
         entries
     }
 
-    fn numbered(&self) -> impl Iterator<Item = (u64, &StoredEvent)> {
+    /// Returns the events that are kept individually, with their numbers.
+    fn numbered_events(&self) -> impl Iterator<Item = (u64, &StoredEvent)> {
         (self.snapshot.number + 1..).zip(&self.events)
     }
 
-    /// All events as a snapshot with this number. It has none of the purges, and no token.
+    /// Returns the state after all events as a snapshot with this number. The snapshot has no purges and no token.
     pub fn snapshot_at(&self, number: u64) -> Snapshot {
         let mut snapshot = self.snapshot.clone();
-        for (number, event) in self.numbered().filter(|(_, event)| !event.is_purge()) {
+        for (number, event) in self.numbered_events().filter(|(_, event)| !event.is_purge()) {
             if let Some(parsed) = event.to_event(number) {
                 snapshot.apply(number, event.token, &parsed);
             }
@@ -355,13 +362,13 @@
         Snapshot { number, token: FencingToken::default(), ..snapshot }
     }
 
-    /// Purges that may still be active at this Unix ms, in their order.
+    /// Returns the purges that may still be active at `unix_ms`, in the order of their numbers.
     pub fn active_purges(&self, unix_ms: u64) -> Vec<LogEntry> {
         let is_active = |event: &StoredEvent| match event.kind {
             EventKind::Purge { created_unix_ms } => !self.retention.is_expired(created_unix_ms, unix_ms),
             _ => false,
         };
-        self.numbered()
+        self.numbered_events()
             .filter(|(_, event)| is_active(event))
             .map(|(number, event)| event.to_entry(number))
             .collect()
--- a/crates/relay/src/replica_group/lease.rs
+++ b/crates/relay/src/replica_group/lease.rs
@@ -1,4 +1,4 @@
-//! Who leads: the lease of the leader, and the fencing of older ones.
+//! Leader election: the lease of the leader, and the fencing of older leaders.
 
 use std::collections::VecDeque;
 
@@ -11,8 +11,8 @@
 use crate::messages::PeerCall;
 
 impl ReplicaGroup {
-    /// Does what the candidate asks for. Its requests to the voter of this process are answered at once, which
-    /// may make it ask for more.
+    /// Performs the candidate's actions. Requests to the voter of this process are answered at once, and the answer
+    /// may lead to further actions.
     pub(super) fn apply_lease_actions(&mut self, now: Ns, actions: Vec<CandidateAction>) {
         let mut actions = VecDeque::from(actions);
         while let Some(action) = actions.pop_front() {
@@ -36,7 +36,8 @@
         }
     }
 
-    /// Ceases to lead, if it does. Publishers whose events are not committed learn that the outcome is unknown.
+    /// Stops leading, if this voter leads. Publishers whose events are not committed learn that the outcome is
+    /// unknown.
     fn step_down(&mut self) {
         let Some(leading) = self.leading.take() else { return };
         for ticket in leading.tickets.into_values().flatten() {
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Steps down for a newer leader.
+    /// Steps down because a newer leader is known.
     pub(super) fn on_newer_leader(&mut self, now: Ns, newer: FencingToken) {
         self.voter.observe_term(newer.term);
         let actions = self.candidate.on_rejected(now, newer.term);
@@ -56,18 +57,19 @@
         self.step_down();
     }
 
-    /// Accepts a leader's token, or returns the newer one that was accepted before.
+    /// Accepts a leader's token, or returns the newer token that was accepted before.
     fn admit_token(&mut self, token: FencingToken) -> Result<(), FencingToken> {
         let admitted = self.guard.admit(token).map_err(|stale| stale.highest);
         self.voter.observe_term(self.guard.highest().term);
         if self.config.safety_checks.fencing { admitted } else { Ok(()) }
     }
 
-    /// As `admit_token`, for the token of another leader: if this voter leads under an older one, that is over.
+    /// Accepts the token of another leader as `admit_token` does, and steps down if this voter leads under an older
+    /// one.
     pub(super) fn admit_leader(&mut self, now: Ns, token: FencingToken) -> Result<(), FencingToken> {
         self.admit_token(token)?;
-        let leads = self.leading.as_ref().is_some_and(|leading| leading.token != token);
-        if self.config.safety_checks.fencing && leads {
+        let leads_with_other_token = self.leading.as_ref().is_some_and(|leading| leading.token != token);
+        if self.config.safety_checks.fencing && leads_with_other_token {
             self.on_newer_leader(now, token);
         }
         Ok(())
--- a/crates/relay/src/replica_group/mod.rs
+++ b/crates/relay/src/replica_group/mod.rs
@@ -1,21 +1,21 @@
-//! The group of voters: one of them at a time, the leader, accepts events and numbers them; an event that a
-//! majority stores is committed.
+//! A replicated group of voters. One voter at a time, the leader, accepts events and numbers them; an event that a
+//! majority of voters stores is committed.
 //!
-//! Leaders come and go with a lease (`sablecross_coordination`). The log is replicated as in Raft (Ongaro,
-//! Ousterhout 2014), with the lease's fencing tokens for terms: a new leader first shuts out older ones at a
-//! majority, goes on from the most advanced log found there, and commits nothing before a majority stores an
-//! entry of its own.
+//! The leader is the holder of a lease (`sablecross_coordination`). The log is replicated as in Raft (Ongaro,
+//! Ousterhout 2014), with the fencing tokens of the lease as terms. A new leader first makes a majority reject
+//! older leaders, continues from the most advanced log of that majority, and commits nothing before a majority
+//! stores an entry that this leader appended.
 //!
-//! Voters have no disk. One that restarts has forgotten what it promised and stored, so it neither shows its log
-//! to a new leader nor stores entries until a majority of others has answered it. An answer from before such a
-//! restart must not be counted together with answers given after it: every message carries the latest
-//! incarnations that its sender knows of, and answers of earlier ones are ignored (crash vectors: Michael, Ports,
-//! Sharma, Szekeres 2017). When no majority remembers the log, it is reset: a new epoch begins past every number
-//! that may have been sent to subscribers.
-//!
-//! [`ReplicaGroup`] is one voter of the group. `lease` decides who leads, `read_phase` is the beginning of a
-//! leader's work, `replication` the rest of it, `peer_requests` the voters' side of both, `recovery` what follows a
-//! restart.
+//! Voters have no disk. A voter that restarts has lost the tokens that it accepted and the entries that it stored,
+//! so it neither shows its log to a new leader nor stores entries until a majority of other voters has answered its
+//! recovery calls. An answer from before such a restart must not be counted together with answers given after it.
+//! Every message therefore carries the latest incarnations that its sender knows of, and answers of earlier
+//! incarnations are ignored (crash vectors: Michael, Ports, Sharma, Szekeres 2017). When no majority
+//! remembers the log, the leader resets it: a new epoch begins past every number that may have been sent to
+//! subscribers.
+//! [`ReplicaGroup`] is one voter of the group. `lease` decides which voter leads, `read_phase` is the first phase of
+//! a leader, `replication` the second, `peer_requests` answers the calls of both phases, and `recovery` restores a
+//! voter after a restart.
 
 mod lease;
 mod peer_requests;
@@ -42,44 +42,47 @@
 /// One voter of the group.
 #[derive(Debug)]
 pub(crate) struct ReplicaGroup {
-    /// Index of this voter.
+    /// Index of this voter among all voters.
     index: u32,
     config: GroupConfig,
-    /// Grants the lease to candidates, this one among them.
+    /// Grants the lease to candidates, which include the one of this process.
     voter: Voter,
     /// Applies for the lease.
     candidate: LeaseCandidate,
-    /// The newest token that was accepted.
+    /// Remembers the newest token that this voter accepted, and rejects older ones.
     guard: FencingGuard,
     log: ReplicaLog,
-    /// When the log was last reset, Unix ms.
+    /// Unix time in milliseconds at which the log was last reset; 0 if it never was.
     epoch: u64,
-    /// Token of the newest leader that has confirmed this epoch.
+    /// Token of the newest leader that is known to use this epoch.
     epoch_token: FencingToken,
-    /// Whether everything that this voter ever stored is known here.
+    /// Whether this voter knows everything that it ever stored.
     is_complete: bool,
+    /// The recovery in progress after a restart.
     recovery: Option<Recovery>,
-    /// The latest incarnation of each voter that is known.
+    /// The latest known incarnation of each voter, by the voters' indices.
     incarnations: Vec<u64>,
+    /// When the leader last reached this voter.
     staleness: Staleness,
+    /// Present while this voter holds the lease.
     leading: Option<LeaderState>,
     last_call_id: u64,
-    /// The highest number that a subscriber has reported here.
+    /// The highest number that a subscriber has reported to this voter.
     highest_reported: u64,
     actions: Vec<Action>,
 }
 
-/// What a reply told of its sender.
+/// The applied number that a voter's reply carries.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct AppliedByVoter {
-    /// Name of the voter's relay.
+    /// Name of the replying voter's relay.
     pub(crate) name: String,
-    /// What that relay and all its subscribers have applied.
+    /// The number that this relay and all its subscribers have applied.
     pub(crate) number: u64,
 }
 
 impl ReplicaGroup {
-    /// A voter that begins without memory; `seed` spreads the candidates' attempts.
+    /// Creates a voter with an empty log. `seed` randomizes the times at which candidates request the lease.
     pub(crate) fn new(
         member: Member,
         index: u32,
@@ -115,13 +118,13 @@
         }
     }
 
-    /// The committed part of the log.
+    /// Returns the committed part of the log.
     pub(crate) fn log(&self) -> &Log {
         self.log.committed()
     }
 
-    /// As [`Log::encode_after`]. Nothing of a new epoch is sent before a majority stores what follows its
-    /// snapshot.
+    /// Encodes committed events as [`Log::encode_after`] does. Of a new epoch it encodes nothing until a majority
+    /// stores an entry that follows the snapshot with which the epoch begins.
     pub(crate) fn encode_after(&mut self, cursor: u64, max_bytes: usize, out: &mut Vec<u8>) -> u64 {
         if self.log.committed_number() <= self.log.committed().snapshot().epoch_start {
             return cursor;
@@ -129,38 +132,39 @@
         self.log.committed_mut().encode_after(cursor, max_bytes, out)
     }
 
-    /// Notes a number that a subscriber has reported: a reset of the log goes past it.
+    /// Records a number that a subscriber has reported, so that a reset of the log continues past it.
     pub(crate) fn observe_number(&mut self, number: u64) {
         if number < MAX_EVENT_NUMBER {
             self.highest_reported = self.highest_reported.max(number);
         }
     }
 
-    /// The token under which this voter accepts events now.
+    /// Returns the token under which this voter accepts events now, if it is the leader.
     pub(crate) fn leader_token(&self, now: Ns) -> Option<FencingToken> {
         let is_replicating =
             self.leading.as_ref().is_some_and(|leading| matches!(leading.phase, LeaderPhase::Replicating));
         self.candidate.token(now).filter(|_| is_replicating)
     }
 
-    /// The same, or who is the leader. A voter that has the lease and reads still names nobody.
+    /// Returns the leader's token, or an error that names the leader if another voter is known to lead. A voter
+    /// that holds the lease but is still in its read phase names no leader.
     pub(crate) fn require_leader(&self, now: Ns) -> Result<FencingToken, PublishError> {
         let other = self.leader(now).filter(|_| self.candidate.token(now).is_none());
         self.leader_token(now).ok_or(PublishError::NotLeader(other))
     }
 
-    /// The names of all voters' relays, by the voters' indices.
+    /// Returns the names of all voters' relays, by the voters' indices.
     pub(crate) fn voter_names(&self) -> &[String] {
         &self.config.voter_names
     }
 
-    /// The holder of the lease, as far as this voter knows.
+    /// Returns the holder of the lease, as far as this voter knows.
     pub(crate) fn leader(&self, now: Ns) -> Option<Member> {
         let own = self.candidate.token(now).map(|token| token.holder);
         own.or_else(|| self.voter.holder(now).map(|holder| holder.member))
     }
 
-    /// How old what this voter knows of the leader is.
+    /// Returns how long ago this voter last knew the leader to lead.
     pub(crate) fn staleness(&self, now: Ns) -> Staleness {
         let mut staleness = self.staleness;
         if let Some(token) = self.leader_token(now) {
@@ -169,14 +173,14 @@
         staleness
     }
 
-    /// When [`ReplicaGroup::step`] is to be called next.
+    /// Returns the time at which [`ReplicaGroup::step`] has to be called next.
     pub(crate) fn next_deadline(&self) -> Ns {
         let recovery = self.recovery.as_ref().map_or(Ns::MAX, |recovery| recovery.next_call_at);
         let leading = self.leading.as_ref().map_or(Ns::MAX, |leading| self.next_leader_deadline(leading));
         self.candidate.next_wakeup().min(recovery).min(leading)
     }
 
-    /// Does what is due. `unix_ms` is the Unix time.
+    /// Performs all work that is due at `now`. `unix_ms` is the Unix time.
     pub(crate) fn step(&mut self, now: Ns, unix_ms: u64) -> Vec<Action> {
         let actions = self.candidate.step(now);
         self.apply_lease_actions(now, actions);
@@ -187,14 +191,14 @@
         self.take_actions()
     }
 
-    /// Gives the lease back, as at a planned stop.
+    /// Releases the lease before a planned stop.
     pub(crate) fn hand_over(&mut self, now: Ns) -> Vec<Action> {
         let actions = self.candidate.hand_over(now, None);
         self.apply_lease_actions(now, actions);
         self.take_actions()
     }
 
-    /// Takes in what came back of a call.
+    /// Processes the reply to a call, and returns the applied number that it carries, if any.
     pub(crate) fn on_reply(
         &mut self,
         now: Ns,
@@ -208,14 +212,15 @@
         }
         self.merge_incarnations(now, &reply.incarnations);
         let incarnation = reply.incarnations.get(voter as usize).copied().unwrap_or(0);
-        self.note_call_over(voter, call_id);
+        self.clear_call_in_flight(voter, call_id);
         let number = self.on_answer(now, unix_ms, voter, incarnation, reply.answer);
         let name = self.config.voter_names.get(voter as usize).cloned();
         let applied = name.zip(number).map(|(name, number)| AppliedByVoter { name, number });
         (applied, self.take_actions())
     }
 
-    /// Returns the number that the voter and all its subscribers have applied, if the answer has it.
+    /// Processes an answer. Returns the number that the voter and all its subscribers have applied, if the answer
+    /// carries one.
     fn on_answer(
         &mut self,
         now: Ns,
@@ -261,7 +266,7 @@
         None
     }
 
-    /// Fills in what only a voter knows.
+    /// Sets the fields of the status that only a voter knows.
     pub(crate) fn fill_status(&self, now: Ns, status: &mut RelayStatus) {
         let own_token = self.leader_token(now);
         status.role = if own_token.is_some() { RelayRole::Leader } else { RelayRole::Voter };
@@ -297,13 +302,13 @@
         self.incarnations.get(voter as usize).copied().unwrap_or(0)
     }
 
-    /// Whether an answer of this incarnation counts beside all else that is known.
+    /// Returns whether an answer of this incarnation may be counted together with the other answers.
     fn is_current(&self, voter: u32, incarnation: u64) -> bool {
         !self.config.safety_checks.incarnations || incarnation == self.incarnation_of(voter)
     }
 
-    /// Takes in the incarnations that another voter knows of. This one's own has to be the latest of its: after
-    /// its clock was set back it counts on from what is known.
+    /// Merges the incarnations that another voter knows of into the known ones. If another voter knows a later
+    /// incarnation of this voter, as after this clock was set back, this voter takes the next higher one.
     fn merge_incarnations(&mut self, now: Ns, received: &[u64]) {
         let own = self.index as usize;
         for (voter, incarnation) in received.iter().enumerate().take(self.incarnations.len()) {
@@ -318,7 +323,7 @@
         }
     }
 
-    /// Calls another voter; returns the call's id.
+    /// Emits a call to another voter and returns the call's id.
     fn call(&mut self, voter: u32, call: PeerCall) -> u64 {
         self.last_call_id += 1;
         let request = PeerRequest { sender: self.index, incarnations: self.incarnations.clone(), call };
@@ -334,7 +339,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Commits up to this number, at most what is stored, and answers the publishers that wait for it.
+    /// Commits entries up to this number, as far as they are stored, and answers the publishers waiting for them.
     fn commit(&mut self, unix_ms: u64, up_to: u64) {
         while self.log.committed_number() < up_to {
             let Some(number) = self.log.commit_next(unix_ms) else { break };
@@ -345,7 +350,8 @@
         }
     }
 
-    /// The log after this number, or all of it.
+    /// Returns the log after this number, or the whole log if no number is given or the number precedes the
+    /// snapshot.
     fn state_after(&self, number: Option<u64>) -> ReplicaState {
         let start = number.filter(|number| *number >= self.log.snapshot_number());
         let snapshot = start.is_none().then(|| self.log.committed().snapshot().clone());
@@ -359,14 +365,14 @@
     }
 }
 
-/// What another voter has answered of its log.
+/// A voter's answer about its log.
 #[derive(Clone, Debug)]
 struct PeerReport {
-    /// The incarnation of the voter that answered.
+    /// The incarnation of the answering voter.
     incarnation: u64,
-    /// The newest token that it has accepted.
+    /// The newest token that the voter has accepted.
     highest_token: FencingToken,
-    /// Whether it remembers everything that it ever stored.
+    /// Whether the voter remembers everything that it ever stored.
     is_complete: bool,
     state: ReplicaState,
 }
--- a/crates/relay/src/replica_group/peer_requests.rs
+++ b/crates/relay/src/replica_group/peer_requests.rs
@@ -1,4 +1,4 @@
-//! What a voter answers to other voters' calls.
+//! A voter's answers to the calls of other voters.
 
 use sablecross_coordination::{FencingToken, Ns};
 
@@ -9,7 +9,7 @@
 use crate::messages::{EntryPosition, PeerAnswer, PeerCall, PeerReply, PeerRequest};
 use crate::snapshot::Snapshot;
 
-/// The content of [`PeerCall::Append`].
+/// The fields of [`PeerCall::Append`].
 struct AppendCall {
     token: FencingToken,
     epoch: u64,
@@ -20,7 +20,8 @@
 }
 
 impl ReplicaGroup {
-    /// Answers another voter. `applied_number`: what this relay and all its subscribers have applied.
+    /// Answers another voter's call. `applied_number` is the number that this relay and all its subscribers have
+    /// applied.
     pub(crate) fn on_request(
         &mut self,
         now: Ns,
@@ -83,12 +84,12 @@
         PeerAnswer::Mismatch { token, epoch: self.epoch, committed: self.log.committed_number() }
     }
 
-    /// Whether the log is of the leader's epoch, after the snapshot was taken over if it is of a newer epoch or
-    /// past what is committed here.
+    /// Installs the snapshot if it is of a newer epoch or ahead of the committed part of this log. Returns whether
+    /// the log is then of the leader's epoch and complete.
     fn install_snapshot(&mut self, token: FencingToken, epoch: u64, snapshot: Option<Snapshot>) -> bool {
         let snapshot = snapshot.filter(|snapshot| snapshot.number < MAX_EVENT_NUMBER);
         if epoch != self.epoch {
-            // A late call of the same leader from before it reset the log changes nothing.
+            // A delayed call that the same leader sent before it reset the log must not bring back the old epoch.
             let is_newer = (token, epoch) > (self.epoch_token, self.epoch);
             let Some(snapshot) = snapshot.filter(|_| is_newer) else { return false };
             self.log.truncate_uncommitted(0);
@@ -108,8 +109,8 @@
         true
     }
 
-    /// Stores entries behind the previous one. Returns the number up to which the log is now the leader's; none
-    /// if the previous entry is not.
+    /// Stores entries after the previous entry. Returns the number up to which the log now equals the leader's, or
+    /// `None` if the previous entry differs from the leader's.
     fn append_entries(
         &mut self,
         token: FencingToken,
@@ -131,7 +132,7 @@
             if entry.number <= committed || self.log.token_at(entry.number) == Some(entry.token) {
                 continue;
             }
-            // What is stored here is another leader's, and no majority stored it.
+            // The entries stored from here on are another leader's, and no majority stored them.
             let keep = usize::try_from(entry.number - committed - 1).unwrap_or(usize::MAX);
             self.log.truncate_uncommitted(keep);
             if let Err(error) = self.log.append_entry(entry) {
--- a/crates/relay/src/replica_group/read_phase.rs
+++ b/crates/relay/src/replica_group/read_phase.rs
@@ -1,5 +1,5 @@
-//! The beginning of a leader's work: it reads the voters' logs, goes on from the most advanced one, and resets
-//! the log where too few voters remember it.
+//! The read phase of a new leader: it reads the voters' logs, continues from the most advanced one, and resets the
+//! log where too few voters remember it.
 
 use std::collections::BTreeMap;
 
@@ -11,32 +11,34 @@
 use crate::event::Event;
 use crate::messages::{PeerCall, ReplicaState};
 
-/// What a leader does.
+/// The phase of a leader.
 #[derive(Debug)]
 pub(super) enum LeaderPhase {
-    /// It reads the voters' logs.
+    /// The leader reads the voters' logs.
     Reading(ReadPhase),
-    /// It accepts events and replicates the log.
+    /// The leader accepts events and replicates the log.
     Replicating,
 }
 
 impl LeaderPhase {
+    /// Returns a read phase that begins now.
     pub(super) fn reading(now: Ns) -> LeaderPhase {
         LeaderPhase::Reading(ReadPhase { started_at: now, next_call_at: now, reports: BTreeMap::new() })
     }
 }
 
+/// The state of a read phase.
 #[derive(Debug)]
 pub(super) struct ReadPhase {
     started_at: Ns,
-    /// When voters that have not answered are called again.
+    /// When the voters that have not answered are called again.
     pub(super) next_call_at: Ns,
     /// Answers by the voters' indices.
     reports: BTreeMap<u32, PeerReport>,
 }
 
 impl ReplicaGroup {
-    /// Takes in a voter's answer to [`PeerCall::Read`].
+    /// Processes a voter's answer to [`PeerCall::Read`].
     pub(super) fn on_state(&mut self, now: Ns, unix_ms: u64, voter: u32, report: PeerReport) {
         if let Some(LeaderState { phase: LeaderPhase::Reading(reading), .. }) = &mut self.leading {
             reading.reports.insert(voter, report);
@@ -44,7 +46,7 @@
         }
     }
 
-    /// Calls the voters that have not answered, or not in their current incarnation, if that is due.
+    /// Calls the voters that have not answered in their current incarnation, if a call is due.
     pub(super) fn send_reads(&mut self, now: Ns, unix_ms: u64) {
         let Some(LeaderState { token, phase: LeaderPhase::Reading(reading), .. }) = &mut self.leading else {
             return;
@@ -68,8 +70,8 @@
         self.finish_read_phase(now, unix_ms);
     }
 
-    /// Begins to replicate once a majority that remembers everything has answered; else with what is left, once
-    /// all have answered, or a majority for long.
+    /// Begins to replicate once the complete logs of a majority are known. Without such a majority, it resets the
+    /// log once all voters have answered, or once a majority has answered and the reset timeout has passed.
     fn finish_read_phase(&mut self, now: Ns, unix_ms: u64) {
         let Some(leading) = &self.leading else { return };
         let LeaderPhase::Reading(reading) = &leading.phase else { return };
@@ -77,36 +79,37 @@
             return;
         }
         let token = leading.token;
-        let has_waited = now.saturating_sub(reading.started_at) >= self.config.reset_timeout;
+        let has_timed_out = now.saturating_sub(reading.started_at) >= self.config.reset_timeout;
         let reports: Vec<&PeerReport> = reading
             .reports
             .iter()
             .filter(|(voter, report)| self.is_current(**voter, report.incarnation))
             .map(|(_, report)| report)
             .collect();
-        let complete = reports.iter().filter(|report| report.is_complete).count();
-        let remembers = self.is_majority(complete + usize::from(self.is_complete));
+        let complete_count = reports.iter().filter(|report| report.is_complete).count();
+        let majority_is_complete = self.is_majority(complete_count + usize::from(self.is_complete));
         let answered = reports.len() + 1;
         let have_all_answered = answered == self.config.voter_names.len();
-        if !(remembers || have_all_answered || has_waited && self.is_majority(answered)) {
+        if !(majority_is_complete || have_all_answered || has_timed_out && self.is_majority(answered)) {
             return;
         }
         let states: Vec<ReplicaState> = reports.into_iter().map(|report| report.state.clone()).collect();
         self.adopt_most_advanced(unix_ms, states);
         self.epoch_token = token;
-        if remembers {
-            // What this voter may have forgotten it has read by now.
+        if majority_is_complete {
+            // The logs of the majority hold whatever this voter may have lost in a restart.
             self.mark_recovered();
             self.log.append(token, Event::empty_update(), None);
         } else {
             self.reset_log(unix_ms, token);
         }
-        self.begin_replicating(now, unix_ms, remembers);
+        self.begin_replicating(now, unix_ms, majority_is_complete);
     }
 
-    /// `remembers`: followers are sent what comes after the last entry; otherwise, the new log's snapshot first.
-    fn begin_replicating(&mut self, now: Ns, unix_ms: u64, remembers: bool) {
-        let next_number = remembers.then(|| self.log.last_number());
+    /// Enters the replicating phase. If `majority_is_complete`, followers are first sent the entries from the last
+    /// one on; otherwise they are first sent the snapshot of the new log.
+    fn begin_replicating(&mut self, now: Ns, unix_ms: u64, majority_is_complete: bool) {
+        let next_number = majority_is_complete.then(|| self.log.last_number());
         let Some(leading) = &mut self.leading else { return };
         leading.phase = LeaderPhase::Replicating;
         for follower in &mut leading.followers {
@@ -120,8 +123,8 @@
         self.send_appends(now);
     }
 
-    /// Takes over the most advanced of these logs, if it is ahead of this voter's, and commits what any of them
-    /// knows to be committed.
+    /// Adopts the most advanced of these logs if it is ahead of this voter's, and commits what any log of that epoch
+    /// lists as committed.
     pub(super) fn adopt_most_advanced(&mut self, unix_ms: u64, states: Vec<ReplicaState>) {
         let rank = |state: &ReplicaState| (state.epoch, state.last_entry.token, state.last_entry.number);
         let own_last = self.log.last_entry();
@@ -136,6 +139,7 @@
         self.commit(unix_ms, committed);
     }
 
+    /// Replaces the uncommitted entries, and the committed part where needed, by those of another voter.
     fn adopt(&mut self, state: ReplicaState) {
         let is_other_epoch = state.epoch != self.epoch;
         let committed = self.log.committed_number();
@@ -145,7 +149,7 @@
         }
         if is_other_epoch {
             self.epoch = state.epoch;
-            // Late calls of the same leader that belong to the epoch before are to be ignored.
+            // Delayed calls that the same leader sent in the previous epoch have to be ignored.
             self.epoch_token = self.epoch_token.max(self.guard.highest());
         }
         self.log.truncate_uncommitted(0);
--- a/crates/relay/src/replica_group/recovery.rs
+++ b/crates/relay/src/replica_group/recovery.rs
@@ -1,5 +1,5 @@
-//! After a restart: a voter without memory recovers the log from the others; where too few of them remember it,
-//! a leader resets it.
+//! Recovery after a restart: a voter without memory recovers the log from the other voters. Where too few of them
+//! remember the log, a leader resets it.
 
 use std::collections::BTreeMap;
 
@@ -13,19 +13,19 @@
 use crate::messages::{PeerCall, ReplicaState};
 use crate::snapshot::{HierarchyEvent, Snapshot};
 
-/// A voter that takes part with an incomplete log asks the others this many times less often: answers hold
-/// whole logs.
+/// A voter that participates with an incomplete log calls the others this many times less often than a recovering
+/// one, because the answers hold whole logs.
 const INCOMPLETE_CALL_FACTOR: Ns = 8;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RecoveryPhase {
-    /// The voter takes no part in reading and storing.
+    /// The voter neither shows its log to leaders nor stores entries.
     Recovering,
-    /// Too few others remembered the log: the voter takes part, says that it is incomplete, and goes on asking.
+    /// Too few others remembered the log: the voter participates, reports its log as incomplete, and keeps calling.
     Incomplete,
 }
 
-/// A recovery that is under way.
+/// The state of a recovery.
 #[derive(Debug)]
 pub(super) struct Recovery {
     pub(super) started_at: Ns,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Asks everybody once more: what was answered to an incarnation that is not current doesn't count.
+    /// Discards all answers and calls all voters again, because answers to an outdated incarnation don't count.
     pub(super) fn restart_calls(&mut self, now: Ns) {
         self.next_call_at = now;
         self.reports.clear();
@@ -53,18 +53,18 @@
 }
 
 impl ReplicaGroup {
-    /// Whether this voter doesn't know enough yet to show its log or to store entries.
+    /// Returns whether this voter may not yet show its log or store entries.
     pub(super) fn is_recovering(&self) -> bool {
         self.recovery.as_ref().is_some_and(|recovery| recovery.phase == RecoveryPhase::Recovering)
     }
 
-    /// Everything that this voter ever stored is known here.
+    /// Ends the recovery: everything that this voter ever stored is known.
     pub(super) fn mark_recovered(&mut self) {
         self.is_complete = true;
         self.recovery = None;
     }
 
-    /// Asks the others for their logs, if that is due.
+    /// Calls the other voters for their logs, if a call is due.
     pub(super) fn step_recovery(&mut self, now: Ns, unix_ms: u64) {
         let call_timeout = self.config.call_timeout;
         let Some(recovery) = self.recovery.as_mut().filter(|recovery| now >= recovery.next_call_at) else {
@@ -81,7 +81,7 @@
         self.finish_recovery(now, unix_ms);
     }
 
-    /// Takes in a voter's answer to [`PeerCall::Recover`].
+    /// Processes a voter's answer to [`PeerCall::Recover`].
     pub(super) fn on_recovered(&mut self, now: Ns, unix_ms: u64, voter: u32, report: PeerReport) {
         if let Some(recovery) = &mut self.recovery {
             recovery.reports.insert(voter, report);
@@ -90,8 +90,9 @@
         }
     }
 
-    /// Ends the recovery once a majority of others that are complete has answered. Without one, the voter takes
-    /// part with what is left once all have answered, or a majority for long.
+    /// Ends the recovery once a majority, made up of other voters with complete logs, has answered. Without such a
+    /// majority, the voter participates with an incomplete log once all voters have answered, or once a majority has
+    /// answered and the reset timeout has passed.
     fn finish_recovery(&mut self, now: Ns, unix_ms: u64) {
         let Some(recovery) = &self.recovery else { return };
         let reports: Vec<&PeerReport> = recovery
@@ -102,9 +103,9 @@
             .collect();
         let is_complete = self.is_majority(reports.iter().filter(|report| report.is_complete).count());
         let answered = reports.len() + 1;
-        let has_waited = now.saturating_sub(recovery.started_at) >= self.config.reset_timeout;
+        let has_timed_out = now.saturating_sub(recovery.started_at) >= self.config.reset_timeout;
         let is_last_resort = recovery.phase == RecoveryPhase::Recovering
-            && (answered == self.config.voter_names.len() || has_waited && self.is_majority(answered));
+            && (answered == self.config.voter_names.len() || has_timed_out && self.is_majority(answered));
         if !is_complete && !is_last_resort {
             return;
         }
@@ -130,13 +131,14 @@
         }
     }
 
-    /// Begins a new epoch with what is left: the list, the hierarchy and the purges that are still active, under
+    /// Begins a new epoch with the endpoint list, the hierarchy and the active purges that are still known, under
     /// numbers that no subscriber can have seen.
     pub(super) fn reset_log(&mut self, unix_ms: u64, token: FencingToken) {
         self.reject_waiting_publishers();
         self.commit(unix_ms, self.log.last_number());
         let purges = self.log.committed().active_purges(unix_ms);
-        // The hierarchy gets this number, and the one before is left for the list (see `Snapshot`).
+        // The hierarchy gets this number, and the number before it is reserved for the list (see
+        // `Snapshot::to_frames`).
         let number = (self.log.last_number() + 2).max(unix_ms).max(self.highest_reported + 2);
         let folded = self.log.committed().snapshot_at(number);
         let hierarchy = folded.hierarchy.map(|hierarchy| HierarchyEvent { number, ..hierarchy });
@@ -155,7 +157,7 @@
         ));
     }
 
-    /// The first entry of the epoch, and the purges that are left.
+    /// Appends the first entry of the epoch, then the purges that are still active.
     fn append_after_reset(&mut self, token: FencingToken, purges: Vec<LogEntry>) {
         self.log.append(token, Event::empty_update(), None);
         for purge in purges {
--- a/crates/relay/src/replica_group/replica_log.rs
+++ b/crates/relay/src/replica_group/replica_log.rs
@@ -1,5 +1,5 @@
-//! The log of one voter: the committed part, which subscribers may be sent, and behind it the entries that a
-//! newer leader may still truncate.
+//! The log of one voter: the committed part, which may be sent to subscribers, followed by entries that a newer
+//! leader may still truncate.
 
 use std::collections::VecDeque;
 
@@ -37,17 +37,17 @@
         &mut self.committed
     }
 
-    /// The last number that is committed.
+    /// Returns the number of the last committed entry.
     pub(super) fn committed_number(&self) -> u64 {
         self.committed.last_number()
     }
 
-    /// The number of the first entry that is kept one by one, less one.
+    /// Returns the last number that the snapshot includes; entries after it are kept individually.
     pub(super) fn snapshot_number(&self) -> u64 {
         self.committed.snapshot().number
     }
 
-    /// The last entry, committed or not.
+    /// Returns the position of the last entry, committed or not.
     pub(super) fn last_entry(&self) -> EntryPosition {
         let token = self.uncommitted.back().map_or(self.committed.last_token(), |entry| entry.token);
         EntryPosition { number: self.last_number(), token }
@@ -65,7 +65,7 @@
         self.uncommitted_bytes
     }
 
-    /// The token of the entry with this number, if the log has it.
+    /// Returns the token of the entry with this number, if the log has it.
     pub(super) fn token_at(&self, number: u64) -> Option<FencingToken> {
         match number.checked_sub(self.committed_number() + 1) {
             Some(index) => self.uncommitted.get(usize::try_from(index).ok()?).map(|entry| entry.token),
@@ -73,14 +73,14 @@
         }
     }
 
-    /// Whether a complete list of endpoints is in the log, committed or not.
+    /// Returns whether the log has a complete endpoint list, committed or not.
     pub(super) fn has_list(&self) -> bool {
         let is_complete =
             |entry: &UncommittedEntry| entry.event.kind() == EventKind::Members { is_snapshot: true };
         self.committed.has_list() || self.uncommitted.iter().any(is_complete)
     }
 
-    /// The number of the uncommitted entry with this idempotency key.
+    /// Returns the number of the uncommitted entry with this idempotency key.
     pub(super) fn uncommitted_number_of_key(&self, key: &str) -> Option<u64> {
         let has_key = |entry: &UncommittedEntry| entry.idempotency_key.as_deref() == Some(key);
         let index = self.uncommitted.iter().position(has_key)?;
@@ -92,14 +92,14 @@
         self.uncommitted.push_back(UncommittedEntry { token, event, idempotency_key });
     }
 
-    /// Appends an entry of another voter under the next number.
+    /// Parses an entry of another voter and appends it under the next number.
     pub(super) fn append_entry(&mut self, entry: &LogEntry) -> Result<(), EventError> {
         let event = Event::parse(entry.body.as_bytes(), usize::MAX)?.event;
         self.append(entry.token, event, entry.idempotency_key.clone());
         Ok(())
     }
 
-    /// Commits the next entry, at this Unix ms; returns its number.
+    /// Commits the next entry at `unix_ms`, and returns its number.
     pub(super) fn commit_next(&mut self, unix_ms: u64) -> Option<u64> {
         let entry = self.uncommitted.pop_front()?;
         self.uncommitted_bytes -= entry.event.body().len();
@@ -107,20 +107,21 @@
         Some(self.committed.append(&entry.event, entry.token, key, unix_ms))
     }
 
-    /// Drops all uncommitted entries but the first `keep`.
+    /// Removes all uncommitted entries except the first `keep`.
     pub(super) fn truncate_uncommitted(&mut self, keep: usize) {
         for entry in self.uncommitted.drain(keep.min(self.uncommitted.len())..) {
             self.uncommitted_bytes -= entry.event.body().len();
         }
     }
 
-    /// Replaces the committed part and leaves the uncommitted entries as they are: they get other numbers.
+    /// Replaces the committed part by a snapshot. The uncommitted entries stay and are renumbered from the snapshot
+    /// on.
     pub(super) fn replace_committed(&mut self, snapshot: Snapshot) {
         self.committed = Log::from_snapshot(self.committed.retention(), snapshot);
     }
 
-    /// Moves to a snapshot that is past the committed part. Uncommitted entries behind it stay if they belong to
-    /// the same log: a leader may have counted them.
+    /// Replaces the committed part by a snapshot that is ahead of it. Uncommitted entries after the snapshot are kept
+    /// if they belong to the same log, because a leader may have counted them as stored here.
     pub(super) fn advance_to(&mut self, snapshot: Snapshot) {
         if self.token_at(snapshot.number) == Some(snapshot.token) {
             let covered = snapshot.number - self.committed_number();
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Entries after this number, none before the snapshot, up to so many bytes and at least one.
+    /// Returns the entries after this number and after the snapshot, up to `max_bytes` but at least one.
     pub(super) fn entries_after(&self, number: u64, max_bytes: usize) -> Vec<LogEntry> {
         let mut entries = self.committed.entries_after(number, max_bytes);
         let start = number.max(self.snapshot_number());
--- a/crates/relay/src/replica_group/replication.rs
+++ b/crates/relay/src/replica_group/replication.rs
@@ -1,4 +1,5 @@
-//! The leader's work: it accepts events, sends entries to the other voters and commits what a majority stores.
+//! The replicating phase of a leader: it accepts events, sends entries to the other voters and commits the entries
+//! that a majority stores.
 
 use std::collections::BTreeMap;
 
@@ -13,19 +14,19 @@
 use crate::messages::{EntryPosition, PeerCall};
 
 const NS_PER_MS: Ns = 1_000_000;
-/// What an event's frame has beside its body, at most.
+/// Upper bound of the bytes that an event's frame adds to its body.
 const FRAME_OVERHEAD_BYTES: usize = 64;
 
-/// What the voter that holds the lease knows.
+/// The state of a voter that holds the lease.
 #[derive(Debug)]
 pub(super) struct LeaderState {
     pub(super) token: FencingToken,
     pub(super) phase: LeaderPhase,
-    /// By the voters' indices.
+    /// Progress of each voter, by the voters' indices.
     pub(super) followers: Vec<FollowerProgress>,
-    /// Publishers that wait for a number to be committed.
+    /// Tickets of the publishers that wait for a number to be committed, by this number.
     pub(super) tickets: BTreeMap<u64, Vec<u64>>,
-    /// [`Action::LeadershipGained`] was given.
+    /// Whether [`Action::LeadershipGained`] was emitted.
     pub(super) is_announced: bool,
 }
 
@@ -41,32 +42,34 @@
     }
 }
 
-/// How far another voter's log is, as the leader knows.
+/// What the leader knows of another voter's log.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FollowerProgress {
-    /// The incarnation that `match_number` is of.
+    /// The incarnation of the voter that reported `match_number`.
     incarnation: u64,
-    /// Up to this number its log is the leader's.
+    /// The highest number up to which the follower's log is known to equal the leader's.
     match_number: Option<u64>,
-    /// The next entry to be sent; none: the snapshot first.
+    /// Number of the next entry to send; if `None`, the snapshot is sent first.
     next_number: Option<u64>,
-    /// The last committed number that it was sent.
+    /// The last committed number that the follower was sent.
     sent_committed: u64,
-    /// Id of the call that has not been answered.
+    /// Id of the call that the follower has not answered.
     call_in_flight: Option<u64>,
     last_sent_at: Option<Ns>,
+    /// Whether the follower stores nothing until the log is reset.
     needs_reset: bool,
 }
 
 impl FollowerProgress {
-    /// Nothing is known of the follower yet. `next_number`: the entry to send first; none: the snapshot.
+    /// Returns the progress of a follower of which nothing is known. `next_number` is the entry to send first; if
+    /// `None`, the snapshot is sent first.
     pub(super) fn starting_at(next_number: Option<u64>) -> FollowerProgress {
         FollowerProgress { next_number, ..FollowerProgress::default() }
     }
 }
 
 impl ReplicaGroup {
-    /// When a leader has something to do next.
+    /// Returns the time at which the leader has to call a voter next.
     pub(super) fn next_leader_deadline(&self, leading: &LeaderState) -> Ns {
         match &leading.phase {
             LeaderPhase::Reading(reading) => reading.next_call_at,
@@ -77,7 +80,7 @@
         }
     }
 
-    /// When this follower is to be called next.
+    /// Returns the time at which this follower is to be called next.
     fn next_append_at(&self, follower: &FollowerProgress) -> Ns {
         let Some(last_sent_at) = follower.last_sent_at else { return 0 };
         if follower.call_in_flight.is_some() {
@@ -91,7 +94,7 @@
         }
     }
 
-    /// Calls each follower that is due.
+    /// Calls each follower whose next call is due.
     pub(super) fn send_appends(&mut self, now: Ns) {
         let Some(leading) = &self.leading else { return };
         if !matches!(leading.phase, LeaderPhase::Replicating) {
@@ -142,8 +145,8 @@
         self.leading.as_mut()?.followers.get_mut(voter as usize)
     }
 
-    /// A call was answered.
-    pub(super) fn note_call_over(&mut self, voter: u32, call_id: u64) {
+    /// Marks the call as answered, if it is the one in flight.
+    pub(super) fn clear_call_in_flight(&mut self, voter: u32, call_id: u64) {
         if let Some(follower) = self.follower_mut(voter)
             && follower.call_in_flight == Some(call_id)
         {
@@ -151,7 +154,8 @@
         }
     }
 
-    /// A follower's log is this one's up to a number. False if the answer doesn't count.
+    /// Records that a follower's log equals this one up to a number. Returns false if the answer is of another
+    /// incarnation and is ignored.
     pub(super) fn on_appended(
         &mut self,
         now: Ns,
@@ -180,7 +184,8 @@
         true
     }
 
-    /// A follower's log differs: it is sent what follows its last committed number, or the snapshot first.
+    /// Handles a follower whose log differs: it is sent the entries after its last committed number, or the snapshot
+    /// first if it is of another epoch or behind the snapshot.
     pub(super) fn on_mismatch(&mut self, now: Ns, voter: u32, epoch: u64, committed: u64) {
         let is_same_log = epoch == self.epoch && committed >= self.log.snapshot_number();
         let Some(follower) = self.follower_mut(voter) else { return };
@@ -188,21 +193,21 @@
         self.send_appends(now);
     }
 
-    /// A follower stores nothing until the log is reset. If no majority without such followers is left, the
-    /// leader reads the voters' logs once more.
+    /// Handles a follower that stores nothing until the log is reset. If the voters that do store entries are no
+    /// majority, the leader returns to the read phase, which may reset the log.
     pub(super) fn on_needs_reset(&mut self, now: Ns, voter: u32) {
         let Some(leading) = &mut self.leading else { return };
         if let Some(follower) = leading.followers.get_mut(voter as usize) {
             follower.needs_reset = true;
         }
-        let left = leading.followers.iter().filter(|follower| !follower.needs_reset).count();
-        let has_majority = left * 2 > leading.followers.len();
+        let remaining = leading.followers.iter().filter(|follower| !follower.needs_reset).count();
+        let has_majority = remaining * 2 > leading.followers.len();
         if matches!(leading.phase, LeaderPhase::Replicating) && !has_majority {
             leading.phase = LeaderPhase::reading(now);
         }
     }
 
-    /// Commits what a majority stores, once that includes an entry of this leader.
+    /// Commits the entries that a majority stores, once these include an entry that this leader appended.
     pub(super) fn advance_commit(&mut self, unix_ms: u64) {
         let Some(leading) = &self.leading else { return };
         if !matches!(leading.phase, LeaderPhase::Replicating) {
@@ -226,8 +231,8 @@
         }
     }
 
-    /// Accepts an event. The result comes as [`Action::Published`] once the event is committed, and at once if
-    /// one with the same idempotency key was.
+    /// Accepts an event. The result is emitted as [`Action::Published`] once the event is committed; if an event
+    /// with the same idempotency key is committed already, it is emitted at once.
     pub(crate) fn publish(
         &mut self,
         now: Ns,
@@ -260,6 +265,8 @@
         Ok(self.take_actions())
     }
 
+    /// Returns an error if the log has no complete list for the event, a purge's timestamp is too far in the future,
+    /// or the log has no room.
     fn check_acceptable(
         &self,
         unix_ms: u64,
--- a/crates/relay/src/snapshot.rs
+++ b/crates/relay/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What all events up to a number come to: where a log begins, and what subscribers are sent that are behind that.
+//! The state after all events up to a number: a log begins with it, and subscribers that are behind it are sent it.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 
 use crate::event::{Event, EventKind, frame};
 
-/// A hierarchy and the number of the event that brought it.
+/// A hierarchy and the number of its event.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HierarchyEvent {
     /// Number of the event.
@@ -16,31 +16,32 @@
     pub body: String,
 }
 
-/// What all events up to a number come to, but for purges.
+/// The state after all events up to a number, without purges.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last number that it includes.
+    /// The last number that the snapshot includes.
     pub number: u64,
-    /// The number that its epoch began with: nothing of that is sent to subscribers before a majority stores
-    /// what follows.
+    /// The number with which the snapshot's epoch began. Nothing of that epoch is sent to subscribers before a
+    /// majority stores an entry with a higher number.
     #[serde(rename = "began")]
     pub epoch_start: u64,
     /// Token of the entry with the snapshot's number.
     #[serde(rename = "by")]
     pub token: FencingToken,
-    /// A complete list is known. Until then nothing can be sent to subscribers that are behind.
+    /// Whether a complete list is known. Until then nothing can be sent to subscribers that are behind the snapshot.
     #[serde(rename = "listed")]
     pub has_list: bool,
-    /// The latest index of the list, as its publisher counts.
+    /// The latest index that the publisher gave the list.
     #[serde(rename = "index")]
     pub list_index: u64,
-    /// The endpoints' JSON by their names.
+    /// The JSON of each endpoint, by name.
     pub members: BTreeMap<String, String>,
     /// The latest hierarchy.
     pub hierarchy: Option<HierarchyEvent>,
 }
 
 impl Snapshot {
+    /// Applies the event with this number to the state.
     pub(crate) fn apply(&mut self, number: u64, token: FencingToken, event: &Event) {
         self.number = number;
         self.token = token;
@@ -69,6 +70,7 @@
         }
     }
 
+    /// Returns the bytes of the endpoints' names and JSON and of the hierarchy.
     pub(crate) fn size_bytes(&self) -> usize {
         let members: usize = self.members.iter().map(|(name, json)| name.len() + json.len()).sum();
         members + self.hierarchy.as_ref().map_or(0, |hierarchy| hierarchy.body.len())
@@ -78,11 +80,15 @@
         Event::snapshot(self.list_index, self.members.values().map(String::as_str))
     }
 
-    /// What a subscriber is sent whose number is lower. Its stream may break after each event, and it may go on at
-    /// another relay, whose snapshot is lower: so it must miss nothing there, whichever of these it got. The
-    /// complete list goes under the snapshot's number. A hierarchy that the subscriber doesn't have goes under
-    /// its own number before that, and before it the list once more, as it stands now: who has got that is sent
-    /// the changes since then again, which changes nothing in the end.
+    /// Returns the frames for a subscriber whose cursor is below the snapshot's number.
+    ///
+    /// The subscriber's stream may break after any frame, and it may continue at another relay whose snapshot is
+    /// lower. It must not miss anything there, whichever frames it received:
+    ///
+    /// - The complete list is sent under the snapshot's number.
+    /// - A hierarchy that the subscriber doesn't have is sent before that, under the hierarchy's own number.
+    /// - Before that hierarchy, the current complete list is sent as well. A subscriber that received it and continues
+    ///   elsewhere is sent the later changes to the list again, which leads to the same list.
     pub(crate) fn to_frames(&self, cursor: u64) -> Vec<u8> {
         let list = self.to_list_event();
         let mut out = Vec::new();
