--- a/crates/discovery/src/event_cursor.rs
+++ b/crates/discovery/src/event_cursor.rs
@@ -1,44 +1,46 @@
-//! Which events are new: each is applied once and in order.
+//! The position of a subscriber in the event sequence. It decides which events are new, so that each event is applied
+//! once and in order.
 
 use std::fmt;
 
-/// The position of a subscriber in the numbered events.
+/// The position of a subscriber in the sequence of numbered events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EventCursor {
     last: u64,
-    /// Events after this number were missing or unreadable once already: then they can't be had.
+    /// The last number at which a gap or an unreadable event led to a new call. If the same happens at this number
+    /// again, the feed no longer has the events, and the subscriber continues without them.
     gap_after: Option<u64>,
 }
 
-/// What is to be done with an event; `E` is why it can't be read.
+/// What to do with a received event. `E` is the reason why an event can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EventVerdict<T, E> {
-    /// Apply it.
+    /// Apply the event.
     New(T),
-    /// It was applied before.
+    /// Ignore the event: it was applied before.
     Duplicate,
-    /// It was lost or cut on the way, most likely: call the feed once more.
+    /// Call the feed again: an event was probably lost or cut on the connection.
     Resubscribe(ResubscribeReason),
-    /// It can't be read, the second time as well: go on without it.
+    /// Continue without the event: it could not be parsed after a second call either.
     Skip {
-        /// Its number, 0 if it has none.
+        /// Number of the event; 0 if it has none.
         number: u64,
-        /// Why it can't be read.
+        /// Why the event can't be parsed.
         reason: E,
     },
 }
 
-/// Why the feed is to be called once more.
+/// Why the feed has to be called again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResubscribeReason {
     /// Events before this number are missing.
     Gap {
-        /// Number of the event that came instead.
+        /// Number of the event that was received instead.
         before: u64,
     },
-    /// An event can't be read.
+    /// An event can't be parsed.
     Unreadable {
-        /// Its number, 0 if it has none.
+        /// Number of the event; 0 if it has none.
         before: u64,
     },
 }
@@ -53,17 +55,18 @@
 }
 
 impl EventCursor {
-    /// Behind the event with this number; 0 is before the first.
+    /// Returns a cursor after the event with this number; 0 is before the first event.
     pub fn after_number(last: u64) -> EventCursor {
         EventCursor { last, gap_after: None }
     }
 
-    /// The number of the last event that was applied or skipped.
+    /// Returns the number of the last event that was applied or skipped.
     pub fn last_number(&self) -> u64 {
         self.last
     }
 
-    /// Takes in an event: the number in its `id`, and what it holds with the number in its data.
+    /// Classifies a received event and advances if it is to be applied or skipped. `id` is the number in the
+    /// event's `id` field, `parsed` the number in its data and the content.
     pub fn classify<T, E>(&mut self, id: Option<u64>, parsed: Result<(u64, T), E>) -> EventVerdict<T, E> {
         let number = id.or(parsed.as_ref().ok().map(|(number, _)| *number));
         if number.is_some_and(|number| number <= self.last) {
@@ -91,8 +94,8 @@
         }
     }
 
-    /// Advances if `number` is the next one, and says whether it is. For events that another feed has brought
-    /// already.
+    /// Advances if `number` is the next one, and returns whether it is. For events that were already received through
+    /// another feed.
     pub fn advance_if_next(&mut self, number: u64) -> bool {
         let is_next = number == self.last + 1;
         if is_next {
--- a/crates/discovery/src/event_stream.rs
+++ b/crates/discovery/src/event_stream.rs
@@ -1,5 +1,5 @@
-//! The response to one call: an HTTP head, then a body, plain or in chunks, of blocks of lines that end with an empty
-//! line.
+//! Parser of the response to one call: an HTTP head, then a plain or chunked body that consists of blocks of lines,
+//! each of which ends with an empty line (server-sent events).
 
 use thiserror::Error;
 
@@ -10,79 +10,81 @@
 /// What a feed sends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamItem {
-    /// The call was accepted: events follow.
+    /// The call was accepted, and events follow.
     Connected,
     /// An event.
     Event {
-        /// The number that precedes it, if one does.
+        /// The number in the event's `id` field, if it has a valid one.
         id: Option<u64>,
-        /// Its JSON.
+        /// The content of the event's `data` fields.
         data: String,
     },
-    /// A comment, which shows that the feed is up.
+    /// A comment, which shows that the feed is alive.
     Comment(String),
 }
 
-/// Why a call is over.
+/// Why a call has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StreamError {
     /// The status code is not 200.
     #[error("answer {0}")]
     UnexpectedStatus(u16),
-    /// The head isn't HTTP.
+    /// The response head is not valid HTTP.
     #[error("not HTTP: {0}")]
     NotHttp(httparse::Error),
-    /// The length of a chunk can't be read.
+    /// The size of a chunk can't be parsed.
     #[error("bad chunk")]
     BadChunk,
-    /// The last chunk has come.
+    /// The last chunk was received.
     #[error("stream ended")]
     Ended,
     /// The head or an event has too many bytes.
     #[error("an event is too long")]
     TooLong,
-    /// The connection was closed within the head.
+    /// The connection was closed before the head was complete.
     #[error("ended in its head")]
     EndedInHead,
 }
 
+/// How the next bytes of the response are interpreted.
 #[derive(Debug)]
 enum BodyState {
     /// The head is not complete yet.
     Head,
     Plain,
     Chunked {
-        /// Bytes left of the current chunk.
+        /// Bytes of the current chunk that are still missing.
         left: usize,
-        /// A chunk was read, so that its line end precedes the next one.
+        /// Whether a chunk was read before, whose line end then precedes the next chunk size.
         has_begun: bool,
     },
 }
 
-/// Where a block of lines ends.
+/// The end of a block of lines.
 struct BlockEnd {
+    /// Position of the first byte after the block's last line.
     at: usize,
-    /// Bytes of the line ends.
+    /// Length in bytes of the line ends that follow.
     len: usize,
 }
 
-/// Reads one response as its bytes come.
+/// Parses one response incrementally.
 #[derive(Debug)]
 pub struct EventStreamParser {
-    /// The head, or chunks that are not unpacked.
+    /// Received bytes of the head, or of chunks that are not decoded yet.
     raw: Vec<u8>,
-    /// The text of the body.
+    /// The decoded body.
     text: Vec<u8>,
-    /// How much of the text was returned as items.
+    /// Number of bytes of `text` that were returned as items.
     consumed: usize,
-    /// Up to here the text has no further end of a block.
+    /// Position up to which `text` has been searched for the end of the next block.
     searched: usize,
     body: BodyState,
     max_bytes: usize,
 }
 
 impl EventStreamParser {
-    /// Neither the head nor an event may be longer than `max_bytes`.
+    /// Creates a parser that rejects a head or an event longer than `max_bytes`.
     pub fn new(max_bytes: usize) -> EventStreamParser {
         EventStreamParser {
             raw: Vec::new(),
@@ -94,28 +96,28 @@
         }
     }
 
-    /// Adds bytes that have come.
+    /// Adds received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         let target = if matches!(self.body, BodyState::Plain) { &mut self.text } else { &mut self.raw };
         target.extend_from_slice(bytes);
     }
 
-    /// The connection was closed; an error if that was within the head.
+    /// Handles the end of the connection. Returns an error if the head was not complete.
     pub fn finish(&self) -> Result<(), StreamError> {
         if matches!(self.body, BodyState::Head) { Err(StreamError::EndedInHead) } else { Ok(()) }
     }
 
-    /// Bytes that are kept of what is not complete.
+    /// Returns the number of received bytes that were not returned as items yet.
     pub fn buffered_bytes(&self) -> usize {
         self.raw.len() + self.text.len() - self.consumed
     }
 
-    /// The next item, if it is complete.
+    /// Returns the next item, or `None` if no further item is complete.
     pub fn next_item(&mut self) -> Result<Option<StreamItem>, StreamError> {
         if matches!(self.body, BodyState::Head) {
             return self.parse_head();
         }
-        self.unpack_chunks()?;
+        self.decode_chunks()?;
         while let Some(end) = self.find_block_end() {
             let block = &self.text[self.consumed..end.at];
             if block.len() > self.max_bytes {
@@ -156,12 +158,12 @@
         Ok(Some(StreamItem::Connected))
     }
 
-    /// Moves the data of chunks to the text.
-    fn unpack_chunks(&mut self) -> Result<(), StreamError> {
+    /// Decodes complete and partial chunks into `text`.
+    fn decode_chunks(&mut self) -> Result<(), StreamError> {
         let BodyState::Chunked { left, has_begun } = &mut self.body else { return Ok(()) };
-        let mut used = 0;
+        let mut consumed_bytes = 0;
         let result = loop {
-            let rest = &self.raw[used..];
+            let rest = &self.raw[consumed_bytes..];
             if *left > 0 {
                 let n = rest.len().min(*left);
                 if n == 0 {
@@ -169,7 +171,7 @@
                 }
                 self.text.extend_from_slice(&rest[..n]);
                 *left -= n;
-                used += n;
+                consumed_bytes += n;
                 continue;
             }
             let line_end_len = if *has_begun { CHUNK_END_LEN } else { 0 };
@@ -179,18 +181,18 @@
                 Ok(httparse::Status::Complete((length, size))) => {
                     *left = usize::try_from(size).map_err(|_| StreamError::BadChunk)?;
                     *has_begun = true;
-                    used += line_end_len + length;
+                    consumed_bytes += line_end_len + length;
                 }
                 Ok(httparse::Status::Partial) => break Ok(()),
                 Err(_) => break Err(StreamError::BadChunk),
             }
         };
-        self.raw.drain(..used);
-        // What was complete before the end is returned first.
+        self.raw.drain(..consumed_bytes);
+        // Blocks that were complete before the end of the chunks are returned first.
         if result.is_err() && self.find_block_end().is_some() { Ok(()) } else { result }
     }
 
-    /// The end of the first block that was not returned.
+    /// Returns the end of the first block that was not returned yet.
     fn find_block_end(&mut self) -> Option<BlockEnd> {
         let text = &self.text;
         let mut start = self.searched;
@@ -204,7 +206,7 @@
                 return Some(BlockEnd { at: line_end - 1, len: 4 });
             }
             if rest.len() < 2 {
-                // The block's end may still come.
+                // The rest of the block's end may not have been received yet.
                 self.searched = line_end;
                 return None;
             }
@@ -220,7 +222,7 @@
         && header.value.to_ascii_lowercase().ends_with(b"chunked")
 }
 
-/// What a block of lines says; nothing if it has neither data nor a comment.
+/// Parses a block of lines. Returns `None` if it has neither data nor a comment.
 fn parse_block(block: &[u8]) -> Option<StreamItem> {
     let block = String::from_utf8_lossy(block);
     let mut id = None;
--- a/crates/discovery/src/feed_selector.rs
+++ b/crates/discovery/src/feed_selector.rs
@@ -1,32 +1,32 @@
-//! Which of several feeds, all with the same events under the same numbers, a subscriber calls.
+//! Selection of the feed that a subscriber calls. All feeds have the same events under the same numbers.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// While another feed is followed, the home feed is tried after this, and up to as much again by the subscriber's
-/// name: not all return at once.
+/// The shortest time for which another feed is followed before the home feed is tried again. Up to the same time is
+/// added by a hash of the subscriber's name, so that the subscribers don't all return at once.
 const RETURN_DELAY: Duration = Duration::from_secs(20);
 
-/// The feeds of one subscriber: its home feed first, then the others in an order of its own, so that the subscribers
-/// of a feed that is lost spread over all that are left.
+/// The feeds of one subscriber: its home feed first, then the others in an order that depends on the subscriber's
+/// name, so that the subscribers of a failed feed spread over all remaining ones.
 ///
-/// Times count from any moment, the same for all calls.
+/// All times are measured from one starting point of the caller's choice.
 #[derive(Clone, Debug)]
 pub struct FeedSelector {
     feeds: Vec<SocketAddr>,
     current: usize,
     /// Hash of the subscriber's name.
     name_hash: u64,
-    /// When the home feed is tried next, while another one is followed.
+    /// When the home feed is tried again, while another feed is followed.
     home_due_at: Duration,
-    /// The home feed is being tried; this is the index of the feed to return to if it fails.
+    /// While the home feed is being tried: index of the feed to return to if the home feed fails.
     fallback: Option<usize>,
 }
 
 impl FeedSelector {
-    /// Begins with the home feed. `name` is the subscriber's, different at each.
+    /// Creates a selector that starts with the home feed. `name` is the subscriber's name and has to be unique.
     pub fn new(name: &str, home: SocketAddr, others: &[SocketAddr]) -> FeedSelector {
         let name_hash = hash(name);
         let mut rest: Vec<SocketAddr> = others.iter().copied().filter(|feed| *feed != home).collect();
@@ -36,12 +36,13 @@
         FeedSelector { feeds, current: 0, name_hash, home_due_at: Duration::ZERO, fallback: None }
     }
 
-    /// The feed to call now.
+    /// Returns the feed to call now.
     pub fn current(&self) -> SocketAddr {
         self.feeds[self.current]
     }
 
-    /// The feed could not be reached, sent nothing or rejected the call: the next one is called.
+    /// Switches to the next feed after the current one could not be reached, sent nothing or rejected the call. If
+    /// the home feed was being tried, switches back to the feed that was followed before.
     pub fn on_failed(&mut self, now: Duration) {
         if self.current == 0 {
             self.home_due_at = now + self.return_delay();
@@ -50,7 +51,7 @@
         self.current = self.fallback.take().unwrap_or(next);
     }
 
-    /// The stream came to its end: the same feed is called again, or the home feed once that is due.
+    /// Handles the end of a stream: the same feed is called again, or the home feed if it is due to be tried.
     pub fn on_stream_ended(&mut self, now: Duration) {
         if self.current != 0 && now >= self.home_due_at {
             self.home_due_at = now + self.return_delay();
@@ -59,11 +60,12 @@
         }
     }
 
-    /// The feed answers: it is followed.
+    /// Records that the current feed has accepted the call, and keeps following it.
     pub fn on_connected(&mut self) {
         self.fallback = None;
     }
 
+    /// Returns the time after which the home feed is tried again: once to twice [`RETURN_DELAY`], by the name's hash.
     fn return_delay(&self) -> Duration {
         let fraction = (self.name_hash >> 32) as f64 / f64::from(u32::MAX);
         RETURN_DELAY + RETURN_DELAY.mul_f64(fraction)
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,8 +1,8 @@
-//! The client side of the control feed, for whoever follows it: directors, relays, tests. No I/O: bytes come in,
-//! events go out.
+//! The client side of the control feed, for directors, relays and tests. The crate does no I/O: it takes bytes and
+//! returns events.
 //!
-//! [`EventStreamParser`] reads the response to one call, [`EventCursor`] knows which events are new, [`FeedSelector`]
-//! which feed to call next.
+//! [`EventStreamParser`] parses the response to one call, [`EventCursor`] decides which events are new, and
+//! [`FeedSelector`] selects the feed to call next.
 
 mod event_cursor;
 mod event_stream;
@@ -14,7 +14,7 @@
 
 use std::net::SocketAddr;
 
-/// The HTTP request for all events after a number.
+/// Returns the HTTP request for all events after a number.
 pub fn events_request(feed: SocketAddr, after: u64) -> String {
     format!(
         "GET /v1/events HTTP/1.1\r\nHost: {feed}\r\nAccept: text/event-stream\r\nLast-Event-ID: {after}\r\n\r\n"
--- a/crates/relay/src/error.rs
+++ b/crates/relay/src/error.rs
@@ -1,4 +1,4 @@
-//! Why an event is not accepted from a publisher.
+//! Errors of publishing an event.
 
 use sablecross_coordination::Member;
 use thiserror::Error;
@@ -6,13 +6,14 @@
 use crate::event::EventError;
 use crate::log::{LogFull, MAX_IDEMPOTENCY_KEY_BYTES};
 
-/// Why an event was not accepted. Except after [`PublishError::LeadershipLost`], no subscriber gets it.
+/// The reason why an event was not accepted. Except after [`PublishError::LeadershipLost`], no subscriber receives
+/// it.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PublishError {
-    /// This relay is not the leader; the value is the one that is, if known.
+    /// This relay is not the leader; the value is the leader, if known.
     #[error("not the leader: {}", describe_leader(.0))]
     NotLeader(Option<Member>),
-    /// This relay lost its leadership before the event was committed; a later leader may commit it still.
+    /// This relay lost its leadership before the event was committed; a later leader may still commit it.
     #[error(
         "no longer the leader: whether the event will be committed is not known; publish it again with the same mark"
     )]
@@ -20,21 +21,21 @@
     /// The event is malformed.
     #[error(transparent)]
     InvalidEvent(#[from] EventError),
-    /// The log has no room.
+    /// The log has no room for the event.
     #[error(transparent)]
     LogFull(#[from] LogFull),
-    /// The log has no complete list of endpoints to which the event could apply.
+    /// The log has no complete endpoint list to which the event could apply.
     #[error("no complete list was published since the log was reset: publish that first")]
     NoList,
     /// The purge's timestamp is too far ahead of this clock.
     #[error("the purge was made {lead_ms} ms ahead of this clock, more than {max_ms}")]
     PurgeInFuture {
-        /// How far it is ahead.
+        /// Milliseconds that the timestamp is ahead of this clock.
         lead_ms: u64,
-        /// How far it may be ahead.
+        /// Maximum of `lead_ms`.
         max_ms: u64,
     },
-    /// The idempotency key has this many bytes, which are too many.
+    /// The idempotency key is too long; the value is its length in bytes.
     #[error("the mark has {0} bytes, more than {MAX_IDEMPOTENCY_KEY_BYTES}")]
     KeyTooLong(usize),
 }
--- a/crates/relay/src/event.rs
+++ b/crates/relay/src/event.rs
@@ -1,4 +1,4 @@
-//! An event of the control feed: checked once when it comes in, then kept and sent as the bytes it came as.
+//! An event of the control feed: checked once when it is received, then stored and sent with unchanged bytes.
 
 use std::net::SocketAddr;
 
@@ -8,30 +8,30 @@
 use serde_json::value::RawValue;
 use thiserror::Error;
 
-/// Numbers of events stay below this: past it no JSON number is exact.
+/// Event numbers are below this limit, because larger JSON numbers are not exact.
 pub const MAX_EVENT_NUMBER: u64 = 1 << 53;
 
 /// Why an event is malformed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EventError {
-    /// It has too many bytes.
+    /// The event is larger than the limit.
     #[error("the event has {bytes} bytes, more than {limit}")]
     TooLarge {
-        /// Its bytes.
+        /// Size of the event in bytes.
         bytes: usize,
-        /// How many it may have.
+        /// Size limit in bytes.
         limit: usize,
     },
-    /// It isn't the JSON object that the protocol asks for.
-    #[error("the event is no JSON as the feed has it: {0}")]
+    /// The event is not the JSON object that the protocol requires.
+    #[error("the event is not a JSON object of the control feed: {0}")]
     InvalidJson(String),
-    /// Its number is not below [`MAX_EVENT_NUMBER`].
-    #[error("the event's number {0} is past what JSON holds exactly")]
+    /// The event's number is not below [`MAX_EVENT_NUMBER`].
+    #[error("the event number {0} is not below {MAX_EVENT_NUMBER}, past which JSON numbers are not exact")]
     NumberTooLarge(u64),
-    /// It is about nothing.
+    /// The event has no content.
     #[error("the event has no members, purge or hierarchy")]
     Empty,
-    /// It is about several things.
+    /// The event has more than one kind of content.
     #[error("the event has more than one of members, purge and hierarchy")]
     MultipleKinds,
     /// The list of endpoints is malformed.
@@ -40,9 +40,9 @@
     /// One endpoint of the list is malformed.
     #[error("members: endpoint {index} ({name}): {reason}")]
     InvalidEndpoint {
-        /// Its index in the list.
+        /// Index of the endpoint in the list.
         index: usize,
-        /// Its name, if that can be read.
+        /// Name of the endpoint; empty if it can't be parsed.
         name: String,
         /// What is wrong.
         reason: String,
@@ -55,34 +55,34 @@
     InvalidHierarchy(String),
 }
 
-/// What an event is about, as far as a relay has to know.
+/// The kind of an event, as far as a relay needs to know it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventKind {
-    /// Endpoints.
+    /// A list of endpoints.
     Members {
-        /// The complete list; else what has changed of it.
+        /// Whether the list is complete; otherwise it holds changes.
         is_snapshot: bool,
     },
     /// A purge of objects.
     Purge {
-        /// When it was made.
+        /// Unix time in milliseconds at which the purge was created.
         created_unix_ms: u64,
     },
     /// A hierarchy of cache nodes.
     Hierarchy,
 }
 
-/// A well-formed event. Its bytes are those that it came as, on one line and without its number.
+/// A well-formed event. It keeps the received JSON text, on one line and without the event's number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
     kind: EventKind,
     body: String,
 }
 
-/// An event as it came in.
+/// A received event with its number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParsedEvent {
-    /// Its number, if it has one.
+    /// Number of the event, if the JSON has one.
     pub number: Option<u64>,
     /// The event without its number.
     pub event: Event,
@@ -91,25 +91,25 @@
 /// The endpoints of a list event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EndpointList {
-    /// The complete list; else what has changed of it.
+    /// Whether the list is complete; otherwise it holds changes.
     pub is_snapshot: bool,
-    /// In the order of the event.
+    /// The endpoints in the order of the event.
     pub endpoints: Vec<Endpoint>,
 }
 
 /// An endpoint of a list event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Endpoint {
-    /// Its name, which is unique in a list.
+    /// Name of the endpoint, which is unique in a list.
     pub name: String,
-    /// Its status is `gone`: it is to be taken off the list.
+    /// Whether the status is `gone`, so that the endpoint has to be removed from the list.
     pub is_gone: bool,
-    /// The JSON object as it came.
+    /// The JSON object as received.
     pub json: String,
 }
 
 impl Event {
-    /// Reads an event of at most `max_bytes`.
+    /// Parses an event of at most `max_bytes` bytes.
     pub fn parse(text: &[u8], max_bytes: usize) -> Result<ParsedEvent, EventError> {
         if text.len() > max_bytes {
             return Err(EventError::TooLarge { bytes: text.len(), limit: max_bytes });
@@ -129,42 +129,42 @@
             (None, None, None) => return Err(EventError::Empty),
             _ => return Err(EventError::MultipleKinds),
         };
-        // Line ends stand between values alone: within strings JSON has none.
+        // JSON strings hold no raw line ends, so all line ends stand between tokens and may become spaces.
         let body = format!("{{\"{key}\":{}}}", value.get().replace(['\n', '\r'], " "));
         Ok(ParsedEvent { number: raw.n, event: Event { kind, body } })
     }
 
-    /// A list event that changes nothing: the first entry of a leader, and what stands for an event that nobody
-    /// can read.
+    /// Returns a list event that changes nothing. It is the first entry of each leader, and replaces an event that
+    /// can't be parsed.
     pub fn empty_update() -> Event {
         let body = r#"{"members":{"index":0,"snapshot":false,"endpoints":[]}}"#.to_owned();
         Event { kind: EventKind::Members { is_snapshot: false }, body }
     }
 
-    /// The complete list of these endpoints, each a JSON object.
+    /// Returns an event with the complete list of these endpoints, each a JSON object.
     pub fn snapshot<'a>(index: u64, endpoints: impl Iterator<Item = &'a str>) -> Event {
         let list = endpoints.collect::<Vec<_>>().join(",");
         let body = format!(r#"{{"members":{{"index":{index},"snapshot":true,"endpoints":[{list}]}}}}"#);
         Event { kind: EventKind::Members { is_snapshot: true }, body }
     }
 
-    /// What it is about.
+    /// Returns the kind of the event.
     pub fn kind(&self) -> EventKind {
         self.kind
     }
 
-    /// `{"purge":{...}}`: without its number.
+    /// Returns the JSON text without the event's number, for example `{"purge":{...}}`.
     pub fn body(&self) -> &str {
         &self.body
     }
 
-    /// The endpoints of a list event.
+    /// Returns the endpoints of a list event, or `None` for other kinds.
     pub fn endpoints(&self) -> Option<EndpointList> {
         let raw: RawEvent = serde_json::from_str(&self.body).ok()?;
         parse_members(raw.members?.get()).ok()
     }
 
-    /// The index of a list event, as its publisher counts them.
+    /// Returns the index that the publisher gave a list event.
     pub fn index(&self) -> Option<u64> {
         #[derive(Deserialize)]
         struct ListIndex {
@@ -174,18 +174,18 @@
         serde_json::from_str::<ListIndex>(raw.members?.get()).ok()?.index
     }
 
-    /// The bytes that subscribers are sent for it under this number.
+    /// Returns the bytes that subscribers are sent for the event under this number.
     pub fn to_frame(&self, number: u64) -> Vec<u8> {
         frame(number, &self.body)
     }
 }
 
-/// The bytes for an event's body under this number.
+/// Returns the bytes that subscribers are sent for an event's body under this number.
 pub(crate) fn frame(number: u64, body: &str) -> Vec<u8> {
     format!("id: {number}\ndata: {{\"n\":{number},{}\n\n", &body[1..]).into_bytes()
 }
 
-/// How many bytes of a frame precede what follows `{` in the body.
+/// Returns the number of bytes in a frame that precede the part of the body after its `{`.
 pub(crate) fn frame_head_len(number: u64) -> usize {
     let digits = number.checked_ilog10().map_or(1, |log| log as usize + 1);
     "id: \ndata: {\"n\":,".len() + 2 * digits
@@ -215,7 +215,7 @@
     name: String,
 }
 
-/// What a director needs of an endpoint.
+/// The fields that directors require of an endpoint. Parsing checks that all of them are present and well-formed.
 #[derive(Deserialize)]
 #[allow(dead_code)]
 struct EndpointFields {
@@ -268,13 +268,13 @@
     match (&purge.key, purge.group) {
         (None, None) => Err(EventError::InvalidPurge("it names neither a key nor a group".into())),
         (Some(key), _) if u64::from_str_radix(key, 16).is_err() => {
-            Err(EventError::InvalidPurge(format!("key {key:?} is no object")))
+            Err(EventError::InvalidPurge(format!("key {key:?} is not a hexadecimal object id")))
         }
         _ => Ok(EventKind::Purge { created_unix_ms: purge.created_unix_ms }),
     }
 }
 
-/// Checks a hierarchy as directors do: one that they would reject is not sent.
+/// Checks a hierarchy as directors do, so that no relay sends one that directors would reject.
 fn check_hierarchy(json: &str) -> Result<EventKind, EventError> {
     let spec: HierarchySpec =
         serde_json::from_str(json).map_err(|e| EventError::InvalidHierarchy(e.to_string()))?;
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,13 +1,13 @@
-//! Carries events from one publisher to many subscribers: a numbered log that a group of voters replicates, plain
-//! relays that follow it and send it on, and the number that every subscriber has applied.
+//! Distribution of events from one publisher to many subscribers: a numbered log that a group of voters replicates,
+//! plain relays that follow the log and pass it on, and the number that each subscriber has applied.
 //!
-//! No I/O: times, calls, replies and events come in; calls, results and bytes for subscribers go out. Times are
-//! whole nanoseconds of a clock of this program that never goes back; a moment that has to mean the same in two
-//! programs is a Unix time in milliseconds, and its name has `unix`.
+//! The crate does no I/O: it takes times, calls, replies and events, and returns calls, results and bytes for
+//! subscribers. Times are whole nanoseconds of a monotonic clock of this process. A time that has to mean the same
+//! in two processes is a Unix time in milliseconds, and its name contains `unix`.
 //!
-//! [`Relay`] is all of it for one process. [`Log`] holds the events, [`Subscribers`] who has applied which,
-//! `replica_group` replicates the log among the voters, [`UpstreamSelector`] picks the upstream of a plain relay.
-//! `docs/relay.md` has the design.
+//! [`Relay`] is the entry point, one per process. [`Log`] holds the events, [`Subscribers`] records which
+//! subscriber has applied which number, `replica_group` replicates the log among the voters, and
+//! [`UpstreamSelector`] selects the upstream of a plain relay. `docs/relay.md` has the design.
 
 mod action;
 mod config;
--- a/crates/relay/src/messages.rs
+++ b/crates/relay/src/messages.rs
@@ -19,10 +19,11 @@
     pub token: FencingToken,
 }
 
-/// The log of a voter, in full or from some number on.
+/// The log of a voter, either all of it or the part after some number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaState {
-    /// When the log was last reset, Unix ms. Numbers of another epoch mean other events.
+    /// Unix time in milliseconds at which the log was last reset. The same number stands for different events in
+    /// different epochs.
     #[serde(rename = "era")]
     pub epoch: u64,
     /// The last entry that is stored, committed or not.
@@ -30,7 +31,7 @@
     pub last_entry: EntryPosition,
     /// The last number known to be committed.
     pub committed: u64,
-    /// What precedes `entries`, if the caller's number lies before them.
+    /// The snapshot that precedes `entries`; present if the caller's number is below that of the snapshot.
     #[serde(rename = "base")]
     pub snapshot: Option<Snapshot>,
     /// Consecutive entries, the uncommitted ones included.
@@ -40,13 +41,13 @@
 /// A call from one voter to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerCall {
-    /// Asks for the leader's lease, or gives it back.
+    /// A request for the leader's lease, or the return of it.
     #[serde(rename = "Duty")]
     Lease(LeaseRequest),
-    /// By a voter that has restarted without memory: asks for the log.
+    /// Sent by a voter that has restarted without memory: requests the log.
     #[serde(rename = "Learn")]
     Recover,
-    /// By a new leader: rejects older leaders from here on, and asks for the log.
+    /// Sent by a new leader: requests the log. The receiver rejects older leaders from then on.
     Read {
         /// Token of the new leader.
         #[serde(rename = "by")]
@@ -58,7 +59,8 @@
         #[serde(rename = "after")]
         after_number: u64,
     },
-    /// By the leader: store these entries behind `previous_entry`. Without entries it is a heartbeat.
+    /// Sent by the leader: the receiver has to store these entries after `previous_entry`. Without entries, the
+    /// call is a heartbeat.
     #[serde(rename = "Keep")]
     Append {
         /// Token of the leader.
@@ -70,17 +72,17 @@
         /// The entry before the first one of `entries`.
         #[serde(rename = "previous")]
         previous_entry: EntryPosition,
-        /// Replaces a log that does not reach up to it.
+        /// Replaces a log whose committed part is behind the snapshot.
         #[serde(rename = "base")]
         snapshot: Option<Snapshot>,
         /// Consecutive entries.
         entries: Vec<LogEntry>,
-        /// The last number that is committed.
+        /// The last committed number.
         committed: u64,
     },
 }
 
-/// A call with its envelope: the body of an HTTP request between voters.
+/// A call together with its sender and known incarnations: the body of an HTTP request between voters.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerRequest {
     /// Index of the calling voter.
@@ -89,31 +91,31 @@
     /// The latest incarnation of each voter that the caller knows of, by the voters' indices.
     #[serde(rename = "lives")]
     pub incarnations: Vec<u64>,
-    /// The call itself.
+    /// The call.
     pub call: PeerCall,
 }
 
-/// An answer with its envelope: the body of an HTTP response between voters.
+/// An answer together with known incarnations: the body of an HTTP response between voters.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerReply {
-    /// The latest incarnation of each voter that the answering one knows of, its own included.
+    /// The latest incarnation of each voter that the answering voter knows of, its own included.
     #[serde(rename = "lives")]
     pub incarnations: Vec<u64>,
-    /// The answer itself.
+    /// The answer.
     pub answer: PeerAnswer,
 }
 
 /// The answer to a [`PeerCall`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerAnswer {
-    /// The voter can't answer yet, or answers nothing to this call.
+    /// The voter can't answer this call yet, or at all.
     #[default]
     #[serde(rename = "Nothing")]
     NotReady,
-    /// To [`PeerCall::Lease`].
+    /// Answers [`PeerCall::Lease`].
     #[serde(rename = "Duty")]
     Lease(LeaseReply),
-    /// To [`PeerCall::Recover`].
+    /// Answers [`PeerCall::Recover`].
     #[serde(rename = "Learnt")]
     Recovered {
         /// The newest token that the voter has accepted.
@@ -122,11 +124,11 @@
         /// Whether the voter remembers everything that it ever stored.
         #[serde(rename = "sure")]
         is_complete: bool,
-        /// All of its log.
+        /// The whole log of the voter.
         #[serde(rename = "held")]
         state: ReplicaState,
     },
-    /// To [`PeerCall::Read`].
+    /// Answers [`PeerCall::Read`].
     #[serde(rename = "Held")]
     State {
         /// Token of the call.
@@ -135,11 +137,11 @@
         /// Whether the voter remembers everything that it ever stored.
         #[serde(rename = "sure")]
         is_complete: bool,
-        /// Its log after the number that was asked for.
+        /// The log of the voter after the requested number.
         #[serde(rename = "held")]
         state: ReplicaState,
     },
-    /// To [`PeerCall::Append`]: the log is the leader's up to a number.
+    /// Answers [`PeerCall::Append`]: the voter's log equals the leader's up to a number.
     #[serde(rename = "Kept")]
     Appended {
         /// Token of the call.
@@ -155,15 +157,15 @@
         #[serde(rename = "floor")]
         applied_number: u64,
     },
-    /// To [`PeerCall::Append`]: the voter restarted when too few others remembered the log, and stores nothing
-    /// until the log is reset.
+    /// Answers [`PeerCall::Append`]: the voter restarted when too few other voters remembered the log, and stores
+    /// nothing until the log is reset.
     #[serde(rename = "Unsure")]
     NeedsReset {
         /// Token of the call.
         #[serde(rename = "by")]
         token: FencingToken,
     },
-    /// To [`PeerCall::Append`]: the previous entry is not the leader's.
+    /// Answers [`PeerCall::Append`]: the voter's previous entry differs from the leader's.
     #[serde(rename = "Has")]
     Mismatch {
         /// Token of the call.
@@ -172,11 +174,11 @@
         /// Epoch of the voter's log.
         #[serde(rename = "era")]
         epoch: u64,
-        /// The last number that the voter knows to be committed: up to there the logs are the same if the
-        /// epochs are.
+        /// The last number that the voter knows to be committed. If the epochs are equal, the logs are the same up
+        /// to this number.
         committed: u64,
     },
-    /// The token of the call is older than this one.
+    /// Rejects a call whose token is older than this one.
     #[serde(rename = "Old")]
     StaleToken(FencingToken),
 }
--- a/crates/relay/src/plain_relay.rs
+++ b/crates/relay/src/plain_relay.rs
@@ -1,4 +1,4 @@
-//! The log of a plain relay, which follows another relay or a feed outside.
+//! A plain relay: its log, and the events that it receives from another relay or from an outside feed.
 
 use std::collections::BTreeMap;
 
@@ -12,12 +12,13 @@
 use crate::staleness::Staleness;
 use crate::upstream_selector::UpstreamSelector;
 
+/// The state of a plain relay.
 #[derive(Debug)]
 pub(crate) struct PlainRelay {
     pub(crate) log: Log,
     pub(crate) upstream: UpstreamSelector,
     pub(crate) staleness: Staleness,
-    /// The number after which events were missing or unreadable once already.
+    /// The last applied number at which events were missing or unreadable, so that the upstream was called again.
     gap_after: Option<u64>,
 }
 
@@ -26,7 +27,8 @@
         PlainRelay { log, upstream, staleness: Staleness::unknown(), gap_after: None }
     }
 
-    /// Changes the upstream if the current one is stale; returns the index of the new one.
+    /// Switches to another upstream if the current one is stale or the first one is due to be tried again. Returns
+    /// the index of the new upstream.
     pub(crate) fn check_upstream(&mut self, now: Ns) -> Option<usize> {
         let age = self.staleness.age(now);
         if !self.upstream.check(now, age) {
@@ -36,9 +38,10 @@
         Some(self.upstream.current().unwrap_or_default())
     }
 
-    /// Takes in an event of the upstream. One that is missing or unreadable is asked for once more; then, numbers
-    /// stay the same everywhere without it: an empty event takes the place of one that nobody can read, and a
-    /// complete list that of all before it.
+    /// Processes an event of the upstream. When an event is missing or unreadable, the upstream is called again
+    /// once. If the event is still missing or unreadable after that, an empty event takes the number of an
+    /// unreadable event, and a complete list takes the place of all missing events before it, so that numbers stay
+    /// the same at all relays.
     pub(crate) fn on_event(
         &mut self,
         unix_ms: u64,
@@ -67,7 +70,7 @@
         match parsed {
             Ok(parsed) if is_next => self.append(&parsed.event, unix_ms),
             parsed if self.gap_after != Some(last) => {
-                // Lost or cut on the way, most likely: it is asked for once more.
+                // The event was probably lost or cut on the connection: the upstream is called again.
                 self.gap_after = Some(last);
                 ApplyOutcome::Resubscribe(match parsed {
                     Ok(_) => ResubscribeReason::Gap { number, last },
@@ -98,7 +101,7 @@
         ApplyOutcome::Applied
     }
 
-    /// Begins the log with this complete list.
+    /// Replaces the log by one that begins with this complete list.
     fn replace_log(&mut self, number: u64, list: &Event) -> ApplyOutcome {
         let endpoints = list.endpoints().map(|list| list.endpoints).unwrap_or_default();
         let present = endpoints.into_iter().filter(|endpoint| !endpoint.is_gone);
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -1,4 +1,4 @@
-//! One relay: a voter, or a plain relay that follows another one. Both send the same events on.
+//! A relay: either a voter or a plain relay that follows another one. Both send the same events to subscribers.
 
 use sablecross_coordination::{FencingToken, Member, Ns};
 use thiserror::Error;
@@ -17,65 +17,67 @@
 use crate::upstream_selector::UpstreamSelector;
 
 const NS_PER_MS: Ns = 1_000_000;
-/// [`Relay::step`] is called at least this often.
+/// The longest time between two calls of [`Relay::step`].
 const MAX_STEP_INTERVAL: Ns = 1_000_000_000;
 
-/// What became of an event of the upstream.
+/// The result of processing an event of the upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// It was appended to the log.
+    /// The event was appended to the log.
     Applied,
-    /// It was known already.
+    /// The log already had the event.
     Duplicate,
-    /// Events are missing or unreadable, for this reason: the stream is to be ended, and the upstream called once
-    /// more as [`Relay::upstream_to_follow`] says.
+    /// Events are missing or unreadable. The caller has to end the stream and call the upstream again, as
+    /// [`Relay::upstream_to_follow`] says.
     Resubscribe(ResubscribeReason),
 }
 
-/// Why the upstream is to be called once more.
+/// Why the upstream has to be called again.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ResubscribeReason {
-    /// An event has no number.
+    /// The event has no number.
     #[error("an event has no number")]
     NoNumber,
     /// Events between `last` and `number` are missing.
     #[error("event {number} follows {last}")]
     Gap {
-        /// Number of the event that came.
+        /// Number of the received event.
         number: u64,
-        /// The last number that was applied.
+        /// The last applied number.
         last: u64,
     },
-    /// They are missing the second time as well, and the event is no complete list, which could take their place.
+    /// The events are missing after a second call as well, and the received event is no complete list that could
+    /// replace them.
     #[error("event {number} follows {last}, and is no complete list")]
     GapWithoutList {
-        /// Number of the event that came.
+        /// Number of the received event.
         number: u64,
-        /// The last number that was applied.
+        /// The last applied number.
         last: u64,
     },
-    /// An event can't be read.
+    /// The event can't be parsed.
     #[error(transparent)]
     Unreadable(#[from] EventError),
 }
 
-/// How to call an upstream.
+/// The upstream to call, and the number to call it with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UpstreamCall {
     /// Index of the upstream in the settings.
     pub upstream: usize,
-    /// What this relay and all its subscribers that count have applied.
+    /// The number that this relay and all its subscribers that are not missing have applied.
     pub applied_number: u64,
 }
 
-/// What the relay does.
+/// Whether the relay is a voter or plain, with the state of that mode.
 #[derive(Debug)]
 enum RelayMode {
     Voter(Box<ReplicaGroup>),
     Plain(Box<PlainRelay>),
 }
 
-/// A relay. It does no I/O: times and messages come in, and [`Relay::take_actions`] gives what is to be done.
+/// A relay. It does no I/O: the process passes in times and messages, and performs what [`Relay::take_actions`]
+/// returns.
 #[derive(Debug)]
 pub struct Relay {
     config: RelayConfig,
@@ -85,8 +87,9 @@
 }
 
 impl Relay {
-    /// A voter with this index among all of them, which begins without memory. The incarnation of `member` has to
-    /// be later than that of any earlier start (Unix ms will do); `seed` is any number, different at each voter.
+    /// Creates a voter with an empty log. `index` is its index among all voters. The incarnation of `member` has to
+    /// be later than that of any earlier start, for example the Unix time in milliseconds. `seed` is any number
+    /// that differs between voters.
     pub fn voter(
         config: RelayConfig,
         member: Member,
@@ -100,7 +103,7 @@
         Relay::with_mode(config, RelayMode::Voter(Box::new(group)))
     }
 
-    /// A plain relay, which begins without memory.
+    /// Creates a plain relay with an empty log.
     pub fn plain(config: RelayConfig, upstream: UpstreamSelector) -> Relay {
         let plain = PlainRelay::new(Log::new(config.retention), upstream);
         Relay::with_mode(config, RelayMode::Plain(Box::new(plain)))
@@ -112,18 +115,18 @@
         Relay { config, mode, subscribers, actions: Vec::new() }
     }
 
-    /// What is to be done since the last call of this.
+    /// Returns the actions that have accumulated since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Makes a subscriber that the settings name count, as having applied nothing, until it comes or is missing
-    /// for too long. Without that, a relay knows no subscribers after a start until they call.
+    /// Counts a subscriber named in the settings as having applied nothing, until it connects or is missing for too
+    /// long. Without this call, a relay that has started knows no subscribers until they connect.
     pub fn expect_subscriber(&mut self, now: Ns, name: &str) {
         self.subscribers.expect(now, name);
     }
 
-    /// The events that subscribers may be sent.
+    /// Returns the events that subscribers may be sent.
     pub fn log(&self) -> &Log {
         match &self.mode {
             RelayMode::Voter(group) => group.log(),
@@ -131,12 +134,12 @@
         }
     }
 
-    /// The last number that subscribers may be sent.
+    /// Returns the last number that subscribers may be sent.
     pub fn last_number(&self) -> u64 {
         self.log().last_number()
     }
 
-    /// When [`Relay::step`] is to be called next, at the latest a second from now.
+    /// Returns the time at which [`Relay::step`] has to be called next, at the latest a second from now.
     pub fn next_wakeup(&self, now: Ns) -> Ns {
         let own = match &self.mode {
             RelayMode::Voter(group) => group.next_deadline(),
@@ -145,7 +148,7 @@
         own.min(now + MAX_STEP_INTERVAL)
     }
 
-    /// Does what is due. `unix_ms` is the Unix time.
+    /// Performs all work that is due at `now`. `unix_ms` is the Unix time.
     pub fn step(&mut self, now: Ns, unix_ms: u64) {
         match &mut self.mode {
             RelayMode::Voter(group) => {
@@ -163,6 +166,7 @@
         self.update_floor(now, unix_ms);
     }
 
+    /// Recomputes the floor and, at the leader, adds it to the floor history.
     fn update_floor(&mut self, now: Ns, unix_ms: u64) {
         self.subscribers.floor(now, self.last_number());
         if self.leader_token(now).is_some() {
@@ -170,7 +174,8 @@
         }
     }
 
-    /// A new leader waits for what all voters report.
+    /// Adds the group's actions. A voter that becomes the leader resets its floor and expects a report of each other
+    /// voter, because the floor now stands for all relays.
     fn add_group_actions(&mut self, now: Ns, actions: Vec<Action>) {
         if let RelayMode::Voter(group) = &self.mode
             && actions.iter().any(|action| matches!(action, Action::LeadershipGained(_)))
@@ -184,9 +189,9 @@
     }
 }
 
-/// Voters.
+/// Methods of voters.
 impl Relay {
-    /// Answers another voter's call.
+    /// Answers a call of another voter.
     pub fn on_peer_request(&mut self, now: Ns, unix_ms: u64, request: PeerRequest) -> PeerReply {
         let floor = self.subscribers.floor(now, self.last_number());
         match &mut self.mode {
@@ -199,7 +204,7 @@
         }
     }
 
-    /// Takes in what came back of [`Action::Call`].
+    /// Processes the reply to an [`Action::Call`].
     pub fn on_peer_reply(&mut self, now: Ns, unix_ms: u64, voter: u32, call_id: u64, reply: PeerReply) {
         let RelayMode::Voter(group) = &mut self.mode else { return };
         let (applied, actions) = group.on_reply(now, unix_ms, voter, call_id, reply);
@@ -210,8 +215,8 @@
         }
     }
 
-    /// Accepts an event's JSON from a publisher. The result comes as [`Action::Published`] with this ticket. An
-    /// event with an idempotency key is published once, however often it is sent.
+    /// Accepts the JSON of an event from a publisher. The result is emitted as [`Action::Published`] with this
+    /// ticket. An event with an idempotency key is published once, however often it is sent.
     pub fn publish(
         &mut self,
         now: Ns,
@@ -240,7 +245,7 @@
         group.publish(now, unix_ms, ticket, idempotency_key, event, self.config.max_log_bytes)
     }
 
-    /// The token under which it is the leader now.
+    /// Returns the token under which this relay is the leader now, if it is.
     pub fn leader_token(&self, now: Ns) -> Option<FencingToken> {
         match &self.mode {
             RelayMode::Voter(group) => group.leader_token(now),
@@ -248,7 +253,7 @@
         }
     }
 
-    /// Gives leadership up, as at a planned stop.
+    /// Gives up leadership before a planned stop.
     pub fn hand_over(&mut self, now: Ns) {
         if let RelayMode::Voter(group) = &mut self.mode {
             self.actions.extend(group.hand_over(now));
@@ -256,10 +261,10 @@
     }
 }
 
-/// Plain relays.
+/// Methods of plain relays.
 impl Relay {
-    /// The upstream to follow now, and the number to call it with. Ask before each call, and while a stream is
-    /// open whether it is still the same upstream.
+    /// Returns the upstream to follow now, and the number to call it with. The caller has to ask before each call,
+    /// and also while a stream is open, because the upstream to follow may change.
     pub fn upstream_to_follow(&mut self, now: Ns) -> Option<UpstreamCall> {
         let floor = self.subscribers.floor(now, self.last_number());
         let RelayMode::Plain(plain) = &self.mode else { return None };
@@ -267,24 +272,24 @@
         Some(UpstreamCall { upstream, applied_number: floor.min(plain.log.last_number()) })
     }
 
-    /// The call of the upstream failed, or its stream broke. A clean end is no failure.
+    /// Records that the call of the upstream failed or that its stream broke. A clean end of a stream is no failure.
     pub fn on_upstream_failed(&mut self, now: Ns) {
         if let RelayMode::Plain(plain) = &mut self.mode {
             plain.upstream.on_failed(now);
         }
     }
 
-    /// Takes in a comment of the upstream, without its line ends.
+    /// Processes a comment of the upstream, without its line ends.
     pub fn on_upstream_comment(&mut self, now: Ns, comment: &str) {
         let RelayMode::Plain(plain) = &mut self.mode else { return };
         match Staleness::parse_comment(comment) {
             Some(comment) => plain.staleness.record(now, comment.age, comment.leader),
-            // It is no relay, so it is the source itself.
+            // The upstream is no relay but the source of the events, so its age is 0.
             None => plain.staleness.record(now, 0, None),
         }
     }
 
-    /// Takes in an event of the upstream: its data, and the number in its `id` if it has one.
+    /// Processes an event of the upstream: its data, and the number in its `id` field if it has one.
     pub fn on_upstream_event(&mut self, now: Ns, unix_ms: u64, id: Option<u64>, data: &[u8]) -> ApplyOutcome {
         let max_bytes = self.config.max_event_bytes.max(self.config.max_log_bytes);
         let RelayMode::Plain(plain) = &mut self.mode else { return ApplyOutcome::Duplicate };
@@ -297,9 +302,10 @@
     }
 }
 
-/// Subscribers.
+/// Methods for subscribers.
 impl Relay {
-    /// A subscriber calls and has applied this number; its stream is encoded with [`Relay::encode_after`].
+    /// Records that a subscriber connects and has applied this number. Its stream is encoded with
+    /// [`Relay::encode_after`].
     pub fn on_subscriber_connected(&mut self, now: Ns, unix_ms: u64, name: &str, applied_number: u64) {
         self.subscribers.connected(now, name, applied_number);
         if let RelayMode::Voter(group) = &mut self.mode {
@@ -308,12 +314,12 @@
         self.update_floor(now, unix_ms);
     }
 
-    /// A stream of a subscriber is over.
+    /// Records that a stream of a subscriber has ended.
     pub fn on_subscriber_disconnected(&mut self, name: &str) {
         self.subscribers.disconnected(name);
     }
 
-    /// As [`Log::encode_after`]: appends what follows the cursor to `out`, and returns the new cursor.
+    /// Appends the events after the cursor to `out` and returns the new cursor, as [`Log::encode_after`] does.
     pub fn encode_after(&mut self, cursor: u64, max_bytes: usize, out: &mut Vec<u8>) -> u64 {
         match &mut self.mode {
             RelayMode::Voter(group) => group.encode_after(cursor, max_bytes, out),
@@ -321,7 +327,7 @@
         }
     }
 
-    /// The comment for subscribers that says how stale this relay is, with its empty line.
+    /// Returns the comment that tells subscribers how stale this relay is, with the empty line that ends it.
     pub fn staleness_comment(&self, now: Ns) -> String {
         self.staleness(now).to_comment(now)
     }
@@ -333,7 +339,7 @@
         }
     }
 
-    /// What operators see.
+    /// Returns the status that operators read.
     pub fn status(&mut self, now: Ns, unix_ms: u64) -> RelayStatus {
         let floor = self.subscribers.floor(now, self.last_number());
         let staleness = self.staleness(now);
--- a/crates/relay/src/staleness.rs
+++ b/crates/relay/src/staleness.rs
@@ -1,20 +1,21 @@
-//! How old what a relay knows of the leader is, and the comment that carries it along a chain of relays.
+//! Staleness: the time since a relay last knew the leader to lead, and the comment that carries it along a chain of
+//! relays.
 
 use sablecross_coordination::{FencingToken, Member, Ns};
 
 const NS_PER_MS: Ns = 1_000_000;
 
-/// How old what a relay knows of the leader is. Ages add up along the chain, and only the leader sets them back:
-/// relays that follow one another in a circle grow old together.
+/// The time at which a relay last knew the leader to lead. Ages add up along a chain of relays, and only the leader
+/// resets them. If relays follow one another in a cycle, the ages of all of them grow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Staleness {
-    /// When the leader was last known to lead, by this program's clock.
+    /// When the leader was last known to lead, by this process's clock; `None` if it never was.
     since: Option<Ns>,
-    /// The leader.
+    /// Token of that leader, if known.
     pub leader: Option<FencingToken>,
 }
 
-/// What a comment of an upstream relay says.
+/// The content of a staleness comment of an upstream relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StalenessComment {
     /// Nanoseconds since the leader was last known to lead; `Ns::MAX` if it never was.
@@ -24,12 +25,13 @@
 }
 
 impl Staleness {
-    /// Nothing is known yet.
+    /// Returns the state of a relay that knows of no leader.
     pub fn unknown() -> Staleness {
         Staleness { since: None, leader: None }
     }
 
-    /// Takes in what was known `age` nanoseconds ago. What is older than the last changes nothing.
+    /// Records that the leader was known to lead `age` nanoseconds ago. Older information than the recorded one is
+    /// ignored.
     pub fn record(&mut self, now: Ns, age: Ns, leader: Option<FencingToken>) {
         if age == Ns::MAX {
             return;
@@ -41,12 +43,12 @@
         }
     }
 
-    /// Nanoseconds since the leader was last known to lead; `Ns::MAX` if it never was.
+    /// Returns the nanoseconds since the leader was last known to lead; `Ns::MAX` if it never was.
     pub fn age(&self, now: Ns) -> Ns {
         self.since.map_or(Ns::MAX, |since| now.saturating_sub(since))
     }
 
-    /// The comment for subscribers: `: fresh AGE_MS owner NUMBER term T`, with `-` for what is unknown.
+    /// Returns the comment for subscribers: `: fresh AGE_MS owner NUMBER term T`, with `-` for unknown values.
     pub fn to_comment(&self, now: Ns) -> String {
         let or_dash = |value: Option<u64>| value.map_or("-".into(), |value| value.to_string());
         let age = or_dash(self.since.map(|_| self.age(now).div_ceil(NS_PER_MS)));
@@ -55,7 +57,7 @@
         format!(": fresh {age} owner {leader} term {term}\n\n")
     }
 
-    /// Reads such a comment; none if it is another one, as of a feed outside.
+    /// Parses a staleness comment. Returns `None` for any other comment, such as one of an outside feed.
     pub fn parse_comment(comment: &str) -> Option<StalenessComment> {
         let mut words = comment.trim().trim_start_matches(':').split_whitespace();
         if words.next() != Some("fresh") {
--- a/crates/relay/src/status.rs
+++ b/crates/relay/src/status.rs
@@ -1,11 +1,11 @@
-//! What operators and scripts read of relays, as JSON. The `serde` attributes hold the names that they read.
+//! Status of relays as JSON for operators and scripts. The `serde` attributes define the names in the JSON.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// What a relay does.
+/// The role of a relay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RelayRole {
@@ -14,7 +14,7 @@
     Leader,
     /// A voter that is not the leader.
     Voter,
-    /// It has no vote and follows another relay or a feed outside.
+    /// A relay that has no vote and follows another relay or an outside feed.
     #[default]
     Plain,
 }
@@ -29,13 +29,13 @@
     }
 }
 
-/// A number, and since when every subscriber that counts has applied it.
+/// A number, and the time since when all subscribers that are not missing have applied it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct AppliedSince {
     /// Number of an event.
     pub number: u64,
-    /// Unix ms.
+    /// Unix time in milliseconds.
     pub unix_ms: u64,
 }
 
@@ -51,19 +51,19 @@
     }
 }
 
-/// A subscriber as the relay that it reads at knows it.
+/// A subscriber, as known to a relay that it is connected to or was connected to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubscriberStatus {
-    /// Name in the settings, or IP address.
+    /// Name of the subscriber in the settings, or its IP address.
     pub name: String,
-    /// The number that it has applied.
+    /// The number that the subscriber has applied.
     pub number: u64,
-    /// Milliseconds since it last reported; none if it never has.
+    /// Milliseconds since the last report; `None` if the subscriber has never reported.
     #[serde(rename = "heard_ms_ago")]
     pub last_seen_age_ms: Option<u64>,
-    /// It has a stream now.
+    /// Whether the subscriber has an open stream.
     pub connected: bool,
-    /// It has not reported for so long that the floor doesn't wait for it any more.
+    /// Whether the last report is so old that the subscriber no longer holds the floor back.
     pub missing: bool,
 }
 
@@ -72,19 +72,19 @@
 pub struct RelayStatus {
     /// Name of the relay.
     pub name: String,
-    /// When this status was made.
+    /// Unix time in milliseconds at which the status was created.
     pub unix_ms: u64,
-    /// What it does.
+    /// Role of the relay.
     pub role: RelayRole,
-    /// Number of the last leader that it knows of.
+    /// Member number of the last known leader.
     #[serde(rename = "owner")]
     pub leader: Option<u32>,
-    /// That leader's term.
+    /// Term of that leader.
     pub term: u64,
     /// Milliseconds since that leader was last known to lead, added up along the chain of relays.
     #[serde(rename = "fresh_ms")]
     pub staleness_ms: Option<u64>,
-    /// Number of the log's snapshot: what it holds one by one comes after.
+    /// Number of the log's snapshot. The log keeps the events after it individually.
     #[serde(rename = "base")]
     pub snapshot_number: u64,
     /// The last number that subscribers may be sent.
@@ -93,74 +93,74 @@
     /// The last number that is stored, committed or not.
     #[serde(rename = "kept")]
     pub last_stored: u64,
-    /// Bytes of the log.
+    /// Size of the log in bytes.
     pub log_bytes: usize,
-    /// Endpoints of the list; none if no complete list is known.
+    /// Number of endpoints in the list; `None` if no complete list is known.
     pub endpoints: Option<usize>,
-    /// The number that this relay and all its subscribers that count have applied.
+    /// The number that this relay and all its subscribers that are not missing have applied.
     pub floor: u64,
-    /// At the leader: numbers, and since when they are applied everywhere.
+    /// At the leader: numbers, and since when they have been applied everywhere.
     #[serde(rename = "passed")]
     pub floor_history: Vec<AppliedSince>,
-    /// Its subscribers by name.
+    /// Subscribers of the relay in the order of their names.
     #[serde(rename = "readers")]
     pub subscribers: Vec<SubscriberStatus>,
-    /// A voter that recovers its log after a restart: for how long it has.
+    /// Milliseconds since the start, while a voter recovers its log after a restart.
     #[serde(rename = "learning_ms")]
     pub recovering_ms: Option<u64>,
-    /// When the log was last reset, Unix ms; 0 if it never was. After a reset, the list and the purges that are
-    /// still active have to be published once more.
+    /// Unix time in milliseconds at which the log was last reset; 0 if it never was. After a reset, the list and the
+    /// purges that are still active have to be published again.
     #[serde(rename = "anew_unix_ms")]
     pub reset_unix_ms: u64,
-    /// Calls that this voter rejected as their token was old.
+    /// Number of calls that this voter rejected because their token was older than the newest one.
     #[serde(rename = "refused")]
     pub rejected_tokens: u64,
 }
 
-/// A subscriber as the relay knows it that was the last to see it.
+/// A subscriber, as known to the relay that received its latest report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MergedSubscriber {
-    /// Name in the settings, or IP address.
+    /// Name of the subscriber in the settings, or its IP address.
     pub name: String,
-    /// The number that it has applied.
+    /// The number that the subscriber has applied.
     pub number: u64,
-    /// When it last reported; none if it never has.
+    /// Unix time in milliseconds of the last report; `None` if the subscriber has never reported.
     #[serde(rename = "heard_unix_ms")]
     pub last_seen_unix_ms: Option<u64>,
-    /// It has a stream now.
+    /// Whether the subscriber has an open stream.
     pub connected: bool,
-    /// Name of the relay that saw it.
+    /// Name of the relay that received the report.
     pub relay: String,
 }
 
-/// What several relays know together.
+/// The merged statuses of several relays.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetView {
-    /// Relays and other subscribers, by name.
+    /// Relays and other subscribers in the order of their names.
     #[serde(rename = "readers")]
     pub subscribers: Vec<MergedSubscriber>,
-    /// Numbers that all subscribers that counted have applied, in rising order.
+    /// Numbers that all subscribers that were not missing have applied, in increasing order.
     #[serde(rename = "passed")]
     pub floor_history: Vec<AppliedSince>,
-    /// The highest number that any relay may send.
+    /// The highest number that any of the relays may send to subscribers.
     #[serde(rename = "last")]
     pub last_number: u64,
 }
 
-/// Where a number is applied.
+/// Which subscribers have applied a number.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppliedStatus {
-    /// The number that was asked for.
+    /// The number in question.
     pub number: u64,
-    /// All subscribers that counted have applied it since then at the latest; none if they have not, or too long
-    /// ago to be known.
+    /// Unix time in milliseconds by which all subscribers that were not missing had applied the number; `None` if
+    /// they have not, or if the time is no longer in the history.
     pub since_unix_ms: Option<u64>,
-    /// Those that have applied a lower number, also the ones that did not count.
+    /// Subscribers that have applied a lower number, including those that no relay waits for.
     pub missing: Vec<MergedSubscriber>,
 }
 
-/// Puts several relays' statuses together. What a relay says of itself goes before what others saw of it; other
-/// subscribers count as the relay knows them that saw them last.
+/// Merges the statuses of several relays. A relay's own status takes precedence over what other relays report about
+/// it. For other subscribers, the latest report counts.
 pub fn merge_statuses(statuses: &[RelayStatus]) -> FleetView {
     let is_relay = |name: &str| statuses.iter().any(|status| status.name == name);
     let mut subscribers: BTreeMap<String, MergedSubscriber> =
@@ -186,7 +186,7 @@
 }
 
 impl MergedSubscriber {
-    /// A relay, by its own status.
+    /// Returns a relay as a subscriber, from its own status.
     fn of_relay(status: &RelayStatus) -> MergedSubscriber {
         MergedSubscriber {
             name: status.name.clone(),
@@ -197,6 +197,7 @@
         }
     }
 
+    /// Returns a subscriber as the relay with this status knows it.
     fn seen_by(status: &RelayStatus, seen: &SubscriberStatus) -> MergedSubscriber {
         MergedSubscriber {
             name: seen.name.clone(),
@@ -207,13 +208,14 @@
         }
     }
 
+    /// Returns a key that is higher for a later report.
     fn recency(&self) -> (Option<u64>, u64) {
         (self.last_seen_unix_ms, self.number)
     }
 }
 
 impl FleetView {
-    /// Where this number is applied.
+    /// Returns since when this number has been applied everywhere, and which subscribers have not applied it.
     pub fn applied_status(&self, number: u64) -> AppliedStatus {
         let reached = self.floor_history.iter().filter(|applied| applied.number >= number);
         let since_unix_ms = reached.map(|applied| applied.unix_ms).min();
--- a/crates/relay/src/subscribers.rs
+++ b/crates/relay/src/subscribers.rs
@@ -1,5 +1,5 @@
-//! The subscribers of a relay, what each has applied, and the number that all have applied: a call with
-//! `Last-Event-ID: n` says that n is applied there, so no other report is needed.
+//! The subscribers of a relay, the number that each has applied, and the floor: the number that all have applied. A
+//! call with `Last-Event-ID: n` reports that the subscriber has applied n, so no other report is needed.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,18 +7,18 @@
 
 use crate::status::{AppliedSince, SubscriberStatus};
 
-/// How often the floor is worked out: that goes through all subscribers.
+/// The shortest time between two computations of the floor, each of which visits all subscribers.
 const FLOOR_INTERVAL: Ns = 50_000_000;
 const NS_PER_MS: Ns = 1_000_000;
 
 #[derive(Clone, Copy, Debug)]
 struct Subscriber {
-    /// What it has applied by its last report.
+    /// The number that the subscriber had applied at its last report.
     applied: u64,
-    /// When it last reported, or since when it is expected.
+    /// When the subscriber last reported, or since when it is expected.
     last_seen: Ns,
     has_reported: bool,
-    /// Streams that are open.
+    /// Number of open streams.
     streams: u32,
 }
 
@@ -30,14 +30,15 @@
     forget_after: Ns,
     floor: u64,
     next_floor_at: Ns,
-    /// When the floor reached which number, the newest last.
+    /// Numbers that the floor has reached and when, the newest last.
     floor_history: VecDeque<AppliedSince>,
     max_floor_history: usize,
 }
 
 impl Subscribers {
-    /// A subscriber that has not reported for `missing_after` doesn't hold the floor back, even with a stream;
-    /// one without a stream is removed after `forget_after`. So many moments of the floor are kept.
+    /// Creates an empty set. A subscriber that has not reported for `missing_after` doesn't hold the floor back,
+    /// even if it has a stream; one without a stream is removed after `forget_after`. At most `max_floor_history`
+    /// entries of the floor history are kept.
     pub fn new(missing_after: Ns, forget_after: Ns, max_floor_history: usize) -> Subscribers {
         Subscribers {
             by_name: BTreeMap::new(),
@@ -50,29 +51,29 @@
         }
     }
 
-    /// Notes a call with this number, which is applied there. Its stream counts until `disconnected`.
+    /// Records a call of a subscriber that has applied this number. Its stream counts until `disconnected` is called.
     pub fn connected(&mut self, now: Ns, name: &str, applied: u64) {
-        self.note_report(now, name, applied, 1);
+        self.record_report(now, name, applied, 1);
     }
 
-    /// Notes a report without a stream: a voter's answer.
+    /// Records a report without a stream, such as a voter's answer.
     pub fn reported(&mut self, now: Ns, name: &str, applied: u64) {
-        self.note_report(now, name, applied, 0);
+        self.record_report(now, name, applied, 0);
     }
 
-    fn note_report(&mut self, now: Ns, name: &str, applied: u64, new_streams: u32) {
+    fn record_report(&mut self, now: Ns, name: &str, applied: u64, new_streams: u32) {
         let streams = self.by_name.get(name).map_or(0, |known| known.streams) + new_streams;
         let subscriber = Subscriber { applied, last_seen: now, has_reported: true, streams };
         self.by_name.insert(name.to_owned(), subscriber);
     }
 
-    /// Counts one that has yet to come as having applied nothing, unless it is known already.
+    /// Counts a subscriber that has not reported yet as having applied nothing, unless it is already known.
     pub fn expect(&mut self, now: Ns, name: &str) {
         let expected = Subscriber { applied: 0, last_seen: now, has_reported: false, streams: 0 };
         self.by_name.entry(name.to_owned()).or_insert(expected);
     }
 
-    /// Notes the end of a stream.
+    /// Records the end of a stream.
     pub fn disconnected(&mut self, name: &str) {
         if let Some(subscriber) = self.by_name.get_mut(name) {
             subscriber.streams = subscriber.streams.saturating_sub(1);
@@ -83,9 +84,11 @@
         now.saturating_sub(subscriber.last_seen) > self.missing_after
     }
 
-    /// What all subscribers that count have applied, and this relay itself up to `own`, as of up to 50 ms ago. It
-    /// never falls: one that begins behind it is waited for before it rises again.
-    pub fn floor(&mut self, now: Ns, own: u64) -> u64 {
+    /// Returns the highest number that all subscribers that are not missing and this relay have applied;
+    /// `own_number` is what this relay has applied. The result may be up to 50 ms old. It decreases only through
+    /// `reset_floor`: if a new subscriber is behind the floor, the floor doesn't rise until that subscriber has
+    /// caught up.
+    pub fn floor(&mut self, now: Ns, own_number: u64) -> u64 {
         if now < self.next_floor_at {
             return self.floor;
         }
@@ -95,19 +98,20 @@
             subscriber.streams > 0 || now.saturating_sub(subscriber.last_seen) <= forget_after
         });
         let counted = self.by_name.values().filter(|subscriber| !self.is_missing(now, subscriber));
-        let lowest = counted.map(|subscriber| subscriber.applied).min().map_or(own, |min| min.min(own));
+        let lowest =
+            counted.map(|subscriber| subscriber.applied).min().map_or(own_number, |min| min.min(own_number));
         self.floor = self.floor.max(lowest);
         self.floor
     }
 
-    /// Lets the floor rise from 0 once more: from here on it stands for all relays, not for this one's own
-    /// subscribers alone.
+    /// Resets the floor to 0. From then on, the floor stands for all relays and not only for this relay's own
+    /// subscribers.
     pub fn reset_floor(&mut self) {
         self.floor = 0;
         self.next_floor_at = 0;
     }
 
-    /// Notes that the floor is applied everywhere, at this Unix ms: it is the leader's.
+    /// Adds the floor to the history, as applied everywhere at `unix_ms`. Only the leader's floor has this meaning.
     pub fn record_floor(&mut self, unix_ms: u64) {
         if self.floor > 0 && self.floor_history.back().is_none_or(|last| last.number < self.floor) {
             if self.floor_history.len() >= self.max_floor_history {
@@ -117,12 +121,12 @@
         }
     }
 
-    /// Numbers that are applied everywhere, in rising order, as far back as is kept.
+    /// Returns the kept numbers that were applied everywhere, in increasing order.
     pub fn floor_history(&self) -> Vec<AppliedSince> {
         self.floor_history.iter().copied().collect()
     }
 
-    /// All subscribers by name.
+    /// Returns the status of all subscribers in the order of their names.
     pub fn statuses(&self, now: Ns) -> Vec<SubscriberStatus> {
         let status = |(name, subscriber): (&String, &Subscriber)| SubscriberStatus {
             name: name.clone(),
--- a/crates/relay/src/upstream_selector.rs
+++ b/crates/relay/src/upstream_selector.rs
@@ -1,26 +1,27 @@
-//! Which upstream a plain relay follows: the next one of its list once the current one is silent, or has itself
-//! known nothing of the leader for too long.
+//! Selection of the upstream that a plain relay follows: it switches to the next one of its list when the current one
+//! fails, is silent, or has itself not heard of the leader for too long.
 
 use sablecross_coordination::Ns;
 
-/// The upstreams of a plain relay by their indices in its settings, the preferred one first.
+/// The upstreams of a plain relay, by their indices in its settings; the first is preferred.
 #[derive(Clone, Debug)]
 pub struct UpstreamSelector {
     count: usize,
     current: usize,
-    /// A staleness past this, and the next one is followed.
+    /// The relay leaves an upstream whose staleness exceeds this time.
     max_staleness: Ns,
-    /// How long an upstream is given to show a lower staleness.
+    /// Time that an upstream has after the switch to it to show a lower staleness.
     grace_period: Ns,
-    /// After so long at another one, the first is tried again.
+    /// Time at another upstream after which the first is tried again.
     return_after: Ns,
+    /// When the relay switched to the current upstream.
     followed_since: Ns,
 }
 
 impl UpstreamSelector {
-    /// `count` upstreams, of which the first is followed from `now` on. One is left if its staleness exceeds
-    /// `max_staleness` when it has been followed for `grace_period`; the first is tried again after
-    /// `return_after`.
+    /// Creates a selector of `count` upstreams that follows the first one from `now` on. The relay leaves an
+    /// upstream whose staleness exceeds `max_staleness` after it has been followed for `grace_period`. The first is
+    /// tried again after `return_after`.
     pub fn new(
         count: usize,
         max_staleness: Ns,
@@ -31,7 +32,7 @@
         UpstreamSelector { count, current: 0, max_staleness, grace_period, return_after, followed_since: now }
     }
 
-    /// Index of the upstream to follow now; none if there are none.
+    /// Returns the index of the upstream to follow now, or `None` if there is no upstream.
     pub fn current(&self) -> Option<usize> {
         (self.count > 0).then_some(self.current)
     }
@@ -41,14 +42,15 @@
         self.followed_since = now;
     }
 
-    /// The call failed, or the stream ended in an error: the next one is followed.
+    /// Switches to the next upstream after a failed call or a stream that ended in an error.
     pub fn on_failed(&mut self, now: Ns) {
         if self.count > 0 {
             self.switch_to(now, (self.current + 1) % self.count);
         }
     }
 
-    /// Looks at how stale the current upstream is. Returns true if another one is to be followed from here on.
+    /// Switches the upstream if the current one is stale, or if the first one is due to be tried again. Returns
+    /// whether it switched.
     pub fn check(&mut self, now: Ns, staleness: Ns) -> bool {
         if self.count < 2 {
             return false;
--- a/crates/relay/tests/cases.rs
+++ b/crates/relay/tests/cases.rs
@@ -268,10 +268,13 @@
     let cases = [
         (r#"{"purge":{"key":"12","at":5}"#.to_owned(), "EOF while parsing an object at line 1 column 28"),
         ("{\"n\":1}".to_owned(), "no members, purge or hierarchy"),
-        ("{\"n\":9007199254740992,\"purge\":{}}".to_owned(), "number 9007199254740992 is past"),
-        ("[1]".to_owned(), "no JSON as the feed has it"),
+        (
+            "{\"n\":9007199254740992,\"purge\":{}}".to_owned(),
+            "number 9007199254740992 is not below 9007199254740992",
+        ),
+        ("[1]".to_owned(), "not a JSON object of the control feed"),
         (r#"{"purge":{"at":5}}"#.to_owned(), "purge: it names neither a key nor a group"),
-        (r#"{"purge":{"key":"xyz","at":5}}"#.to_owned(), "purge: key \"xyz\" is no object"),
+        (r#"{"purge":{"key":"xyz","at":5}}"#.to_owned(), "purge: key \"xyz\" is not a hexadecimal object id"),
         (r#"{"purge":{"key":"12"}}"#.to_owned(), "purge: missing field `at`"),
         (r#"{"purge":{"key":"12","at":5},"members":{}}"#.to_owned(), "more than one of"),
         (r#"{"members":{"index":1,"endpoints":[]}}"#.to_owned(), "members: missing field `snapshot`"),
