--- a/crates/discovery/src/event_stream.rs
+++ b/crates/discovery/src/event_stream.rs
@@ -33,16 +33,16 @@
     #[error("not HTTP: {0}")]
     NotHttp(httparse::Error),
     /// The size of a chunk can't be parsed.
-    #[error("bad chunk")]
-    BadChunk,
+    #[error("invalid chunk size")]
+    InvalidChunkSize,
     /// The last chunk was received.
     #[error("stream ended")]
     Ended,
     /// The head or an event has too many bytes.
-    #[error("an event is too long")]
+    #[error("the head or an event is too long")]
     TooLong,
     /// The connection was closed before the head was complete.
-    #[error("ended in its head")]
+    #[error("connection closed before the response head was complete")]
     EndedInHead,
 }
 
@@ -179,12 +179,12 @@
             match httparse::parse_chunk_size(size_line) {
                 Ok(httparse::Status::Complete((_, 0))) => break Err(StreamError::Ended),
                 Ok(httparse::Status::Complete((length, size))) => {
-                    *left = usize::try_from(size).map_err(|_| StreamError::BadChunk)?;
+                    *left = usize::try_from(size).map_err(|_| StreamError::InvalidChunkSize)?;
                     *has_begun = true;
                     consumed_bytes += line_end_len + length;
                 }
                 Ok(httparse::Status::Partial) => break Ok(()),
-                Err(_) => break Err(StreamError::BadChunk),
+                Err(_) => break Err(StreamError::InvalidChunkSize),
             }
         };
         self.raw.drain(..consumed_bytes);
--- a/crates/discovery/tests/feed.rs
+++ b/crates/discovery/tests/feed.rs
@@ -1,4 +1,5 @@
-//! The reading side: bytes cut anywhere, what is news, whom to call.
+//! Tests of the client side of the feed: parsing of arbitrarily split bytes, the event cursor, and the feed
+//! selection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,7 +19,7 @@
     StreamItem::Event { id, data: data.into() }
 }
 
-fn body() -> Vec<StreamItem> {
+fn body_items() -> Vec<StreamItem> {
     vec![
         StreamItem::Connected,
         StreamItem::Comment("tick".into()),
@@ -29,15 +30,15 @@
     ]
 }
 
-fn heard(
+fn parse_pieces(
     stream: &mut EventStreamParser,
     pieces: impl Iterator<Item = Vec<u8>>,
 ) -> Result<Vec<StreamItem>, StreamError> {
     let mut all = Vec::new();
     for piece in pieces {
         stream.push(&piece);
-        while let Some(said) = stream.next_item()? {
-            all.push(said);
+        while let Some(item) = stream.next_item()? {
+            all.push(item);
         }
     }
     Ok(all)
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn bytes_cut_anywhere_say_the_same() {
+fn parses_the_same_items_from_any_split_of_the_bytes() {
     for seed in 0..2_000 {
         let mut rng = Pcg32::seed_from_u64(seed);
         let whole = if seed % 2 == 0 { HEAD.to_owned() + BODY } else { chunked(BODY, &mut rng) };
@@ -65,26 +66,27 @@
             left = &left[n..];
         }
         let mut stream = EventStreamParser::new(200);
-        assert_eq!(heard(&mut stream, pieces.into_iter()), Ok(body()), "seed {seed}");
+        assert_eq!(parse_pieces(&mut stream, pieces.into_iter()), Ok(body_items()), "seed {seed}");
         assert_eq!((stream.buffered_bytes() > 2, stream.finish()), (false, Ok(())), "seed {seed}");
     }
 }
 
 #[test]
-fn faulty_answers_end_the_call_by_name() {
-    let flaw =
-        |bytes: &str| heard(&mut EventStreamParser::new(200), std::iter::once(bytes.into())).unwrap_err();
-    assert_eq!(flaw("HTTP/1.1 503 Busy\r\n\r\n"), StreamError::UnexpectedStatus(503));
-    assert!(flaw("what is this\r\n\r\n").to_string().starts_with("not HTTP: "));
-    assert_eq!(flaw(&format!("HTTP/1.1 200 OK\r\nA: {}", "x".repeat(200))), StreamError::TooLong);
-    assert_eq!(flaw(&format!("{CHUNKED}zz\r\n")), StreamError::BadChunk);
-    assert_eq!(flaw(&format!("{CHUNKED}0\r\n\r\n")), StreamError::Ended);
-    assert_eq!(flaw(&format!("{HEAD}data: {}", "x".repeat(200))), StreamError::TooLong);
-    assert_eq!(flaw(&format!("{HEAD}data: {}\n\n", "x".repeat(200))), StreamError::TooLong);
+fn each_malformed_response_has_its_own_error() {
+    let error_of = |bytes: &str| {
+        parse_pieces(&mut EventStreamParser::new(200), std::iter::once(bytes.into())).unwrap_err()
+    };
+    assert_eq!(error_of("HTTP/1.1 503 Busy\r\n\r\n"), StreamError::UnexpectedStatus(503));
+    assert!(error_of("what is this\r\n\r\n").to_string().starts_with("not HTTP: "));
+    assert_eq!(error_of(&format!("HTTP/1.1 200 OK\r\nA: {}", "x".repeat(200))), StreamError::TooLong);
+    assert_eq!(error_of(&format!("{CHUNKED}zz\r\n")), StreamError::InvalidChunkSize);
+    assert_eq!(error_of(&format!("{CHUNKED}0\r\n\r\n")), StreamError::Ended);
+    assert_eq!(error_of(&format!("{HEAD}data: {}", "x".repeat(200))), StreamError::TooLong);
+    assert_eq!(error_of(&format!("{HEAD}data: {}\n\n", "x".repeat(200))), StreamError::TooLong);
     let mut stream = EventStreamParser::new(200);
-    assert_eq!(heard(&mut stream, std::iter::once(b"HTTP/1.1 200".to_vec())), Ok(vec![]));
+    assert_eq!(parse_pieces(&mut stream, std::iter::once(b"HTTP/1.1 200".to_vec())), Ok(vec![]));
     assert_eq!(stream.finish(), Err(StreamError::EndedInHead));
-    // What came whole before the end of the chunks counts.
+    // Events that were complete before the last chunk are returned before the error.
     let ended = format!("{CHUNKED}9\r\ndata: a\n\n\r\n0\r\n\r\n");
     let mut stream = EventStreamParser::new(200);
     stream.push(ended.as_bytes());
@@ -96,91 +98,106 @@
 }
 
 #[test]
-fn many_events_at_once_are_read_in_straight_time() {
-    // A search of the whole text for each event made a burst's cost grow with its square.
-    let time = |events: usize| {
+fn parsing_time_grows_linearly_with_the_number_of_events() {
+    // Guards against quadratic cost of a burst, which arose when each event led to a search of the whole text.
+    let best_parse_time = |events: usize| {
         let text = format!("{HEAD}{}", "id: 1\ndata: {\"n\":1,\"purge\":{}}\n\n".repeat(events));
         let mut best = Duration::MAX;
         for _ in 0..5 {
             let mut stream = EventStreamParser::new(1 << 20);
             let start = std::time::Instant::now();
-            assert_eq!(heard(&mut stream, std::iter::once(text.clone().into())).unwrap().len(), events + 1);
+            assert_eq!(
+                parse_pieces(&mut stream, std::iter::once(text.clone().into())).unwrap().len(),
+                events + 1
+            );
             best = best.min(start.elapsed());
         }
         best
     };
-    let (few, many) = (time(1_000), time(16_000));
+    let (few, many) = (best_parse_time(1_000), best_parse_time(16_000));
     assert!(many < few * 16 * 4, "{few:?} for 1,000, {many:?} for 16,000");
 }
 
 #[test]
-fn each_event_is_taken_once_and_a_gap_is_asked_for_once_more() {
-    let mut c = EventCursor::after_number(3);
-    let fine = |n: u64| Ok::<(u64, u64), String>((n, n));
-    assert_eq!(c.classify(Some(3), fine(3)), EventVerdict::Duplicate);
-    assert_eq!(c.classify(Some(4), fine(4)), EventVerdict::New(4));
-    assert_eq!(c.classify(Some(6), fine(6)), EventVerdict::Resubscribe(ResubscribeReason::Gap { before: 6 }));
-    assert_eq!(c.classify(Some(5), fine(5)), EventVerdict::New(5));
-    assert_eq!(c.classify(Some(9), fine(9)), EventVerdict::Resubscribe(ResubscribeReason::Gap { before: 9 }));
-    assert_eq!(c.classify(Some(9), fine(9)), EventVerdict::New(9));
+fn applies_each_event_once_and_resubscribes_once_for_a_gap() {
+    let mut cursor = EventCursor::after_number(3);
+    let parsed = |n: u64| Ok::<(u64, u64), String>((n, n));
+    assert_eq!(cursor.classify(Some(3), parsed(3)), EventVerdict::Duplicate);
+    assert_eq!(cursor.classify(Some(4), parsed(4)), EventVerdict::New(4));
+    assert_eq!(
+        cursor.classify(Some(6), parsed(6)),
+        EventVerdict::Resubscribe(ResubscribeReason::Gap { before: 6 })
+    );
+    assert_eq!(cursor.classify(Some(5), parsed(5)), EventVerdict::New(5));
+    assert_eq!(
+        cursor.classify(Some(9), parsed(9)),
+        EventVerdict::Resubscribe(ResubscribeReason::Gap { before: 9 })
+    );
+    assert_eq!(cursor.classify(Some(9), parsed(9)), EventVerdict::New(9));
     assert_eq!(ResubscribeReason::Gap { before: 6 }.to_string(), "gap before=6");
     assert_eq!(ResubscribeReason::Unreadable { before: 10 }.to_string(), "unreadable before=10");
-    let bad = || Err::<(u64, u64), _>("no".to_owned());
+    let unreadable = || Err::<(u64, u64), _>("no".to_owned());
     assert_eq!(
-        c.classify(Some(10), bad()),
+        cursor.classify(Some(10), unreadable()),
         EventVerdict::Resubscribe(ResubscribeReason::Unreadable { before: 10 })
     );
-    assert_eq!(c.classify(Some(10), bad()), EventVerdict::Skip { number: 10, reason: "no".into() });
     assert_eq!(
-        c.classify(None, bad()),
+        cursor.classify(Some(10), unreadable()),
+        EventVerdict::Skip { number: 10, reason: "no".into() }
+    );
+    assert_eq!(
+        cursor.classify(None, unreadable()),
         EventVerdict::Resubscribe(ResubscribeReason::Unreadable { before: 0 })
     );
-    assert_eq!(c.classify(None, bad()), EventVerdict::Skip { number: 0, reason: "no".into() });
+    assert_eq!(cursor.classify(None, unreadable()), EventVerdict::Skip { number: 0, reason: "no".into() });
     assert_eq!(
-        (c.last_number(), c.advance_if_next(12), c.advance_if_next(11), c.last_number()),
+        (cursor.last_number(), cursor.advance_if_next(12), cursor.advance_if_next(11), cursor.last_number()),
         (10, false, true, 11)
     );
 }
 
 #[test]
-fn readers_of_a_lost_feed_spread_and_come_home_later() {
-    let at = |n: u16| SocketAddr::from(([127, 0, 0, 1], n));
-    let all: Vec<SocketAddr> = (1..=13).map(at).collect();
+fn subscribers_of_a_failed_feed_spread_and_return_to_it_later() {
+    let feed = |n: u16| SocketAddr::from(([127, 0, 0, 1], n));
+    let all: Vec<SocketAddr> = (1..=13).map(feed).collect();
     let sec = Duration::from_secs;
-    assert_eq!(events_request(at(1), 7).lines().last(), Some(""));
-    let mut second = std::collections::BTreeMap::<SocketAddr, u32>::new();
+    assert_eq!(events_request(feed(1), 7).lines().last(), Some(""));
+    let mut first_fallbacks = std::collections::BTreeMap::<SocketAddr, u32>::new();
     for n in 0..1_200 {
-        let mut f = FeedSelector::new(&format!("director-{n}"), at(1), &all);
-        assert_eq!(f.current(), at(1));
-        f.on_stream_ended(sec(1));
-        assert_eq!(f.current(), at(1));
-        f.on_failed(sec(2));
-        *second.entry(f.current()).or_default() += 1;
-        let other = f.current();
-        f.on_connected();
-        // Not before its time, and to where it was if home is not there still.
-        f.on_stream_ended(sec(21));
-        assert_eq!(f.current(), other);
-        f.on_stream_ended(sec(43));
-        assert_eq!(f.current(), at(1));
-        f.on_failed(sec(43));
-        assert_eq!(f.current(), other);
-        f.on_stream_ended(sec(62));
-        assert_eq!(f.current(), other);
-        f.on_stream_ended(sec(84));
-        f.on_connected();
-        f.on_stream_ended(sec(90));
-        assert_eq!(f.current(), at(1));
-        // All of them come by in turn.
-        let mut met = std::collections::BTreeSet::new();
+        let mut selector = FeedSelector::new(&format!("director-{n}"), feed(1), &all);
+        assert_eq!(selector.current(), feed(1));
+        selector.on_stream_ended(sec(1));
+        assert_eq!(selector.current(), feed(1));
+        selector.on_failed(sec(2));
+        *first_fallbacks.entry(selector.current()).or_default() += 1;
+        let other = selector.current();
+        selector.on_connected();
+        // The home feed is not tried before it is due. If it fails again, the selector goes back to the other feed.
+        selector.on_stream_ended(sec(21));
+        assert_eq!(selector.current(), other);
+        selector.on_stream_ended(sec(43));
+        assert_eq!(selector.current(), feed(1));
+        selector.on_failed(sec(43));
+        assert_eq!(selector.current(), other);
+        selector.on_stream_ended(sec(62));
+        assert_eq!(selector.current(), other);
+        selector.on_stream_ended(sec(84));
+        selector.on_connected();
+        selector.on_stream_ended(sec(90));
+        assert_eq!(selector.current(), feed(1));
+        // Repeated failures lead through all feeds.
+        let mut called_feeds = std::collections::BTreeSet::new();
         for _ in 0..13 {
-            met.insert(f.current());
-            f.on_failed(sec(91));
+            called_feeds.insert(selector.current());
+            selector.on_failed(sec(91));
         }
-        assert_eq!(met.len(), 13);
+        assert_eq!(called_feeds.len(), 13);
     }
-    assert!(second.len() == 12 && second.values().all(|n| (60..=140).contains(n)), "{second:?}");
-    let mut one = FeedSelector::new("director-0", at(1), &[]);
-    one.on_failed(sec(1));
-    assert_eq!(one.current(), at(1));
+    assert!(
+        first_fallbacks.len() == 12 && first_fallbacks.values().all(|n| (60..=140).contains(n)),
+        "{first_fallbacks:?}"
+    );
+    let mut single = FeedSelector::new("director-0", feed(1), &[]);
+    single.on_failed(sec(1));
+    assert_eq!(single.current(), feed(1));
 }
--- a/crates/relay/tests/retention.rs
+++ b/crates/relay/tests/retention.rs
@@ -1,5 +1,5 @@
-//! The retention time against the real router: an older purge changes nothing that it decides, a younger
-//! one does.
+//! Tests the retention time with the real router: a purge older than its lifetime changes no decision, a younger one
+//! does.
 
 #[allow(dead_code, unreachable_pub)]
 #[path = "../../../tests/support/mod.rs"]
@@ -12,36 +12,38 @@
 use sablecross_relay::retention::PURGE_HOLD_TIME;
 use support::*;
 
-fn with(cleared: Ns, fresh_time: Ns, grace_time: Ns) -> Settings {
-    let kinds = vec![RequestClass {
-        fresh_for: fresh_time,
-        stale_for: grace_time,
-        ..class_with_effect(Effect::Idempotent)
-    }];
-    Settings { purge_propagation_window: cleared, request_classes: kinds, ..settings() }
+fn settings_with(purge_propagation_window: Ns, fresh_for: Ns, stale_for: Ns) -> Settings {
+    let request_classes =
+        vec![RequestClass { fresh_for, stale_for, ..class_with_effect(Effect::Idempotent) }];
+    Settings { purge_propagation_window, request_classes, ..settings() }
 }
 
-/// What a director decides from `from` on for a few objects of two groups, as it has received a purge or not
-/// (object and time).
-fn decides(set: &Settings, told: Option<(Option<u64>, Ns)>, from: Ns, seed: u64) -> Vec<RouteDecision> {
-    let mut c = Router::new(set.clone(), seed, START);
-    c.update_endpoints(START, &endpoint_list(4, 2), true);
-    if let Some((object, at)) = told {
-        c.record_purge(at, object, 3, 0);
+/// Returns the decisions of a router from `from` on for a few objects of two groups. `purge` is the purge that the
+/// router has received, if any: its object, or `None` for the whole group, and its time.
+fn decisions(
+    settings: &Settings,
+    purge: Option<(Option<u64>, Ns)>,
+    from: Ns,
+    seed: u64,
+) -> Vec<RouteDecision> {
+    let mut router = Router::new(settings.clone(), seed, START);
+    router.update_endpoints(START, &endpoint_list(4, 2), true);
+    if let Some((object, at)) = purge {
+        router.record_purge(at, object, 3, 0);
     }
     let mut rng = Pcg32::seed_from_u64(seed);
     let mut routes = Vec::new();
     for i in 0..60 {
         let now = from + i * 20 * MS;
-        let mut lk = new_request(rng.random_range(0..4), now);
-        lk.group = if rng.random_bool(0.7) { 3 } else { 4 };
-        let route = route_and_record(&mut c, now, &mut lk);
+        let mut request = new_request(rng.random_range(0..4), now);
+        request.group = if rng.random_bool(0.7) { 3 } else { 4 };
+        let route = route_and_record(&mut router, now, &mut request);
         if let RouteDecision::Attempt(_) = route {
             let outcomes =
                 [Outcome::Success, Outcome::Success, Outcome::Overloaded, Outcome::Miss, Outcome::TimedOut];
             let outcome = outcomes[rng.random_range(0..outcomes.len())];
-            if finish_last(&mut c, now + 10 * MS, &mut lk, outcome) == NextStep::Retry {
-                routes.push(route_and_record(&mut c, now + 12 * MS, &mut lk));
+            if finish_last(&mut router, now + 10 * MS, &mut request, outcome) == NextStep::Retry {
+                routes.push(route_and_record(&mut router, now + 12 * MS, &mut request));
             }
         }
         routes.push(route);
@@ -49,33 +51,38 @@
     routes
 }
 
-/// For purges of an object and of a group, classes that are fresh until purged, that age, and that may then be
-/// served stale. How many decisions are the same, and how many differ.
-fn differ(before: Ns, of: impl Fn(&RetentionWindow) -> Ns) -> (usize, usize) {
+/// Returns how many decision sequences are the same with and without the purge, and how many differ. The decisions
+/// begin `before` ahead of the time that `lifetime` returns. The cases are purges of an object and of a group, and
+/// request classes whose copies are fresh until purged, that expire, and that may be served stale after that.
+fn count_same_and_different(before: Ns, lifetime: impl Fn(&RetentionWindow) -> Ns) -> (usize, usize) {
     let at = START + SEC;
-    let (mut same, mut other) = (0, 0);
+    let (mut same, mut different) = (0, 0);
     for purge_propagation in [0, 6 * SEC, 90 * SEC] {
         for (fresh_for, stale_for) in [(0, 0), (3_600 * SEC, 0), (3_600 * SEC, 600 * SEC)] {
             for (object, seed) in (0..40).map(|s| ((s % 2 == 0).then_some(s % 4), s)) {
-                let set = with(purge_propagation, fresh_for, stale_for);
+                let settings = settings_with(purge_propagation, fresh_for, stale_for);
                 let window =
                     RetentionWindow { purge_propagation, hold_time: PURGE_HOLD_TIME, clock_tolerance: 0 };
-                let from = at + of(&window) - before;
-                let received = decides(&set, Some((object, at)), from, seed);
-                let missed = decides(&set, None, from, seed);
-                if received == missed { same += 1 } else { other += 1 }
+                let from = at + lifetime(&window) - before;
+                let received = decisions(&settings, Some((object, at)), from, seed);
+                let missed = decisions(&settings, None, from, seed);
+                if received == missed { same += 1 } else { different += 1 }
             }
         }
     }
-    (same, other)
+    (same, different)
 }
 
 #[test]
 fn a_purge_past_its_lifetime_changes_no_decision_and_a_younger_one_does() {
-    assert_eq!(differ(0, RetentionWindow::purge_lifetime), (360, 0), "at the end of its lifetime");
-    let (same, other) = differ(50 * MS, RetentionWindow::purge_lifetime);
-    assert!(other > 250, "50 ms before it: {other} of {} differ", same + other);
-    // Of the log's own rule in Unix milliseconds, which rounds up.
+    assert_eq!(
+        count_same_and_different(0, RetentionWindow::purge_lifetime),
+        (360, 0),
+        "at the end of its lifetime"
+    );
+    let (same, different) = count_same_and_different(50 * MS, RetentionWindow::purge_lifetime);
+    assert!(different > 250, "50 ms before it: {different} of {} differ", same + different);
+    // The log applies the same rule in Unix milliseconds, rounded up.
     let window = RetentionWindow {
         purge_propagation: 6 * SEC + 1,
         hold_time: PURGE_HOLD_TIME,
--- a/crates/relay/tests/status_format.rs
+++ b/crates/relay/tests/status_format.rs
@@ -1,4 +1,4 @@
-//! The JSON that operators and scripts read of relays, and the text of the event stream.
+//! Format of the relays' status JSON, which operators and scripts read, and of the event stream.
 
 use std::fmt::Debug;
 
@@ -9,12 +9,12 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-fn holds<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, text: &str) {
+fn assert_json<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, text: &str) {
     assert_eq!(serde_json::to_string(value).expect("encoded"), text);
     assert_eq!(&serde_json::from_str::<T>(text).expect("decoded"), value);
 }
 
-fn seen() -> SubscriberStatus {
+fn subscriber() -> SubscriberStatus {
     SubscriberStatus {
         name: "n5".into(),
         number: 41,
@@ -28,20 +28,21 @@
     AppliedSince { number, unix_ms }
 }
 
-const SEEN: &str = r#"{"name":"n5","number":41,"heard_ms_ago":120,"connected":true,"missing":false}"#;
-const NEVER_SEEN: &str = r#"{"name":"n6","number":0,"heard_ms_ago":null,"connected":false,"missing":true}"#;
+const SUBSCRIBER: &str = r#"{"name":"n5","number":41,"heard_ms_ago":120,"connected":true,"missing":false}"#;
+const SUBSCRIBER_WITHOUT_REPORT: &str =
+    r#"{"name":"n6","number":0,"heard_ms_ago":null,"connected":false,"missing":true}"#;
 
 #[test]
 fn status_of_a_relay() {
-    let never = SubscriberStatus {
+    let without_report = SubscriberStatus {
         name: "n6".into(),
         number: 0,
         last_seen_age_ms: None,
         connected: false,
         missing: true,
     };
-    holds(&seen(), SEEN);
-    holds(&never, NEVER_SEEN);
+    assert_json(&subscriber(), SUBSCRIBER);
+    assert_json(&without_report, SUBSCRIBER_WITHOUT_REPORT);
     let status = RelayStatus {
         name: "relay-0".into(),
         unix_ms: 1_700_000_000_000,
@@ -56,7 +57,7 @@
         endpoints: Some(5),
         floor: 41,
         floor_history: vec![applied(40, 1_699_999_999_000), applied(41, 1_699_999_999_500)],
-        subscribers: vec![seen(), never],
+        subscribers: vec![subscriber(), without_report],
         recovering_ms: Some(7),
         reset_unix_ms: 1_699_000_000_000,
         rejected_tokens: 1,
@@ -64,11 +65,11 @@
     let text = format!(
         "{{\"name\":\"relay-0\",\"unix_ms\":1700000000000,\"role\":\"owner\",\"owner\":0,\"term\":3,\"fresh_ms\":2,\
          \"base\":10,\"last\":42,\"kept\":43,\"log_bytes\":1234,\"endpoints\":5,\"floor\":41,\
-         \"passed\":[[40,1699999999000],[41,1699999999500]],\"readers\":[{SEEN},{NEVER_SEEN}],\
+         \"passed\":[[40,1699999999000],[41,1699999999500]],\"readers\":[{SUBSCRIBER},{SUBSCRIBER_WITHOUT_REPORT}],\
          \"learning_ms\":7,\"anew_unix_ms\":1699000000000,\"refused\":1}}"
     );
-    holds(&status, &text);
-    holds(
+    assert_json(&status, &text);
+    assert_json(
         &RelayStatus::default(),
         "{\"name\":\"\",\"unix_ms\":0,\"role\":\"plain\",\"owner\":null,\"term\":0,\"fresh_ms\":null,\
          \"base\":0,\"last\":0,\"kept\":0,\"log_bytes\":0,\"endpoints\":null,\"floor\":0,\
@@ -78,43 +79,46 @@
 
 const MERGED: &str =
     r#"{"name":"n5","number":41,"heard_unix_ms":1699999999880,"connected":true,"relay":"relay-0"}"#;
-const NEVER_MERGED: &str =
+const MERGED_WITHOUT_REPORT: &str =
     r#"{"name":"n6","number":0,"heard_unix_ms":null,"connected":false,"relay":"relay-0"}"#;
 
 #[test]
 fn roles() {
     let roles = [(RelayRole::Leader, "owner"), (RelayRole::Voter, "voter"), (RelayRole::Plain, "plain")];
     for (role, name) in roles {
-        holds(&role, &format!("\"{name}\""));
+        assert_json(&role, &format!("\"{name}\""));
         assert_eq!(format!("{role:6}|"), format!("{name:6}|"));
     }
 }
 
 #[test]
-fn several_relays_together() {
-    let merged = |name: &str, number, heard_unix_ms: Option<u64>| MergedSubscriber {
+fn merged_statuses() {
+    let merged = |name: &str, number, last_seen: Option<u64>| MergedSubscriber {
         name: name.into(),
         number,
-        last_seen_unix_ms: heard_unix_ms,
-        connected: heard_unix_ms.is_some(),
+        last_seen_unix_ms: last_seen,
+        connected: last_seen.is_some(),
         relay: "relay-0".into(),
     };
-    let (seen, never) = (merged("n5", 41, Some(1_699_999_999_880)), merged("n6", 0, None));
-    holds(&seen, MERGED);
-    holds(&never, NEVER_MERGED);
-    let whole = FleetView {
-        subscribers: vec![seen, never.clone()],
+    let (subscriber, without_report) = (merged("n5", 41, Some(1_699_999_999_880)), merged("n6", 0, None));
+    assert_json(&subscriber, MERGED);
+    assert_json(&without_report, MERGED_WITHOUT_REPORT);
+    let fleet = FleetView {
+        subscribers: vec![subscriber, without_report.clone()],
         floor_history: vec![applied(41, 1_699_999_999_500)],
         last_number: 42,
     };
+    let text = format!(
+        "{{\"readers\":[{MERGED},{MERGED_WITHOUT_REPORT}],\"passed\":[[41,1699999999500]],\"last\":42}}"
+    );
+    assert_json(&fleet, &text);
+    let applied_everywhere =
+        AppliedStatus { number: 41, since_unix_ms: Some(1_699_999_999_500), missing: vec![without_report] };
     let text =
-        format!("{{\"readers\":[{MERGED},{NEVER_MERGED}],\"passed\":[[41,1699999999500]],\"last\":42}}");
-    holds(&whole, &text);
-    let since = AppliedStatus { number: 41, since_unix_ms: Some(1_699_999_999_500), missing: vec![never] };
-    let text = format!("{{\"number\":41,\"since_unix_ms\":1699999999500,\"missing\":[{NEVER_MERGED}]}}");
-    holds(&since, &text);
-    let not_yet = AppliedStatus { number: 42, since_unix_ms: None, missing: Vec::new() };
-    holds(&not_yet, r#"{"number":42,"since_unix_ms":null,"missing":[]}"#);
+        format!("{{\"number\":41,\"since_unix_ms\":1699999999500,\"missing\":[{MERGED_WITHOUT_REPORT}]}}");
+    assert_json(&applied_everywhere, &text);
+    let not_applied = AppliedStatus { number: 42, since_unix_ms: None, missing: Vec::new() };
+    assert_json(&not_applied, r#"{"number":42,"since_unix_ms":null,"missing":[]}"#);
 }
 
 #[test]
@@ -133,13 +137,13 @@
     assert_eq!(Event::snapshot(3, [].into_iter()).body(), body);
 
     const MS: u64 = 1_000_000;
-    let mut known = Staleness::unknown();
-    assert_eq!(known.to_comment(5 * MS), ": fresh - owner - term -\n\n");
-    known.record(10 * MS, 0, None);
-    assert_eq!(known.to_comment(12 * MS), ": fresh 2 owner - term -\n\n");
+    let mut staleness = Staleness::unknown();
+    assert_eq!(staleness.to_comment(5 * MS), ": fresh - owner - term -\n\n");
+    staleness.record(10 * MS, 0, None);
+    assert_eq!(staleness.to_comment(12 * MS), ": fresh 2 owner - term -\n\n");
     let token = FencingToken { term: 3, holder: Member { number: 7, incarnation: 0 } };
-    known.record(12 * MS, 0, Some(token));
-    assert_eq!(known.to_comment(14 * MS), ": fresh 2 owner 7 term 3\n\n");
+    staleness.record(12 * MS, 0, Some(token));
+    assert_eq!(staleness.to_comment(14 * MS), ": fresh 2 owner 7 term 3\n\n");
     assert_eq!(
         Staleness::parse_comment(" fresh 2 owner 7 term 3"),
         Some(StalenessComment { age: 2 * MS, leader: Some(token) })
@@ -161,7 +165,7 @@
     ("since_ms", "0"),
 ];
 
-/// A list event with one endpoint of these fields.
+/// Returns a list event with one endpoint that has these fields.
 fn list(fields: impl Iterator<Item = (&'static str, &'static str)>) -> String {
     let fields: Vec<String> = fields.map(|(key, value)| format!("\"{key}\":{value}")).collect();
     let endpoint = fields.join(",");
@@ -169,7 +173,7 @@
 }
 
 #[test]
-fn keys_of_an_endpoint() {
+fn all_keys_of_an_endpoint_are_required() {
     for status in ["\"ready\"", "\"draining\"", "\"gone\""] {
         let text = list(ENDPOINT.into_iter().map(|(k, v)| (k, if k == "status" { status } else { v })));
         let event = Event::parse(text.as_bytes(), 1_000).expect("a list").event;
@@ -177,9 +181,9 @@
     }
     for (missing, _) in ENDPOINT {
         let text = list(ENDPOINT.into_iter().filter(|(key, _)| *key != missing));
-        let fault = Event::parse(text.as_bytes(), 1_000).expect_err("a fault").to_string();
+        let error = Event::parse(text.as_bytes(), 1_000).expect_err("an error").to_string();
         let name = if missing == "name" { "" } else { "n1" };
         let expected = format!("members: endpoint 0 ({name}): missing field `{missing}` at line 1 column ");
-        assert!(fault.starts_with(&expected), "{fault}");
+        assert!(error.starts_with(&expected), "{error}");
     }
 }
