--- a/crates/relay-server/src/bin/test-relay.rs
+++ b/crates/relay-server/src/bin/test-relay.rs
@@ -1,11 +1,11 @@
-//! A relay as a process of its own, for tests: `sablecross relay run FILE` does the same.
+//! Runs a relay in a process of its own, for tests. `sablecross relay run FILE` does the same.
 
 use std::path::Path;
 use std::process::ExitCode;
 
 use sablecross_relay_server::{RelayServerConfig, process};
 
-const EXIT_UNUSABLE: u8 = 2;
+const EXIT_CONFIG_ERROR: u8 = 2;
 
 fn main() -> ExitCode {
     let file = std::env::args_os().nth(1).unwrap_or_default();
@@ -13,7 +13,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(lines) => {
             lines.iter().for_each(|line| eprintln!("{line}"));
-            ExitCode::from(EXIT_UNUSABLE)
+            ExitCode::from(EXIT_CONFIG_ERROR)
         }
     }
 }
--- a/crates/relay-server/src/connection.rs
+++ b/crates/relay-server/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection that came in: what was read, what waits to be written, and how it ends.
+//! One accepted connection: its input and output buffers, its state and its shutdown.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{IpAddr, Shutdown};
@@ -7,23 +7,24 @@
 use mio::net::TcpStream;
 use sablecross_coordination::Ns;
 
-/// Bytes that are read of one connection before the others have their turn.
-const READ_BUDGET: usize = 256 << 10;
-const READ_CHUNK: usize = 16_384;
-/// A buffer with a larger capacity is freed once it is empty.
-const KEPT_CAPACITY: usize = 4_096;
-/// How many bytes a subscriber may send while it is sent events.
+/// How many bytes are read from one connection before the other connections are served.
+const READ_BUDGET_BYTES: usize = 256 << 10;
+const READ_CHUNK_BYTES: usize = 16_384;
+/// An empty buffer with a larger capacity than this is freed.
+const MAX_IDLE_CAPACITY_BYTES: usize = 4_096;
+/// How many bytes a subscriber may send while its event stream is open. They are ignored; with more, the connection
+/// is dropped.
 const MAX_IGNORED_BYTES: usize = 64 << 10;
 
-/// A stream of events.
+/// State of an event stream to a subscriber.
 #[derive(Debug)]
 pub(crate) struct EventStream {
     pub(crate) subscriber: Arc<str>,
-    /// The number up to which it was sent.
+    /// Number of the last event that was queued on this stream.
     pub(crate) cursor: u64,
-    /// The most bytes that are handed to it at a time.
+    /// Target size of one batch of events in bytes; a larger event is sent alone.
     pub(crate) batch_bytes: usize,
-    /// When it ends, so that its subscriber calls again.
+    /// When the relay ends the stream, so that the subscriber reconnects and reports what it has applied.
     pub(crate) ends_at: Ns,
     pub(crate) next_comment_at: Ns,
 }
@@ -31,44 +32,45 @@
 #[derive(Debug)]
 pub(crate) enum ConnectionState {
     AwaitingRequest,
-    /// A request was read and is to be answered.
+    /// A request was read and its response has not been sent yet.
     Responding {
-        /// The connection ends with the answer.
+        /// The connection is closed after the response.
         closes: bool,
     },
     Streaming(EventStream),
-    /// What waits is to be written, then the write side is shut.
+    /// The output buffer is being written; the write side is shut down after that.
     Closing,
-    /// All is written; what comes in is read and dropped until the other side closes, so that nothing is reset.
+    /// All output is written. Input is read and discarded until the peer closes: closing with unread input would reset
+    /// the connection, and the peer could lose the end of the response.
     Draining,
 }
 
-/// How far reading came.
+/// Why [`Connection::read`] stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReadOutcome {
-    /// Nothing more is there now.
+    /// The socket has no more input for now.
     Drained,
-    /// There may be more, to be read after others have had their turn.
+    /// The read budget is used up; there may be more input, to be read after the other connections were served.
     More,
-    /// The other side has closed.
+    /// The peer has closed its side.
     Closed,
 }
 
 #[derive(Debug)]
 pub(crate) struct Connection {
     stream: TcpStream,
-    /// Index of the listener that it came in by.
+    /// Index of the listener that accepted the connection.
     pub(crate) listener: usize,
     pub(crate) peer: IpAddr,
     pub(crate) state: ConnectionState,
-    /// What was read and not used.
+    /// Input that was received and not yet consumed by a request.
     pub(crate) input: Vec<u8>,
     ignored_bytes: usize,
     output: Vec<u8>,
-    /// How much of `output` is written.
+    /// How many bytes of `output` are written.
     written: usize,
-    has_wide_buffer: bool,
-    /// When a byte last went either way, or the state changed.
+    has_large_send_buffer: bool,
+    /// When request bytes were last read, bytes were last written, or the connection began to close.
     pub(crate) last_active: Ns,
 }
 
@@ -83,23 +85,23 @@
             ignored_bytes: 0,
             output: Vec::new(),
             written: 0,
-            has_wide_buffer: false,
+            has_large_send_buffer: false,
             last_active: now,
         }
     }
 
-    /// The name of the subscriber, if this is a stream.
-    pub(crate) fn streaming_to(&self) -> Option<Arc<str>> {
+    /// Returns the name of the subscriber if an event stream is open on this connection.
+    pub(crate) fn streaming_subscriber(&self) -> Option<Arc<str>> {
         match &self.state {
             ConnectionState::Streaming(stream) => Some(Arc::clone(&stream.subscriber)),
             _ => None,
         }
     }
 
-    /// Gives the kernel a larger buffer: another relay is sent much at a time.
-    pub(crate) fn widen_buffer(&mut self, bytes: usize) {
-        if !std::mem::replace(&mut self.has_wide_buffer, true) {
-            // With a small buffer it is slower, nothing more.
+    /// Enlarges the kernel's send buffer, once: other relays are sent large batches.
+    pub(crate) fn enlarge_send_buffer(&mut self, bytes: usize) {
+        if !std::mem::replace(&mut self.has_large_send_buffer, true) {
+            // A failure is ignored: with a small buffer, sending is only slower.
             let _ = socket2::SockRef::from(&self.stream).set_send_buffer_size(bytes);
         }
     }
@@ -112,17 +114,17 @@
         self.unwritten_len() > 0
     }
 
-    /// Reads what there is, and keeps up to `max_input` bytes of requests. After an error the connection is to be
-    /// dropped.
+    /// Reads the available input, up to the read budget, and keeps at most `max_input` bytes of requests. The caller
+    /// must drop the connection after an error.
     pub(crate) fn read(&mut self, max_input: usize, now: Ns) -> Result<ReadOutcome, ErrorKind> {
-        let mut chunk = [0; READ_CHUNK];
+        let mut chunk = [0; READ_CHUNK_BYTES];
         let mut total = 0;
-        while total < READ_BUDGET {
+        while total < READ_BUDGET_BYTES {
             match self.stream.read(&mut chunk) {
                 Ok(0) => return Ok(ReadOutcome::Closed),
                 Ok(n) => {
                     total += n;
-                    self.take_input(&chunk[..n], max_input, now)?;
+                    self.handle_input(&chunk[..n], max_input, now)?;
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(ReadOutcome::Drained),
@@ -132,7 +134,7 @@
         Ok(ReadOutcome::More)
     }
 
-    fn take_input(&mut self, bytes: &[u8], max_input: usize, now: Ns) -> Result<(), ErrorKind> {
+    fn handle_input(&mut self, bytes: &[u8], max_input: usize, now: Ns) -> Result<(), ErrorKind> {
         match self.state {
             ConnectionState::AwaitingRequest | ConnectionState::Responding { .. } => {
                 self.last_active = now;
@@ -152,15 +154,15 @@
         Ok(())
     }
 
-    /// Drops so many bytes of the input.
+    /// Removes this many bytes from the front of the input.
     pub(crate) fn consume(&mut self, bytes: usize) {
         self.input.drain(..bytes.min(self.input.len()));
-        if self.input.is_empty() && self.input.capacity() > KEPT_CAPACITY {
+        if self.input.is_empty() && self.input.capacity() > MAX_IDLE_CAPACITY_BYTES {
             self.input = Vec::new();
         }
     }
 
-    /// Writes this behind what waits, and keeps what can't be written now.
+    /// Writes the buffered output and then `bytes`, and buffers what the socket does not accept now.
     pub(crate) fn send(&mut self, bytes: &[u8], now: Ns) -> Result<(), ErrorKind> {
         self.flush(now)?;
         let mut rest = bytes;
@@ -180,7 +182,7 @@
         Ok(())
     }
 
-    /// Writes what waits; once all is written, shuts the write side of a connection that is closing.
+    /// Writes the buffered output. When all of it is written, shuts down the write side of a closing connection.
     pub(crate) fn flush(&mut self, now: Ns) -> Result<(), ErrorKind> {
         while self.has_unwritten() {
             match self.stream.write(&self.output[self.written..]) {
@@ -209,12 +211,12 @@
         }
         self.written = 0;
         self.output.clear();
-        if self.output.capacity() > KEPT_CAPACITY {
+        if self.output.capacity() > MAX_IDLE_CAPACITY_BYTES {
             self.output = Vec::new();
         }
     }
 
-    /// Ends the connection once what waits is written.
+    /// Closes the connection after the buffered output is written.
     pub(crate) fn close(&mut self, now: Ns) -> Result<(), ErrorKind> {
         if !matches!(self.state, ConnectionState::Draining) {
             self.state = ConnectionState::Closing;
--- a/crates/relay-server/src/http.rs
+++ b/crates/relay-server/src/http.rs
@@ -1,18 +1,18 @@
-//! Heads of requests, and responses.
+//! Parses request heads and builds responses.
 
 use thiserror::Error;
 
-/// The longest head of a request.
+/// Longest request head in bytes.
 pub(crate) const MAX_HEAD_BYTES: usize = 8_192;
 const MAX_HEADERS: usize = 48;
-const MAX_KEY_BYTES: usize = sablecross_relay::log::MAX_IDEMPOTENCY_KEY_BYTES;
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = sablecross_relay::log::MAX_IDEMPOTENCY_KEY_BYTES;
 
-/// What a client asks for.
+/// The operation that a request asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Operation {
     /// `GET /v1/events`.
     Subscribe {
-        /// The events after this number.
+        /// From `Last-Event-ID`: the stream starts after the event with this number.
         after: u64,
     },
     /// `GET /v1/status`.
@@ -28,25 +28,25 @@
     ReportApplied,
 }
 
-/// The calling relay, as its headers tell.
+/// The relay that sent a request, as its headers identify it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CallingRelay {
     /// `Sablecross-Relay`: its number.
     pub(crate) number: u32,
-    /// `Sablecross-In-Force`: what it and all its subscribers have applied.
+    /// `Sablecross-In-Force`: the number that it and all its subscribers have applied.
     pub(crate) applied_number: Option<u64>,
 }
 
-/// The head of a request.
+/// A parsed request head.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RequestHead {
     pub(crate) operation: Operation,
     pub(crate) relay: Option<CallingRelay>,
-    /// Bytes of the head.
+    /// Length of the head in bytes.
     pub(crate) head_len: usize,
-    /// Bytes of the body.
+    /// Length of the body in bytes.
     pub(crate) body_len: usize,
-    /// The connection ends with the response.
+    /// The connection is closed after the response.
     pub(crate) closes: bool,
 }
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// What the headers of a request say.
+/// Values of the request headers that the relay uses.
 #[derive(Default)]
 struct Headers {
     content_length: usize,
@@ -76,32 +76,33 @@
 }
 
 impl Headers {
-    fn read(headers: &[httparse::Header]) -> Result<Headers, RequestError> {
-        let mut read = Headers::default();
+    fn parse(headers: &[httparse::Header]) -> Result<Headers, RequestError> {
+        let mut parsed = Headers::default();
         for header in headers {
             let value = std::str::from_utf8(header.value).unwrap_or("").trim();
-            read.set(&header.name.to_ascii_lowercase(), value)?;
+            parsed.set(&header.name.to_ascii_lowercase(), value)?;
         }
-        Ok(read)
+        Ok(parsed)
     }
 
     fn set(&mut self, name: &str, value: &str) -> Result<(), RequestError> {
-        let bad = |reason: &str| RequestError::new(400, reason);
+        let bad_request = |reason: &str| RequestError::new(400, reason);
         match name {
             "content-length" => {
-                self.content_length = value.parse().map_err(|_| bad("Content-Length: not a length"))?;
+                self.content_length =
+                    value.parse().map_err(|_| bad_request("Content-Length: not a length"))?;
             }
             "transfer-encoding" => return Err(RequestError::new(411, "bodies come with Content-Length")),
             "last-event-id" => {
-                self.last_event_id = value.parse().map_err(|_| bad("Last-Event-ID: not a number"))?;
+                self.last_event_id = value.parse().map_err(|_| bad_request("Last-Event-ID: not a number"))?;
             }
             "connection" if value.eq_ignore_ascii_case("close") => self.closes = true,
             "sablecross-relay" => self.relay_number = value.parse().ok(),
             "sablecross-in-force" => self.applied_number = value.parse().ok(),
             "sablecross-mark" => {
-                if value.is_empty() || value.len() > MAX_KEY_BYTES {
-                    return Err(bad(&format!(
-                        "Sablecross-Mark: between 1 and {MAX_KEY_BYTES} bytes of UTF-8"
+                if value.is_empty() || value.len() > MAX_IDEMPOTENCY_KEY_BYTES {
+                    return Err(bad_request(&format!(
+                        "Sablecross-Mark: between 1 and {MAX_IDEMPOTENCY_KEY_BYTES} bytes of UTF-8"
                     )));
                 }
                 self.idempotency_key = Some(value.to_owned());
@@ -112,7 +113,7 @@
     }
 }
 
-/// Reads the head of the request that the bytes begin with; none while it is not complete.
+/// Parses the request head at the start of `bytes`. Returns `None` while it is incomplete.
 pub(crate) fn parse_head(bytes: &[u8]) -> Result<Option<RequestHead>, RequestError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
@@ -125,7 +126,7 @@
         }
         Err(e) => return Err(RequestError::new(400, format!("not HTTP: {e}"))),
     };
-    let headers = Headers::read(parsed.headers)?;
+    let headers = Headers::parse(parsed.headers)?;
     let is_http_1_0 = parsed.version == Some(0);
     let path = parsed.path.unwrap_or("").split('?').next().unwrap_or("");
     let operation = match (parsed.method.unwrap_or(""), path) {
@@ -149,7 +150,7 @@
     }))
 }
 
-/// A response with its body.
+/// Builds a response with a body. `closes`: the connection is closed after it.
 pub(crate) fn response(code: u16, content_type: &str, body: &[u8], closes: bool) -> Vec<u8> {
     let content_type =
         if body.is_empty() { String::new() } else { format!("Content-Type: {content_type}\r\n") };
@@ -178,6 +179,6 @@
     }
 }
 
-/// The head of a stream of events, which ends with its connection.
+/// Response head of an event stream. It has no length: the end of the connection ends the stream.
 pub(crate) const STREAM_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\
     Cache-Control: no-store\r\nConnection: close\r\n\r\n";
--- a/crates/relay-server/src/lib.rs
+++ b/crates/relay-server/src/lib.rs
@@ -1,7 +1,7 @@
-//! The relay as a process: sockets, settings and signals around `sablecross_relay`, which decides everything.
+//! Runs a relay as a process: sockets, settings and signals. `sablecross_relay` makes all decisions.
 //!
-//! One thread serves all connections and never blocks on one. Others wait for other processes: one for each voter that
-//! is called, one for the upstream, one for reports that are forwarded, one for signals.
+//! One thread serves all connections and never blocks on a single one. Further threads do blocking I/O: one for each
+//! other voter, one for the upstream, one for forwarded reports and one for signals.
 
 mod connection;
 mod http;
--- a/crates/relay-server/src/log_rate_limiter.rs
+++ b/crates/relay-server/src/log_rate_limiter.rs
@@ -1,11 +1,11 @@
-//! Limits log lines on what others do wrong, so that nobody fills the log.
+//! Limits the rate of log lines about faults of other programs, so that none of them can flood the log.
 
 use sablecross_coordination::Ns;
 
-const PERIOD: Ns = 1_000_000_000;
+const PERIOD_NS: Ns = 1_000_000_000;
 const MAX_LINES_PER_PERIOD: u32 = 10;
 
-/// Admits a few lines a second and counts the rest.
+/// Admits a limited number of lines each second and counts the suppressed ones.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LogRateLimiter {
     period_start: Ns,
@@ -14,9 +14,10 @@
 }
 
 impl LogRateLimiter {
-    /// Whether a line may be logged now: if so, how many were suppressed since the last.
+    /// Returns `None` if a line must be suppressed now. Otherwise returns how many lines were suppressed since the last
+    /// admitted one.
     pub(crate) fn admit(&mut self, now: Ns) -> Option<u64> {
-        if now >= self.period_start + PERIOD {
+        if now >= self.period_start + PERIOD_NS {
             self.period_start = now;
             self.lines = 0;
         }
--- a/crates/relay-server/src/peer_client.rs
+++ b/crates/relay-server/src/peer_client.rs
@@ -1,4 +1,4 @@
-//! A blocking HTTP client for relays, which keeps its connection.
+//! A blocking HTTP client for relays that keeps its connection open between requests.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -6,7 +6,7 @@
 
 use thiserror::Error;
 
-const READ_CHUNK: usize = 16_384;
+const READ_CHUNK_BYTES: usize = 16_384;
 const MAX_HEADERS: usize = 32;
 
 /// Why a request has no response.
@@ -15,66 +15,66 @@
     /// The connection failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// What came isn't HTTP.
-    #[error("the answer is not HTTP: {0}")]
+    /// The response is not valid HTTP.
+    #[error("the response is not HTTP: {0}")]
     NotHttp(httparse::Error),
-    /// The response has a body of unknown length.
-    #[error("the answer has no length")]
+    /// The response has no valid `Content-Length`.
+    #[error("the response has no valid Content-Length")]
     MissingLength,
-    /// The body has more bytes than allowed.
-    #[error("the answer has {bytes} bytes, more than {limit}")]
+    /// The response's body is larger than allowed.
+    #[error("the response body has {bytes} bytes, more than {limit}")]
     TooLong {
-        /// Its bytes.
+        /// Size of the body in bytes.
         bytes: usize,
-        /// How many it may have.
+        /// Largest size that is allowed, in bytes.
         limit: usize,
     },
-    /// There was no response in this time.
-    #[error("no answer in {0:?}")]
+    /// There was no complete response within this time.
+    #[error("no response in {0:?}")]
     TimedOut(Duration),
 }
 
-/// A response.
+/// A response to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HttpResponse {
     /// Status code.
     pub code: u16,
-    /// The body, in full.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
-/// Calls one relay; the connection is made when it is needed, and kept.
+/// Sends requests to one relay, over a connection that is opened on demand and kept open.
 #[derive(Debug)]
 pub struct PeerClient {
     address: SocketAddr,
-    /// For a whole request and its response.
+    /// Limit for sending a request and reading its response.
     timeout: Duration,
     max_body_bytes: usize,
     connection: Option<TcpStream>,
 }
 
-/// The head of a response.
+/// The fields of a response head that are used.
 struct ResponseHead {
     code: u16,
     head_len: usize,
     body_len: usize,
-    /// The connection ends with the response.
+    /// The server closes the connection after the response.
     closes: bool,
 }
 
 impl PeerClient {
-    /// A client for this address. A request with its response may take `timeout`, the response's body have
-    /// `max_body_bytes`.
+    /// Creates a client for this address. A request fails if its response takes longer than `timeout` or has a body of
+    /// more than `max_body_bytes`.
     pub fn new(address: SocketAddr, timeout: Duration, max_body_bytes: usize) -> PeerClient {
         PeerClient { address, timeout, max_body_bytes, connection: None }
     }
 
-    /// Whom it calls.
+    /// Returns the address of the relay.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sends a request and waits for the response. `headers`: whole lines, each with its end.
+    /// Sends a request and waits for the response. `headers` holds complete header lines, each ending in CRLF.
     pub fn request(
         &mut self,
         method: &str,
@@ -97,7 +97,7 @@
             None => self.connect()?,
         };
         let (response, closes) = match self.exchange(&mut stream, &request, deadline) {
-            // The other side may have closed a connection that was kept.
+            // The server may have closed an idle connection; the request is sent again on a new one.
             Err(CallError::Io(error)) if was_kept && is_disconnect(&error) => {
                 stream = self.connect()?;
                 self.exchange(&mut stream, &request, deadline)?
@@ -116,7 +116,7 @@
         Ok(stream)
     }
 
-    /// The response, and whether the connection ends with it.
+    /// Returns the response, and whether the server closes the connection after it.
     fn exchange(
         &self,
         stream: &mut TcpStream,
@@ -126,7 +126,7 @@
         stream.set_write_timeout(Some(self.time_left(deadline)?))?;
         stream.write_all(request)?;
         let mut received = Vec::new();
-        let mut chunk = [0; READ_CHUNK];
+        let mut chunk = [0; READ_CHUNK_BYTES];
         loop {
             if let Some(head) = self.parse_head(&received)?
                 && received.len() >= head.head_len + head.body_len
@@ -152,7 +152,7 @@
         if left.is_zero() { Err(CallError::TimedOut(self.timeout)) } else { Ok(left) }
     }
 
-    /// The head that the bytes begin with; none while it is not complete.
+    /// Parses the response head at the start of `bytes`. Returns `None` while it is incomplete.
     fn parse_head(&self, bytes: &[u8]) -> Result<Option<ResponseHead>, CallError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
--- a/crates/relay-server/src/process.rs
+++ b/crates/relay-server/src/process.rs
@@ -1,4 +1,4 @@
-//! A relay's process: its log, its signals, its end.
+//! Runs a relay as a process: sets up logging, handles signals, and exits.
 
 use std::io::stderr;
 
@@ -14,28 +14,28 @@
 use crate::server::{Server, ServerError};
 use crate::settings::RelayServerConfig;
 
-/// Which parts are logged, and from which level on; as for directors.
-const FILTER_VARIABLE: &str = "RUST_LOG";
-/// `json`: each line is an object; as for directors.
-const FORMAT_VARIABLE: &str = "SABLECROSS_LOG";
+/// Names the targets to log, each with its lowest level, as for directors.
+const LOG_FILTER_VARIABLE: &str = "RUST_LOG";
+/// With the value `json`, each log line is a JSON object, as for directors.
+const LOG_FORMAT_VARIABLE: &str = "SABLECROSS_LOG";
 
-fn start_logging() {
-    let filter = std::env::var(FILTER_VARIABLE).unwrap_or_default();
+fn init_logging() {
+    let filter = std::env::var(LOG_FILTER_VARIABLE).unwrap_or_default();
     let filter = filter.parse::<Targets>().ok().filter(|_| !filter.is_empty());
     let filter = filter.unwrap_or_else(|| Targets::new().with_default(Level::INFO));
     let lines = fmt::layer().with_writer(stderr).with_ansi(false);
-    let layer = match std::env::var(FORMAT_VARIABLE).as_deref() {
+    let layer = match std::env::var(LOG_FORMAT_VARIABLE).as_deref() {
         Ok("json") => lines.json().flatten_event(true).with_filter(filter).boxed(),
         _ => lines.with_filter(filter).boxed(),
     };
-    // A program that logs already keeps its own way.
+    // If the program has installed a subscriber already, that one stays.
     let _ = Registry::default().with(layer).try_init();
 }
 
-/// Runs a relay until SIGTERM, and for the short time in which it hands over and ends its streams. SIGUSR1 logs its
-/// status.
+/// Runs a relay until SIGTERM. After the signal it hands over leadership and ends its streams, which takes less than a
+/// second. SIGUSR1 logs the relay's status.
 pub fn run(config: RelayServerConfig) -> Result<(), ServerError> {
-    start_logging();
+    init_logging();
     let mut signals = Signals::new([SIGTERM, SIGUSR1]).map_err(ServerError::io("handling signals"))?;
     let (server, inbox) = Server::new(config)?;
     let forward_signals = move || {
@@ -50,7 +50,8 @@
     server.serve()
 }
 
-/// Ends this program with the one that started it, however that ends: then the pipe that this one reads is closed.
+/// Exits this process when its parent ends, for whatever reason: standard input, a pipe from the parent, is then
+/// closed.
 pub fn exit_with_parent() {
     std::thread::spawn(|| {
         let _ = std::io::copy(&mut std::io::stdin(), &mut std::io::sink());
--- a/crates/relay-server/src/publisher.rs
+++ b/crates/relay-server/src/publisher.rs
@@ -1,4 +1,5 @@
-//! A publisher's client: looks for the leader among the voters, and sends it an event until that is answered.
+//! A client for publishers: finds the leader among the voters, and sends it an event until a voter accepts or rejects
+//! it.
 
 use std::time::{Duration, Instant};
 
@@ -9,33 +10,33 @@
 use crate::settings::MemberForm;
 
 const MAX_RESPONSE_BYTES: usize = 64 << 10;
-/// Between two rounds of looking for the leader.
+/// Delay after each round of calls to all voters.
 const ROUND_DELAY: Duration = Duration::from_millis(50);
-/// How long one voter is waited for before another is called: a leader that is stopped is to cost no more than the
-/// lease after which there is another. A response takes some milliseconds; one that comes later is got again by the
-/// idempotency key.
+/// How long the client waits for one voter before it calls the next. A stopped leader must not cost more time than its
+/// lease, after which there is another leader. A response takes some milliseconds; if one comes too late, the event is
+/// sent again with the same idempotency key and gets the same result.
 const VOTER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why an event has no number.
+/// Why publishing an event failed_attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PublishCallError {
-    /// A voter rejected the event, and any other would.
+    /// A voter rejected the event; every other voter would reject it, too.
     #[error("{0}")]
     Rejected(String),
-    /// No voter has accepted it in time. It may be committed still: publish it again with the same key.
-    #[error("no answer in {timeout:?}; the last failure was: {last_failure}")]
+    /// No voter accepted the event in time. It may still be committed: publish it again with the same key.
+    #[error("no voter accepted the event in {timeout:?}; the last failure was: {last_failure}")]
     TimedOut {
-        /// How long a leader was looked for.
+        /// The timeout of the call.
         timeout: Duration,
-        /// What the last call came to.
+        /// Why the last call to a voter failed_attempt.
         last_failure: String,
     },
-    /// No member votes, so nobody accepts events.
-    #[error("no member votes: nobody takes events")]
+    /// No member is a voter, so no relay accepts events.
+    #[error("no member is a voter, so no relay accepts events")]
     NoVoters,
 }
 
-/// The body of a response.
+/// The JSON body of a voter's response.
 #[derive(Deserialize)]
 struct ResponseBody {
     #[serde(rename = "n")]
@@ -45,11 +46,11 @@
     leader: Option<u32>,
 }
 
-/// What a call of one voter came to.
-enum Attempt {
+/// Outcome of one call to one voter.
+enum AttemptOutcome {
     Accepted(u64),
     Rejected(String),
-    /// Another voter may accept it.
+    /// The call failed_attempt; another voter may accept the event.
     Failed {
         reason: String,
         leader: Option<u32>,
@@ -62,7 +63,7 @@
     client: PeerClient,
 }
 
-/// Publishes one event after another, and remembers who the leader was.
+/// Publishes events one at a time, and remembers which voter was the leader.
 #[derive(Debug)]
 pub struct Publisher {
     voters: Vec<VoterClient>,
@@ -71,7 +72,7 @@
 }
 
 impl Publisher {
-    /// A publisher for these voters.
+    /// Creates a publisher that calls these voters.
     pub fn new(voters: &[MemberForm]) -> Publisher {
         let client = |member: &MemberForm| VoterClient {
             number: member.number,
@@ -80,7 +81,8 @@
         Publisher { voters: voters.iter().map(client).collect(), current: 0 }
     }
 
-    /// Publishes an event's JSON and returns its number. A leader is looked for as long as `timeout`.
+    /// Publishes an event, given as JSON, and returns its number. Voters are called until one accepts or rejects the
+    /// event or `timeout` has passed.
     pub fn publish(
         &mut self,
         idempotency_key: &str,
@@ -96,23 +98,24 @@
             };
             calls += 1;
             let (reason, leader) = match voter.try_publish(&headers, event) {
-                Attempt::Accepted(number) => return Ok(number),
-                Attempt::Rejected(reason) => return Err(PublishCallError::Rejected(reason)),
-                Attempt::Failed { reason, leader } => (reason, leader),
+                AttemptOutcome::Accepted(number) => return Ok(number),
+                AttemptOutcome::Rejected(reason) => return Err(PublishCallError::Rejected(reason)),
+                AttemptOutcome::Failed { reason, leader } => (reason, leader),
             };
             if Instant::now() >= deadline {
                 return Err(PublishCallError::TimedOut { timeout, last_failure: reason });
             }
             let is_round_over = calls % self.voters.len() == 0;
-            self.select_next(leader, is_round_over);
+            self.select_next_voter(leader, is_round_over);
             if is_round_over {
                 std::thread::sleep(ROUND_DELAY);
             }
         }
     }
 
-    /// Calls whom the last voter takes for the leader; at the end of a round the next one in any case.
-    fn select_next(&mut self, leader: Option<u32>, is_round_over: bool) {
+    /// Selects the voter that the last one named as the leader, if any, or else the next one. At the end of a round it
+    /// is always the next one.
+    fn select_next_voter(&mut self, leader: Option<u32>, is_round_over: bool) {
         let next = (self.current + 1) % self.voters.len();
         let leader = leader.and_then(|number| self.voters.iter().position(|voter| voter.number == number));
         self.current = leader.filter(|_| !is_round_over).unwrap_or(next);
@@ -120,31 +123,31 @@
 }
 
 impl VoterClient {
-    fn try_publish(&mut self, headers: &str, event: &[u8]) -> Attempt {
+    fn try_publish(&mut self, headers: &str, event: &[u8]) -> AttemptOutcome {
         let address = self.client.address();
         match self.client.request("POST", "/v1/events", headers, event) {
             Ok(response) => self.read_response(&response),
-            Err(error) => failed(format!("{address}: {error}")),
+            Err(error) => failed_attempt(format!("{address}: {error}")),
         }
     }
 
-    fn read_response(&self, response: &HttpResponse) -> Attempt {
+    fn read_response(&self, response: &HttpResponse) -> AttemptOutcome {
         let (address, code) = (self.client.address(), response.code);
         let Ok(body) = serde_json::from_slice::<ResponseBody>(&response.body) else {
-            return failed(format!("{address}: answer {code}"));
+            return failed_attempt(format!("{address}: response status {code}"));
         };
         match body {
-            ResponseBody { number: Some(number), .. } if code == 200 => Attempt::Accepted(number),
-            ResponseBody { error: Some(error), .. } if code != 503 => Attempt::Rejected(error),
-            ResponseBody { error: Some(error), leader, .. } => Attempt::Failed {
+            ResponseBody { number: Some(number), .. } if code == 200 => AttemptOutcome::Accepted(number),
+            ResponseBody { error: Some(error), .. } if code != 503 => AttemptOutcome::Rejected(error),
+            ResponseBody { error: Some(error), leader, .. } => AttemptOutcome::Failed {
                 reason: format!("{address}: {error}"),
                 leader: leader.filter(|leader| *leader != self.number),
             },
-            _ => failed(format!("{address}: answer {code}")),
+            _ => failed_attempt(format!("{address}: response status {code}")),
         }
     }
 }
 
-fn failed(reason: String) -> Attempt {
-    Attempt::Failed { reason, leader: None }
+fn failed_attempt(reason: String) -> AttemptOutcome {
+    AttemptOutcome::Failed { reason, leader: None }
 }
--- a/crates/relay-server/src/server/accept.rs
+++ b/crates/relay-server/src/server/accept.rs
@@ -1,4 +1,4 @@
-//! Listeners, and the connections that come in by them.
+//! Listeners, and accepting connections from them.
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -12,21 +12,22 @@
 use crate::connection::{Connection, ConnectionState};
 use crate::settings::RelayServerConfig;
 
-/// Connections that may wait in the kernel until they are accepted.
+/// Size of the kernel's queue of connections that are not accepted yet.
 const BACKLOG: i32 = 1_024;
-/// What the kernel keeps for one subscriber (it takes twice as much): a slow one holds little memory.
+/// Size of the kernel's send buffer of a connection (the kernel doubles it). It is small so that slow subscribers
+/// take up little memory.
 const SEND_BUFFER_BYTES: usize = 16 << 10;
 
 pub(super) struct Listener {
     socket: TcpListener,
-    /// The subscriber whose address this is.
+    /// Name of the subscriber that this listener is reserved for, if any.
     pub(super) subscriber: Option<Arc<str>>,
-    /// More may wait than could be accepted: it is tried again on the next tick.
-    pub(super) retries: bool,
+    /// Accepting has failed, and connections may still be queued: it is retried on the next tick.
+    pub(super) needs_retry: bool,
 }
 
-/// The relay's own listener first, then those of single subscribers; their tokens are their indices.
-pub(super) fn listen_at_all(
+/// Opens the relay's own listener and then those of single subscribers. Their tokens are their indices.
+pub(super) fn open_listeners(
     config: &RelayServerConfig,
     registry: &Registry,
 ) -> Result<Vec<Listener>, ServerError> {
@@ -37,16 +38,16 @@
         .map(|subscriber| (subscriber.address, Some(Arc::from(subscriber.name.as_str()))));
     let mut listeners = Vec::new();
     for (address, subscriber) in own.chain(single) {
-        let mut socket = listen(address).map_err(|e| ServerError::Listen(address, e))?;
+        let mut socket = bind_listener(address).map_err(|e| ServerError::Listen(address, e))?;
         let token = Token(listeners.len());
         registry.register(&mut socket, token, Interest::READABLE).map_err(ServerError::io("polling"))?;
-        listeners.push(Listener { socket, subscriber, retries: false });
+        listeners.push(Listener { socket, subscriber, needs_retry: false });
     }
     Ok(listeners)
 }
 
-/// A listener, with the options that connections take over from it.
-fn listen(address: SocketAddr) -> io::Result<TcpListener> {
+/// Opens a listener, with the options that accepted connections inherit.
+fn bind_listener(address: SocketAddr) -> io::Result<TcpListener> {
     use socket2::{Domain, Protocol, Socket, Type};
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -59,10 +60,10 @@
 }
 
 impl Server {
-    /// Accepts all connections that wait at a listener.
+    /// Accepts all connections that are queued at a listener.
     pub(super) fn accept(&mut self, index: usize, now: Ns) {
         let Some(listener) = self.listeners.get_mut(index) else { return };
-        listener.retries = false;
+        listener.needs_retry = false;
         loop {
             let Some(listener) = self.listeners.get_mut(index) else { return };
             match listener.socket.accept() {
@@ -70,8 +71,8 @@
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
                 Err(e) => {
-                    // No descriptors, most likely.
-                    listener.retries = true;
+                    // Most likely the process has no file descriptors left.
+                    listener.needs_retry = true;
                     if let Some(suppressed) = self.rate_limiter.admit(now) {
                         tracing::warn!("relay accept failed: {e} left_out={suppressed}");
                     }
@@ -84,7 +85,7 @@
     fn add_connection(&mut self, listener: usize, mut stream: TcpStream, from: SocketAddr, now: Ns) {
         let limit = self.config.relay.connections;
         if self.connections.len() >= limit {
-            // Those that only wait for the other side to close make room first.
+            // Drop draining connections first: they only wait for the peer to close.
             self.connections.retain(|_, other| !matches!(other.state, ConnectionState::Draining));
         }
         if self.connections.len() >= limit {
@@ -102,10 +103,10 @@
         self.connections.insert(token, Connection::new(stream, listener, from.ip(), now));
     }
 
-    /// Accepts where that failed before.
+    /// Retries to accept connections from the listeners where that has failed.
     pub(super) fn retry_accepts(&mut self, now: Ns) {
         for index in 0..self.listeners.len() {
-            if self.listeners[index].retries {
+            if self.listeners[index].needs_retry {
                 self.accept(index, now);
             }
         }
--- a/crates/relay-server/src/server/events.rs
+++ b/crates/relay-server/src/server/events.rs
@@ -1,4 +1,4 @@
-//! What the threads report, and what the relay decides.
+//! Handles the events of the threads and runs the actions of the relay.
 
 use crossbeam_channel::TrySendError;
 use sablecross_coordination::Ns;
@@ -6,29 +6,31 @@
 use sablecross_relay::{Action, ApplyOutcome};
 
 use super::{INBOX_CAPACITY, Server, unix_ms};
-use crate::peers::{QueuedCall, ServerEvent, UpstreamError, UpstreamOrder};
+use crate::peers::{QueuedCall, ServerEvent, UpstreamError, UpstreamSubscription};
 
 impl Server {
-    /// Takes in what the threads have reported.
+    /// Handles the events that the threads have sent.
     pub(super) fn handle_inbox(&mut self, now: Ns) {
         for event in self.inbox.clone().try_iter().take(INBOX_CAPACITY) {
             match event {
                 ServerEvent::PeerReplied { voter, call_id, reply } => {
                     self.relay.on_peer_reply(now, unix_ms(), voter, call_id, *reply);
                 }
-                ServerEvent::UpstreamItems { call, items } => {
+                ServerEvent::UpstreamItems { subscription_id, items } => {
                     for item in items {
-                        if self.is_open_call(call) {
+                        if self.is_open_subscription(subscription_id) {
                             self.on_upstream_item(now, item);
                         }
                     }
                 }
-                ServerEvent::UpstreamEnded { call, result } if self.is_open_call(call) => {
+                ServerEvent::UpstreamEnded { subscription_id, result }
+                    if self.is_open_subscription(subscription_id) =>
+                {
                     self.on_upstream_ended(now, result);
                 }
                 ServerEvent::UpstreamEnded { .. } => {}
                 ServerEvent::ReportForwarded { connection, is_accepted } => {
-                    self.respond_later(connection, now, if is_accepted { 204 } else { 503 }, b"");
+                    self.send_deferred_response(connection, now, if is_accepted { 204 } else { 503 }, b"");
                 }
                 ServerEvent::Stop => self.stop(now),
                 ServerEvent::LogStatus => self.log_status(now),
@@ -36,8 +38,8 @@
         }
     }
 
-    fn is_open_call(&self, call: u64) -> bool {
-        self.upstream_call.is_some_and(|open| open.call == call)
+    fn is_open_subscription(&self, subscription_id: u64) -> bool {
+        self.upstream_subscription.is_some_and(|open| open.id == subscription_id)
     }
 
     fn stop(&mut self, now: Ns) {
@@ -47,7 +49,7 @@
         tracing::info!("relay stopping");
         self.stopping_since = Some(now);
         self.relay.hand_over(now);
-        // Who calls from here on goes elsewhere at once.
+        // With the listeners closed, new connections are refused, so clients turn to another relay at once.
         self.listeners.clear();
     }
 
@@ -58,13 +60,13 @@
     }
 
     fn on_upstream_ended(&mut self, now: Ns, result: Result<(), UpstreamError>) {
-        if let (Err(error), Some(open)) = (result, self.upstream_call) {
-            if self.lost_upstreams.insert(open.address) {
+        if let (Err(error), Some(open)) = (result, self.upstream_subscription) {
+            if self.failed_upstreams.insert(open.address) {
                 tracing::warn!("relay upstream lost at={}: {error}", open.address);
             }
             self.relay.on_upstream_failed(now);
         }
-        self.upstream_call = None;
+        self.upstream_subscription = None;
     }
 
     fn on_upstream_item(&mut self, now: Ns, item: StreamItem) {
@@ -77,49 +79,50 @@
                     if let Some(suppressed) = self.rate_limiter.admit(now) {
                         tracing::warn!("relay upstream resubscribed left_out={suppressed}: {reason}");
                     }
-                    self.upstream_call = None;
+                    self.upstream_subscription = None;
                 }
             }
         }
     }
 
     fn on_upstream_connected(&mut self) {
-        let Some(open) = self.upstream_call else { return };
-        let was_lost = self.lost_upstreams.remove(&open.address);
-        if was_lost || self.last_upstream != Some(open.address) {
+        let Some(open) = self.upstream_subscription else { return };
+        let had_failed = self.failed_upstreams.remove(&open.address);
+        if had_failed || self.last_upstream != Some(open.address) {
             self.last_upstream = Some(open.address);
             tracing::info!("relay upstream up at={} after={}", open.address, open.after);
         }
     }
 
-    /// Calls the upstream if none is called, or another one is to be followed.
+    /// Subscribes to the upstream that the relay selects, unless that subscription is open already.
     pub(super) fn follow_upstream(&mut self, now: Ns) {
         if self.upstreams.is_empty() || self.stopping_since.is_some() {
             return;
         }
-        let Some(call) = self.relay.upstream_to_follow(now) else { return };
-        let Some(&address) = self.upstreams.get(call.upstream) else { return };
-        if self.upstream_call.is_some_and(|open| open.address == address) {
+        let Some(target) = self.relay.upstream_to_follow(now) else { return };
+        let Some(&address) = self.upstreams.get(target.upstream) else { return };
+        if self.upstream_subscription.is_some_and(|open| open.address == address) {
             return;
         }
-        self.upstream_calls += 1;
-        // A relay is sent the applied number apart from the one that the stream goes on from, so that it repeats
-        // nothing; a feed outside knows one number alone.
+        self.last_upstream_subscription_id += 1;
+        // A relay gets the applied number in a header of its own, so the stream continues after this relay's last event
+        // and repeats none. An external feed knows only one number, so its stream starts after the applied one.
         let is_outside = !self.config.upstreams.is_empty();
         let (after, applied_number) = if is_outside {
-            (call.applied_number, None)
+            (target.applied_number, None)
         } else {
-            (self.relay.last_number(), Some(call.applied_number))
+            (self.relay.last_number(), Some(target.applied_number))
         };
-        let order = UpstreamOrder { call: self.upstream_calls, address, after, applied_number };
-        match self.upstream_orders.try_send(order) {
-            Ok(()) => self.upstream_call = Some(order),
-            // The thread is busy with what is over: on the next tick.
+        let subscription =
+            UpstreamSubscription { id: self.last_upstream_subscription_id, address, after, applied_number };
+        match self.upstream_subscriptions.try_send(subscription) {
+            Ok(()) => self.upstream_subscription = Some(subscription),
+            // The thread has not taken earlier subscriptions yet; the event loop tries again.
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {}
         }
     }
 
-    /// Does what the relay decides.
+    /// Runs the actions that the relay requests, including those that result from running them.
     pub(super) fn run_actions(&mut self, now: Ns) {
         loop {
             let actions = self.relay.take_actions();
@@ -136,7 +139,7 @@
         match action {
             Action::Call { voter, call_id, request } => {
                 if let Some(Some(caller)) = self.voters.get(voter as usize) {
-                    // A full queue is that of a voter that hangs; what is dropped is sent again.
+                    // A queue is full if its voter hangs. The relay repeats the dropped call.
                     let _ = caller.try_send(QueuedCall { call_id, request });
                 }
             }
--- a/crates/relay-server/src/server/mod.rs
+++ b/crates/relay-server/src/server/mod.rs
@@ -1,7 +1,9 @@
-//! The event loop: listeners, connections, and the deciding relay between them. It never blocks on any of them.
+//! The event loop: it moves data between sockets and the [`Relay`], which makes all decisions. It never blocks on a
+//! single connection.
 //!
-//! `accept` takes connections in, `requests` reads and answers what they ask, `streams` sends events to subscribers,
-//! `events` takes in what the threads of `peers` report and does what the relay decides, `startup` builds all of it.
+//! `accept` accepts connections, `requests` reads requests and sends responses, `streams` sends events to
+//! subscribers, `events` handles the events of the threads in `peers` and runs the relay's actions, `startup`
+//! creates the server.
 
 mod accept;
 mod events;
@@ -24,37 +26,38 @@
 
 use crate::connection::Connection;
 use crate::log_rate_limiter::LogRateLimiter;
-use crate::peers::{AppliedReport, QueuedCall, ServerEvent, UpstreamOrder};
+use crate::peers::{AppliedReport, QueuedCall, ServerEvent, UpstreamSubscription};
 use crate::settings::{DescriptorLimitError, RelayServerConfig};
 use accept::Listener;
 use streams::SharedBatch;
 
 const NS_PER_MS: Ns = 1_000_000;
 const INBOX_TOKEN: Token = Token(usize::MAX);
-/// Connections have tokens from here on; those of listeners are below.
+/// Lowest token of a connection; lower tokens belong to listeners.
 const FIRST_CONNECTION_TOKEN: usize = 1 << 20;
-/// Events of threads that may wait for the loop.
+/// How many events of threads may be queued for the event loop.
 const INBOX_CAPACITY: usize = 1_024;
 const POLL_CAPACITY: usize = 1_024;
-/// After the signal to stop: how long leadership may take to be handed over, and streams to be read to their end.
-const HAND_OVER_TIME: Ns = 200 * NS_PER_MS;
-const SHUTDOWN_TIME: Ns = 700 * NS_PER_MS;
-/// What the kernel keeps for another relay, and what that is sent at a time.
-const RELAY_BUFFER_BYTES: usize = 1 << 20;
-/// Most bytes of entries in a call between voters, and what a call may have beside the largest event and the
-/// snapshot.
+/// How long after the signal to stop the process waits for leadership to be handed over, even without connections.
+const HANDOVER_TIMEOUT: Ns = 200 * NS_PER_MS;
+/// How long after the signal to stop the process waits at most for streams to be read to their end.
+const SHUTDOWN_TIMEOUT: Ns = 700 * NS_PER_MS;
+/// Size of the kernel's send buffer for another relay, and the smallest batch size for its event stream.
+const RELAY_SEND_BUFFER_BYTES: usize = 1 << 20;
+/// Most bytes of log entries in one call between voters. The body of a call may exceed `log-bytes`, which covers the
+/// largest event and the snapshot, by as much.
 const MAX_CALL_BYTES: usize = 1 << 20;
 
-/// Why a relay can't serve.
+/// Why a relay can't start or continue to serve.
 #[derive(Debug, Error)]
 pub enum ServerError {
-    /// The limits of the machine don't allow what the settings ask for.
+    /// The limit on file descriptors is too low for the settings.
     #[error(transparent)]
     Limit(#[from] DescriptorLimitError),
-    /// An address can't be listened at.
-    #[error("listening at {0}: {1}")]
+    /// Listening on an address failed.
+    #[error("listening on {0}: {1}")]
     Listen(SocketAddr, io::Error),
-    /// Something else that the operating system denies.
+    /// Another operation of the operating system failed.
     #[error("{0}: {1}")]
     Io(&'static str, io::Error),
 }
@@ -65,20 +68,20 @@
     }
 }
 
-/// Times of this program.
+/// The monotonic clock of this process.
 #[derive(Clone, Copy, Debug)]
 struct Clock(Instant);
 
 impl Clock {
-    /// Times begin here, so that moments before the start have a time, too.
-    const START: Ns = 60_000 * NS_PER_MS;
+    /// Time at the start of the process. It is above zero so that times before the start can be expressed.
+    const INITIAL_TIME: Ns = 60_000 * NS_PER_MS;
 
     fn start() -> Clock {
         Clock(Instant::now())
     }
 
     fn now(self) -> Ns {
-        Clock::START + u64::try_from(self.0.elapsed().as_nanos()).unwrap_or(Ns::MAX / 2)
+        Clock::INITIAL_TIME + u64::try_from(self.0.elapsed().as_nanos()).unwrap_or(Ns::MAX / 2)
     }
 }
 
@@ -86,7 +89,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |since| since.as_millis() as u64)
 }
 
-/// A relay with its sockets.
+/// A relay with its sockets and queues.
 pub(crate) struct Server {
     config: RelayServerConfig,
     clock: Clock,
@@ -96,32 +99,32 @@
     listeners: Vec<Listener>,
     connections: HashMap<usize, Connection>,
     next_token: usize,
-    /// Connections that had more to read than their turn.
-    unread: Vec<usize>,
-    /// Queues of the threads that call the voters, by the voters' indices; none for this one itself.
+    /// Tokens of connections that used up their read budget and may have more input.
+    pending_reads: Vec<usize>,
+    /// Queues of the threads that call the voters, by the voters' indices; `None` for this relay itself.
     voters: Vec<Option<Sender<QueuedCall>>>,
     upstreams: Vec<SocketAddr>,
-    upstream_orders: Sender<UpstreamOrder>,
-    /// The call of an upstream that is open.
-    upstream_call: Option<UpstreamOrder>,
-    upstream_calls: u64,
-    /// Upstreams that could not be called the last time.
-    lost_upstreams: BTreeSet<SocketAddr>,
-    /// The upstream that answered last.
+    upstream_subscriptions: Sender<UpstreamSubscription>,
+    /// The open subscription to an upstream.
+    upstream_subscription: Option<UpstreamSubscription>,
+    last_upstream_subscription_id: u64,
+    /// Upstreams whose last subscription failed.
+    failed_upstreams: BTreeSet<SocketAddr>,
+    /// The upstream that accepted a subscription last.
     last_upstream: Option<SocketAddr>,
     applied_reports: Sender<AppliedReport>,
     shared_batches: Vec<SharedBatch>,
     scratch: Vec<u8>,
     rate_limiter: LogRateLimiter,
     stopping_since: Option<Ns>,
-    /// New events are sent this often.
+    /// Interval of ticks, in which new events are sent to subscribers.
     batch_interval: Ns,
-    /// Spreads the ends of streams.
+    /// Randomly seeded, to derive the jitter of stream durations from subscribers' names.
     hasher: RandomState,
 }
 
 impl Server {
-    /// Serves until it has stopped.
+    /// Runs the event loop until the relay has stopped.
     pub(crate) fn serve(mut self) -> Result<(), ServerError> {
         let mut ready = Events::with_capacity(POLL_CAPACITY);
         let mut next_tick = self.clock.now();
@@ -141,7 +144,7 @@
             if self.has_stopped(now) {
                 return Ok(());
             }
-            let deadline = if self.unread.is_empty() { next_tick.min(next_step) } else { now };
+            let deadline = if self.pending_reads.is_empty() { next_tick.min(next_step) } else { now };
             let timeout = Duration::from_nanos(deadline.saturating_sub(self.clock.now()));
             match self.poll.poll(&mut ready, Some(timeout)) {
                 Err(e) if e.kind() != ErrorKind::Interrupted => return Err(ServerError::Io("polling", e)),
@@ -155,7 +158,7 @@
 
     fn has_stopped(&self, now: Ns) -> bool {
         self.stopping_since.is_some_and(|since| {
-            now >= since + SHUTDOWN_TIME || now >= since + HAND_OVER_TIME && self.connections.is_empty()
+            now >= since + SHUTDOWN_TIMEOUT || now >= since + HANDOVER_TIMEOUT && self.connections.is_empty()
         })
     }
 
@@ -170,29 +173,29 @@
                 }
             }
         }
-        for token in std::mem::take(&mut self.unread) {
+        for token in std::mem::take(&mut self.pending_reads) {
             self.on_connection_ready(token, now, true, false);
         }
     }
 
-    /// Reads and writes on a connection.
+    /// Reads from and writes to a connection that is ready.
     fn on_connection_ready(&mut self, token: usize, now: Ns, is_readable: bool, is_writable: bool) {
         let Some(mut connection) = self.connections.remove(&token) else { return };
-        let subscriber = connection.streaming_to();
+        let subscriber = connection.streaming_subscriber();
         let result = self.transfer(token, &mut connection, now, is_readable, is_writable);
-        self.put_back(token, connection, subscriber, result);
+        self.keep_or_drop(token, connection, subscriber, result);
     }
 
-    /// Keeps a connection, or drops it after an error. If it had a stream to `subscriber` that is over, the relay
-    /// is told.
-    fn put_back(
+    /// Keeps a connection, or drops it after an error. `subscriber` names the subscriber of the stream that was open
+    /// before; if that stream has ended, the relay is notified.
+    fn keep_or_drop(
         &mut self,
         token: usize,
         connection: Connection,
         subscriber: Option<Arc<str>>,
         result: Result<(), ErrorKind>,
     ) {
-        let subscriber_now = connection.streaming_to();
+        let subscriber_now = connection.streaming_subscriber();
         match result {
             Ok(()) => {
                 if let (Some(name), None) = (&subscriber, &subscriber_now) {
@@ -210,7 +213,7 @@
     }
 }
 
-/// Ticks keep their times, unless one was missed.
+/// Returns the time of the next tick. The schedule is kept, unless a whole interval was missed.
 fn next_tick_after(now: Ns, tick: Ns, interval: Ns) -> Ns {
     if now < tick + interval { tick + interval } else { now + interval }
 }
--- a/crates/relay-server/src/server/requests.rs
+++ b/crates/relay-server/src/server/requests.rs
@@ -1,4 +1,4 @@
-//! Requests that come in, and their responses.
+//! Handles requests and sends their responses.
 
 use std::io::ErrorKind;
 use std::net::IpAddr;
@@ -7,19 +7,20 @@
 use sablecross_relay::{EventError, PeerRequest, PublishError};
 use serde_json::json;
 
-use super::{MAX_CALL_BYTES, RELAY_BUFFER_BYTES, Server, unix_ms};
+use super::{MAX_CALL_BYTES, RELAY_SEND_BUFFER_BYTES, Server, unix_ms};
 use crate::connection::{Connection, ConnectionState, ReadOutcome};
 use crate::http::{self, Operation, RequestError, RequestHead};
 use crate::peers::AppliedReport;
 
-/// The largest report of a subscriber that is forwarded.
+/// Largest body of a subscriber's report.
 const MAX_REPORT_BYTES: usize = 4_096;
-const JSON: &str = "application/json";
-const MESSAGE_PACK: &str = "application/msgpack";
-const STOPPING: &[u8] = br#"{"error":"it stops"}"#;
+const CONTENT_TYPE_JSON: &str = "application/json";
+const CONTENT_TYPE_MESSAGE_PACK: &str = "application/msgpack";
+const STOPPING_BODY: &[u8] = br#"{"error":"it stops"}"#;
 
 impl Server {
-    /// Writes what waits, reads what came, and answers it. After an error the connection is to be dropped.
+    /// Writes buffered output, reads input and handles the requests in it. The caller must drop the connection after an
+    /// error.
     pub(super) fn transfer(
         &mut self,
         token: usize,
@@ -36,7 +37,7 @@
         }
         let outcome = connection.read(self.max_input_bytes(), now)?;
         if outcome == ReadOutcome::More {
-            self.unread.push(token);
+            self.pending_reads.push(token);
         }
         self.answer_requests(token, connection, now)?;
         match (&connection.state, outcome) {
@@ -48,7 +49,7 @@
         }
     }
 
-    /// The most that is kept of one connection's input: a whole request and the beginning of the next.
+    /// Limit on the buffered input of one connection: a complete request and the beginning of the next.
     fn max_input_bytes(&self) -> usize {
         2 * http::MAX_HEAD_BYTES + self.max_body_bytes()
     }
@@ -58,7 +59,7 @@
         if self.config.is_voter() { form.log_bytes + MAX_CALL_BYTES } else { form.event_bytes }
     }
 
-    /// Answers requests that have come in full, one after another, until one has to wait for its response.
+    /// Handles complete requests one after another, until one has to wait for its response.
     fn answer_requests(
         &mut self,
         token: usize,
@@ -113,13 +114,15 @@
             Operation::Subscribe { .. } if is_stopping => {
                 self.reject(connection, now, &RequestError::new(503, "it stops"))
             }
-            Operation::Subscribe { after } => self.begin_stream(connection, now, after, head.relay),
+            Operation::Subscribe { after } => self.start_stream(connection, now, after, head.relay),
             Operation::Status => {
                 let status = self.relay.status(now, unix_ms());
                 let body = serde_json::to_vec(&status).unwrap_or_default();
-                self.respond(connection, now, 200, JSON, &body)
+                self.respond(connection, now, 200, CONTENT_TYPE_JSON, &body)
+            }
+            Operation::Publish { .. } if is_stopping => {
+                self.respond(connection, now, 503, CONTENT_TYPE_JSON, STOPPING_BODY)
             }
-            Operation::Publish { .. } if is_stopping => self.respond(connection, now, 503, JSON, STOPPING),
             Operation::Publish { idempotency_key } => {
                 self.relay.publish(now, unix_ms(), token as u64, idempotency_key.as_deref(), &body);
                 Ok(())
@@ -137,13 +140,13 @@
                 return self.reject(connection, now, &error);
             }
         };
-        connection.widen_buffer(RELAY_BUFFER_BYTES);
+        connection.enlarge_send_buffer(RELAY_SEND_BUFFER_BYTES);
         let reply = self.relay.on_peer_request(now, unix_ms(), request);
         let body = rmp_serde::to_vec(&reply).unwrap_or_default();
-        self.respond(connection, now, 200, MESSAGE_PACK, &body)
+        self.respond(connection, now, 200, CONTENT_TYPE_MESSAGE_PACK, &body)
     }
 
-    /// Passes a subscriber's report on to the upstream; the response follows that of the upstream.
+    /// Forwards a subscriber's report to the upstream. The response is sent once the upstream has responded.
     fn forward_report(
         &mut self,
         token: usize,
@@ -151,8 +154,8 @@
         now: Ns,
         body: Vec<u8>,
     ) -> Result<(), ErrorKind> {
-        let call = self.relay.upstream_to_follow(now);
-        let upstream = call.and_then(|call| self.upstreams.get(call.upstream).copied());
+        let target = self.relay.upstream_to_follow(now);
+        let upstream = target.and_then(|target| self.upstreams.get(target.upstream).copied());
         let report = upstream.map(|upstream| AppliedReport { connection: token, upstream, body });
         if report.is_none_or(|report| self.applied_reports.try_send(report).is_err()) {
             self.respond(connection, now, 503, "", b"")?;
@@ -160,7 +163,7 @@
         Ok(())
     }
 
-    /// Sends the response to the request that was read.
+    /// Sends the response to the current request. Does nothing if no request is waiting for a response.
     pub(super) fn respond(
         &mut self,
         connection: &mut Connection,
@@ -179,7 +182,7 @@
         Ok(())
     }
 
-    /// Says why a request can't be served, and ends the connection.
+    /// Sends the reason why a request is rejected, and closes the connection.
     fn reject(
         &mut self,
         connection: &mut Connection,
@@ -193,15 +196,15 @@
         }
         connection.state = ConnectionState::Responding { closes: true };
         let body = json!({"error": reason}).to_string();
-        self.respond(connection, now, *code, JSON, body.as_bytes())
+        self.respond(connection, now, *code, CONTENT_TYPE_JSON, body.as_bytes())
     }
 
-    /// Answers a publisher. `token`: its connection.
+    /// Sends the result of publishing an event to the publisher at the connection `token`.
     pub(super) fn answer_publisher(&mut self, token: usize, now: Ns, result: Result<u64, PublishError>) {
         let error = match result {
             Ok(number) => {
                 let body = json!({"n": number}).to_string();
-                return self.respond_later(token, now, 200, body.as_bytes());
+                return self.send_deferred_response(token, now, 200, body.as_bytes());
             }
             Err(error) => error,
         };
@@ -217,15 +220,15 @@
             _ => None,
         };
         let body = json!({"error": error.to_string(), "owner": leader}).to_string();
-        self.respond_later(token, now, code, body.as_bytes());
+        self.send_deferred_response(token, now, code, body.as_bytes());
     }
 
-    /// Sends a response that had to wait, and answers what came behind the request meanwhile.
-    pub(super) fn respond_later(&mut self, token: usize, now: Ns, code: u16, body: &[u8]) {
+    /// Sends a response that was not available at once, and handles the requests that were received after its request.
+    pub(super) fn send_deferred_response(&mut self, token: usize, now: Ns, code: u16, body: &[u8]) {
         let Some(mut connection) = self.connections.remove(&token) else { return };
-        let sent = self.respond(&mut connection, now, code, JSON, body);
+        let sent = self.respond(&mut connection, now, code, CONTENT_TYPE_JSON, body);
         let result = sent.and_then(|()| self.answer_requests(token, &mut connection, now));
-        self.put_back(token, connection, None, result);
+        self.keep_or_drop(token, connection, None, result);
     }
 }
 
--- a/crates/relay-server/src/server/startup.rs
+++ b/crates/relay-server/src/server/startup.rs
@@ -1,4 +1,4 @@
-//! How a relay starts: listeners, threads, and the configuration of what decides.
+//! Creates the server: its listeners, its threads and the configuration of its [`Relay`].
 
 use std::collections::{BTreeSet, HashMap};
 use std::hash::{BuildHasher, RandomState};
@@ -12,52 +12,58 @@
 use sablecross_relay::retention::PURGE_HOLD_TIME;
 use sablecross_relay::{GroupConfig, Relay, RelayConfig, RetentionWindow, SafetyChecks, UpstreamSelector};
 
-use super::accept::listen_at_all;
+use super::accept::open_listeners;
 use super::{
     Clock, FIRST_CONNECTION_TOKEN, INBOX_CAPACITY, INBOX_TOKEN, MAX_CALL_BYTES, NS_PER_MS, Server,
     ServerError, unix_ms,
 };
 use crate::log_rate_limiter::LogRateLimiter;
-use crate::peers::{self, Follower, Inbox, QueuedCall};
+use crate::peers::{self, Inbox, QueuedCall, UpstreamFollower};
 use crate::settings::RelayServerConfig;
 
-/// The leader calls a voter at most this often, so that what is published at once goes together.
+/// The leader calls a voter at most this often, so that events published at about the same time go in one call.
 const BATCH_INTERVAL: Ns = 5 * NS_PER_MS;
 const MAX_HEARTBEAT_INTERVAL_MS: u64 = 500;
-/// Moments of the floor that are kept.
+/// How many past floors are kept with their times (the floor is the number that all subscribers have applied).
 const MAX_FLOOR_HISTORY: usize = 16_384;
-/// A plain relay that follows another upstream than its first tries that again after this.
-const RETURN_TO_FIRST_UPSTREAM: Ns = 20_000 * NS_PER_MS;
-/// Upstream calls that wait for the follower's thread.
-const UPSTREAM_ORDER_QUEUE: usize = 4;
+/// A plain relay that follows another upstream than its first one retries the first one after this time.
+const FIRST_UPSTREAM_RETRY_INTERVAL: Ns = 20_000 * NS_PER_MS;
+/// How many subscriptions may be queued for the thread that follows the upstream.
+const SUBSCRIPTION_QUEUE_CAPACITY: usize = 4;
 
 impl Server {
-    /// Listens and starts the threads. The inbox is for the caller's own events.
+    /// Opens the listeners and starts the threads. The caller may send its own events to the returned inbox.
     pub(crate) fn new(config: RelayServerConfig) -> Result<(Server, Inbox), ServerError> {
         config.check_descriptor_limit()?;
         let poll = Poll::new().map_err(ServerError::io("polling"))?;
         let waker = Waker::new(poll.registry(), INBOX_TOKEN).map_err(ServerError::io("polling"))?;
         let (sender, receiver) = bounded(INBOX_CAPACITY);
-        let inbox = Inbox { to: sender, waker: Arc::new(waker) };
-        let listeners = listen_at_all(&config, poll.registry())?;
+        let inbox = Inbox { sender, waker: Arc::new(waker) };
+        let listeners = open_listeners(&config, poll.registry())?;
         let clock = Clock::start();
         let now = clock.now();
         let hasher = RandomState::new();
         let form = &config.relay;
-        let voters = if config.is_voter() { start_callers(&config, &inbox)? } else { Vec::new() };
-        let upstreams = upstreams(&config);
+        let voters = if config.is_voter() { spawn_voter_callers(&config, &inbox)? } else { Vec::new() };
+        let upstreams = upstream_addresses(&config);
         let mut relay = new_relay(&config, &voters, upstreams.len(), &hasher, now);
         config.subscribers.iter().for_each(|subscriber| relay.expect_subscriber(now, &subscriber.name));
-        let silence = Duration::from_millis(form.stale_ms);
-        let (upstream_orders, orders) = bounded(UPSTREAM_ORDER_QUEUE);
+        let silence_timeout = Duration::from_millis(form.stale_ms);
+        let (upstream_subscriptions, subscriptions) = bounded(SUBSCRIPTION_QUEUE_CAPACITY);
         if !upstreams.is_empty() {
-            let max_bytes = max_reply_bytes(&config);
-            let follower = Follower { relay: form.number, silence, max_bytes, orders, inbox: inbox.clone() };
-            let run = move || follower.follow();
+            let max_event_bytes = max_reply_bytes(&config);
+            let follower = UpstreamFollower {
+                relay_number: form.number,
+                silence_timeout,
+                max_event_bytes,
+                subscriptions,
+                inbox: inbox.clone(),
+            };
+            let run = move || follower.run();
             peers::spawn("upstream".into(), run).map_err(ServerError::io("starting a thread"))?;
         }
-        let applied_reports =
-            peers::spawn_forwarder(silence, inbox.clone()).map_err(ServerError::io("starting a thread"))?;
+        let applied_reports = peers::spawn_forwarder(silence_timeout, inbox.clone())
+            .map_err(ServerError::io("starting a thread"))?;
         log_start(&config);
         let server = Server {
             batch_interval: form.batch_ms * NS_PER_MS,
@@ -69,13 +75,13 @@
             listeners,
             connections: HashMap::new(),
             next_token: FIRST_CONNECTION_TOKEN,
-            unread: Vec::new(),
+            pending_reads: Vec::new(),
             voters,
             upstreams,
-            upstream_orders,
-            upstream_call: None,
-            upstream_calls: 0,
-            lost_upstreams: BTreeSet::new(),
+            upstream_subscriptions,
+            upstream_subscription: None,
+            last_upstream_subscription_id: 0,
+            failed_upstreams: BTreeSet::new(),
             last_upstream: None,
             applied_reports,
             shared_batches: Vec::new(),
@@ -101,13 +107,13 @@
     }
 }
 
-/// The largest body of a reply: a whole log goes in one.
+/// Returns the largest size of a reply's body: one reply may hold a whole log.
 fn max_reply_bytes(config: &RelayServerConfig) -> usize {
     config.relay.log_bytes.max(MAX_CALL_BYTES)
 }
 
-/// A thread for each other voter.
-fn start_callers(
+/// Starts a thread for each other voter and returns their queues by the voters' indices.
+fn spawn_voter_callers(
     config: &RelayServerConfig,
     inbox: &Inbox,
 ) -> Result<Vec<Option<Sender<QueuedCall>>>, ServerError> {
@@ -126,8 +132,9 @@
     Ok(callers)
 }
 
-/// The upstreams of a plain relay, the preferred one first. Those that follow voters spread over them.
-fn upstreams(config: &RelayServerConfig) -> Vec<SocketAddr> {
+/// Returns the upstreams of a plain relay, the preferred one first. Relays that follow the voters start with different
+/// ones, by their numbers, to spread the load.
+fn upstream_addresses(config: &RelayServerConfig) -> Vec<SocketAddr> {
     if config.is_voter() || !config.upstreams.is_empty() {
         return config.upstreams.clone();
     }
@@ -151,7 +158,8 @@
         return Relay::voter(relay_config(config), member, index, group_config(config), seed, now);
     }
     let stale = config.relay.stale_ms * NS_PER_MS;
-    let upstream = UpstreamSelector::new(upstream_count, stale, 2 * stale, RETURN_TO_FIRST_UPSTREAM, now);
+    let upstream =
+        UpstreamSelector::new(upstream_count, stale, 2 * stale, FIRST_UPSTREAM_RETRY_INTERVAL, now);
     Relay::plain(relay_config(config), upstream)
 }
 
--- a/crates/relay-server/src/server/streams.rs
+++ b/crates/relay-server/src/server/streams.rs
@@ -1,4 +1,4 @@
-//! Streams of events to subscribers, and what time brings to connections.
+//! Sends event streams to subscribers and enforces the timeouts of connections.
 
 use std::hash::BuildHasher;
 use std::io::ErrorKind;
@@ -6,24 +6,24 @@
 
 use sablecross_coordination::Ns;
 
-use super::{NS_PER_MS, RELAY_BUFFER_BYTES, Server, unix_ms};
+use super::{NS_PER_MS, RELAY_SEND_BUFFER_BYTES, Server, unix_ms};
 use crate::connection::{Connection, ConnectionState, EventStream};
 use crate::http::{self, CallingRelay};
 use crate::settings::RelayServerConfig;
 
-/// How often a stream has a comment, which shows that the relay is up and how stale it is.
+/// Interval of comments in a stream, which show that the relay is up and how stale it is.
 const COMMENT_INTERVAL: Ns = 1_000 * NS_PER_MS;
-/// How long a connection may be without a request, or a request without a response.
+/// A connection without a request is closed after this time, and a request without a response is answered with 503.
 const IDLE_TIMEOUT: Ns = 30_000 * NS_PER_MS;
-/// How long the other side may take to close.
+/// How long a peer may take to close a connection after the relay has shut down its write side.
 const DRAIN_TIMEOUT: Ns = 2_000 * NS_PER_MS;
-/// Streams of relays end this many times as often as those of other subscribers.
+/// Streams to relays last this fraction of the time of other streams (`ack-ms`).
 const RELAY_STREAM_DIVISOR: u64 = 4;
-/// Streams end apart, by up to this part of their time.
+/// Streams are shortened by up to this fraction of their duration, so that they don't all end at once.
 const STREAM_JITTER_DIVISOR: u64 = 4;
-/// Batches that are made once for all subscribers with the same cursor.
+/// How many encoded batches are kept during a tick, each for all subscribers with the same cursor.
 const MAX_SHARED_BATCHES: usize = 8;
-const NO_ANSWER: &[u8] = br#"{"error":"nobody answered in time"}"#;
+const TIMEOUT_BODY: &[u8] = br#"{"error":"nobody answered in time"}"#;
 
 /// The next batch for all subscribers with the same cursor.
 pub(super) struct SharedBatch {
@@ -32,31 +32,31 @@
     bytes: Vec<u8>,
 }
 
-/// What a new stream is like.
-struct StreamTerms {
+/// Parameters of a new stream.
+struct StreamParameters {
     is_relay: bool,
     subscriber: Arc<str>,
     applied_number: u64,
     batch_bytes: usize,
-    /// How long it takes at most.
+    /// Longest duration of the stream, before jitter is subtracted.
     duration: Ns,
     next_comment_at: Ns,
 }
 
 impl Server {
-    /// Begins a stream of the events after `cursor`.
-    pub(super) fn begin_stream(
+    /// Starts a stream of the events after `cursor`.
+    pub(super) fn start_stream(
         &mut self,
         connection: &mut Connection,
         now: Ns,
         cursor: u64,
         relay: Option<CallingRelay>,
     ) -> Result<(), ErrorKind> {
-        let terms = self.stream_terms(connection, now, cursor, relay);
-        let StreamTerms { is_relay, subscriber, applied_number, batch_bytes, duration, next_comment_at } =
-            terms;
+        let parameters = self.stream_parameters(connection, now, cursor, relay);
+        let StreamParameters { is_relay, subscriber, applied_number, batch_bytes, duration, next_comment_at } =
+            parameters;
         if is_relay {
-            connection.widen_buffer(RELAY_BUFFER_BYTES);
+            connection.enlarge_send_buffer(RELAY_SEND_BUFFER_BYTES);
         }
         self.relay.on_subscriber_connected(now, unix_ms(), &subscriber, applied_number);
         let jitter = self.hasher.hash_one(&subscriber) % (duration / STREAM_JITTER_DIVISOR);
@@ -70,34 +70,34 @@
             next_comment_at,
         });
         connection.send(http::STREAM_HEAD, now)?;
-        self.send_events(connection, now)
+        self.send_next_batch(connection, now)
     }
 
-    fn stream_terms(
+    fn stream_parameters(
         &self,
         connection: &Connection,
         now: Ns,
         cursor: u64,
         relay: Option<CallingRelay>,
-    ) -> StreamTerms {
+    ) -> StreamParameters {
         let form = &self.config.relay;
         let duration = form.ack_ms * NS_PER_MS;
         let is_member = |relay: &CallingRelay| self.config.members.iter().any(|m| m.number == relay.number);
-        // A relay reports for its subscribers, too: more often, and it is sent more at a time. It learns at the
-        // beginning of each stream how stale this one is.
+        // A relay also reports what its subscribers have applied, so its streams end more often, and it is sent larger
+        // batches. The comment at the start of each stream tells it how stale this relay is.
         if let Some(relay) = relay.filter(is_member) {
-            return StreamTerms {
+            return StreamParameters {
                 is_relay: true,
                 subscriber: Arc::from(RelayServerConfig::relay_name(relay.number)),
                 applied_number: relay.applied_number.unwrap_or(cursor),
-                batch_bytes: form.batch_bytes.max(RELAY_BUFFER_BYTES),
+                batch_bytes: form.batch_bytes.max(RELAY_SEND_BUFFER_BYTES),
                 duration: duration / RELAY_STREAM_DIVISOR,
                 next_comment_at: now,
             };
         }
         let named = self.listeners.get(connection.listener).and_then(|l| l.subscriber.clone());
         let by_address = || Arc::from(connection.peer.to_canonical().to_string());
-        StreamTerms {
+        StreamParameters {
             is_relay: false,
             subscriber: named.unwrap_or_else(by_address),
             applied_number: cursor,
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Sends a subscriber the next batch, if it has taken all before.
-    fn send_events(&mut self, connection: &mut Connection, now: Ns) -> Result<(), ErrorKind> {
+    /// Sends a subscriber the next batch, if the previous ones are written completely.
+    fn send_next_batch(&mut self, connection: &mut Connection, now: Ns) -> Result<(), ErrorKind> {
         if connection.has_unwritten() {
             return Ok(());
         }
@@ -132,13 +132,13 @@
         result
     }
 
-    /// Sends all subscribers what is new, and ends what is over.
+    /// Sends new events to all subscribers, and ends streams and connections whose time is over.
     pub(super) fn tick(&mut self, now: Ns) {
         self.shared_batches.clear();
         let comment = self.relay.staleness_comment(now);
         let mut connections = std::mem::take(&mut self.connections);
         connections.retain(|_, connection| {
-            let subscriber = connection.streaming_to();
+            let subscriber = connection.streaming_subscriber();
             let result = self.tick_connection(connection, now, &comment);
             if let Some(name) = subscriber
                 && (result.is_err() || !matches!(connection.state, ConnectionState::Streaming(_)))
@@ -152,7 +152,7 @@
         self.retry_accepts(now);
     }
 
-    /// After an error the connection is to be dropped.
+    /// Applies the timeouts to one connection. The caller must drop the connection after an error.
     fn tick_connection(
         &mut self,
         connection: &mut Connection,
@@ -164,7 +164,7 @@
         match connection.state {
             ConnectionState::AwaitingRequest if idle > IDLE_TIMEOUT => connection.close(now),
             ConnectionState::Responding { .. } if idle > IDLE_TIMEOUT => {
-                self.respond(connection, now, 503, "application/json", NO_ANSWER)
+                self.respond(connection, now, 503, "application/json", TIMEOUT_BODY)
             }
             ConnectionState::Draining if idle > DRAIN_TIMEOUT => Err(ErrorKind::TimedOut),
             ConnectionState::Closing if idle > write_timeout => Err(ErrorKind::TimedOut),
@@ -177,13 +177,13 @@
     }
 
     fn tick_stream(&mut self, connection: &mut Connection, now: Ns, comment: &str) -> Result<(), ErrorKind> {
-        self.send_events(connection, now)?;
+        self.send_next_batch(connection, now)?;
         let has_unwritten = connection.has_unwritten();
         let ConnectionState::Streaming(stream) = &mut connection.state else { return Ok(()) };
         if now >= stream.ends_at || self.stopping_since.is_some() {
             return connection.close(now);
         }
-        // A subscriber that is behind gets the comment once it has taken what waits.
+        // A subscriber with unwritten output is sent the comment after that output is written.
         if now >= stream.next_comment_at && !has_unwritten {
             stream.next_comment_at = now + COMMENT_INTERVAL;
             return connection.send(comment.as_bytes(), now);
--- a/crates/relay-server/src/settings/forms.rs
+++ b/crates/relay-server/src/settings/forms.rs
@@ -1,4 +1,4 @@
-//! The forms of the settings file. Their fields have the names of the keys.
+//! The forms of the settings file. Each field is named after its key.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use sablecross_relay::retention::PURGE_HOLD_TIME;
 use serde::{Deserialize, Deserializer, Serialize};
 
-/// One form of the file.
+/// A form of the settings file.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub(super) enum Form {
@@ -20,78 +20,79 @@
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct RelayForm {
-    /// Its own number among the members.
+    /// Number of this relay among the members.
     #[garde(range(max = 1_000_000))]
     pub number: u32,
-    /// Where it listens, if not at its member's address.
+    /// Listening address; by default that of the relay's member form.
     #[garde(skip)]
     #[serde(default, deserialize_with = "present")]
     pub listen: Option<SocketAddr>,
-    /// New events are sent to a subscriber at most this often.
+    /// Interval in which new events are sent to subscribers.
     #[garde(range(min = 5, max = 10_000))]
     #[serde(default = "default_batch_ms")]
     pub batch_ms: u64,
-    /// A stream is handed so many bytes at a time.
+    /// Batch size of a stream: events are sent to a subscriber in batches of about this many bytes.
     #[garde(range(min = 512, max = 1_048_576))]
     #[serde(default = "default_batch_bytes")]
     pub batch_bytes: usize,
-    /// A stream ends after this, so that its subscriber calls again and reports what it has applied.
+    /// Duration of a stream. Its subscriber then reconnects, and so reports what it has applied.
     #[garde(range(min = 100, max = 600_000))]
     #[serde(default = "default_ack_ms")]
     pub ack_ms: u64,
-    /// A subscriber that has not reported for so long counts as missing.
+    /// A subscriber that has not reported for longer than this counts as missing.
     #[garde(range(min = 200, max = 3_600_000))]
     #[serde(default = "default_missed_ms")]
     pub missed_ms: u64,
-    /// A subscriber that has been missing for so long is removed.
+    /// A subscriber without a stream that has not reported for longer than this is removed.
     #[garde(range(min = 1_000, max = 604_800_000))]
     #[serde(default = "default_forgotten_ms")]
     pub forgotten_ms: u64,
-    /// The stream of a subscriber that takes no byte for so long is closed.
+    /// A connection with unwritten output that accepts no byte for longer than this is closed.
     #[garde(range(min = 200, max = 600_000))]
     #[serde(default = "default_stuck_ms")]
     pub stuck_ms: u64,
-    /// In which time nodes clear a purge: the largest of all directors' settings.
+    /// The time in which nodes clear a purged object: the largest value in the settings of all directors.
     #[garde(range(min = 1, max = 3_600_000))]
     #[serde(default = "default_cleared_ms")]
     pub cleared_ms: u64,
-    /// For how long the router holds to a purge after that. Less than its own constant is for tests only.
+    /// How long the router applies a purge after that time. Values below the router's constant (`PURGE_HOLD_TIME`)
+    /// are for tests only.
     #[garde(range(min = 100, max = 86_400_000))]
     #[serde(default = "default_held_ms")]
     pub held_ms: u64,
-    /// How far apart clocks may be and a purge may be on its way, together.
+    /// Upper bound on the sum of clock differences and the delivery time of a purge.
     #[garde(range(max = 600_000))]
     #[serde(default = "default_slack_ms")]
     pub slack_ms: u64,
-    /// The most that the log may hold; past it nothing is published.
+    /// Size limit of the log. While the log is full, events from publishers are rejected.
     #[garde(range(min = 65_536, max = 4_294_967_296))]
     #[serde(default = "default_log_bytes")]
     pub log_bytes: usize,
-    /// The largest event.
+    /// Largest event in bytes.
     #[garde(range(min = 256, max = 16_777_216))]
     #[serde(default = "default_event_bytes")]
     pub event_bytes: usize,
-    /// For how long the leader's lease is granted.
+    /// Duration of the leader's lease.
     #[garde(range(min = 100, max = 600_000))]
     #[serde(default = "default_lease_ms")]
     pub lease_ms: u64,
-    /// How long voters are waited for when the lease is acquired or renewed.
+    /// How long a round of acquiring or renewing the lease waits for voters.
     #[garde(range(min = 10, max = 60_000))]
     #[serde(default = "default_round_ms")]
     pub round_ms: u64,
-    /// How far apart attempts of different voters to acquire the lease are held.
+    /// Spacing between attempts of different voters to acquire the lease.
     #[garde(range(min = 1, max = 60_000))]
     #[serde(default = "default_apart_ms")]
     pub apart_ms: u64,
-    /// If too few voters remember the log, it is reset after this.
+    /// If too few voters still have the log, it is reset after this time, even if not all voters have replied.
     #[garde(range(min = 500, max = 3_600_000))]
     #[serde(default = "default_anew_ms")]
     pub anew_ms: u64,
-    /// An upstream that is silent or stale for longer is left for the next one.
+    /// If an upstream is silent or stale for longer than this, the relay switches to the next one.
     #[garde(range(min = 100, max = 600_000))]
     #[serde(default = "default_stale_ms")]
     pub stale_ms: u64,
-    /// Connections at most, of subscribers and callers together.
+    /// Largest number of connections from subscribers and other clients.
     #[garde(range(min = 1, max = 100_000))]
     #[serde(default = "default_connections")]
     pub connections: usize,
@@ -101,40 +102,41 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, Validate, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct MemberForm {
-    /// Its number.
+    /// Number of the member.
     #[garde(range(max = 1_000_000))]
     pub number: u32,
-    /// Where other relays reach it.
+    /// Address at which other relays connect to it.
     #[garde(skip)]
     pub address: SocketAddr,
-    /// It is a voter.
+    /// Whether the member is a voter.
     #[garde(skip)]
     #[serde(default)]
     pub votes: bool,
 }
 
-/// `(upstream ...)`: a control feed that a plain relay follows in place of the voters.
+/// `(upstream ...)`: an external control feed that a plain relay follows instead of the voters.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, Validate, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub(super) struct UpstreamForm {
-    /// Where it is.
+    /// Address of the feed.
     #[garde(skip)]
     pub(super) address: SocketAddr,
 }
 
-/// `(reader ...)`: a further listening address, that of one subscriber.
+/// `(reader ...)`: an additional listening address, reserved for one subscriber.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct SubscriberForm {
-    /// By which it is known.
+    /// Name of the subscriber.
     #[garde(length(min = 1, max = 64))]
     pub name: String,
-    /// Where the relay listens for it.
+    /// Address on which the relay listens for it.
     #[garde(skip)]
     pub address: SocketAddr,
 }
 
-/// A value that may be left out; the file has no mark for one that is there.
+/// Deserializes a value that may be left out. The file has no notation for `Some`, so a value that is present is read
+/// directly.
 fn present<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<SocketAddr>, D::Error> {
     SocketAddr::deserialize(deserializer).map(Some)
 }
