--- a/crates/tls-keys/src/error.rs
+++ b/crates/tls-keys/src/error.rs
@@ -1,14 +1,14 @@
-//! What can be wrong with certificates and keys.
+//! Errors in files of certificates and keys.
 
 use thiserror::Error;
 
-/// What is wrong, in which file, and what to do about it. It never holds anything that a key file says.
+/// A problem with a file, and how to fix it. It never contains any content of a private key's file.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("{file}: {problem} ({remedy})", remedy = .problem.remedy())]
 pub struct KeyError {
-    /// The name of the file.
+    /// Name of the file.
     pub file: String,
-    /// What is wrong with it.
+    /// What is wrong with the file.
     pub problem: KeyProblem,
 }
 
@@ -21,25 +21,25 @@
 /// What is wrong with a file of certificates or keys.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum KeyProblem {
-    /// The operating system does not let the file be read.
+    /// The file cannot be read.
     #[error("{cause}")]
     Unreadable {
-        /// The system's error.
+        /// Error of the operating system.
         cause: String,
     },
-    /// The file is larger than any of its kind should be.
-    #[error("{bytes} bytes")]
+    /// The file is larger than the limit.
+    #[error("the file has {bytes} bytes")]
     TooLarge {
-        /// Its size.
+        /// Size of the file in bytes.
         bytes: u64,
     },
-    /// Others than the owner may read a private key.
+    /// Group or others have permissions on the file of a private key.
     #[error("others may read this key (mode {mode:03o})")]
     ReadableByOthers {
-        /// The permissions of group and others.
+        /// Permission bits of group and others.
         mode: u32,
     },
-    /// The text is not PEM.
+    /// The file is not valid PEM.
     #[error("{cause}")]
     MalformedPem {
         /// The parser's error.
@@ -54,16 +54,16 @@
         /// The parser's error.
         cause: String,
     },
-    /// A certificate cannot be trusted as that of an authority.
+    /// A certificate cannot be used as a trusted authority.
     #[error("{cause}")]
     NotAnAuthority {
-        /// The library's error.
+        /// Error of the TLS library.
         cause: String,
     },
-    /// No trusted authority is valid by the clock.
+    /// No trusted authority is valid at the current time.
     #[error("no authority is valid now")]
     NoValidAuthority,
-    /// A revocation list is not PEM.
+    /// The file of a revocation list is not valid PEM.
     #[error("{cause}")]
     MalformedRevocationList {
         /// The parser's error.
@@ -72,58 +72,60 @@
     /// The file holds no revocation list.
     #[error("holds no revocation list")]
     NoRevocationList,
-    /// A certificate of a chain did not issue the one before it.
+    /// The subject of a certificate in a chain is not the issuer of the one before it.
     #[error("{subject} does not follow the one that it issued")]
     BrokenChain {
         /// Its subject.
         subject: String,
     },
-    /// A certificate is not yet valid by the clock.
+    /// A certificate is not yet valid at the current time.
     #[error("{subject}: not yet valid")]
     NotYetValid {
         /// Its subject.
         subject: String,
     },
-    /// A certificate is no longer valid by the clock.
+    /// A certificate has expired at the current time.
     #[error("{subject}: expired")]
     Expired {
         /// Its subject.
         subject: String,
     },
-    /// The file holds no private key. What a parser says of it is left out, as it may quote the key.
+    /// The file holds no private key. The parser's message is left out, as it may quote the key.
     #[error("holds no private key")]
     NoPrivateKey,
-    /// The kind of the private key is not supported.
-    #[error("the key can't be used")]
+    /// The type of the private key is not supported.
+    #[error("the type of the private key is not supported")]
     UnsupportedKey,
-    /// The private key is not that of the certificate.
+    /// The private key does not belong to the certificate.
     #[error("does not fit {chain}")]
     KeyMismatch {
-        /// The file of the certificate.
+        /// Name of the certificate's file.
         chain: String,
     },
 }
 
 impl KeyProblem {
-    /// What to do about it.
+    /// Returns how to fix the problem.
     pub fn remedy(&self) -> &'static str {
         match self {
             KeyProblem::Unreadable { .. } => "name a file that can be read",
-            KeyProblem::TooLarge { .. } => "4 MiB are the most",
-            KeyProblem::ReadableByOthers { .. } => "chmod 600 it",
-            KeyProblem::MalformedPem { .. } => "write complete PEM certificates",
-            KeyProblem::NoCertificate => "write PEM certificates",
-            KeyProblem::MalformedCertificate { .. } => "write an X.509 certificate",
-            KeyProblem::NotAnAuthority { .. } => "write certificates of authorities",
-            KeyProblem::NoValidAuthority => "add one; check the clock",
-            KeyProblem::MalformedRevocationList { .. } => "write complete PEM revocation lists",
-            KeyProblem::NoRevocationList => "write PEM lists (X509 CRL)",
-            KeyProblem::BrokenChain { .. } => "put the own certificate first, each issuer after it",
-            KeyProblem::NotYetValid { .. } => "check the clock",
-            KeyProblem::Expired { .. } => "renew it",
-            KeyProblem::NoPrivateKey => "write one in PEM: PKCS#8, SEC1 or PKCS#1",
-            KeyProblem::UnsupportedKey => "use ECDSA P-256 or P-384, Ed25519, RSA of 2048",
-            KeyProblem::KeyMismatch { .. } => "write both anew",
+            KeyProblem::TooLarge { .. } => "at most 4 MiB are allowed",
+            KeyProblem::ReadableByOthers { .. } => "set its mode to 600 (chmod 600)",
+            KeyProblem::MalformedPem { .. } => "provide complete PEM certificates",
+            KeyProblem::NoCertificate => "provide PEM certificates",
+            KeyProblem::MalformedCertificate { .. } => "provide an X.509 certificate",
+            KeyProblem::NotAnAuthority { .. } => "provide certificates of authorities",
+            KeyProblem::NoValidAuthority => "add a valid one, or check the system clock",
+            KeyProblem::MalformedRevocationList { .. } => "provide complete PEM revocation lists",
+            KeyProblem::NoRevocationList => "provide PEM revocation lists (X509 CRL)",
+            KeyProblem::BrokenChain { .. } => {
+                "put the own certificate first, and each issuer after what it issued"
+            }
+            KeyProblem::NotYetValid { .. } => "check the system clock",
+            KeyProblem::Expired { .. } => "renew the certificate",
+            KeyProblem::NoPrivateKey => "provide one in PEM: PKCS#8, SEC1 or PKCS#1",
+            KeyProblem::UnsupportedKey => "use ECDSA P-256 or P-384, Ed25519, or RSA with 2048 bits",
+            KeyProblem::KeyMismatch { .. } => "provide a certificate and its own key",
         }
     }
 }
--- a/crates/tls-keys/src/generation.rs
+++ b/crates/tls-keys/src/generation.rs
@@ -1,4 +1,4 @@
-//! One generation of certificates and keys, parsed and checked as far as that is possible before a handshake.
+//! A generation of certificates and keys, parsed and checked as far as possible before a handshake.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -14,16 +14,16 @@
 use crate::key_files::{KeyMaterial, PemFile};
 use crate::{Ns, SECOND};
 
-/// The time in which a certificate is valid.
+/// Validity period of a certificate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CertificateValidity {
-    /// The file that it comes from.
+    /// Name of the file that the certificate was read from.
     pub file: String,
-    /// Its subject.
+    /// Subject of the certificate.
     pub subject: String,
-    /// From when on it is valid.
+    /// Start of the validity period.
     pub not_before: Ns,
-    /// Until when it is valid.
+    /// End of the validity period (exclusive).
     pub not_after: Ns,
 }
 
@@ -32,7 +32,7 @@
         (self.not_before..self.not_after).contains(&now)
     }
 
-    /// Fails if the certificate is not valid now.
+    /// Fails if the certificate is not valid at `now`.
     fn check(&self, now: Ns) -> Result<(), KeyError> {
         let subject = self.subject.clone();
         if now < self.not_before {
@@ -45,19 +45,20 @@
     }
 }
 
-/// All that handshakes need, as it was read at one moment.
+/// All certificates and keys that handshakes need, read together.
 pub struct Generation {
-    /// Counts the generations of a process, from 1.
+    /// Sequence number of the generation in this process, from 1.
     pub number: u64,
-    /// The authorities that are trusted.
+    /// Certificates of the trusted authorities.
     pub trusted_roots: Arc<RootCertStore>,
-    /// The own chain with its private key.
+    /// This process's certificate chain with its private key.
     pub identity: Option<Arc<CertifiedKey>>,
-    /// Lists of revoked certificates.
+    /// Certificate revocation lists.
     pub revocation_lists: Vec<CertificateRevocationListDer<'static>>,
-    /// When each certificate is valid.
+    /// Validity period of each certificate.
     pub validities: Vec<CertificateValidity>,
-    /// The bytes of all certificates and lists, to tell whether another generation is new. Keys follow their certificates.
+    /// Encoded certificates and revocation lists, to detect whether a reload changes anything. Private keys are not
+    /// included: a new key comes with a new certificate.
     content: BTreeSet<Vec<u8>>,
 }
 
@@ -74,7 +75,8 @@
 }
 
 impl Generation {
-    /// Checks all that can be checked before a handshake. `now` is the time of the system's clock.
+    /// Parses the files' content and checks all that can be checked before a handshake. `now` is the time of the system
+    /// clock.
     pub fn from_material(number: u64, material: &KeyMaterial, now: Ns) -> Result<Generation, KeyError> {
         let mut generation = Generation {
             number,
@@ -84,7 +86,7 @@
             validities: Vec::new(),
             content: BTreeSet::new(),
         };
-        generation.add_roots(&material.trusted_roots, now)?;
+        generation.add_trusted_roots(&material.trusted_roots, now)?;
         if let Some(identity) = &material.identity {
             generation.add_identity(&identity.chain, &identity.key, now)?;
         }
@@ -94,18 +96,19 @@
         Ok(generation)
     }
 
-    /// The certificate that expires first.
+    /// Returns the validity of the certificate that expires first.
     pub fn earliest_expiry(&self) -> Option<&CertificateValidity> {
         self.validities.iter().min_by_key(|validity| validity.not_after)
     }
 
-    /// Whether another generation has the same certificates and lists.
+    /// Returns whether another generation has the same certificates and revocation lists.
     pub(crate) fn has_same_content(&self, other: &Generation) -> bool {
         self.content == other.content
     }
 
-    /// One authority that has expired beside others that have not is a roll-over, not a fault.
-    fn add_roots(&mut self, file: &PemFile, now: Ns) -> Result<(), KeyError> {
+    /// Adds the trusted authorities and fails if none is valid. An expired authority beside a valid one is accepted, as
+    /// happens while authorities are replaced.
+    fn add_trusted_roots(&mut self, file: &PemFile, now: Ns) -> Result<(), KeyError> {
         let mut roots = RootCertStore::empty();
         let mut any_valid = false;
         for certificate in read_certificates(file)? {
@@ -127,13 +130,14 @@
     fn add_identity(&mut self, chain: &PemFile, key: &PemFile, now: Ns) -> Result<(), KeyError> {
         let certificates = read_certificates(chain)?;
         self.check_chain(chain, &certificates, now)?;
-        let identity = certify(chain, key, certificates)?;
+        let identity = build_certified_key(chain, key, certificates)?;
         self.content.extend(identity.cert.iter().map(|certificate| certificate.to_vec()));
         self.identity = Some(Arc::new(identity));
         Ok(())
     }
 
-    /// Each certificate has to be valid and to have issued the one before it.
+    /// Checks that each certificate is valid and that its subject is the issuer of the one before it, and adds their
+    /// validity periods.
     fn check_chain(
         &mut self,
         chain: &PemFile,
@@ -178,7 +182,7 @@
     Ok(certificates)
 }
 
-/// What is read of a certificate. Subject and issuer are in their encoded form, to be compared.
+/// Fields of a certificate. Subject and issuer are kept encoded, for comparison.
 struct CertificateDetails {
     validity: CertificateValidity,
     subject: Vec<u8>,
@@ -205,8 +209,9 @@
     }
 }
 
-/// Joins a chain with its private key. Errors leave out what the parser says, as it may quote the key.
-fn certify(
+/// Combines a chain with its private key, and fails if they do not match. Errors leave out the parser's message, which
+/// may quote the key.
+fn build_certified_key(
     chain: &PemFile,
     key: &PemFile,
     certificates: Vec<CertificateDer<'static>>,
--- a/crates/tls-keys/src/handshake_limiter.rs
+++ b/crates/tls-keys/src/handshake_limiter.rs
@@ -1,81 +1,82 @@
-//! How many handshakes may be in progress and begin each second, and how long a node with a bad certificate is left
-//! alone.
+//! Limits how many TLS handshakes are in progress at once and begin each second, and backs off from nodes with a
+//! rejected certificate.
 //!
-//! Guards against a restart of many nodes, whose handshakes would take the processor from requests, and against a bad node
-//! that is tried with each request. Its cost: the first requests after a restart go to fewer nodes.
+//! When many nodes restart at once, their handshakes would otherwise take the processor from requests, and a node with
+//! a bad certificate would be tried with each request. The cost is that the first requests after a restart go to fewer
+//! nodes.
 
 use std::collections::BTreeMap;
 
 use crate::{Ns, SECOND};
 
-/// The least number of handshakes that may be saved up, so that one can begin at all.
-const MIN_SAVED: f64 = 1.0;
-/// The longest time that a handshake is put off where hardly any are allowed, in nanoseconds.
-const MAX_WAIT: f64 = 1e18;
+/// Smallest capacity of the token bucket. With less than one token no handshake could begin.
+const MIN_TOKENS: f64 = 1.0;
+/// Longest reported delay, in nanoseconds, for rates close to zero.
+const MAX_WAIT_NS: f64 = 1e18;
 
-/// The limits on handshakes.
+/// Limits on TLS handshakes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HandshakeLimits {
-    /// The most in progress at once.
+    /// Largest number of handshakes in progress at once.
     pub max_concurrent: usize,
-    /// The most that begin each second; those of one second may be saved up.
+    /// Rate at which handshakes may begin. Unused handshakes of up to one second may be saved for a burst.
     pub max_per_second: f64,
-    /// How long a node with a bad certificate is left alone at first; each time twice as long.
+    /// Backoff after a node's first rejected certificate; it doubles with each further rejection.
     pub initial_backoff: Ns,
-    /// How long it is left alone at most.
+    /// Largest backoff.
     pub max_backoff: Ns,
 }
 
 /// Why a handshake does not begin now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandshakeDenied {
-    /// Too many are in progress: when one finishes.
+    /// Too many handshakes are in progress: retry when one finishes.
     TooManyConcurrent,
-    /// Too many have begun of late: after this time.
+    /// Too many handshakes have begun recently: retry after this time.
     RateLimited(Ns),
-    /// The node's certificate was bad: after this time, or with a new generation of keys.
+    /// The node's certificate was rejected: retry after this time, or with a new generation of keys.
     BackingOff(Ns),
 }
 
-/// A node whose certificate was bad.
+/// Backoff of a node whose certificate was rejected.
 #[derive(Clone, Copy, Debug)]
 struct Backoff {
     until: Ns,
     duration: Ns,
-    /// The generation of keys that rejected it: another may know its authority.
+    /// Generation of keys that rejected the certificate; another one may trust its authority.
     generation: u64,
 }
 
-/// Applies the limits. Nodes are known by the caller's indices.
+/// Enforces [`HandshakeLimits`]. Nodes are identified by the caller's indices.
 #[derive(Debug)]
 pub struct HandshakeLimiter {
     limits: HandshakeLimits,
     in_progress: usize,
-    /// How many may begin now.
+    /// How many handshakes may begin now.
     tokens: f64,
-    tokens_counted_at: Ns,
+    tokens_updated_at: Ns,
     backoffs: BTreeMap<usize, Backoff>,
 }
 
 impl HandshakeLimiter {
-    /// Starts with one second's handshakes saved up.
+    /// Creates a limiter with a full token bucket, which holds the handshakes of one second.
     pub fn new(limits: HandshakeLimits, now: Ns) -> HandshakeLimiter {
         HandshakeLimiter {
             limits,
             in_progress: 0,
-            tokens: limits.max_per_second.max(MIN_SAVED),
-            tokens_counted_at: now,
+            tokens: limits.max_per_second.max(MIN_TOKENS),
+            tokens_updated_at: now,
             backoffs: BTreeMap::new(),
         }
     }
 
-    /// How many handshakes are in progress.
+    /// Returns how many handshakes are in progress.
     pub fn in_progress(&self) -> usize {
         self.in_progress
     }
 
-    /// Begins a handshake or says why not. Each that began has to end by [`HandshakeLimiter::on_finished`] or
-    /// [`HandshakeLimiter::on_rejected`].
+    /// Begins a handshake, or returns why it must not begin now. For each handshake that has begun, the caller must
+    /// call [`HandshakeLimiter::on_finished`] or [`HandshakeLimiter::on_rejected`] when it ends.
     pub fn try_begin(&mut self, node: usize, generation: u64, now: Ns) -> Result<(), HandshakeDenied> {
         if let Some(backoff) = self.backoffs.get(&node)
             && now < backoff.until
@@ -86,7 +87,7 @@
         if self.in_progress >= self.limits.max_concurrent {
             return Err(HandshakeDenied::TooManyConcurrent);
         }
-        self.add_tokens(now);
+        self.refill_tokens(now);
         if self.tokens < 1.0 {
             return Err(HandshakeDenied::RateLimited(self.time_to_next_token()));
         }
@@ -95,7 +96,7 @@
         Ok(())
     }
 
-    /// A handshake succeeded, or failed for another reason than the node's certificate.
+    /// Ends a handshake that succeeded, or that failed for another reason than the node's certificate.
     pub fn on_finished(&mut self, node: usize, succeeded: bool) {
         self.in_progress = self.in_progress.saturating_sub(1);
         if succeeded {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// A handshake failed by the node's certificate. Returns how long the node is left alone.
+    /// Ends a handshake in which the node's certificate was rejected. Returns the backoff of the node.
     pub fn on_rejected(&mut self, node: usize, generation: u64, now: Ns) -> Ns {
         self.in_progress = self.in_progress.saturating_sub(1);
         let last = self.backoffs.get(&node).filter(|backoff| backoff.generation == generation);
@@ -113,21 +114,21 @@
         duration
     }
 
-    /// Forgets a node that is gone; its index may become another's.
+    /// Forgets a node that was removed; its index may be reused for another node.
     pub fn remove(&mut self, node: usize) {
         self.backoffs.remove(&node);
     }
 
-    fn add_tokens(&mut self, now: Ns) {
-        let elapsed = now.saturating_sub(self.tokens_counted_at) as f64 / SECOND as f64;
-        self.tokens_counted_at = self.tokens_counted_at.max(now);
+    fn refill_tokens(&mut self, now: Ns) {
+        let elapsed = now.saturating_sub(self.tokens_updated_at) as f64 / SECOND as f64;
+        self.tokens_updated_at = self.tokens_updated_at.max(now);
         let rate = self.limits.max_per_second;
-        self.tokens = (self.tokens + elapsed * rate).min(rate.max(MIN_SAVED));
+        self.tokens = (self.tokens + elapsed * rate).min(rate.max(MIN_TOKENS));
     }
 
     fn time_to_next_token(&self) -> Ns {
         let rate = self.limits.max_per_second.max(f64::MIN_POSITIVE);
         let wait = (1.0 - self.tokens) / rate * SECOND as f64;
-        (wait.min(MAX_WAIT) as Ns).max(1)
+        (wait.min(MAX_WAIT_NS) as Ns).max(1)
     }
 }
--- a/crates/tls-keys/src/key_files.rs
+++ b/crates/tls-keys/src/key_files.rs
@@ -1,4 +1,4 @@
-//! Reads the files of a generation.
+//! Reads the files of a generation of certificates and keys.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -7,57 +7,57 @@
 
 use crate::error::{KeyError, KeyProblem};
 
-/// The largest file that is read, in bytes.
+/// Largest file that is read, in bytes.
 const MAX_FILE_BYTES: u64 = 4 << 20;
-/// The permissions of group and others in a file's mode.
+/// The permission bits of group and others in a file's mode.
 #[cfg(unix)]
 const OTHERS_PERMISSIONS: u32 = 0o077;
 
-/// The files of the own identity.
+/// Files of this process's identity.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IdentityFiles {
-    /// The chain, the own certificate first.
+    /// Certificate chain, with the process's own certificate first.
     pub chain: PathBuf,
-    /// The private key of the own certificate.
+    /// Private key of the own certificate.
     pub key: PathBuf,
 }
 
-/// The files of a generation.
+/// Files of a generation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyFiles {
-    /// Certificates of the authorities that are trusted.
+    /// Certificates of the trusted authorities.
     pub trusted_roots: PathBuf,
-    /// The own identity, where there is one.
+    /// This process's identity, if it has one.
     pub identity: Option<IdentityFiles>,
-    /// Lists of revoked certificates.
+    /// Certificate revocation lists.
     pub revocation_lists: Vec<PathBuf>,
-    /// Whether a private key that others may read is accepted.
+    /// Whether a private key is accepted that group or others have permissions on.
     pub allow_world_readable_key: bool,
 }
 
-/// The content of a file, with its name.
+/// A file's name and content.
 pub struct PemFile {
-    /// The name of the file.
+    /// Name of the file.
     pub file: String,
-    /// Its content, wiped when it is dropped.
+    /// Content of the file, overwritten with zeros when dropped.
     pub bytes: Zeroizing<Vec<u8>>,
 }
 
-/// The content of the files of the own identity.
+/// Content of the files of this process's identity.
 pub struct IdentityMaterial {
-    /// The chain, the own certificate first.
+    /// Certificate chain, with the process's own certificate first.
     pub chain: PemFile,
-    /// The private key of the own certificate.
+    /// Private key of the own certificate.
     pub key: PemFile,
 }
 
-/// The content of all files of a generation, wiped when it is dropped.
+/// Content of all files of a generation, overwritten with zeros when dropped.
 pub struct KeyMaterial {
-    /// Certificates of the authorities that are trusted.
+    /// Certificates of the trusted authorities.
     pub trusted_roots: PemFile,
-    /// The own identity, where there is one.
+    /// This process's identity, if it has one.
     pub identity: Option<IdentityMaterial>,
-    /// Lists of revoked certificates.
+    /// Certificate revocation lists.
     pub revocation_lists: Vec<PemFile>,
 }
 
@@ -69,12 +69,13 @@
 }
 
 impl KeyFiles {
-    /// Reads all files. Fails at the first that cannot be read, or that holds a key which others may read.
+    /// Reads all files. Fails at the first one that cannot be read, or if group or others have permissions on the
+    /// private key's file and `allow_world_readable_key` is not set.
     pub fn read(&self) -> Result<KeyMaterial, KeyError> {
         let identity = match &self.identity {
             None => None,
             Some(IdentityFiles { chain, key }) => {
-                self.check_private(key)?;
+                self.check_key_permissions(key)?;
                 Some(IdentityMaterial { chain: read_file(chain)?, key: read_file(key)? })
             }
         };
@@ -83,9 +84,9 @@
         Ok(KeyMaterial { trusted_roots: read_file(&self.trusted_roots)?, identity, revocation_lists })
     }
 
-    /// A key that others may read is no secret.
+    /// Rejects a private key's file that group or others have permissions on, unless that is allowed.
     #[cfg(unix)]
-    fn check_private(&self, key: &Path) -> Result<(), KeyError> {
+    fn check_key_permissions(&self, key: &Path) -> Result<(), KeyError> {
         use std::os::unix::fs::PermissionsExt;
         let name = key.display().to_string();
         let metadata = std::fs::metadata(key).map_err(|error| unreadable(&name, &error))?;
@@ -97,7 +98,7 @@
     }
 
     #[cfg(not(unix))]
-    fn check_private(&self, _key: &Path) -> Result<(), KeyError> {
+    fn check_key_permissions(&self, _key: &Path) -> Result<(), KeyError> {
         Ok(())
     }
 }
--- a/crates/tls-keys/src/key_store.rs
+++ b/crates/tls-keys/src/key_store.rs
@@ -1,4 +1,4 @@
-//! The generation that is in use, swapped as a whole.
+//! Holds the current generation of certificates and keys, which is replaced atomically.
 
 use std::sync::Arc;
 
@@ -9,34 +9,36 @@
 use crate::generation::Generation;
 use crate::key_files::KeyMaterial;
 
-/// What a reload did.
+/// Result of a reload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReloadOutcome {
-    /// A new generation, of this number, is in use from now on.
+    /// A new generation, with this number, is now the current one.
     Installed(u64),
-    /// Nothing has changed.
+    /// The certificates and revocation lists have not changed.
     Unchanged,
 }
 
-/// The generation in use. Readers never wait for a reload, and what began with an older generation keeps that.
+/// Holds the current generation. Readers never wait for a reload, and a handshake that began with an older generation
+/// keeps it.
 #[derive(Debug)]
 pub struct KeyStore {
     current: ArcSwap<Generation>,
 }
 
 impl KeyStore {
-    /// Starts with a first generation. Fails if anything in it is wrong.
+    /// Creates a store with the first generation. Fails if any check of its files fails.
     pub fn new(material: &KeyMaterial, now: Ns) -> Result<KeyStore, KeyError> {
         let first = Generation::from_material(1, material, now)?;
         Ok(KeyStore { current: ArcSwap::from_pointee(first) })
     }
 
-    /// The generation in use, to be kept by whatever begins now for as long as that lasts.
+    /// Returns the current generation. A handshake or connection keeps the one that it began with until it ends.
     pub fn current(&self) -> Arc<Generation> {
         self.current.load_full()
     }
 
-    /// Installs what the files say now, all of it or, if anything is wrong, nothing. To be called by one thread.
+    /// Installs a new generation, unless nothing has changed. If any check fails, the current generation stays in use
+    /// as a whole. Only one thread may call this.
     pub fn reload(&self, material: &KeyMaterial, now: Ns) -> Result<ReloadOutcome, KeyError> {
         let current = self.current();
         let next = Generation::from_material(current.number + 1, material, now)?;
--- a/crates/tls-keys/src/lib.rs
+++ b/crates/tls-keys/src/lib.rs
@@ -1,6 +1,7 @@
-//! Certificates and keys for TLS towards servers, without any sockets: they are read and checked before they are used,
-//! swapped as a whole, and watched for their expiry; a policy says how each node is spoken to, and a limiter how many
-//! handshakes may be in progress. See `docs/tls.md`.
+//! Certificates and keys for TLS connections to servers. The crate opens no sockets.
+//!
+//! Certificates and keys are checked before use, replaced atomically, and watched for expiry. A policy decides which
+//! nodes require TLS, and a limiter decides when handshakes may begin. See `docs/tls.md`.
 
 mod error;
 mod expiry;
--- a/crates/tls-keys/src/transport_policy.rs
+++ b/crates/tls-keys/src/transport_policy.rs
@@ -1,28 +1,28 @@
-//! How each node is spoken to: by policy, never by what happens to work. A node for which TLS is required is spoken to in
-//! TLS or not at all.
+//! Decides by configured rules whether connections to a node use TLS. There is no fallback: a node that requires TLS is
+//! connected to with TLS or not at all.
 
-/// How a node is spoken to.
+/// Transport security of connections to a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TransportSecurity {
     /// Without encryption.
     Plaintext,
-    /// In TLS.
+    /// With TLS.
     Tls {
-        /// The name that its certificate must have: a DNS name, or a URI such as `spiffe://office/upper-a`.
+        /// The name that the node's certificate must have: a DNS name, or a URI such as `spiffe://office/upper-a`.
         identity: String,
-        /// Whether sessions are resumed.
+        /// Whether TLS sessions may be resumed.
         may_resume_sessions: bool,
     },
 }
 
-/// The nodes that a rule is for. What is not named matches all.
+/// Selects the nodes that a rule applies to. A field that is `None` matches all nodes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct NodeMatcher {
-    /// The name of the node.
+    /// Name of the node.
     pub name: Option<String>,
-    /// The zone of the node.
+    /// Zone of the node.
     pub zone: Option<String>,
-    /// The tier of the node.
+    /// Tier of the node.
     pub tier: Option<u8>,
 }
 
@@ -34,16 +34,17 @@
     }
 }
 
-/// What is required of the nodes that a rule is for.
+/// Transport security that a rule requires of its nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequiredSecurity {
-    /// They are spoken to without encryption.
+    /// Connections are not encrypted.
     Plaintext,
-    /// They are spoken to in TLS.
+    /// Connections use TLS.
     Tls {
-        /// The name that their certificates must have, in which `{}` stands for the node's name; none: the node's name.
+        /// The name that a node's certificate must have, with `{}` in place of the node's name. `None` requires the
+        /// node's name itself.
         identity: Option<String>,
-        /// Whether sessions are resumed.
+        /// Whether TLS sessions may be resumed.
         may_resume_sessions: bool,
     },
 }
@@ -62,16 +63,16 @@
     }
 }
 
-/// What is required of some nodes.
+/// A rule on the transport security of some nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TransportRule {
-    /// The nodes.
+    /// The nodes that the rule applies to.
     pub matcher: NodeMatcher,
-    /// What is required of them.
+    /// The transport security that they require.
     pub required: RequiredSecurity,
 }
 
-/// Rules in order: the first that matches decides.
+/// Rules in order of precedence: the first that matches a node applies.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TransportPolicy {
     /// The rules.
@@ -79,7 +80,7 @@
 }
 
 impl TransportPolicy {
-    /// How a node is spoken to; none: no rule is for it, and it must not be spoken to.
+    /// Returns the transport security of a node. `None` means that no rule matches: the node must not be connected to.
     pub fn security_for(&self, name: &str, zone: &str, tier: u8) -> Option<TransportSecurity> {
         let rule = self.rules.iter().find(|rule| rule.matcher.matches(name, zone, tier))?;
         Some(rule.required.for_node(name))
--- a/crates/tls-keys/tests/tls_keys.rs
+++ b/crates/tls-keys/tests/tls_keys.rs
@@ -1,4 +1,4 @@
-//! Certificates that are checked before use, generations, expiry, handshakes within their limits.
+//! Checks of certificates and keys before use, reloads, expiry notices, the transport policy and handshake limits.
 
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
@@ -11,48 +11,48 @@
     TransportSecurity,
 };
 
-const SEC: u64 = 1_000_000_000;
-const DAY: u64 = 86_400 * SEC;
+const SECOND: u64 = 1_000_000_000;
+const DAY: u64 = 86_400 * SECOND;
 
 fn now() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_nanos() as u64
 }
 
 struct TestFiles {
-    folder: tempfile::TempDir,
+    directory: tempfile::TempDir,
 }
 
-fn params(name: &str, years: (i32, i32), ca: bool) -> CertificateParams {
+fn certificate_params(name: &str, years: (i32, i32), is_authority: bool) -> CertificateParams {
     let mut p = CertificateParams::new(vec![name.to_owned()]).unwrap();
     p.distinguished_name.push(DnType::CommonName, name);
     (p.not_before, p.not_after) = (date_time_ymd(years.0, 1, 1), date_time_ymd(years.1, 1, 1));
-    if ca {
+    if is_authority {
         p.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
     }
     p
 }
 
-const LONG: (i32, i32) = (2020, 2060);
+const VALID_YEARS: (i32, i32) = (2020, 2060);
 
 impl TestFiles {
     fn new() -> TestFiles {
-        TestFiles { folder: tempfile::tempdir().unwrap() }
+        TestFiles { directory: tempfile::tempdir().unwrap() }
     }
 
     fn file(&self, name: &str, text: &str) -> PathBuf {
-        let file = self.folder.path().join(name);
+        let file = self.directory.path().join(name);
         std::fs::write(&file, text).unwrap();
         std::fs::set_permissions(&file, std::fs::Permissions::from_mode(0o600)).unwrap();
         file
     }
 
-    /// An authority, and an own certificate by it, for these years.
-    fn pair(&self, years: (i32, i32)) -> KeyFiles {
+    /// Writes the files of an authority and of a certificate that it issued, which is valid for these years.
+    fn write_key_files(&self, years: (i32, i32)) -> KeyFiles {
         let ca_key = KeyPair::generate().unwrap();
-        let ca = params("authority", LONG, true).self_signed(&ca_key).unwrap();
-        let issuer = Issuer::new(params("authority", LONG, true), ca_key);
+        let ca = certificate_params("authority", VALID_YEARS, true).self_signed(&ca_key).unwrap();
+        let issuer = Issuer::new(certificate_params("authority", VALID_YEARS, true), ca_key);
         let key = KeyPair::generate().unwrap();
-        let own = params("director", years, false).signed_by(&key, &issuer).unwrap();
+        let own = certificate_params("director", years, false).signed_by(&key, &issuer).unwrap();
         let chain = self.file("chain.pem", &(own.pem() + &ca.pem()));
         let key = self.file("key.pem", &key.serialize_pem());
         KeyFiles {
@@ -69,9 +69,9 @@
 }
 
 #[test]
-fn a_pair_is_installed_completely_or_rejected_by_file_and_reason() {
+fn certificate_and_key_are_installed_together_or_rejected_with_file_and_reason() {
     let test_files = TestFiles::new();
-    let files = test_files.pair(LONG);
+    let files = test_files.write_key_files(VALID_YEARS);
     let IdentityFiles { chain, key } = files.identity.clone().unwrap();
     let store = KeyStore::new(&files.read().unwrap(), now()).unwrap();
     assert!(store.current().identity.is_some());
@@ -101,9 +101,9 @@
         std::fs::write(file, good).unwrap();
     }
     assert_eq!(store.reload(&files.read().unwrap(), now()), Ok(ReloadOutcome::Unchanged));
-    // A new pair is a new generation; what began with the old one has it still.
+    // A new certificate and key make a new generation; holders of the old one keep it.
     let old = store.current();
-    let next = test_files.pair(LONG);
+    let next = test_files.write_key_files(VALID_YEARS);
     assert_eq!(store.reload(&next.read().unwrap(), now()), Ok(ReloadOutcome::Installed(2)));
     assert_eq!((old.number, store.current().number), (1, 2));
     std::fs::set_permissions(&key, std::fs::Permissions::from_mode(0o644)).unwrap();
@@ -115,11 +115,12 @@
 }
 
 #[test]
-fn an_expired_authority_beside_a_valid_one_is_a_roll_over() {
+fn an_expired_authority_beside_a_valid_one_is_accepted() {
     let test_files = TestFiles::new();
-    let files = test_files.pair(LONG);
-    let ended = params("before", (2020, 2021), true).self_signed(&KeyPair::generate().unwrap()).unwrap();
-    let (old, new) = (ended.pem(), text(&files.trusted_roots));
+    let files = test_files.write_key_files(VALID_YEARS);
+    let expired_authority =
+        certificate_params("before", (2020, 2021), true).self_signed(&KeyPair::generate().unwrap()).unwrap();
+    let (old, new) = (expired_authority.pem(), text(&files.trusted_roots));
     let store = KeyStore::new(&files.read().unwrap(), now()).unwrap();
     std::fs::write(&files.trusted_roots, format!("{old}{new}")).unwrap();
     assert_eq!(store.reload(&files.read().unwrap(), now()), Ok(ReloadOutcome::Installed(2)));
@@ -136,16 +137,16 @@
 }
 
 #[test]
-fn validity_counts_by_the_clock() {
+fn validity_is_checked_against_the_clock() {
     let test_files = TestFiles::new();
     for (years, reason) in [((2020, 2021), "expired"), ((2058, 2059), "not yet valid")] {
-        let output = Generation::from_material(1, &test_files.pair(years).read().unwrap(), now())
+        let output = Generation::from_material(1, &test_files.write_key_files(years).read().unwrap(), now())
             .unwrap_err()
             .to_string();
         assert!(output.contains(reason) && output.contains("CN=director"), "{output}");
     }
-    // A clock that is off by decades finds no authority.
-    let material = test_files.pair(LONG).read().unwrap();
+    // With a clock that is wrong by decades, no authority is valid.
+    let material = test_files.write_key_files(VALID_YEARS).read().unwrap();
     assert!(
         Generation::from_material(1, &material, DAY)
             .unwrap_err()
@@ -155,24 +156,27 @@
 }
 
 #[test]
-fn each_notice_of_an_expiry_is_given_once() {
+fn each_expiry_notice_is_issued_once() {
     let test_files = TestFiles::new();
-    let generation = Generation::from_material(1, &test_files.pair(LONG).read().unwrap(), now()).unwrap();
+    let generation =
+        Generation::from_material(1, &test_files.write_key_files(VALID_YEARS).read().unwrap(), now())
+            .unwrap();
     let until = generation.earliest_expiry().unwrap().not_after;
     let mut watch = ExpiryWatch::default();
-    // Three certificates expire then: the authority, and both of the chain, one of which is the authority again.
-    let given: Vec<(u64, usize)> = [40, 30, 29, 8, 7, 3, 1, 0]
+    // Three certificates expire at that time: the trusted authority and both of the chain, one of which is the same
+    // authority and shares its notices.
+    let notice_counts: Vec<(u64, usize)> = [40, 30, 29, 8, 7, 3, 1, 0]
         .into_iter()
         .map(|days| (days, watch.check(&generation, until - days * DAY).len()))
         .collect();
-    assert_eq!(given, [(40, 0), (30, 2), (29, 0), (8, 0), (7, 2), (3, 0), (1, 2), (0, 2)]);
+    assert_eq!(notice_counts, [(40, 0), (30, 2), (29, 0), (8, 0), (7, 2), (3, 0), (1, 2), (0, 2)]);
     assert_eq!(ExpiryWatch::default().check(&generation, until - 3 * DAY)[0].days_left, 3);
 }
 
 #[test]
 fn no_error_or_debug_output_quotes_a_key() {
     let test_files = TestFiles::new();
-    let files = test_files.pair(LONG);
+    let files = test_files.write_key_files(VALID_YEARS);
     let IdentityFiles { chain, key } = files.identity.clone().unwrap();
     let secret: Vec<String> = text(&key).lines().filter(|l| !l.starts_with('-')).map(str::to_owned).collect();
     let material = files.read().unwrap();
@@ -194,12 +198,12 @@
 }
 
 #[test]
-fn the_first_rule_that_matches_decides_and_none_is_not_plaintext() {
+fn the_first_matching_rule_applies_and_no_match_is_not_plaintext() {
     let tls = |identity: Option<&str>| RequiredSecurity::Tls {
         identity: identity.map(str::to_owned),
         may_resume_sessions: true,
     };
-    let of = |name: Option<&str>, zone: Option<&str>, tier| NodeMatcher {
+    let matcher = |name: Option<&str>, zone: Option<&str>, tier| NodeMatcher {
         name: name.map(str::to_owned),
         zone: zone.map(str::to_owned),
         tier,
@@ -207,9 +211,9 @@
     let rule = |matcher, required| TransportRule { matcher, required };
     let policy = TransportPolicy {
         rules: vec![
-            rule(of(Some("upper-a"), None, None), tls(Some("spiffe://office/{}"))),
-            rule(of(None, Some("far"), Some(1)), tls(None)),
-            rule(of(None, Some("near"), None), RequiredSecurity::Plaintext),
+            rule(matcher(Some("upper-a"), None, None), tls(Some("spiffe://office/{}"))),
+            rule(matcher(None, Some("far"), Some(1)), tls(None)),
+            rule(matcher(None, Some("near"), None), RequiredSecurity::Plaintext),
         ],
     };
     let named = |identity: &str| {
@@ -222,36 +226,39 @@
 }
 
 #[test]
-fn handshakes_keep_within_their_limits() {
+fn handshakes_stay_within_their_limits() {
     let limits = HandshakeLimits {
         max_concurrent: 3,
         max_per_second: 10.0,
-        initial_backoff: SEC,
-        max_backoff: 8 * SEC,
+        initial_backoff: SECOND,
+        max_backoff: 8 * SECOND,
     };
     let mut limiter = HandshakeLimiter::new(limits, 0);
     assert_eq!([0, 1, 2].map(|n| limiter.try_begin(n, 1, 0)), [Ok(()); 3]);
     assert_eq!(limiter.try_begin(3, 1, 0), Err(HandshakeDenied::TooManyConcurrent));
-    // A storm of a thousand nodes at once: no second has more than its ten, and the ten saved up.
-    let mut begun = vec![0; 11];
+    // A thousand nodes try handshakes for ten seconds: each second admits about the rate of ten, and the first one
+    // also the saved tokens.
+    let mut begun_per_second = vec![0; 11];
     (0..3).for_each(|n| limiter.on_finished(n, true));
     for at in 0..10_000u64 {
-        if limiter.try_begin(at as usize % 1_000, 1, at * SEC / 1_000).is_ok() {
-            begun[at as usize / 1_000] += 1;
+        if limiter.try_begin(at as usize % 1_000, 1, at * SECOND / 1_000).is_ok() {
+            begun_per_second[at as usize / 1_000] += 1;
             limiter.on_finished(at as usize % 1_000, true);
         }
     }
     assert!(
-        begun[0] <= 17 && begun[1..].iter().all(|&n| n <= 11) && begun.iter().sum::<i32>() >= 95,
-        "{begun:?}"
+        begun_per_second[0] <= 17
+            && begun_per_second[1..].iter().all(|&n| n <= 11)
+            && begun_per_second.iter().sum::<i32>() >= 95,
+        "{begun_per_second:?}"
     );
-    // A node with a bad certificate is left alone twice as long each time, up to a limit; a new generation tries at once.
-    let mut at = 20 * SEC;
+    // The backoff of a node with a rejected certificate doubles up to its limit; a new generation retries at once.
+    let mut at = 20 * SECOND;
     for backoff in [1, 2, 4, 8, 8] {
         assert_eq!(limiter.try_begin(7, 1, at), Ok(()));
-        assert_eq!(limiter.on_rejected(7, 1, at), backoff * SEC);
-        assert_eq!(limiter.try_begin(7, 1, at + backoff * SEC - 1), Err(HandshakeDenied::BackingOff(1)));
-        at += backoff * SEC;
+        assert_eq!(limiter.on_rejected(7, 1, at), backoff * SECOND);
+        assert_eq!(limiter.try_begin(7, 1, at + backoff * SECOND - 1), Err(HandshakeDenied::BackingOff(1)));
+        at += backoff * SECOND;
     }
     limiter.try_begin(7, 1, at).unwrap();
     limiter.on_rejected(7, 1, at);
