--- a/crates/relay-server/tests/http_format.rs
+++ b/crates/relay-server/tests/http_format.rs
@@ -1,4 +1,4 @@
-//! Requests and answers of relays over HTTP, byte by byte: between relays, to publishers and to operators.
+//! Requests and responses of relays over HTTP, byte by byte: between relays, to publishers and to operators.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -12,12 +12,12 @@
 
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An address of this test's own, so that tests beside one another never meet.
+/// An address of this test's own, so that parallel tests don't interfere.
 fn address(test: u8, last: u8) -> SocketAddr {
     (Ipv4Addr::new(127, 150 + test, (std::process::id() % 251) as u8, last), 7_070).into()
 }
 
-/// A relay as a process, ended with the test.
+/// A relay as a process, killed at the end of the test.
 struct Process {
     child: Child,
     at: SocketAddr,
@@ -45,7 +45,7 @@
         process
     }
 
-    /// All that it answers up to the end of the connection.
+    /// Sends a request and returns all data up to the end of the connection.
     fn exchange(&self, request: &str) -> String {
         let mut stream = connect(self.at);
         stream.write_all(request.as_bytes()).expect("written");
@@ -68,8 +68,8 @@
     stream
 }
 
-/// The next call that comes in, up to the end of its body.
-fn received(listener: &TcpListener) -> (TcpStream, Vec<u8>) {
+/// Accepts a connection and reads one request up to the end of its body.
+fn receive_request(listener: &TcpListener) -> (TcpStream, Vec<u8>) {
     let (stream, _) = listener.accept().expect("a call");
     stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
     let mut bytes = Vec::new();
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_plain_relay_calls_an_outside_feed_and_passes_words_on() {
+fn a_plain_relay_follows_an_external_feed_and_forwards_reports() {
     let (at, upstream) = (address(0, 1), address(0, 2));
     let listener = TcpListener::bind(upstream).expect("an upstream");
     let settings = format!(
@@ -99,7 +99,7 @@
          (upstream (address . \"{upstream}\"))\n"
     );
     let relay = Process::start(at, &settings);
-    let (_stream, call) = received(&listener);
+    let (_stream, call) = receive_request(&listener);
     let expected = format!(
         "GET /v1/events HTTP/1.1\r\nHost: {upstream}\r\nAccept: text/event-stream\r\nLast-Event-ID: 0\r\n\
          Sablecross-Relay: 3\r\n\r\n"
@@ -107,9 +107,9 @@
     assert_eq!(text(call), expected);
 
     let mut reader = connect(relay.at);
-    let word = "POST /v1/hierarchy/in-force HTTP/1.1\r\nContent-Length: 2\r\nConnection: close\r\n\r\n{}";
-    reader.write_all(word.as_bytes()).expect("written");
-    let (mut stream, call) = received(&listener);
+    let report = "POST /v1/hierarchy/in-force HTTP/1.1\r\nContent-Length: 2\r\nConnection: close\r\n\r\n{}";
+    reader.write_all(report.as_bytes()).expect("written");
+    let (mut stream, call) = receive_request(&listener);
     let expected = format!(
         "POST /v1/hierarchy/in-force HTTP/1.1\r\nHost: {upstream}\r\nContent-Type: application/json\r\n\
          Connection: close\r\nContent-Length: 2\r\n\r\n{{}}"
@@ -130,7 +130,7 @@
          (member (number . 0) (address . \"{voter}\") (votes . #t))\n"
     );
     let _relay = Process::start(at, &settings);
-    let (_stream, call) = received(&listener);
+    let (_stream, call) = receive_request(&listener);
     let expected = format!(
         "GET /v1/events HTTP/1.1\r\nHost: {voter}\r\nAccept: text/event-stream\r\nLast-Event-ID: 0\r\n\
          Sablecross-Relay: 3\r\nSablecross-In-Force: 0\r\n\r\n"
@@ -147,24 +147,27 @@
          (member (number . 1) (address . \"{other}\") (votes . #t))\n"
     );
     let _relay = Process::start(at, &settings);
-    let (_stream, call) = received(&listener);
+    let (_stream, call) = receive_request(&listener);
     let head_length = call.windows(4).position(|w| w == b"\r\n\r\n").expect("a head") + 4;
     let (head, body) = call.split_at(head_length);
     let expected =
         format!("POST /v1/relay HTTP/1.1\r\nHost: {other}\r\nContent-Length: {}\r\n\r\n", body.len());
     assert_eq!(text(head.to_vec()), expected);
-    // Its place, 0; the lives of both, its own a Unix time in ms and the other's unknown; what it asks.
+    // The sender's index, 0; the incarnations of both voters, its own a Unix time in ms and the other one unknown (0);
+    // the call.
     assert_eq!((&body[..4], &body[12..]), (b"\x93\x00\x92\xcf".as_slice(), b"\x00\xa5Learn".as_slice()));
     let request: PeerRequest = rmp_serde::from_slice(body).expect("a request");
     assert_eq!((request.sender, request.call), (0, PeerCall::Recover));
 
-    // From place 1, which lives for the ninth time; it answers with what it holds, which is nothing.
-    let question = b"\x93\x01\x92\x00\x09\xa5Learn";
+    // A call from voter 1 with incarnation 9. The reply holds the relay's log, which is empty.
+    let request_body = b"\x93\x01\x92\x00\x09\xa5Learn";
     let mut stream = connect(at);
-    let head =
-        format!("POST /v1/relay HTTP/1.1\r\nContent-Length: {}\r\nConnection: close\r\n\r\n", question.len());
+    let head = format!(
+        "POST /v1/relay HTTP/1.1\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
+        request_body.len()
+    );
     stream.write_all(head.as_bytes()).expect("written");
-    stream.write_all(question).expect("written");
+    stream.write_all(request_body).expect("written");
     let mut answer = Vec::new();
     stream.read_to_end(&mut answer).expect("an answer");
     let head_length = answer.windows(4).position(|w| w == b"\r\n\r\n").expect("a head") + 4;
@@ -175,16 +178,16 @@
     );
     assert_eq!(text(head.to_vec()), expected);
     let _: PeerReply = rmp_serde::from_slice(body).expect("a reply");
-    let learnt = b"\x81\xa6Learnt\x93\x92\x00\x92\x00\x00\xc2\x95\x00\x92\x00\x92\x00\x92\x00\x00\x00\
+    let recovered = b"\x81\xa6Learnt\x93\x92\x00\x92\x00\x00\xc2\x95\x00\x92\x00\x92\x00\x92\x00\x00\x00\
         \x97\x00\x00\x92\x00\x92\x00\x00\xc2\x00\x80\xc0\x90";
     assert_eq!(
         (&body[..3], &body[11..]),
-        (b"\x92\x92\xcf".as_slice(), [b"\x09".as_slice(), learnt].concat().as_slice())
+        (b"\x92\x92\xcf".as_slice(), [b"\x09".as_slice(), recovered].concat().as_slice())
     );
 }
 
 #[test]
-fn publishing_and_reading() {
+fn publishing_and_subscribing() {
     let at = address(3, 1);
     let settings = format!(
         "(relay (number . 0) (lease-ms . 500) (ack-ms . 800))\n(member (number . 0) (address . \"{at}\") (votes . #t))\n"
@@ -204,25 +207,25 @@
              Connection: close\r\n\r\n{body}"
         )
     };
-    // Not before every lease that it may have granted in an earlier life is over.
-    let nobody = r#"{"error":"not the leader: nobody is now","owner":null}"#;
-    assert_eq!(post("", list), json("503 Service Unavailable", nobody));
+    // The voter must not lead before every lease that it may have granted before a restart has expired.
+    let no_leader = r#"{"error":"not the leader: nobody is now","owner":null}"#;
+    assert_eq!(post("", list), json("503 Service Unavailable", no_leader));
     let begun = Instant::now();
-    while post("Sablecross-Mark: m-1\r\n", list) == json("503 Service Unavailable", nobody) {
+    while post("Sablecross-Mark: m-1\r\n", list) == json("503 Service Unavailable", no_leader) {
         assert!(begun.elapsed() < TIMEOUT);
         std::thread::sleep(Duration::from_millis(50));
     }
-    // The same mark once more: the same number.
+    // The same idempotency key again gets the same number.
     let published = post("Sablecross-Mark: m-1\r\n", list);
     let number = published.rsplit_once("{\"n\":").and_then(|(_, n)| n.strip_suffix('}')).expect("a number");
     let number: u64 = number.parse().expect("a number");
     assert_eq!(published, json("200 OK", &format!("{{\"n\":{number}}}")));
 
-    let refused = r#"{"error":"the event has no members, purge or hierarchy","owner":null}"#;
-    assert_eq!(post("", "{}"), json("400 Bad Request", refused));
-    let long = r#"{"error":"Sablecross-Mark: between 1 and 128 bytes of UTF-8"}"#;
-    let mark = format!("Sablecross-Mark: {}\r\n", "m".repeat(129));
-    assert_eq!(post(&mark, list), json("400 Bad Request", long));
+    let rejected = r#"{"error":"the event has no members, purge or hierarchy","owner":null}"#;
+    assert_eq!(post("", "{}"), json("400 Bad Request", rejected));
+    let invalid_key = r#"{"error":"Sablecross-Mark: between 1 and 128 bytes of UTF-8"}"#;
+    let key_header = format!("Sablecross-Mark: {}\r\n", "m".repeat(129));
+    assert_eq!(post(&key_header, list), json("400 Bad Request", invalid_key));
 
     let events = relay.exchange(&format!("GET /v1/events HTTP/1.1\r\nLast-Event-ID: {}\r\n\r\n", number - 1));
     let expected = format!(
@@ -230,7 +233,7 @@
          id: {number}\ndata: {{\"n\":{number},\"members\":{{\"index\":1,\"snapshot\":true,\"endpoints\":[]}}}}\n\n"
     );
     assert_eq!(events, expected);
-    // A relay hears at once how old it is what this one knows, and by whom.
+    // A relay is sent the staleness, the leader and the term at once.
     let from_relay = relay.exchange(&format!(
         "GET /v1/events HTTP/1.1\r\nLast-Event-ID: {number}\r\nSablecross-Relay: 0\r\nSablecross-In-Force: 1\r\n\r\n"
     ));
@@ -248,16 +251,16 @@
 }
 
 #[test]
-fn requests_that_cannot_be_served() {
+fn rejected_requests() {
     let at = address(4, 1);
     let settings = format!("(relay (number . 0))\n(member (number . 0) (address . \"{at}\") (votes . #t))\n");
     let relay = Process::start(at, &settings);
-    for (request, expected) in REFUSED {
+    for (request, expected) in REJECTED_REQUESTS {
         assert_eq!(relay.exchange(request), expected, "{request}");
     }
 }
 
-const REFUSED: [(&str, &str); 7] = [
+const REJECTED_REQUESTS: [(&str, &str); 7] = [
     (
         "GET /v1/nothing HTTP/1.1\r\n\r\n",
         "HTTP/1.1 404 Not Found\r\nContent-Type: application/json\r\nContent-Length: 27\r\nConnection: close\r\n\r\n\
@@ -302,7 +305,7 @@
         let voter = MemberForm { number: 0, address: at, votes: true };
         Publisher::new(&[voter]).publish("m-1", b"{}", Duration::from_secs(5))
     });
-    let (mut stream, call) = received(&listener);
+    let (mut stream, call) = receive_request(&listener);
     let expected = format!(
         "POST /v1/events HTTP/1.1\r\nHost: {at}\r\nSablecross-Mark: m-1\r\nContent-Length: 2\r\n\r\n{{}}"
     );
--- a/crates/relay-server/tests/processes/common.rs
+++ b/crates/relay-server/tests/processes/common.rs
@@ -1,4 +1,5 @@
-//! Relays as processes, subscribers that follow them by the product's own code, faults between them.
+//! Helpers for the tests: relays as processes, subscribers that use the director's feed code, and links that can be
+//! paused.
 
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
@@ -28,7 +29,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock").as_millis() as u64
 }
 
-/// Waits for a condition; false if it does not come about in time.
+/// Waits for a condition. Returns false if it does not hold within `timeout`.
 pub(crate) fn wait_until(timeout: Duration, mut condition: impl FnMut() -> bool) -> bool {
     let begun = Instant::now();
     while !condition() {
@@ -40,14 +41,14 @@
     true
 }
 
-pub(crate) const LIST: &str = r#"{"members":{"index":1,"snapshot":true,"endpoints":[{"name":"n","address":"127.0.0.1:9","zone":"e","type":"s","group":0,"status":"ready","weight":1,"since_ms":0}]}}"#;
+pub(crate) const LIST_EVENT: &str = r#"{"members":{"index":1,"snapshot":true,"endpoints":[{"name":"n","address":"127.0.0.1:9","zone":"e","type":"s","group":0,"status":"ready","weight":1,"since_ms":0}]}}"#;
 
-pub(crate) fn purge(key: u64) -> String {
+pub(crate) fn purge_event(key: u64) -> String {
     format!(r#"{{"purge":{{"key":"{key:016x}","at":{}}}}}"#, unix_ms())
 }
 
-/// A list event of about so many bytes.
-pub(crate) fn large(bytes: usize, index: u64) -> String {
+/// A list event of about this many bytes.
+pub(crate) fn large_list_event(bytes: usize, index: u64) -> String {
     let one = |i| {
         format!(
             r#"{{"name":"n{index}-{i}","address":"127.0.0.1:9","zone":"e","type":"s","group":0,"status":"gone","weight":1,"since_ms":0}}"#
@@ -57,17 +58,17 @@
     format!(r#"{{"members":{{"index":{index},"snapshot":false,"endpoints":[{}]}}}}"#, all.join(","))
 }
 
-/// A link between two relays that can be held: what is on it stays on it.
+/// Pauses a link between two relays, per direction: bytes in transit are kept and delivered when it resumes.
 #[derive(Clone, Default)]
-pub(crate) struct LinkHold {
-    pub(crate) to: Arc<AtomicBool>,
-    pub(crate) from: Arc<AtomicBool>,
+pub(crate) struct LinkPause {
+    pub(crate) to_target: Arc<AtomicBool>,
+    pub(crate) from_target: Arc<AtomicBool>,
 }
 
-fn pump(mut from: TcpStream, mut to: TcpStream, holds: Arc<AtomicBool>) {
+fn copy_bytes(mut from: TcpStream, mut to: TcpStream, pause: Arc<AtomicBool>) {
     let mut bytes = [0; 8_192];
     while let Ok(n) = from.read(&mut bytes) {
-        while holds.load(Ordering::Relaxed) {
+        while pause.load(Ordering::Relaxed) {
             sleep(ms(10));
         }
         if n == 0 || to.write_all(&bytes[..n]).is_err() {
@@ -77,27 +78,27 @@
     let _ = to.shutdown(Shutdown::Write);
 }
 
-pub(crate) fn proxy(at: SocketAddr, target: SocketAddr) -> LinkHold {
-    let listener = TcpListener::bind(at).expect("a proxy's address");
-    let holds = LinkHold::default();
-    let own = holds.clone();
+pub(crate) fn start_proxy(at: SocketAddr, target: SocketAddr) -> LinkPause {
+    let listener = TcpListener::bind(at).expect("the proxy's address");
+    let pause = LinkPause::default();
+    let own = pause.clone();
     spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             let own = own.clone();
             spawn(move || {
                 let Ok(on) = TcpStream::connect_timeout(&target, ms(500)) else { return };
                 let (a, b) = (stream.try_clone().expect("a clone"), on.try_clone().expect("a clone"));
-                let to = own.to.clone();
-                spawn(move || pump(a, b, to));
-                pump(on, stream, own.from);
+                let to = own.to_target.clone();
+                spawn(move || copy_bytes(a, b, to));
+                copy_bytes(on, stream, own.from_target);
             });
         }
     });
-    holds
+    pause
 }
 
-/// Settings that make tests short.
-const FAST: [(&str, u64); 9] = [
+/// Settings with short times, so that tests are fast.
+const FAST_SETTINGS: [(&str, u64); 9] = [
     ("batch-ms", 20),
     ("ack-ms", 400),
     ("missed-ms", 2_000),
@@ -109,25 +110,25 @@
     ("connections", 1_000),
 ];
 
-/// Relays on addresses of their own, so that tests beside one another never meet.
+/// Relays on loopback addresses of their own, so that parallel tests don't interfere.
 pub(crate) struct RelayFleet {
     dir: TempDir,
-    block: [u8; 2],
+    address_block: [u8; 2],
     voters: u32,
     count: u32,
     keys: String,
-    /// Between this one and that one, where a link is held.
+    /// Addresses of the proxies, by the calling relay and the called one.
     links: BTreeMap<(u32, u32), SocketAddr>,
     children: BTreeMap<u32, Child>,
 }
 
 impl RelayFleet {
-    /// `test`: a number of the test's own.
+    /// `test` is a unique number of the test, which selects its address block.
     pub(crate) fn new(test: u8, voters: u32, plain: u32, keys: &str) -> RelayFleet {
-        let block = [100 + test, (std::process::id() % 251) as u8];
+        let address_block = [100 + test, (std::process::id() % 251) as u8];
         let dir = TempDir::new().expect("a folder");
         let (links, children) = (BTreeMap::new(), BTreeMap::new());
-        RelayFleet { dir, block, voters, count: voters + plain, keys: keys.into(), links, children }
+        RelayFleet { dir, address_block, voters, count: voters + plain, keys: keys.into(), links, children }
     }
 
     pub(crate) fn start(test: u8, voters: u32, plain: u32, keys: &str) -> RelayFleet {
@@ -137,45 +138,46 @@
     }
 
     pub(crate) fn ip(&self, last: u8) -> IpAddr {
-        Ipv4Addr::new(127, self.block[0], self.block[1], last).into()
+        Ipv4Addr::new(127, self.address_block[0], self.address_block[1], last).into()
     }
 
-    pub(crate) fn at(&self, relay: u32) -> SocketAddr {
+    pub(crate) fn address(&self, relay: u32) -> SocketAddr {
         (self.ip(200 + relay as u8), 7_070).into()
     }
 
-    pub(crate) fn all(&self) -> Vec<SocketAddr> {
-        (0..self.count).map(|n| self.at(n)).collect()
+    pub(crate) fn addresses(&self) -> Vec<SocketAddr> {
+        (0..self.count).map(|n| self.address(n)).collect()
     }
 
-    /// An outside control feed for all; to be set before they begin.
-    pub(crate) fn upstream(&mut self, at: SocketAddr) {
+    /// Adds an external control feed to the settings of all relays. Must be called before they start.
+    pub(crate) fn add_upstream(&mut self, at: SocketAddr) {
         self.keys += &format!(") (upstream (address . \"{at}\")");
     }
 
-    /// A further listening address of the only relay, that of the subscriber of this name.
-    pub(crate) fn listens(&mut self, name: &str, at: SocketAddr) {
+    /// Adds a listening address for the subscriber of this name. Must be called before the relay starts.
+    pub(crate) fn add_reader(&mut self, name: &str, at: SocketAddr) {
         self.keys += &format!(") (reader (name . \"{name}\") (address . \"{at}\")");
     }
 
-    /// What one sends another goes by a link that can be held; to be set before it starts.
-    pub(crate) fn link(&mut self, from: u32, to: u32) -> LinkHold {
+    /// Routes connections of one relay to another through a proxy that can be paused. Must be called before the relay
+    /// `from` starts.
+    pub(crate) fn add_link(&mut self, from: u32, to: u32) -> LinkPause {
         let at = (self.ip(220 + from as u8), 8_000 + to as u16).into();
         self.links.insert((from, to), at);
-        proxy(at, self.at(to))
+        start_proxy(at, self.address(to))
     }
 
     pub(crate) fn start_relay(&mut self, relay: u32) {
-        let mut text = format!("(relay (number . {relay}) (listen . \"{}\")", self.at(relay));
-        for (key, value) in FAST {
-            // What the test sets itself goes before it.
+        let mut text = format!("(relay (number . {relay}) (listen . \"{}\")", self.address(relay));
+        for (key, value) in FAST_SETTINGS {
+            // Settings of the test itself take precedence.
             if !self.keys.contains(&format!("({key} ")) {
                 text += &format!(" ({key} . {value})");
             }
         }
         text += &format!(" {})\n", self.keys);
         for m in 0..self.count {
-            let at = self.links.get(&(relay, m)).copied().unwrap_or(self.at(m));
+            let at = self.links.get(&(relay, m)).copied().unwrap_or(self.address(m));
             let votes = if m < self.voters { "#t" } else { "#f" };
             text += &format!("(member (number . {m}) (address . \"{at}\") (votes . {votes}))\n");
         }
@@ -189,7 +191,7 @@
             .stderr(log.expect("a log"))
             .spawn();
         self.children.insert(relay, child.expect("a relay"));
-        let up = wait_until(TIMEOUT, || TcpStream::connect(self.at(relay)).is_ok());
+        let up = wait_until(TIMEOUT, || TcpStream::connect(self.address(relay)).is_ok());
         assert!(up, "relay {relay} does not serve: {}", self.log(relay));
     }
 
@@ -219,7 +221,7 @@
         child.kill().and_then(|()| child.wait()).expect("it ends");
     }
 
-    pub(crate) fn stop(&self, relay: u32) {
+    pub(crate) fn suspend(&self, relay: u32) {
         self.signal(relay, Signal::STOP);
     }
 
@@ -227,7 +229,7 @@
         self.signal(relay, Signal::CONT);
     }
 
-    /// SIGTERM, and how it ended.
+    /// Sends SIGTERM, waits for the process and returns its exit code.
     pub(crate) fn terminate(&mut self, relay: u32) -> Option<i32> {
         self.signal(relay, Signal::TERM);
         let mut child = self.children.remove(&relay).expect("it runs");
@@ -235,13 +237,13 @@
     }
 
     pub(crate) fn status(&self, relay: u32) -> Option<RelayStatus> {
-        let mut client = PeerClient::new(self.at(relay), ms(1_000), 1 << 24);
+        let mut client = PeerClient::new(self.address(relay), ms(1_000), 1 << 24);
         let response = client.request("GET", "/v1/status", "", b"").ok()?;
         assert_eq!(response.code, 200);
         Some(serde_json::from_slice(&response.body).expect("a status"))
     }
 
-    /// The leader, once there is one beside those that are left out.
+    /// Waits until one of the voters that are not excluded is the leader, and returns its number.
     pub(crate) fn leader_except(&self, excluded: &[u32]) -> u32 {
         let mut leader = None;
         let found = wait_until(TIMEOUT, || {
@@ -260,22 +262,22 @@
     }
 
     pub(crate) fn publisher(&self) -> Publisher {
-        let voter = |n| MemberForm { number: n, address: self.at(n), votes: true };
+        let voter = |n| MemberForm { number: n, address: self.address(n), votes: true };
         Publisher::new(&(0..self.voters).map(voter).collect::<Vec<_>>())
     }
 
-    /// The list, as the first event of all.
+    /// Publishes the complete list as the first event.
     pub(crate) fn publish_list(&self) -> Published {
         let mut published = Published::default();
-        published.publish(&mut self.publisher(), "list", LIST);
+        published.publish(&mut self.publisher(), "list", LIST_EVENT);
         published
     }
 
     pub(crate) fn subscriber(&self, name: u8, home: u32) -> Subscriber {
-        Subscriber::start(self.ip(name), self.at(home), &self.all())
+        Subscriber::start(self.ip(name), self.address(home), &self.addresses())
     }
 
-    /// So many subscribers, spread over all relays.
+    /// Starts this many subscribers, spread over all relays.
     pub(crate) fn subscribers(&self, many: u8) -> Vec<Subscriber> {
         (0..many).map(|i| self.subscriber(i + 1, u32::from(i) % self.count)).collect()
     }
@@ -290,7 +292,7 @@
     }
 }
 
-/// Events that were accepted, by their numbers.
+/// Events that were accepted, by number.
 #[derive(Default)]
 pub(crate) struct Published(pub(crate) BTreeMap<u64, String>);
 
@@ -303,14 +305,14 @@
     }
 }
 
-/// Publishes purges one after another until it is stopped.
-pub(crate) struct Load {
+/// Publishes purges in a thread until it is stopped.
+pub(crate) struct PurgeLoad {
     stop: Arc<AtomicBool>,
     thread: JoinHandle<Published>,
 }
 
-impl Load {
-    pub(crate) fn start(mut publisher: Publisher, name: u64, pause: Duration) -> Load {
+impl PurgeLoad {
+    pub(crate) fn start(mut publisher: Publisher, name: u64, pause: Duration) -> PurgeLoad {
         let stop = Arc::new(AtomicBool::new(false));
         let is_stopped = stop.clone();
         let thread = spawn(move || {
@@ -319,12 +321,12 @@
                 if is_stopped.load(Ordering::Relaxed) {
                     break;
                 }
-                published.publish(&mut publisher, &format!("{name}-{i}"), &purge(name << 32 | i));
+                published.publish(&mut publisher, &format!("{name}-{i}"), &purge_event(name << 32 | i));
                 sleep(pause);
             }
             published
         });
-        Load { stop, thread }
+        PurgeLoad { stop, thread }
     }
 
     pub(crate) fn finish(self) -> Published {
@@ -335,7 +337,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Received {
-    /// In the order in which they were applied.
+    /// Numbers and bodies, in the order in which they were applied.
     pub(crate) events: Vec<(u64, String)>,
     pub(crate) calls: u64,
     pub(crate) failed: u64,
@@ -349,12 +351,12 @@
     }
 }
 
-/// Follows feeds, as a director does: by `sablecross_discovery`.
+/// Follows feeds with `sablecross_discovery`, as a director does.
 pub(crate) struct Subscriber {
-    pub(crate) got: Arc<Mutex<Received>>,
+    pub(crate) received: Arc<Mutex<Received>>,
     stop: Arc<AtomicBool>,
-    /// While it is set, it calls nobody.
-    pub(crate) away: Arc<AtomicBool>,
+    /// While this is set, the subscriber has no connection.
+    pub(crate) disconnected: Arc<AtomicBool>,
 }
 
 impl Drop for Subscriber {
@@ -372,22 +374,24 @@
 
 impl Subscriber {
     pub(crate) fn start(name: IpAddr, home: SocketAddr, all: &[SocketAddr]) -> Subscriber {
-        let subscriber = Subscriber { got: Arc::default(), stop: Arc::default(), away: Arc::default() };
-        let (got, stop, away) = (subscriber.got.clone(), subscriber.stop.clone(), subscriber.away.clone());
+        let subscriber =
+            Subscriber { received: Arc::default(), stop: Arc::default(), disconnected: Arc::default() };
+        let (received, stop, disconnected) =
+            (subscriber.received.clone(), subscriber.stop.clone(), subscriber.disconnected.clone());
         let (mut feeds, mut cursor) =
             (FeedSelector::new(&name.to_string(), home, all), EventCursor::after_number(0));
         spawn(move || {
             let begun = Instant::now();
             while !stop.load(Ordering::Relaxed) {
-                if away.load(Ordering::Relaxed) {
+                if disconnected.load(Ordering::Relaxed) {
                     sleep(ms(10));
                     continue;
                 }
                 let (since, before) = (Instant::now(), cursor.last_number());
-                match follow(name, &mut feeds, &mut cursor, &got, &away, &stop) {
+                match follow(name, &mut feeds, &mut cursor, &received, &disconnected, &stop) {
                     Ok(()) => feeds.on_stream_ended(begun.elapsed()),
                     Err(_) => {
-                        got.lock().expect("a lock").failed += 1;
+                        received.lock().expect("a lock").failed += 1;
                         feeds.on_failed(begun.elapsed());
                     }
                 }
@@ -400,15 +404,15 @@
     }
 
     pub(crate) fn last(&self) -> u64 {
-        self.got.lock().expect("a lock").last()
+        self.received.lock().expect("a lock").last()
     }
 
-    pub(crate) fn got(&self) -> Received {
-        self.got.lock().expect("a lock").clone()
+    pub(crate) fn received(&self) -> Received {
+        self.received.lock().expect("a lock").clone()
     }
 
-    pub(crate) fn set_away(&self, away: bool) {
-        self.away.store(away, Ordering::Relaxed);
+    pub(crate) fn set_disconnected(&self, disconnected: bool) {
+        self.disconnected.store(disconnected, Ordering::Relaxed);
     }
 }
 
@@ -421,8 +425,8 @@
     name: IpAddr,
     feeds: &mut FeedSelector,
     cursor: &mut EventCursor,
-    got: &Mutex<Received>,
-    away: &AtomicBool,
+    received: &Mutex<Received>,
+    disconnected: &AtomicBool,
     stop: &AtomicBool,
 ) -> Result<(), String> {
     let at = feeds.current();
@@ -431,10 +435,10 @@
     (&stream)
         .write_all(sablecross_discovery::events_request(at, cursor.last_number()).as_bytes())
         .map_err(|e| e.to_string())?;
-    got.lock().expect("a lock").calls += 1;
+    received.lock().expect("a lock").calls += 1;
     let (mut parser, mut bytes, mut last_read) =
         (EventStreamParser::new(1 << 22), [0; 8_192], Instant::now());
-    while !away.load(Ordering::Relaxed) && !stop.load(Ordering::Relaxed) {
+    while !disconnected.load(Ordering::Relaxed) && !stop.load(Ordering::Relaxed) {
         match (&stream).read(&mut bytes) {
             Ok(0) => return parser.finish().map_err(|e| e.to_string()),
             Ok(n) => {
@@ -453,15 +457,15 @@
                 StreamItem::Connected => feeds.on_connected(),
                 StreamItem::Comment(_) => {}
                 StreamItem::Event { id, data } => {
-                    let mut got = got.lock().expect("a lock");
+                    let mut received = received.lock().expect("a lock");
                     match cursor.classify(id, number(&data)) {
-                        EventVerdict::New(_) => got.events.push((cursor.last_number(), data)),
+                        EventVerdict::New(_) => received.events.push((cursor.last_number(), data)),
                         EventVerdict::Duplicate => {}
                         EventVerdict::Resubscribe(reason) => {
-                            got.resubscribed += 1;
+                            received.resubscribed += 1;
                             return Err(reason.to_string());
                         }
-                        EventVerdict::Skip { .. } => got.skipped += 1,
+                        EventVerdict::Skip { .. } => received.skipped += 1,
                     }
                 }
             }
@@ -470,39 +474,40 @@
     Ok(())
 }
 
-/// All subscribers reach the last number, then each has every published event from the list on, in order, once and as it
-/// was published, and nobody has under a number what another does not.
+/// Waits until all subscribers have reached the last number. Then checks that each has received every published event
+/// once, in order and unchanged, and that no two subscribers have different events under one number.
 pub(crate) fn assert_complete(subscribers: &[Subscriber], published: &Published, fleet: &RelayFleet) {
     let last = *published.0.keys().last().expect("something was published");
     let have_all = wait_until(TIMEOUT, || subscribers.iter().all(|r| r.last() >= last));
     let at: Vec<u64> = subscribers.iter().map(Subscriber::last).collect();
-    assert!(have_all, "of {last} subscribers have {at:?}\n{}", fleet.logs());
+    assert!(have_all, "the last event is {last}, subscribers have reached {at:?}\n{}", fleet.logs());
     let mut known: BTreeMap<u64, String> = BTreeMap::new();
     for (i, subscriber) in subscribers.iter().enumerate() {
-        let got = subscriber.got();
-        assert_eq!(got.skipped, 0, "subscriber {i} skipped events");
-        let numbers: Vec<u64> = got.events.iter().map(|(n, _)| *n).collect();
+        let received = subscriber.received();
+        assert_eq!(received.skipped, 0, "subscriber {i} skipped events");
+        let numbers: Vec<u64> = received.events.iter().map(|(n, _)| *n).collect();
         assert!(
             numbers.windows(2).all(|w| w[1] == w[0] + 1),
             "subscriber {i}: {:?}\n{}",
             numbers.windows(2).find(|w| w[1] != w[0] + 1),
             fleet.logs()
         );
-        let of: BTreeMap<u64, &String> = got.events.iter().map(|(n, e)| (*n, e)).collect();
+        let of: BTreeMap<u64, &String> = received.events.iter().map(|(n, e)| (*n, e)).collect();
         for (n, event) in &published.0 {
-            let received = of.get(n).unwrap_or_else(|| panic!("subscriber {i} misses {n}\n{}", fleet.logs()));
-            assert_eq!(**received, format!("{{\"n\":{n},{}", &event[1..]), "subscriber {i}");
+            let received_event =
+                of.get(n).unwrap_or_else(|| panic!("subscriber {i} misses {n}\n{}", fleet.logs()));
+            assert_eq!(**received_event, format!("{{\"n\":{n},{}", &event[1..]), "subscriber {i}");
         }
-        for (n, event) in got.events {
+        for (n, event) in received.events {
             let first = known.entry(n).or_insert_with(|| event.clone());
             assert_eq!(*first, event, "subscriber {i} has another event under {n}");
         }
     }
 }
 
-/// Whether a voter rejects an event as one that is not the leader, or not any more.
-pub(crate) fn rejects(fleet: &RelayFleet, relay: u32, event: &str) -> bool {
-    let member = MemberForm { number: relay, address: fleet.at(relay), votes: true };
+/// Returns whether a voter rejects an event because it is not, or no longer, the leader.
+pub(crate) fn rejects_as_non_leader(fleet: &RelayFleet, relay: u32, event: &str) -> bool {
+    let member = MemberForm { number: relay, address: fleet.address(relay), votes: true };
     let result = Publisher::new(&[member]).publish("once", event.as_bytes(), Duration::ZERO);
     matches!(result, Err(PublishCallError::TimedOut { .. }))
 }
--- a/crates/relay-server/tests/processes/faults.rs
+++ b/crates/relay-server/tests/processes/faults.rs
@@ -1,20 +1,22 @@
-//! Faults between processes, under load: nobody misses, repeats or reorders an event, and no old leader changes anything.
+//! Faults between processes under load: no subscriber may miss, repeat or reorder an event, and no former leader may
+//! change anything.
 
 use std::time::Instant;
 
 use sablecross_relay::RelayRole;
 
 use crate::common::{
-    LIST, Load, RelayFleet, Subscriber, TIMEOUT, assert_complete, large, ms, purge, rejects, wait_until,
+    LIST_EVENT, PurgeLoad, RelayFleet, Subscriber, TIMEOUT, assert_complete, large_list_event, ms,
+    purge_event, rejects_as_non_leader, wait_until,
 };
 
-/// Kills the leader, then another voter, while purges are published and read.
+/// Kills the leader, then another voter, while purges are published and received.
 #[test]
-fn killed_under_load() {
+fn voters_killed_under_load() {
     let mut fleet = RelayFleet::start(1, 3, 1, "");
     let mut published = fleet.publish_list();
     let subscribers = fleet.subscribers(12);
-    let load = Load::start(fleet.publisher(), 1, ms(5));
+    let load = PurgeLoad::start(fleet.publisher(), 1, ms(5));
     std::thread::sleep(ms(700));
     let first = fleet.leader();
     fleet.kill(first);
@@ -34,31 +36,31 @@
     assert_complete(&subscribers, &published, &fleet);
 }
 
-/// A plain relay that subscribers are at stands still for five seconds.
+/// A plain relay with subscribers is suspended for five seconds.
 #[test]
-fn stopped_for_five_seconds() {
+fn plain_relay_suspended_for_five_seconds() {
     let fleet = RelayFleet::start(2, 3, 1, "");
     let mut published = fleet.publish_list();
     let subscribers = fleet.subscribers(8);
-    let load = Load::start(fleet.publisher(), 1, ms(10));
+    let load = PurgeLoad::start(fleet.publisher(), 1, ms(10));
     std::thread::sleep(ms(500));
-    fleet.stop(3);
+    fleet.suspend(3);
     std::thread::sleep(ms(5_000));
     fleet.resume(3);
     std::thread::sleep(ms(500));
     published.0.extend(load.finish().0);
     assert_complete(&subscribers, &published, &fleet);
-    // Its subscribers went to others meanwhile.
-    assert!(subscribers.iter().skip(3).step_by(4).all(|r| r.got().failed > 0));
+    // Its subscribers switched to other relays in the meantime.
+    assert!(subscribers.iter().skip(3).step_by(4).all(|r| r.received().failed > 0));
 }
 
-/// Under load and without a fault a plain relay stays with the upstream that it follows, and knows how fresh it is.
+/// Under load and without faults, a plain relay must stay with its upstream and know its staleness.
 #[test]
-fn calm_upstream_is_kept() {
+fn healthy_upstream_is_kept() {
     let fleet = RelayFleet::start(11, 3, 1, "");
     fleet.publish_list();
-    let load = Load::start(fleet.publisher(), 1, ms(10));
-    // Until there was a leader, all were stale.
+    let load = PurgeLoad::start(fleet.publisher(), 1, ms(10));
+    // Until a leader was elected, all upstreams were stale.
     let fresh = || fleet.status(3).and_then(|s| s.staleness_ms);
     assert!(wait_until(TIMEOUT, || fresh().is_some_and(|ms| ms < 1_000)), "{}", fleet.logs());
     let before = fleet.log(3).matches("stale").count();
@@ -69,44 +71,45 @@
     assert!(fresh.is_some_and(|ms| ms < 1_000), "{fresh:?}");
 }
 
-/// What a plain relay is sent by its upstream does not arrive any more, on connections that stay: it follows another.
+/// A plain relay's connections to its upstream stay open, but data from the upstream no longer arrives: the relay must
+/// switch to another upstream.
 #[test]
-fn cut_one_way() {
+fn upstream_cut_off_one_way() {
     let mut fleet = RelayFleet::new(3, 3, 1, "");
-    let holds = fleet.link(3, 0);
+    let pause = fleet.add_link(3, 0);
     (0..4).for_each(|n| fleet.start_relay(n));
     let mut published = fleet.publish_list();
     let subscriber = [fleet.subscriber(1, 3)];
-    let load = Load::start(fleet.publisher(), 1, ms(10));
+    let load = PurgeLoad::start(fleet.publisher(), 1, ms(10));
     assert!(wait_until(TIMEOUT, || subscriber[0].last() > 0));
-    holds.from.store(true, std::sync::atomic::Ordering::Relaxed);
+    pause.from_target.store(true, std::sync::atomic::Ordering::Relaxed);
     let cut = Instant::now();
     let at = fleet.status(0).expect("a status").last_number;
     assert!(wait_until(TIMEOUT, || subscriber[0].last() > at + 20), "{}", fleet.logs());
     let took = cut.elapsed();
-    holds.from.store(false, std::sync::atomic::Ordering::Relaxed);
+    pause.from_target.store(false, std::sync::atomic::Ordering::Relaxed);
     published.0.extend(load.finish().0);
     assert_complete(&subscriber, &published, &fleet);
     assert!(took < ms(6_000), "another upstream was followed after {took:?}");
 }
 
-/// A voter comes back with an older log, and then the two that had it all are lost one after another.
+/// A voter resumes with an older log, and then the two voters with the full log are killed one after another.
 #[test]
-fn older_log() {
+fn voter_with_an_older_log() {
     let mut fleet = RelayFleet::start(4, 3, 0, "");
     let mut published = fleet.publish_list();
     let subscribers = fleet.subscribers(6);
     let mut publisher = fleet.publisher();
     let leader = fleet.leader();
     let late = (leader + 1) % 3;
-    fleet.stop(late);
+    fleet.suspend(late);
     for i in 0..60 {
-        published.publish(&mut publisher, &format!("a{i}"), &purge(i));
+        published.publish(&mut publisher, &format!("a{i}"), &purge_event(i));
     }
     fleet.resume(late);
     fleet.kill(leader);
     for i in 60..90 {
-        published.publish(&mut publisher, &format!("a{i}"), &purge(i));
+        published.publish(&mut publisher, &format!("a{i}"), &purge_event(i));
     }
     fleet.start_relay(leader);
     assert!(
@@ -117,19 +120,19 @@
     let other = (leader + 2) % 3;
     fleet.kill(other);
     for i in 90..120 {
-        published.publish(&mut publisher, &format!("a{i}"), &purge(i));
+        published.publish(&mut publisher, &format!("a{i}"), &purge_event(i));
     }
     assert_complete(&subscribers, &published, &fleet);
 }
 
-/// A voter that restarts, and a plain relay, take over a log of megabytes before anybody's timeout ends.
+/// A restarted voter and a new plain relay must take over a log of several megabytes before any timeout.
 #[test]
 fn large_log_is_recovered() {
     let mut fleet = RelayFleet::new(10, 3, 1, "");
     (0..3).for_each(|n| fleet.start_relay(n));
     let mut published = fleet.publish_list();
     for i in 0..6 {
-        published.publish(&mut fleet.publisher(), &format!("l{i}"), &large(600_000, i + 2));
+        published.publish(&mut fleet.publisher(), &format!("l{i}"), &large_list_event(600_000, i + 2));
     }
     let voter = (fleet.leader() + 1) % 3;
     fleet.kill(voter);
@@ -147,21 +150,22 @@
     assert_complete(&[fleet.subscriber(1, 3)], &published, &fleet);
 }
 
-/// The leader stands still in the middle of what is published, another one takes over; the old one wakes and is rejected.
+/// The leader is suspended while events are published, and another voter takes over. The resumed old leader must not
+/// accept events.
 #[test]
-fn old_leader_wakes() {
+fn resumed_old_leader_is_rejected() {
     let fleet = RelayFleet::start(5, 3, 1, "");
     let mut published = fleet.publish_list();
     let subscribers = fleet.subscribers(8);
-    let load = Load::start(fleet.publisher(), 1, ms(2));
+    let load = PurgeLoad::start(fleet.publisher(), 1, ms(2));
     std::thread::sleep(ms(400));
     let old = fleet.leader();
-    fleet.stop(old);
+    fleet.suspend(old);
     let new = fleet.leader_except(&[old]);
     std::thread::sleep(ms(500));
     fleet.resume(old);
-    // At once: it may not have found out yet.
-    assert!(rejects(&fleet, old, &purge(77)), "two leaders at once");
+    // Checked at once, when it may not yet know that its lease has expired.
+    assert!(rejects_as_non_leader(&fleet, old, &purge_event(77)), "two leaders at once");
     assert_ne!(old, new);
     std::thread::sleep(ms(800));
     let leaders = (0..3).filter(|n| fleet.status(*n).is_some_and(|s| s.role == RelayRole::Leader)).count();
@@ -170,28 +174,28 @@
     assert_complete(&subscribers, &published, &fleet);
 }
 
-/// The leader is cut off from the other voters, but not from its publishers and subscribers: what it accepts from then on is
-/// sent by nobody.
+/// The leader is partitioned from the other voters, but not from its publishers and subscribers. No relay may send an
+/// event that it accepts from then on.
 #[test]
-fn leader_cut_off() {
+fn leader_partitioned_from_other_voters() {
     let mut fleet = RelayFleet::new(9, 3, 0, "");
     let pairs = [(0, 1), (0, 2), (1, 0), (1, 2), (2, 0), (2, 1)];
-    let links = pairs.map(|(from, to)| ((from, to), fleet.link(from, to)));
+    let links = pairs.map(|(from, to)| ((from, to), fleet.add_link(from, to)));
     (0..3).for_each(|n| fleet.start_relay(n));
     let mut published = fleet.publish_list();
     let subscribers = fleet.subscribers(6);
     let old = fleet.leader();
-    let load = Load::start(fleet.publisher(), 1, ms(5));
+    let load = PurgeLoad::start(fleet.publisher(), 1, ms(5));
     std::thread::sleep(ms(300));
     let cut = |on: bool| {
-        for (_, holds) in links.iter().filter(|((from, to), _)| *from == old || *to == old) {
-            holds.to.store(on, std::sync::atomic::Ordering::Relaxed);
-            holds.from.store(on, std::sync::atomic::Ordering::Relaxed);
+        for (_, pause) in links.iter().filter(|((from, to), _)| *from == old || *to == old) {
+            pause.to_target.store(on, std::sync::atomic::Ordering::Relaxed);
+            pause.from_target.store(on, std::sync::atomic::Ordering::Relaxed);
         }
     };
     cut(true);
-    // It leads still for a moment, and accepts this; no majority stores it.
-    assert!(rejects(&fleet, old, &purge(0xdead)), "committed without a majority");
+    // It is still the leader for a moment and accepts this event, but no majority stores it.
+    assert!(rejects_as_non_leader(&fleet, old, &purge_event(0xdead)), "committed without a majority");
     let new = fleet.leader_except(&[old]);
     assert_ne!(old, new);
     std::thread::sleep(ms(500));
@@ -199,34 +203,35 @@
     std::thread::sleep(ms(1_000));
     published.0.extend(load.finish().0);
     assert_complete(&subscribers, &published, &fleet);
-    let dead = |r: &Subscriber| r.got().events.iter().any(|(_, e)| e.contains("dead"));
+    let dead = |r: &Subscriber| r.received().events.iter().any(|(_, e)| e.contains("dead"));
     assert!(!subscribers.iter().any(dead), "what the old leader accepted was sent");
 }
 
-/// An event that is published twice with one key is sent once, also where the first answer was lost with the leader.
+/// An event that is published twice with one idempotency key must be sent once, also if the leader that accepted it was
+/// killed.
 #[test]
-fn published_again_with_its_key() {
+fn repeated_idempotency_key_publishes_once() {
     let mut fleet = RelayFleet::start(6, 3, 0, "");
     let mut published = fleet.publish_list();
     let subscribers = fleet.subscribers(3);
-    let n = published.publish(&mut fleet.publisher(), "m", &purge(5));
-    let again = fleet.publisher().publish("m", purge(5).as_bytes(), TIMEOUT).expect("a number");
+    let n = published.publish(&mut fleet.publisher(), "m", &purge_event(5));
+    let again = fleet.publisher().publish("m", purge_event(5).as_bytes(), TIMEOUT).expect("a number");
     assert_eq!(n, again);
     let leader = fleet.leader();
     fleet.kill(leader);
-    assert_eq!(fleet.publisher().publish("m", purge(5).as_bytes(), TIMEOUT).expect("a number"), n);
-    published.publish(&mut fleet.publisher(), "next", &purge(6));
+    assert_eq!(fleet.publisher().publish("m", purge_event(5).as_bytes(), TIMEOUT).expect("a number"), n);
+    published.publish(&mut fleet.publisher(), "next", &purge_event(6));
     assert_complete(&subscribers, &published, &fleet);
 }
 
-/// SIGTERM hands leadership over: nobody waits for the lease, and streams end without an error.
+/// After SIGTERM the leader must hand over leadership, without waiting for its lease, and end streams without an error.
 #[test]
-fn handed_over() {
+fn sigterm_hands_over_leadership() {
     let mut fleet = RelayFleet::start(7, 3, 0, "");
     let mut published = fleet.publish_list();
     let subscribers = fleet.subscribers(6);
     let leader = fleet.leader();
-    let load = Load::start(fleet.publisher(), 1, ms(10));
+    let load = PurgeLoad::start(fleet.publisher(), 1, ms(10));
     std::thread::sleep(ms(300));
     assert_eq!(fleet.terminate(leader), Some(0), "{}", fleet.log(leader));
     let next = fleet.leader_except(&[leader]);
@@ -236,8 +241,8 @@
     assert_complete(&subscribers, &published, &fleet);
 }
 
-/// All voters are lost at once, with all that they stored: they go on under numbers that are higher than any before, once
-/// the list is published.
+/// All voters are killed at once and lose their logs. After the restart the complete list must be published first, and
+/// its number must be higher than any before.
 #[test]
 fn all_voters_restarted() {
     let mut fleet = RelayFleet::start(8, 3, 0, "");
@@ -245,8 +250,8 @@
     (0..3).for_each(|n| fleet.kill(n));
     (0..3).for_each(|n| fleet.start_relay(n));
     fleet.leader();
-    let result = fleet.publisher().publish("p", purge(1).as_bytes(), TIMEOUT);
+    let result = fleet.publisher().publish("p", purge_event(1).as_bytes(), TIMEOUT);
     assert!(result.is_err_and(|error| error.to_string().contains("complete list")));
-    let after = fleet.publisher().publish("l", LIST.as_bytes(), TIMEOUT).expect("a number");
+    let after = fleet.publisher().publish("l", LIST_EVENT.as_bytes(), TIMEOUT).expect("a number");
     assert!(after > before);
 }
--- a/crates/relay-server/tests/processes/main.rs
+++ b/crates/relay-server/tests/processes/main.rs
@@ -1,4 +1,4 @@
-//! Relays as processes, and faults between them.
+//! Tests of relays as separate processes, with faults between them.
 
 mod common;
 mod faults;
--- a/crates/relay-server/tests/settings.rs
+++ b/crates/relay-server/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: the sample, and what is wrong with others, where.
+//! Settings files: the sample, and errors with their place.
 
 use sablecross_relay_server::RelayServerConfig;
 
@@ -10,14 +10,14 @@
 const MEMBER: &str = "(member (number . 0) (address . \"127.0.0.1:7070\") (votes . #t))\n";
 
 #[test]
-fn the_sample_is_read() {
+fn the_sample_is_valid() {
     let text = include_str!("../../../deploy/relay.scm");
     let config = RelayServerConfig::parse("relay.scm", text).expect("the sample");
     assert_eq!(config.voters().count(), 3);
     assert_eq!(config.listen, "127.0.0.1:7070".parse().expect("an address"));
     assert!(config.is_voter() && config.upstreams.is_empty());
     assert_eq!(config.subscribers[0].name, "n5");
-    // What the sample says is what is taken by itself.
+    // The sample spells out the defaults.
     let short = format!("(relay (number . 0))\n{MEMBER}");
     assert_eq!(RelayServerConfig::parse("short", &short).expect("short").relay, config.relay);
 }
@@ -53,17 +53,17 @@
         (format!("{MEMBER}(relay (number . 0) (listen . \"localhost\"))\n"), "r.scm:2:22: relay.listen: "),
     ] {
         let found = errors(&text);
-        assert!(found.contains(what), "{found}, where {what} was due");
+        assert!(found.contains(what), "{found}, expected {what}");
     }
 }
 
 #[test]
-fn descriptors_past_the_limit_are_an_error() {
+fn too_low_descriptor_limit_is_an_error() {
     let text = format!("(relay (number . 0) (connections . 100000))\n{MEMBER}");
     let config = RelayServerConfig::parse("r.scm", &text).expect("settings");
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     if limit.is_some_and(|l| l < config.max_descriptors() as u64) {
-        let error = config.check_descriptor_limit().expect_err("it does not fit").to_string();
+        let error = config.check_descriptor_limit().expect_err("an error").to_string();
         assert!(error.contains("relay.connections") && error.contains("descriptors"), "{error}");
     } else {
         assert_eq!(config.check_descriptor_limit(), Ok(()));
--- a/crates/relay-server/tests/settings_format.rs
+++ b/crates/relay-server/tests/settings_format.rs
@@ -1,17 +1,17 @@
-//! The forms of a relay's settings file: every key by its spelling, and what stands for one that is left out.
+//! The forms of a relay's settings file: the spelling of every key, and the defaults.
 
 use sablecross_relay_server::RelayServerConfig;
 use sablecross_relay_server::settings::RelayForm;
 
 const MEMBER: &str = "(member (number . 0) (address . \"127.0.0.1:7070\") (votes . #t))\n";
 
-fn parsed(text: &str) -> RelayServerConfig {
-    RelayServerConfig::parse("r.scm", text).unwrap_or_else(|faults| panic!("{faults:?}"))
+fn parse_config(text: &str) -> RelayServerConfig {
+    RelayServerConfig::parse("r.scm", text).unwrap_or_else(|errors| panic!("{errors:?}"))
 }
 
 #[test]
 fn defaults_of_every_key() {
-    let setting = parsed(&format!("(relay (number . 0))\n{MEMBER}"));
+    let config = parse_config(&format!("(relay (number . 0))\n{MEMBER}"));
     let expected = RelayForm {
         number: 0,
         listen: None,
@@ -33,20 +33,20 @@
         stale_ms: 3_000,
         connections: 4_000,
     };
-    assert_eq!(setting.relay, expected);
-    assert_eq!(setting.listen, "127.0.0.1:7070".parse().expect("an address"));
-    assert!(setting.upstreams.is_empty() && setting.subscribers.is_empty());
-    let member = &setting.members[0];
-    assert_eq!((member.number, member.address, member.votes), (0, setting.listen, true));
+    assert_eq!(config.relay, expected);
+    assert_eq!(config.listen, "127.0.0.1:7070".parse().expect("an address"));
+    assert!(config.upstreams.is_empty() && config.subscribers.is_empty());
+    let member = &config.members[0];
+    assert_eq!((member.number, member.address, member.votes), (0, config.listen, true));
     // A member votes only if it says so.
     let text = "(relay (number . 3))\n(member (number . 3) (address . \"127.0.0.1:7073\"))\n";
-    let plain = parsed(&format!("{text}(upstream (address . \"127.0.0.1:7099\"))"));
+    let plain = parse_config(&format!("{text}(upstream (address . \"127.0.0.1:7099\"))"));
     assert!(!plain.members[0].votes);
 }
 
 #[test]
-fn every_key_by_its_spelling() {
-    let setting = parsed(
+fn spelling_of_every_key() {
+    let config = parse_config(
         "(relay (number . 3) (listen . \"127.0.0.1:8000\") (batch-ms . 101) (batch-bytes . 16385) (ack-ms . 2001)\n\
            (missed-ms . 10001) (forgotten-ms . 3600000) (stuck-ms . 20001) (cleared-ms . 6001) (held-ms . 120001)\n\
            (slack-ms . 10001) (log-bytes . 67108865) (event-bytes . 1048577) (lease-ms . 1001) (round-ms . 201)\n\
@@ -76,26 +76,26 @@
         stale_ms: 3_001,
         connections: 4_001,
     };
-    assert_eq!(setting.relay, expected);
-    assert_eq!(setting.listen.to_string(), "127.0.0.1:8000");
-    assert_eq!(setting.members[0].address.to_string(), "127.0.0.1:7073");
-    assert!(!setting.members[0].votes);
-    assert_eq!(setting.upstreams, ["127.0.0.1:7099".parse().expect("an address")]);
-    assert_eq!(setting.subscribers[0].name, "n5");
-    assert_eq!(setting.subscribers[0].address.to_string(), "127.0.0.1:7105");
-    assert_eq!(setting.name(), "relay-3");
+    assert_eq!(config.relay, expected);
+    assert_eq!(config.listen.to_string(), "127.0.0.1:8000");
+    assert_eq!(config.members[0].address.to_string(), "127.0.0.1:7073");
+    assert!(!config.members[0].votes);
+    assert_eq!(config.upstreams, ["127.0.0.1:7099".parse().expect("an address")]);
+    assert_eq!(config.subscribers[0].name, "n5");
+    assert_eq!(config.subscribers[0].address.to_string(), "127.0.0.1:7105");
+    assert_eq!(config.name(), "relay-3");
 }
 
-/// A form that lacks what has no default, and one with a key too many, each by its whole line.
+/// Forms with a missing or an unknown key, with the complete error.
 #[test]
-fn keys_that_are_missing_or_unknown() {
-    for (text, line) in MISTAKES {
-        let faults = RelayServerConfig::parse("r.scm", text).expect_err("a fault");
-        assert_eq!(faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "), line, "{text}");
+fn missing_and_unknown_keys() {
+    for (text, line) in INVALID_FORMS {
+        let errors = RelayServerConfig::parse("r.scm", text).expect_err("an error");
+        assert_eq!(errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "), line, "{text}");
     }
 }
 
-const MISTAKES: [(&str, &str); 8] = [
+const INVALID_FORMS: [(&str, &str); 8] = [
     ("(relay)", "r.scm:1:1: relay: missing field `number`"),
     ("(member (number . 1))", "r.scm:1:1: member: missing field `address`"),
     ("(member (address . \"127.0.0.1:1\"))", "r.scm:1:1: member: missing field `number`"),
--- a/crates/relay-server/tests/wire_format.rs
+++ b/crates/relay-server/tests/wire_format.rs
@@ -1,9 +1,9 @@
-//! The bytes of the calls between voters, as programs of other versions send and read them: MessagePack, fields by
-//! their order, variants by their names.
+//! The encoding of calls between voters, which other versions of the program must be able to read: MessagePack, with
+//! fields by position and variants by name.
 
 use std::fmt::Debug;
 
-use sablecross_coordination::{FencingToken, LeaseHolder, LeaseReply as Said, LeaseRequest, Member};
+use sablecross_coordination::{FencingToken, LeaseHolder, LeaseReply, LeaseRequest, Member};
 use sablecross_relay::{
     EntryPosition, HierarchyEvent, LogEntry, PeerAnswer, PeerCall, PeerReply, PeerRequest, ReplicaState,
     Snapshot,
@@ -21,8 +21,8 @@
     digits.chunks(2).map(|pair| byte(pair).expect("hex")).collect()
 }
 
-/// The value has these bytes, and these bytes are the value.
-fn holds<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, expected: &str) {
+/// Checks that the value is encoded as these bytes, and that they are decoded as the value.
+fn assert_encoding<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, expected: &str) {
     let expected: String = expected.split_whitespace().collect();
     let encoded = rmp_serde::to_vec(value).expect("encoded");
     assert_eq!(hex(&encoded), expected, "{value:?}");
@@ -44,7 +44,7 @@
     vec![plain, LogEntry { number: 300, token: token(), body, idempotency_key: Some("m-1".into()) }]
 }
 
-fn base() -> Snapshot {
+fn snapshot() -> Snapshot {
     Snapshot {
         number: 5,
         epoch_start: 4,
@@ -56,12 +56,12 @@
     }
 }
 
-fn held() -> ReplicaState {
+fn replica_state() -> ReplicaState {
     ReplicaState {
         epoch: 1_000,
         last_entry: EntryPosition { number: 300, token: token() },
         committed: 6,
-        snapshot: Some(base()),
+        snapshot: Some(snapshot()),
         entries: entries(),
     }
 }
@@ -75,18 +75,18 @@
 }
 
 #[test]
-fn log_entries_and_bases() {
+fn log_entries_snapshots_and_states() {
     for (entry, expected) in entries().iter().zip(ENTRIES) {
-        holds(entry, expected);
+        assert_encoding(entry, expected);
     }
-    holds(&base(), BASE);
-    holds(&Snapshot::default(), EMPTY_BASE);
-    holds(&held(), HELD);
-    holds(&ReplicaState::default(), EMPTY_HELD);
+    assert_encoding(&snapshot(), SNAPSHOT);
+    assert_encoding(&Snapshot::default(), EMPTY_SNAPSHOT);
+    assert_encoding(&replica_state(), REPLICA_STATE);
+    assert_encoding(&ReplicaState::default(), EMPTY_REPLICA_STATE);
 }
 
 #[test]
-fn calls() {
+fn peer_calls() {
     let calls = [
         PeerCall::Lease(LeaseRequest::PreVote { round: 2, from: member() }),
         PeerCall::Lease(LeaseRequest::Acquire { round: 2, from: member(), term: 3, lease: 1_000_000_000 }),
@@ -110,39 +110,39 @@
             token: token(),
             epoch: 1_000,
             previous_entry: EntryPosition { number: 5, token: token() },
-            snapshot: Some(base()),
+            snapshot: Some(snapshot()),
             entries: Vec::new(),
             committed: 5,
         },
     ];
     assert_eq!(calls.len(), CALLS.len());
     for (call, expected) in calls.into_iter().zip(CALLS) {
-        holds(&request(call), expected);
+        assert_encoding(&request(call), expected);
     }
 }
 
 #[test]
-fn answers() {
+fn peer_answers() {
     let answers = [
         PeerAnswer::NotReady,
-        PeerAnswer::Lease(Said::PreVoteResult { round: 2, highest_term: 3, holder: None }),
-        PeerAnswer::Lease(Said::PreVoteResult {
+        PeerAnswer::Lease(LeaseReply::PreVoteResult { round: 2, highest_term: 3, holder: None }),
+        PeerAnswer::Lease(LeaseReply::PreVoteResult {
             round: 2,
             highest_term: 3,
             holder: Some(LeaseHolder { member: member(), remaining: 500 }),
         }),
-        PeerAnswer::Lease(Said::Granted { round: 2, term: 3 }),
-        PeerAnswer::Lease(Said::Rejected { round: 2, highest_term: 3, holder: None }),
-        PeerAnswer::Lease(Said::Rejected {
+        PeerAnswer::Lease(LeaseReply::Granted { round: 2, term: 3 }),
+        PeerAnswer::Lease(LeaseReply::Rejected { round: 2, highest_term: 3, holder: None }),
+        PeerAnswer::Lease(LeaseReply::Rejected {
             round: 2,
             highest_term: 3,
             holder: Some(LeaseHolder { member: member(), remaining: 500 }),
         }),
-        PeerAnswer::Recovered { highest_token: token(), is_complete: true, state: held() },
+        PeerAnswer::Recovered { highest_token: token(), is_complete: true, state: replica_state() },
         PeerAnswer::State {
             token: token(),
             is_complete: false,
-            state: ReplicaState { snapshot: None, ..held() },
+            state: ReplicaState { snapshot: None, ..replica_state() },
         },
         PeerAnswer::Appended { token: token(), epoch: 1_000, last_number: 300, applied_number: 6 },
         PeerAnswer::NeedsReset { token: token() },
@@ -151,19 +151,19 @@
     ];
     assert_eq!(answers.len(), ANSWERS.len());
     for (answer, expected) in answers.into_iter().zip(ANSWERS) {
-        holds(&reply(answer), expected);
+        assert_encoding(&reply(answer), expected);
     }
-    holds(&PeerReply::default(), EMPTY_REPLY);
+    assert_encoding(&PeerReply::default(), EMPTY_REPLY);
 }
 
 const ENTRIES: [&str; 2] = ["94069203920709a27b7dc0", "94cd012c9203920709ac7b227075726765223a7b7d7da36d2d31"];
-const BASE: &str =
+const SNAPSHOT: &str =
     "9705049203920709c30281a26e31ad7b226e616d65223a226e31227d9203b07b22686965726172636879223a7b7d7d";
-const EMPTY_BASE: &str = "9700009200920000c20080c0";
-const HELD: &str = "95cd03e892cd012c9203920709069705049203920709c30281a26e31ad7b226e616d65223a226e31227d9203b07b2268\
+const EMPTY_SNAPSHOT: &str = "9700009200920000c20080c0";
+const REPLICA_STATE: &str = "95cd03e892cd012c9203920709069705049203920709c30281a26e31ad7b226e616d65223a226e31227d9203b07b2268\
   6965726172636879223a7b7d7d9294069203920709a27b7dc094cd012c9203920709ac7b227075726765223a7b7d7da3\
   6d2d31";
-const EMPTY_HELD: &str = "95009200920092000000c090";
+const EMPTY_REPLICA_STATE: &str = "95009200920092000000c090";
 const EMPTY_REPLY: &str = "9290a74e6f7468696e67";
 const CALLS: [&str; 8] = [
     "930192000981a44475747981a44c6f6f6b9202920709",
--- a/crates/tls-keys/src/error.rs
+++ b/crates/tls-keys/src/error.rs
@@ -118,9 +118,7 @@
             KeyProblem::NoValidAuthority => "add a valid one, or check the system clock",
             KeyProblem::MalformedRevocationList { .. } => "provide complete PEM revocation lists",
             KeyProblem::NoRevocationList => "provide PEM revocation lists (X509 CRL)",
-            KeyProblem::BrokenChain { .. } => {
-                "put the own certificate first, and each issuer after what it issued"
-            }
+            KeyProblem::BrokenChain { .. } => "put the own certificate first, then each issuer",
             KeyProblem::NotYetValid { .. } => "check the system clock",
             KeyProblem::Expired { .. } => "renew the certificate",
             KeyProblem::NoPrivateKey => "provide one in PEM: PKCS#8, SEC1 or PKCS#1",
