--- a/crates/relay-server/src/server/streams.rs
+++ b/crates/relay-server/src/server/streams.rs
@@ -17,9 +17,9 @@
 const IDLE_TIMEOUT: Ns = 30_000 * NS_PER_MS;
 /// How long a peer may take to close a connection after the relay has shut down its write side.
 const DRAIN_TIMEOUT: Ns = 2_000 * NS_PER_MS;
-/// Streams to relays last this fraction of the time of other streams (`ack-ms`).
+/// A stream to another relay lasts `ack-ms` divided by this; other streams last `ack-ms`.
 const RELAY_STREAM_DIVISOR: u64 = 4;
-/// Streams are shortened by up to this fraction of their duration, so that they don't all end at once.
+/// Streams are shortened by up to their duration divided by this, so that they don't all end at once.
 const STREAM_JITTER_DIVISOR: u64 = 4;
 /// How many encoded batches are kept during a tick, each for all subscribers with the same cursor.
 const MAX_SHARED_BATCHES: usize = 8;
