--- a/crates/testbed/src/soak/capacity.rs
+++ b/crates/testbed/src/soak/capacity.rs
@@ -1,7 +1,7 @@
 //! How many calls stand-in caches bear: what a cache serves at once, what waits for its turn, what is turned away.
 
 use super::Seconds;
-use super::invariants::{SLOW_START_INITIAL_SHARE, SLOW_START_WINDOW};
+use super::invariants::{SLOW_START_INITIAL_SHARE, SLOW_START_SECONDS};
 
 #[cfg(test)]
 mod tests;
@@ -12,9 +12,9 @@
 pub(crate) const MAX_QUEUE_SECONDS: f64 = 0.1;
 
 /// The share of its capacity that a node bears so many seconds after its cold start.
-pub(crate) fn share(age: f64) -> f64 {
-    let warmth = (age / SLOW_START_WINDOW).clamp(0.0, 1.0);
-    SLOW_START_INITIAL_SHARE + (1.0 - SLOW_START_INITIAL_SHARE) * warmth
+pub(crate) fn slow_start_share(age: f64) -> f64 {
+    let progress = (age / SLOW_START_SECONDS).clamp(0.0, 1.0);
+    SLOW_START_INITIAL_SHARE + (1.0 - SLOW_START_INITIAL_SHARE) * progress
 }
 
 /// The capacity of a node over its life.
@@ -29,7 +29,7 @@
 impl Capacity {
     /// Calls a second that it bears at this time.
     pub(crate) fn at(&self, now: Seconds) -> f64 {
-        self.cold_since.map_or(self.warm, |since| self.warm * share(now - since))
+        self.cold_since.map_or(self.warm, |since| self.warm * slow_start_share(now - since))
     }
 }
 
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Admission {
     /// It is begun at this time.
-    From(Seconds),
+    BeginsAt(Seconds),
     /// It is turned away.
     Full,
 }
@@ -63,6 +63,6 @@
             return Admission::Full;
         }
         self.free_at = begins_at + 1.0 / self.capacity.at(now);
-        Admission::From(begins_at)
+        Admission::BeginsAt(begins_at)
     }
 }
--- a/crates/testbed/src/soak/capacity/tests.rs
+++ b/crates/testbed/src/soak/capacity/tests.rs
@@ -36,11 +36,11 @@
 fn a_call_waits_a_tenth_of_a_second_at_most() {
     let mut queue = AdmissionQueue::new(WARM);
     for (call, begins_at) in (0..=10).zip([5.0, 5.01, 5.02, 5.03, 5.04, 5.05, 5.06, 5.07, 5.08, 5.09, 5.1]) {
-        let Admission::From(at) = queue.admit(5.0) else { panic!("call {call} is turned away") };
+        let Admission::BeginsAt(at) = queue.admit(5.0) else { panic!("call {call} is turned away") };
         assert!((at - begins_at).abs() < 1e-9, "call {call} begins at {at}");
     }
     assert_eq!(queue.admit(5.0), Admission::Full);
     // What was turned away has taken no capacity.
-    assert!(matches!(queue.admit(5.011), Admission::From(_)));
+    assert!(matches!(queue.admit(5.011), Admission::BeginsAt(_)));
     assert_eq!(queue.admit(5.011), Admission::Full);
 }
--- a/crates/testbed/src/soak/client.rs
+++ b/crates/testbed/src/soak/client.rs
@@ -13,35 +13,35 @@
 
 use super::Seconds;
 use super::director::Director;
-use super::invariants::{CLASSES, LOST_AFTER, MAX_BUDGET, Rule};
+use super::invariants::{CLASSES, LOST_AFTER_SECONDS, MAX_BUDGET_SECONDS, Rule};
 use super::judge::{Judge, Request};
 use crate::client_load::{Response, encode_call, read_any_response};
 
 /// The number of objects that clients ask for.
-pub(crate) const OBJECTS: u64 = 60;
+pub(crate) const OBJECT_COUNT: u64 = 60;
 /// A request that is written so shortly before its connection ends crosses that end, and is asked again elsewhere.
-const CROSSING: f64 = 0.15;
+const CROSSING_SECONDS: f64 = 0.15;
 /// How much later than a lost request's time its client gives it up.
-const LOST_TOLERANCE: f64 = 0.3;
+const LOST_TOLERANCE_SECONDS: f64 = 0.3;
 /// How many reads look for answers that came before the end of a connection.
-const LAST_READS: usize = 20;
+const MAX_FINAL_READS: usize = 20;
 const READ_POLL: Duration = Duration::from_millis(20);
 const READ_BYTES: usize = 16 << 10;
 const NOT_ACCEPTING_WAIT: Duration = Duration::from_millis(20);
 const CONNECT_RETRY_WAIT: Duration = Duration::from_millis(30);
 /// How often a client that rests looks whether the soak is over.
-const REST_POLL: Duration = Duration::from_millis(50);
+const PAUSE_POLL: Duration = Duration::from_millis(50);
 /// The copy that a client says it has.
-const HELD_TAG: &str = "t1";
+const CACHED_TAG: &str = "t1";
 
 /// How a client uses one connection.
 #[derive(Clone, Copy, PartialEq)]
 enum Behavior {
     Plain,
     /// Its requests come in pieces.
-    Slow,
+    SplitsWrites,
     /// It sends requests and ends the connection, by FIN or by RST.
-    Leaves,
+    Disconnects,
     Cancels,
     /// It gives very little time.
     ShortBudget,
@@ -54,8 +54,8 @@
 /// How often each behavior is drawn, in percent.
 const BEHAVIOR_WEIGHTS: [(Behavior, u32); 7] = [
     (Behavior::Plain, 40),
-    (Behavior::Slow, 14),
-    (Behavior::Leaves, 14),
+    (Behavior::SplitsWrites, 14),
+    (Behavior::Disconnects, 14),
     (Behavior::Cancels, 12),
     (Behavior::ShortBudget, 8),
     (Behavior::Garbage, 6),
@@ -67,7 +67,7 @@
     pub(crate) director: Arc<Director>,
     pub(crate) judge: Arc<Judge>,
     /// Set at the end of the soak.
-    pub(crate) over: Arc<AtomicBool>,
+    pub(crate) finished: Arc<AtomicBool>,
     /// The next request's id, shared by all clients.
     pub(crate) next_id: Arc<AtomicU64>,
     pub(crate) seed: u64,
@@ -80,7 +80,7 @@
     /// What was read and is not yet a whole answer.
     received: Vec<u8>,
     /// Requests without an answer.
-    open: HashMap<u32, u64>,
+    pending: HashMap<u32, u64>,
     /// Requests that were cancelled or given up, whose answers may still come.
     abandoned: HashMap<u32, u64>,
     last_call: u32,
@@ -92,7 +92,7 @@
             stream,
             began_at,
             received: Vec::new(),
-            open: HashMap::new(),
+            pending: HashMap::new(),
             abandoned: HashMap::new(),
             last_call: 0,
         }
@@ -152,7 +152,7 @@
     /// Works until the soak is over.
     pub(crate) fn run(self) {
         let mut rng = Pcg32::seed_from_u64(self.seed);
-        while !self.is_over() {
+        while !self.is_finished() {
             if !self.director.accepts_connections() {
                 std::thread::sleep(NOT_ACCEPTING_WAIT);
                 continue;
@@ -170,15 +170,15 @@
         }
     }
 
-    fn is_over(&self) -> bool {
-        self.over.load(Ordering::Relaxed)
+    fn is_finished(&self) -> bool {
+        self.finished.load(Ordering::Relaxed)
     }
 
     /// Uses one connection from its beginning to its end. One to a director that stops is used until that ends it.
     fn use_connection(&self, mut session: Session, rng: &mut Pcg32) {
         let behavior = draw_behavior(rng);
         let mut rounds: u32 = rng.random_range(1..6);
-        while !self.is_over() && (rounds > 0 || self.director.is_stopping()) {
+        while !self.is_finished() && (rounds > 0 || self.director.is_stopping()) {
             rounds = rounds.saturating_sub(1);
             if behavior == Behavior::Garbage {
                 return send_garbage(&mut session, rng);
@@ -187,9 +187,9 @@
                 return self.on_connection_end(&mut session);
             }
             match behavior {
-                Behavior::Leaves => {
+                Behavior::Disconnects => {
                     std::thread::sleep(Duration::from_millis(rng.random_range(0..30)));
-                    return self.leave(&session, rng.random());
+                    return self.disconnect(&session, rng.random());
                 }
                 Behavior::Cancels => {
                     std::thread::sleep(Duration::from_millis(rng.random_range(0..20)));
@@ -200,20 +200,20 @@
             if self.wait_for_answers(&mut session) == Connection::Ended {
                 return self.on_connection_end(&mut session);
             }
-            let rest_ms = if behavior == Behavior::Idles { 3_000..9_000 } else { 1..60 };
-            self.rest(Duration::from_millis(rng.random_range(rest_ms)));
+            let pause_ms = if behavior == Behavior::Idles { 3_000..9_000 } else { 1..60 };
+            self.pause(Duration::from_millis(rng.random_range(pause_ms)));
         }
-        self.leave(&session, false);
+        self.disconnect(&session, false);
     }
 
     /// Sends nothing for a while, or until the soak is over.
-    fn rest(&self, duration: Duration) {
-        let pauses = duration.as_millis() / REST_POLL.as_millis();
+    fn pause(&self, duration: Duration) {
+        let pauses = duration.as_millis() / PAUSE_POLL.as_millis();
         for _ in 0..=pauses {
-            if self.is_over() {
+            if self.is_finished() {
                 return;
             }
-            std::thread::sleep(duration.min(REST_POLL));
+            std::thread::sleep(duration.min(PAUSE_POLL));
         }
     }
 
@@ -231,19 +231,19 @@
     fn send_request(&self, session: &mut Session, behavior: Behavior, rng: &mut Pcg32) -> Connection {
         let (class, effect) = CLASSES[rng.random_range(0..CLASSES.len())];
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
-        let object = 1 + (OBJECTS as f64 * rng.random::<f64>().powi(2)) as u64;
+        let object = 1 + (OBJECT_COUNT as f64 * rng.random::<f64>().powi(2)) as u64;
         let budget_ms = match behavior {
             Behavior::ShortBudget => rng.random_range(1..80),
-            _ => rng.random_range(600..(MAX_BUDGET * 1e3) as u64),
+            _ => rng.random_range(600..(MAX_BUDGET_SECONDS * 1e3) as u64),
         };
         session.last_call += 1;
         let call = session.last_call;
-        let held_tag = (rng.random_range(0..8) == 0).then_some(HELD_TAG);
+        let held_tag = (rng.random_range(0..8) == 0).then_some(CACHED_TAG);
         let bytes = encode_request(id, call, class, object, budget_ms, held_tag);
         self.judge.on_request(id, self.director.number, effect, object, budget_ms as f64 / 1_000.0);
-        session.open.insert(call, id);
+        session.pending.insert(call, id);
         let written = match behavior {
-            Behavior::Slow => self.write_in_pieces(session, id, &bytes, rng),
+            Behavior::SplitsWrites => self.write_in_pieces(session, id, &bytes, rng),
             _ => session.stream.write_all(&bytes),
         };
         self.judge.on_request_sent(id);
@@ -267,17 +267,17 @@
     }
 
     /// Ends the connection under what is open on it.
-    fn leave(&self, session: &Session, by_reset: bool) {
+    fn disconnect(&self, session: &Session, by_reset: bool) {
         if by_reset {
             let _ = socket2::SockRef::from(&session.stream).set_linger(Some(Duration::ZERO));
         }
         let _ = session.stream.shutdown(Shutdown::Both);
-        session.open.values().for_each(|id| self.judge.on_client_gone(*id));
+        session.pending.values().for_each(|id| self.judge.on_client_gone(*id));
     }
 
     /// Cancels all that is open.
     fn cancel_all(&self, session: &mut Session) {
-        for (call, id) in session.open.drain() {
+        for (call, id) in session.pending.drain() {
             let mut message = b"\x93\x02\xadcancelRequest\x91".to_vec();
             // Writing into memory does not fail; a connection that has ended shows when it is read.
             let _ = encode::write_uint(&mut message, u64::from(call));
@@ -289,21 +289,22 @@
 
     /// Reads until nothing is open or the connection ends. Requests whose time is long over are lost.
     fn wait_for_answers(&self, session: &mut Session) -> Connection {
-        while !session.open.is_empty() {
+        while !session.pending.is_empty() {
             if self.read_answers(session) == Connection::Ended {
                 return Connection::Ended;
             }
             let now = self.judge.now();
-            let is_overdue =
-                |request: Request| now > request.written_at + request.budget + LOST_AFTER + LOST_TOLERANCE;
+            let is_overdue = |request: Request| {
+                now > request.written_at + request.budget + LOST_AFTER_SECONDS + LOST_TOLERANCE_SECONDS
+            };
             let overdue: Vec<u32> = session
-                .open
+                .pending
                 .iter()
                 .filter(|(_, id)| self.judge.request(**id).is_none_or(is_overdue))
                 .map(|(call, _)| *call)
                 .collect();
             for call in overdue {
-                if let Some(id) = session.open.remove(&call) {
+                if let Some(id) = session.pending.remove(&call) {
                     self.on_lost(id, "no answer");
                     session.abandoned.insert(call, id);
                 }
@@ -338,7 +339,7 @@
             Response::Rejected => "rejected",
             Response::Failed => "failed",
         });
-        if let Some(id) = session.open.remove(&call) {
+        if let Some(id) = session.pending.remove(&call) {
             self.judge.on_answer(id, object_of(answer));
         } else if session.abandoned.remove(&call).is_none() {
             let detail = format!("director {}: an answer to call {call}", self.director.number);
@@ -349,8 +350,8 @@
     /// The connection has ended under what is open on it.
     fn on_connection_end(&self, session: &mut Session) {
         // What came before the end counts.
-        for _ in 0..LAST_READS {
-            if session.open.is_empty() || self.read_answers(session) == Connection::Ended {
+        for _ in 0..MAX_FINAL_READS {
+            if session.pending.is_empty() || self.read_answers(session) == Connection::Ended {
                 break;
             }
         }
@@ -358,9 +359,9 @@
         let port = session.stream.local_addr().map_or(0, |address| address.port());
         let shut_at = self.judge.shut_at(self.director.number, port, session.began_at);
         let ended_at = shut_at.unwrap_or_else(|| self.judge.now());
-        for id in std::mem::take(&mut session.open).into_values() {
+        for id in std::mem::take(&mut session.pending).into_values() {
             let Some(request) = self.judge.request(id) else { continue };
-            if ended_at < request.written_at + CROSSING {
+            if ended_at < request.written_at + CROSSING_SECONDS {
                 self.judge.on_client_gone(id);
                 self.judge.count("requests that crossed the end of their connection");
             } else if self.director.may_break_connections() {
@@ -374,7 +375,7 @@
     /// A request has no answer: a violation, unless its director was killed or paused.
     fn on_lost(&self, id: u64, why: &str) {
         let Some(request) = self.judge.request(id) else { return };
-        if self.director.excuses(request.written_at, request.budget) {
+        if self.director.is_exempt(request.written_at, request.budget) {
             self.judge.count("requests at a director that was killed or paused");
             return;
         }
--- a/crates/testbed/src/soak/director.rs
+++ b/crates/testbed/src/soak/director.rs
@@ -11,8 +11,8 @@
 
 use super::discovery::Discovery;
 use super::invariants::{
-    CLASSES, COLLAPSE_MULTIPLE, DEDUPLICATION_WINDOW, LOST_AFTER, MAX_BUDGET, Rule, SLOW_START_INITIAL_SHARE,
-    SLOW_START_WINDOW,
+    CLASSES, COLLAPSE_MULTIPLE, DEDUPLICATION_WINDOW_SECONDS, LOST_AFTER_SECONDS, MAX_BUDGET_SECONDS, Rule,
+    SLOW_START_INITIAL_SHARE, SLOW_START_SECONDS,
 };
 use super::judge::Judge;
 use super::{Options, Seconds};
@@ -25,18 +25,18 @@
 mod tests;
 
 /// How long clients still connect after the director was asked to stop.
-const STOP_ACCEPTS_FOR: f64 = 0.4;
+const ACCEPTS_AFTER_STOP_SECONDS: f64 = 0.4;
 /// How long a platform waits for the exit of a director that was asked to stop: the longest deadline and 0.7 s.
-const STOP_TIMEOUT: f64 = MAX_BUDGET + 0.7;
+const STOP_TIMEOUT_SECONDS: f64 = MAX_BUDGET_SECONDS + 0.7;
 /// How long after a pause requests are still excused.
-const PAUSE_TOLERANCE: f64 = 0.2;
+const PAUSE_TOLERANCE_SECONDS: f64 = 0.2;
 /// A process handles no signal in the first moment of its life, before its own code runs.
-const SIGNALS_AFTER: f64 = 0.2;
+const SIGNAL_HANDLERS_READY_SECONDS: f64 = 0.2;
 /// A fault that breaks connections may show this much before it is noted, and this much after its end.
-const BREAKING_BEFORE: f64 = 0.1;
-const BREAKING_AFTER: f64 = 0.3;
+const BREAKING_MARGIN_BEFORE_SECONDS: f64 = 0.1;
+const BREAKING_MARGIN_AFTER_SECONDS: f64 = 0.3;
 /// A request that was written so shortly after an excused span is still excused.
-const EXCUSED_AFTER: f64 = 0.1;
+const EXEMPT_MARGIN_SECONDS: f64 = 0.1;
 const EXIT_POLL: Duration = Duration::from_millis(5);
 /// The rate of one transfer from a node.
 const STREAM_KB_PER_S: f64 = 4_000.0;
@@ -54,9 +54,9 @@
     /// When it was asked to stop, if it was.
     stopping_since: Option<Seconds>,
     /// When it was held by SIGSTOP.
-    held: Vec<Span>,
+    pauses: Vec<Span>,
     /// When no answer is owed in time: it was killed, or stopped by a signal.
-    excused: Vec<Span>,
+    exempt: Vec<Span>,
     /// When its connections may break by themselves.
     breaking: Vec<Span>,
     /// Which of the addresses of discovery it uses.
@@ -101,10 +101,10 @@
 
     /// Writes its configuration, which holds all events up to now, and returns their number.
     fn configure(&self, options: &Options, discovery: &Discovery) -> Result<usize, TrialError> {
-        let _turn = lock(&self.configuring);
+        let _guard = lock(&self.configuring);
         let model = NodeModel {
             slow_start_initial_share: SLOW_START_INITIAL_SHARE,
-            slow_start_us: (SLOW_START_WINDOW * 1e6) as u64,
+            slow_start_us: (SLOW_START_SECONDS * 1e6) as u64,
             collapse_multiple: COLLAPSE_MULTIPLE,
             stream_kb_per_s: STREAM_KB_PER_S,
         };
@@ -162,15 +162,20 @@
     /// Its connections may break by themselves for so many seconds.
     pub(crate) fn expect_broken_connections(&self, seconds: f64) {
         let now = self.judge.now();
-        let span = Span { from: now - BREAKING_BEFORE, to: now + seconds + BREAKING_AFTER };
+        let span = Span {
+            from: now - BREAKING_MARGIN_BEFORE_SECONDS,
+            to: now + seconds + BREAKING_MARGIN_AFTER_SECONDS,
+        };
         lock(&self.state).breaking.push(span);
     }
 
     /// Sends a signal, unless the process is too young to handle it.
     pub(crate) fn signal(&self, signal: Signal) {
         let state = lock(&self.state);
-        if let Some(process) =
-            state.process.as_ref().filter(|_| self.judge.now() > state.started_at + SIGNALS_AFTER)
+        if let Some(process) = state
+            .process
+            .as_ref()
+            .filter(|_| self.judge.now() > state.started_at + SIGNAL_HANDLERS_READY_SECONDS)
         {
             process.signal(signal);
         }
@@ -194,23 +199,23 @@
         if let Some(mut process) = state.process.take() {
             let _ = process.kill();
         }
-        state.excused.push(Span { from: now, to: Seconds::INFINITY });
+        state.exempt.push(Span { from: now, to: Seconds::INFINITY });
     }
 
     /// It runs again.
-    pub(crate) fn end_excuse(&self) {
+    pub(crate) fn end_exemption(&self) {
         let now = self.judge.now();
         let mut state = lock(&self.state);
-        state.excused.iter_mut().filter(|span| span.to.is_infinite()).for_each(|span| span.to = now);
+        state.exempt.iter_mut().filter(|span| span.to.is_infinite()).for_each(|span| span.to = now);
     }
 
     /// Holds it by SIGSTOP for so many seconds.
-    pub(crate) fn hold(&self, seconds: f64) {
+    pub(crate) fn pause(&self, seconds: f64) {
         let now = self.judge.now();
         {
             let mut state = lock(&self.state);
-            state.excused.push(Span { from: now, to: now + seconds + PAUSE_TOLERANCE });
-            state.held.push(Span { from: now, to: now + seconds });
+            state.exempt.push(Span { from: now, to: now + seconds + PAUSE_TOLERANCE_SECONDS });
+            state.pauses.push(Span { from: now, to: now + seconds });
         }
         self.signal(Signal::STOP);
         std::thread::sleep(Duration::from_secs_f64(seconds));
@@ -221,7 +226,7 @@
     /// that they have until it ends them.
     pub(crate) fn terminate(&self) {
         let started_at = lock(&self.state).started_at;
-        let too_early = started_at + SIGNALS_AFTER + 0.01 - self.judge.now();
+        let too_early = started_at + SIGNAL_HANDLERS_READY_SECONDS + 0.01 - self.judge.now();
         if too_early > 0.0 {
             std::thread::sleep(Duration::from_secs_f64(too_early));
         }
@@ -234,7 +239,7 @@
     /// was held; a failure or none is a crash. What it had taken and did not answer is lost.
     pub(crate) fn wait_for_exit(&self) {
         let since = self.stopping_since();
-        while self.judge.now() < self.kill_time() {
+        while self.judge.now() < self.kill_due_at() {
             let exited = lock(&self.state).process.as_mut().map(|process| process.0.try_wait());
             match exited {
                 None => return,
@@ -261,11 +266,11 @@
     }
 
     /// When a platform kills it, after it was asked to stop.
-    fn kill_time(&self) -> Seconds {
+    fn kill_due_at(&self) -> Seconds {
         let since = self.stopping_since();
         let state = lock(&self.state);
-        let held: f64 = state.held.iter().map(|span| (span.to - span.from.max(since)).max(0.0)).sum();
-        since + STOP_TIMEOUT + held
+        let paused: f64 = state.pauses.iter().map(|span| (span.to - span.from.max(since)).max(0.0)).sum();
+        since + STOP_TIMEOUT_SECONDS + paused
     }
 
     /// Whether it has exited by itself.
@@ -276,7 +281,7 @@
     /// Whether clients connect to it.
     pub(crate) fn accepts_connections(&self) -> bool {
         let state = lock(&self.state);
-        let is_early = |since| self.judge.now() < since + STOP_ACCEPTS_FOR;
+        let is_early = |since| self.judge.now() < since + ACCEPTS_AFTER_STOP_SECONDS;
         state.process.is_some() && state.stopping_since.is_none_or(is_early)
     }
 
@@ -286,10 +291,10 @@
     }
 
     /// Whether a request that was written then is owed no answer in time.
-    pub(crate) fn excuses(&self, written_at: Seconds, budget: f64) -> bool {
-        let lost_at = written_at + budget + LOST_AFTER;
-        let excuses = |span: &Span| span.from < lost_at && span.to > written_at - EXCUSED_AFTER;
-        lock(&self.state).excused.iter().any(excuses)
+    pub(crate) fn is_exempt(&self, written_at: Seconds, budget: f64) -> bool {
+        let lost_at = written_at + budget + LOST_AFTER_SECONDS;
+        let overlaps = |span: &Span| span.from < lost_at && span.to > written_at - EXEMPT_MARGIN_SECONDS;
+        lock(&self.state).exempt.iter().any(overlaps)
     }
 
     /// Whether a connection may have broken by itself about now.
@@ -302,8 +307,8 @@
 /// Sets the request classes in a configuration.
 fn set_classes(config: &mut Value) {
     let class = |name: &str, effect: &str| {
-        json!({"name": name, "effect": effect, "group": "all", "memorySpanUs": (DEDUPLICATION_WINDOW * 1e6) as u64,
-            "aimUs": 300_000, "aimStretch": 1.6, "deadlineUs": (MAX_BUDGET * 1e6) as u64, "worth": 2.0})
+        json!({"name": name, "effect": effect, "group": "all", "memorySpanUs": (DEDUPLICATION_WINDOW_SECONDS * 1e6) as u64,
+            "aimUs": 300_000, "aimStretch": 1.6, "deadlineUs": (MAX_BUDGET_SECONDS * 1e6) as u64, "worth": 2.0})
     };
     let effects = ["idempotent", "deduplicated", "at_most_once"];
     let classes: Vec<Value> =
--- a/crates/testbed/src/soak/discovery.rs
+++ b/crates/testbed/src/soak/discovery.rs
@@ -13,11 +13,11 @@
 
 const POLL: Duration = Duration::from_millis(20);
 /// How often a comment is sent where there are no events, in seconds.
-const KEEPALIVE_INTERVAL: f64 = 0.5;
+const KEEPALIVE_INTERVAL_SECONDS: f64 = 0.5;
 /// All directors count as notified of an event so many seconds after it was published, ...
-const NOTIFIED_AFTER: f64 = 7.0;
+const NOTIFIED_AFTER_SECONDS: f64 = 7.0;
 /// ... and no earlier than this after the end of the last outage or silence.
-const NOTIFIED_AFTER_OUTAGE: f64 = 3.0;
+const NOTIFIED_AFTER_OUTAGE_SECONDS: f64 = 3.0;
 
 /// What the judge has to know of an event.
 #[derive(Clone, Debug)]
@@ -61,10 +61,10 @@
             listeners.iter().map(|[first, second]| Ok([first.local_addr()?, second.local_addr()?]));
         let addresses = addresses.collect::<io::Result<_>>()?;
         let discovery = Arc::new(Discovery { addresses, judge: Arc::clone(judge), state: Mutex::default() });
-        for (director, of_director) in listeners.into_iter().enumerate() {
-            for listener in of_director {
-                let own = Arc::clone(&discovery);
-                spawn(move || own.accept_connections(&listener, director));
+        for (director, director_listeners) in listeners.into_iter().enumerate() {
+            for listener in director_listeners {
+                let this = Arc::clone(&discovery);
+                spawn(move || this.accept_connections(&listener, director));
             }
         }
         Ok(discovery)
@@ -72,10 +72,10 @@
 
     fn accept_connections(self: &Arc<Discovery>, listener: &TcpListener, director: usize) {
         for stream in listener.incoming().map_while(Result::ok) {
-            let (own, stream) = (Arc::clone(self), Arc::new(stream));
+            let (this, stream) = (Arc::clone(self), Arc::new(stream));
             spawn(move || {
                 // A director that goes ends its connection.
-                let _ = own.serve(&stream, director);
+                let _ = this.serve(&stream, director);
             });
         }
     }
@@ -97,18 +97,18 @@
     pub(crate) fn note_known_at_start(&self, director: usize, count: usize) {
         let events = lock(&self.state).events.clone();
         for notification in events.iter().take(count).filter_map(|event| event.notification.as_ref()) {
-            self.note(director, notification);
+            self.report_notified(director, notification);
         }
     }
 
     /// A director is about to get a configuration with the first `count` events.
     pub(crate) fn note_configured(&self, director: usize, count: usize) {
         let events = lock(&self.state).events.clone();
-        events.iter().take(count).for_each(|event| self.note_told(director, event));
+        events.iter().take(count).for_each(|event| self.note_start_sent(director, event));
     }
 
     /// Ends all connections and accepts none for so many seconds.
-    pub(crate) fn interrupt(&self, seconds: f64) {
+    pub(crate) fn start_outage(&self, seconds: f64) {
         let mut state = lock(&self.state);
         state.down_until = self.judge.now() + seconds;
         for connection in std::mem::take(&mut state.connections) {
@@ -117,12 +117,12 @@
     }
 
     /// Sends nothing for so many seconds.
-    pub(crate) fn fall_silent(&self, seconds: f64) {
+    pub(crate) fn start_silence(&self, seconds: f64) {
         lock(&self.state).silent_until = self.judge.now() + seconds;
     }
 
     /// Notes for the judge that a director knows this.
-    fn note(&self, director: usize, notification: &Notification) {
+    fn report_notified(&self, director: usize, notification: &Notification) {
         match notification {
             Notification::Drained(node) => self.judge.on_notified_drained(director, *node),
             Notification::Ready(node) => self.judge.on_notified_ready(director, *node),
@@ -133,9 +133,9 @@
     }
 
     /// Notes for the judge that a director is about to be told of this event, if it is the start of a node.
-    fn note_told(&self, director: usize, event: &Event) {
+    fn note_start_sent(&self, director: usize, event: &Event) {
         if let Some(Notification::Ready(node)) = event.notification {
-            self.judge.on_told_of_start(director, node);
+            self.judge.on_start_sent(director, node);
         }
     }
 
@@ -162,10 +162,10 @@
             if !is_silent {
                 for event in events {
                     sent += 1;
-                    self.note_told(director, &event);
+                    self.note_start_sent(director, &event);
                     stream.write_all(format!("id: {sent}\ndata: {}\n\n", event.text).as_bytes())?;
                 }
-                if now > kept_alive_at + KEEPALIVE_INTERVAL {
+                if now > kept_alive_at + KEEPALIVE_INTERVAL_SECONDS {
                     kept_alive_at = now;
                     stream.write_all(b": tick\n\n")?;
                 }
@@ -195,25 +195,27 @@
 }
 
 /// Notes each event for every director at the latest moment at which it has to know it.
-pub(crate) fn note_events_for_all(discovery: &Arc<Discovery>, directors: usize) {
+pub(crate) fn report_overdue_notifications(discovery: &Arc<Discovery>, directors: usize) {
     let discovery = Arc::clone(discovery);
     spawn(move || {
         let mut published_at: Vec<Seconds> = Vec::new();
         let mut noted = 0;
-        let mut away_until: Seconds = 0.0;
+        let mut unavailable_until: Seconds = 0.0;
         loop {
             let now = discovery.judge.now();
             let (events, until) = {
                 let state = lock(&discovery.state);
                 (state.events.clone(), state.down_until.max(state.silent_until))
             };
-            away_until = away_until.max(until);
+            unavailable_until = unavailable_until.max(until);
             published_at.resize(events.len(), now);
             while noted < events.len()
-                && now > (published_at[noted] + NOTIFIED_AFTER).max(away_until + NOTIFIED_AFTER_OUTAGE)
+                && now
+                    > (published_at[noted] + NOTIFIED_AFTER_SECONDS)
+                        .max(unavailable_until + NOTIFIED_AFTER_OUTAGE_SECONDS)
             {
                 if let Some(notification) = &events[noted].notification {
-                    (0..directors).for_each(|director| discovery.note(director, notification));
+                    (0..directors).for_each(|director| discovery.report_notified(director, notification));
                 }
                 noted += 1;
             }
--- a/crates/testbed/src/soak/fault_injection.rs
+++ b/crates/testbed/src/soak/fault_injection.rs
@@ -9,7 +9,7 @@
 use super::director::Director;
 use super::discovery::Notification;
 use super::fault_plan::{Fault, breaks_connections, plan_faults};
-use super::invariants::{DRAIN_GRACE, Rule};
+use super::invariants::{DRAIN_GRACE_SECONDS, Rule};
 use super::run::Soak;
 use crate::clock::unix_ms;
 use crate::process::TrialError;
@@ -17,16 +17,16 @@
 
 /// A node goes so long after it was listed as draining, and its successor comes then.
 const DRAIN_SECONDS: f64 = 2.5;
-const CLOCK_STEP_LASTS: Duration = Duration::from_millis(1_500);
+const CLOCK_STEP_DURATION: Duration = Duration::from_millis(1_500);
 /// The time span of a rule of the fault library (all of the process's life, milliseconds), and how often it strikes in
 /// percent.
-const ALWAYS_MOSTLY: &str = "0 1000000000 80";
+const WHOLE_LIFETIME_80_PERCENT: &str = "0 1000000000 80";
 
 /// How a director is ended before it is started again.
 #[derive(Clone, Copy, PartialEq)]
-enum Stop {
-    Asked,
-    Killed,
+enum StopMethod {
+    Terminate,
+    Kill,
 }
 
 impl Soak<'_> {
@@ -41,7 +41,7 @@
                 }
                 let fault = scheduled.fault;
                 scope.spawn(move || {
-                    let _turn = restarted_director(&fault).map(|director| lock(&restarts[director]));
+                    let _guard = restarted_director(&fault).map(|director| lock(&restarts[director]));
                     let record = self.faults.begin(self.judge.now(), format!("{fault:?}"));
                     if let Err(e) = self.inject(&fault) {
                         self.judge.record_violation(Rule::Crash, format!("{fault:?}: {e}"));
@@ -54,13 +54,13 @@
 
     fn inject(&self, fault: &Fault) -> Result<(), TrialError> {
         match *fault {
-            Fault::Restart { director } => self.restart(&self.directors[director], Stop::Asked, ""),
-            Fault::Kill { director } => self.restart(&self.directors[director], Stop::Killed, ""),
+            Fault::Restart { director } => self.restart(&self.directors[director], StopMethod::Terminate, ""),
+            Fault::Kill { director } => self.restart(&self.directors[director], StopMethod::Kill, ""),
             Fault::KillWithClockOffset { director, offset_ms } => {
                 let rules = format!("clock 0 {offset_ms}\nclock 2000 0");
-                self.restart(&self.directors[director], Stop::Killed, &rules);
+                self.restart(&self.directors[director], StopMethod::Kill, &rules);
             }
-            Fault::Pause { director, seconds } => self.directors[director].hold(seconds),
+            Fault::Pause { director, seconds } => self.directors[director].pause(seconds),
             Fault::Reload { director } => {
                 self.directors[director].move_discovery(self.options, &self.discovery)?
             }
@@ -68,8 +68,8 @@
                 fail_system_calls(&self.directors[director], rule, seconds);
             }
             Fault::ClockStep { director, offset_ms } => step_clock(&self.directors[director], offset_ms),
-            Fault::DiscoveryOutage { seconds } => self.discovery.interrupt(seconds),
-            Fault::DiscoverySilence { seconds } => self.discovery.fall_silent(seconds),
+            Fault::DiscoveryOutage { seconds } => self.discovery.start_outage(seconds),
+            Fault::DiscoverySilence { seconds } => self.discovery.start_silence(seconds),
             Fault::Purge { object } => self.purge(object),
             Fault::ReplaceNode { place } => self.replace_node(place)?,
             Fault::Misbehave { place, behavior, seconds } => {
@@ -92,25 +92,25 @@
     }
 
     /// Ends a director and starts it again with these rules of the fault library.
-    fn restart(&self, director: &Director, stop: Stop, fault_rules: &str) {
+    fn restart(&self, director: &Director, stop: StopMethod, fault_rules: &str) {
         match stop {
-            Stop::Asked => {
+            StopMethod::Terminate => {
                 director.terminate();
                 director.wait_for_exit();
                 director.set_fault_rules(fault_rules);
-                self.start_again(director);
+                self.start_or_report(director);
             }
-            Stop::Killed => {
+            StopMethod::Kill => {
                 director.kill();
                 director.set_fault_rules(fault_rules);
-                self.start_again(director);
-                director.end_excuse();
+                self.start_or_report(director);
+                director.end_exemption();
             }
         }
     }
 
     /// Starts a director that has ended.
-    pub(super) fn start_again(&self, director: &Director) {
+    pub(super) fn start_or_report(&self, director: &Director) {
         let since = self.judge.now();
         if let Err(e) = self.start_director(director) {
             self.judge.record_observed(Rule::Crash, since, e.to_string());
@@ -136,7 +136,7 @@
         self.judge.on_cold_start(new.number, since, CACHE_CAPACITY);
         lock(&self.places)[place] = new.number;
         self.announce(&new, "ready", unix_ms());
-        thread::sleep(Duration::from_secs_f64(DRAIN_GRACE));
+        thread::sleep(Duration::from_secs_f64(DRAIN_GRACE_SECONDS));
         old.drop_connections(false);
         Ok(())
     }
@@ -156,13 +156,13 @@
     if breaks_connections(rule) {
         director.expect_broken_connections(seconds);
     }
-    director.set_fault_rules(&format!("{rule} {ALWAYS_MOSTLY}"));
+    director.set_fault_rules(&format!("{rule} {WHOLE_LIFETIME_80_PERCENT}"));
     thread::sleep(Duration::from_secs_f64(seconds));
     director.set_fault_rules("");
 }
 
 fn step_clock(director: &Director, offset_ms: i64) {
     director.set_fault_rules(&format!("clock 0 {offset_ms}"));
-    thread::sleep(CLOCK_STEP_LASTS);
+    thread::sleep(CLOCK_STEP_DURATION);
     director.set_fault_rules("");
 }
--- a/crates/testbed/src/soak/fault_log.rs
+++ b/crates/testbed/src/soak/fault_log.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug)]
 pub struct FaultSpan {
     /// What was done.
-    pub what: String,
+    pub description: String,
     /// From when on, in seconds since the soak began.
     pub from: Seconds,
     /// Until when; infinite until its end.
@@ -22,9 +22,9 @@
 
 impl FaultLog {
     /// A fault is about to be injected. Returns its number.
-    pub(crate) fn begin(&self, now: Seconds, what: String) -> usize {
+    pub(crate) fn begin(&self, now: Seconds, description: String) -> usize {
         let mut spans = lock(&self.0);
-        spans.push(FaultSpan { what, from: now, to: Seconds::INFINITY });
+        spans.push(FaultSpan { description, from: now, to: Seconds::INFINITY });
         spans.len() - 1
     }
 
--- a/crates/testbed/src/soak/fault_plan.rs
+++ b/crates/testbed/src/soak/fault_plan.rs
@@ -145,7 +145,7 @@
 ];
 
 /// The mean time between two rounds.
-const ROUND_SECONDS: f64 = 1.5;
+const MEAN_ROUND_INTERVAL_SECONDS: f64 = 1.5;
 /// The faults of one round are injected within this time.
 const ROUND_SPREAD_SECONDS: f64 = 0.4;
 /// No fault is injected before this, and none in the last second.
@@ -168,14 +168,14 @@
     for group in 0..options.directors.div_ceil(DIRECTORS_PER_GROUP) {
         let first = group * DIRECTORS_PER_GROUP;
         let end = (first + DIRECTORS_PER_GROUP).min(options.directors);
-        let mut round_at = FIRST_ROUND_AT + ROUND_SECONDS * rng.random::<f64>();
+        let mut round_at = FIRST_ROUND_AT + MEAN_ROUND_INTERVAL_SECONDS * rng.random::<f64>();
         while round_at < options.seconds as f64 - 1.0 {
             let target = rng.random_range(first..end);
             for _ in 0..rng.random_range(2..=3) {
                 let at = round_at + ROUND_SPREAD_SECONDS * rng.random::<f64>();
                 plan.push(ScheduledFault { at, fault: draw_fault(&mut rng, options, target) });
             }
-            round_at += ROUND_SECONDS * (0.6 + 0.8 * rng.random::<f64>());
+            round_at += MEAN_ROUND_INTERVAL_SECONDS * (0.6 + 0.8 * rng.random::<f64>());
         }
     }
     plan.sort_by(|a, b| a.at.total_cmp(&b.at));
@@ -207,7 +207,7 @@
         }
         8 => Fault::DiscoveryOutage { seconds: 0.5 + 3.0 * rng.random::<f64>() },
         9 => Fault::DiscoverySilence { seconds: 1.0 + 3.0 * rng.random::<f64>() },
-        10 | 14 => Fault::Purge { object: 1 + rng.random_range(0..super::client::OBJECTS) },
+        10 | 14 => Fault::Purge { object: 1 + rng.random_range(0..super::client::OBJECT_COUNT) },
         11 => Fault::ReplaceNode { place: cache },
         12 => Fault::DropConnections { place, by_reset: rng.random() },
         13 => Fault::DelayConnections { place, seconds: 0.5 + rng.random::<f64>() },
--- a/crates/testbed/src/soak/invariants.rs
+++ b/crates/testbed/src/soak/invariants.rs
@@ -6,27 +6,27 @@
 use super::evidence::Evidence;
 
 /// How much more time than is left a node may be told to wait.
-pub(crate) const WAIT_TOLERANCE: f64 = 0.15;
+pub(crate) const WAIT_TOLERANCE_SECONDS: f64 = 0.15;
 /// How long after its client has gone an attempt may still begin.
-pub(crate) const CLIENT_GONE_TOLERANCE: f64 = 0.1;
+pub(crate) const CLIENT_GONE_TOLERANCE_SECONDS: f64 = 0.1;
 /// What is added to every bound for this program's own threads, which may be late as well.
-pub(crate) const OBSERVER_TOLERANCE: f64 = 0.1;
+pub(crate) const OBSERVER_TOLERANCE_SECONDS: f64 = 0.1;
 /// How much longer each bound of the protocol is on sockets.
-pub(crate) const SEND_TOLERANCE: f64 = 0.05;
+pub(crate) const SEND_TOLERANCE_SECONDS: f64 = 0.05;
 /// The longest time that clients give a request.
-pub(crate) const MAX_BUDGET: f64 = 2.0;
+pub(crate) const MAX_BUDGET_SECONDS: f64 = 2.0;
 /// A request without an answer so long after its time is lost. (An answer after its time earns nothing.)
-pub(crate) const LOST_AFTER: f64 = 0.5;
+pub(crate) const LOST_AFTER_SECONDS: f64 = 0.5;
 /// How long after a node drains attempts may still come to it.
-pub(crate) const DRAIN_GRACE: f64 = 2.0;
+pub(crate) const DRAIN_GRACE_SECONDS: f64 = 2.0;
 /// How long after a purge older copies may still be served.
-pub(crate) const PURGE_GRACE: f64 = 1.0;
+pub(crate) const PURGE_GRACE_SECONDS: f64 = 1.0;
 /// How long nodes recognize a repeat of a deduplicated request.
-pub(crate) const DEDUPLICATION_WINDOW: f64 = 1.5;
+pub(crate) const DEDUPLICATION_WINDOW_SECONDS: f64 = 1.5;
 /// Slow start: the share of its capacity that a cold node bears at first.
 pub(crate) const SLOW_START_INITIAL_SHARE: f64 = 0.25;
 /// Slow start: the time after which a node bears all of its capacity.
-pub(crate) const SLOW_START_WINDOW: f64 = 6.0;
+pub(crate) const SLOW_START_SECONDS: f64 = 6.0;
 /// Slow start: the multiple of what it bears at which a cold node collapses.
 pub(crate) const COLLAPSE_MULTIPLE: f64 = 2.0;
 
@@ -94,7 +94,7 @@
     pub(crate) fn is_repeated(self, seconds_apart: f64) -> bool {
         match self {
             Effect::Idempotent => false,
-            Effect::Deduplicated => seconds_apart > DEDUPLICATION_WINDOW + SEND_TOLERANCE,
+            Effect::Deduplicated => seconds_apart > DEDUPLICATION_WINDOW_SECONDS + SEND_TOLERANCE_SECONDS,
             Effect::AtMostOnce => true,
         }
     }
--- a/crates/testbed/src/soak/judge.rs
+++ b/crates/testbed/src/soak/judge.rs
@@ -9,7 +9,8 @@
 use super::Seconds;
 use super::evidence::{Evidence, TimeSpan};
 use super::invariants::{
-    DEDUPLICATION_WINDOW, Effect, LOST_AFTER, OBSERVER_TOLERANCE, PURGE_GRACE, Rule, Violation,
+    DEDUPLICATION_WINDOW_SECONDS, Effect, LOST_AFTER_SECONDS, OBSERVER_TOLERANCE_SECONDS,
+    PURGE_GRACE_SECONDS, Rule, Violation,
 };
 use super::lateness::Delays;
 use super::send_log::{LinkPorts, SendLog};
@@ -238,7 +239,8 @@
             state.count("answers");
             let Some(request) = state.requests.get_mut(&id) else { return };
             let is_second = std::mem::replace(&mut request.answered, true);
-            let is_late = now > request.written_at + request.budget + LOST_AFTER + OBSERVER_TOLERANCE;
+            let is_late =
+                now > request.written_at + request.budget + LOST_AFTER_SECONDS + OBSERVER_TOLERANCE_SECONDS;
             let is_wrong = object.is_some_and(|object| object != request.object);
             (is_second, is_late, is_wrong)
         };
@@ -270,10 +272,10 @@
     }
 
     /// The director is about to be told of a node's start.
-    pub(crate) fn on_told_of_start(&self, director: usize, node: usize) {
+    pub(crate) fn on_start_sent(&self, director: usize, node: usize) {
         let now = self.now();
         if let Some(cold) = lock(&self.state).cold_nodes.get_mut(&node) {
-            cold.told.entry(director).or_insert(now);
+            cold.start_sent_at.entry(director).or_insert(now);
         }
     }
 
@@ -335,7 +337,7 @@
     }
 
     /// A copy that was made at `issued_ms` (Unix time) was served for an attempt that came at `received_at`.
-    pub(crate) fn on_served(&self, id: u64, received_at: Seconds, issued_ms: u64) {
+    pub(crate) fn on_copy_served(&self, id: u64, received_at: Seconds, issued_ms: u64) {
         let violated = {
             let state = lock(&self.state);
             let Some(request) = state.requests.get(&id) else { return };
@@ -343,7 +345,7 @@
             let purge = view.and_then(|view| view.purged.get(&request.object)).copied();
             purge.filter(|purge| {
                 issued_ms < purge.made_ms
-                    && received_at > purge.notified_at + PURGE_GRACE + OBSERVER_TOLERANCE
+                    && received_at > purge.notified_at + PURGE_GRACE_SECONDS + OBSERVER_TOLERANCE_SECONDS
             })
         };
         if let Some(NotifiedPurge { notified_at, made_ms }) = violated {
@@ -359,12 +361,12 @@
 
 /// The evidence that an effect ran once more now, if it did: nodes recognize a repeat within the deduplication window.
 fn second_execution(effect: Effect, first: Seconds, now: Seconds) -> Option<Evidence> {
-    let window_end = first + DEDUPLICATION_WINDOW;
+    let window_end = first + DEDUPLICATION_WINDOW_SECONDS;
     match effect {
         Effect::Idempotent => None,
         Effect::AtMostOnce => Some(Evidence::Exact),
         // Nodes that are on time before the window ends run a repeat by then.
-        Effect::Deduplicated => (now > window_end + OBSERVER_TOLERANCE)
+        Effect::Deduplicated => (now > window_end + OBSERVER_TOLERANCE_SECONDS)
             .then_some(Evidence::Observed(TimeSpan { from: window_end, to: now })),
     }
 }
--- a/crates/testbed/src/soak/judge/checks.rs
+++ b/crates/testbed/src/soak/judge/checks.rs
@@ -5,7 +5,10 @@
 use super::{JudgeState, Request};
 use crate::soak::Seconds;
 use crate::soak::evidence::{Evidence, TimeSpan};
-use crate::soak::invariants::{CLIENT_GONE_TOLERANCE, DRAIN_GRACE, OBSERVER_TOLERANCE, Rule, WAIT_TOLERANCE};
+use crate::soak::invariants::{
+    CLIENT_GONE_TOLERANCE_SECONDS, DRAIN_GRACE_SECONDS, OBSERVER_TOLERANCE_SECONDS, Rule,
+    WAIT_TOLERANCE_SECONDS,
+};
 
 /// A violation before its time is noted.
 pub(super) struct Finding {
@@ -77,7 +80,7 @@
         now: Seconds,
     ) -> Option<Finding> {
         let notified_at = self.directors.get(&request.director)?.drained.get(&node)?;
-        if now <= notified_at + DRAIN_GRACE + OBSERVER_TOLERANCE {
+        if now <= notified_at + DRAIN_GRACE_SECONDS + OBSERVER_TOLERANCE_SECONDS {
             return None;
         }
         let detail = format!(
@@ -96,7 +99,7 @@
     let written_by = request.written_by.unwrap_or(request.written_at);
     let left = written_by + request.budget - now;
     let wait = attempt.wait_ms as f64 / 1_000.0;
-    if wait <= left.max(0.0) + WAIT_TOLERANCE + OBSERVER_TOLERANCE {
+    if wait <= left.max(0.0) + WAIT_TOLERANCE_SECONDS + OBSERVER_TOLERANCE_SECONDS {
         return None;
     }
     let detail = format!(
@@ -117,7 +120,7 @@
 /// That the client has not been gone for longer than the bound.
 fn check_client_present(request: &Request, attempt: &Attempt, now: Seconds) -> Option<Finding> {
     let gone_at = request.client_gone_at?;
-    if now <= gone_at + CLIENT_GONE_TOLERANCE + OBSERVER_TOLERANCE {
+    if now <= gone_at + CLIENT_GONE_TOLERANCE_SECONDS + OBSERVER_TOLERANCE_SECONDS {
         return None;
     }
     let late = now - gone_at;
--- a/crates/testbed/src/soak/judge/slow_start/tests.rs
+++ b/crates/testbed/src/soak/judge/slow_start/tests.rs
@@ -60,13 +60,13 @@
 #[test]
 fn the_rule_is_broken_if_over_two_thirds_of_the_calls_came_from_directors_that_were_told() {
     // Director 2 was told only after its calls.
-    for (of_untold, is_broken) in [(22, true), (23, false)] {
+    for (by_uninformed, is_broken) in [(22, true), (23, false)] {
         // 45 and 44 of 67.
         let mut state = started(100.0);
         let cold = state.cold_nodes.get_mut(&NODE).unwrap();
-        cold.told.extend([(1, 9.0), (2, 10.5)]);
-        assert!(!report(&mut state, 2, 10.0, of_untold));
-        assert_eq!(report(&mut state, 1, 10.0, 67 - of_untold), is_broken, "{of_untold}");
+        cold.start_sent_at.extend([(1, 9.0), (2, 10.5)]);
+        assert!(!report(&mut state, 2, 10.0, by_uninformed));
+        assert_eq!(report(&mut state, 1, 10.0, 67 - by_uninformed), is_broken, "{by_uninformed}");
         assert!(state.has_collapsed(NODE));
         // It fell once, whoever comes then.
         assert!(!report(&mut state, 1, 10.6, 500));
@@ -77,12 +77,12 @@
 fn a_call_counts_as_told_unless_the_record_shows_otherwise() {
     let mut state = started(100.0);
     let cold = state.cold_nodes.get_mut(&NODE).unwrap();
-    cold.told.insert(1, 10.5);
-    assert!(!cold.is_told(&call(1, 10.49)));
-    assert!(cold.is_told(&call(1, 10.5)));
+    cold.start_sent_at.insert(1, 10.5);
+    assert!(!cold.is_by_informed_director(&call(1, 10.49)));
+    assert!(cold.is_by_informed_director(&call(1, 10.5)));
     // No record of this director, and a request that no client sent.
-    assert!(cold.is_told(&call(2, 10.0)));
-    assert!(cold.is_told(&ColdCall { director: None, ..call(1, 10.0) }));
+    assert!(cold.is_by_informed_director(&call(2, 10.0)));
+    assert!(cold.is_by_informed_director(&ColdCall { director: None, ..call(1, 10.0) }));
 }
 
 #[test]
@@ -126,7 +126,7 @@
     let nearest = state.nearest_cold_node.unwrap();
     assert_eq!((nearest.node, nearest.calls, nearest.directors), (13, 39, 3));
     assert_eq!((nearest.at, nearest.age), (12.0, 0.0));
-    let printed = "node 13, 0.00 s old at 12.000 s: 39 calls in a second, 66.1 allowed with the scatter (0.59), \
+    let printed = "node 13, 0.00 s old at 12.000 s: 39 calls in a second, 66.1 allowed with the random margin (0.59), \
                    from 3 directors";
     assert_eq!(nearest.to_string(), printed);
 }
--- a/crates/testbed/src/soak/judge/tests.rs
+++ b/crates/testbed/src/soak/judge/tests.rs
@@ -175,10 +175,10 @@
     judge.on_request(REQUEST, DIRECTOR, Effect::Idempotent, OBJECT, 1.0);
     let purge = NotifiedPurge { notified_at: 5.0, made_ms: 1_000 };
     lock(&judge.state).directors.entry(DIRECTOR).or_default().purged.insert(OBJECT, purge);
-    judge.on_served(REQUEST, 6.11, 1_000);
-    judge.on_served(REQUEST, 6.09, 999);
+    judge.on_copy_served(REQUEST, 6.11, 1_000);
+    judge.on_copy_served(REQUEST, 6.09, 999);
     assert_eq!(found(&judge), []);
-    judge.on_served(REQUEST, 6.11, 999);
+    judge.on_copy_served(REQUEST, 6.11, 999);
     assert_eq!(found(&judge), [Rule::Purged]);
 }
 
@@ -288,7 +288,7 @@
     judge.on_request(REQUEST, DIRECTOR, Effect::Idempotent, OBJECT, 1.0);
     let purge = NotifiedPurge { notified_at: 5.0, made_ms: 1_000 };
     lock(&judge.state).directors.entry(DIRECTOR).or_default().purged.insert(OBJECT, purge);
-    judge.on_served(REQUEST, 6.2, 999);
+    judge.on_copy_served(REQUEST, 6.2, 999);
     assert_eq!(found_evidence(&judge), [observed(5.0, 6.2)]);
 }
 
--- a/crates/testbed/src/soak/lateness.rs
+++ b/crates/testbed/src/soak/lateness.rs
@@ -11,7 +11,7 @@
 
 use super::Seconds;
 use super::evidence::{Evidence, TimeSpan};
-use super::invariants::OBSERVER_TOLERANCE;
+use super::invariants::OBSERVER_TOLERANCE_SECONDS;
 
 #[cfg(test)]
 mod tests;
@@ -19,8 +19,8 @@
 /// The pause between two samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(2);
 /// The longest lateness that is told apart in the percentile, in microseconds.
-const MAX_MICROS: u64 = 60_000_000;
-const PERCENTILE: f64 = 99.9;
+const MAX_LATENESS_MICROS: u64 = 60_000_000;
+const REPORTED_PERCENTILE: f64 = 99.9;
 
 /// Delays of one kind: the longest of all, and when they were longer than the tolerance.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -33,7 +33,7 @@
     /// Adds a delay, from when something was due to when it was done.
     pub(crate) fn record(&mut self, delay: TimeSpan) {
         self.longest = self.longest.max(delay.duration());
-        if delay.duration() > OBSERVER_TOLERANCE {
+        if delay.duration() > OBSERVER_TOLERANCE_SECONDS {
             self.past_tolerance.push(delay);
         }
     }
@@ -67,7 +67,7 @@
     }
 
     /// When own threads were so late that this evidence does not hold.
-    pub fn refuting(&self, evidence: &Evidence) -> impl Iterator<Item = &TimeSpan> {
+    pub fn invalidating(&self, evidence: &Evidence) -> impl Iterator<Item = &TimeSpan> {
         self.past_tolerance().filter(|late| !evidence.holds_despite(late))
     }
 }
@@ -85,38 +85,38 @@
 
 /// A thread that sleeps and notes how late it wakes.
 pub(crate) struct LatenessSampler {
-    over: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     thread: JoinHandle<Lateness>,
 }
 
 impl LatenessSampler {
     /// Starts sampling, by this clock of the soak.
     pub(crate) fn start(clock: impl Fn() -> Seconds + Send + 'static) -> LatenessSampler {
-        let over = Arc::new(AtomicBool::new(false));
-        let is_over = Arc::clone(&over);
-        LatenessSampler { over, thread: thread::spawn(move || sample(&clock, &is_over)) }
+        let stop = Arc::new(AtomicBool::new(false));
+        let stop_requested = Arc::clone(&stop);
+        LatenessSampler { stop, thread: thread::spawn(move || sample(&clock, &stop_requested)) }
     }
 
     /// Ends sampling.
     pub(crate) fn finish(self) -> Lateness {
-        self.over.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
         self.thread.join().unwrap_or_default()
     }
 }
 
-fn sample(clock: &impl Fn() -> Seconds, is_over: &AtomicBool) -> Lateness {
+fn sample(clock: &impl Fn() -> Seconds, stop_requested: &AtomicBool) -> Lateness {
     // The bounds are valid; without a histogram nothing would be measured.
-    let Ok(mut late) = Histogram::<u64>::new_with_bounds(1, MAX_MICROS, 3) else {
+    let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, MAX_LATENESS_MICROS, 3) else {
         return Lateness::default();
     };
     let mut samples = Delays::default();
-    while !is_over.load(Ordering::Relaxed) {
+    while !stop_requested.load(Ordering::Relaxed) {
         let due = clock() + SAMPLE_INTERVAL.as_secs_f64();
         thread::sleep(SAMPLE_INTERVAL);
         let delay = TimeSpan { from: due, to: clock() };
-        late.saturating_record((delay.duration() * 1e6) as u64);
+        histogram.saturating_record((delay.duration() * 1e6) as u64);
         samples.record(delay);
     }
-    let p999 = late.value_at_percentile(PERCENTILE) as f64 / 1e6;
+    let p999 = histogram.value_at_percentile(REPORTED_PERCENTILE) as f64 / 1e6;
     Lateness { p999, samples, writes: Delays::default() }
 }
--- a/crates/testbed/src/soak/lateness/tests.rs
+++ b/crates/testbed/src/soak/lateness/tests.rs
@@ -23,12 +23,13 @@
     for (samples, writes) in [(late(), Delays::default()), (Delays::default(), late())] {
         let lateness = Lateness { samples, writes, ..Lateness::default() };
         assert!(lateness.is_past_tolerance());
-        let refuting = |from, to| lateness.refuting(&Evidence::Observed(TimeSpan { from, to })).count();
+        let invalidating =
+            |from, to| lateness.invalidating(&Evidence::Observed(TimeSpan { from, to })).count();
         assert_eq!(
-            (refuting(3.0, 3.9), refuting(3.0, 4.1), refuting(4.1, 5.0), refuting(4.3, 5.0)),
+            (invalidating(3.0, 3.9), invalidating(3.0, 4.1), invalidating(4.1, 5.0), invalidating(4.3, 5.0)),
             (0, 1, 1, 0)
         );
-        assert_eq!(lateness.refuting(&Evidence::Exact).count(), 0);
+        assert_eq!(lateness.invalidating(&Evidence::Exact).count(), 0);
     }
     assert!(!Lateness::default().is_past_tolerance());
 }
@@ -37,8 +38,8 @@
 fn the_sampler_keeps_the_time_of_a_wake_that_comes_late() {
     // The clock stands still but for one jump of half a second, as if the thread had not been run.
     let reads = std::sync::atomic::AtomicU32::new(0);
-    let over = Arc::new(AtomicBool::new(false));
-    let seen = Arc::clone(&over);
+    let stop = Arc::new(AtomicBool::new(false));
+    let seen = Arc::clone(&stop);
     let clock = move || match reads.fetch_add(1, Ordering::Relaxed) {
         0 => 7.0,
         _ => {
@@ -46,7 +47,7 @@
             7.502
         }
     };
-    let lateness = sample(&clock, &over);
+    let lateness = sample(&clock, &stop);
     let spans: Vec<&TimeSpan> = lateness.past_tolerance().collect();
     assert_eq!(spans.len(), 1);
     assert!((spans[0].from - 7.002).abs() < 1e-6 && spans[0].to == 7.502, "{spans:?}");
--- a/crates/testbed/src/soak/node.rs
+++ b/crates/testbed/src/soak/node.rs
@@ -25,7 +25,7 @@
 /// The same while connections are accepted late: so few that others find no room.
 const DELAYED_BACKLOG: i32 = 0;
 /// How long after it read or accepted nothing a node may find bytes that lay unread.
-const LATE_READS_AFTER: f64 = 1.0;
+const LATE_READ_SECONDS: f64 = 1.0;
 /// How often a node that reads nothing looks whether it is down.
 const STUCK_POLL: Duration = Duration::from_millis(20);
 /// What a node answers that is no answer.
@@ -149,19 +149,19 @@
 
 /// What a director has given up on a connection: a `KILL` names one attempt, the end of the connection means all.
 #[derive(Default)]
-struct GivenUp {
+struct CancelledAttempts {
     requests: HashSet<u64>,
-    is_ended: bool,
+    connection_ended: bool,
 }
 
-impl GivenUp {
+impl CancelledAttempts {
     fn contains(&self, request: u64) -> bool {
-        self.is_ended || self.requests.contains(&request)
+        self.connection_ended || self.requests.contains(&request)
     }
 }
 
 /// The request that a line gives up, if it is a `KILL`.
-fn killed_request(line: &str) -> Option<u64> {
+fn cancelled_request(line: &str) -> Option<u64> {
     u64::from_str_radix(line.trim_end().strip_prefix("KILL ")?, 16).ok()
 }
 
@@ -208,8 +208,8 @@
             }),
         });
         lock(nodes).insert(name.to_owned(), Arc::clone(&node));
-        let (own, nodes) = (Arc::clone(&node), Arc::clone(nodes));
-        spawn(move || own.accept_connections(&listener, &nodes));
+        let (this, nodes) = (Arc::clone(&node), Arc::clone(nodes));
+        spawn(move || this.accept_connections(&listener, &nodes));
         Ok(node)
     }
 
@@ -255,7 +255,7 @@
     }
 
     /// Keeps a connection that was accepted; false if the node is down.
-    fn keep_connection(&self, stream: &Arc<TcpStream>) -> bool {
+    fn register_connection(&self, stream: &Arc<TcpStream>) -> bool {
         let mut state = lock(&self.state);
         if !state.has_collapsed {
             state.connections.push(Arc::clone(stream));
@@ -273,13 +273,13 @@
     /// What it does with a call that has come.
     fn admit(&self) -> Admission {
         let now = self.judge.now();
-        lock(&self.state).admissions.as_mut().map_or(Admission::From(now), |queue| queue.admit(now))
+        lock(&self.state).admissions.as_mut().map_or(Admission::BeginsAt(now), |queue| queue.admit(now))
     }
 
     /// Whether what it reads now may have lain unread for a while, through no fault of its sender.
     fn is_reading_late(&self) -> bool {
         let state = lock(&self.state);
-        state.stuck_until.max(state.accepts_from) > self.judge.now() - LATE_READS_AFTER
+        state.stuck_until.max(state.accepts_from) > self.judge.now() - LATE_READ_SECONDS
     }
 
     fn behavior(&self) -> Misbehavior {
@@ -289,24 +289,24 @@
 
     fn accept_connections(self: &Arc<Node>, listener: &TcpListener, nodes: &Nodes) {
         for stream in listener.incoming().map_while(Result::ok) {
-            let early = lock(&self.state).accepts_from - self.judge.now();
-            if early > 0.0 {
+            let delay = lock(&self.state).accepts_from - self.judge.now();
+            if delay > 0.0 {
                 // A listener that listens again takes the new length of its queue.
                 let _ = SockRef::from(listener).listen(DELAYED_BACKLOG);
-                std::thread::sleep(Duration::from_secs_f64(early));
+                std::thread::sleep(Duration::from_secs_f64(delay));
                 let _ = SockRef::from(listener).listen(BACKLOG);
             }
-            let (own, nodes, stream) = (Arc::clone(self), Arc::clone(nodes), Arc::new(stream));
+            let (this, nodes, stream) = (Arc::clone(self), Arc::clone(nodes), Arc::new(stream));
             let port = stream.peer_addr().map_or(0, |address| address.port());
             let ports = LinkPorts { director: port, node: self.address.port() };
             let link = NodeLink { ports, accepted_at: self.judge.now() };
-            if !self.keep_connection(&stream) {
+            if !self.register_connection(&stream) {
                 reset_when_dropped(&stream);
                 continue;
             }
             spawn(move || {
                 // A director that goes ends its connection.
-                let _ = own.serve(&stream, link, &nodes);
+                let _ = this.serve(&stream, link, &nodes);
             });
         }
     }
@@ -315,20 +315,20 @@
     /// before it is begun does not run.
     fn serve(self: &Arc<Node>, stream: &Arc<TcpStream>, link: NodeLink, nodes: &Nodes) -> io::Result<()> {
         stream.set_nodelay(true)?;
-        let given_up = Arc::new(Mutex::new(GivenUp::default()));
+        let cancelled = Arc::new(Mutex::new(CancelledAttempts::default()));
         let (queue, queued_pulls) = channel::<QueuedPull>();
-        let (own, output, sources) = (Arc::clone(self), Arc::clone(stream), Arc::clone(nodes));
-        let seen_by_worker = Arc::clone(&given_up);
+        let (this, output, sources) = (Arc::clone(self), Arc::clone(stream), Arc::clone(nodes));
+        let cancelled_for_worker = Arc::clone(&cancelled);
         spawn(move || {
             for queued in queued_pulls {
-                let after = own.execute(&queued, link, &seen_by_worker, &output, &sources);
+                let after = this.execute(&queued, link, &cancelled_for_worker, &output, &sources);
                 if !after.is_ok_and(|after| after == Connection::Open) {
                     return;
                 }
             }
         });
-        let read = self.read_attempts(stream, link, nodes, &queue, &given_up);
-        lock(&given_up).is_ended = true;
+        let read = self.read_attempts(stream, link, nodes, &queue, &cancelled);
+        lock(&cancelled).connection_ended = true;
         read
     }
 
@@ -338,7 +338,7 @@
         link: NodeLink,
         nodes: &Nodes,
         queue: &Sender<QueuedPull>,
-        given_up: &Mutex<GivenUp>,
+        cancelled: &Mutex<CancelledAttempts>,
     ) -> io::Result<()> {
         let mut reader = BufReader::new(stream);
         let mut line = String::new();
@@ -350,8 +350,8 @@
             if self.has_collapsed() || reader.read_line(&mut line)? == 0 {
                 return Ok(());
             }
-            if let Some(request) = killed_request(&line) {
-                lock(given_up).requests.insert(request);
+            if let Some(request) = cancelled_request(&line) {
+                lock(cancelled).requests.insert(request);
                 continue;
             }
             let Ok(request) = PullRequest::parse(&line) else { continue };
@@ -386,7 +386,7 @@
         &self,
         queued: &QueuedPull,
         link: NodeLink,
-        given_up: &Mutex<GivenUp>,
+        cancelled: &Mutex<CancelledAttempts>,
         mut stream: &TcpStream,
         nodes: &Nodes,
     ) -> io::Result<Connection> {
@@ -397,18 +397,18 @@
         if self.has_collapsed() {
             return Ok(Connection::Closed);
         }
-        if lock(given_up).contains(pull.request) {
+        if lock(cancelled).contains(pull.request) {
             self.judge.count("attempts given up before they were begun");
             return Ok(Connection::Open);
         }
-        let behavior = self.behavior_by(*admission);
+        let behavior = self.behavior_for(*admission);
         if behavior == Misbehavior::Full {
             self.judge.on_not_run(pull.request, link.ports);
         }
         if let Some(connection) = misbehave_before_work(behavior, pull, stream)? {
             return Ok(connection);
         }
-        let Some(issued_ms) = self.copy(pull, source.as_deref()) else {
+        let Some(issued_ms) = self.copy_issued_ms(pull, source.as_deref()) else {
             self.judge.on_not_run(pull.request, link.ports);
             stream.write_all(pull.empty_answer("NOENT").as_bytes())?;
             return Ok(Connection::Open);
@@ -417,7 +417,7 @@
         if let Some(connection) = misbehave_after_work(behavior, pull, stream)? {
             return Ok(connection);
         }
-        self.judge.on_served(pull.request, *received_at, issued_ms);
+        self.judge.on_copy_served(pull.request, *received_at, issued_ms);
         let answer = pull.copy_answer(issued_ms, behavior);
         stream.write_all(answer.as_bytes())?;
         if behavior == Misbehavior::Twice {
@@ -428,7 +428,7 @@
     }
 
     fn wait_for_turn(&self, admission: Admission) {
-        let Admission::From(begins_at) = admission else { return };
+        let Admission::BeginsAt(begins_at) = admission else { return };
         let wait = begins_at - self.judge.now();
         if wait > 0.0 {
             std::thread::sleep(Duration::from_secs_f64(wait));
@@ -436,7 +436,7 @@
     }
 
     /// The behavior of this moment towards an attempt that was admitted or not.
-    fn behavior_by(&self, admission: Admission) -> Misbehavior {
+    fn behavior_for(&self, admission: Admission) -> Misbehavior {
         let behavior = self.behavior();
         if admission == Admission::Full && behavior.serves() {
             self.judge.count("attempts turned away as full");
@@ -446,7 +446,7 @@
     }
 
     /// When the copy that is served was made (Unix milliseconds): its own if it is young enough, or one that it fills.
-    fn copy(&self, pull: &Pull, source: Option<&Node>) -> Option<u64> {
+    fn copy_issued_ms(&self, pull: &Pull, source: Option<&Node>) -> Option<u64> {
         let now = unix_ms();
         let is_young_enough =
             |issued: &u64| pull.max_age_ms.is_none_or(|max_age| now.saturating_sub(*issued) <= max_age);
@@ -455,7 +455,7 @@
             return Some(issued);
         }
         let filled = match source {
-            Some(source) => source.copy(pull, None)?,
+            Some(source) => source.copy_issued_ms(pull, None)?,
             None if self.kind == "origin" || self.kind == "parent" => now,
             None => return None,
         };
--- a/crates/testbed/src/soak/report.rs
+++ b/crates/testbed/src/soak/report.rs
@@ -15,7 +15,7 @@
 /// How many violations are printed.
 const PRINTED_VIOLATIONS: usize = 20;
 /// Faults that ended so many seconds before a violation are printed with it.
-const FAULT_AFTERMATH: f64 = 1.0;
+const RECENT_FAULT_SECONDS: f64 = 1.0;
 
 /// What a soak says of the directors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -60,7 +60,7 @@
 
     /// Whether a violation is the directors': no thread of the soak that was late can have made it.
     pub fn is_judged(&self, violation: &Violation) -> bool {
-        self.lateness.refuting(&violation.evidence).next().is_none()
+        self.lateness.invalidating(&violation.evidence).next().is_none()
     }
 
     /// The violations that are judged, or those that are not, in the order in which they were found.
@@ -80,13 +80,14 @@
     fn write_violation(&self, f: &mut fmt::Formatter<'_>, violation: &Violation) -> fmt::Result {
         let judged = if self.is_judged(violation) { "judged" } else { "not judged" };
         writeln!(f, "{violation} [{judged}]")?;
-        for TimeSpan { from, to } in self.lateness.refuting(&violation.evidence) {
+        for TimeSpan { from, to } in self.lateness.invalidating(&violation.evidence) {
             writeln!(f, "            {from:.3} to {to:.3} s: own threads late")?;
         }
-        let is_near =
-            |fault: &&FaultSpan| fault.from <= violation.at && fault.to >= violation.at - FAULT_AFTERMATH;
-        for fault in self.faults.iter().filter(is_near) {
-            writeln!(f, "            {:.3} to {:.3} s: {}", fault.from, fault.to, fault.what)?;
+        let is_recent = |fault: &&FaultSpan| {
+            fault.from <= violation.at && fault.to >= violation.at - RECENT_FAULT_SECONDS
+        };
+        for fault in self.faults.iter().filter(is_recent) {
+            writeln!(f, "            {:.3} to {:.3} s: {}", fault.from, fault.to, fault.description)?;
         }
         Ok(())
     }
--- a/crates/testbed/src/soak/report/tests.rs
+++ b/crates/testbed/src/soak/report/tests.rs
@@ -19,7 +19,7 @@
         counts: BTreeMap::new(),
         nearest_cold_node: None,
         planned_faults: 0,
-        faults: vec![FaultSpan { what: "a pause".into(), from: 1.0, to: 2.5 }],
+        faults: vec![FaultSpan { description: "a pause".into(), from: 1.0, to: 2.5 }],
         lateness: Lateness { p999: 0.001, samples: delays(worst), writes: delays(0.001) },
     }
 }
@@ -132,9 +132,9 @@
 
 #[test]
 fn a_violation_is_printed_with_the_faults_in_force_and_those_just_over() {
-    for (at, is_near) in [(0.9, false), (1.1, true), (3.4, true), (3.6, false)] {
+    for (at, is_recent) in [(0.9, false), (1.1, true), (3.4, true), (3.6, false)] {
         let text = report(0.0, vec![observed(Rule::Lost, at, at)]).to_string();
         assert!(text.contains("request 7"), "{text}");
-        assert_eq!(text.contains("a pause"), is_near, "{text}");
+        assert_eq!(text.contains("a pause"), is_recent, "{text}");
     }
 }
--- a/crates/testbed/src/soak/run.rs
+++ b/crates/testbed/src/soak/run.rs
@@ -11,7 +11,7 @@
 use super::capacity::{CACHE_CAPACITY, Capacity};
 use super::client::Client;
 use super::director::Director;
-use super::discovery::{Discovery, Notification, note_events_for_all};
+use super::discovery::{Discovery, Notification, report_overdue_notifications};
 use super::fault_log::FaultLog;
 use super::fault_plan::plan_faults;
 use super::invariants::Rule;
@@ -105,8 +105,8 @@
 
     fn start_directors(&self) -> Result<(), TrialError> {
         for director in &self.directors {
-            for of_an_earlier_run in [&director.log, &director.send_log] {
-                let _ = std::fs::remove_file(of_an_earlier_run);
+            for stale_file in [&director.log, &director.send_log] {
+                let _ = std::fs::remove_file(stale_file);
             }
             director.set_fault_rules("");
             self.start_director(director)?;
@@ -115,7 +115,7 @@
     }
 
     /// Starts the clients of all directors; they end after `over` is set.
-    fn start_clients(&self, over: &Arc<AtomicBool>) -> Vec<JoinHandle<()>> {
+    fn start_clients(&self, finished: &Arc<AtomicBool>) -> Vec<JoinHandle<()>> {
         let next_id = Arc::new(AtomicU64::new(1));
         let mut clients = Vec::new();
         for director in &self.directors {
@@ -123,7 +123,7 @@
                 let client = Client {
                     director: Arc::clone(director),
                     judge: Arc::clone(&self.judge),
-                    over: Arc::clone(over),
+                    finished: Arc::clone(finished),
                     next_id: Arc::clone(&next_id),
                     seed: self.options.seed ^ ((director.number as u64) << 32) ^ ((number as u64) << 16),
                 };
@@ -192,13 +192,13 @@
     };
     judge.read_send_logs(soak.directors.iter().map(|director| director.send_log.clone()));
     soak.start_nodes()?;
-    note_events_for_all(&soak.discovery, options.directors);
+    report_overdue_notifications(&soak.discovery, options.directors);
     soak.start_directors()?;
 
-    let over = Arc::new(AtomicBool::new(false));
+    let finished = Arc::new(AtomicBool::new(false));
     let clock = Arc::clone(&judge);
     let lateness = LatenessSampler::start(move || clock.now());
-    let clients = soak.start_clients(&over);
+    let clients = soak.start_clients(&finished);
     let started = Instant::now();
     let restarts: Vec<Mutex<()>> = soak.directors.iter().map(|_| Mutex::default()).collect();
     let end = options.seconds as f64;
@@ -208,7 +208,7 @@
     });
     thread::sleep(Duration::from_secs(options.seconds).saturating_sub(started.elapsed()));
 
-    over.store(true, Ordering::Relaxed);
+    finished.store(true, Ordering::Relaxed);
     for client in clients {
         if client.join().is_err() {
             judge.record_violation(Rule::Unknown, "a client of the soak panicked".into());
--- a/crates/testbed/src/soak/service.rs
+++ b/crates/testbed/src/soak/service.rs
@@ -32,7 +32,7 @@
                 }
                 scope.spawn(move || {
                     let director = &self.directors[series.director];
-                    let _turn = series.stops().then(|| lock(&restarts[series.director]));
+                    let _guard = series.stops().then(|| lock(&restarts[series.director]));
                     let fault = self.faults.begin(self.judge.now(), format!("{series:?}"));
                     self.send_series(director, &series);
                     self.faults.end(self.judge.now(), fault);
@@ -46,13 +46,13 @@
             match *step {
                 SignalStep::Reload => director.signal(Signal::HUP),
                 SignalStep::Stop => director.terminate(),
-                SignalStep::Hold(seconds) => director.hold(seconds),
+                SignalStep::Hold(seconds) => director.pause(seconds),
                 SignalStep::Wait(seconds) => thread::sleep(Duration::from_secs_f64(seconds)),
             }
         }
         if series.stops() {
             director.wait_for_exit();
-            self.start_again(director);
+            self.start_or_report(director);
         }
     }
 
--- a/crates/testbed/src/soak/service_plan.rs
+++ b/crates/testbed/src/soak/service_plan.rs
@@ -9,7 +9,7 @@
 /// Tells the draws of this plan from those of the faults.
 const SEED_OFFSET: u64 = 0x5e41_0c75;
 /// The mean time between two series.
-const SERIES_SECONDS: f64 = 2.5;
+const MEAN_SERIES_INTERVAL_SECONDS: f64 = 2.5;
 /// No series begins before this, and none in the last second.
 const FIRST_SERIES_AT: Seconds = 1.5;
 /// The part of all seeds that have a crowd.
@@ -80,7 +80,7 @@
     let mut signals = Vec::new();
     let mut at = FIRST_SERIES_AT;
     loop {
-        at += SERIES_SECONDS * (0.4 + 1.2 * rng.random::<f64>());
+        at += MEAN_SERIES_INTERVAL_SECONDS * (0.4 + 1.2 * rng.random::<f64>());
         if at >= options.seconds as f64 - 1.0 {
             return ServicePlan { signals, crowd };
         }
@@ -94,14 +94,14 @@
     use SignalStep::{Hold, Reload, Stop, Wait};
     let short = Wait(0.05 * rng.random::<f64>());
     let long = Wait(0.6 * rng.random::<f64>());
-    let held = Hold(0.05 + 0.45 * rng.random::<f64>());
+    let hold = Hold(0.05 + 0.45 * rng.random::<f64>());
     match rng.random_range(0..7) {
         0 => vec![Reload, short, Reload, short, Reload, Reload],
         1 => vec![Reload, short, Stop],
         2 => vec![Stop, short, Reload],
         3 => vec![Stop, long, Stop],
-        4 => vec![Stop, long, held, short, held],
-        5 => vec![Reload, held, Stop, short, held],
-        _ => vec![held, Reload, short, held],
+        4 => vec![Stop, long, hold, short, hold],
+        5 => vec![Reload, hold, Stop, short, hold],
+        _ => vec![hold, Reload, short, hold],
     }
 }
