--- a/crates/testbed/src/soak/capacity.rs
+++ b/crates/testbed/src/soak/capacity.rs
@@ -1,4 +1,4 @@
-//! How many calls stand-in caches bear: what a cache serves at once, what waits for its turn, what is turned away.
+//! The capacity of stub caches: which calls begin at once, which wait, and which are rejected.
 
 use super::Seconds;
 use super::invariants::{SLOW_START_INITIAL_SHARE, SLOW_START_SECONDS};
@@ -6,43 +6,43 @@
 #[cfg(test)]
 mod tests;
 
-/// The calls a second that a warm cache bears.
+/// The capacity of a warm cache in calls per second.
 pub(crate) const CACHE_CAPACITY: f64 = 100.0;
-/// The longest time, in seconds, that a call waits for its turn; what would wait longer is turned away.
+/// The longest time that a call waits to begin; a call that would wait longer is rejected.
 pub(crate) const MAX_QUEUE_SECONDS: f64 = 0.1;
 
-/// The share of its capacity that a node bears so many seconds after its cold start.
+/// Returns the share of its warm capacity that a node has `age` seconds after its cold start.
 pub(crate) fn slow_start_share(age: f64) -> f64 {
     let progress = (age / SLOW_START_SECONDS).clamp(0.0, 1.0);
     SLOW_START_INITIAL_SHARE + (1.0 - SLOW_START_INITIAL_SHARE) * progress
 }
 
-/// The capacity of a node over its life.
+/// The capacity of a node, which grows after a cold start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Capacity {
-    /// Calls a second that it bears once it is warm.
+    /// The capacity in calls per second once the node is warm.
     pub(crate) warm: f64,
-    /// When it started cold; none if it was warm from the start.
+    /// When the node started cold; none if it was warm from the start.
     pub(crate) cold_since: Option<Seconds>,
 }
 
 impl Capacity {
-    /// Calls a second that it bears at this time.
+    /// Returns the capacity in calls per second at this time.
     pub(crate) fn at(&self, now: Seconds) -> f64 {
         self.cold_since.map_or(self.warm, |since| self.warm * slow_start_share(now - since))
     }
 }
 
-/// What a node does with a call that has come.
+/// How a node handles a call that it received.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Admission {
-    /// It is begun at this time.
+    /// The call begins at this time.
     BeginsAt(Seconds),
-    /// It is turned away.
+    /// The call is rejected as overload.
     Full,
 }
 
-/// The calls that a node has accepted, each of which takes one call's part of a second of its capacity.
+/// A queue of the calls that a node has accepted. Each call takes 1 / capacity seconds.
 #[derive(Clone, Debug)]
 pub(crate) struct AdmissionQueue {
     capacity: Capacity,
@@ -51,12 +51,12 @@
 }
 
 impl AdmissionQueue {
-    /// A queue without calls.
+    /// Creates an empty queue.
     pub(crate) fn new(capacity: Capacity) -> AdmissionQueue {
         AdmissionQueue { capacity, free_at: 0.0 }
     }
 
-    /// Accepts a call that comes now, or turns it away.
+    /// Accepts a call that arrives now, or rejects it if it would wait longer than `MAX_QUEUE_SECONDS`.
     pub(crate) fn admit(&mut self, now: Seconds) -> Admission {
         let begins_at = self.free_at.max(now);
         if begins_at - now > MAX_QUEUE_SECONDS {
--- a/crates/testbed/src/soak/client.rs
+++ b/crates/testbed/src/soak/client.rs
@@ -1,4 +1,4 @@
-//! Stand-in clients: they send requests in all the ways that the protocol allows, and in some that it does not.
+//! Stub clients: they send requests in all ways that the protocol allows, and in some that it does not.
 
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
@@ -17,41 +17,42 @@
 use super::judge::{Judge, Request};
 use crate::client_load::{Response, encode_call, read_any_response};
 
-/// The number of objects that clients ask for.
+/// The number of different objects that clients request.
 pub(crate) const OBJECT_COUNT: u64 = 60;
-/// A request that is written so shortly before its connection ends crosses that end, and is asked again elsewhere.
+/// A request that was written at most this long before its connection ended may have crossed the end of the connection.
+/// Such a request is not lost: a real client sends it again on another connection.
 const CROSSING_SECONDS: f64 = 0.15;
-/// How much later than a lost request's time its client gives it up.
+/// How much later than a request counts as lost its client stops waiting.
 const LOST_TOLERANCE_SECONDS: f64 = 0.3;
-/// How many reads look for answers that came before the end of a connection.
+/// How many reads look for answers that arrived before the end of a connection.
 const MAX_FINAL_READS: usize = 20;
 const READ_POLL: Duration = Duration::from_millis(20);
 const READ_BYTES: usize = 16 << 10;
 const NOT_ACCEPTING_WAIT: Duration = Duration::from_millis(20);
 const CONNECT_RETRY_WAIT: Duration = Duration::from_millis(30);
-/// How often a client that rests looks whether the soak is over.
+/// How often a pausing client checks whether the soak is over.
 const PAUSE_POLL: Duration = Duration::from_millis(50);
-/// The copy that a client says it has.
+/// The tag of the copy that a client claims to have.
 const CACHED_TAG: &str = "t1";
 
 /// How a client uses one connection.
 #[derive(Clone, Copy, PartialEq)]
 enum Behavior {
     Plain,
-    /// Its requests come in pieces.
+    /// It writes each request in two pieces.
     SplitsWrites,
-    /// It sends requests and ends the connection, by FIN or by RST.
+    /// It ends the connection, by FIN or by RST, while requests are pending.
     Disconnects,
     Cancels,
-    /// It gives very little time.
+    /// It gives requests a very short time budget.
     ShortBudget,
-    /// It sends what is no request, or half of one.
+    /// It sends bytes that are no request, or half of one.
     Garbage,
-    /// It rests between requests until the director ends the connection.
+    /// It pauses between requests for so long that the director may end the connection.
     Idles,
 }
 
-/// How often each behavior is drawn, in percent.
+/// The probability of each behavior in percent.
 const BEHAVIOR_WEIGHTS: [(Behavior, u32); 7] = [
     (Behavior::Plain, 40),
     (Behavior::SplitsWrites, 14),
@@ -62,26 +63,26 @@
     (Behavior::Idles, 6),
 ];
 
-/// One client of one director; it opens one connection after another.
+/// A client of one director; it opens one connection after another.
 pub(crate) struct Client {
     pub(crate) director: Arc<Director>,
     pub(crate) judge: Arc<Judge>,
     /// Set at the end of the soak.
     pub(crate) finished: Arc<AtomicBool>,
-    /// The next request's id, shared by all clients.
+    /// The id of the next request, shared by all clients.
     pub(crate) next_id: Arc<AtomicU64>,
     pub(crate) seed: u64,
 }
 
-/// A connection and the requests on it, by their call numbers.
+/// A connection and its requests, by call number.
 struct Session {
     stream: TcpStream,
     began_at: Seconds,
-    /// What was read and is not yet a whole answer.
+    /// Bytes that were read and are not yet a complete answer.
     received: Vec<u8>,
-    /// Requests without an answer.
+    /// Requests that wait for an answer.
     pending: HashMap<u32, u64>,
-    /// Requests that were cancelled or given up, whose answers may still come.
+    /// Requests that were cancelled or are no longer waited for, whose answers may still arrive.
     abandoned: HashMap<u32, u64>,
     last_call: u32,
 }
@@ -99,14 +100,14 @@
     }
 }
 
-/// Whether a connection is still there after it was used.
+/// The state of a connection after it was used.
 #[derive(Clone, Copy, PartialEq)]
 enum Connection {
     Open,
     Ended,
 }
 
-/// Encodes a request; `held_tag` names the copy that the client has.
+/// Encodes a request; `held_tag` is the tag of the copy that the client has.
 fn encode_request(
     id: u64,
     call: u32,
@@ -141,7 +142,7 @@
     Behavior::Plain
 }
 
-/// The object that the bytes of an answer name.
+/// Returns the object that the body of an answer names.
 fn object_of(answer: &Response) -> Option<u64> {
     let Response::Success(body) = answer else { return None };
     let text = std::str::from_utf8(body.get(..16).unwrap_or_default()).ok()?;
@@ -149,7 +150,7 @@
 }
 
 impl Client {
-    /// Works until the soak is over.
+    /// Opens connections and sends requests until the soak is over.
     pub(crate) fn run(self) {
         let mut rng = Pcg32::seed_from_u64(self.seed);
         while !self.is_finished() {
@@ -174,7 +175,8 @@
         self.finished.load(Ordering::Relaxed)
     }
 
-    /// Uses one connection from its beginning to its end. One to a director that stops is used until that ends it.
+    /// Uses one connection from its beginning to its end. If the director is stopping, the client goes on until the
+    /// director ends the connection.
     fn use_connection(&self, mut session: Session, rng: &mut Pcg32) {
         let behavior = draw_behavior(rng);
         let mut rounds: u32 = rng.random_range(1..6);
@@ -206,7 +208,7 @@
         self.disconnect(&session, false);
     }
 
-    /// Sends nothing for a while, or until the soak is over.
+    /// Sends nothing for this time, or until the soak is over.
     fn pause(&self, duration: Duration) {
         let pauses = duration.as_millis() / PAUSE_POLL.as_millis();
         for _ in 0..=pauses {
@@ -217,7 +219,7 @@
         }
     }
 
-    /// Writes one request, or now and then several at once.
+    /// Writes one request or, in one of five cases, several in a row.
     fn send_requests(&self, session: &mut Session, behavior: Behavior, rng: &mut Pcg32) -> Connection {
         let count = if rng.random_range(0..5) == 0 { rng.random_range(2..9) } else { 1 };
         for _ in 0..count {
@@ -250,7 +252,7 @@
         if written.is_ok() { Connection::Open } else { Connection::Ended }
     }
 
-    /// Writes a request in two pieces; it counts as written with the second one.
+    /// Writes a request in two pieces; its budget counts from the second one.
     fn write_in_pieces(
         &self,
         session: &mut Session,
@@ -266,7 +268,7 @@
         session.stream.write_all(rest)
     }
 
-    /// Ends the connection under what is open on it.
+    /// Ends the connection while requests may be pending.
     fn disconnect(&self, session: &Session, by_reset: bool) {
         if by_reset {
             let _ = socket2::SockRef::from(&session.stream).set_linger(Some(Duration::ZERO));
@@ -275,11 +277,11 @@
         session.pending.values().for_each(|id| self.judge.on_client_gone(*id));
     }
 
-    /// Cancels all that is open.
+    /// Cancels all pending requests.
     fn cancel_all(&self, session: &mut Session) {
         for (call, id) in session.pending.drain() {
             let mut message = b"\x93\x02\xadcancelRequest\x91".to_vec();
-            // Writing into memory does not fail; a connection that has ended shows when it is read.
+            // Writing to memory does not fail; a connection that has ended is noticed at the next read.
             let _ = encode::write_uint(&mut message, u64::from(call));
             let _ = session.stream.write_all(&message);
             self.judge.on_client_gone(id);
@@ -287,7 +289,7 @@
         }
     }
 
-    /// Reads until nothing is open or the connection ends. Requests whose time is long over are lost.
+    /// Reads until no request is pending or the connection ends. A request whose answer is long overdue is lost.
     fn wait_for_answers(&self, session: &mut Session) -> Connection {
         while !session.pending.is_empty() {
             if self.read_answers(session) == Connection::Ended {
@@ -313,7 +315,7 @@
         Connection::Open
     }
 
-    /// Reads once and takes in the answers that are whole.
+    /// Reads once and handles all complete answers.
     fn read_answers(&self, session: &mut Session) -> Connection {
         let mut bytes = [0; READ_BYTES];
         match session.stream.read(&mut bytes) {
@@ -347,15 +349,16 @@
         }
     }
 
-    /// The connection has ended under what is open on it.
+    /// Handles the end of the connection: checks each request that is still pending.
     fn on_connection_end(&self, session: &mut Session) {
-        // What came before the end counts.
+        // Answers that arrived before the end count.
         for _ in 0..MAX_FINAL_READS {
             if session.pending.is_empty() || self.read_answers(session) == Connection::Ended {
                 break;
             }
         }
-        // A client that writes slowly sees the end late; the director's own call is exact.
+        // A client that writes slowly notices the end late; the send log has the exact time at which the director shut
+        // the connection.
         let port = session.stream.local_addr().map_or(0, |address| address.port());
         let shut_at = self.judge.shut_at(self.director.number, port, session.began_at);
         let ended_at = shut_at.unwrap_or_else(|| self.judge.now());
@@ -372,7 +375,7 @@
         }
     }
 
-    /// A request has no answer: a violation, unless its director was killed or paused.
+    /// Reports that a request has no answer: a violation, unless its director was killed or paused.
     fn on_lost(&self, id: u64, why: &str) {
         let Some(request) = self.judge.request(id) else { return };
         if self.director.is_exempt(request.written_at, request.budget) {
@@ -389,7 +392,7 @@
     }
 }
 
-/// Sends what is no request, or half of one, and ends the connection after a while.
+/// Sends bytes that are no request, or half of one, and ends the connection after a while.
 fn send_garbage(session: &mut Session, rng: &mut Pcg32) {
     let request = encode_request(1, 1, CLASSES[0].0, 1, 500, None);
     let bytes = if rng.random() { &request[..30] } else { &b"what is this"[..] };
--- a/crates/testbed/src/soak/director.rs
+++ b/crates/testbed/src/soak/director.rs
@@ -1,4 +1,4 @@
-//! The directors of a soak: their processes, configurations and fault rules, and what was done to each.
+//! The directors of a soak: their processes, configurations and fault rules, and the signals that each has received.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -24,24 +24,24 @@
 #[cfg(test)]
 mod tests;
 
-/// How long clients still connect after the director was asked to stop.
+/// How long clients still open connections after the director was asked to stop.
 const ACCEPTS_AFTER_STOP_SECONDS: f64 = 0.4;
 /// How long a platform waits for the exit of a director that was asked to stop: the longest deadline and 0.7 s.
 const STOP_TIMEOUT_SECONDS: f64 = MAX_BUDGET_SECONDS + 0.7;
-/// How long after a pause requests are still excused.
+/// How long after a pause requests are still exempt from the deadline.
 const PAUSE_TOLERANCE_SECONDS: f64 = 0.2;
-/// A process handles no signal in the first moment of its life, before its own code runs.
+/// A new process is sent no signal for this long: it can't handle one before its own code runs.
 const SIGNAL_HANDLERS_READY_SECONDS: f64 = 0.2;
-/// A fault that breaks connections may show this much before it is noted, and this much after its end.
+/// How long before a fault is recorded connections may already break, and how long after its end they may still break.
 const BREAKING_MARGIN_BEFORE_SECONDS: f64 = 0.1;
 const BREAKING_MARGIN_AFTER_SECONDS: f64 = 0.3;
-/// A request that was written so shortly after an excused span is still excused.
+/// A request that was written at most this long after an exempt span is also exempt.
 const EXEMPT_MARGIN_SECONDS: f64 = 0.1;
 const EXIT_POLL: Duration = Duration::from_millis(5);
-/// The rate of one transfer from a node.
+/// The transfer rate of one response of a node.
 const STREAM_KB_PER_S: f64 = 4_000.0;
 
-/// A span of time; it may have no end yet.
+/// A span of time, in seconds since the soak began; the end is infinite until it is known.
 #[derive(Clone, Copy, Debug)]
 struct Span {
     from: Seconds,
@@ -51,31 +51,30 @@
 #[derive(Default)]
 struct DirectorState {
     process: Option<ChildProcess>,
-    /// When it was asked to stop, if it was.
+    /// When the director was asked to stop, if it was.
     stopping_since: Option<Seconds>,
-    /// When it was held by SIGSTOP.
+    /// When the director was paused by SIGSTOP.
     pauses: Vec<Span>,
-    /// When no answer is owed in time: it was killed, or stopped by a signal.
+    /// When the director owes no answer in time because it was killed or paused.
     exempt: Vec<Span>,
-    /// When its connections may break by themselves.
+    /// When connections of the director may break because of a fault.
     breaking: Vec<Span>,
-    /// Which of the addresses of discovery it uses.
+    /// The index of the discovery address that the director uses.
     discovery_address: usize,
     started_at: Seconds,
 }
 
-/// One director.
 pub(crate) struct Director {
     pub(crate) number: usize,
-    /// Where it listens.
+    /// The address on which the director listens.
     pub(crate) address: SocketAddr,
     config: PathBuf,
-    /// Held while the configuration is made: a slow thread must not replace it by one with fewer events.
+    /// Locked while the configuration is written, so that a slow thread does not replace it by one with fewer events.
     configuring: Mutex<()>,
     pub(crate) log: PathBuf,
-    /// The file of its rules for the fault library.
+    /// The file with the director's rules for the fault library.
     fault_rules: PathBuf,
-    /// The file in which the fault library notes what it sends.
+    /// The file in which the fault library logs what the director sends.
     pub(crate) send_log: PathBuf,
     _port: ReservedPort,
     judge: Arc<Judge>,
@@ -99,7 +98,7 @@
         }
     }
 
-    /// Writes its configuration, which holds all events up to now, and returns their number.
+    /// Writes the director's configuration with all events so far, and returns their number.
     fn configure(&self, options: &Options, discovery: &Discovery) -> Result<usize, TrialError> {
         let _guard = lock(&self.configuring);
         let model = NodeModel {
@@ -118,14 +117,14 @@
         config["limits"]["sockets"] = json!(256);
         set_classes(&mut config);
         discovery.note_configured(self.number, known.len());
-        // Replaced in one step: a reload may read it at any time.
+        // The file is replaced atomically because a reload may read it at any time.
         let new = self.config.with_extension("new");
         std::fs::write(&new, config.to_string()).map_err(io_error(new.display().to_string()))?;
         std::fs::rename(&new, &self.config).map_err(io_error(self.config.display().to_string()))?;
         Ok(known.len())
     }
 
-    /// Starts its process; `program` is the director's command without environment.
+    /// Starts the process; `program` returns the director's command without environment variables.
     pub(crate) fn start(
         &self,
         options: &Options,
@@ -152,14 +151,14 @@
         Ok(())
     }
 
-    /// Replaces the rules for its system calls.
+    /// Replaces the rules of the fault library for this director.
     pub(crate) fn set_fault_rules(&self, rules: &str) {
         let new = self.fault_rules.with_extension("plan-new");
-        // Rules that can't be written cause no fault; the report counts the fault all the same.
+        // Rules that can't be written cause no fault; the report counts the fault nevertheless.
         let _ = std::fs::write(&new, rules).and_then(|()| std::fs::rename(&new, &self.fault_rules));
     }
 
-    /// Its connections may break by themselves for so many seconds.
+    /// Records that connections of the director may break for this many seconds.
     pub(crate) fn expect_broken_connections(&self, seconds: f64) {
         let now = self.judge.now();
         let span = Span {
@@ -169,7 +168,7 @@
         lock(&self.state).breaking.push(span);
     }
 
-    /// Sends a signal, unless the process is too young to handle it.
+    /// Sends a signal, unless the process is too new to handle one.
     pub(crate) fn signal(&self, signal: Signal) {
         let state = lock(&self.state);
         if let Some(process) = state
@@ -181,7 +180,7 @@
         }
     }
 
-    /// Lets it reload a configuration with the other address of discovery.
+    /// Makes the director reload a configuration with the other discovery address.
     pub(crate) fn move_discovery(&self, options: &Options, discovery: &Discovery) -> Result<(), TrialError> {
         {
             let mut state = lock(&self.state);
@@ -192,7 +191,7 @@
         Ok(())
     }
 
-    /// Kills it, if it runs. Its requests are excused until `end_excuse`.
+    /// Kills the director if it runs. Its requests are exempt from the deadline until `end_exemption`.
     pub(crate) fn kill(&self) {
         let now = self.judge.now();
         let mut state = lock(&self.state);
@@ -202,14 +201,14 @@
         state.exempt.push(Span { from: now, to: Seconds::INFINITY });
     }
 
-    /// It runs again.
+    /// Ends the exemption after a kill: the director runs again.
     pub(crate) fn end_exemption(&self) {
         let now = self.judge.now();
         let mut state = lock(&self.state);
         state.exempt.iter_mut().filter(|span| span.to.is_infinite()).for_each(|span| span.to = now);
     }
 
-    /// Holds it by SIGSTOP for so many seconds.
+    /// Pauses the director by SIGSTOP for this many seconds.
     pub(crate) fn pause(&self, seconds: f64) {
         let now = self.judge.now();
         {
@@ -222,8 +221,8 @@
         self.signal(Signal::CONT);
     }
 
-    /// Asks it to stop, once more if it was asked before. Clients still connect for a moment, and use the connections
-    /// that they have until it ends them.
+    /// Sends SIGTERM to the director, also if it was asked to stop before. Clients still connect for a short time, and
+    /// use their open connections until the director ends them.
     pub(crate) fn terminate(&self) {
         let started_at = lock(&self.state).started_at;
         let too_early = started_at + SIGNAL_HANDLERS_READY_SECONDS + 0.01 - self.judge.now();
@@ -235,8 +234,9 @@
         self.signal(Signal::TERM);
     }
 
-    /// Waits for its exit as long as a platform does that kills it at the earliest, not counted the time for which it
-    /// was held; a failure or none is a crash. What it had taken and did not answer is lost.
+    /// Waits for the exit until the earliest time at which a platform would kill the director; time for which it was
+    /// paused does not count. An unsuccessful exit, or none, is a crash. Requests that it had accepted and did not
+    /// answer are lost.
     pub(crate) fn wait_for_exit(&self) {
         let since = self.stopping_since();
         while self.judge.now() < self.kill_due_at() {
@@ -256,16 +256,16 @@
         }
         let detail = format!("director {} did not exit when it was asked to", self.number);
         self.judge.record_observed(Rule::Crash, since, detail);
-        // Dropping a process kills it.
+        // Dropping the process kills it.
         lock(&self.state).process = None;
     }
 
-    /// When it was asked to stop; now if it was not.
+    /// Returns when the director was asked to stop; now if it was not.
     fn stopping_since(&self) -> Seconds {
         lock(&self.state).stopping_since.unwrap_or_else(|| self.judge.now())
     }
 
-    /// When a platform kills it, after it was asked to stop.
+    /// Returns when a platform would kill a director that was asked to stop.
     fn kill_due_at(&self) -> Seconds {
         let since = self.stopping_since();
         let state = lock(&self.state);
@@ -273,31 +273,31 @@
         since + STOP_TIMEOUT_SECONDS + paused
     }
 
-    /// Whether it has exited by itself.
+    /// Whether the director has exited by itself.
     pub(crate) fn has_crashed(&self) -> bool {
         lock(&self.state).process.as_mut().is_some_and(ChildProcess::has_exited)
     }
 
-    /// Whether clients connect to it.
+    /// Whether clients open connections to the director.
     pub(crate) fn accepts_connections(&self) -> bool {
         let state = lock(&self.state);
         let is_early = |since| self.judge.now() < since + ACCEPTS_AFTER_STOP_SECONDS;
         state.process.is_some() && state.stopping_since.is_none_or(is_early)
     }
 
-    /// Whether it was asked to stop and has not ended.
+    /// Whether the director was asked to stop and has not been started again.
     pub(crate) fn is_stopping(&self) -> bool {
         lock(&self.state).stopping_since.is_some()
     }
 
-    /// Whether a request that was written then is owed no answer in time.
+    /// Whether a request that was written at this time is owed no answer in time.
     pub(crate) fn is_exempt(&self, written_at: Seconds, budget: f64) -> bool {
         let lost_at = written_at + budget + LOST_AFTER_SECONDS;
         let overlaps = |span: &Span| span.from < lost_at && span.to > written_at - EXEMPT_MARGIN_SECONDS;
         lock(&self.state).exempt.iter().any(overlaps)
     }
 
-    /// Whether a connection may have broken by itself about now.
+    /// Whether connections of the director may break now because of a fault.
     pub(crate) fn may_break_connections(&self) -> bool {
         let now = self.judge.now();
         lock(&self.state).breaking.iter().any(|span| (span.from..span.to).contains(&now))
--- a/crates/testbed/src/soak/discovery.rs
+++ b/crates/testbed/src/soak/discovery.rs
@@ -1,4 +1,4 @@
-//! Stand-in discovery: numbered events to each director, with outages, silences and a second address.
+//! Stub discovery: it sends numbered events to each director, has outages and silent phases, and a second address.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -12,19 +12,19 @@
 use crate::threads::{lock, spawn};
 
 const POLL: Duration = Duration::from_millis(20);
-/// How often a comment is sent where there are no events, in seconds.
+/// How often a comment is sent on an idle connection.
 const KEEPALIVE_INTERVAL_SECONDS: f64 = 0.5;
-/// All directors count as notified of an event so many seconds after it was published, ...
+/// All directors count as notified of an event this long after it was published, ...
 const NOTIFIED_AFTER_SECONDS: f64 = 7.0;
-/// ... and no earlier than this after the end of the last outage or silence.
+/// ... but not before this long after the end of the last outage or silence.
 const NOTIFIED_AFTER_OUTAGE_SECONDS: f64 = 3.0;
 
-/// What the judge has to know of an event.
+/// The part of an event that the judge uses.
 #[derive(Clone, Debug)]
 pub(crate) enum Notification {
-    /// A node drains or has gone.
+    /// A node drains or was removed.
     Drained(usize),
-    /// A node serves.
+    /// A node is ready.
     Ready(usize),
     /// An object was purged, at this Unix time.
     Purge { object: u64, made_ms: u64 },
@@ -44,7 +44,7 @@
     connections: Vec<Arc<TcpStream>>,
 }
 
-/// One source of events with two addresses for each director, by which it tells them apart.
+/// A source of events with two addresses for each director, so that it knows which director has connected.
 pub(crate) struct Discovery {
     pub(crate) addresses: Vec<[SocketAddr; 2]>,
     judge: Arc<Judge>,
@@ -74,26 +74,26 @@
         for stream in listener.incoming().map_while(Result::ok) {
             let (this, stream) = (Arc::clone(self), Arc::new(stream));
             spawn(move || {
-                // A director that goes ends its connection.
+                // A connection that a director ends is no error.
                 let _ = this.serve(&stream, director);
             });
         }
     }
 
-    /// Publishes an event. `fields` is its JSON without the braces and the number, which is added.
+    /// Publishes an event. `fields` is its JSON without the braces and without the number, which is added.
     pub(crate) fn publish(&self, fields: &str, notification: Option<Notification>) {
         let mut state = lock(&self.state);
         let number = state.events.len() + 1;
         state.events.push(Event { text: format!("{{\"n\":{number},{fields}}}"), notification });
     }
 
-    /// All events up to now, as a director's configuration holds them.
+    /// Returns all events so far, in the form of a director's configuration.
     pub(crate) fn known_events(&self) -> Vec<Value> {
         let state = lock(&self.state);
         state.events.iter().filter_map(|event| serde_json::from_str(&event.text).ok()).collect()
     }
 
-    /// A director has started with the first `count` events in its configuration.
+    /// Reports to the judge that a director has started with the first `count` events in its configuration.
     pub(crate) fn note_known_at_start(&self, director: usize, count: usize) {
         let events = lock(&self.state).events.clone();
         for notification in events.iter().take(count).filter_map(|event| event.notification.as_ref()) {
@@ -101,13 +101,13 @@
         }
     }
 
-    /// A director is about to get a configuration with the first `count` events.
+    /// Reports to the judge that a director is about to get a configuration with the first `count` events.
     pub(crate) fn note_configured(&self, director: usize, count: usize) {
         let events = lock(&self.state).events.clone();
         events.iter().take(count).for_each(|event| self.note_start_sent(director, event));
     }
 
-    /// Ends all connections and accepts none for so many seconds.
+    /// Ends all connections and accepts none for this many seconds.
     pub(crate) fn start_outage(&self, seconds: f64) {
         let mut state = lock(&self.state);
         state.down_until = self.judge.now() + seconds;
@@ -116,12 +116,12 @@
         }
     }
 
-    /// Sends nothing for so many seconds.
+    /// Sends nothing for this many seconds.
     pub(crate) fn start_silence(&self, seconds: f64) {
         lock(&self.state).silent_until = self.judge.now() + seconds;
     }
 
-    /// Notes for the judge that a director knows this.
+    /// Reports to the judge that a director has been notified.
     fn report_notified(&self, director: usize, notification: &Notification) {
         match notification {
             Notification::Drained(node) => self.judge.on_notified_drained(director, *node),
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Notes for the judge that a director is about to be told of this event, if it is the start of a node.
+    /// Reports to the judge that this event is about to be sent to a director, if it is the start of a node.
     fn note_start_sent(&self, director: usize, event: &Event) {
         if let Some(Notification::Ready(node)) = event.notification {
             self.judge.on_start_sent(director, node);
@@ -175,7 +175,8 @@
     }
 }
 
-/// Reads the header of a request: the last event that the director has, 0 for none. None: the connection has ended.
+/// Reads the header of a request. Returns the number of the last event that the director has, 0 for none; or none if
+/// the connection has ended.
 fn read_request(stream: &TcpStream) -> io::Result<Option<usize>> {
     let mut reader = BufReader::new(stream);
     let mut last_event = 0;
@@ -194,7 +195,7 @@
     }
 }
 
-/// Notes each event for every director at the latest moment at which it has to know it.
+/// Starts a thread that reports each event as known to every director at the latest time by which they must know it.
 pub(crate) fn report_overdue_notifications(discovery: &Arc<Discovery>, directors: usize) {
     let discovery = Arc::clone(discovery);
     spawn(move || {
--- a/crates/testbed/src/soak/fault_injection.rs
+++ b/crates/testbed/src/soak/fault_injection.rs
@@ -15,14 +15,14 @@
 use crate::process::TrialError;
 use crate::threads::lock;
 
-/// A node goes so long after it was listed as draining, and its successor comes then.
+/// How long a node is listed as draining before it is removed and its successor is listed.
 const DRAIN_SECONDS: f64 = 2.5;
 const CLOCK_STEP_DURATION: Duration = Duration::from_millis(1_500);
-/// The time span of a rule of the fault library (all of the process's life, milliseconds), and how often it strikes in
-/// percent.
+/// The end of a rule of the fault library: from 0 ms to 1,000,000,000 ms of the process's lifetime, with a probability
+/// of 80 percent.
 const WHOLE_LIFETIME_80_PERCENT: &str = "0 1000000000 80";
 
-/// How a director is ended before it is started again.
+/// How a director is stopped before it is started again.
 #[derive(Clone, Copy, PartialEq)]
 enum StopMethod {
     Terminate,
@@ -30,8 +30,8 @@
 }
 
 impl Soak<'_> {
-    /// Injects the faults at their times, each on a thread of its own, until `end`. Restarts of one director take
-    /// turns. Returns once all are over.
+    /// Injects the faults at their times until `end`, each on its own thread. A lock in `restarts` for each director
+    /// keeps its restarts from overlapping. Returns when all faults are over.
     pub(super) fn inject_faults(&self, end: Seconds, restarts: &[Mutex<()>]) {
         thread::scope(|scope| {
             for scheduled in plan_faults(self.options) {
@@ -91,7 +91,7 @@
         Ok(())
     }
 
-    /// Ends a director and starts it again with these rules of the fault library.
+    /// Stops a director and starts it again with these rules of the fault library.
     fn restart(&self, director: &Director, stop: StopMethod, fault_rules: &str) {
         match stop {
             StopMethod::Terminate => {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Starts a director that has ended.
+    /// Starts a stopped director; records a violation if it does not start.
     pub(super) fn start_or_report(&self, director: &Director) {
         let since = self.judge.now();
         if let Err(e) = self.start_director(director) {
@@ -123,7 +123,7 @@
         self.discovery.publish(&fields, Some(Notification::Purge { object, made_ms }));
     }
 
-    /// Drains the node at this place and lets a cold one take it.
+    /// Drains the node at this place and replaces it with a cold one.
     fn replace_node(&self, place: usize) -> Result<(), TrialError> {
         let Some(old) = self.node_at(place) else { return Ok(()) };
         self.announce(&old, "draining", 0);
@@ -142,7 +142,7 @@
     }
 }
 
-/// The director that a fault starts again.
+/// Returns the director that a fault restarts, if any.
 fn restarted_director(fault: &Fault) -> Option<usize> {
     match *fault {
         Fault::Restart { director }
--- a/crates/testbed/src/soak/fault_log.rs
+++ b/crates/testbed/src/soak/fault_log.rs
@@ -1,18 +1,18 @@
-//! What was done to an installation, and when, for the marks of a report.
+//! The faults that were injected and when, to be printed beside violations in a report.
 
 use std::sync::Mutex;
 
 use super::Seconds;
 use crate::threads::lock;
 
-/// A fault and the time for which it was in force.
+/// A fault and the span of time in which it was in force.
 #[derive(Clone, Debug)]
 pub struct FaultSpan {
-    /// What was done.
+    /// The description of the fault.
     pub description: String,
-    /// From when on, in seconds since the soak began.
+    /// When the fault began, in seconds since the soak began.
     pub from: Seconds,
-    /// Until when; infinite until its end.
+    /// When the fault ended; infinite until then.
     pub to: Seconds,
 }
 
@@ -21,21 +21,21 @@
 pub(crate) struct FaultLog(Mutex<Vec<FaultSpan>>);
 
 impl FaultLog {
-    /// A fault is about to be injected. Returns its number.
+    /// Records that a fault is about to be injected. Returns its number for `end`.
     pub(crate) fn begin(&self, now: Seconds, description: String) -> usize {
         let mut spans = lock(&self.0);
         spans.push(FaultSpan { description, from: now, to: Seconds::INFINITY });
         spans.len() - 1
     }
 
-    /// A fault is over.
+    /// Records that a fault is over.
     pub(crate) fn end(&self, now: Seconds, number: usize) {
         if let Some(fault) = lock(&self.0).get_mut(number) {
             fault.to = now;
         }
     }
 
-    /// All faults up to now.
+    /// Returns all faults so far.
     pub(crate) fn spans(&self) -> Vec<FaultSpan> {
         lock(&self.0).clone()
     }
--- a/crates/testbed/src/soak/fault_plan.rs
+++ b/crates/testbed/src/soak/fault_plan.rs
@@ -1,4 +1,5 @@
-//! Which faults a soak injects, and when: rounds of two or three overlapping faults, drawn from the seed.
+//! The plan of faults: which faults a soak injects, and when. They come in rounds of two or three overlapping faults,
+//! drawn from the seed.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
@@ -6,95 +7,96 @@
 use super::node::Misbehavior;
 use super::{Options, Seconds};
 
-/// One fault. Directors go by their number, nodes by their place in the list (caches, the parent, the origin).
+/// A fault. A director is identified by its number, a node by its place in the list (caches, then the parent, then the
+/// origin).
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// The director is asked to stop (SIGTERM) and started again.
+    /// The director is stopped by SIGTERM and started again.
     Restart {
-        /// Which director.
+        /// The director.
         director: usize,
     },
-    /// The director is killed and started again.
+    /// The director is killed by SIGKILL and started again.
     Kill {
-        /// Which director.
+        /// The director.
         director: usize,
     },
-    /// The director's process is stopped and continued later (SIGSTOP, SIGCONT).
+    /// The director's process is paused and resumed (SIGSTOP, SIGCONT).
     Pause {
-        /// Which director.
+        /// The director.
         director: usize,
-        /// For how long.
+        /// The duration in seconds.
         seconds: f64,
     },
-    /// The director reloads its configuration, which names the other address of discovery.
+    /// The director reloads its configuration, which has the other discovery address.
     Reload {
-        /// Which director.
+        /// The director.
         director: usize,
     },
     /// Some system calls of the director fail.
     SystemCalls {
-        /// Which director.
+        /// The director.
         director: usize,
         /// The rule of the fault library, without its time span and probability.
         rule: &'static str,
-        /// For how long.
+        /// The duration in seconds.
         seconds: f64,
     },
     /// The director's wall clock steps, and steps back later.
     ClockStep {
-        /// Which director.
+        /// The director.
         director: usize,
         /// The size of the step.
         offset_ms: i64,
     },
-    /// The director is killed and started again with a wall clock that is off for its first seconds.
+    /// The director is killed and started again with a wall clock that is wrong for the first seconds.
     KillWithClockOffset {
-        /// Which director.
+        /// The director.
         director: usize,
-        /// How far the wall clock is off.
+        /// The error of the wall clock.
         offset_ms: i64,
     },
     /// Discovery ends all connections and accepts none.
     DiscoveryOutage {
-        /// For how long.
+        /// The duration in seconds.
         seconds: f64,
     },
     /// Discovery sends nothing on its connections.
     DiscoverySilence {
-        /// For how long.
+        /// The duration in seconds.
         seconds: f64,
     },
     /// An object is purged.
     Purge {
-        /// Which object.
+        /// The object.
         object: u64,
     },
-    /// A cache node drains and goes, and a cold one takes its place.
+    /// A cache node drains and is removed, and a cold one takes its place.
     ReplaceNode {
-        /// Which node.
+        /// The place of the node.
         place: usize,
     },
     /// A node misbehaves.
     Misbehave {
-        /// Which node.
+        /// The place of the node.
         place: usize,
-        /// In what way.
+        /// The way in which it misbehaves.
         behavior: Misbehavior,
-        /// For how long.
+        /// The duration in seconds.
         seconds: f64,
     },
     /// A node ends all its connections.
     DropConnections {
-        /// Which node.
+        /// The place of the node.
         place: usize,
-        /// By RST in place of FIN.
+        /// Whether they end by RST instead of FIN.
         by_reset: bool,
     },
     /// A node accepts new connections late.
     DelayConnections {
-        /// Which node.
+        /// The place of the node.
         place: usize,
-        /// For how long.
+        /// The duration in seconds.
         seconds: f64,
     },
 }
@@ -104,11 +106,11 @@
 pub struct ScheduledFault {
     /// Seconds since the soak began.
     pub at: Seconds,
-    /// What is injected.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// Rules of the fault library, each in force for a moment.
+/// Rules of the fault library, each of which is in force for a short time.
 const SYSTEM_CALL_FAULTS: [&str; 16] = [
     "fail accept ECONNABORTED",
     "fail accept ENFILE",
@@ -128,7 +130,7 @@
     "fail receive ECONNRESET",
 ];
 
-/// Errors after which a connection is gone through no fault of the director.
+/// Errors after which a connection is lost without a fault of the director.
 const CONNECTION_ERRORS: [&str; 4] = ["ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET", "ECONNABORTED"];
 
 const CLOCK_OFFSETS_MS: [i64; 4] = [3_600_000, -3_600_000, 5_000, -5_000];
@@ -146,22 +148,22 @@
 
 /// The mean time between two rounds.
 const MEAN_ROUND_INTERVAL_SECONDS: f64 = 1.5;
-/// The faults of one round are injected within this time.
+/// The faults of one round are injected within this span of time.
 const ROUND_SPREAD_SECONDS: f64 = 0.4;
-/// No fault is injected before this, and none in the last second.
+/// No fault is injected before this time, and none in the last second.
 const FIRST_ROUND_AT: Seconds = 2.0;
 
-/// How many directors share one series of rounds.
+/// How many directors share one sequence of rounds.
 const DIRECTORS_PER_GROUP: usize = 4;
-/// How often a fault of a director strikes the one that the round is about.
+/// The probability that a fault of a director affects the target director of its round.
 const SAME_DIRECTOR_PROBABILITY: f64 = 0.7;
 
-/// Whether connections of the director may break by themselves while this rule is in force.
+/// Whether connections of the director may break while this rule is in force.
 pub(crate) fn breaks_connections(rule: &str) -> bool {
     CONNECTION_ERRORS.iter().any(|error| rule.contains(error))
 }
 
-/// All faults of a soak, ordered by time. The same options give the same plan.
+/// Returns all faults of a soak, ordered by time. The same options give the same plan.
 pub fn plan_faults(options: &Options) -> Vec<ScheduledFault> {
     let mut rng = Pcg32::seed_from_u64(options.seed);
     let mut plan = Vec::new();
@@ -182,7 +184,7 @@
     plan
 }
 
-/// Draws one fault. Every draw of the generator, and their order, belong to what a seed stands for.
+/// Draws one fault. The draws and their order must not change: they determine the plan of a seed.
 fn draw_fault(rng: &mut Pcg32, options: &Options, target: usize) -> Fault {
     let same = rng.random::<f64>() < SAME_DIRECTOR_PROBABILITY;
     let director = if same { target } else { rng.random_range(0..options.directors) };
--- a/crates/testbed/src/soak/invariants.rs
+++ b/crates/testbed/src/soak/invariants.rs
@@ -5,57 +5,59 @@
 use super::Seconds;
 use super::evidence::Evidence;
 
-/// How much more time than is left a node may be told to wait.
+/// How far the wait that a node is given may exceed the time that its client has left.
 pub(crate) const WAIT_TOLERANCE_SECONDS: f64 = 0.15;
-/// How long after its client has gone an attempt may still begin.
+/// How long after its client has disconnected or cancelled an attempt may still begin.
 pub(crate) const CLIENT_GONE_TOLERANCE_SECONDS: f64 = 0.1;
-/// What is added to every bound for this program's own threads, which may be late as well.
+/// Added to every bound, because the threads of the soak itself may also run late.
 pub(crate) const OBSERVER_TOLERANCE_SECONDS: f64 = 0.1;
-/// How much longer each bound of the protocol is on sockets.
+/// Added to a bound of the protocol where it is checked on real sockets.
 pub(crate) const SEND_TOLERANCE_SECONDS: f64 = 0.05;
-/// The longest time that clients give a request.
+/// The longest time budget that clients give a request.
 pub(crate) const MAX_BUDGET_SECONDS: f64 = 2.0;
-/// A request without an answer so long after its time is lost. (An answer after its time earns nothing.)
+/// A request counts as lost if it has no answer this long after the end of its budget. (An answer after the end of the
+/// budget has no value.)
 pub(crate) const LOST_AFTER_SECONDS: f64 = 0.5;
-/// How long after a node drains attempts may still come to it.
+/// How long attempts may still reach a node after their director was notified that it drains.
 pub(crate) const DRAIN_GRACE_SECONDS: f64 = 2.0;
-/// How long after a purge older copies may still be served.
+/// How long older copies may still be served after the director was notified of a purge.
 pub(crate) const PURGE_GRACE_SECONDS: f64 = 1.0;
-/// How long nodes recognize a repeat of a deduplicated request.
+/// How long nodes recognize a repeated attempt of a deduplicated request.
 pub(crate) const DEDUPLICATION_WINDOW_SECONDS: f64 = 1.5;
-/// Slow start: the share of its capacity that a cold node bears at first.
+/// Slow start: the share of its capacity that a cold node has at first.
 pub(crate) const SLOW_START_INITIAL_SHARE: f64 = 0.25;
-/// Slow start: the time after which a node bears all of its capacity.
+/// Slow start: the time after which a node has its whole capacity.
 pub(crate) const SLOW_START_SECONDS: f64 = 6.0;
-/// Slow start: the multiple of what it bears at which a cold node collapses.
+/// Slow start: a cold node collapses when its load is this multiple of its capacity at that time.
 pub(crate) const COLLAPSE_MULTIPLE: f64 = 2.0;
 
-/// A rule of which a violation is reported.
+/// A rule that the soak checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// A request has no final answer.
+    /// A request got no final answer.
     Lost,
-    /// An answer to nothing that was asked, or a second answer.
+    /// An answer matches no request that was sent, or is the second answer to one.
     Stray,
-    /// Bytes that no node made for this request.
+    /// The body of an answer is not the requested object.
     WrongBytes,
-    /// An effect ran twice.
+    /// The effect of a request ran twice, or an attempt was sent that could run it again.
     EffectTwice,
-    /// An attempt after its client had closed or cancelled.
+    /// An attempt began after its client had disconnected or cancelled.
     ClientGone,
-    /// A node was told a longer wait than the client had left.
+    /// A node was given a longer wait than the client had left.
     WaitTooLong,
-    /// An attempt at a node that drains or has gone, or with such a node as its source.
+    /// An attempt was sent to a draining or removed node, or names such a node as its source.
     Drained,
-    /// A copy from before a purge.
+    /// A copy from before a purge was served.
     Purged,
-    /// More calls to a cold node than slow start allows.
+    /// A cold node collapsed because it got more calls than slow start allows.
     SlowStart,
-    /// An attempt for a request that no client sent.
+    /// A node received an attempt for a request that no client sent, or a client thread of the soak panicked.
     Unknown,
-    /// A director exited by itself, or did not exit when it was asked to.
+    /// A director exited by itself, did not start, or did not exit when it was asked to; or a fault could not be
+    /// injected.
     Crash,
-    /// A director counted a violation itself, or panicked.
+    /// A director logged a violation or a panic.
     Inside,
 }
 
@@ -66,9 +68,9 @@
     pub rule: Rule,
     /// When it was noticed, in seconds since the soak began.
     pub at: Seconds,
-    /// What it rests on.
+    /// The evidence that shows it.
     pub evidence: Evidence,
-    /// What was seen.
+    /// What was observed.
     pub detail: String,
 }
 
@@ -78,19 +80,20 @@
     }
 }
 
-/// What may happen if a request is executed twice.
+/// What a second execution of a request may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Effect {
-    /// Nothing.
+    /// It has no further effect.
     Idempotent,
-    /// Nodes recognize a repeat within the deduplication window.
+    /// Nodes recognize a repeat and do not execute it within the deduplication window.
     Deduplicated,
-    /// It must not be.
+    /// It must not happen.
     AtMostOnce,
 }
 
 impl Effect {
-    /// Whether an attempt so many seconds after another, which may have run, could run the effect once more.
+    /// Whether an attempt could run the effect again if it is sent this many seconds after another one that may have
+    /// been executed.
     pub(crate) fn is_repeated(self, seconds_apart: f64) -> bool {
         match self {
             Effect::Idempotent => false,
@@ -100,6 +103,6 @@
     }
 }
 
-/// The request classes of a soak, as clients name them.
+/// The request classes of a soak: the name that clients send, and the effect.
 pub(crate) const CLASSES: [(&str, Effect); 3] =
     [("read", Effect::Idempotent), ("order", Effect::Deduplicated), ("charge", Effect::AtMostOnce)];
--- a/crates/testbed/src/soak/judge.rs
+++ b/crates/testbed/src/soak/judge.rs
@@ -1,4 +1,4 @@
-//! Checks the invariants as clients, discovery and nodes report what they see.
+//! Checks the invariants against what clients, discovery and nodes report.
 
 use std::collections::{BTreeMap, HashMap};
 use std::path::PathBuf;
@@ -29,30 +29,30 @@
 use checks::Finding;
 use slow_start::ColdNode;
 
-/// A request, as its client sent it, and what became of it.
+/// A request as its client sent it, and its progress.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
-    /// The director that was asked.
+    /// The director that the request was sent to.
     pub(crate) director: usize,
     pub(crate) effect: Effect,
     pub(crate) object: u64,
-    /// When its last byte was about to be written.
+    /// When the client was about to write the last byte.
     pub(crate) written_at: Seconds,
-    /// When its last byte was known to be written; none until then.
+    /// When the client had written the last byte; none until then.
     pub(crate) written_by: Option<Seconds>,
-    /// How many seconds its client waits from then.
+    /// How many seconds the client waits from then on.
     pub(crate) budget: f64,
-    /// When its client closed or cancelled.
+    /// When the client closed its connection or cancelled the request.
     pub(crate) client_gone_at: Option<Seconds>,
     pub(crate) answered: bool,
-    /// When each attempt of it was executed.
+    /// When each attempt of this request was executed.
     executed_at: Vec<Seconds>,
-    /// Its attempts whose time of sending is known, as nodes read them.
+    /// The attempts whose send time is known, in the order in which nodes read them.
     sent: Vec<SentAttempt>,
 }
 
 impl Request {
-    /// Its director, and when its attempts were sent, as far as that is known.
+    /// Describes the director and the known send times of the attempts, for the detail of a violation.
     fn describe_sent(&self) -> String {
         let sent = self.sent.iter().map(|attempt| format!(" {:.3}", attempt.sent_at));
         format!(": director {}, sent at{}", self.director, sent.collect::<String>())
@@ -66,20 +66,20 @@
     made_ms: u64,
 }
 
-/// Of what one director was notified.
+/// The events of which one director was notified.
 #[derive(Clone, Debug, Default)]
 struct DirectorView {
-    /// When it was notified of each node that drains or has gone.
+    /// By node, when the director was notified that the node drains or was removed.
     drained: HashMap<usize, Seconds>,
-    /// The newest purge of each object.
+    /// By object, the newest purge.
     purged: HashMap<u64, NotifiedPurge>,
 }
 
-/// Whether a node works.
+/// Whether a node is up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NodeCondition {
     Up,
-    /// It was cold and was pushed over.
+    /// The node was cold, was overloaded and collapsed.
     Down,
 }
 
@@ -94,16 +94,16 @@
     counts: BTreeMap<&'static str, u64>,
 }
 
-/// Keeps what was seen, and the violations that were found.
+/// Collects the reports of clients, discovery and nodes, checks them, and keeps the violations.
 pub(crate) struct Judge {
-    /// When the soak began, in nanoseconds of the monotonic clock, which all processes share.
+    /// When the soak began, in nanoseconds of the monotonic clock, which is the same for all processes of the machine.
     started_ns: u64,
     state: Mutex<JudgeState>,
-    /// The send logs of the directors, where the fault library keeps them.
+    /// The send logs of the directors; empty if no fault library writes them.
     send_logs: OnceLock<Vec<Mutex<SendLog>>>,
 }
 
-/// The monotonic clock of the machine, in nanoseconds.
+/// Reads the monotonic clock of the machine, in nanoseconds.
 fn monotonic_ns() -> u64 {
     let time = clock_gettime(ClockId::Monotonic);
     time.tv_sec as u64 * 1_000_000_000 + time.tv_nsec as u64
@@ -114,19 +114,20 @@
         Judge { started_ns: monotonic_ns(), state: Mutex::default(), send_logs: OnceLock::new() }
     }
 
-    /// Reads from these files, one for each director, when attempts were sent.
+    /// Sets the files, one for each director, from which the send times of attempts are read.
     pub(crate) fn read_send_logs(&self, files: impl Iterator<Item = PathBuf>) {
         self.send_logs.get_or_init(|| files.map(|file| Mutex::new(SendLog::new(file))).collect());
     }
 
-    /// When an attempt was sent that came on this connection, if that is known.
+    /// Returns when the attempt that arrived on this connection was sent; none if that is not known.
     pub(crate) fn sent_at(&self, request: u64, ports: LinkPorts) -> Option<Seconds> {
         let director = lock(&self.state).requests.get(&request)?.director;
         let sent_ns = lock(self.send_logs.get()?.get(director)?).sent_ns(request, ports)?;
         Some(self.seconds(sent_ns))
     }
 
-    /// When a director shut a connection that began at `since` with this port at its client's end, if it did.
+    /// Returns when a director shut the connection that began at `since` and has this port at its client's end; none if
+    /// it did not.
     pub(crate) fn shut_at(&self, director: usize, port: u16, since: Seconds) -> Option<Seconds> {
         let shut_ns = lock(self.send_logs.get()?.get(director)?).shut_ns(port)?;
         Some(self.seconds(shut_ns)).filter(|at| *at > since)
@@ -136,22 +137,22 @@
         (monotonic_ns as f64 - self.started_ns as f64) / 1e9
     }
 
-    /// Seconds since the soak began.
+    /// Returns the seconds since the soak began.
     pub(crate) fn now(&self) -> Seconds {
         self.seconds(monotonic_ns())
     }
 
-    /// Adds one to a counter of the report.
+    /// Increments a counter of the report.
     pub(crate) fn count(&self, counter: &'static str) {
         lock(&self.state).count(counter);
     }
 
-    /// Records a violation that no late thread of the soak can have made (the table in `evidence` says which).
+    /// Records a violation that a late thread of the soak cannot have caused (see the table in `evidence`).
     pub(crate) fn record_violation(&self, rule: Rule, detail: String) {
         self.record(Finding { rule, evidence: Evidence::Exact, detail });
     }
 
-    /// Records a violation that rests on times which threads of the soak stamped from `since` until now.
+    /// Records a violation that rests on times which threads of the soak took between `since` and now.
     pub(crate) fn record_observed(&self, rule: Rule, since: Seconds, detail: String) {
         let evidence = Evidence::Observed(TimeSpan { from: since, to: self.now() });
         self.record(Finding { rule, evidence, detail });
@@ -163,12 +164,12 @@
         lock(&self.state).violations.push(Violation { rule, at, evidence, detail });
     }
 
-    /// The cold node that came nearest to its collapse; none if no cold node was called.
+    /// Returns the cold node that came closest to a collapse; none if no cold node was called.
     pub(crate) fn nearest_cold_node(&self) -> Option<NearestColdNode> {
         lock(&self.state).nearest_cold_node
     }
 
-    /// Takes out what was found and counted.
+    /// Returns the violations and counters, and clears them.
     pub(crate) fn finish(&self) -> (Vec<Violation>, BTreeMap<&'static str, u64>) {
         let mut state = lock(&self.state);
         (std::mem::take(&mut state.violations), std::mem::take(&mut state.counts))
@@ -176,7 +177,7 @@
 
     // ---- reports of clients ----
 
-    /// A request is about to be written to its end.
+    /// Records that a client is about to write a request.
     pub(crate) fn on_request(&self, id: u64, director: usize, effect: Effect, object: u64, budget: f64) {
         let written_at = self.now();
         let request = Request {
@@ -196,7 +197,7 @@
         state.count("requests");
     }
 
-    /// The last byte of a request that came in pieces is about to be written.
+    /// Records that a client that writes a request in pieces is about to write the last byte.
     pub(crate) fn on_request_written(&self, id: u64) {
         let now = self.now();
         if let Some(request) = lock(&self.state).requests.get_mut(&id) {
@@ -204,7 +205,7 @@
         }
     }
 
-    /// The last byte of a request has been written.
+    /// Records that a client has written the last byte of a request.
     pub(crate) fn on_request_sent(&self, id: u64) {
         let now = self.now();
         let mut state = lock(&self.state);
@@ -214,12 +215,13 @@
         state.writes.record(write);
     }
 
-    /// What clients took to write the last piece of a request: far longer than usual if their threads were not run.
+    /// Returns how long clients took to write the last piece of each request. A write takes far longer than usual if
+    /// the thread of its client was not scheduled.
     pub(crate) fn writes(&self) -> Delays {
         lock(&self.state).writes.clone()
     }
 
-    /// The client of a request has closed its connection or cancelled the request.
+    /// Records that the client of a request has closed its connection or cancelled the request.
     pub(crate) fn on_client_gone(&self, id: u64) {
         let now = self.now();
         if let Some(request) = lock(&self.state).requests.get_mut(&id) {
@@ -231,7 +233,7 @@
         lock(&self.state).requests.get(&id).cloned()
     }
 
-    /// An answer has come, with the object that its bytes name if it succeeded.
+    /// Records and checks an answer. `object` is the object that the body names, if the answer is a success.
     pub(crate) fn on_answer(&self, id: u64, object: Option<u64>) {
         let now = self.now();
         let (is_second, is_late, is_wrong) = {
@@ -245,10 +247,10 @@
             (is_second, is_late, is_wrong)
         };
         if is_second {
-            self.record_violation(Rule::Stray, format!("request {id:016x} has a second answer"));
+            self.record_violation(Rule::Stray, format!("request {id:016x} got a second answer"));
         }
         if is_wrong {
-            let detail = format!("request {id:016x} has the bytes of {object:x?}");
+            let detail = format!("request {id:016x} got the body of object {object:x?}");
             self.record_violation(Rule::WrongBytes, detail);
         }
         if is_late {
@@ -258,20 +260,20 @@
 
     // ---- notifications of directors ----
 
-    /// The director knows now that a node drains or has gone.
+    /// Records that the director knows from now on that a node drains or was removed.
     pub(crate) fn on_notified_drained(&self, director: usize, node: usize) {
         let now = self.now();
         let mut state = lock(&self.state);
         state.directors.entry(director).or_default().drained.entry(node).or_insert(now);
     }
 
-    /// The director knows now that a node serves.
+    /// Records that the director knows from now on that a node is ready.
     pub(crate) fn on_notified_ready(&self, director: usize, node: usize) {
         let mut state = lock(&self.state);
         state.directors.entry(director).or_default().drained.remove(&node);
     }
 
-    /// The director is about to be told of a node's start.
+    /// Records that the start of a node is about to be sent to the director.
     pub(crate) fn on_start_sent(&self, director: usize, node: usize) {
         let now = self.now();
         if let Some(cold) = lock(&self.state).cold_nodes.get_mut(&node) {
@@ -279,7 +281,7 @@
         }
     }
 
-    /// The director knows now of a purge that was made at this Unix time.
+    /// Records that the director knows from now on of a purge that was made at this Unix time.
     pub(crate) fn on_notified_purge(&self, director: usize, object: u64, made_ms: u64) {
         let purge = NotifiedPurge { notified_at: self.now(), made_ms };
         let mut state = lock(&self.state);
@@ -291,13 +293,13 @@
 
     // ---- reports of nodes ----
 
-    /// A node has begun its slow start; `capacity` is what it bears once it is warm, in calls a second.
+    /// Records that a node has begun its slow start. `capacity` is its capacity in calls per second once it is warm.
     pub(crate) fn on_cold_start(&self, node: usize, since: Seconds, capacity: f64) {
         let cold = ColdNode { since, capacity, ..ColdNode::default() };
         lock(&self.state).cold_nodes.insert(node, cold);
     }
 
-    /// An attempt has come to a node. Returns the node's condition with it.
+    /// Records and checks an attempt that a node received. Returns the node's condition after this attempt.
     pub(crate) fn on_attempt(&self, attempt: &Attempt) -> NodeCondition {
         let now = self.now();
         let (findings, has_collapsed) = {
@@ -308,7 +310,7 @@
         if has_collapsed { NodeCondition::Down } else { NodeCondition::Up }
     }
 
-    /// A node has proven that an attempt, which came on this connection, never ran.
+    /// Records a node's proof that the attempt on this connection was never executed.
     pub(crate) fn on_not_run(&self, id: u64, ports: LinkPorts) {
         let now = self.now();
         let mut state = lock(&self.state);
@@ -318,8 +320,8 @@
         }
     }
 
-    /// An attempt was executed by a node. Nodes recognize repeats within the deduplication window, so only a repeat
-    /// that they have forgotten, or one that was never allowed, runs the effect twice.
+    /// Records and checks the execution of an attempt. Nodes recognize repeats within the deduplication window, so the
+    /// effect runs twice only if the repeat came after the window or the request must not be repeated at all.
     pub(crate) fn on_executed(&self, id: u64) {
         let now = self.now();
         let (effect, earlier) = {
@@ -336,7 +338,8 @@
         self.record(Finding { rule: Rule::EffectTwice, evidence, detail });
     }
 
-    /// A copy that was made at `issued_ms` (Unix time) was served for an attempt that came at `received_at`.
+    /// Checks a served copy: one made (at `issued_ms`, Unix time) before a purge is a violation if its attempt was
+    /// received later than the purge grace after the director was notified of the purge.
     pub(crate) fn on_copy_served(&self, id: u64, received_at: Seconds, issued_ms: u64) {
         let violated = {
             let state = lock(&self.state);
@@ -359,13 +362,14 @@
     }
 }
 
-/// The evidence that an effect ran once more now, if it did: nodes recognize a repeat within the deduplication window.
+/// Returns the evidence that the effect ran a second time now; none if it did not. Nodes recognize a repeat within the
+/// deduplication window.
 fn second_execution(effect: Effect, first: Seconds, now: Seconds) -> Option<Evidence> {
     let window_end = first + DEDUPLICATION_WINDOW_SECONDS;
     match effect {
         Effect::Idempotent => None,
         Effect::AtMostOnce => Some(Evidence::Exact),
-        // Nodes that are on time before the window ends run a repeat by then.
+        // A node that is not late before the window ends has executed a repeat by then.
         Effect::Deduplicated => (now > window_end + OBSERVER_TOLERANCE_SECONDS)
             .then_some(Evidence::Observed(TimeSpan { from: window_end, to: now })),
     }
--- a/crates/testbed/src/soak/judge/attempt.rs
+++ b/crates/testbed/src/soak/judge/attempt.rs
@@ -1,17 +1,17 @@
-//! Attempts as nodes report them.
+//! The attempts that nodes report.
 
 use std::fmt;
 
 use crate::soak::Seconds;
 use crate::soak::send_log::LinkPorts;
 
-/// An attempt whose time of sending is known.
+/// An attempt whose send time is known.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SentAttempt {
-    /// Its connection.
+    /// The connection on which it was sent.
     pub(super) ports: LinkPorts,
     pub(super) sent_at: Seconds,
-    /// When its node proved that it never ran.
+    /// When its node proved that the attempt was never executed.
     pub(super) not_run_at: Option<Seconds>,
 }
 
@@ -22,26 +22,26 @@
     pub(crate) accepted_at: Seconds,
 }
 
-/// An attempt as its node sees it.
+/// An attempt as its node reports it.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub(crate) request: u64,
     /// The number of the node.
     pub(crate) node: usize,
-    /// The number of the node that it is to fill from.
+    /// The number of the node that it is to be filled from.
     pub(crate) source: Option<usize>,
-    /// The time that the node was told.
+    /// How long the node may take, as the attempt says.
     pub(crate) wait_ms: u64,
-    /// Its bytes may have lain unread at the node for a while.
+    /// Whether its bytes may have waited unread at the node.
     pub(crate) read_late: bool,
-    /// The connection on which it came.
+    /// The connection on which it was received.
     pub(crate) link: NodeLink,
-    /// When its first byte was about to be written, if that is known.
+    /// When the director was about to write its first byte; none if that is not known.
     pub(crate) sent_at: Option<Seconds>,
 }
 
 impl Attempt {
-    /// When it was begun; none if that is not known and its bytes may have come at any time.
+    /// Returns when the attempt began; none if its send time is not known and its bytes may have waited unread.
     pub(super) fn begun_at(&self, read_at: Seconds) -> Option<Seconds> {
         self.sent_at.or((!self.read_late).then_some(read_at))
     }
@@ -53,7 +53,7 @@
         write!(f, "node {node}, connection {} accepted at {:.3}, ", link.ports.director, link.accepted_at)?;
         match self.sent_at {
             Some(sent_at) => write!(f, "sent at {sent_at:.3}"),
-            None => write!(f, "time of sending unknown"),
+            None => write!(f, "send time unknown"),
         }
     }
 }
--- a/crates/testbed/src/soak/judge/checks.rs
+++ b/crates/testbed/src/soak/judge/checks.rs
@@ -1,4 +1,4 @@
-//! What is checked of each attempt.
+//! The checks of each attempt.
 
 use super::attempt::{Attempt, SentAttempt};
 use super::slow_start::ColdCall;
@@ -10,7 +10,7 @@
     WAIT_TOLERANCE_SECONDS,
 };
 
-/// A violation before its time is noted.
+/// A violation that has not yet been recorded with its time.
 pub(super) struct Finding {
     pub(super) rule: Rule,
     pub(super) evidence: Evidence,
@@ -48,13 +48,13 @@
         findings
     }
 
-    /// That no attempt was sent that could run an effect once more, by what the director could know then. Notes the
-    /// attempt.
+    /// Checks that no two attempts were sent of which the second could run an effect again, judged by what the director
+    /// could know when it sent that one. Adds the attempt to the sent attempts of its request.
     fn check_repeat(&mut self, attempt: &Attempt) -> Option<Finding> {
         let sent_at = attempt.sent_at?;
         let request = self.requests.get_mut(&attempt.request)?;
         let own = SentAttempt { ports: attempt.link.ports, sent_at, not_run_at: None };
-        // A node that stands still reads late, so that a later attempt may be known already.
+        // A node that is stuck reads late, so a later attempt may already be in the list.
         let repeats = |other: &SentAttempt| {
             let (first, second) = if other.sent_at < sent_at { (*other, own) } else { (own, *other) };
             let is_proven = first.not_run_at.is_some_and(|at| at <= second.sent_at);
@@ -67,11 +67,11 @@
             "request {:016x} at director {}: sent at {:.3} and again: {attempt}",
             attempt.request, request.director, other.sent_at
         );
-        // Both times are the send log's, and proofs are noted before the director can have them.
+        // Both times come from the send log, and a proof is recorded before the director can receive it.
         Some(Finding { rule: Rule::EffectTwice, evidence: Evidence::Exact, detail })
     }
 
-    /// That the director did not know for longer than the grace that this node drains.
+    /// Checks that the director had not known for longer than the grace period that this node drains.
     fn check_drained(
         &self,
         request: &Request,
@@ -87,14 +87,14 @@
             "request {:016x} at director {} to node {node}, notified at {notified_at:.3}: {attempt}",
             attempt.request, request.director
         );
-        // When the director must know holds only if discovery told it in time.
+        // The time by which the director must know is valid only if discovery sent the event in time.
         let evidence = Evidence::Observed(TimeSpan { from: *notified_at, to: now });
         Some(Finding { rule: Rule::Drained, evidence, detail })
     }
 }
 
-/// That the node was told no longer wait than the client has left: its time counts from its last byte, which came by the
-/// end of its write at the latest.
+/// Checks that the node was given no longer wait than the client has left. The client's budget counts from the last
+/// byte of the request, which arrived at the latest when its write ended.
 fn check_wait(request: &Request, attempt: &Attempt, now: Seconds) -> Option<Finding> {
     let written_by = request.written_by.unwrap_or(request.written_at);
     let left = written_by + request.budget - now;
@@ -110,14 +110,14 @@
         request.written_by.unwrap_or(now)
     );
     let evidence = match (attempt.sent_at, request.written_by) {
-        // The end of its write is stamped after it, so that a late client only leaves the director more time.
+        // The client takes the time after its write has ended, so that a late client only gives the director more time.
         (Some(_), Some(_)) => Evidence::Exact,
         _ => Evidence::Observed(TimeSpan { from: request.written_at, to: now }),
     };
     Some(Finding { rule: Rule::WaitTooLong, evidence, detail })
 }
 
-/// That the client has not been gone for longer than the bound.
+/// Checks that the client had not been gone for longer than the tolerance when the attempt began.
 fn check_client_present(request: &Request, attempt: &Attempt, now: Seconds) -> Option<Finding> {
     let gone_at = request.client_gone_at?;
     if now <= gone_at + CLIENT_GONE_TOLERANCE_SECONDS + OBSERVER_TOLERANCE_SECONDS {
@@ -125,11 +125,11 @@
     }
     let late = now - gone_at;
     let detail = format!(
-        "request {:016x} at director {}: {late:.3} s after its client had gone: {attempt}",
+        "request {:016x} at director {}: {late:.3} s after its client had disconnected or cancelled: {attempt}",
         attempt.request, request.director
     );
     let evidence = match attempt.sent_at {
-        // Its end is stamped after it, so that a late client only leaves the director more time.
+        // The client takes the time after it has gone, so that a late client only gives the director more time.
         Some(_) => Evidence::Exact,
         None => Evidence::Observed(TimeSpan { from: gone_at, to: now }),
     };
--- a/crates/testbed/src/soak/judge/slow_start.rs
+++ b/crates/testbed/src/soak/judge/slow_start.rs
@@ -1,9 +1,9 @@
-//! Slow start: the calls that come to cold nodes, the collapse of a node that gets too many, and how near to it the
-//! nearest node came.
+//! Checks of slow start: the calls that cold nodes receive, when a node collapses under too many, and how close any
+//! node came to that.
 //!
-//! Every call that reaches a cold node counts, also one that it turns away, and all classes weigh the same. A call counts
-//! at the time at which it was sent, where the send log of its director has it, else at which it was read: a node that
-//! reads late finds at once what came over a longer time.
+//! Every call that reaches a cold node counts, including those that the node rejects, and all classes weigh the same. A
+//! call counts at the time at which it was sent if the send log of its director has that time, otherwise at the time at
+//! which it was read: a node that reads late finds at once the calls of a longer time.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -18,15 +18,16 @@
 #[cfg(test)]
 mod tests;
 
-/// The time, in seconds, over which calls to a cold node are counted.
+/// The length of the window in which calls to a cold node are counted.
 const COLLAPSE_WINDOW_SECONDS: f64 = 1.0;
-/// Of fewer calls than this the scatter is larger.
+/// Below this number of allowed calls the larger number of standard deviations applies.
 const SMALL_CALL_COUNT: f64 = 30.0;
-/// The scatter of small and of other counts, in standard deviations.
+/// How many standard deviations of random variation are allowed for small call counts, and for all others.
 const SMALL_COUNT_STANDARD_DEVIATIONS: f64 = 3.0;
 const STANDARD_DEVIATIONS: f64 = 2.0;
 
-/// The calls that may come in a window for which so many are allowed: chance adds some.
+/// Returns how many calls may arrive in a window for which `allowed` are allowed on average: random variation adds
+/// some.
 fn with_random_margin(allowed: f64) -> f64 {
     let deviations =
         if allowed < SMALL_CALL_COUNT { SMALL_COUNT_STANDARD_DEVIATIONS } else { STANDARD_DEVIATIONS };
@@ -36,12 +37,12 @@
 /// A call to a cold node.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ColdCall {
-    /// Whose it is; none if no client sent its request.
+    /// The director that made the call; none if no client sent its request.
     pub(super) director: Option<usize>,
-    /// When it was sent or, where that is not known, read.
+    /// When the call was sent or, if that is not known, when it was read.
     pub(super) at: Seconds,
     pub(super) read_at: Seconds,
-    /// Whether the send log has its time.
+    /// Whether `at` comes from the send log.
     pub(super) is_in_send_log: bool,
 }
 
@@ -49,14 +50,15 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct ColdNode {
     pub(super) since: Seconds,
-    /// Calls a second that it bears once it is warm.
+    /// The capacity in calls per second once the node is warm.
     pub(super) capacity: f64,
-    /// The calls to it, ordered by `at`.
+    /// The calls that the node received, ordered by `at`.
     pub(super) calls: Vec<ColdCall>,
-    /// When each director was told of its start.
+    /// By director, when the start of this node was sent to it.
     pub(super) start_sent_at: HashMap<usize, Seconds>,
     pub(super) has_collapsed: bool,
-    /// More calls were read than it bears, of which the send logs show that they came over a longer time.
+    /// Whether a late burst has been counted: by read times the node would have collapsed, but the send logs show that
+    /// the calls were sent over a longer time.
     pub(super) late_burst_counted: bool,
 }
 
@@ -65,13 +67,13 @@
 struct ColdWindow {
     ends_at: Seconds,
     calls: usize,
-    /// Without the scatter.
+    /// The number of allowed calls without the margin for random variation.
     allowed: f64,
     /// How many directors made the calls.
     directors: usize,
-    /// How many calls came from directors that had been told of the start.
+    /// How many calls came from directors that had been sent the start of the node.
     calls_by_informed: usize,
-    /// Whether the send logs have the times of all calls.
+    /// Whether the times of all calls come from the send logs.
     is_in_send_logs: bool,
 }
 
@@ -84,7 +86,7 @@
         self.load_ratio() > 1.0
     }
 
-    /// The start of the node was noted before it could be told, so that only times of reading can be late.
+    /// Only read times can be late: the start of the node was recorded before it could be sent to any director.
     fn evidence(&self) -> Evidence {
         if self.is_in_send_logs {
             return Evidence::Exact;
@@ -92,26 +94,29 @@
         Evidence::Observed(TimeSpan { from: self.ends_at - COLLAPSE_WINDOW_SECONDS, to: self.ends_at })
     }
 
-    /// Whether over two thirds of the calls came from directors that had been told.
+    /// Whether the node collapsed and over two thirds of the calls came from directors that had been sent its start.
     fn breaks_rule(&self) -> bool {
         self.is_collapse() && 3 * self.calls_by_informed > 2 * self.calls
     }
 }
 
 impl ColdNode {
-    /// The calls that collapse it within a window that ends then, without the scatter.
+    /// Returns how many calls in a window that ends at this time the node can take before it collapses, without the
+    /// margin for random variation.
     fn allowed(&self, at: Seconds) -> f64 {
         COLLAPSE_MULTIPLE * slow_start_share(at - self.since) * self.capacity
     }
 
-    /// Whether a call counts as one of a director that had been told of the start. A call is the proof that its director
-    /// knows the node, whose port is new, unless it was sent before the record has it told.
+    /// Whether a call counts as one by a director that had been sent the start of the node. A call proves that its
+    /// director knows the node, because the node's port is new, unless it was sent before the start is recorded as sent
+    /// to this director.
     fn is_by_informed_director(&self, call: &ColdCall) -> bool {
         let sent_at = call.director.and_then(|director| self.start_sent_at.get(&director));
         sent_at.is_none_or(|sent_at| *sent_at <= call.at)
     }
 
-    /// Notes a call. Returns the fullest of the windows that hold it; none if the node is warm or down.
+    /// Records a call. Returns the window with the highest load among those that contain the call; none if the node is
+    /// warm or has collapsed.
     fn on_call(&mut self, call: ColdCall) -> Option<ColdWindow> {
         if self.has_collapsed || call.at - self.since > SLOW_START_SECONDS {
             return None;
@@ -138,7 +143,7 @@
         }
     }
 
-    /// Whether by their times of reading too many calls came before this time. Returns it once.
+    /// Whether too many calls were read in the window before this time. Returns true only once for each node.
     fn is_late_burst(&mut self, read_at: Seconds) -> bool {
         let is_in_window =
             |call: &&ColdCall| (0.0..COLLAPSE_WINDOW_SECONDS).contains(&(read_at - call.read_at));
@@ -148,25 +153,25 @@
     }
 }
 
-/// The cold node that came nearest to its collapse, when it did.
+/// The cold node that came closest to a collapse, at that moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NearestColdNode {
-    /// Its number.
+    /// The number of the node.
     pub node: usize,
-    /// When the fullest second ended.
+    /// When the second with the highest load ended.
     pub at: Seconds,
-    /// How long after its start that was.
+    /// How long after the start of the node that was, in seconds.
     pub age: f64,
-    /// The calls in that second.
+    /// The calls that the node received in that second.
     pub calls: usize,
-    /// The calls above which it collapses, with the scatter.
+    /// The number of calls above which the node collapses, with the margin for random variation.
     pub allowed: f64,
-    /// How many directors made them.
+    /// How many directors made the calls.
     pub directors: usize,
 }
 
 impl NearestColdNode {
-    /// The calls as a part of what is allowed; over 1 it collapsed.
+    /// Returns the calls divided by the allowed calls. Above 1 the node collapsed.
     pub fn load_ratio(&self) -> f64 {
         self.calls as f64 / self.allowed
     }
@@ -185,7 +190,8 @@
 }
 
 impl JudgeState {
-    /// Calls to a cold node in a second, against what collapses it. Notes the call, and the collapse of the node.
+    /// Checks the calls that a cold node received within a second against those that make it collapse. Records the
+    /// call, and the collapse if there is one.
     pub(super) fn check_slow_start(&mut self, node: usize, call: ColdCall) -> Option<Finding> {
         let cold = self.cold_nodes.get_mut(&node)?;
         let window = cold.on_call(call)?;
@@ -215,7 +221,7 @@
         window.breaks_rule().then(|| Finding { rule: Rule::SlowStart, evidence: window.evidence(), detail })
     }
 
-    /// Whether a node was pushed over, so that nothing runs there any more.
+    /// Whether a node has collapsed, so that it executes nothing any more.
     pub(super) fn has_collapsed(&self, node: usize) -> bool {
         self.cold_nodes.get(&node).is_some_and(|cold| cold.has_collapsed)
     }
--- a/crates/testbed/src/soak/lateness.rs
+++ b/crates/testbed/src/soak/lateness.rs
@@ -1,5 +1,5 @@
-//! How late this program's own threads are, and when: a machine that is too busy makes the stand-ins late, and the times
-//! that they noted then say nothing of the directors.
+//! Measures how late the threads of the soak run, and when: on a machine that is too busy the stubs run late, and the
+//! times that they take then prove nothing about the directors.
 
 use std::fmt;
 use std::sync::Arc;
@@ -18,11 +18,11 @@
 
 /// The pause between two samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(2);
-/// The longest lateness that is told apart in the percentile, in microseconds.
+/// The longest lateness that the percentile distinguishes, in microseconds.
 const MAX_LATENESS_MICROS: u64 = 60_000_000;
 const REPORTED_PERCENTILE: f64 = 99.9;
 
-/// Delays of one kind: the longest of all, and when they were longer than the tolerance.
+/// The delays of one kind: the longest of all, and the spans of those that exceeded the tolerance.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Delays {
     longest: f64,
@@ -30,7 +30,7 @@
 }
 
 impl Delays {
-    /// Adds a delay, from when something was due to when it was done.
+    /// Adds a delay that lasts from the time at which something was due to the time at which it was done.
     pub(crate) fn record(&mut self, delay: TimeSpan) {
         self.longest = self.longest.max(delay.duration());
         if delay.duration() > OBSERVER_TOLERANCE_SECONDS {
@@ -38,35 +38,35 @@
         }
     }
 
-    /// The longest, in seconds.
+    /// Returns the longest delay in seconds.
     pub fn longest(&self) -> f64 {
         self.longest
     }
 }
 
-/// How late the samples and the clients were.
+/// How late the sampling thread and the clients were.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Lateness {
     /// The 99.9th percentile of the samples, in seconds.
     pub p999: f64,
-    /// The delays of the samples.
+    /// The delays of the sampling thread.
     pub samples: Delays,
-    /// What clients took to write the last piece of a request.
+    /// How long clients took to write the last piece of each request.
     pub writes: Delays,
 }
 
 impl Lateness {
-    /// When own threads were later than the tolerance.
+    /// Returns the spans in which threads of the soak were late by more than the tolerance.
     pub fn past_tolerance(&self) -> impl Iterator<Item = &TimeSpan> {
         self.samples.past_tolerance.iter().chain(&self.writes.past_tolerance)
     }
 
-    /// Whether own threads were later than the tolerance at any time.
+    /// Whether threads of the soak were late by more than the tolerance at any time.
     pub fn is_past_tolerance(&self) -> bool {
         self.past_tolerance().next().is_some()
     }
 
-    /// When own threads were so late that this evidence does not hold.
+    /// Returns the spans of lateness that make this evidence invalid.
     pub fn invalidating(&self, evidence: &Evidence) -> impl Iterator<Item = &TimeSpan> {
         self.past_tolerance().filter(|late| !evidence.holds_despite(late))
     }
@@ -83,21 +83,21 @@
     }
 }
 
-/// A thread that sleeps and notes how late it wakes.
+/// A thread that sleeps repeatedly and measures how late it wakes.
 pub(crate) struct LatenessSampler {
     stop: Arc<AtomicBool>,
     thread: JoinHandle<Lateness>,
 }
 
 impl LatenessSampler {
-    /// Starts sampling, by this clock of the soak.
+    /// Starts the thread; `clock` returns the seconds since the soak began.
     pub(crate) fn start(clock: impl Fn() -> Seconds + Send + 'static) -> LatenessSampler {
         let stop = Arc::new(AtomicBool::new(false));
         let stop_requested = Arc::clone(&stop);
         LatenessSampler { stop, thread: thread::spawn(move || sample(&clock, &stop_requested)) }
     }
 
-    /// Ends sampling.
+    /// Stops the thread and returns its samples.
     pub(crate) fn finish(self) -> Lateness {
         self.stop.store(true, Ordering::Relaxed);
         self.thread.join().unwrap_or_default()
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -1,11 +1,12 @@
-//! A soak test: real directors as processes on loopback under overlapping faults, checked from outside.
+//! A soak test: it runs real directors as processes on loopback under overlapping faults and checks their behavior from
+//! outside.
 //!
-//! Stand-in clients, nodes and discovery speak the operators' published protocol and report what they see to the
-//! `Judge`, which holds the invariants. Signals and a preloaded fault library cause the faults, two or three at a
-//! time, as the seed draws them; beside them directors get signals in series and, with some seeds, a crowd of idle
-//! clients. Caches bear so many calls a second, and a cold one that is pushed over collapses and stays down. Clients use
-//! their connections until the director ends them. What the directors count themselves (violations, panics) is read from
-//! their logs at the end.
+//! Stub clients, nodes and discovery speak the published protocol and report what they observe to the `Judge`, which
+//! checks the invariants. The faults are caused by signals and a preloaded fault library, two or three at a time, as
+//! drawn from the seed; in addition directors get series of signals and, with some seeds, a crowd of idle clients. Each
+//! cache has a capacity in calls per second, and a cold cache that is overloaded collapses and stays down. Clients use
+//! their connections until the director ends them. What the directors report themselves (violations, panics) is read
+//! from their logs at the end.
 
 mod capacity;
 mod client;
@@ -38,20 +39,20 @@
 pub use run::run;
 pub use service_plan::{Crowd, ServicePlan, SignalSeries, SignalStep, plan_service};
 
-/// What a soak consists of.
+/// The options of a soak.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The seed of the plan of faults and of the clients' requests.
+    /// The seed of the fault plan and of the clients' requests.
     pub seed: u64,
-    /// How long the load lasts.
+    /// How long the load lasts, in seconds.
     pub seconds: u64,
     /// The number of directors.
     pub directors: usize,
-    /// The number of cache nodes; a parent and an origin stand beside them.
+    /// The number of cache nodes; there is also one parent and one origin.
     pub caches: usize,
     /// The number of clients of each director.
     pub clients_per_director: usize,
-    /// The fault library; without one no system calls fail.
+    /// The path of the fault library; without one no system calls fail and no clock steps.
     pub fault_library: Option<PathBuf>,
 }
 
--- a/crates/testbed/src/soak/node.rs
+++ b/crates/testbed/src/soak/node.rs
@@ -1,4 +1,4 @@
-//! Stand-in nodes: caches, parents and an origin that keep copies, and that misbehave when they are told to.
+//! Stub nodes: caches, parents and an origin that keep copies and misbehave on request.
 
 use std::collections::{HashMap, HashSet};
 use std::io::{self, BufRead, BufReader, Write};
@@ -20,45 +20,47 @@
 #[cfg(test)]
 mod tests;
 
-/// Connections that may wait to be accepted.
+/// How many connections may wait to be accepted.
 const BACKLOG: i32 = 128;
-/// The same while connections are accepted late: so few that others find no room.
+/// The backlog while connections are accepted late: so small that further connections find no room.
 const DELAYED_BACKLOG: i32 = 0;
-/// How long after it read or accepted nothing a node may find bytes that lay unread.
+/// How long after a phase in which it did not read or accept a node may still find bytes that waited unread, in
+/// seconds.
 const LATE_READ_SECONDS: f64 = 1.0;
-/// How often a node that reads nothing looks whether it is down.
+/// How often a stuck node checks whether it has collapsed.
 const STUCK_POLL: Duration = Duration::from_millis(20);
-/// What a node answers that is no answer.
+/// Bytes that are no valid answer.
 const GARBAGE: &[u8] = b"what is this\r\n";
 const SECOND_ANSWER_AFTER: Duration = Duration::from_millis(3);
 
 /// How a node behaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Misbehavior {
-    /// It does not misbehave.
+    /// The node works normally.
     #[default]
     Normal,
-    /// It does the work and never answers.
+    /// The node executes attempts and never answers.
     Hangs,
-    /// It reads nothing.
+    /// The node reads nothing.
     Stuck,
-    /// It resets the connection under the request, before or after the work.
+    /// The node ends the connection in place of an answer: with even request numbers by RST before the execution,
+    /// otherwise by FIN after it.
     Resets,
-    /// It refuses everything as overloaded.
+    /// The node rejects all attempts as overload.
     Full,
-    /// It fails everything, after the work.
+    /// The node executes attempts and answers with an error.
     Errors,
-    /// It answers with bytes that are no answer.
+    /// The node sends bytes that are no valid answer.
     Garbage,
-    /// It answers twice.
+    /// The node sends each answer twice.
     Twice,
-    /// It names another copy than the client's as unchanged.
+    /// The node answers a revalidation as unchanged, but with another entity tag than the client's copy has.
     WrongTag,
 }
 
 impl Misbehavior {
-    /// Whether requests are served, so that the node's capacity counts. One that fails all of them fails those as well
-    /// that it has no capacity for.
+    /// Whether requests are executed and answered, so that the node's capacity limits them. A node that fails or
+    /// rejects all requests treats those above its capacity in the same way.
     fn serves(self) -> bool {
         matches!(self, Misbehavior::Normal | Misbehavior::Twice | Misbehavior::WrongTag)
     }
@@ -68,34 +70,33 @@
 struct NodeState {
     behavior: Misbehavior,
     misbehaves_until: Seconds,
-    /// When each copy was made, in Unix milliseconds.
+    /// By object, when the node's copy was made, in Unix milliseconds.
     copies: HashMap<u64, u64>,
     connections: Vec<Arc<TcpStream>>,
-    /// Nothing is read until then.
+    /// The node reads nothing until then.
     stuck_until: Seconds,
-    /// No connection is accepted until then.
+    /// The node accepts no connection until then.
     accepts_from: Seconds,
-    /// The calls that it has accepted; none if it bears anything.
+    /// The calls that the node has accepted; none if its capacity is unlimited.
     admissions: Option<AdmissionQueue>,
-    /// It was cold and was pushed over: it stays down.
+    /// The node was cold and overloaded, has collapsed and stays down.
     has_collapsed: bool,
 }
 
-/// One node.
 pub(crate) struct Node {
     pub(crate) number: usize,
     pub(crate) name: String,
-    /// Its type in the endpoint list.
+    /// The node type in the endpoint list.
     pub(crate) kind: &'static str,
     pub(crate) address: SocketAddr,
     judge: Arc<Judge>,
     state: Mutex<NodeState>,
 }
 
-/// All nodes by name.
+/// The nodes by name.
 pub(crate) type Nodes = Arc<Mutex<HashMap<String, Arc<Node>>>>;
 
-/// What a node needs of an attempt.
+/// The fields of an attempt that a node uses.
 struct Pull {
     request: u64,
     tag: String,
@@ -119,12 +120,12 @@
         })
     }
 
-    /// An answer without a body.
+    /// Formats an answer without a body.
     fn empty_answer(&self, word: &str) -> String {
         format!("{} {word} - 0\r\n\r\n", self.tag)
     }
 
-    /// The answer with a copy, or that the client's is unchanged.
+    /// Formats the answer with a copy, or as unchanged if the client has the same copy.
     fn copy_answer(&self, issued_ms: u64, behavior: Misbehavior) -> String {
         let (tag, copy_tag) = (&self.tag, format!("t{issued_ms:x}"));
         if behavior == Misbehavior::WrongTag && self.held_tag.is_some() {
@@ -140,14 +141,15 @@
     }
 }
 
-/// An attempt that was read and waits for its turn.
+/// An attempt that was read and waits for its execution.
 struct QueuedPull {
     pull: Pull,
     received_at: Seconds,
     admission: Admission,
 }
 
-/// What a director has given up on a connection: a `KILL` names one attempt, the end of the connection means all.
+/// The attempts on a connection that the director has cancelled: a `KILL` cancels one attempt, the end of the
+/// connection cancels all.
 #[derive(Default)]
 struct CancelledAttempts {
     requests: HashSet<u64>,
@@ -160,7 +162,7 @@
     }
 }
 
-/// The request that a line gives up, if it is a `KILL`.
+/// Returns the request that a line cancels, if the line is a `KILL`.
 fn cancelled_request(line: &str) -> Option<u64> {
     u64::from_str_radix(line.trim_end().strip_prefix("KILL ")?, 16).ok()
 }
@@ -179,14 +181,14 @@
     Ok(socket.into())
 }
 
-/// Ends the reads of a connection, which is reset once nothing uses it any more.
+/// Shuts down reading from a connection; it is reset when its last user drops it.
 fn reset_when_dropped(connection: &TcpStream) {
     let _ = SockRef::from(connection).set_linger(Some(Duration::ZERO));
     let _ = connection.shutdown(Shutdown::Read);
 }
 
 impl Node {
-    /// Listens on a port of its own and joins the nodes. Without a capacity it bears anything.
+    /// Starts a node on a new port and adds it to `nodes`. Without a capacity it accepts any load.
     pub(crate) fn start(
         number: usize,
         name: &str,
@@ -213,7 +215,7 @@
         Ok(node)
     }
 
-    /// Misbehaves for so many seconds.
+    /// Makes the node misbehave for this many seconds.
     pub(crate) fn misbehave(&self, behavior: Misbehavior, seconds: f64) {
         let until = self.judge.now() + seconds;
         let mut state = lock(&self.state);
@@ -223,14 +225,14 @@
         }
     }
 
-    /// Accepts no connection for so many seconds.
+    /// Makes the node accept no connection for this many seconds.
     pub(crate) fn delay_connections(&self, seconds: f64) {
         let until = self.judge.now() + seconds;
         let mut state = lock(&self.state);
         state.accepts_from = state.accepts_from.max(until);
     }
 
-    /// Closes or resets all its connections, idle ones as well.
+    /// Closes or resets all connections, including idle ones.
     pub(crate) fn drop_connections(&self, by_reset: bool) {
         for connection in std::mem::take(&mut lock(&self.state).connections) {
             if by_reset {
@@ -240,7 +242,7 @@
         }
     }
 
-    /// Goes down for good: resets all its connections, ends new ones at once and runs nothing any more.
+    /// Takes the node down permanently: resets all connections, ends new ones at once and executes nothing any more.
     fn collapse(&self) {
         let connections = {
             let mut state = lock(&self.state);
@@ -254,7 +256,7 @@
         lock(&self.state).has_collapsed
     }
 
-    /// Keeps a connection that was accepted; false if the node is down.
+    /// Adds an accepted connection to the open ones; returns false if the node is down.
     fn register_connection(&self, stream: &Arc<TcpStream>) -> bool {
         let mut state = lock(&self.state);
         if !state.has_collapsed {
@@ -263,20 +265,20 @@
         !state.has_collapsed
     }
 
-    /// How long it still reads nothing, for a short while at most.
+    /// Returns how long to pause reading, at most for one poll interval; none if the node is not stuck.
     fn stuck_for(&self) -> Option<Duration> {
         let state = lock(&self.state);
         let stuck = state.stuck_until - self.judge.now();
         (stuck > 0.0 && !state.has_collapsed).then(|| Duration::from_secs_f64(stuck).min(STUCK_POLL))
     }
 
-    /// What it does with a call that has come.
+    /// Decides when a call that was received begins, or that it is rejected.
     fn admit(&self) -> Admission {
         let now = self.judge.now();
         lock(&self.state).admissions.as_mut().map_or(Admission::BeginsAt(now), |queue| queue.admit(now))
     }
 
-    /// Whether what it reads now may have lain unread for a while, through no fault of its sender.
+    /// Whether bytes that are read now may have waited unread because the node was stuck or accepted late.
     fn is_reading_late(&self) -> bool {
         let state = lock(&self.state);
         state.stuck_until.max(state.accepts_from) > self.judge.now() - LATE_READ_SECONDS
@@ -291,7 +293,7 @@
         for stream in listener.incoming().map_while(Result::ok) {
             let delay = lock(&self.state).accepts_from - self.judge.now();
             if delay > 0.0 {
-                // A listener that listens again takes the new length of its queue.
+                // Calling listen again sets the new backlog.
                 let _ = SockRef::from(listener).listen(DELAYED_BACKLOG);
                 std::thread::sleep(Duration::from_secs_f64(delay));
                 let _ = SockRef::from(listener).listen(BACKLOG);
@@ -305,14 +307,14 @@
                 continue;
             }
             spawn(move || {
-                // A director that goes ends its connection.
+                // A connection that a director ends is no error.
                 let _ = this.serve(&stream, link, &nodes);
             });
         }
     }
 
-    /// Reads attempts as they come; a thread beside it executes them, one after another. What the director gives up
-    /// before it is begun does not run.
+    /// Reads attempts as they arrive; a second thread executes them one after another. An attempt that the director
+    /// cancels before its execution begins is not executed.
     fn serve(self: &Arc<Node>, stream: &Arc<TcpStream>, link: NodeLink, nodes: &Nodes) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let cancelled = Arc::new(Mutex::new(CancelledAttempts::default()));
@@ -369,8 +371,8 @@
         }
     }
 
-    /// Reports an attempt to the judge. Returns when it was sent or, where that is not known, when it came: 0 if it may
-    /// have come at any time, as nothing was read. None: the node is down.
+    /// Reports an attempt to the judge. Returns when it was sent or, if that is not known, when it was received: 0 if
+    /// it may have arrived at any earlier time because the node was not reading. Returns none if the node is down.
     fn report_attempt(&self, pull: &Pull, link: NodeLink, nodes: &Nodes) -> Option<Seconds> {
         let source = pull.source.as_ref().and_then(|name| lock(nodes).get(name).map(|node| node.number));
         let read_late = self.is_reading_late();
@@ -381,7 +383,7 @@
         is_up.then(|| sent_at.unwrap_or(if read_late { 0.0 } else { self.judge.now() }))
     }
 
-    /// Executes one attempt and answers it, as the behavior of this moment has it.
+    /// Executes one attempt and answers it according to the current behavior.
     fn execute(
         &self,
         queued: &QueuedPull,
@@ -435,7 +437,7 @@
         }
     }
 
-    /// The behavior of this moment towards an attempt that was admitted or not.
+    /// Returns the current behavior towards an attempt: one that was rejected gets the answer of an overloaded node.
     fn behavior_for(&self, admission: Admission) -> Misbehavior {
         let behavior = self.behavior();
         if admission == Admission::Full && behavior.serves() {
@@ -445,7 +447,8 @@
         behavior
     }
 
-    /// When the copy that is served was made (Unix milliseconds): its own if it is young enough, or one that it fills.
+    /// Returns when the served copy was made, in Unix milliseconds: the node's own copy if it is young enough,
+    /// otherwise one that it fills from `source`. Returns none if a cache has neither.
     fn copy_issued_ms(&self, pull: &Pull, source: Option<&Node>) -> Option<u64> {
         let now = unix_ms();
         let is_young_enough =
@@ -464,7 +467,7 @@
     }
 }
 
-/// What replaces the work, if anything does.
+/// Sends what replaces the execution, if the behavior has such a replacement.
 fn misbehave_before_work(
     behavior: Misbehavior,
     pull: &Pull,
@@ -483,7 +486,7 @@
     Ok(Some(Connection::Open))
 }
 
-/// What replaces the answer, if anything does.
+/// Sends what replaces the answer, if the behavior has such a replacement.
 fn misbehave_after_work(
     behavior: Misbehavior,
     pull: &Pull,
--- a/crates/testbed/src/soak/report.rs
+++ b/crates/testbed/src/soak/report.rs
@@ -12,42 +12,42 @@
 #[cfg(test)]
 mod tests;
 
-/// How many violations are printed.
+/// How many violations are printed at most.
 const PRINTED_VIOLATIONS: usize = 20;
-/// Faults that ended so many seconds before a violation are printed with it.
+/// Faults that ended at most this long before a violation are printed with it.
 const RECENT_FAULT_SECONDS: f64 = 1.0;
 
-/// What a soak says of the directors.
+/// The verdict of a soak on the directors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// No rule was broken, and no thread of the soak was later than the tolerance that each bound has for them.
+    /// No rule was broken, and no thread of the soak was late by more than the tolerance that each bound includes.
     Passed,
-    /// A rule was broken, and no thread of the soak that was late can have made that.
+    /// A rule was broken, and no late thread of the soak can have caused that.
     Failed,
-    /// Threads of the soak were later than the tolerance. All violations that were seen may come from that, and others may
-    /// not have been seen.
+    /// Threads of the soak were late by more than the tolerance. They may have caused all violations that were seen,
+    /// and others may have gone unnoticed.
     NotJudged,
 }
 
-/// What a soak found. Printed, it has the counters, the violations by rule and the first of them in full, those that are
-/// judged before those that are not.
+/// The result of a soak. Its printed form has the counters, the number of violations of each rule, and the first
+/// violations in full, with those that are judged before those that are not.
 pub struct SoakReport {
     /// The violations, in the order in which they were found.
     pub violations: Vec<Violation>,
-    /// What was counted, by name.
+    /// The counters by name.
     pub counts: BTreeMap<&'static str, u64>,
-    /// How near a cold node came to its collapse; none if no cold node was called.
+    /// The cold node that came closest to a collapse; none if no cold node was called.
     pub nearest_cold_node: Option<NearestColdNode>,
     /// The number of planned faults.
     pub planned_faults: usize,
-    /// What was injected, and when.
+    /// The faults that were injected, and when.
     pub faults: Vec<FaultSpan>,
-    /// How late the soak's own threads were.
+    /// How late the threads of the soak were.
     pub lateness: Lateness,
 }
 
 impl SoakReport {
-    /// What it says of the directors.
+    /// Returns the verdict on the directors.
     pub fn verdict(&self) -> Verdict {
         if self.violations.iter().any(|violation| self.is_judged(violation)) {
             Verdict::Failed
@@ -58,17 +58,17 @@
         }
     }
 
-    /// Whether a violation is the directors': no thread of the soak that was late can have made it.
+    /// Whether a violation counts against the directors: no late thread of the soak can have caused it.
     pub fn is_judged(&self, violation: &Violation) -> bool {
         self.lateness.invalidating(&violation.evidence).next().is_none()
     }
 
-    /// The violations that are judged, or those that are not, in the order in which they were found.
+    /// Returns the violations that are judged, or those that are not, in the order in which they were found.
     fn violations_by(&self, judged: bool) -> impl Iterator<Item = &Violation> {
         self.violations.iter().filter(move |violation| self.is_judged(violation) == judged)
     }
 
-    /// Writes how many violations there are of each rule; `note` follows its name.
+    /// Writes the number of violations of each rule; `note` follows the name of the rule.
     fn write_counts(&self, f: &mut fmt::Formatter<'_>, judged: bool, note: &str) -> fmt::Result {
         let mut by_rule: BTreeMap<Rule, usize> = BTreeMap::new();
         for violation in self.violations_by(judged) {
--- a/crates/testbed/src/soak/run.rs
+++ b/crates/testbed/src/soak/run.rs
@@ -1,4 +1,4 @@
-//! A soak from start to end.
+//! The whole run of a soak, from start to end.
 
 use std::path::Path;
 use std::process::Command;
@@ -24,13 +24,13 @@
 use crate::process::{TrialError, io_error};
 use crate::threads::lock;
 
-/// How long a platform waits until a director serves.
+/// How long to wait until a director serves, as a platform would.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-/// What the logs of directors must not hold: a violation that was counted at run time, and a panic.
+/// Texts that must not occur in the logs of directors: a violation that a director counted at run time, and a panic.
 const VIOLATION_IN_LOG: &str = "violation request=";
 const PANIC_IN_LOG: &str = "panicked at";
 
-/// The installation while the soak runs.
+/// All processes and stubs of a running soak.
 pub(super) struct Soak<'a> {
     pub(super) options: &'a Options,
     program: &'a (dyn Fn() -> Command + Sync),
@@ -39,9 +39,9 @@
     pub(super) directors: Vec<Arc<Director>>,
     nodes: Nodes,
     pub(super) faults: FaultLog,
-    /// By number: caches, the parent, the origin, then successors of caches.
+    /// All nodes by number: caches, the parent, the origin, then the replacements of caches.
     pub(super) nodes_by_number: Mutex<Vec<Arc<Node>>>,
-    /// The number of the node that stands at each place of the list now.
+    /// By place in the list, the number of the node that currently has this place.
     pub(super) places: Mutex<Vec<usize>>,
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl Soak<'_> {
-    /// Starts a node with the next number. Without a capacity it bears anything.
+    /// Starts a node with the next number. Without a capacity it accepts any load.
     pub(super) fn add_node(
         &self,
         name: &str,
@@ -64,13 +64,13 @@
         Ok(node)
     }
 
-    /// The node that stands at a place now.
+    /// Returns the node that currently has this place.
     pub(super) fn node_at(&self, place: usize) -> Option<Arc<Node>> {
         let number = lock(&self.places).get(place).copied()?;
         lock(&self.nodes_by_number).get(number).cloned()
     }
 
-    /// Publishes a node's status.
+    /// Publishes the status of a node.
     pub(super) fn announce(&self, node: &Node, status: &str, since_ms: u64) {
         let notification = match status {
             "ready" => Notification::Ready(node.number),
@@ -87,7 +87,7 @@
         wait_until_serving(&name, director.address, &director.log, Instant::now(), START_TIMEOUT)
     }
 
-    /// Starts the first nodes and publishes the list of them.
+    /// Starts the initial nodes and publishes the list of them.
     fn start_nodes(&self) -> Result<(), TrialError> {
         let caches = self.options.caches;
         let warm_cache = Capacity { warm: CACHE_CAPACITY, cold_since: None };
@@ -114,7 +114,7 @@
         Ok(())
     }
 
-    /// Starts the clients of all directors; they end after `over` is set.
+    /// Starts the clients of all directors; they end after `finished` is set.
     fn start_clients(&self, finished: &Arc<AtomicBool>) -> Vec<JoinHandle<()>> {
         let next_id = Arc::new(AtomicU64::new(1));
         let mut clients = Vec::new();
@@ -133,7 +133,7 @@
         clients
     }
 
-    /// Asks all directors to stop and waits for them. One that has exited before has crashed.
+    /// Asks all directors to stop and waits until they exit. A director that has already exited has crashed.
     fn stop_directors(&self) {
         for director in &self.directors {
             if director.has_crashed() {
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Looks for violations and panics that the directors logged.
+    /// Checks the logs of the directors for violations and panics.
     fn check_logs(&self) {
         for director in &self.directors {
             let log = std::fs::read_to_string(&director.log).unwrap_or_default();
@@ -158,7 +158,7 @@
     }
 }
 
-/// Makes the directors, each with a port of its own.
+/// Creates the directors, each with its own port.
 fn make_directors(count: usize, folder: &Path, judge: &Arc<Judge>) -> Result<Vec<Arc<Director>>, TrialError> {
     let mut ports = PortAllocator::new();
     let director = |number| Ok(Arc::new(Director::new(number, ports.allocate()?, folder, judge)));
@@ -167,11 +167,11 @@
 
 /// Runs a soak.
 ///
-/// `program` is the command of a real director; configurations and logs go to `folder`.
+/// `program` returns the command of a real director; configurations and logs are written to `folder`.
 ///
 /// # Errors
 ///
-/// If a folder, socket or process of the soak can't be made. Violations are no errors: they are in the report.
+/// Fails if a folder, socket or process of the soak can't be created. Violations are no errors: they are in the report.
 pub fn run(
     options: &Options,
     program: &(dyn Fn() -> Command + Sync),
--- a/crates/testbed/src/soak/send_log.rs
+++ b/crates/testbed/src/soak/send_log.rs
@@ -1,4 +1,4 @@
-//! When directors sent their attempts and ended connections: read from the logs that the fault library keeps in their
+//! The send logs of the directors: when they sent attempts and ended connections, as the fault library logs it in their
 //! processes.
 
 use std::collections::HashMap;
@@ -9,30 +9,30 @@
 #[cfg(test)]
 mod tests;
 
-/// The ports of a connection of a director to a node. The kernel may give connections to two nodes one port at the
-/// director's end.
+/// The ports of a connection from a director to a node. The port at the director's end alone does not identify the
+/// connection: the kernel may use one port for connections to two nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct LinkPorts {
     pub(crate) director: u16,
     pub(crate) node: u16,
 }
 
-/// An attempt by its request and connection. No connection carries two attempts of one request.
+/// An attempt, identified by its request and connection. No connection carries two attempts of one request.
 type AttemptKey = (u64, LinkPorts);
 
-/// The send log of one director, over all its processes.
+/// The send log of one director, which all its processes write in turn.
 pub(crate) struct SendLog {
     path: PathBuf,
     read_bytes: u64,
-    /// What was read of a line that is not complete.
+    /// The part that was read of an incomplete line.
     partial: String,
-    /// By attempt, the monotonic time in nanoseconds at which its first byte was about to be written.
+    /// By attempt, when the director was about to write its first byte, in nanoseconds of the monotonic clock.
     sent: HashMap<AttemptKey, u64>,
-    /// By the port of the other end, when the director last shut a connection with it.
+    /// By the port of the other end, when the director last shut a connection to that port.
     shut: HashMap<u16, u64>,
 }
 
-/// What a line of the log says.
+/// The content of a line of the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Record {
     Sent(AttemptKey),
@@ -40,24 +40,25 @@
 }
 
 impl SendLog {
-    /// A log that is to be written to this file.
+    /// Creates a reader of this file, which need not exist yet.
     pub(crate) fn new(path: PathBuf) -> SendLog {
         SendLog { path, read_bytes: 0, partial: String::new(), sent: HashMap::new(), shut: HashMap::new() }
     }
 
-    /// When an attempt was sent, in nanoseconds of the monotonic clock; none if the log does not have it.
+    /// Returns when an attempt was sent, in nanoseconds of the monotonic clock; none if the log does not have it.
     pub(crate) fn sent_ns(&mut self, request: u64, ports: LinkPorts) -> Option<u64> {
         let key = (request, ports);
         if !self.sent.contains_key(&key) {
-            // A log that can't be read has nothing new.
+            // If the log can't be read, nothing is added.
             let _ = self.read_more();
         }
         self.sent.get(&key).copied()
     }
 
-    /// When the director last shut a connection with this port at the other end, in nanoseconds of the monotonic clock.
+    /// Returns when the director last shut a connection with this port at the other end, in nanoseconds of the
+    /// monotonic clock.
     pub(crate) fn shut_ns(&mut self, peer_port: u16) -> Option<u64> {
-        // A log that can't be read has nothing new.
+        // If the log can't be read, nothing is added.
         let _ = self.read_more();
         self.shut.get(&peer_port).copied()
     }
@@ -70,7 +71,7 @@
         self.partial.push_str(&String::from_utf8_lossy(&bytes));
         let text = std::mem::take(&mut self.partial);
         let mut lines = text.split('\n');
-        // What follows the last line end is not complete.
+        // The text after the last line end is incomplete.
         self.partial = lines.next_back().unwrap_or_default().to_owned();
         for (at_ns, record) in lines.filter_map(parse_line) {
             match record {
@@ -82,8 +83,8 @@
     }
 }
 
-/// A line of the log, if it is one of these: `NANOSECONDS PORT PEER_PORT PULL REQUEST ...`,
-/// `NANOSECONDS PORT PEER_PORT SHUT`.
+/// Parses a line of the log. Two forms are used: `NANOSECONDS PORT PEER_PORT PULL REQUEST ...` and `NANOSECONDS PORT
+/// PEER_PORT SHUT`. Other lines give none.
 fn parse_line(line: &str) -> Option<(u64, Record)> {
     let mut words = line.split(' ');
     let at_ns = words.next()?.parse().ok()?;
--- a/crates/testbed/src/soak/service.rs
+++ b/crates/testbed/src/soak/service.rs
@@ -1,4 +1,4 @@
-//! Carries out the signals in series and the crowd of a soak.
+//! Sends the planned series of signals and opens the connections of the planned crowd.
 
 use std::net::TcpStream;
 use std::sync::Mutex;
@@ -13,12 +13,13 @@
 use super::service_plan::{Crowd, SignalSeries, SignalStep, plan_service};
 use crate::threads::lock;
 
-/// How often a crowd looks whether the soak is over.
+/// How often the thread of a crowd checks the time.
 const CROWD_POLL: Duration = Duration::from_millis(50);
 
 impl Soak<'_> {
-    /// Carries out the plan at its times, each item on a thread of its own, until `end`. Stops of one director take
-    /// turns with its other restarts. Returns once all are over.
+    /// Carries out the plan at its times until `end`, each series and the crowd on its own thread. The lock in
+    /// `restarts` keeps a series that stops a director from overlapping with its other restarts. Returns when all are
+    /// over.
     pub(super) fn run_service(&self, end: Seconds, restarts: &[Mutex<()>]) {
         let plan = plan_service(self.options);
         thread::scope(|scope| {
@@ -56,7 +57,8 @@
         }
     }
 
-    /// Idle connections, each held until the crowd goes. One that the director ends stays ended.
+    /// Opens idle connections and keeps them until the crowd leaves. A connection that the director ends is not opened
+    /// again.
     fn run_crowd(&self, crowd: &Crowd, end: Seconds) {
         self.sleep_until(crowd.at);
         let fault = self.faults.begin(self.judge.now(), format!("{crowd:?}"));
--- a/crates/testbed/src/soak/service_plan.rs
+++ b/crates/testbed/src/soak/service_plan.rs
@@ -1,74 +1,76 @@
-//! What operators and other clients do while the faults of [`plan_faults`](super::plan_faults) are in force: signals in
-//! series, and crowds of idle clients. Drawn apart from the faults, so that a seed keeps its plan of those.
+//! The plan of what operators and other clients do while the faults of [`plan_faults`](super::plan_faults) are in
+//! force: series of signals, and crowds of idle clients. It is drawn separately from the faults, so that the fault plan
+//! of a seed does not depend on it.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
 use super::{Options, Seconds};
 
-/// Tells the draws of this plan from those of the faults.
+/// Combined with the seed, so that this plan and the fault plan use different random numbers.
 const SEED_OFFSET: u64 = 0x5e41_0c75;
 /// The mean time between two series.
 const MEAN_SERIES_INTERVAL_SECONDS: f64 = 2.5;
-/// No series begins before this, and none in the last second.
+/// No series begins before this time, and none in the last second.
 const FIRST_SERIES_AT: Seconds = 1.5;
-/// The part of all seeds that have a crowd.
+/// The share of seeds that have a crowd.
 const CROWD_PROBABILITY: f64 = 0.4;
 
-/// A signal, or a time without one.
+/// A signal, or a pause without one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SignalStep {
     /// SIGHUP.
     Reload,
     /// SIGTERM.
     Stop,
-    /// SIGSTOP, and SIGCONT after so many seconds.
+    /// SIGSTOP, and SIGCONT after this many seconds.
     Hold(f64),
-    /// Nothing for so many seconds.
+    /// No signal for this many seconds.
     Wait(f64),
 }
 
-/// Signals to one director shortly after one another. One that stops it is followed by its start.
+/// A series of signals to one director within a short time. If the series stops the director, it is started again at
+/// the end.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SignalSeries {
     /// Seconds since the soak began.
     pub at: Seconds,
-    /// Which director.
+    /// The director that gets the signals.
     pub director: usize,
-    /// In their order.
+    /// The signals, in order.
     pub steps: Vec<SignalStep>,
 }
 
 impl SignalSeries {
-    /// Whether it stops the director.
+    /// Whether the series stops the director.
     pub fn stops(&self) -> bool {
         self.steps.contains(&SignalStep::Stop)
     }
 }
 
-/// Clients of one director that connect and say nothing.
+/// Clients that connect to one director and send nothing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Crowd {
     /// Seconds since the soak began.
     pub at: Seconds,
-    /// Which director.
+    /// The director to which they connect.
     pub director: usize,
-    /// How many connections: more than the director has places.
+    /// The number of connections, which is more than the director accepts.
     pub connections: usize,
-    /// How long they stay.
+    /// How long they stay connected, in seconds.
     pub seconds: f64,
 }
 
-/// What is done beside the faults.
+/// The signals and crowds of a soak.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServicePlan {
-    /// Ordered by time.
+    /// The series of signals, ordered by time.
     pub signals: Vec<SignalSeries>,
-    /// At most one.
+    /// The crowd, if the seed has one.
     pub crowd: Option<Crowd>,
 }
 
-/// The plan of a soak. The same options give the same plan.
+/// Returns the plan of a soak. The same options give the same plan.
 pub fn plan_service(options: &Options) -> ServicePlan {
     let mut rng = Pcg32::seed_from_u64(options.seed ^ SEED_OFFSET);
     let crowd = (rng.random::<f64>() < CROWD_PROBABILITY).then(|| Crowd {
@@ -89,7 +91,7 @@
     }
 }
 
-/// Draws one series. Every draw of the generator, and their order, belong to what a seed stands for.
+/// Draws one series. The draws and their order must not change: they determine the plan of a seed.
 fn draw_steps(rng: &mut Pcg32) -> Vec<SignalStep> {
     use SignalStep::{Hold, Reload, Stop, Wait};
     let short = Wait(0.05 * rng.random::<f64>());
