--- a/crates/testbed/src/soak/client.rs
+++ b/crates/testbed/src/soak/client.rs
@@ -344,7 +344,8 @@
         if let Some(id) = session.pending.remove(&call) {
             self.judge.on_answer(id, object_of(answer));
         } else if session.abandoned.remove(&call).is_none() {
-            let detail = format!("director {}: an answer to call {call}", self.director.number);
+            let detail =
+                format!("director {}: answer to call {call}, which is not pending", self.director.number);
             self.judge.record_violation(Rule::Stray, detail);
         }
     }
--- a/crates/testbed/src/soak/director/tests.rs
+++ b/crates/testbed/src/soak/director/tests.rs
@@ -1,4 +1,4 @@
-//! Configurations that are made at the same time.
+//! Tests of configurations that several threads write at the same time.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
@@ -12,14 +12,15 @@
     Options { seed: 1, seconds: 5, directors: 1, caches: 1, clients_per_director: 1, fault_library: None }
 }
 
-/// How many events a configuration file holds.
+/// Returns how many events a configuration file holds.
 fn known_events(director: &Director) -> usize {
     let text = std::fs::read_to_string(&director.config).unwrap();
     let config: Value = serde_json::from_str(&text).unwrap();
     config["known"]["events"].as_array().unwrap().len()
 }
 
-/// A director is noted to know what its configuration held; one that a reload replaced by an older one would accuse it.
+/// Guards against false violations: the judge counts a director as notified of the events in its configuration, so a
+/// reload must not replace that by one with fewer events.
 #[test]
 fn no_configuration_is_replaced_by_one_with_fewer_events() {
     let folder = tempfile::tempdir().unwrap();
--- a/crates/testbed/src/soak/discovery.rs
+++ b/crates/testbed/src/soak/discovery.rs
@@ -200,7 +200,7 @@
     let discovery = Arc::clone(discovery);
     spawn(move || {
         let mut published_at: Vec<Seconds> = Vec::new();
-        let mut noted = 0;
+        let mut reported = 0;
         let mut unavailable_until: Seconds = 0.0;
         loop {
             let now = discovery.judge.now();
@@ -210,15 +210,15 @@
             };
             unavailable_until = unavailable_until.max(until);
             published_at.resize(events.len(), now);
-            while noted < events.len()
+            while reported < events.len()
                 && now
-                    > (published_at[noted] + NOTIFIED_AFTER_SECONDS)
+                    > (published_at[reported] + NOTIFIED_AFTER_SECONDS)
                         .max(unavailable_until + NOTIFIED_AFTER_OUTAGE_SECONDS)
             {
-                if let Some(notification) = &events[noted].notification {
+                if let Some(notification) = &events[reported].notification {
                     (0..directors).for_each(|director| discovery.report_notified(director, notification));
                 }
-                noted += 1;
+                reported += 1;
             }
             std::thread::sleep(POLL);
         }
--- a/crates/testbed/src/soak/evidence/tests.rs
+++ b/crates/testbed/src/soak/evidence/tests.rs
@@ -1,9 +1,9 @@
-//! Evidence beside and away from a late span.
+//! Tests of evidence within and outside a span of lateness.
 
 use super::*;
 
 #[test]
-fn times_hold_only_away_from_lateness_and_facts_hold_always() {
+fn observed_times_are_valid_only_outside_lateness_and_facts_always() {
     let observed = Evidence::Observed(TimeSpan { from: 2.0, to: 3.0 });
     for (from, to, holds) in [
         (1.0, 1.99, true),
--- a/crates/testbed/src/soak/fault_injection.rs
+++ b/crates/testbed/src/soak/fault_injection.rs
@@ -18,8 +18,8 @@
 /// How long a node is listed as draining before it is removed and its successor is listed.
 const DRAIN_SECONDS: f64 = 2.5;
 const CLOCK_STEP_DURATION: Duration = Duration::from_millis(1_500);
-/// The end of a rule of the fault library: from 0 ms to 1,000,000,000 ms of the process's lifetime, with a probability
-/// of 80 percent.
+/// The last fields of a rule of the fault library: its time span, which is the whole lifetime of the process (0 and
+/// 1,000,000,000 ms), and its probability in percent.
 const WHOLE_LIFETIME_80_PERCENT: &str = "0 1000000000 80";
 
 /// How a director is stopped before it is started again.
--- a/crates/testbed/src/soak/fault_plan.rs
+++ b/crates/testbed/src/soak/fault_plan.rs
@@ -186,8 +186,8 @@
 
 /// Draws one fault. The draws and their order must not change: they determine the plan of a seed.
 fn draw_fault(rng: &mut Pcg32, options: &Options, target: usize) -> Fault {
-    let same = rng.random::<f64>() < SAME_DIRECTOR_PROBABILITY;
-    let director = if same { target } else { rng.random_range(0..options.directors) };
+    let hits_target = rng.random::<f64>() < SAME_DIRECTOR_PROBABILITY;
+    let director = if hits_target { target } else { rng.random_range(0..options.directors) };
     let place = rng.random_range(0..options.caches + 2);
     let cache = rng.random_range(0..options.caches);
     match rng.random_range(0..16) {
--- a/crates/testbed/src/soak/judge.rs
+++ b/crates/testbed/src/soak/judge.rs
@@ -334,7 +334,7 @@
         let Some(first) = earlier else { return };
         let Some(evidence) = second_execution(effect, first, now) else { return };
         let sent = self.request(id).map(|request| request.describe_sent()).unwrap_or_default();
-        let detail = format!("request {id:016x} ran at {first:.3} and now{sent}");
+        let detail = format!("request {id:016x} was executed at {first:.3} and again now{sent}");
         self.record(Finding { rule: Rule::EffectTwice, evidence, detail });
     }
 
--- a/crates/testbed/src/soak/judge/attempt.rs
+++ b/crates/testbed/src/soak/judge/attempt.rs
@@ -30,7 +30,7 @@
     pub(crate) node: usize,
     /// The number of the node that it is to be filled from.
     pub(crate) source: Option<usize>,
-    /// How long the node may take, as the attempt says.
+    /// How long the client still waits for the answer, as the attempt says.
     pub(crate) wait_ms: u64,
     /// Whether its bytes may have waited unread at the node.
     pub(crate) read_late: bool,
--- a/crates/testbed/src/soak/judge/checks.rs
+++ b/crates/testbed/src/soak/judge/checks.rs
@@ -31,7 +31,7 @@
         findings.extend(self.check_slow_start(attempt.node, call));
         match self.requests.get(&attempt.request) {
             None => {
-                let detail = format!("request {:016x}", attempt.request);
+                let detail = format!("request {:016x} was sent by no client", attempt.request);
                 findings.push(Finding { rule: Rule::Unknown, evidence: Evidence::Exact, detail });
             }
             Some(request) => {
@@ -53,15 +53,15 @@
     fn check_repeat(&mut self, attempt: &Attempt) -> Option<Finding> {
         let sent_at = attempt.sent_at?;
         let request = self.requests.get_mut(&attempt.request)?;
-        let own = SentAttempt { ports: attempt.link.ports, sent_at, not_run_at: None };
+        let current = SentAttempt { ports: attempt.link.ports, sent_at, not_run_at: None };
         // A node that is stuck reads late, so a later attempt may already be in the list.
         let repeats = |other: &SentAttempt| {
-            let (first, second) = if other.sent_at < sent_at { (*other, own) } else { (own, *other) };
+            let (first, second) = if other.sent_at < sent_at { (*other, current) } else { (current, *other) };
             let is_proven = first.not_run_at.is_some_and(|at| at <= second.sent_at);
             !is_proven && request.effect.is_repeated(second.sent_at - first.sent_at)
         };
         let repeated = request.sent.iter().copied().find(repeats);
-        request.sent.push(own);
+        request.sent.push(current);
         let other = repeated?;
         let detail = format!(
             "request {:016x} at director {}: sent at {:.3} and again: {attempt}",
@@ -97,13 +97,13 @@
 /// byte of the request, which arrived at the latest when its write ended.
 fn check_wait(request: &Request, attempt: &Attempt, now: Seconds) -> Option<Finding> {
     let written_by = request.written_by.unwrap_or(request.written_at);
-    let left = written_by + request.budget - now;
+    let remaining = written_by + request.budget - now;
     let wait = attempt.wait_ms as f64 / 1_000.0;
-    if wait <= left.max(0.0) + WAIT_TOLERANCE_SECONDS + OBSERVER_TOLERANCE_SECONDS {
+    if wait <= remaining.max(0.0) + WAIT_TOLERANCE_SECONDS + OBSERVER_TOLERANCE_SECONDS {
         return None;
     }
     let detail = format!(
-        "request {:016x} at director {}: {wait:.3} s of {left:.3} s left, written from {:.3} to {:.3}: {attempt}",
+        "request {:016x} at director {}: wait of {wait:.3} s with {remaining:.3} s left, written from {:.3} to {:.3}: {attempt}",
         attempt.request,
         request.director,
         request.written_at,
@@ -123,9 +123,9 @@
     if now <= gone_at + CLIENT_GONE_TOLERANCE_SECONDS + OBSERVER_TOLERANCE_SECONDS {
         return None;
     }
-    let late = now - gone_at;
+    let late_by = now - gone_at;
     let detail = format!(
-        "request {:016x} at director {}: {late:.3} s after its client had disconnected or cancelled: {attempt}",
+        "request {:016x} at director {}: {late_by:.3} s after its client had disconnected or cancelled: {attempt}",
         attempt.request, request.director
     );
     let evidence = match attempt.sent_at {
--- a/crates/testbed/src/soak/judge/tests.rs
+++ b/crates/testbed/src/soak/judge/tests.rs
@@ -1,4 +1,4 @@
-//! What the judge finds and what it lets pass, with each bound as a literal.
+//! Tests of the violations that the judge finds and of what it accepts. Each bound is a literal here.
 
 use super::slow_start::ColdCall;
 use super::*;
@@ -40,7 +40,7 @@
     ColdCall { director: Some(DIRECTOR), at, read_at: at, is_in_send_log: true }
 }
 
-/// A connection with this port at the director's end.
+/// Returns the ports of a connection with this port at the director's end.
 fn on_port(director: u16) -> LinkPorts {
     LinkPorts { director, ..LinkPorts::default() }
 }
@@ -66,13 +66,13 @@
 }
 
 #[test]
-fn an_attempt_for_no_request_is_unknown() {
+fn an_attempt_without_a_request_is_unknown() {
     let findings = JudgeState::default().check_attempt(&attempt(0), 1.0);
     assert_eq!(rules(&findings), [Rule::Unknown]);
 }
 
 #[test]
-fn a_node_is_told_a_quarter_second_more_than_is_left_at_most() {
+fn a_wait_may_exceed_the_remaining_time_by_a_quarter_second() {
     let mut state = JudgeState::default();
     state.requests.insert(REQUEST, request(1.0, 1.0));
     // Half a second is left.
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn an_attempt_begins_a_fifth_of_a_second_after_its_client_left_at_most() {
+fn an_attempt_may_begin_up_to_a_fifth_of_a_second_after_its_client_has_gone() {
     let mut state = JudgeState::default();
     state.requests.insert(REQUEST, Request { client_gone_at: Some(3.0), ..request(1.0, 9.0) });
     assert_eq!(rules(&state.check_attempt(&attempt(0), 3.19)), []);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn nothing_comes_to_a_draining_node_or_from_one_after_the_grace() {
+fn no_attempt_uses_a_draining_node_or_source_after_the_grace() {
     for node in [NODE, SOURCE] {
         let mut state = JudgeState::default();
         state.requests.insert(REQUEST, request(1.0, 9.0));
@@ -112,17 +112,17 @@
 }
 
 #[test]
-fn a_cold_node_gets_what_slow_start_allows() {
+fn a_cold_node_may_get_the_calls_that_slow_start_allows() {
     let mut state = JudgeState::default();
     let cold = ColdNode { since: 10.0, capacity: 100.0, ..ColdNode::default() };
     state.cold_nodes.insert(NODE, cold);
-    // 2 * 0.25 * 100 calls are allowed at first, with a scatter of 2 * sqrt(50) + 2.
+    // 2 * 0.25 * 100 calls are allowed at first, with a random margin of 2 * sqrt(50) + 2.
     let calls = |state: &mut JudgeState, count: usize| -> usize {
         (0..count).filter_map(|_| state.check_slow_start(NODE, cold_call(10.0))).count()
     };
     assert_eq!(calls(&mut state, 66), 0);
     assert_eq!(calls(&mut state, 1), 1);
-    // Once for a node.
+    // A collapse is reported once for each node.
     assert_eq!(calls(&mut state, 100), 0);
     let warm = ColdNode { since: 10.0, capacity: 1.0, ..ColdNode::default() };
     state.cold_nodes.insert(NODE, warm);
@@ -130,11 +130,11 @@
 }
 
 #[test]
-fn an_effect_runs_once() {
+fn a_second_execution_is_a_violation_unless_the_effect_allows_it() {
     for (effect, expected) in [
         (Effect::Idempotent, vec![]),
         (Effect::AtMostOnce, vec![Rule::EffectTwice]),
-        // Nodes still recognize a repeat that comes at once.
+        // Nodes still recognize a repeat that arrives at once.
         (Effect::Deduplicated, vec![]),
     ] {
         let judge = Judge::new();
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_second_answer_and_other_bytes_are_found() {
+fn a_second_answer_and_a_wrong_body_are_violations() {
     let judge = Judge::new();
     judge.on_request(REQUEST, DIRECTOR, Effect::Idempotent, OBJECT, 1.0);
     judge.on_answer(REQUEST, Some(OBJECT));
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn no_older_copy_is_served_after_a_purge_and_its_grace() {
+fn an_older_copy_after_a_purge_and_its_grace_is_a_violation() {
     let judge = Judge::new();
     judge.on_request(REQUEST, DIRECTOR, Effect::Idempotent, OBJECT, 1.0);
     let purge = NotifiedPurge { notified_at: 5.0, made_ms: 1_000 };
@@ -194,10 +194,10 @@
 }
 
 #[test]
-fn an_attempt_whose_time_of_sending_is_known_is_judged_by_it() {
+fn an_attempt_is_judged_by_its_send_time_if_that_is_known() {
     let mut state = JudgeState::default();
     state.requests.insert(REQUEST, Request { client_gone_at: Some(1.2), ..request(1.0, 1.0) });
-    // Read late or not, and however long after it was sent.
+    // The result does not depend on when the node read the attempt.
     for read_late in [false, true] {
         let sent = |wait_ms, sent_at| Attempt { read_late, sent_at: Some(sent_at), ..attempt(wait_ms) };
         assert_eq!(rules(&state.check_attempt(&sent(749, 1.39), 9.0)), []);
@@ -223,7 +223,7 @@
         for is_read_in_order in [true, false] {
             let judge = Judge::new();
             judge.on_request(REQUEST, DIRECTOR, effect, OBJECT, 9.0);
-            // Proofs count from now on.
+            // A proof is recorded with the current time, which is before the send time of the second attempt.
             let first = Attempt {
                 sent_at: Some(0.0),
                 link: NodeLink { ports: on_port(1), accepted_at: 0.0 },
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn a_request_counts_from_the_end_of_its_write() {
+fn a_budget_counts_from_the_end_of_the_write() {
     let mut state = JudgeState::default();
     state.requests.insert(REQUEST, Request { written_by: Some(1.2), ..request(1.0, 1.0) });
     // 0.7 s are left.
@@ -257,26 +257,26 @@
 }
 
 #[test]
-fn an_attempt_by_the_send_log_is_exact_evidence_where_clients_stamp_afterwards() {
+fn an_attempt_in_the_send_log_is_exact_evidence_if_the_client_takes_its_time_afterwards() {
     let mut state = JudgeState::default();
     let gone = Request { client_gone_at: Some(2.0), written_by: Some(1.1), ..request(1.0, 9.0) };
     state.requests.insert(REQUEST, gone.clone());
     let sent = |wait_ms, sent_at| Attempt { sent_at: Some(sent_at), read_late: true, ..attempt(wait_ms) };
-    // After its client had gone, read at 9 s.
+    // The attempt was sent after its client had gone, and read at 9 s.
     assert_eq!(evidence(&state.check_attempt(&sent(0, 2.3), 9.0)), [Evidence::Exact]);
     assert_eq!(evidence(&state.check_attempt(&attempt(0), 2.3)), [observed(2.0, 2.3)]);
-    // Too long a wait: 8.6 s are left of the time.
+    // The wait is too long: 8.6 s of the budget are left.
     let present = Request { client_gone_at: None, ..gone };
     state.requests.insert(REQUEST, present.clone());
     assert_eq!(evidence(&state.check_attempt(&sent(9_000, 1.5), 9.0)), [Evidence::Exact]);
     assert_eq!(evidence(&state.check_attempt(&attempt(9_000), 1.5)), [observed(1.0, 1.5)]);
-    // Its write may not be over: what is known is when it began.
+    // The write may not have ended: only its beginning is known.
     state.requests.insert(REQUEST, Request { written_by: None, ..present });
     assert_eq!(evidence(&state.check_attempt(&sent(9_000, 1.5), 9.0)), [observed(1.0, 1.5)]);
 }
 
 #[test]
-fn what_discovery_told_is_evidence_from_then_on() {
+fn evidence_that_depends_on_a_notification_begins_with_it() {
     let mut state = JudgeState::default();
     state.requests.insert(REQUEST, request(1.0, 9.0));
     state.directors.entry(DIRECTOR).or_default().drained.insert(NODE, 1.0);
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn calls_of_a_second_are_evidence_of_that_second() {
+fn calls_without_send_times_are_evidence_of_their_second() {
     let mut state = JudgeState::default();
     let cold = ColdNode { since: 10.0, capacity: 1.0, ..ColdNode::default() };
     state.cold_nodes.insert(NODE, cold);
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn effects_sent_or_counted_twice_are_exact_and_a_second_run_by_time_is_observed_from_the_end_of_the_window() {
+fn repeats_by_send_time_or_count_are_exact_and_by_execution_time_observed_from_the_end_of_the_window() {
     assert_eq!(second_execution(Effect::AtMostOnce, 1.0, 1.1), Some(Evidence::Exact));
     assert_eq!(second_execution(Effect::Deduplicated, 1.0, 2.59), None);
     assert_eq!(second_execution(Effect::Deduplicated, 1.0, 2.61), Some(observed(2.5, 2.61)));
@@ -319,7 +319,7 @@
 }
 
 #[test]
-fn what_was_answered_or_never_asked_is_exact() {
+fn wrong_answers_unknown_attempts_and_logged_violations_are_exact() {
     let judge = Judge::new();
     judge.on_request(REQUEST, DIRECTOR, Effect::Idempotent, OBJECT, 1.0);
     judge.on_answer(REQUEST, Some(OBJECT + 1));
@@ -330,11 +330,13 @@
 }
 
 #[test]
-fn what_was_observed_since_then_is_evidence_until_now() {
+fn an_observed_violation_has_a_span_that_ends_now() {
     let judge = Judge::new();
     let before = judge.now();
     judge.record_observed(Rule::Lost, -3.0, String::new());
-    let [Evidence::Observed(span)] = found_evidence(&judge)[..] else { panic!("one that was observed") };
+    let [Evidence::Observed(span)] = found_evidence(&judge)[..] else {
+        panic!("expected one observed violation")
+    };
     assert_eq!(span.from, -3.0);
     assert!((before..=judge.now()).contains(&span.to), "{span:?}");
 }
@@ -345,7 +347,7 @@
     judge.on_request(REQUEST, DIRECTOR, Effect::Idempotent, OBJECT, 1.0);
     judge.on_request_sent(REQUEST);
     assert!(judge.writes().longest() < 0.1, "{:?}", judge.writes());
-    // Its thread was not run for 0.2 s.
+    // The thread of the client was not scheduled for 0.2 s.
     let written_at = judge.now() - 0.2;
     lock(&judge.state).requests.insert(REQUEST, request(written_at, 1.0));
     judge.on_request_sent(REQUEST);
--- a/crates/testbed/src/soak/lateness/tests.rs
+++ b/crates/testbed/src/soak/lateness/tests.rs
@@ -1,4 +1,4 @@
-//! Which delays count as lateness, and when.
+//! Tests of which delays count as lateness, and in which span.
 
 use super::*;
 
@@ -35,8 +35,8 @@
 }
 
 #[test]
-fn the_sampler_keeps_the_time_of_a_wake_that_comes_late() {
-    // The clock stands still but for one jump of half a second, as if the thread had not been run.
+fn the_sampler_records_the_span_of_a_late_wake() {
+    // The clock stands still except for one jump of half a second, as if the thread had not been scheduled.
     let reads = std::sync::atomic::AtomicU32::new(0);
     let stop = Arc::new(AtomicBool::new(false));
     let seen = Arc::clone(&stop);
--- a/crates/testbed/src/soak/node.rs
+++ b/crates/testbed/src/soak/node.rs
@@ -323,8 +323,8 @@
         let cancelled_for_worker = Arc::clone(&cancelled);
         spawn(move || {
             for queued in queued_pulls {
-                let after = this.execute(&queued, link, &cancelled_for_worker, &output, &sources);
-                if !after.is_ok_and(|after| after == Connection::Open) {
+                let connection = this.execute(&queued, link, &cancelled_for_worker, &output, &sources);
+                if !connection.is_ok_and(|connection| connection == Connection::Open) {
                     return;
                 }
             }
@@ -453,8 +453,8 @@
         let now = unix_ms();
         let is_young_enough =
             |issued: &u64| pull.max_age_ms.is_none_or(|max_age| now.saturating_sub(*issued) <= max_age);
-        let own = lock(&self.state).copies.get(&pull.object).copied();
-        if let Some(issued) = own.filter(is_young_enough) {
+        let stored = lock(&self.state).copies.get(&pull.object).copied();
+        if let Some(issued) = stored.filter(is_young_enough) {
             return Some(issued);
         }
         let filled = match source {
--- a/crates/testbed/src/soak/node/tests.rs
+++ b/crates/testbed/src/soak/node/tests.rs
@@ -1,15 +1,15 @@
-//! Stand-in caches at and above their capacity.
+//! Tests of stub caches at and above their capacity.
 
 use std::io::Read;
 
 use super::*;
 use crate::soak::invariants::{Effect, Rule};
 
-/// The calls a second that the node bears once it is warm.
+/// The capacity of the node in calls per second once it is warm.
 const CAPACITY: f64 = 100.0;
-const LIMIT: Duration = Duration::from_secs(10);
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A cache and its judge; it has no source, so that what it serves is a miss.
+/// Starts a cache and its judge. The cache has no source, so that it answers each attempt as a miss.
 fn start_cache(cold_since: Option<Seconds>) -> (Arc<Node>, Arc<Judge>) {
     let (judge, nodes) = (Arc::new(Judge::new()), Nodes::default());
     let capacity = Capacity { warm: CAPACITY, cold_since };
@@ -22,11 +22,11 @@
 
 fn connect(node: &Node) -> TcpStream {
     let stream = TcpStream::connect(node.address).unwrap();
-    stream.set_read_timeout(Some(LIMIT)).unwrap();
+    stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
     stream
 }
 
-/// Writes the attempts of these requests at once.
+/// Writes attempts for all these requests at once.
 fn send_attempts(judge: &Judge, mut stream: &TcpStream, requests: std::ops::Range<u64>) {
     let mut lines = String::new();
     for request in requests {
@@ -36,7 +36,7 @@
     stream.write_all(lines.as_bytes()).unwrap();
 }
 
-/// The words of so many answers.
+/// Reads this many answers and returns their status words.
 fn read_answers(stream: &TcpStream, count: usize) -> Vec<String> {
     let answers = BufReader::new(stream).lines().map(|line| line.unwrap());
     let words = answers.filter_map(|line| line.split(' ').nth(1).map(str::to_owned));
@@ -51,23 +51,24 @@
 }
 
 #[test]
-fn a_warm_cache_turns_away_what_it_has_no_capacity_for() {
+fn a_warm_cache_rejects_calls_above_its_capacity() {
     let (node, judge) = start_cache(None);
     let stream = connect(&node);
     send_attempts(&judge, &stream, 1..101);
     let answers = read_answers(&stream, 100);
-    let turned_away = answers.iter().filter(|word| *word == "AGAIN").count();
-    // What has its turn within a tenth of a second; more if the reads of the hundred lasted longer.
-    assert!((1..=89).contains(&turned_away), "{turned_away}");
-    assert_eq!(answers.iter().filter(|word| *word == "NOENT").count(), 100 - turned_away);
-    assert_eq!(judge.finish().1["attempts turned away as full"], turned_away as u64);
+    let rejected = answers.iter().filter(|word| *word == "AGAIN").count();
+    // Calls that can begin within a tenth of a second are accepted, and more of them if it takes longer to read the
+    // hundred.
+    assert!((1..=89).contains(&rejected), "{rejected}");
+    assert_eq!(answers.iter().filter(|word| *word == "NOENT").count(), 100 - rejected);
+    assert_eq!(judge.finish().1["attempts turned away as full"], rejected as u64);
 }
 
 #[test]
-fn a_cold_cache_that_is_pushed_over_resets_its_connections_and_stays_down() {
+fn an_overloaded_cold_cache_resets_its_connections_and_stays_down() {
     let (node, judge) = start_cache(Some(0.0));
     let (idle, busy) = (connect(&node), connect(&node));
-    // Both are in use.
+    // Both connections are in use.
     send_attempts(&judge, &idle, 1..2);
     assert_eq!(read_answers(&idle, 1), ["NOENT"]);
     send_attempts(&judge, &busy, 2..402);
@@ -79,7 +80,7 @@
 }
 
 #[test]
-fn a_node_without_a_bound_turns_nothing_away() {
+fn a_node_without_a_capacity_rejects_nothing() {
     let (judge, nodes) = (Arc::new(Judge::new()), Nodes::default());
     let node = Node::start(0, "parent-0", "parent", None, &judge, &nodes).unwrap();
     let stream = connect(&node);
--- a/crates/testbed/src/soak/report/tests.rs
+++ b/crates/testbed/src/soak/report/tests.rs
@@ -1,10 +1,10 @@
-//! What a soak says of the directors.
+//! Tests of the verdict of a soak and its printed report.
 
 use super::super::evidence::Evidence;
 use super::super::lateness::Delays;
 use super::*;
 
-/// The time at which own threads were due that were late.
+/// When the late threads of the soak were due.
 const DUE: f64 = 5.0;
 
 fn delays(duration: f64) -> Delays {
@@ -37,7 +37,7 @@
     }
 }
 
-/// Guards against violations that a busy machine makes, and against violations that it hides.
+/// Guards against violations that only a busy machine causes, and against real ones that it hides.
 #[test]
 fn a_soak_without_a_judged_violation_is_not_judged_past_the_tolerance() {
     assert_eq!(report(0.099, vec![]).verdict(), Verdict::Passed);
@@ -53,9 +53,9 @@
     }
 }
 
-/// All rules of which times are compared that threads of the soak stamped.
+/// Covers all rules that compare times which threads of the soak took.
 #[test]
-fn a_violation_by_observed_times_is_judged_if_no_own_thread_was_late_meanwhile() {
+fn a_violation_by_observed_times_is_judged_if_no_soak_thread_was_late_meanwhile() {
     for rule in [
         Rule::Lost,
         Rule::ClientGone,
@@ -66,7 +66,7 @@
         Rule::Crash,
         Rule::SlowStart,
     ] {
-        // Own threads were late from 5 to 5.2 s.
+        // Threads of the soak were late from 5 to 5.2 s.
         for (from, to, expected) in [
             (3.0, 4.99, Verdict::Failed),
             (3.0, 5.01, Verdict::NotJudged),
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn what_lateness_cannot_explain_fails_on_any_machine() {
+fn a_violation_with_exact_evidence_fails_on_any_machine() {
     for rule in [
         Rule::EffectTwice,
         Rule::WrongBytes,
@@ -95,7 +95,7 @@
     ] {
         for late in [0.0, 0.2, 60.0] {
             let report = report(late, vec![observed(Rule::Lost, 4.0, 6.0), exact(rule)]);
-            assert_eq!(report.verdict(), Verdict::Failed, "{rule:?} with own threads late by {late} s");
+            assert_eq!(report.verdict(), Verdict::Failed, "{rule:?} with soak threads late by {late} s");
             assert!(!report.to_string().contains("too busy"), "{report}");
         }
     }
@@ -116,11 +116,11 @@
     assert_eq!(lines[judged + 1], "  5.000 s Stray: request 7 [judged]");
     let not_judged = position("  5.100 s Lost: request 7 [not judged]");
     assert!(judged < not_judged, "{text}");
-    assert_eq!(lines[not_judged + 1], "            5.000 to 5.200 s: own threads late");
-    assert_eq!(text.matches("own threads late").count(), 3, "{text}");
+    assert_eq!(lines[not_judged + 1], "            5.000 to 5.200 s: soak threads late");
+    assert_eq!(text.matches("soak threads late").count(), 3, "{text}");
 }
 
-/// A busy machine that makes many violations hides none that is judged.
+/// Guards against a judged violation that is not printed because a busy machine causes many others.
 #[test]
 fn judged_violations_are_printed_first() {
     let mut violations = vec![observed(Rule::Lost, 4.0, 6.0); PRINTED_VIOLATIONS];
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_violation_is_printed_with_the_faults_in_force_and_those_just_over() {
+fn a_violation_is_printed_with_faults_in_force_and_recent_ones() {
     for (at, is_recent) in [(0.9, false), (1.1, true), (3.4, true), (3.6, false)] {
         let text = report(0.0, vec![observed(Rule::Lost, at, at)]).to_string();
         assert!(text.contains("request 7"), "{text}");
--- a/crates/testbed/src/soak/run.rs
+++ b/crates/testbed/src/soak/run.rs
@@ -59,7 +59,7 @@
     ) -> Result<Arc<Node>, TrialError> {
         let number = lock(&self.nodes_by_number).len();
         let node = Node::start(number, name, kind, capacity, &self.judge, &self.nodes)
-            .map_err(io_error("a node"))?;
+            .map_err(io_error("node stub"))?;
         lock(&self.nodes_by_number).push(Arc::clone(&node));
         Ok(node)
     }
@@ -183,7 +183,7 @@
         options,
         program,
         judge: Arc::clone(&judge),
-        discovery: Discovery::start(&judge, options.directors).map_err(io_error("discovery"))?,
+        discovery: Discovery::start(&judge, options.directors).map_err(io_error("discovery stub"))?,
         directors: make_directors(options.directors, folder, &judge)?,
         nodes: Nodes::default(),
         faults: FaultLog::default(),
--- a/crates/testbed/src/soak/send_log/tests.rs
+++ b/crates/testbed/src/soak/send_log/tests.rs
@@ -1,4 +1,4 @@
-//! The lines of the fault library, read while they are written.
+//! Tests that read the lines of the fault library while they are written.
 
 use std::io::Write;
 
@@ -7,7 +7,7 @@
 const PORTS: LinkPorts = LinkPorts { director: 40, node: 9 };
 
 #[test]
-fn sends_and_ends_are_found_as_they_are_noted() {
+fn sends_and_shutdowns_are_found_as_they_are_logged() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("sends");
     let mut log = SendLog::new(path.clone());
@@ -24,9 +24,10 @@
     assert_eq!(log.shut_ns(60), Some(8), "the last one");
 }
 
-/// Guards against an attempt that counts as another one of its request, as connections to two nodes have one port.
+/// Guards against an attempt that is taken for another one of its request: connections to two nodes may have the same
+/// port at the director's end.
 #[test]
-fn attempts_on_one_port_to_two_nodes_are_told_apart() {
+fn attempts_on_one_port_to_two_nodes_are_distinguished() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("sends");
     std::fs::write(
--- a/crates/testbed/tests/soak_plan.rs
+++ b/crates/testbed/tests/soak_plan.rs
@@ -1,4 +1,4 @@
-//! A seed draws the same faults at the same times, whatever the code that draws them looks like.
+//! Tests that a seed draws the same faults at the same times after changes to the code that draws them.
 
 use std::path::PathBuf;
 
@@ -10,7 +10,7 @@
     Options { seed, seconds: 12, directors: 6, caches: 3, clients_per_director: 2, fault_library }
 }
 
-/// Words of this test, which do not follow the names of the code.
+/// Describes a fault in words of this test, so that renames in the code do not change the expected plans.
 fn describe(fault: &Fault) -> String {
     match *fault {
         Fault::Restart { director } => format!("restart {director}"),
@@ -34,8 +34,8 @@
     }
 }
 
-fn describe_misbehavior(mode: Misbehavior) -> &'static str {
-    match mode {
+fn describe_misbehavior(behavior: Misbehavior) -> &'static str {
+    match behavior {
         Misbehavior::Normal => "normal",
         Misbehavior::Hangs => "hangs",
         Misbehavior::Stuck => "stuck",
@@ -48,27 +48,27 @@
     }
 }
 
-fn printed(options: &Options) -> String {
+fn describe_plan(options: &Options) -> String {
     plan_faults(options)
         .iter()
-        .map(|planned| format!("{:.6} {}\n", planned.at, describe(&planned.fault)))
+        .map(|scheduled| format!("{:.6} {}\n", scheduled.at, describe(&scheduled.fault)))
         .collect()
 }
 
 #[test]
 fn seed_3_draws_its_plan_without_the_fault_library() {
-    assert_eq!(printed(&options(3, None)), SEED_3);
+    assert_eq!(describe_plan(&options(3, None)), SEED_3);
 }
 
 #[test]
 fn seed_77_draws_its_plan_with_the_fault_library() {
-    assert_eq!(printed(&options(77, Some("library".into()))), SEED_77);
+    assert_eq!(describe_plan(&options(77, Some("library".into()))), SEED_77);
 }
 
-/// This one has faults of system calls and both kinds of clock steps.
+/// This seed has faults of system calls and both kinds of clock steps.
 #[test]
 fn seed_111_draws_its_plan_with_the_fault_library() {
-    assert_eq!(printed(&options(111, Some("library".into()))), SEED_111);
+    assert_eq!(describe_plan(&options(111, Some("library".into()))), SEED_111);
 }
 
 fn describe_series(series: &SignalSeries) -> String {
