--- a/crates/testbed/src/soak/run.rs
+++ b/crates/testbed/src/soak/run.rs
@@ -183,7 +183,7 @@
         options,
         program,
         judge: Arc::clone(&judge),
-        discovery: Discovery::start(&judge, options.directors).map_err(io_error("discovery stub"))?,
+        discovery: Discovery::start(&judge, options.directors).map_err(io_error("discovery"))?,
         directors: make_directors(options.directors, folder, &judge)?,
         nodes: Nodes::default(),
         faults: FaultLog::default(),
