--- a/crates/testbed/src/soak/client.rs
+++ b/crates/testbed/src/soak/client.rs
@@ -1,4 +1,4 @@
-//! Stand-in clients: they send requests in all the ways that the protocol allows, and in some that it does not.
+//! Stub clients: they send requests in all ways that the protocol allows, and in some that it does not.
 
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
@@ -13,75 +13,76 @@
 
 use super::Seconds;
 use super::director::Director;
-use super::invariants::{CLASSES, LOST_AFTER, MAX_BUDGET, Rule};
+use super::invariants::{CLASSES, LOST_AFTER_SECONDS, MAX_BUDGET_SECONDS, Rule};
 use super::judge::{Judge, Request};
 use crate::client_load::{Response, encode_call, read_any_response};
 
-/// The number of objects that clients ask for.
-pub(crate) const OBJECTS: u64 = 60;
-/// A request that is written so shortly before its connection ends crosses that end, and is asked again elsewhere.
-const CROSSING: f64 = 0.15;
-/// How much later than a lost request's time its client gives it up.
-const LOST_TOLERANCE: f64 = 0.3;
-/// How many reads look for answers that came before the end of a connection.
-const LAST_READS: usize = 20;
+/// The number of different objects that clients request.
+pub(crate) const OBJECT_COUNT: u64 = 60;
+/// A request that was written at most this long before its connection ended may have crossed the end of the connection.
+/// Such a request is not lost: a real client sends it again on another connection.
+const CROSSING_SECONDS: f64 = 0.15;
+/// How much later than a request counts as lost its client stops waiting.
+const LOST_TOLERANCE_SECONDS: f64 = 0.3;
+/// How many reads look for answers that arrived before the end of a connection.
+const MAX_FINAL_READS: usize = 20;
 const READ_POLL: Duration = Duration::from_millis(20);
 const READ_BYTES: usize = 16 << 10;
 const NOT_ACCEPTING_WAIT: Duration = Duration::from_millis(20);
 const CONNECT_RETRY_WAIT: Duration = Duration::from_millis(30);
-/// How often a client that rests looks whether the soak is over.
-const REST_POLL: Duration = Duration::from_millis(50);
-/// The copy that a client says it has.
-const HELD_TAG: &str = "t1";
+/// How often a pausing client checks whether the soak is over.
+const PAUSE_POLL: Duration = Duration::from_millis(50);
+/// The tag of the copy that a client claims to have.
+const CACHED_TAG: &str = "t1";
 
 /// How a client uses one connection.
 #[derive(Clone, Copy, PartialEq)]
 enum Behavior {
     Plain,
-    /// Its requests come in pieces.
-    Slow,
-    /// It sends requests and ends the connection, by FIN or by RST.
-    Leaves,
+    /// It writes each request in two pieces.
+    SplitsWrites,
+    /// It ends the connection, by FIN or by RST, while requests are pending.
+    Disconnects,
     Cancels,
-    /// It gives very little time.
+    /// It gives requests a very short time budget.
     ShortBudget,
-    /// It sends what is no request, or half of one.
+    /// It sends bytes that are no request, or half of one.
     Garbage,
-    /// It rests between requests until the director ends the connection.
+    /// It pauses between requests for so long that the director may end the connection.
     Idles,
 }
 
-/// How often each behavior is drawn, in percent.
+/// The probability of each behavior in percent.
 const BEHAVIOR_WEIGHTS: [(Behavior, u32); 7] = [
     (Behavior::Plain, 40),
-    (Behavior::Slow, 14),
-    (Behavior::Leaves, 14),
+    (Behavior::SplitsWrites, 14),
+    (Behavior::Disconnects, 14),
     (Behavior::Cancels, 12),
     (Behavior::ShortBudget, 8),
     (Behavior::Garbage, 6),
     (Behavior::Idles, 6),
 ];
 
-/// One client of one director; it opens one connection after another.
+/// A client of one director; it opens one connection after another.
 pub(crate) struct Client {
     pub(crate) director: Arc<Director>,
     pub(crate) judge: Arc<Judge>,
     /// Set at the end of the soak.
-    pub(crate) over: Arc<AtomicBool>,
-    /// The next request's id, shared by all clients.
+    pub(crate) finished: Arc<AtomicBool>,
+    /// The id of the next request, shared by all clients.
     pub(crate) next_id: Arc<AtomicU64>,
     pub(crate) seed: u64,
 }
 
-/// A connection and the requests on it, by their call numbers.
+/// A connection and its requests, by call number.
 struct Session {
     stream: TcpStream,
     began_at: Seconds,
-    /// What was read and is not yet a whole answer.
+    /// Bytes that were read and are not yet a complete answer.
     received: Vec<u8>,
-    /// Requests without an answer.
-    open: HashMap<u32, u64>,
-    /// Requests that were cancelled or given up, whose answers may still come.
+    /// Requests that wait for an answer.
+    pending: HashMap<u32, u64>,
+    /// Requests that were cancelled or are no longer waited for, whose answers may still arrive.
     abandoned: HashMap<u32, u64>,
     last_call: u32,
 }
@@ -92,21 +93,21 @@
             stream,
             began_at,
             received: Vec::new(),
-            open: HashMap::new(),
+            pending: HashMap::new(),
             abandoned: HashMap::new(),
             last_call: 0,
         }
     }
 }
 
-/// Whether a connection is still there after it was used.
+/// The state of a connection after it was used.
 #[derive(Clone, Copy, PartialEq)]
 enum Connection {
     Open,
     Ended,
 }
 
-/// Encodes a request; `held_tag` names the copy that the client has.
+/// Encodes a request; `held_tag` is the tag of the copy that the client has.
 fn encode_request(
     id: u64,
     call: u32,
@@ -141,7 +142,7 @@
     Behavior::Plain
 }
 
-/// The object that the bytes of an answer name.
+/// Returns the object that the body of an answer names.
 fn object_of(answer: &Response) -> Option<u64> {
     let Response::Success(body) = answer else { return None };
     let text = std::str::from_utf8(body.get(..16).unwrap_or_default()).ok()?;
@@ -149,10 +150,10 @@
 }
 
 impl Client {
-    /// Works until the soak is over.
+    /// Opens connections and sends requests until the soak is over.
     pub(crate) fn run(self) {
         let mut rng = Pcg32::seed_from_u64(self.seed);
-        while !self.is_over() {
+        while !self.is_finished() {
             if !self.director.accepts_connections() {
                 std::thread::sleep(NOT_ACCEPTING_WAIT);
                 continue;
@@ -170,15 +171,16 @@
         }
     }
 
-    fn is_over(&self) -> bool {
-        self.over.load(Ordering::Relaxed)
+    fn is_finished(&self) -> bool {
+        self.finished.load(Ordering::Relaxed)
     }
 
-    /// Uses one connection from its beginning to its end. One to a director that stops is used until that ends it.
+    /// Uses one connection from its beginning to its end. If the director is stopping, the client goes on until the
+    /// director ends the connection.
     fn use_connection(&self, mut session: Session, rng: &mut Pcg32) {
         let behavior = draw_behavior(rng);
         let mut rounds: u32 = rng.random_range(1..6);
-        while !self.is_over() && (rounds > 0 || self.director.is_stopping()) {
+        while !self.is_finished() && (rounds > 0 || self.director.is_stopping()) {
             rounds = rounds.saturating_sub(1);
             if behavior == Behavior::Garbage {
                 return send_garbage(&mut session, rng);
@@ -187,9 +189,9 @@
                 return self.on_connection_end(&mut session);
             }
             match behavior {
-                Behavior::Leaves => {
+                Behavior::Disconnects => {
                     std::thread::sleep(Duration::from_millis(rng.random_range(0..30)));
-                    return self.leave(&session, rng.random());
+                    return self.disconnect(&session, rng.random());
                 }
                 Behavior::Cancels => {
                     std::thread::sleep(Duration::from_millis(rng.random_range(0..20)));
@@ -200,24 +202,24 @@
             if self.wait_for_answers(&mut session) == Connection::Ended {
                 return self.on_connection_end(&mut session);
             }
-            let rest_ms = if behavior == Behavior::Idles { 3_000..9_000 } else { 1..60 };
-            self.rest(Duration::from_millis(rng.random_range(rest_ms)));
+            let pause_ms = if behavior == Behavior::Idles { 3_000..9_000 } else { 1..60 };
+            self.pause(Duration::from_millis(rng.random_range(pause_ms)));
         }
-        self.leave(&session, false);
+        self.disconnect(&session, false);
     }
 
-    /// Sends nothing for a while, or until the soak is over.
-    fn rest(&self, duration: Duration) {
-        let pauses = duration.as_millis() / REST_POLL.as_millis();
+    /// Sends nothing for this time, or until the soak is over.
+    fn pause(&self, duration: Duration) {
+        let pauses = duration.as_millis() / PAUSE_POLL.as_millis();
         for _ in 0..=pauses {
-            if self.is_over() {
+            if self.is_finished() {
                 return;
             }
-            std::thread::sleep(duration.min(REST_POLL));
+            std::thread::sleep(duration.min(PAUSE_POLL));
         }
     }
 
-    /// Writes one request, or now and then several at once.
+    /// Writes one request or, in one of five cases, several in a row.
     fn send_requests(&self, session: &mut Session, behavior: Behavior, rng: &mut Pcg32) -> Connection {
         let count = if rng.random_range(0..5) == 0 { rng.random_range(2..9) } else { 1 };
         for _ in 0..count {
@@ -231,26 +233,26 @@
     fn send_request(&self, session: &mut Session, behavior: Behavior, rng: &mut Pcg32) -> Connection {
         let (class, effect) = CLASSES[rng.random_range(0..CLASSES.len())];
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
-        let object = 1 + (OBJECTS as f64 * rng.random::<f64>().powi(2)) as u64;
+        let object = 1 + (OBJECT_COUNT as f64 * rng.random::<f64>().powi(2)) as u64;
         let budget_ms = match behavior {
             Behavior::ShortBudget => rng.random_range(1..80),
-            _ => rng.random_range(600..(MAX_BUDGET * 1e3) as u64),
+            _ => rng.random_range(600..(MAX_BUDGET_SECONDS * 1e3) as u64),
         };
         session.last_call += 1;
         let call = session.last_call;
-        let held_tag = (rng.random_range(0..8) == 0).then_some(HELD_TAG);
+        let held_tag = (rng.random_range(0..8) == 0).then_some(CACHED_TAG);
         let bytes = encode_request(id, call, class, object, budget_ms, held_tag);
         self.judge.on_request(id, self.director.number, effect, object, budget_ms as f64 / 1_000.0);
-        session.open.insert(call, id);
+        session.pending.insert(call, id);
         let written = match behavior {
-            Behavior::Slow => self.write_in_pieces(session, id, &bytes, rng),
+            Behavior::SplitsWrites => self.write_in_pieces(session, id, &bytes, rng),
             _ => session.stream.write_all(&bytes),
         };
         self.judge.on_request_sent(id);
         if written.is_ok() { Connection::Open } else { Connection::Ended }
     }
 
-    /// Writes a request in two pieces; it counts as written with the second one.
+    /// Writes a request in two pieces; its budget counts from the second one.
     fn write_in_pieces(
         &self,
         session: &mut Session,
@@ -266,20 +268,20 @@
         session.stream.write_all(rest)
     }
 
-    /// Ends the connection under what is open on it.
-    fn leave(&self, session: &Session, by_reset: bool) {
+    /// Ends the connection while requests may be pending.
+    fn disconnect(&self, session: &Session, by_reset: bool) {
         if by_reset {
             let _ = socket2::SockRef::from(&session.stream).set_linger(Some(Duration::ZERO));
         }
         let _ = session.stream.shutdown(Shutdown::Both);
-        session.open.values().for_each(|id| self.judge.on_client_gone(*id));
+        session.pending.values().for_each(|id| self.judge.on_client_gone(*id));
     }
 
-    /// Cancels all that is open.
+    /// Cancels all pending requests.
     fn cancel_all(&self, session: &mut Session) {
-        for (call, id) in session.open.drain() {
+        for (call, id) in session.pending.drain() {
             let mut message = b"\x93\x02\xadcancelRequest\x91".to_vec();
-            // Writing into memory does not fail; a connection that has ended shows when it is read.
+            // Writing to memory does not fail; a connection that has ended is noticed at the next read.
             let _ = encode::write_uint(&mut message, u64::from(call));
             let _ = session.stream.write_all(&message);
             self.judge.on_client_gone(id);
@@ -287,23 +289,24 @@
         }
     }
 
-    /// Reads until nothing is open or the connection ends. Requests whose time is long over are lost.
+    /// Reads until no request is pending or the connection ends. A request whose answer is long overdue is lost.
     fn wait_for_answers(&self, session: &mut Session) -> Connection {
-        while !session.open.is_empty() {
+        while !session.pending.is_empty() {
             if self.read_answers(session) == Connection::Ended {
                 return Connection::Ended;
             }
             let now = self.judge.now();
-            let is_overdue =
-                |request: Request| now > request.written_at + request.budget + LOST_AFTER + LOST_TOLERANCE;
+            let is_overdue = |request: Request| {
+                now > request.written_at + request.budget + LOST_AFTER_SECONDS + LOST_TOLERANCE_SECONDS
+            };
             let overdue: Vec<u32> = session
-                .open
+                .pending
                 .iter()
                 .filter(|(_, id)| self.judge.request(**id).is_none_or(is_overdue))
                 .map(|(call, _)| *call)
                 .collect();
             for call in overdue {
-                if let Some(id) = session.open.remove(&call) {
+                if let Some(id) = session.pending.remove(&call) {
                     self.on_lost(id, "no answer");
                     session.abandoned.insert(call, id);
                 }
@@ -312,7 +315,7 @@
         Connection::Open
     }
 
-    /// Reads once and takes in the answers that are whole.
+    /// Reads once and handles all complete answers.
     fn read_answers(&self, session: &mut Session) -> Connection {
         let mut bytes = [0; READ_BYTES];
         match session.stream.read(&mut bytes) {
@@ -338,29 +341,31 @@
             Response::Rejected => "rejected",
             Response::Failed => "failed",
         });
-        if let Some(id) = session.open.remove(&call) {
+        if let Some(id) = session.pending.remove(&call) {
             self.judge.on_answer(id, object_of(answer));
         } else if session.abandoned.remove(&call).is_none() {
-            let detail = format!("director {}: an answer to call {call}", self.director.number);
+            let detail =
+                format!("director {}: answer to call {call}, which is not pending", self.director.number);
             self.judge.record_violation(Rule::Stray, detail);
         }
     }
 
-    /// The connection has ended under what is open on it.
+    /// Handles the end of the connection: checks each request that is still pending.
     fn on_connection_end(&self, session: &mut Session) {
-        // What came before the end counts.
-        for _ in 0..LAST_READS {
-            if session.open.is_empty() || self.read_answers(session) == Connection::Ended {
+        // Answers that arrived before the end count.
+        for _ in 0..MAX_FINAL_READS {
+            if session.pending.is_empty() || self.read_answers(session) == Connection::Ended {
                 break;
             }
         }
-        // A client that writes slowly sees the end late; the director's own call is exact.
+        // A client that writes slowly notices the end late; the send log has the exact time at which the director shut
+        // the connection.
         let port = session.stream.local_addr().map_or(0, |address| address.port());
         let shut_at = self.judge.shut_at(self.director.number, port, session.began_at);
         let ended_at = shut_at.unwrap_or_else(|| self.judge.now());
-        for id in std::mem::take(&mut session.open).into_values() {
+        for id in std::mem::take(&mut session.pending).into_values() {
             let Some(request) = self.judge.request(id) else { continue };
-            if ended_at < request.written_at + CROSSING {
+            if ended_at < request.written_at + CROSSING_SECONDS {
                 self.judge.on_client_gone(id);
                 self.judge.count("requests that crossed the end of their connection");
             } else if self.director.may_break_connections() {
@@ -371,10 +376,10 @@
         }
     }
 
-    /// A request has no answer: a violation, unless its director was killed or paused.
+    /// Reports that a request has no answer: a violation, unless its director was killed or paused.
     fn on_lost(&self, id: u64, why: &str) {
         let Some(request) = self.judge.request(id) else { return };
-        if self.director.excuses(request.written_at, request.budget) {
+        if self.director.is_exempt(request.written_at, request.budget) {
             self.judge.count("requests at a director that was killed or paused");
             return;
         }
@@ -388,7 +393,7 @@
     }
 }
 
-/// Sends what is no request, or half of one, and ends the connection after a while.
+/// Sends bytes that are no request, or half of one, and ends the connection after a while.
 fn send_garbage(session: &mut Session, rng: &mut Pcg32) {
     let request = encode_request(1, 1, CLASSES[0].0, 1, 500, None);
     let bytes = if rng.random() { &request[..30] } else { &b"what is this"[..] };
