--- a/crates/testbed/src/client_load.rs
+++ b/crates/testbed/src/client_load.rs
@@ -25,7 +25,7 @@
 /// The request class of all lookups.
 const REQUEST_CLASS: &str = "footage";
 /// Bytes of an answer that hold the time at which its copy was made, hexadecimal.
-const ISSUED_DIGITS: usize = 16;
+const ISSUED_TIME_DIGITS: usize = 16;
 
 /// When a lookup succeeded, and after how long.
 #[derive(Clone, Copy, Debug)]
@@ -98,7 +98,7 @@
             }
             let Some(stream) = connection.as_mut() else { continue };
             call += 1;
-            if self.look_up(stream, call, object, &mut stats).is_err() {
+            if self.send_lookup(stream, call, object, &mut stats).is_err() {
                 connection = None;
             }
         }
@@ -106,7 +106,7 @@
     }
 
     /// Sends one lookup, waits for its answer and counts it. After an error the connection is of no more use.
-    fn look_up(
+    fn send_lookup(
         &self,
         stream: &mut TcpStream,
         call: u32,
@@ -163,7 +163,7 @@
 
 /// When the copy in an answer was made, in Unix milliseconds.
 fn issued_ms_of(body: &[u8]) -> Option<u64> {
-    let digits = std::str::from_utf8(body.get(..ISSUED_DIGITS).unwrap_or_default()).ok()?;
+    let digits = std::str::from_utf8(body.get(..ISSUED_TIME_DIGITS).unwrap_or_default()).ok()?;
     u64::from_str_radix(digits, 16).ok()
 }
 
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -31,9 +31,9 @@
 use crate::threads::{lock, spawn};
 use crate::trial_state::TrialState;
 
-const SECOND_NS: u64 = 1_000_000_000;
+const NS_PER_SECOND: u64 = 1_000_000_000;
 /// Short, so that many changes fit an experiment.
-const SLOW_START_WINDOW_NS: u64 = 2 * SECOND_NS;
+const SLOW_START_WINDOW_NS: u64 = 2 * NS_PER_SECOND;
 const SLOW_START_INITIAL_SHARE: f64 = 0.25;
 const COLLAPSE_MULTIPLE: f64 = 2.0;
 const STREAM_KB_PER_S: f64 = 9_000.0;
@@ -47,8 +47,8 @@
 /// Purges are of the objects that are asked for most.
 const PURGED_OBJECTS: u64 = 50;
 /// How often, with faults, another change is proposed while the last one is carried out.
-const SECOND_CHANGE_PROBABILITY: f64 = 0.3;
-const SECOND_CHANGE_PAUSE: Duration = Duration::from_millis(50);
+const OVERLAPPING_CHANGE_PROBABILITY: f64 = 0.3;
+const OVERLAPPING_CHANGE_PAUSE: Duration = Duration::from_millis(50);
 const CHANGE_PAUSE: Duration = Duration::from_millis(300);
 const UNPLANNED_CHANGE_PAUSE: Duration = Duration::from_secs(3);
 
@@ -93,7 +93,7 @@
     let load_started_at = trial.started.elapsed().as_secs();
     let purges = Purges::default();
     let client_stats = start_clients(experiment, &directors, &purges, &trial);
-    let mut load = Load::new(experiment, first, nodes, generator, driver, purges, Arc::clone(&trial));
+    let mut load = LoadPhase::new(experiment, first, nodes, generator, driver, purges, Arc::clone(&trial));
     load.run(&reports, progress)?;
     trial.finish();
 
@@ -222,7 +222,7 @@
 }
 
 /// The time under load: changes of the hierarchy and purges.
-struct Load<'a> {
+struct LoadPhase<'a> {
     experiment: &'a Experiment,
     first: Hierarchy,
     nodes: Nodes,
@@ -235,14 +235,14 @@
     changes: usize,
     next_change: Instant,
     /// The next change does not wait for the end of the last one.
-    is_second_change: bool,
+    is_overlapping_change: bool,
     /// How many purges were made.
     purges_made: u64,
     /// The last second of which a line was printed.
     reported_second: u64,
 }
 
-impl<'a> Load<'a> {
+impl<'a> LoadPhase<'a> {
     fn new(
         experiment: &'a Experiment,
         first: Hierarchy,
@@ -251,9 +251,9 @@
         driver: RolloutDriver<'a>,
         purges: Purges,
         trial: Arc<TrialState>,
-    ) -> Load<'a> {
+    ) -> LoadPhase<'a> {
         let start = Instant::now();
-        Load {
+        LoadPhase {
             experiment,
             first,
             nodes,
@@ -264,7 +264,7 @@
             start,
             changes: 0,
             next_change: start + Duration::from_secs(experiment.warm_up),
-            is_second_change: false,
+            is_overlapping_change: false,
             purges_made: 0,
             reported_second: 0,
         }
@@ -289,10 +289,10 @@
     fn change_hierarchy(&mut self) -> Result<(), TrialError> {
         let is_idle = self.driver.rollout.progress().is_none();
         let is_due = self.changes < self.experiment.rewirings && Instant::now() >= self.next_change;
-        if !is_due || !(is_idle || self.is_second_change) {
+        if !is_due || !(is_idle || self.is_overlapping_change) {
             return Ok(());
         }
-        self.is_second_change = false;
+        self.is_overlapping_change = false;
         let current = self.current_shape();
         let nodes = &self.nodes;
         let start_cold =
@@ -302,10 +302,10 @@
         self.changes += 1;
         let pause = if self.experiment.plan {
             self.driver.handle(RolloutInput::Propose { target })?;
-            self.is_second_change = self.experiment.faults
+            self.is_overlapping_change = self.experiment.faults
                 && is_idle
-                && self.generator.rng.random::<f64>() < SECOND_CHANGE_PROBABILITY;
-            if self.is_second_change { SECOND_CHANGE_PAUSE } else { CHANGE_PAUSE }
+                && self.generator.rng.random::<f64>() < OVERLAPPING_CHANGE_PROBABILITY;
+            if self.is_overlapping_change { OVERLAPPING_CHANGE_PAUSE } else { CHANGE_PAUSE }
         } else {
             self.driver.apply_at_once(target)?;
             UNPLANNED_CHANGE_PAUSE
@@ -358,7 +358,7 @@
             return;
         }
         self.reported_second = second;
-        let counts = self.trial.last_whole_second();
+        let counts = self.trial.last_complete_second();
         progress(&format!(
             "{second:>4} of {} s  satisfied {:>5}  origin {:>4}  loops {}  collapses {}  version {}  changes {}",
             self.experiment.seconds,
--- a/crates/testbed/src/experiment/hierarchy_generator.rs
+++ b/crates/testbed/src/experiment/hierarchy_generator.rs
@@ -6,12 +6,12 @@
 use rand_pcg::Pcg32;
 use sablecross_hierarchy::{Admission, FULL_SHARE, Hierarchy, HierarchyNode, HierarchyRules, NodeId};
 
-use super::{COLLAPSE_MULTIPLE, SECOND_NS, SLOW_START_INITIAL_SHARE, SLOW_START_WINDOW_NS};
+use super::{COLLAPSE_MULTIPLE, NS_PER_SECOND, SLOW_START_INITIAL_SHARE, SLOW_START_WINDOW_NS};
 use crate::client_load::BUDGET_MS;
 use crate::settings::Experiment;
 
-const SETTLE_NS: u64 = SECOND_NS / 2;
-const ROLLBACK_TIMEOUT_NS: u64 = 8 * SECOND_NS;
+const FILL_WINDOW_NS: u64 = NS_PER_SECOND / 2;
+const STEP_TIMEOUT_NS: u64 = 8 * NS_PER_SECOND;
 /// The part of the origin's ceiling that plans leave free.
 const CEILING_MARGIN: f64 = 0.1;
 const ORIGIN: NodeId = 0;
@@ -48,8 +48,8 @@
             collapse_multiple: COLLAPSE_MULTIPLE,
             allows_siblings: true,
             drain_window: (BUDGET_MS + 100) * 1_000_000,
-            fill_window: SETTLE_NS,
-            step_timeout: ROLLBACK_TIMEOUT_NS,
+            fill_window: FILL_WINDOW_NS,
+            step_timeout: STEP_TIMEOUT_NS,
         }
     }
 
--- a/crates/testbed/src/experiment/rollout_driver.rs
+++ b/crates/testbed/src/experiment/rollout_driver.rs
@@ -29,8 +29,8 @@
 /// The longest delay of a version on its way to a parent.
 const MAX_VERSION_DELAY_MS: u64 = 100;
 const MAX_VERSION_DELAY_WITH_FAULTS_MS: u64 = 700;
-const DOUBLED_PROBABILITY: f64 = 0.3;
-const LOST_PROBABILITY: f64 = 0.2;
+const DUPLICATE_PROBABILITY: f64 = 0.3;
+const LOSS_PROBABILITY: f64 = 0.2;
 /// How often the driver is killed before an action of a change.
 const KILL_PROBABILITY: f64 = 0.04;
 /// How often, in each step of a change, a parent fails for `PARENT_FAILURE_MS`.
@@ -79,7 +79,7 @@
     pub(super) notes: Vec<String>,
     next_retry: Instant,
     /// The committed version of which nodes that left have been told.
-    departures_announced_at: u64,
+    departures_announced_version: u64,
 }
 
 impl<'a> RolloutDriver<'a> {
@@ -116,7 +116,7 @@
             kills: 0,
             notes: Vec::new(),
             next_retry: Instant::now(),
-            departures_announced_at: 1,
+            departures_announced_version: 1,
         };
         driver.carry_out_actions()?;
         Ok(driver)
@@ -140,11 +140,11 @@
             true => MAX_VERSION_DELAY_WITH_FAULTS_MS,
             false => MAX_VERSION_DELAY_MS,
         };
-        let copies = if self.draw_fault(DOUBLED_PROBABILITY) { 2 } else { 1 };
+        let copies = if self.draw_fault(DUPLICATE_PROBABILITY) { 2 } else { 1 };
         for _ in 0..copies {
             for parent in 0..self.parents.len() {
                 // One that is lost is sent again until it is applied.
-                if self.draw_fault(LOST_PROBABILITY) {
+                if self.draw_fault(LOSS_PROBABILITY) {
                     continue;
                 }
                 let due = Instant::now() + Duration::from_millis(self.rng.random_range(0..max_delay_ms));
@@ -208,13 +208,13 @@
         let now = Instant::now();
         self.deliver_versions(now)?;
         self.deliver_purges(now);
-        self.take_reports(reports)?;
+        self.handle_reports(reports)?;
         if now >= self.next_retry {
             self.next_retry = now + RETRY_INTERVAL;
             self.announce_again();
             self.report_health()?;
         }
-        self.fail_a_parent();
+        self.maybe_fail_parent();
         self.announce_departures();
         if self.rollout.next_wakeup().is_some_and(|wakeup| wakeup <= Self::now_ns()) {
             self.handle(RolloutInput::Tick)?;
@@ -245,7 +245,7 @@
     }
 
     /// Takes in what directors have applied.
-    fn take_reports(&mut self, reports: &Receiver<AppliedReport>) -> Result<(), TrialError> {
+    fn handle_reports(&mut self, reports: &Receiver<AppliedReport>) -> Result<(), TrialError> {
         for report in reports.try_iter() {
             self.handle(RolloutInput::VersionApplied {
                 participant: report.participant.as_str().into(),
@@ -267,7 +267,7 @@
     }
 
     fn report_health(&mut self) -> Result<(), TrialError> {
-        let origin = self.trial.last_whole_second().origin_fetches as f64;
+        let origin = self.trial.last_complete_second().origin_fetches as f64;
         let published = self.rollout.published().version;
         let down = self.parents.iter().filter(|parent| parent.is_down());
         let down_nodes: Vec<NodeId> = down.filter_map(|parent| published.node_id(&parent.name)).collect();
@@ -275,7 +275,7 @@
     }
 
     /// Now and then a parent fails in the middle of a change.
-    fn fail_a_parent(&mut self) {
+    fn maybe_fail_parent(&mut self) {
         if self.experiment.faults && self.is_changing() && self.draw_fault(PARENT_FAILURE_PROBABILITY) {
             let parent = self.rng.random_range(0..self.parents.len());
             self.parents[parent].fail_for(PARENT_FAILURE_MS);
@@ -287,16 +287,16 @@
     fn announce_departures(&mut self) {
         let NumberedVersion { number: committed_number, version: committed } = self.rollout.committed();
         let NumberedVersion { number: published_number, version: published } = self.rollout.published();
-        if committed_number == self.departures_announced_at && published_number == committed_number {
+        if committed_number == self.departures_announced_version && published_number == committed_number {
             return;
         }
-        let left_at_ms = unix_ms() + BUDGET_MS + 100 + STRAY_GRACE_MS;
+        let stray_after_ms = unix_ms() + BUDGET_MS + 100 + STRAY_GRACE_MS;
         for parent in &self.parents {
-            let is_here =
+            let is_in_hierarchy =
                 [committed, published].iter().any(|version| version.node_id(&parent.name).is_some());
-            parent.set_left_at((!is_here).then_some(left_at_ms));
+            parent.set_stray_after((!is_in_hierarchy).then_some(stray_after_ms));
         }
-        self.departures_announced_at = committed_number;
+        self.departures_announced_version = committed_number;
     }
 
     /// Publishes a shape at once, without a plan: for comparison.
--- a/crates/testbed/src/fleet/coordination_links.rs
+++ b/crates/testbed/src/fleet/coordination_links.rs
@@ -13,7 +13,7 @@
 pub(super) struct CoordinationLinks {
     pub(super) settings: CoordinationTrial,
     pub(super) voters: Vec<SocketAddr>,
-    pub(super) links: LinkProxies,
+    pub(super) proxies: LinkProxies,
     /// What was done to holders.
     pub(super) holder_faults: Vec<HolderFault>,
     /// Requests a second that a cache bears.
@@ -29,13 +29,13 @@
         over: &Arc<AtomicBool>,
     ) -> Result<CoordinationLinks, TrialError> {
         let voters = members[..settings.voters].to_vec();
-        let links =
+        let proxies =
             LinkProxies::start(members.len(), &voters, over).map_err(io_error("the links to voters"))?;
         let settings = settings.clone();
-        Ok(CoordinationLinks { settings, voters, links, holder_faults: Vec::new(), cache_capacity })
+        Ok(CoordinationLinks { settings, voters, proxies, holder_faults: Vec::new(), cache_capacity })
     }
 
-    /// The coordination settings of one member, with its own links to the voters.
+    /// The coordination settings of one member, with its own proxies to the voters.
     pub(super) fn member_settings(&self, member: usize) -> String {
         let settings = &self.settings;
         let warming = match settings.warming {
@@ -52,7 +52,7 @@
         );
         for (number, own_address) in self.voters.iter().enumerate() {
             // A voter needs no link to itself.
-            let address = self.links.address(member, number).unwrap_or(*own_address);
+            let address = self.proxies.address(member, number).unwrap_or(*own_address);
             text += &format!("(voter (number . {number}) (address . \"{address}\"))\n");
         }
         text
--- a/crates/testbed/src/fleet/coordination_report.rs
+++ b/crates/testbed/src/fleet/coordination_report.rs
@@ -15,9 +15,9 @@
 use super::settings::CoordinationTrial;
 
 /// Pauses and bursts of a node are excused until so many seconds after a fault.
-const EXCUSED_AFTER: f64 = 1.0;
+const EXCUSED_AFTER_SECONDS: f64 = 1.0;
 /// Hits at restarted caches are counted in spans of so many seconds.
-const AFTER_RESTART_SPAN: f64 = 5.0;
+const AFTER_RESTART_SPAN_SECONDS: f64 = 5.0;
 
 /// The figures of coordination.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -111,7 +111,9 @@
     /// Whether a fault of a node excuses pauses and bursts in this time.
     fn excuses(&self, node: &str, from: Seconds, to: Seconds) -> bool {
         self.faults.iter().any(|fault| {
-            fault.nodes.iter().any(|name| name == node) && fault.from < to && fault.to + EXCUSED_AFTER > from
+            fault.nodes.iter().any(|name| name == node)
+                && fault.from < to
+                && fault.to + EXCUSED_AFTER_SECONDS > from
         })
     }
 
@@ -122,19 +124,21 @@
 }
 
 impl CoordinationReport {
-    pub(crate) fn new(seen: &Observations) -> CoordinationReport {
-        let mut report =
-            CoordinationReport { holder_faults: seen.holder_faults.len(), ..CoordinationReport::default() };
-        for (node, checks) in seen.health_checks {
+    pub(crate) fn new(observations: &Observations) -> CoordinationReport {
+        let mut report = CoordinationReport {
+            holder_faults: observations.holder_faults.len(),
+            ..CoordinationReport::default()
+        };
+        for (node, checks) in observations.health_checks {
             report.add_tokens(checks);
-            report.add_gaps(seen, node, checks);
-            report.add_bursts(seen, node, checks);
+            report.add_gaps(observations, node, checks);
+            report.add_bursts(observations, node, checks);
         }
-        report.burst_times = f64::from(report.burst) / seen.usual_rate();
-        let nodes = seen.health_checks.len().max(1) as f64;
-        report.rate = report.health_checks as f64 / nodes / seen.seconds.max(1.0);
-        report.add_leases(seen);
-        report.add_takeovers(seen);
+        report.burst_times = f64::from(report.burst) / observations.usual_rate();
+        let nodes = observations.health_checks.len().max(1) as f64;
+        report.rate = report.health_checks as f64 / nodes / observations.seconds.max(1.0);
+        report.add_leases(observations);
+        report.add_takeovers(observations);
         report
     }
 
@@ -156,11 +160,11 @@
     }
 
     /// Pauses between the health checks that a node accepted.
-    fn add_gaps(&mut self, seen: &Observations, node: &str, checks: &[HealthCheck]) {
+    fn add_gaps(&mut self, observations: &Observations, node: &str, checks: &[HealthCheck]) {
         let times = checks.iter().filter(|check| check.is_admitted).map(|check| check.at);
-        let mut last = seen.warm_up;
-        for at in times.filter(|at| *at >= seen.warm_up).chain([seen.seconds]) {
-            if at - last > self.gap && !seen.excuses(node, last, at) {
+        let mut last = observations.warm_up;
+        for at in times.filter(|at| *at >= observations.warm_up).chain([observations.seconds]) {
+            if at - last > self.gap && !observations.excuses(node, last, at) {
                 (self.gap, self.gap_at) = (at - last, node.to_owned());
             }
             last = at;
@@ -168,34 +172,34 @@
     }
 
     /// Health checks of a node within a second.
-    fn add_bursts(&mut self, seen: &Observations, node: &str, checks: &[HealthCheck]) {
+    fn add_bursts(&mut self, observations: &Observations, node: &str, checks: &[HealthCheck]) {
         let times: Vec<Seconds> =
-            checks.iter().map(|check| check.at).filter(|at| *at >= seen.warm_up).collect();
+            checks.iter().map(|check| check.at).filter(|at| *at >= observations.warm_up).collect();
         for (i, at) in times.iter().enumerate() {
             let in_second = times[i..].iter().take_while(|later| **later < at + 1.0).count() as u32;
             // What was held back comes at once when that is over.
-            if in_second > self.burst && !seen.excuses(node, *at, at + 1.0) {
+            if in_second > self.burst && !observations.excuses(node, *at, at + 1.0) {
                 self.burst = in_second;
             }
         }
     }
 
-    fn add_leases(&mut self, seen: &Observations) {
+    fn add_leases(&mut self, observations: &Observations) {
         let mut holders: BTreeMap<(RoleId, u64), BTreeSet<usize>> = BTreeMap::new();
-        for lease in seen.leases {
+        for lease in observations.leases {
             holders.entry((lease.role, lease.term)).or_default().insert(lease.member);
         }
         self.reused_terms = holders.values().filter(|members| members.len() > 1).count() as u64;
-        self.leases = seen.leases.len() as u64;
+        self.leases = observations.leases.len() as u64;
     }
 
     /// How long after the fault of a holder another member held its role.
-    fn add_takeovers(&mut self, seen: &Observations) {
+    fn add_takeovers(&mut self, observations: &Observations) {
         let mut times = Vec::new();
-        for (i, fault) in seen.holder_faults.iter().enumerate() {
-            let next = seen.holder_faults[i + 1..].iter().find(|later| later.role == fault.role);
-            let next_at = next.map_or(seen.seconds, |next| next.at);
-            let by_others = seen.leases.iter().filter(|lease| {
+        for (i, fault) in observations.holder_faults.iter().enumerate() {
+            let next = observations.holder_faults[i + 1..].iter().find(|later| later.role == fault.role);
+            let next_at = next.map_or(observations.seconds, |next| next.at);
+            let by_others = observations.leases.iter().filter(|lease| {
                 lease.role == fault.role
                     && lease.member != fault.member
                     && lease.at > fault.at
@@ -242,7 +246,7 @@
     /// Adds the requests at a cache that was restarted then.
     pub(crate) fn add_after_restart(&mut self, restarted_at: Seconds, requests: &[RequestAfterRestart]) {
         for request in requests {
-            let span = ((request.at - restarted_at) / AFTER_RESTART_SPAN) as usize;
+            let span = ((request.at - restarted_at) / AFTER_RESTART_SPAN_SECONDS) as usize;
             if let Some((hits, all)) = self.hits_after_restart.get_mut(span) {
                 *hits += u64::from(request.is_hit);
                 *all += 1;
--- a/crates/testbed/src/fleet/coordination_watch.rs
+++ b/crates/testbed/src/fleet/coordination_watch.rs
@@ -95,13 +95,13 @@
     line.split(' ').find_map(|field| field.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
 }
 
-/// The leases that a director held, by its log. Times count from `zero_ms` (Unix milliseconds).
-pub(crate) fn lease_starts(member: usize, log: &Path, zero_ms: u64) -> Vec<LeaseStart> {
+/// The leases that a director held, by its log. Times count from `start_ms` (Unix milliseconds).
+pub(crate) fn lease_starts(member: usize, log: &Path, start_ms: u64) -> Vec<LeaseStart> {
     let text = std::fs::read_to_string(log).unwrap_or_default();
     let lease_start = |line: &str| {
         let fields = line.split_once(LEASE_LINE)?.1;
         // Directors' own times are of no wall clock. Those of log lines are, within one day.
-        let since_ms = (time_of_day_ms(line)? + DAY_MS - zero_ms % DAY_MS) % DAY_MS;
+        let since_ms = (time_of_day_ms(line)? + DAY_MS - start_ms % DAY_MS) % DAY_MS;
         Some(LeaseStart {
             at: since_ms as f64 / 1e3,
             member,
--- a/crates/testbed/src/fleet/director.rs
+++ b/crates/testbed/src/fleet/director.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use super::load::Clients;
-use super::node::{COLLAPSE_MULTIPLE, SLOW_START_INITIAL_SHARE, SLOW_START_WINDOW};
+use super::node::{COLLAPSE_MULTIPLE, SLOW_START_INITIAL_SHARE, SLOW_START_WINDOW_SECONDS};
 use super::settings::Trial;
 use crate::director_process::{NodeModel, director_config, spawn_director};
 use crate::discovery_stub::DiscoveryStub;
@@ -51,7 +51,7 @@
     }
 
     /// Starts it again after it was killed.
-    pub(super) fn start_again(&mut self, program: &dyn Fn() -> Command) -> Result<(), TrialError> {
+    pub(super) fn restart(&mut self, program: &dyn Fn() -> Command) -> Result<(), TrialError> {
         let files = &self.files;
         self.process = spawn_director(program, &files.config, &files.log, files.coordination.as_deref())?;
         self.is_killed = false;
@@ -83,7 +83,7 @@
 ) -> Result<(), TrialError> {
     let model = NodeModel {
         slow_start_initial_share: SLOW_START_INITIAL_SHARE,
-        slow_start_us: (SLOW_START_WINDOW * 1e6) as u64,
+        slow_start_us: (SLOW_START_WINDOW_SECONDS * 1e6) as u64,
         collapse_multiple: COLLAPSE_MULTIPLE,
         stream_kb_per_s: STREAM_KB_PER_S,
     };
--- a/crates/testbed/src/fleet/fault_injection.rs
+++ b/crates/testbed/src/fleet/fault_injection.rs
@@ -20,9 +20,9 @@
 use crate::schedule::sample;
 
 /// Lookups that waited at a stopped director may still be late so many seconds after it was continued, ...
-const STOP_TOLERANCE: f64 = 0.5;
+const STOP_TOLERANCE_SECONDS: f64 = 0.5;
 /// ... and at a killed one after it was started again.
-const KILL_TOLERANCE: f64 = 2.0;
+const KILL_TOLERANCE_SECONDS: f64 = 2.0;
 
 /// A fault while it lasts, and what it strikes.
 pub(super) struct ActiveFault {
@@ -104,10 +104,10 @@
             }
         }
         for number in &active.nodes {
-            strike_node(&self.nodes[*number], &active);
+            apply_to_node(&self.nodes[*number], &active);
         }
         for number in &active.directors {
-            strike_director(&mut self.directors[*number], fault, now)?;
+            apply_to_director(&mut self.directors[*number], fault, now)?;
         }
         Ok(active)
     }
@@ -133,7 +133,7 @@
             }
             FaultKind::StopVoters | FaultKind::KillVoters => directors = sample(rng, voters, fault.of),
             FaultKind::StopOwner | FaultKind::KillOwner | FaultKind::StopDriver | FaultKind::KillDriver => {
-                directors = self.holder_to_strike(fault.kind, now)
+                directors = self.find_target_holder(fault.kind, now)
             }
             FaultKind::HoldTo | FaultKind::HoldFrom => {
                 let voter = rng.random_range(0..voters);
@@ -150,7 +150,7 @@
     }
 
     /// The holder of the role that the fault is about, if there is one; it is noted.
-    fn holder_to_strike(&mut self, kind: FaultKind, now: f64) -> Vec<usize> {
+    fn find_target_holder(&mut self, kind: FaultKind, now: f64) -> Vec<usize> {
         let role = match kind {
             FaultKind::StopOwner | FaultKind::KillOwner => ASSIGNMENT_ROLE,
             _ => HIERARCHY_ROLE,
@@ -171,8 +171,8 @@
         };
         for pair in &active.pairs {
             match active.fault.kind {
-                FaultKind::ResetWays => coordination.links.reset(*pair),
-                _ => coordination.links.hold(*pair, held),
+                FaultKind::ResetWays => coordination.proxies.reset(*pair),
+                _ => coordination.proxies.hold(*pair, held),
             }
         }
     }
@@ -181,7 +181,7 @@
     pub(super) fn end(&mut self, active: &ActiveFault) -> Result<Vec<RestartedNode>, TrialError> {
         if let Some(coordination) = &self.coordination {
             for pair in &active.pairs {
-                coordination.links.hold(*pair, HeldDirections::default());
+                coordination.proxies.hold(*pair, HeldDirections::default());
             }
         }
         let mut restarted = Vec::new();
@@ -201,7 +201,7 @@
         for number in &active.directors {
             match director_fault(active.fault.kind) {
                 Some(DirectorFault::Stop) => self.directors[*number].process.signal(Signal::CONT),
-                Some(DirectorFault::Kill) => self.start_again(*number)?,
+                Some(DirectorFault::Kill) => self.restart(*number)?,
                 None => {}
             }
         }
@@ -209,14 +209,14 @@
     }
 
     /// Starts a director again that was killed, with a configuration of now.
-    fn start_again(&mut self, number: usize) -> Result<(), TrialError> {
+    fn restart(&mut self, number: usize) -> Result<(), TrialError> {
         let director = &mut self.directors[number];
         if !director.is_killed {
             return Ok(());
         }
         let discovery = &self.discovery[director.discovery];
         write_config(self.trial, number, director.address, discovery, &director.files.config)?;
-        director.start_again(self.program)
+        director.restart(self.program)
     }
 }
 
@@ -236,7 +236,7 @@
     all.filter(|(member, voter)| is_apart(*member) != is_apart(*voter)).collect()
 }
 
-fn strike_node(node: &Node, active: &ActiveFault) {
+fn apply_to_node(node: &Node, active: &ActiveFault) {
     let fault = &active.fault;
     let directors = active.directors.iter().copied();
     match fault.kind {
@@ -250,14 +250,16 @@
     }
 }
 
-fn strike_director(director: &mut Director, fault: &Fault, now: f64) -> Result<(), TrialError> {
+fn apply_to_director(director: &mut Director, fault: &Fault, now: f64) -> Result<(), TrialError> {
     let end = fault.at + fault.lasts;
     match director_fault(fault.kind) {
         Some(DirectorFault::Stop) => {
-            director.excuse(now, end + STOP_TOLERANCE);
+            director.excuse(now, end + STOP_TOLERANCE_SECONDS);
             director.process.signal(Signal::STOP);
         }
-        Some(DirectorFault::Kill) if !director.is_killed => director.kill(now, end + KILL_TOLERANCE)?,
+        Some(DirectorFault::Kill) if !director.is_killed => {
+            director.kill(now, end + KILL_TOLERANCE_SECONDS)?
+        }
         _ => {}
     }
     Ok(())
--- a/crates/testbed/src/fleet/link_proxy.rs
+++ b/crates/testbed/src/fleet/link_proxy.rs
@@ -93,7 +93,7 @@
         }
         let commands: Arc<Mutex<PairCommands>> = Arc::default();
         let bytes: Bytes = Arc::new(addresses.keys().map(|pair| (*pair, Default::default())).collect());
-        let relay = ProxyThread {
+        let proxy_thread = ProxyThread {
             poll,
             listeners,
             open: BTreeMap::new(),
@@ -102,7 +102,7 @@
             bytes: Arc::clone(&bytes),
         };
         let over = Arc::clone(over);
-        spawn(move || relay.run(&over));
+        spawn(move || proxy_thread.run(&over));
         Ok(LinkProxies { commands, bytes, addresses })
     }
 
@@ -112,9 +112,9 @@
     }
 
     /// Bytes that these links have passed on: requests, then answers.
-    pub(crate) fn bytes(&self, is_meant: impl Fn(&Pair) -> bool) -> [u64; 2] {
-        let meant = self.bytes.iter().filter(|(pair, _)| is_meant(pair));
-        meant.fold([0, 0], |[to, from], (_, [t, f])| {
+    pub(crate) fn bytes(&self, is_selected: impl Fn(&Pair) -> bool) -> [u64; 2] {
+        let selected = self.bytes.iter().filter(|(pair, _)| is_selected(pair));
+        selected.fold([0, 0], |[to, from], (_, [t, f])| {
             [to + t.load(Ordering::Relaxed), from + f.load(Ordering::Relaxed)]
         })
     }
--- a/crates/testbed/src/fleet/load.rs
+++ b/crates/testbed/src/fleet/load.rs
@@ -17,11 +17,11 @@
 use crate::threads::{lock, spawn};
 
 /// How long a client waits, in seconds.
-const BUDGET: f64 = BUDGET_MS as f64 / 1e3;
+const BUDGET_SECONDS: f64 = BUDGET_MS as f64 / 1e3;
 /// A lookup is unanswered so long after its time. (An answer after its time has earned nothing.)
-const UNANSWERED_AFTER: f64 = 0.5;
+const UNANSWERED_AFTER_SECONDS: f64 = 0.5;
 /// How long the sender sleeps at most before it looks for lookups whose time is over.
-const MAX_SLEEP: f64 = 0.1;
+const MAX_SLEEP_SECONDS: f64 = 0.1;
 
 /// How many lookups ended in which way.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -151,7 +151,7 @@
         let mut call = 0u32;
         let mut next = self.now() + rng.random::<f64>() / workload.rate;
         while !self.over.load(Ordering::Relaxed) {
-            std::thread::sleep(Duration::from_secs_f64((next - self.now()).clamp(0.0, MAX_SLEEP)));
+            std::thread::sleep(Duration::from_secs_f64((next - self.now()).clamp(0.0, MAX_SLEEP_SECONDS)));
             self.give_up_overdue_calls();
             if self.now() < next {
                 continue;
@@ -221,7 +221,7 @@
         match answer {
             Response::Success(_) => {
                 second.satisfied += 1;
-                second.late += u64::from(now - sent_at > BUDGET);
+                second.late += u64::from(now - sent_at > BUDGET_SECONDS);
             }
             Response::Rejected => second.rejected += 1,
             Response::Failed => second.failed += 1,
@@ -231,7 +231,7 @@
     fn give_up_overdue_calls(&self) {
         let now = self.now();
         let mut state = lock(&self.state);
-        let is_overdue = |sent_at: Seconds| now > sent_at + BUDGET + UNANSWERED_AFTER;
+        let is_overdue = |sent_at: Seconds| now > sent_at + BUDGET_SECONDS + UNANSWERED_AFTER_SECONDS;
         let overdue: Vec<(u32, Seconds)> = state
             .open_calls
             .iter()
--- a/crates/testbed/src/fleet/node.rs
+++ b/crates/testbed/src/fleet/node.rs
@@ -35,7 +35,7 @@
 /// Slow start: the share of its capacity that a cold node bears at first.
 pub(crate) const SLOW_START_INITIAL_SHARE: f64 = 0.25;
 /// Slow start: the time after which a node bears all of its capacity, in seconds.
-pub(crate) const SLOW_START_WINDOW: f64 = 6.0;
+pub(crate) const SLOW_START_WINDOW_SECONDS: f64 = 6.0;
 /// Slow start: the multiple of what it bears at which a cold node collapses.
 pub(crate) const COLLAPSE_MULTIPLE: f64 = 3.0;
 
@@ -103,7 +103,7 @@
     /// Until when it is down: crashed, or collapsed.
     down_until: Seconds,
     /// When it has left the list, grace included.
-    left_at: Option<Seconds>,
+    stray_after: Option<Seconds>,
     /// By director.
     cuts: HashMap<usize, CutDirection>,
     connections: Vec<Arc<TcpStream>>,
@@ -131,7 +131,7 @@
     pub(crate) capacity: f64,
     pub(crate) max_copies: usize,
     /// Whether effects of an old holder are refused.
-    pub(crate) is_guarded: bool,
+    pub(crate) rejects_stale_tokens: bool,
 }
 
 /// One node.
@@ -142,7 +142,7 @@
     pub(crate) capacity: f64,
     pub(crate) address: SocketAddr,
     max_copies: usize,
-    is_guarded: bool,
+    rejects_stale_tokens: bool,
     started: Instant,
     over: Arc<AtomicBool>,
     state: Mutex<NodeState>,
@@ -167,7 +167,7 @@
             capacity: settings.capacity,
             address: listener.local_addr()?,
             max_copies: settings.max_copies,
-            is_guarded: settings.is_guarded,
+            rejects_stale_tokens: settings.rejects_stale_tokens,
             started,
             over: Arc::clone(over),
             state: Mutex::new(NodeState {
@@ -176,7 +176,7 @@
                 slowdown: 1.0,
                 stopped_until: 0.0,
                 down_until: 0.0,
-                left_at: None,
+                stray_after: None,
                 cuts: HashMap::new(),
                 connections: Vec::new(),
                 health_check_guard: FencingGuard::default(),
@@ -288,7 +288,7 @@
         state.health_check_guard = FencingGuard::default();
         state.warming_guard = FencingGuard::default();
         state.down_until = 0.0;
-        state.left_at = None;
+        state.stray_after = None;
         state.counts.after_restart.clear();
         state.counts.cold_since = Some(self.now());
         unix_ms()
@@ -296,7 +296,7 @@
 
     /// It has left the list: nothing is to come after so many seconds.
     pub(crate) fn leave(&self, grace: f64) {
-        lock(&self.state).left_at = Some(self.now() + grace);
+        lock(&self.state).stray_after = Some(self.now() + grace);
     }
 
     /// What it has counted up to now.
--- a/crates/testbed/src/fleet/node/requests.rs
+++ b/crates/testbed/src/fleet/node/requests.rs
@@ -10,7 +10,7 @@
 
 use super::{
     COLLAPSE_MULTIPLE, CutDirection, DelayedAnswer, HealthCheck, Node, NodeState, NodesByName,
-    RequestAfterRestart, SLOW_START_INITIAL_SHARE, SLOW_START_WINDOW, Seconds, SenderInSecond, Tier,
+    RequestAfterRestart, SLOW_START_INITIAL_SHARE, SLOW_START_WINDOW_SECONDS, Seconds, SenderInSecond, Tier,
 };
 use crate::clock::unix_ms;
 use crate::pull_request::{PullRequest, PullRequestError};
@@ -19,7 +19,7 @@
 /// A node queues work for so long at most; what would wait longer is turned away.
 const MAX_QUEUE_SECONDS: f64 = 0.6;
 /// What the network takes beside the work.
-const NETWORK_DELAY: f64 = 0.002;
+const NETWORK_DELAY_SECONDS: f64 = 0.002;
 /// How long a fetch at the origin takes.
 const ORIGIN_FETCH_SECONDS: f64 = 0.02;
 /// How long a cold node that collapsed is down.
@@ -98,7 +98,7 @@
     /// The share of its capacity that it bears.
     fn warm_share(&self, now: Seconds) -> f64 {
         let Some(cold_since) = self.counts.cold_since else { return 1.0 };
-        let grown = (1.0 - SLOW_START_INITIAL_SHARE) * (now - cold_since) / SLOW_START_WINDOW;
+        let grown = (1.0 - SLOW_START_INITIAL_SHARE) * (now - cold_since) / SLOW_START_WINDOW_SECONDS;
         (SLOW_START_INITIAL_SHARE + grown).min(1.0)
     }
 }
@@ -183,7 +183,7 @@
         if now < state.down_until || state.cuts.get(&member) == Some(&CutDirection::To) {
             return None;
         }
-        let refused = state.health_check_guard.admit(tag.token).err().filter(|_| self.is_guarded);
+        let refused = state.health_check_guard.admit(tag.token).err().filter(|_| self.rejects_stale_tokens);
         let is_admitted = refused.is_none();
         state.counts.health_checks.push(HealthCheck { at: now, token: tag.token, is_admitted });
         let is_cut = state.cuts.contains_key(&member);
@@ -200,7 +200,7 @@
     fn refuse_warming(&self, tag: HealthCheckTag) -> Option<HealthCheckTag> {
         let mut state = lock(&self.state);
         match state.warming_guard.admit(tag.token) {
-            Err(stale) if self.is_guarded => {
+            Err(stale) if self.rejects_stale_tokens => {
                 state.counts.warming_refused += 1;
                 Some(newest_tag(stale.highest))
             }
@@ -225,7 +225,8 @@
                 return PullOutcome::Silence;
             }
             state.counts.senders.insert(SenderInSecond { second: now as u32, director });
-            state.counts.stray_requests += u64::from(state.left_at.is_some_and(|left_at| now > left_at));
+            state.counts.stray_requests +=
+                u64::from(state.stray_after.is_some_and(|stray_after| now > stray_after));
             state.cuts.contains_key(&director)
         };
         if !is_warming {
@@ -255,7 +256,7 @@
             (None, Some(source)) => match source.fill(now, object) {
                 Some((filled_at, issued_ms)) => {
                     self.keep(object, issued_ms);
-                    let due = done_at.max(filled_at) + NETWORK_DELAY;
+                    let due = done_at.max(filled_at) + NETWORK_DELAY_SECONDS;
                     PullOutcome::Copy { due, issued_ms, is_hit: false }
                 }
                 None => PullOutcome::Error { due: done_at },
@@ -281,7 +282,7 @@
 
     /// Counts a request and queues its work. Returns when that is done, or why it is not begun.
     fn work(&self, now: Seconds) -> Result<Seconds, PullOutcome> {
-        let due = now + NETWORK_DELAY;
+        let due = now + NETWORK_DELAY_SECONDS;
         let mut state = lock(&self.state);
         let load = state.count_request(now);
         if now < state.down_until {
@@ -298,7 +299,7 @@
             return Err(PullOutcome::Overloaded { due });
         }
         state.free_at = begins_at + state.slowdown / (self.capacity * share);
-        Ok(state.free_at + NETWORK_DELAY)
+        Ok(state.free_at + NETWORK_DELAY_SECONDS)
     }
 
     /// When the copy of an object was made, if there is one.
--- a/crates/testbed/src/fleet/report.rs
+++ b/crates/testbed/src/fleet/report.rs
@@ -7,7 +7,7 @@
 
 use super::coordination_report::CoordinationReport;
 use super::load::ClientTally;
-use super::node::{NodeCounts, SLOW_START_WINDOW, SenderInSecond, Tier};
+use super::node::{NodeCounts, SLOW_START_WINDOW_SECONDS, SenderInSecond, Tier};
 use super::settings::Trial;
 use crate::trial_report::{Chart, TrialReport};
 
@@ -17,7 +17,7 @@
 const EVEN_RATIO: f64 = 1.5;
 const TENTHS_PER_SECOND: usize = 10;
 /// If this program itself was woken so much too late, the machine was too busy to judge by.
-const BUSY_MACHINE_DELAY: f64 = 0.1;
+const BUSY_MACHINE_DELAY_SECONDS: f64 = 0.1;
 
 /// A node's counts, with its capacity.
 pub(crate) struct NodeOutcome {
@@ -178,7 +178,7 @@
 
     /// Whether a node was cold or struck by a fault in this time.
     fn is_disturbed(&self, node: &NodeOutcome, from: f64, to: f64) -> bool {
-        let is_cold = node.counts.cold_since.is_some_and(|since| since + SLOW_START_WINDOW > from);
+        let is_cold = node.counts.cold_since.is_some_and(|since| since + SLOW_START_WINDOW_SECONDS > from);
         is_cold
             || self
                 .faults
@@ -188,25 +188,25 @@
 
     /// How even the load of the undisturbed nodes of a tier was; none if there are none.
     fn evenness(&self, tier: Tier, from: usize, to: usize) -> Option<Evenness> {
-        let is_meant =
+        let is_selected =
             |node: &&NodeOutcome| node.tier == tier && !self.is_disturbed(node, from as f64, to as f64);
-        let nodes: Vec<&NodeOutcome> = self.nodes.iter().filter(is_meant).collect();
+        let nodes: Vec<&NodeOutcome> = self.nodes.iter().filter(is_selected).collect();
         let requests: u32 = nodes.iter().map(|node| node.requests(from, to)).sum();
         let capacity: f64 = nodes.iter().map(|node| node.capacity).sum();
-        let over_share = |node: &NodeOutcome| {
+        let load_ratio = |node: &NodeOutcome| {
             f64::from(node.requests(from, to)) / node.capacity * capacity / f64::from(requests.max(1))
         };
-        let by_share = |a: &&&NodeOutcome, b: &&&NodeOutcome| over_share(a).total_cmp(&over_share(b));
-        let (most, least) = (nodes.iter().max_by(by_share)?, nodes.iter().min_by(by_share)?);
+        let by_load_ratio = |a: &&&NodeOutcome, b: &&&NodeOutcome| load_ratio(a).total_cmp(&load_ratio(b));
+        let (most, least) = (nodes.iter().max_by(by_load_ratio)?, nodes.iter().min_by(by_load_ratio)?);
         let is_clear = |fault: &FaultWindow| {
             fault.from >= to as f64 || fault.to + EVENNESS_WINDOW_SECONDS as f64 <= from as f64
         };
         Some(Evenness {
             from,
             tier,
-            most: over_share(most),
+            most: load_ratio(most),
             most_at: most.name.clone(),
-            least: over_share(least),
+            least: load_ratio(least),
             least_at: least.name.clone(),
             load: f64::from(requests) / capacity / (to - from) as f64,
             calm: self.faults.iter().all(is_clear),
@@ -224,19 +224,19 @@
     }
 
     /// The largest load of a cache over its fair share in a second.
-    fn max_over_share(&self, second: usize) -> f64 {
+    fn max_load_ratio(&self, second: usize) -> f64 {
         self.evenness(Tier::Cache, second, second + 1).map_or(0.0, |evenness| evenness.most)
     }
 
     fn aftermath(&self, fault: &FaultWindow) -> FaultAftermath {
         let end = fault.to.ceil() as usize;
-        let is_even = |second: usize| self.max_over_share(second) <= EVEN_RATIO;
+        let is_even = |second: usize| self.max_load_ratio(second) <= EVEN_RATIO;
         let even_at =
             (end..self.seconds().saturating_sub(1)).find(|&second| is_even(second) && is_even(second + 1));
         FaultAftermath {
             what: fault.what.clone(),
             at: fault.from,
-            next_second: self.max_over_share(fault.from.ceil() as usize),
+            next_second: self.max_load_ratio(fault.from.ceil() as usize),
             even_after: even_at.map(|second| second as f64 - fault.to),
         }
     }
@@ -418,7 +418,7 @@
             "new senders at a cache within a second, part of all directors: most {:.2}, mean {:.2}; idle seconds of nodes {:.4}",
             self.herd_max, self.herd_mean, self.idle_share
         )?;
-        if self.max_wake_delay > BUSY_MACHINE_DELAY {
+        if self.max_wake_delay > BUSY_MACHINE_DELAY_SECONDS {
             writeln!(
                 f,
                 "the machine was too busy: this program was woken {:.2} s late",
--- a/crates/testbed/src/fleet/run.rs
+++ b/crates/testbed/src/fleet/run.rs
@@ -37,16 +37,16 @@
 /// Copies of discovery, each of which publishes changes at its own time.
 const DISCOVERY_COPIES: usize = 3;
 /// The list says so much later that a node has crashed.
-const CRASH_NOTICE_SECONDS: f64 = 0.7;
+const CRASH_NOTICE_DELAY_SECONDS: f64 = 0.7;
 /// How long after the list says that a node has gone requests may still come to it.
-const DRAIN_GRACE: f64 = 2.0;
-const STRAY_TOLERANCE: f64 = 0.5;
+const DRAIN_GRACE_SECONDS: f64 = 2.0;
+const STRAY_TOLERANCE_SECONDS: f64 = 0.5;
 const START_TIMEOUT: Duration = Duration::from_secs(60);
 const STEP_INTERVAL: Duration = Duration::from_millis(5);
 /// How long after the load's end the last answers may come.
-const LAST_ANSWERS: Duration = Duration::from_millis(BUDGET_MS + 600);
+const LAST_ANSWER_TIMEOUT: Duration = Duration::from_millis(BUDGET_MS + 600);
 /// When the first change of the hierarchy is proposed, and how soon again if nobody accepts it.
-const FIRST_PROPOSAL_AT: f64 = 2.0;
+const FIRST_PROPOSAL_SECONDS: f64 = 2.0;
 const PROPOSAL_RETRY_SECONDS: f64 = 0.5;
 
 /// What is to be done at its time.
@@ -98,12 +98,12 @@
     progress(&format!("{} directors serve after {elapsed:.1} s", trial.directors));
 
     let targets = FaultTargets { trial, program, nodes, directors, discovery, coordination };
-    let mut load = Load::start(targets, nodes_started, rng, &over);
+    let mut load = LoadPhase::start(targets, nodes_started, rng, &over);
     load.run(&mut progress)?;
     let measured = load.measure();
     over.store(true, Ordering::Relaxed);
     state.finish();
-    std::thread::sleep(LAST_ANSWERS);
+    std::thread::sleep(LAST_ANSWER_TIMEOUT);
     Ok(load.report(&measured))
 }
 
@@ -138,7 +138,7 @@
                 tier,
                 capacity: capacity(trial, tier) * speed,
                 max_copies,
-                is_guarded: trial.duties.as_ref().is_none_or(|duties| !duties.no_gate),
+                rejects_stale_tokens: trial.duties.as_ref().is_none_or(|duties| !duties.no_gate),
             };
             let (node, listener) = Node::start(settings, started, over).map_err(io_error("a stand-in"))?;
             nodes.push(node);
@@ -218,7 +218,7 @@
 }
 
 /// The time under load.
-struct Load<'a> {
+struct LoadPhase<'a> {
     trial: &'a Trial,
     targets: FaultTargets<'a>,
     rng: Pcg32,
@@ -226,7 +226,7 @@
     /// The same by the wall clock.
     start_ms: u64,
     /// By how much the clock of the nodes is ahead.
-    node_clock_shift: f64,
+    node_clock_offset: f64,
     /// The CPU time of all directors before the load.
     cpu_seconds_before: f64,
     faults: Vec<Fault>,
@@ -242,27 +242,27 @@
     reported_second: u64,
 }
 
-impl<'a> Load<'a> {
+impl<'a> LoadPhase<'a> {
     /// Starts the clients of all directors and plans the faults.
     fn start(
         mut targets: FaultTargets<'a>,
         nodes_started: Instant,
         mut rng: Pcg32,
         over: &Arc<AtomicBool>,
-    ) -> Load<'a> {
+    ) -> LoadPhase<'a> {
         let trial = targets.trial;
         let start = Instant::now();
         start_clients(trial, &mut targets.directors, start, over);
         let start_ms = unix_ms();
         let cpu_seconds_before = cpu_seconds(&targets.directors);
         let faults: Vec<Fault> = trial.faults.iter().cloned().chain(draw_faults(trial, &mut rng)).collect();
-        Load {
+        LoadPhase {
             trial,
             targets,
             rng,
             start,
             start_ms,
-            node_clock_shift: (start - nodes_started).as_secs_f64(),
+            node_clock_offset: (start - nodes_started).as_secs_f64(),
             cpu_seconds_before,
             actions: planned_actions(trial, &faults),
             faults,
@@ -319,7 +319,7 @@
         let fault = &active.fault;
         if fault.kind == FaultKind::CrashCaches {
             let announcement = ScheduledAction::AnnounceGone(active.nodes.clone());
-            self.actions.push((now + CRASH_NOTICE_SECONDS, announcement));
+            self.actions.push((now + CRASH_NOTICE_DELAY_SECONDS, announcement));
         }
         let nodes: Vec<String> =
             active.nodes.iter().map(|node| self.targets.nodes[*node].name.clone()).collect();
@@ -346,7 +346,7 @@
         let nodes: Vec<&Arc<Node>> = numbers.iter().map(|number| &self.targets.nodes[*number]).collect();
         let endpoints: Vec<Value> = nodes.iter().map(|node| endpoint_of(node, "gone", 0)).collect();
         for node in nodes {
-            node.leave(DRAIN_GRACE + self.trial.late_lists + STRAY_TOLERANCE);
+            node.leave(DRAIN_GRACE_SECONDS + self.trial.late_lists + STRAY_TOLERANCE_SECONDS);
         }
         self.publish_later(&endpoints, now);
     }
@@ -422,7 +422,7 @@
         let mut outcomes = Vec::new();
         let mut health_checks = BTreeMap::new();
         for node in &self.targets.nodes {
-            let mut counts = shift_counts(node.counts(), self.node_clock_shift);
+            let mut counts = shift_counts(node.counts(), self.node_clock_offset);
             let mut checks = std::mem::take(&mut counts.health_checks);
             checks.retain(|check| check.at <= seconds);
             health_checks.insert(node.name.clone(), checks);
@@ -454,7 +454,7 @@
             leases: &leases,
         });
         let (seconds, directors) = (measured.seconds, self.trial.directors as f64);
-        report.bytes = links.links.bytes(|_| true).iter().sum::<u64>() as f64 / seconds / directors;
+        report.bytes = links.proxies.bytes(|_| true).iter().sum::<u64>() as f64 / seconds / directors;
         report.cpu = measured.cpu_seconds / seconds / directors;
         report.changes_proposed = self.proposals;
         report.refused_by_voters = measured.statuses.iter().map(|status| status.rejected_here).sum();
@@ -500,7 +500,7 @@
     }
     let interval = trial.duties.as_ref().map_or(0.0, |duties| duties.change_s);
     if interval > 0.0 {
-        let times = (0..).map(|number| (number, FIRST_PROPOSAL_AT + number as f64 * interval));
+        let times = (0..).map(|number| (number, FIRST_PROPOSAL_SECONDS + number as f64 * interval));
         let in_time = times.take_while(|(_, at)| at + interval <= trial.seconds as f64);
         actions.extend(in_time.map(|(number, at)| (at, ScheduledAction::ProposeHierarchy(number))));
     }
--- a/crates/testbed/src/fleet/settings.rs
+++ b/crates/testbed/src/fleet/settings.rs
@@ -121,7 +121,7 @@
     pub rounds: usize,
     /// The length of a round in seconds; its faults last half of that at most.
     #[garde(range(min = 1.0, max = 600.0))]
-    #[serde(default = "round_s")]
+    #[serde(default = "default_round_s")]
     pub round_s: f64,
     /// Whether restarted caches are warmed.
     #[garde(skip)]
@@ -133,11 +133,11 @@
     pub change_s: f64,
     /// The longest pause between health checks of a node that no fault strikes, in seconds.
     #[garde(range(min = 0.0, max = 600.0))]
-    #[serde(default = "gap")]
+    #[serde(default = "default_gap_s")]
     pub gap_s: f64,
     /// The most health checks of a node in a second, over the usual number.
     #[garde(range(min = 1.0, max = 100.0))]
-    #[serde(default = "burst")]
+    #[serde(default = "default_burst")]
     pub burst: f64,
     /// Nodes accept effects of old holders too, which a trial then has to show.
     #[garde(skip)]
@@ -145,15 +145,15 @@
     pub no_gate: bool,
 }
 
-fn round_s() -> f64 {
+fn default_round_s() -> f64 {
     5.0
 }
 
-fn gap() -> f64 {
+fn default_gap_s() -> f64 {
     600.0
 }
 
-fn burst() -> f64 {
+fn default_burst() -> f64 {
     100.0
 }
 
@@ -169,7 +169,7 @@
     pub at: f64,
     /// How many seconds it lasts.
     #[garde(range(min = 0.0, max = 600.0))]
-    #[serde(default = "second")]
+    #[serde(default = "default_one")]
     pub lasts: f64,
     /// The share of the caches, parents or directors that it strikes: one at least.
     #[garde(range(min = 0.0, max = 1.0))]
@@ -177,7 +177,7 @@
     pub of: f64,
     /// How many times longer slowed nodes work.
     #[garde(range(min = 1.0, max = 100.0))]
-    #[serde(default = "second")]
+    #[serde(default = "default_one")]
     pub by: f64,
 }
 
@@ -199,7 +199,7 @@
     pub seconds: u64,
     /// How many seconds at its start are left out of the figures on even load.
     #[garde(range(max = 600))]
-    #[serde(default = "warm_up")]
+    #[serde(default = "default_warm_up")]
     pub warm_up: u64,
     /// The number of directors.
     #[garde(range(min = 1, max = 400))]
@@ -221,15 +221,15 @@
     pub kept: usize,
     /// The load of caches and parents over their capacity, if caches answer `hits` themselves.
     #[garde(range(min = 0.05, max = 2.0))]
-    #[serde(default = "six_tenths")]
+    #[serde(default = "default_load")]
     pub load: f64,
     /// The hit ratio of caches that capacities assume.
     #[garde(range(min = 0.0, max = 0.99))]
-    #[serde(default = "half")]
+    #[serde(default = "default_hits")]
     pub hits: f64,
     /// How many times more lookups one in ten directors gets than the others.
     #[garde(range(min = 1.0, max = 50.0))]
-    #[serde(default = "second")]
+    #[serde(default = "default_one")]
     pub uneven: f64,
     /// By how much the speeds of nodes differ from the mean at most, as a share of it.
     #[garde(range(min = 0.0, max = 0.9))]
@@ -253,7 +253,7 @@
     pub faults: Vec<Fault>,
     /// The most that a node may get of its fair share in a window of five seconds with no fault in it or before it.
     #[garde(range(min = 1.0, max = 100.0))]
-    #[serde(default = "most")]
+    #[serde(default = "default_most")]
     pub most: f64,
     /// The least that it may get.
     #[garde(range(min = 0.0, max = 1.0))]
@@ -265,23 +265,23 @@
     pub satisfied: f64,
 }
 
-fn second() -> f64 {
+fn default_one() -> f64 {
     1.0
 }
 
-fn warm_up() -> u64 {
+fn default_warm_up() -> u64 {
     4
 }
 
-fn six_tenths() -> f64 {
+fn default_load() -> f64 {
     0.6
 }
 
-fn half() -> f64 {
+fn default_hits() -> f64 {
     0.5
 }
 
-fn most() -> f64 {
+fn default_most() -> f64 {
     100.0
 }
 
--- a/crates/testbed/src/node_stub.rs
+++ b/crates/testbed/src/node_stub.rs
@@ -88,7 +88,7 @@
     /// It fails everything until then.
     down_until_ms: AtomicU64,
     /// It has left the hierarchy, and nothing is to come here after this; 0: it has not.
-    left_at_ms: AtomicU64,
+    stray_after_ms: AtomicU64,
     load: Mutex<SecondCount>,
     next_fill: AtomicU64,
 }
@@ -185,7 +185,7 @@
             idle_connections: Mutex::default(),
             cold_since_ms: AtomicU64::new(0),
             down_until_ms: AtomicU64::new(0),
-            left_at_ms: AtomicU64::new(0),
+            stray_after_ms: AtomicU64::new(0),
             load: Mutex::default(),
             next_fill: AtomicU64::new(0),
         });
@@ -204,8 +204,8 @@
     }
 
     /// Counts what comes after this time (Unix milliseconds) as stray; none: nothing is.
-    pub(crate) fn set_left_at(&self, left_at_ms: Option<u64>) {
-        self.left_at_ms.store(left_at_ms.unwrap_or(0), Ordering::Relaxed);
+    pub(crate) fn set_stray_after(&self, stray_after_ms: Option<u64>) {
+        self.stray_after_ms.store(stray_after_ms.unwrap_or(0), Ordering::Relaxed);
     }
 
     /// Fails everything for a while.
@@ -279,8 +279,8 @@
             self.trial.count(|second| second.loops += 1);
             return PullOutcome::Error;
         }
-        let left_at_ms = self.left_at_ms.load(Ordering::Relaxed);
-        if left_at_ms > 0 && now_ms > left_at_ms {
+        let stray_after_ms = self.stray_after_ms.load(Ordering::Relaxed);
+        if stray_after_ms > 0 && now_ms > stray_after_ms {
             self.trial.count(|second| second.stray_requests += 1);
         }
         if self.is_overloaded(now_ms) {
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -12,8 +12,8 @@
 const TICKS_PER_SECOND: f64 = 100.0;
 /// Where `/proc/<pid>/stat` has the CPU time of the process and of the kernel for it, counted from the state, which
 /// follows the program's name.
-const USER_TICKS: usize = 11;
-const SYSTEM_TICKS: usize = 12;
+const USER_TICKS_FIELD: usize = 11;
+const SYSTEM_TICKS_FIELD: usize = 12;
 const KB_PER_MB: f64 = 1_024.0;
 
 /// Why a trial could not be carried out.
@@ -93,7 +93,7 @@
 
     /// The memory that it holds.
     pub(crate) fn resident_mb(&self) -> f64 {
-        megabytes(&format!("/proc/{}/status", self.0.id()), "VmRSS:")
+        read_megabytes(&format!("/proc/{}/status", self.0.id()), "VmRSS:")
     }
 }
 
@@ -110,11 +110,11 @@
     let after_name = stat.rsplit_once(") ").map_or("", |(_, rest)| rest);
     let ticks =
         |field: usize| after_name.split(' ').nth(field).and_then(|t| t.parse::<f64>().ok()).unwrap_or(0.0);
-    (ticks(USER_TICKS) + ticks(SYSTEM_TICKS)) / TICKS_PER_SECOND
+    (ticks(USER_TICKS_FIELD) + ticks(SYSTEM_TICKS_FIELD)) / TICKS_PER_SECOND
 }
 
 /// The size that a file of the system states in kB behind a key, in MB; 0 if it states none.
-fn megabytes(file: &str, key: &str) -> f64 {
+fn read_megabytes(file: &str, key: &str) -> f64 {
     let text = std::fs::read_to_string(file).unwrap_or_default();
     let line = text.lines().find_map(|line| line.strip_prefix(key));
     let kb = line.and_then(|line| line.split_whitespace().next()?.parse::<f64>().ok());
@@ -123,5 +123,5 @@
 
 /// The memory of the machine.
 pub(crate) fn machine_memory_mb() -> f64 {
-    megabytes("/proc/meminfo", "MemTotal:")
+    read_megabytes("/proc/meminfo", "MemTotal:")
 }
--- a/crates/testbed/src/trial_state.rs
+++ b/crates/testbed/src/trial_state.rs
@@ -74,7 +74,7 @@
     }
 
     /// The counts of the last second that is over; zeros before there is one.
-    pub(crate) fn last_whole_second(&self) -> Second {
+    pub(crate) fn last_complete_second(&self) -> Second {
         lock(&self.seconds).iter().rev().nth(1).cloned().unwrap_or_default()
     }
 
