--- a/crates/testbed/src/fleet/coordination_links.rs
+++ b/crates/testbed/src/fleet/coordination_links.rs
@@ -1,4 +1,4 @@
-//! Coordination in a trial: the links between members and voters, and the faults of holders.
+//! Coordination in a trial: the links between members and voters, and the faults injected into role holders.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,19 +9,19 @@
 use super::settings::CoordinationTrial;
 use crate::process::{TrialError, io_error};
 
-/// The voters of a trial, and the links of all members to them.
+/// The voters of a trial and the links of all members to them.
 pub(super) struct CoordinationLinks {
     pub(super) settings: CoordinationTrial,
     pub(super) voters: Vec<SocketAddr>,
     pub(super) proxies: LinkProxies,
-    /// What was done to holders.
+    /// The faults injected into role holders so far.
     pub(super) holder_faults: Vec<HolderFault>,
-    /// Requests a second that a cache bears.
+    /// The capacity of a cache of mean speed, in requests per second.
     cache_capacity: f64,
 }
 
 impl CoordinationLinks {
-    /// Makes a link from each member to each voter, which are the first members.
+    /// Creates a link from each member to each voter. The first members are the voters.
     pub(super) fn start(
         settings: &CoordinationTrial,
         cache_capacity: f64,
@@ -35,7 +35,7 @@
         Ok(CoordinationLinks { settings, voters, proxies, holder_faults: Vec::new(), cache_capacity })
     }
 
-    /// The coordination settings of one member, with its own proxies to the voters.
+    /// The coordination settings file of one member, with the addresses of its own links to the voters.
     pub(super) fn member_settings(&self, member: usize) -> String {
         let settings = &self.settings;
         let warming = match settings.warming {
@@ -51,7 +51,7 @@
             settings.probe_ms,
         );
         for (number, own_address) in self.voters.iter().enumerate() {
-            // A voter needs no link to itself.
+            // A member without a link to the voter gets the voter's own address.
             let address = self.proxies.address(member, number).unwrap_or(*own_address);
             text += &format!("(voter (number . {number}) (address . \"{address}\"))\n");
         }
--- a/crates/testbed/src/fleet/coordination_report.rs
+++ b/crates/testbed/src/fleet/coordination_report.rs
@@ -1,5 +1,5 @@
-//! How coordination fared in a trial: whether an old holder's effect was ever accepted, how long it took until another
-//! one held a role, how steadily nodes were checked.
+//! The coordination figures of a trial: whether a request of a former holder was accepted, how long takeovers of roles
+//! took, and how regular the health checks of nodes were.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -14,93 +14,93 @@
 use super::report::FaultWindow;
 use super::settings::CoordinationTrial;
 
-/// Pauses and bursts of a node are excused until so many seconds after a fault.
+/// Gaps and bursts of health checks at a node are excused until this long after a fault of the node.
 const EXCUSED_AFTER_SECONDS: f64 = 1.0;
-/// Hits at restarted caches are counted in spans of so many seconds.
+/// The length of each period after a cache's restart over which hits are counted.
 const AFTER_RESTART_SPAN_SECONDS: f64 = 5.0;
 
-/// The figures of coordination.
+/// The coordination figures of a trial.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct CoordinationReport {
-    /// Health checks that came to nodes.
+    /// Health checks that arrived at nodes.
     #[serde(rename = "probes")]
     pub health_checks: u64,
-    /// Of these, those that nodes refused, as they came from an old holder.
+    /// Health checks that nodes rejected because they came from a former holder.
     pub refused: u64,
-    /// Messages of old holders that voters refused, since the last start of each.
+    /// Messages of former holders that voters rejected, since each voter's last start.
     pub refused_by_voters: u64,
-    /// Older assignments that members ignored, since the last start of each.
+    /// Stale assignments that members ignored, since each member's last start.
     #[serde(rename = "passed_over")]
     pub stale_assignments: u64,
-    /// Health checks that a node accepted although it had accepted a newer token before.
+    /// Health checks that a node accepted although it had already accepted a newer token.
     #[serde(rename = "disorder")]
     pub stale_accepted: u64,
-    /// Tokens under which a node accepted health checks of two holders.
+    /// Fencing tokens with whose term a node accepted health checks of two holders.
     #[serde(rename = "twins")]
     pub shared_tokens: u64,
-    /// Terms with two holders: all voters had forgotten them.
+    /// Terms with two holders, which occur if all voters have lost their memory of the term.
     #[serde(rename = "same_term")]
     pub reused_terms: u64,
-    /// Leases that began.
+    /// Leases that were acquired.
     #[serde(rename = "owners")]
     pub leases: u64,
-    /// Seconds from the fault of a holder until another one held the role: median, 99th percentile, maximum.
+    /// Seconds from the fault of a holder until another member held the role: median, 99th percentile, maximum.
     pub takeover: [f64; 3],
-    /// Faults of holders.
+    /// Faults injected into holders.
     #[serde(rename = "blows")]
     pub holder_faults: usize,
-    /// Of these, those after which nobody held the role before the next one.
+    /// Faults of holders after which no other member held the role before the next such fault.
     #[serde(rename = "unanswered")]
     pub without_takeover: usize,
-    /// The longest pause between two health checks of a node, in seconds.
+    /// The longest gap between two health checks of a node, in seconds.
     pub gap: f64,
-    /// Where it was.
+    /// The node with the longest gap.
     pub gap_at: String,
-    /// The most health checks of one node in a second.
+    /// The highest number of health checks of one node within a second.
     pub burst: u32,
-    /// This over the usual number.
+    /// The ratio of `burst` to the configured rate.
     pub burst_times: f64,
-    /// Health checks of a node a second, on average.
+    /// Health checks per node and second, on average.
     pub rate: f64,
-    /// Bytes a second between a member and all voters, both ways.
+    /// Bytes per second between one member and all voters, in both directions, on average.
     pub bytes: f64,
-    /// The CPU time of a director, in seconds a second.
+    /// The CPU use of one director on average, in seconds per second.
     pub cpu: f64,
     /// Changes of the hierarchy that were proposed.
     #[serde(rename = "wished")]
     pub changes_proposed: u64,
-    /// Changes that began.
+    /// Changes that were started.
     #[serde(rename = "changes")]
     pub changes_begun: u64,
     /// Changes that ended.
     #[serde(rename = "changed")]
     pub changes_ended: u64,
-    /// How often a member applied an older version than it had since its start.
+    /// How often a member applied an older version than the one that it had applied since its start.
     #[serde(rename = "back")]
     pub regressions: u64,
-    /// The largest difference between the versions of two members.
+    /// The largest difference between the version numbers of two members.
     #[serde(rename = "apart")]
     pub max_version_difference: u64,
-    /// The newest version.
+    /// The newest version that a member applied.
     pub version: u64,
-    /// Requests that warmed caches.
+    /// Accepted cache warming requests.
     #[serde(rename = "warmed")]
     pub warming_requests: u64,
-    /// Of old holders, which were refused.
+    /// Cache warming requests of former holders, which nodes rejected.
     #[serde(rename = "warm_refused")]
     pub warming_refused: u64,
-    /// At restarted caches, in the first five seconds and in the next: requests with a copy there, and all.
+    /// Hits and all requests at restarted caches, in the first five seconds after the restart and in the next five.
     #[serde(rename = "fresh")]
     pub hits_after_restart: [(u64, u64); 2],
 }
 
-/// What was seen of health checks and leases. Times count from the start of the load.
+/// The observed health checks, faults and leases of a trial. Times count from the start of the load.
 pub(crate) struct Observations<'a> {
     pub(crate) settings: &'a CoordinationTrial,
-    /// How long the load lasted.
+    /// The duration of the load.
     pub(crate) seconds: Seconds,
     pub(crate) warm_up: Seconds,
-    /// By node.
+    /// Health checks by node.
     pub(crate) health_checks: &'a BTreeMap<String, Vec<HealthCheck>>,
     pub(crate) faults: &'a [FaultWindow],
     pub(crate) holder_faults: &'a [HolderFault],
@@ -108,7 +108,7 @@
 }
 
 impl Observations<'_> {
-    /// Whether a fault of a node excuses pauses and bursts in this time.
+    /// Whether a fault of the node excuses gaps and bursts in this period.
     fn excuses(&self, node: &str, from: Seconds, to: Seconds) -> bool {
         self.faults.iter().any(|fault| {
             fault.nodes.iter().any(|name| name == node)
@@ -117,7 +117,7 @@
         })
     }
 
-    /// Health checks of a node a second, as the settings ask for.
+    /// The configured number of health checks per node and second, but at least 1.
     fn usual_rate(&self) -> f64 {
         (1_000.0 / self.settings.probe_ms as f64).max(1.0)
     }
@@ -142,7 +142,7 @@
         report
     }
 
-    /// The order of the tokens that a node accepted.
+    /// Adds the figures on the fencing tokens of one node's health checks.
     fn add_tokens(&mut self, checks: &[HealthCheck]) {
         self.health_checks += checks.len() as u64;
         let mut newest_term = 0;
@@ -159,7 +159,7 @@
         self.shared_tokens += holders.values().filter(|holders| holders.len() > 1).count() as u64;
     }
 
-    /// Pauses between the health checks that a node accepted.
+    /// Updates the longest gap with the accepted health checks of one node.
     fn add_gaps(&mut self, observations: &Observations, node: &str, checks: &[HealthCheck]) {
         let times = checks.iter().filter(|check| check.is_admitted).map(|check| check.at);
         let mut last = observations.warm_up;
@@ -171,13 +171,13 @@
         }
     }
 
-    /// Health checks of a node within a second.
+    /// Updates the largest burst with the health checks of one node.
     fn add_bursts(&mut self, observations: &Observations, node: &str, checks: &[HealthCheck]) {
         let times: Vec<Seconds> =
             checks.iter().map(|check| check.at).filter(|at| *at >= observations.warm_up).collect();
         for (i, at) in times.iter().enumerate() {
             let in_second = times[i..].iter().take_while(|later| **later < at + 1.0).count() as u32;
-            // What was held back comes at once when that is over.
+            // Health checks that were delayed by a fault arrive all at once when the fault ends.
             if in_second > self.burst && !observations.excuses(node, *at, at + 1.0) {
                 self.burst = in_second;
             }
@@ -193,7 +193,7 @@
         self.leases = observations.leases.len() as u64;
     }
 
-    /// How long after the fault of a holder another member held its role.
+    /// Adds the times from the fault of each holder until another member held the role.
     fn add_takeovers(&mut self, observations: &Observations) {
         let mut times = Vec::new();
         for (i, fault) in observations.holder_faults.iter().enumerate() {
@@ -216,9 +216,9 @@
         }
     }
 
-    /// Adds what the directors' logs tell of the hierarchy.
+    /// Adds the hierarchy figures from the directors' logs.
     pub(crate) fn add_versions(&mut self, logs: &[&Path]) {
-        // The time, the member, and its version then; 0: none.
+        // Time, member, and the version that the member applied at that time; 0 means none.
         let mut applied: Vec<(u64, usize, u64)> = Vec::new();
         for (member, log) in logs.iter().enumerate() {
             for (at, event) in hierarchy_events(log) {
@@ -243,7 +243,7 @@
         }
     }
 
-    /// Adds the requests at a cache that was restarted then.
+    /// Adds the requests at a cache that was restarted at `restarted_at`.
     pub(crate) fn add_after_restart(&mut self, restarted_at: Seconds, requests: &[RequestAfterRestart]) {
         for request in requests {
             let span = ((request.at - restarted_at) / AFTER_RESTART_SPAN_SECONDS) as usize;
@@ -256,23 +256,26 @@
 
     pub(crate) fn violations(&self, settings: &CoordinationTrial) -> Vec<String> {
         let must_be_zero = [
-            ("effects of an old holder that were accepted", self.stale_accepted),
-            ("tokens under which two holders were accepted", self.shared_tokens),
-            ("versions of the hierarchy that went back at a member", self.regressions),
-            ("versions that were two steps apart at two members", u64::from(self.max_version_difference > 1)),
-            ("coordination: no node was checked", u64::from(self.health_checks == 0)),
+            ("health checks of a former holder that were accepted", self.stale_accepted),
+            ("fencing tokens with two accepted holders", self.shared_tokens),
+            ("hierarchy versions that a member replaced with an older one", self.regressions),
+            (
+                "members whose hierarchy versions differed by more than one",
+                u64::from(self.max_version_difference > 1),
+            ),
+            ("coordination: no health check arrived at any node", u64::from(self.health_checks == 0)),
         ];
         let found = must_be_zero.iter().filter(|(_, count)| *count > 0);
         let mut violations: Vec<String> = found.map(|(what, count)| format!("{what}: {count}")).collect();
         if self.gap > settings.gap_s {
             violations.push(format!(
-                "{} was not checked for {:.1} s, of {:.1}",
+                "{} got no health check for {:.1} s, limit {:.1} s",
                 self.gap_at, self.gap, settings.gap_s
             ));
         }
         if self.burst_times > settings.burst {
             violations.push(format!(
-                "a node was checked {:.1} times as often as usual, of {:.1}",
+                "health checks of a node reached {:.1} times the configured rate, limit {:.1}",
                 self.burst_times, settings.burst
             ));
         }
@@ -294,7 +297,7 @@
         )?;
         writeln!(
             f,
-            "longest pause of a node {:.2} s, most in a second {} ({:.1} times the usual)",
+            "longest pause of a node {:.2} s, maximum in a second {} ({:.1} times the configured rate)",
             self.gap, self.burst, self.burst_times
         )
     }
--- a/crates/testbed/src/fleet/coordination_watch.rs
+++ b/crates/testbed/src/fleet/coordination_watch.rs
@@ -1,4 +1,4 @@
-//! What a trial learns of coordination from outside: it asks members for their status, and reads directors' logs.
+//! Observes coordination from outside the directors: asks members for their status and reads the directors' logs.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -14,22 +14,22 @@
 const STATUS_TIMEOUT: Duration = Duration::from_millis(300);
 const PROPOSAL_TIMEOUT: Duration = Duration::from_millis(500);
 const DAY_MS: u64 = 86_400_000;
-/// A line of a director's log at the begin of a lease, with its fields behind it.
+/// The start of the log line with which a director reports a new lease. The fields follow it.
 const LEASE_LINE: &str = "coordination lease acquired ";
 const LEASE_ROLE_FIELD: &str = "role";
-/// A line at the start of a director.
+/// The start of the log line of a director that has started.
 const START_LINE: &str = "coordination member number=";
 
-/// A fault of the holder of a role.
+/// A fault injected into the holder of a role.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct HolderFault {
     pub(crate) at: Seconds,
-    /// The holder.
+    /// The number of the member that held the role.
     pub(crate) member: usize,
     pub(crate) role: RoleId,
 }
 
-/// The begin of a lease, by the log of its holder.
+/// The start of a lease, from the log of its holder.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct LeaseStart {
     pub(crate) at: Seconds,
@@ -38,12 +38,12 @@
     pub(crate) term: u64,
 }
 
-/// A line of a director's log that tells of the hierarchy.
+/// A change of the hierarchy, from a line of a director's log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HierarchyEvent {
-    /// The director started and has no version.
+    /// The director has started and has no version yet.
     Started,
-    /// It applied a version.
+    /// The director has applied a version.
     Applied {
         version: u64,
     },
@@ -51,12 +51,12 @@
     ChangeEnded,
 }
 
-/// The trial as it calls members: none of their number.
+/// The sender of the trial's calls, with a number that no member has.
 fn observer() -> Member {
     Member { number: u32::MAX, incarnation: 0 }
 }
 
-/// The status of a member; none if it does not answer.
+/// The status of a member, or `None` if the member does not answer.
 pub(crate) fn member_status(address: SocketAddr) -> Option<MemberStatus> {
     let request = Request { from: observer(), messages: vec![Message::ShowStatus] };
     let replies = call_member(address, &request, STATUS_TIMEOUT).ok()?;
@@ -66,7 +66,7 @@
     })
 }
 
-/// Which of the voters holds a role now.
+/// The number of the voter that holds a role now.
 pub(crate) fn find_holder(voters: &[SocketAddr], role: RoleId) -> Option<usize> {
     voters.iter().position(|address| {
         member_status(*address)
@@ -74,7 +74,7 @@
     })
 }
 
-/// Proposes a version of the hierarchy to the holder of its role. Whether it was accepted.
+/// Proposes a hierarchy version to the holder of the hierarchy role. Returns whether the proposal was accepted.
 pub(crate) fn propose_hierarchy(holder: SocketAddr, settings: &str) -> bool {
     let proposal = Message::Propose { role: HIERARCHY_ROLE, bytes: settings.as_bytes().to_vec() };
     let request = Request { from: observer(), messages: vec![proposal] };
@@ -82,7 +82,7 @@
     call_member(holder, &request, PROPOSAL_TIMEOUT).is_ok_and(|replies| replies.contains(&accepted))
 }
 
-/// The time of day of a line of a log, in milliseconds.
+/// The time of day of a log line, in milliseconds.
 fn time_of_day_ms(line: &str) -> Option<u64> {
     let clock = line.get(11..23)?;
     let parts = [clock.get(0..2)?, clock.get(3..5)?, clock.get(6..8)?, clock.get(9..12)?];
@@ -90,17 +90,17 @@
     Some(((hours? * 60 + minutes?) * 60 + seconds?) * 1_000 + millis?)
 }
 
-/// The number in a field `name=number`.
+/// The value of a field `name=number`.
 fn number_field(line: &str, name: &str) -> Option<u64> {
     line.split(' ').find_map(|field| field.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
 }
 
-/// The leases that a director held, by its log. Times count from `start_ms` (Unix milliseconds).
+/// The leases that a director held, from its log. Times count from `start_ms` (Unix milliseconds).
 pub(crate) fn lease_starts(member: usize, log: &Path, start_ms: u64) -> Vec<LeaseStart> {
     let text = std::fs::read_to_string(log).unwrap_or_default();
     let lease_start = |line: &str| {
         let fields = line.split_once(LEASE_LINE)?.1;
-        // Directors' own times are of no wall clock. Those of log lines are, within one day.
+        // The times in a director's fields are not wall clock times. The time of the log line is, but only within a day.
         let since_ms = (time_of_day_ms(line)? + DAY_MS - start_ms % DAY_MS) % DAY_MS;
         Some(LeaseStart {
             at: since_ms as f64 / 1e3,
@@ -112,7 +112,7 @@
     text.lines().filter_map(lease_start).collect()
 }
 
-/// What a director's log tells of the hierarchy, with the time of day in milliseconds.
+/// The hierarchy events of a director's log, each with its time of day in milliseconds.
 pub(crate) fn hierarchy_events(log: &Path) -> Vec<(u64, HierarchyEvent)> {
     let text = std::fs::read_to_string(log).unwrap_or_default();
     let event = |line: &str| {
--- a/crates/testbed/src/fleet/director.rs
+++ b/crates/testbed/src/fleet/director.rs
@@ -1,4 +1,4 @@
-//! The directors of a trial: process, configuration, clients.
+//! The directors of a trial: their processes, configurations and clients.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -12,14 +12,14 @@
 use crate::discovery_stub::DiscoveryStub;
 use crate::process::{ChildProcess, TrialError, io_error};
 
-/// The rate of one transfer from a node.
+/// The rate of one transfer from a node, as directors assume it.
 const STREAM_KB_PER_S: f64 = 400.0;
 
 /// The files of one director.
 pub(super) struct DirectorFiles {
     pub(super) config: PathBuf,
     pub(super) log: PathBuf,
-    /// Its coordination settings, if the trial has coordination.
+    /// The coordination settings, if the trial has coordination.
     pub(super) coordination: Option<PathBuf>,
 }
 
@@ -28,29 +28,29 @@
     pub(super) files: DirectorFiles,
     pub(super) address: SocketAddr,
     pub(super) process: ChildProcess,
-    /// None until the load begins.
+    /// `None` until the load begins.
     pub(super) clients: Option<Arc<Clients>>,
-    /// Which copy of discovery it follows.
+    /// The number of the discovery copy that the director subscribes to.
     pub(super) discovery: usize,
-    /// Killed by the trial, and not started again yet.
+    /// Whether the trial has killed the process and not restarted it yet.
     pub(super) is_killed: bool,
 }
 
 impl Director {
-    /// Starts it for the first time.
+    /// Starts the director for the first time.
     pub(super) fn start(
         files: DirectorFiles,
         address: SocketAddr,
         discovery: usize,
         program: &dyn Fn() -> Command,
     ) -> Result<Director, TrialError> {
-        // That of an earlier run.
+        // Removes the log of an earlier run.
         let _ = std::fs::remove_file(&files.log);
         let process = spawn_director(program, &files.config, &files.log, files.coordination.as_deref())?;
         Ok(Director { files, address, process, clients: None, discovery, is_killed: false })
     }
 
-    /// Starts it again after it was killed.
+    /// Restarts the director after it was killed.
     pub(super) fn restart(&mut self, program: &dyn Fn() -> Command) -> Result<(), TrialError> {
         let files = &self.files;
         self.process = spawn_director(program, &files.config, &files.log, files.coordination.as_deref())?;
@@ -58,14 +58,14 @@
         Ok(())
     }
 
-    /// Kills it; its lookups until `to` are excused.
+    /// Kills the director, and excuses unanswered lookups until `to`.
     pub(super) fn kill(&mut self, now: f64, to: f64) -> Result<(), TrialError> {
         self.excuse(now, to);
         self.is_killed = true;
-        self.process.kill().map_err(io_error("a director's end"))
+        self.process.kill().map_err(io_error("killing a director"))
     }
 
-    /// It answers nothing in this time through no fault of its own.
+    /// Excuses unanswered lookups from `from` to `to`, while an injected fault affects the director.
     pub(super) fn excuse(&self, from: f64, to: f64) {
         if let Some(clients) = &self.clients {
             clients.excuse(from, to);
@@ -73,7 +73,7 @@
     }
 }
 
-/// Writes the configuration of a director, with all events up to now.
+/// Writes the configuration of a director, with all discovery events so far.
 pub(super) fn write_config(
     trial: &Trial,
     number: usize,
--- a/crates/testbed/src/fleet/fault_injection.rs
+++ b/crates/testbed/src/fleet/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Begins and ends the faults of a trial.
+//! Starts and ends the faults of a trial.
 
 use std::process::Command;
 use std::sync::Arc;
@@ -19,23 +19,23 @@
 use crate::process::TrialError;
 use crate::schedule::sample;
 
-/// Lookups that waited at a stopped director may still be late so many seconds after it was continued, ...
+/// Unanswered lookups are excused until this many seconds after a stopped director was continued.
 const STOP_TOLERANCE_SECONDS: f64 = 0.5;
-/// ... and at a killed one after it was started again.
+/// Unanswered lookups are excused until this many seconds after a killed director was restarted.
 const KILL_TOLERANCE_SECONDS: f64 = 2.0;
 
-/// A fault while it lasts, and what it strikes.
+/// A fault in progress and its targets.
 pub(super) struct ActiveFault {
     pub(super) fault: Fault,
-    /// Numbers of nodes.
+    /// The numbers of the affected nodes.
     pub(super) nodes: Vec<usize>,
-    /// Numbers of directors.
+    /// The numbers of the affected directors.
     pub(super) directors: Vec<usize>,
-    /// Links between members and voters.
+    /// The affected links between members and voters.
     pairs: Vec<Pair>,
 }
 
-/// What a fault does to the directors that it strikes.
+/// What a fault does to the affected directors.
 #[derive(Clone, Copy, PartialEq)]
 enum DirectorFault {
     Stop,
@@ -54,7 +54,7 @@
     }
 }
 
-/// Draws the rounds of faults that the settings ask for, after the faults of the file.
+/// Draws the configured rounds of faults, which follow the faults of the file.
 pub(super) fn draw_faults(trial: &Trial, rng: &mut Pcg32) -> Vec<Fault> {
     let Some(coordination) = &trial.duties else { return Vec::new() };
     let ends = trial.faults.iter().map(|fault| fault.at + fault.lasts);
@@ -76,20 +76,20 @@
     drawn
 }
 
-/// What faults strike.
+/// The processes, nodes and links into which faults are injected.
 pub(super) struct FaultTargets<'a> {
     pub(super) trial: &'a Trial,
     pub(super) program: &'a dyn Fn() -> Command,
-    /// Caches, parents, the origin.
+    /// Caches, then parents, then the origin.
     pub(super) nodes: Vec<Arc<Node>>,
     pub(super) directors: Vec<Director>,
-    /// Copies of discovery.
+    /// The discovery copies.
     pub(super) discovery: Vec<DiscoveryStub>,
     pub(super) coordination: Option<CoordinationLinks>,
 }
 
 impl FaultTargets<'_> {
-    /// Draws what a fault strikes and begins it.
+    /// Draws the targets of a fault and starts it.
     pub(super) fn begin(
         &mut self,
         fault: &Fault,
@@ -149,7 +149,7 @@
         ActiveFault { fault: fault.clone(), nodes, directors, pairs }
     }
 
-    /// The holder of the role that the fault is about, if there is one; it is noted.
+    /// The current holder of the role that the fault targets, if there is one. Records the fault for the report.
     fn find_target_holder(&mut self, kind: FaultKind, now: f64) -> Vec<usize> {
         let role = match kind {
             FaultKind::StopOwner | FaultKind::KillOwner => ASSIGNMENT_ROLE,
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Ends a fault. Returns the nodes that began anew, with when (Unix milliseconds).
+    /// Ends a fault. Returns the nodes that were restarted.
     pub(super) fn end(&mut self, active: &ActiveFault) -> Result<Vec<RestartedNode>, TrialError> {
         if let Some(coordination) = &self.coordination {
             for pair in &active.pairs {
@@ -208,7 +208,7 @@
         Ok(restarted)
     }
 
-    /// Starts a director again that was killed, with a configuration of now.
+    /// Restarts a killed director, with a configuration that holds all discovery events so far.
     fn restart(&mut self, number: usize) -> Result<(), TrialError> {
         let director = &mut self.directors[number];
         if !director.is_killed {
@@ -220,13 +220,15 @@
     }
 }
 
-/// A node that began anew, cold and empty.
+/// A node that was restarted cold and empty.
 pub(super) struct RestartedNode {
     pub(super) number: usize,
+    /// When the node was restarted, in Unix milliseconds.
     pub(super) since_ms: u64,
 }
 
-/// The links between a minority of the voters with a third of the other members, and all others.
+/// Draws a partition: the links that cross between a minority of the voters with a third of the other members, and
+/// everyone else.
 fn draw_partition(rng: &mut Pcg32, members: usize, voters: usize) -> Vec<Pair> {
     let minority = sample(rng, voters, (voters.saturating_sub(1) / 2) as f64 / voters as f64);
     let is_apart = |member: usize| {
--- a/crates/testbed/src/fleet/hierarchy_proposal.rs
+++ b/crates/testbed/src/fleet/hierarchy_proposal.rs
@@ -1,10 +1,10 @@
-//! The versions of the hierarchy that a trial proposes.
+//! The hierarchy versions that a trial proposes.
 
 use super::settings::Trial;
 
-/// The settings text of one of several shapes: all parents, or, for odd numbers, all but one.
+/// The hierarchy settings of one proposal: with all parents for even numbers, with all but one for odd numbers.
 pub(super) fn hierarchy_proposal(trial: &Trial, number: usize) -> String {
-    // No node or origin is ever full.
+    // Far above the total load, so that neither a node nor the origin reaches its capacity.
     let capacity = 100.0 * trial.rate;
     let mut text = format!(
         "(hierarchy (version . 1) (ceiling . {capacity}) (hold-ms . 300) (settle-ms . 200) (give-up-ms . 60000) (warm-after-ms . 500))\n\
--- a/crates/testbed/src/fleet/link_proxy.rs
+++ b/crates/testbed/src/fleet/link_proxy.rs
@@ -1,6 +1,7 @@
-//! Links between members and voters. Each pair has a link of its own, a proxy in this program that can hold back what is
-//! sent, in one direction or both, or reset its connections. What was held back arrives late, as on a link that was down
-//! for a while.
+//! TCP proxies for the links between members and voters.
+//!
+//! Each pair of a member and a voter has its own proxy, which can hold back data in one or both directions or close the
+//! connections. Held data arrives late, as on a link that was down for a while.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, ErrorKind, Read, Write};
@@ -15,42 +16,42 @@
 
 use crate::threads::{lock, spawn};
 
-/// The numbers of a member and a voter.
+/// A link's key: the numbers of the member and the voter.
 pub(crate) type Pair = (usize, usize);
 
-/// What a link holds back.
+/// The directions in which a link holds data back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct HeldDirections {
-    /// What the member sends to the voter.
+    /// From the member to the voter.
     pub(crate) to: bool,
-    /// What the voter answers.
+    /// From the voter to the member.
     pub(crate) from: bool,
 }
 
-/// What the proxy is to do to its links.
+/// Commands to the proxy thread.
 #[derive(Default)]
 struct PairCommands {
     held: BTreeMap<Pair, HeldDirections>,
     reset: Vec<Pair>,
 }
 
-/// Bytes that were passed on: requests, then answers.
+/// The number of bytes received on each link: requests, then answers.
 type Bytes = Arc<BTreeMap<Pair, [AtomicU64; 2]>>;
 
-/// A link before it is made.
+/// The parameters of a link that is to be created.
 pub(crate) struct PlannedLink {
     pub(crate) pair: Pair,
-    /// Where the voter listens.
+    /// The address on which the voter listens.
     pub(crate) to: SocketAddr,
-    /// The address from which the proxy connects to it.
+    /// The local address from which the proxy connects to the voter.
     pub(crate) from: Ipv4Addr,
 }
 
-/// Begins to connect from an address of its own, without waiting.
+/// Starts a non-blocking connection from a given local address.
 pub(crate) fn dial_from(from: Ipv4Addr, to: SocketAddr) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
-    // A delay is harmless.
+    // Without this option the connection is only slower.
     let _ = socket.set_tcp_nodelay(true);
     socket.bind(&SocketAddr::from((from, 0)).into())?;
     match socket.connect(&to.into()) {
@@ -59,7 +60,7 @@
     }
 }
 
-/// All links, carried by one thread.
+/// All links, served by one thread.
 pub(crate) struct LinkProxies {
     commands: Arc<Mutex<PairCommands>>,
     bytes: Bytes,
@@ -67,7 +68,7 @@
 }
 
 impl LinkProxies {
-    /// Makes links from each of `members` members to each voter.
+    /// Creates a link from each of `members` members to each voter.
     pub(crate) fn start(
         members: usize,
         voters: &[SocketAddr],
@@ -80,7 +81,7 @@
         )
     }
 
-    /// Makes these links. They end when `over` is set.
+    /// Creates the planned links. They end when `over` is set.
     pub(crate) fn between(planned: Vec<PlannedLink>, over: &Arc<AtomicBool>) -> io::Result<LinkProxies> {
         let poll = Poll::new()?;
         let mut listeners = Vec::new();
@@ -106,12 +107,12 @@
         Ok(LinkProxies { commands, bytes, addresses })
     }
 
-    /// Where a member reaches a voter.
+    /// The proxy address at which a member reaches a voter.
     pub(crate) fn address(&self, member: usize, voter: usize) -> Option<SocketAddr> {
         self.addresses.get(&(member, voter)).copied()
     }
 
-    /// Bytes that these links have passed on: requests, then answers.
+    /// The number of bytes received on the selected links: requests, then answers.
     pub(crate) fn bytes(&self, is_selected: impl Fn(&Pair) -> bool) -> [u64; 2] {
         let selected = self.bytes.iter().filter(|(pair, _)| is_selected(pair));
         selected.fold([0, 0], |[to, from], (_, [t, f])| {
@@ -119,12 +120,12 @@
         })
     }
 
-    /// The pairs that have a link.
+    /// The keys of all links.
     pub(crate) fn pairs(&self) -> impl Iterator<Item = &Pair> {
         self.addresses.keys()
     }
 
-    /// Holds back what is sent from now on; the default holds nothing back.
+    /// Holds back data in these directions from now on. The default value releases the link.
     pub(crate) fn hold(&self, pair: Pair, held: HeldDirections) {
         let mut commands = lock(&self.commands);
         if held == HeldDirections::default() {
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Resets the connections of a link.
+    /// Closes the connections of a link.
     pub(crate) fn reset(&self, pair: Pair) {
         lock(&self.commands).reset.push(pair);
     }
@@ -143,24 +144,25 @@
 /// One end of a connection through a link.
 struct Endpoint {
     stream: TcpStream,
-    /// What is to be written to it.
+    /// Bytes to be written to the stream.
     output: VecDeque<u8>,
 }
 
-/// A connection through a link.
+/// An open connection through a link.
 struct OpenLink {
     pair: Pair,
     member: Endpoint,
     voter: Endpoint,
-    /// One end has closed; the other still gets what was sent before.
+    /// One end has closed. The other end still receives what was sent before.
     is_closing: bool,
 }
 
-/// What the thread of the links owns.
+/// The state of the thread that serves all links.
 struct ProxyThread {
     poll: Poll,
     listeners: Vec<(TcpListener, PlannedLink)>,
-    /// Connections by number; the member's end has the even token, the voter's the odd one after it.
+    /// Open connections by number. Counted from the first token after the listeners, the member's end has the even
+    /// token and the voter's end the odd one after it.
     open: BTreeMap<usize, OpenLink>,
     next: usize,
     commands: Arc<Mutex<PairCommands>>,
@@ -172,7 +174,7 @@
         let mut events = Events::with_capacity(1_024);
         let first = self.listeners.len();
         while !over.load(Ordering::Relaxed) {
-            // A failed wait is tried again: only the end of the trial ends it.
+            // A failed poll is retried: only the end of the trial stops this thread.
             let _ = self.poll.poll(&mut events, Some(Duration::from_millis(10)));
             let reset = std::mem::take(&mut lock(&self.commands).reset);
             self.open.retain(|_, o| !reset.contains(&o.pair));
@@ -207,7 +209,7 @@
             if begun.is_err() {
                 continue;
             }
-            // A delay is harmless.
+            // Without this option the connection is only slower.
             let _ = stream.set_nodelay(true);
             let end = |stream| Endpoint { stream, output: VecDeque::new() };
             self.open.insert(
@@ -220,7 +222,7 @@
 }
 
 impl OpenLink {
-    /// Reads what either end has sent.
+    /// Reads what both ends have sent.
     fn read_both(&mut self, bytes: &Bytes) {
         let OpenLink { pair, member, voter, is_closing } = self;
         let [asked, answered] = &bytes[pair];
@@ -228,7 +230,7 @@
         *is_closing |= !read_into(&mut voter.stream, &mut member.output, answered);
     }
 
-    /// Writes what is not held back; false once nothing more can pass.
+    /// Writes all data that is not held back. Returns false once the connection is finished.
     fn write_both(&mut self, held: HeldDirections) -> bool {
         let passes = (held.to || self.voter.write_pending()) && (held.from || self.member.write_pending());
         passes && !(self.is_closing && self.voter.output.is_empty() && self.member.output.is_empty())
@@ -239,7 +241,7 @@
     matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected | ErrorKind::Interrupted)
 }
 
-/// Reads all that has come; false once the connection has ended.
+/// Reads all available bytes. Returns false once the connection has ended.
 fn read_into(from: &mut TcpStream, to: &mut VecDeque<u8>, count: &AtomicU64) -> bool {
     let mut bytes = [0; 8_192];
     loop {
@@ -255,7 +257,7 @@
 }
 
 impl Endpoint {
-    /// Writes as much as the connection takes; false once it has ended.
+    /// Writes as much as the socket accepts. Returns false once the connection has ended.
     fn write_pending(&mut self) -> bool {
         while !self.output.is_empty() {
             match self.stream.write(self.output.as_slices().0) {
--- a/crates/testbed/src/fleet/load.rs
+++ b/crates/testbed/src/fleet/load.rs
@@ -1,4 +1,5 @@
-//! The clients of one director: they send lookups by the clock whatever is open, and each lookup has one end.
+//! The clients of one director. They send lookups at a fixed mean rate however many are pending (open loop), and count
+//! exactly one outcome for each lookup.
 
 use std::collections::{HashMap, HashSet};
 use std::io::{BufReader, Write};
@@ -16,33 +17,33 @@
 use crate::schedule::exponential_interval;
 use crate::threads::{lock, spawn};
 
-/// How long a client waits, in seconds.
+/// The time budget of a lookup.
 const BUDGET_SECONDS: f64 = BUDGET_MS as f64 / 1e3;
-/// A lookup is unanswered so long after its time. (An answer after its time has earned nothing.)
+/// A lookup counts as unanswered this long after its budget has run out. (An answer between the two counts as late.)
 const UNANSWERED_AFTER_SECONDS: f64 = 0.5;
-/// How long the sender sleeps at most before it looks for lookups whose time is over.
+/// The longest sleep of the sender before it checks for overdue lookups.
 const MAX_SLEEP_SECONDS: f64 = 0.1;
 
-/// How many lookups ended in which way.
+/// The number of lookups by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClientTally {
     /// All lookups.
     pub asked: u64,
     /// Lookups that succeeded.
     pub satisfied: u64,
-    /// Of these, those after the client's time.
+    /// Lookups that succeeded after their time budget.
     pub late: u64,
     /// Lookups that were rejected.
     #[serde(rename = "nacked")]
     pub rejected: u64,
     /// Lookups that failed.
     pub failed: u64,
-    /// Lookups without an answer at a director that was killed or stopped: none is owed.
+    /// Lookups without an answer while the director was killed or stopped. No answer was required.
     pub excused: u64,
-    /// Lookups without an answer that is owed.
+    /// Lookups without an answer although one was required.
     #[serde(rename = "lost")]
     pub unanswered: u64,
-    /// Answers to nothing that was asked, or a second time.
+    /// Answers without a matching lookup, and repeated answers.
     #[serde(rename = "strange")]
     pub unexpected: u64,
 }
@@ -60,7 +61,7 @@
     }
 }
 
-/// A time in which the director was stopped or killed.
+/// A period in which the director was stopped or killed.
 struct ExcusedSpan {
     from: Seconds,
     to: Seconds,
@@ -68,11 +69,11 @@
 
 #[derive(Default)]
 struct ClientsState {
-    /// When each open call was sent.
+    /// The send time of each open call.
     open_calls: HashMap<u32, Seconds>,
-    /// Calls that were given up as excused, whose answers may still come.
+    /// Calls that were counted as excused. Their answers may still arrive.
     abandoned_calls: HashSet<u32>,
-    /// By the second in which lookups were sent.
+    /// Tallies by the second in which lookups were sent.
     seconds: Vec<ClientTally>,
     excused: Vec<ExcusedSpan>,
     connection: Option<Arc<TcpStream>>,
@@ -87,7 +88,7 @@
         &mut self.seconds[second]
     }
 
-    /// Counts a call that has no answer.
+    /// Counts a call without an answer, as excused if it overlaps an excused period.
     fn on_unanswered(&mut self, call: u32, sent_at: Seconds, now: Seconds) {
         if self.excused.iter().any(|span| sent_at < span.to && span.from < now) {
             self.abandoned_calls.insert(call);
@@ -98,19 +99,19 @@
     }
 }
 
-/// What the clients of one director ask for.
+/// The lookups of one director's clients.
 #[derive(Clone, Copy)]
 pub(crate) struct Workload {
-    /// The number of objects.
+    /// The number of distinct objects.
     pub(crate) objects: u64,
-    /// The share of lookups that ask for one object.
+    /// The share of lookups for one hot object.
     pub(crate) hot_share: f64,
-    /// Lookups a second.
+    /// Lookups per second.
     pub(crate) rate: f64,
     pub(crate) seed: u64,
 }
 
-/// All clients of one director, on one connection.
+/// All clients of one director. They share one connection.
 pub(crate) struct Clients {
     /// The director's number.
     number: usize,
@@ -121,7 +122,7 @@
 }
 
 impl Clients {
-    /// Starts them; they end with the trial.
+    /// Starts the clients. They stop at the end of the trial.
     pub(crate) fn start(
         number: usize,
         director: SocketAddr,
@@ -140,7 +141,7 @@
         self.started.elapsed().as_secs_f64()
     }
 
-    /// The director is stopped or down in this time.
+    /// Excuses unanswered lookups in this period, in which the director is stopped or down.
     pub(crate) fn excuse(&self, from: Seconds, to: Seconds) {
         lock(&self.state).excused.push(ExcusedSpan { from, to });
     }
@@ -173,11 +174,11 @@
             state.open_calls.insert(call, now);
             state.second(now).asked += 1;
         }
-        // A connection that has ended is seen by its reader.
+        // The reading thread handles the end of a connection.
         let _ = stream.write_all(&bytes);
     }
 
-    /// The connection, made anew if there is none.
+    /// The current connection, or a new one if there is none.
     fn connect(self: &Arc<Clients>) -> Option<Arc<TcpStream>> {
         if let Some(connection) = lock(&self.state).connection.clone() {
             return Some(connection);
@@ -191,7 +192,7 @@
         Some(connection)
     }
 
-    /// Reads answers until the connection ends; what is open on it then has none.
+    /// Reads answers until the connection ends. Calls that are still open then count as unanswered.
     fn read_answers(&self, connection: &Arc<TcpStream>) {
         let mut reader = BufReader::new(&**connection);
         while let Ok((call, answer)) = read_any_response(&mut reader) {
@@ -244,7 +245,7 @@
         }
     }
 
-    /// The lookups by second, once the trial is over.
+    /// The outcomes of lookups by second. Called after the trial is over.
     pub(crate) fn tally(&self) -> Vec<ClientTally> {
         self.give_up_overdue_calls();
         lock(&self.state).seconds.clone()
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -1,8 +1,9 @@
-//! A fleet trial: hundreds of directors as processes of their own, each with little traffic, nodes of unlike speed, and
-//! faults between them drawn from the seed.
+//! Fleet trials: up to hundreds of director processes with little traffic each, nodes of different speeds, and faults
+//! from the settings or drawn from the seed.
 //!
-//! It shows what the operators' bench can't: each node's load over time, which directors moved where, links cut one
-//! way, directors stopped and continued, and coordination between directors.
+//! A fleet trial covers what the operators' bench can't: the load of each node over time, which directors moved their
+//! requests to which node, links cut in one direction, directors stopped and continued, and coordination between
+//! directors.
 
 mod coordination_links;
 mod coordination_report;
--- a/crates/testbed/src/fleet/node.rs
+++ b/crates/testbed/src/fleet/node.rs
@@ -1,5 +1,5 @@
-//! Stand-in caches, parents and origin of a fleet trial: each works at its own speed, counts what comes by tenth of a
-//! second and by director, and is slowed, stopped, cut off, reset and restarted.
+//! Stub caches, parents and origin of a fleet trial. Each node works at its own speed, counts requests by tenth of a
+//! second and by director, and can be slowed, stopped, cut off, disconnected and restarted.
 
 mod requests;
 
@@ -18,31 +18,31 @@
 use crate::copies::Copies;
 use crate::threads::{lock, spawn};
 
-/// Seconds from the start of the load.
+/// A time in seconds. Nodes count from their own start, clients and reports from the start of the load.
 pub(crate) type Seconds = f64;
 
-/// Where a node stands.
+/// The tier of a node in the hierarchy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Tier {
-    /// At the edge.
+    /// At the edge, asked by directors.
     Cache,
-    /// Between caches and the origin.
+    /// Between the caches and the origin.
     Parent,
-    /// Has every object.
+    /// The source of every object.
     Origin,
 }
 
-/// Slow start: the share of its capacity that a cold node bears at first.
+/// Slow start: the share of its capacity that a node can serve right after a cold start.
 pub(crate) const SLOW_START_INITIAL_SHARE: f64 = 0.25;
-/// Slow start: the time after which a node bears all of its capacity, in seconds.
+/// Slow start: the time after which a node serves its full capacity.
 pub(crate) const SLOW_START_WINDOW_SECONDS: f64 = 6.0;
-/// Slow start: the multiple of what it bears at which a cold node collapses.
+/// Slow start: a cold node collapses under load above this multiple of its reduced capacity.
 pub(crate) const COLLAPSE_MULTIPLE: f64 = 3.0;
 
-/// How long the thread that sends answers waits at most, in microseconds: the end of the trial is seen then.
+/// The longest wait of the thread that sends answers, after which it checks whether the trial is over.
 const MAX_WAIT_US: u64 = 50_000;
 
-/// Which direction of the links between a node and some directors is cut.
+/// The direction in which the links between a node and some directors are cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CutDirection {
     /// Requests are lost.
@@ -51,94 +51,95 @@
     From,
 }
 
-/// A director that sent something in a second.
+/// A director that sent at least one request in a given second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct SenderInSecond {
     pub(crate) second: u32,
     pub(crate) director: usize,
 }
 
-/// A request of a director at a node that began anew.
+/// A request of a director to a restarted node.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RequestAfterRestart {
     pub(crate) at: Seconds,
-    /// Whether there was a copy.
+    /// Whether the node had a copy.
     pub(crate) is_hit: bool,
 }
 
-/// A health check as it came.
+/// A health check as it arrived at a node.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct HealthCheck {
     pub(crate) at: Seconds,
     pub(crate) token: FencingToken,
-    /// Whether the guard let it through.
+    /// Whether the node accepted the fencing token.
     pub(crate) is_admitted: bool,
 }
 
-/// What of a node's work a report needs.
+/// The counts of a node for the report.
 #[derive(Clone, Default)]
 pub(crate) struct NodeCounts {
     /// Requests by tenth of a second.
     pub(crate) requests: Vec<u32>,
     pub(crate) senders: HashSet<SenderInSecond>,
-    /// When it was last started cold.
+    /// When the node was last restarted cold.
     pub(crate) cold_since: Option<Seconds>,
     pub(crate) collapses: u64,
-    /// Requests after the grace that followed its leaving.
+    /// Requests that arrived after the node had left and its grace period was over.
     pub(crate) stray_requests: u64,
     pub(crate) health_checks: Vec<HealthCheck>,
-    /// Requests that warmed it, and those of an old holder that were refused.
+    /// Accepted cache warming requests.
     pub(crate) warming_requests: u64,
+    /// Cache warming requests of a former holder that were rejected.
     pub(crate) warming_refused: u64,
     pub(crate) after_restart: Vec<RequestAfterRestart>,
 }
 
 struct NodeState {
     copies: Copies,
-    /// When the work that it has accepted is done.
+    /// When all accepted work will be done.
     free_at: Seconds,
-    /// How many times longer than usual it works.
+    /// The factor by which each request takes longer than usual.
     slowdown: f64,
     stopped_until: Seconds,
-    /// Until when it is down: crashed, or collapsed.
+    /// The end of an outage after a crash or a collapse.
     down_until: Seconds,
-    /// When it has left the list, grace included.
+    /// Requests after this time are stray, because the node has left the endpoint list and its grace period is over.
     stray_after: Option<Seconds>,
-    /// By director.
+    /// The cut direction by director.
     cuts: HashMap<usize, CutDirection>,
     connections: Vec<Arc<TcpStream>>,
     health_check_guard: FencingGuard,
     warming_guard: FencingGuard,
-    /// Members whose health checks are delayed, until when.
+    /// Until when the health checks of each of these members are delayed.
     delayed_health_checks: HashMap<usize, Seconds>,
     counts: NodeCounts,
 }
 
-/// An answer that is not due yet.
+/// An answer to be sent when it is due.
 struct DelayedAnswer {
     due: Seconds,
-    /// Answers of one connection that are due together go out in this order.
+    /// Answers of one connection that are due at the same time are sent in this order.
     order: u64,
     stream: Arc<TcpStream>,
     bytes: Vec<u8>,
 }
 
-/// What a node is made from.
+/// The settings of a node.
 pub(crate) struct NodeSettings {
     pub(crate) name: String,
     pub(crate) tier: Tier,
-    /// Requests a second that it bears.
+    /// Requests per second that the node can serve.
     pub(crate) capacity: f64,
     pub(crate) max_copies: usize,
-    /// Whether effects of an old holder are refused.
+    /// Whether health checks and warming requests with a stale fencing token are rejected.
     pub(crate) rejects_stale_tokens: bool,
 }
 
-/// One node.
+/// A stub node.
 pub(crate) struct Node {
     pub(crate) name: String,
     pub(crate) tier: Tier,
-    /// Requests a second that it bears.
+    /// Requests per second that the node can serve.
     pub(crate) capacity: f64,
     pub(crate) address: SocketAddr,
     max_copies: usize,
@@ -153,7 +154,7 @@
 pub(crate) type NodesByName = Arc<HashMap<String, Arc<Node>>>;
 
 impl Node {
-    /// Listens on a port of its own. Connections are accepted after `serve`.
+    /// Creates a node that listens on a port of its own. `serve` accepts the connections.
     pub(crate) fn start(
         settings: NodeSettings,
         started: Instant,
@@ -191,7 +192,7 @@
         Ok((node, listener))
     }
 
-    /// Accepts connections, once all nodes are there.
+    /// Accepts connections. Called once all nodes exist, because nodes fill from one another by name.
     pub(crate) fn serve(self: &Arc<Node>, listener: TcpListener, nodes: &NodesByName) {
         let (own, nodes) = (Arc::clone(self), Arc::clone(nodes));
         spawn(move || {
@@ -205,7 +206,7 @@
                 let (own, nodes, stream) = (Arc::clone(&own), Arc::clone(&nodes), Arc::new(stream));
                 lock(&own.state).connections.push(Arc::clone(&stream));
                 spawn(move || {
-                    // A connection that ends in the middle is its peer's matter.
+                    // An error means that the director has ended the connection.
                     let _ = own.answer_requests(&stream, &nodes);
                 });
             }
@@ -220,14 +221,14 @@
         self.over.load(Ordering::Relaxed)
     }
 
-    /// Writes answers when they are due.
+    /// Sends each answer when it is due.
     fn send_delayed_answers(&self, answers: &Receiver<DelayedAnswer>) {
         let mut waiting: BTreeMap<(u64, u64), DelayedAnswer> = BTreeMap::new();
         while !self.is_over() {
             let now_us = (self.now() * 1e6) as u64;
             while let Some(due) = waiting.first_entry().filter(|entry| entry.key().0 <= now_us) {
                 let answer = due.remove();
-                // A director that has gone needs no answer.
+                // A director that has disconnected needs no answer.
                 let _ = (&*answer.stream).write_all(&answer.bytes);
             }
             let next_us =
@@ -240,17 +241,17 @@
 
     // ---- faults ----
 
-    /// Works so many times longer from now on.
+    /// Slows the node down: each request takes `factor` times longer from now on.
     pub(crate) fn slow_down(&self, factor: f64) {
         lock(&self.state).slowdown = factor;
     }
 
-    /// Answers nothing for so many seconds, and goes on with what came meanwhile.
+    /// Answers nothing for some seconds, then processes the requests that arrived meanwhile.
     pub(crate) fn stop(&self, seconds: f64) {
         lock(&self.state).stopped_until = self.now() + seconds;
     }
 
-    /// Cuts the links to these directors in one direction; none: they work again.
+    /// Cuts the links to these directors in one direction. `None` restores them.
     pub(crate) fn set_cut(&self, directors: impl Iterator<Item = usize>, cut: Option<CutDirection>) {
         let mut state = lock(&self.state);
         for director in directors {
@@ -261,27 +262,27 @@
         }
     }
 
-    /// Health checks of these directors arrive when so many seconds are over.
+    /// Delays health checks of these directors until some seconds have passed.
     pub(crate) fn delay_health_checks(&self, directors: &[usize], seconds: f64) {
         let until = self.now() + seconds;
         lock(&self.state).delayed_health_checks.extend(directors.iter().map(|d| (*d, until)));
     }
 
-    /// Resets all its connections.
+    /// Shuts down all connections.
     pub(crate) fn reset_connections(&self) {
         for connection in std::mem::take(&mut lock(&self.state).connections) {
-            // One that has ended is as good.
+            // An error means that the connection has already ended.
             let _ = connection.shutdown(Shutdown::Both);
         }
     }
 
-    /// Ends, until it is restarted.
+    /// Takes the node down until it is restarted.
     pub(crate) fn crash(&self) {
         lock(&self.state).down_until = Seconds::INFINITY;
         self.reset_connections();
     }
 
-    /// Begins anew, cold and empty. Returns when, in Unix milliseconds.
+    /// Restarts the node cold and empty. Returns the start time in Unix milliseconds.
     pub(crate) fn restart_cold(&self) -> u64 {
         let mut state = lock(&self.state);
         state.copies = Copies::default();
@@ -294,12 +295,12 @@
         unix_ms()
     }
 
-    /// It has left the list: nothing is to come after so many seconds.
+    /// Marks the node as gone from the endpoint list: requests after `grace` seconds count as stray.
     pub(crate) fn leave(&self, grace: f64) {
         lock(&self.state).stray_after = Some(self.now() + grace);
     }
 
-    /// What it has counted up to now.
+    /// A copy of the counts so far.
     pub(crate) fn counts(&self) -> NodeCounts {
         lock(&self.state).counts.clone()
     }
--- a/crates/testbed/src/fleet/node/requests.rs
+++ b/crates/testbed/src/fleet/node/requests.rs
@@ -1,4 +1,4 @@
-//! How a node reads and answers the requests of directors: attempts, health checks, cache warming.
+//! How a node reads and answers requests of directors: attempts, health checks and cache warming.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::TcpStream;
@@ -16,19 +16,19 @@
 use crate::pull_request::{PullRequest, PullRequestError};
 use crate::threads::lock;
 
-/// A node queues work for so long at most; what would wait longer is turned away.
+/// The longest time that accepted work may wait. A request that would wait longer is rejected as overload.
 const MAX_QUEUE_SECONDS: f64 = 0.6;
-/// What the network takes beside the work.
+/// The network delay of each answer, in addition to the work.
 const NETWORK_DELAY_SECONDS: f64 = 0.002;
-/// How long a fetch at the origin takes.
+/// The duration of a fetch from the origin.
 const ORIGIN_FETCH_SECONDS: f64 = 0.02;
-/// How long a cold node that collapsed is down.
+/// The outage of a cold node that collapsed.
 const COLLAPSED_SECONDS: f64 = 2.0;
-/// Load is counted in tenths of a second, over the last ten of them.
+/// Load is counted in tenths of a second and summed over the current tenth and the nine before it.
 const TENTHS_PER_SECOND: f64 = 10.0;
 const EARLIER_TENTHS: usize = 9;
 
-/// How an attempt ends, and when its answer is due.
+/// The outcome of an attempt, and when its answer is due.
 enum PullOutcome {
     Copy {
         due: Seconds,
@@ -44,17 +44,17 @@
     Error {
         due: Seconds,
     },
-    /// The token is older than one that was admitted.
+    /// The fencing token is older than one that was already admitted.
     Fenced {
         due: Seconds,
         newest: HealthCheckTag,
     },
-    /// Nothing is answered.
+    /// No answer is sent.
     Silence,
 }
 
 impl PullOutcome {
-    /// When the answer is due, and its bytes.
+    /// The due time and the bytes of the answer, if there is one.
     fn encode(&self, tag: &str) -> Option<(Seconds, Vec<u8>)> {
         let (due, word, fields, body) = match self {
             PullOutcome::Copy { due, issued_ms, is_hit } => {
@@ -73,18 +73,18 @@
     }
 }
 
-/// The newest token that a guard has admitted, as nodes tell it.
+/// The newest admitted token, in the form in which nodes report it.
 fn newest_tag(token: FencingToken) -> HealthCheckTag {
     HealthCheckTag { token, sequence: 0 }
 }
 
-/// The director that an attempt's tag begins with.
+/// The number of the director, with which an attempt's tag begins.
 fn director_of(tag: &str) -> usize {
     tag.get(..8).and_then(|digits| u64::from_str_radix(digits, 16).ok()).unwrap_or(0) as usize
 }
 
 impl NodeState {
-    /// Counts a request. Returns the requests of the last second.
+    /// Counts a request. Returns the number of requests in the last second.
     fn count_request(&mut self, now: Seconds) -> u32 {
         let tenth = (now * TENTHS_PER_SECOND) as usize;
         let requests = &mut self.counts.requests;
@@ -95,7 +95,7 @@
         requests[tenth.saturating_sub(EARLIER_TENTHS)..].iter().sum()
     }
 
-    /// The share of its capacity that it bears.
+    /// The share of the node's capacity that it can serve now, which grows during slow start.
     fn warm_share(&self, now: Seconds) -> f64 {
         let Some(cold_since) = self.counts.cold_since else { return 1.0 };
         let grown = (1.0 - SLOW_START_INITIAL_SHARE) * (now - cold_since) / SLOW_START_WINDOW_SECONDS;
@@ -104,7 +104,7 @@
 }
 
 impl Node {
-    /// Reads and answers the requests of one connection.
+    /// Reads and answers the requests on one connection.
     pub(super) fn answer_requests(&self, stream: &Arc<TcpStream>, nodes: &NodesByName) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let mut reader = BufReader::new(&**stream);
@@ -132,7 +132,7 @@
             if let Some((due, bytes)) = outcome.encode(request.tag) {
                 let stream = Arc::clone(stream);
                 let answer = DelayedAnswer { due, order: connection | answers, stream, bytes };
-                // The thread that sends it ends with the trial.
+                // The thread that sends answers ends with the trial; the answer is not needed then.
                 let _ = lock(&self.delayed_answers).send(answer);
             }
         }
@@ -141,7 +141,7 @@
     fn answer_pull(&self, request: &PullRequest, nodes: &NodesByName) -> PullOutcome {
         let warming = request.field("duty").and_then(|tag| tag.parse::<HealthCheckTag>().ok());
         let object = request.object().unwrap_or(0);
-        // A stopped program reads on when it is continued.
+        // A stopped process goes on reading once it is continued.
         let stopped = lock(&self.state).stopped_until - self.now();
         if stopped > 0.0 {
             std::thread::sleep(Duration::from_secs_f64(stopped));
@@ -157,7 +157,7 @@
         self.pull(director, object, source, warming.is_some())
     }
 
-    /// Answers a health check (`METER <tag>`); other commands have no answer.
+    /// Answers a health check (`METER <tag>`). Other commands get no answer.
     fn answer_other_command(&self, line: &str) -> Option<String> {
         let mut words = line.trim_end().split(' ');
         if words.next() != Some("METER") {
@@ -166,7 +166,8 @@
         self.answer_health_check(words.next()?)
     }
 
-    /// The check of the token and the effect, which is to count here, are one step.
+    /// Answers a health check after any injected delay. The token is checked and the health check counted under one lock,
+    /// so that no newer token can come between them.
     fn answer_health_check(&self, text: &str) -> Option<String> {
         let tag: HealthCheckTag = text.parse().ok()?;
         let member = tag.token.holder.number as usize;
@@ -196,7 +197,7 @@
         (!is_cut).then_some(answer)
     }
 
-    /// Counts a request that warms. If a newer holder does so already, its token.
+    /// Counts a cache warming request. Returns the newest admitted token if the request's token is stale.
     fn refuse_warming(&self, tag: HealthCheckTag) -> Option<HealthCheckTag> {
         let mut state = lock(&self.state);
         match state.warming_guard.admit(tag.token) {
@@ -244,8 +245,10 @@
         }
     }
 
-    /// A fill begins when the request comes, not when the own work is done: requests come to a source in the order of
-    /// time, by which its queue is reckoned.
+    /// Answers from a copy, or fills one from the source.
+    ///
+    /// A fill starts when the request arrives, not when this node's own work is done: a source computes its queue from
+    /// requests that arrive in the order of their times.
     fn copy_or_fill(&self, now: Seconds, object: u64, source: Option<&Arc<Node>>) -> PullOutcome {
         let done_at = match self.work(now) {
             Ok(done_at) => done_at,
@@ -268,8 +271,8 @@
         }
     }
 
-    /// Fills another node, from its copies or from the origin, which is not slow here. Returns when that is done, and
-    /// when the copy was made (Unix milliseconds).
+    /// Serves the fill of another node, from a copy or from the origin, whose latency is constant here. Returns when the
+    /// fill is done, and when the copy was issued (Unix milliseconds).
     fn fill(&self, now: Seconds, object: u64) -> Option<(Seconds, u64)> {
         let done_at = self.work(now).ok()?;
         if let Some(issued_ms) = self.copy(object) {
@@ -280,7 +283,7 @@
         Some((done_at + ORIGIN_FETCH_SECONDS, issued_ms))
     }
 
-    /// Counts a request and queues its work. Returns when that is done, or why it is not begun.
+    /// Counts a request and queues its work. Returns when the work will be done, or the answer if it is not accepted.
     fn work(&self, now: Seconds) -> Result<Seconds, PullOutcome> {
         let due = now + NETWORK_DELAY_SECONDS;
         let mut state = lock(&self.state);
@@ -302,7 +305,7 @@
         Ok(state.free_at + NETWORK_DELAY_SECONDS)
     }
 
-    /// When the copy of an object was made, if there is one.
+    /// When the copy of an object was issued (Unix milliseconds), if there is one.
     fn copy(&self, object: u64) -> Option<u64> {
         lock(&self.state).copies.issued_ms.get(&object).copied()
     }
--- a/crates/testbed/src/fleet/report.rs
+++ b/crates/testbed/src/fleet/report.rs
@@ -1,4 +1,5 @@
-//! The result of a fleet trial: how even each tier's load was, what each fault did to the other nodes, how lookups ended.
+//! The result of a fleet trial: load balance within each tier, effects of each fault on other nodes, and outcomes of
+//! lookups.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,15 +12,15 @@
 use super::settings::Trial;
 use crate::trial_report::{Chart, TrialReport};
 
-/// The length of a window in which load is to be even.
+/// The length of the windows over which load balance is measured.
 const EVENNESS_WINDOW_SECONDS: usize = 5;
-/// Load counts as even again at this multiple of the fair share.
+/// Load counts as even again when no node gets more than this multiple of its fair share.
 const EVEN_RATIO: f64 = 1.5;
 const TENTHS_PER_SECOND: usize = 10;
-/// If this program itself was woken so much too late, the machine was too busy to judge by.
+/// Above this wake-up delay of the trial's own program, the machine was too busy for a valid result.
 const BUSY_MACHINE_DELAY_SECONDS: f64 = 0.1;
 
-/// A node's counts, with its capacity.
+/// The counts and the capacity of a node.
 pub(crate) struct NodeOutcome {
     pub(crate) name: String,
     pub(crate) tier: Tier,
@@ -27,96 +28,98 @@
     pub(crate) counts: NodeCounts,
 }
 
-/// How even the load of a tier was in a window: what each node got over its fair share, which goes by its capacity.
+/// The load balance of a tier in a window, as the ratio of each node's load to its fair share. Fair shares are
+/// proportional to capacity.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Evenness {
-    /// The first second.
+    /// The first second of the window.
     pub from: usize,
-    /// Which tier.
+    /// The tier.
     pub tier: Tier,
-    /// The largest load over the fair share.
+    /// The highest ratio of load to fair share.
     pub most: f64,
-    /// The node that had it.
+    /// The node with the highest ratio.
     pub most_at: String,
-    /// The smallest load over the fair share.
+    /// The lowest ratio of load to fair share.
     pub least: f64,
-    /// The node that had it.
+    /// The node with the lowest ratio.
     pub least_at: String,
-    /// The load of the tier over its capacity.
+    /// The ratio of the tier's load to its capacity.
     pub load: f64,
-    /// Whether no fault lay in it or shortly before it.
+    /// Whether there was no fault in the window or shortly before it.
     pub calm: bool,
 }
 
-/// What a fault did to the nodes that it did not strike.
+/// The effect of a fault on the nodes that it did not affect directly.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FaultAftermath {
     /// The kind of the fault.
     pub what: String,
-    /// When it began, in seconds.
+    /// When the fault began, in seconds from the start of the load.
     pub at: f64,
-    /// The largest load over the fair share in the second after that.
+    /// The highest ratio of load to fair share in the second after the fault began.
     pub next_second: f64,
-    /// Seconds from its end until the load of all nodes that are up was even for two seconds; none: not before the end.
+    /// Seconds from the end of the fault until the load of all undisturbed caches was even for two seconds. `None` if it
+    /// was not before the end of the trial.
     pub even_after: Option<f64>,
 }
 
 /// The result of a fleet trial.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Report {
-    /// The settings.
+    /// The settings of the trial.
     pub trial: Trial,
-    /// All lookups.
+    /// The outcomes of all lookups.
     pub total: ClientTally,
-    /// Lookups by the second in which they were sent.
+    /// The outcomes of lookups by the second in which they were sent.
     pub seconds: Vec<ClientTally>,
-    /// The evenness of the load, by window and tier.
+    /// The load balance by window and tier.
     pub windows: Vec<Evenness>,
-    /// What the faults did to other nodes.
+    /// The effects of the faults on other nodes.
     pub aftermath: Vec<FaultAftermath>,
-    /// The largest share of directors that began to send to one cache within a second.
+    /// The largest share of all directors that started to send to the same cache in the same second.
     #[serde(rename = "herd_most")]
     pub herd_max: f64,
-    /// The same on average.
+    /// The average of that share over all caches and seconds.
     pub herd_mean: f64,
-    /// The share of seconds of nodes that were up in which no request came.
+    /// The share of seconds of undisturbed nodes in which no request arrived.
     #[serde(rename = "idle")]
     pub idle_share: f64,
     /// Cold nodes that collapsed under their load.
     #[serde(rename = "falls")]
     pub collapses: u64,
-    /// Requests to nodes that had left, after the grace.
+    /// Requests to nodes that had left the endpoint list, after the grace period.
     #[serde(rename = "strays")]
     pub stray_requests: u64,
     /// Directors that exited by themselves.
     #[serde(rename = "ended")]
     pub exited_directors: usize,
-    /// Seconds by which the trial itself was woken too late at most: over a tenth, and the machine was too busy to judge
-    /// by.
+    /// The longest wake-up delay of the trial's own program in seconds. Above a tenth of a second, the machine was too
+    /// busy for a valid result.
     #[serde(rename = "late")]
     pub max_wake_delay: f64,
-    /// The requests of each second, by node.
+    /// The requests at each node by second.
     #[serde(rename = "came")]
     pub requests: BTreeMap<String, Vec<u32>>,
-    /// The figures of coordination, where the trial had it.
+    /// The coordination figures, if the trial had coordination.
     #[serde(rename = "watched")]
     pub coordination: Option<CoordinationReport>,
 }
 
-/// A fault as it was carried out. Times are in seconds from the start of the load.
+/// A fault that was injected. Times are in seconds from the start of the load.
 pub(crate) struct FaultWindow {
     pub(crate) what: String,
-    /// The nodes that it struck.
+    /// The affected nodes.
     pub(crate) nodes: Vec<String>,
     pub(crate) from: f64,
     pub(crate) to: f64,
 }
 
-/// What a trial counted, from which its report is made.
+/// The counts of a trial, from which its report is computed.
 pub(crate) struct TrialOutcome<'a> {
     pub(crate) trial: &'a Trial,
     pub(crate) nodes: &'a [NodeOutcome],
-    /// By director, then by second.
+    /// Outcomes of lookups by director, then by second.
     pub(crate) clients: &'a [Vec<ClientTally>],
     pub(crate) faults: &'a [FaultWindow],
     pub(crate) exited_directors: usize,
@@ -125,7 +128,7 @@
 }
 
 impl NodeOutcome {
-    /// Requests from one second to another.
+    /// The number of requests from second `from` to second `to`, exclusive.
     fn requests(&self, from: usize, to: usize) -> u32 {
         let tenths = &self.counts.requests;
         let place = |second: usize| (TENTHS_PER_SECOND * second).min(tenths.len());
@@ -136,7 +139,7 @@
         (0..seconds).map(|second| self.requests(second, second + 1)).collect()
     }
 
-    /// By second, how many directors sent something that had sent nothing in the second before.
+    /// For each second, the number of directors that sent a request but had sent none in the second before.
     fn new_senders(&self, seconds: usize) -> Vec<u32> {
         let senders = &self.counts.senders;
         let mut new = vec![0u32; seconds];
@@ -176,7 +179,7 @@
         total
     }
 
-    /// Whether a node was cold or struck by a fault in this time.
+    /// Whether the node was cold or affected by a fault in this period.
     fn is_disturbed(&self, node: &NodeOutcome, from: f64, to: f64) -> bool {
         let is_cold = node.counts.cold_since.is_some_and(|since| since + SLOW_START_WINDOW_SECONDS > from);
         is_cold
@@ -186,7 +189,7 @@
                 .any(|fault| fault.nodes.contains(&node.name) && fault.from < to && fault.to > from)
     }
 
-    /// How even the load of the undisturbed nodes of a tier was; none if there are none.
+    /// The load balance of the undisturbed nodes of a tier, or `None` if there are no such nodes.
     fn evenness(&self, tier: Tier, from: usize, to: usize) -> Option<Evenness> {
         let is_selected =
             |node: &&NodeOutcome| node.tier == tier && !self.is_disturbed(node, from as f64, to as f64);
@@ -223,7 +226,7 @@
             .collect()
     }
 
-    /// The largest load of a cache over its fair share in a second.
+    /// The highest ratio of load to fair share of any cache in a second.
     fn max_load_ratio(&self, second: usize) -> f64 {
         self.evenness(Tier::Cache, second, second + 1).map_or(0.0, |evenness| evenness.most)
     }
@@ -241,7 +244,7 @@
         }
     }
 
-    /// For each cache and second, the share of directors that began to send to it.
+    /// For each cache and second, the share of all directors that started to send to the cache.
     fn new_sender_shares(&self) -> Vec<f64> {
         let caches = self.nodes.iter().filter(|node| node.tier == Tier::Cache);
         let directors = self.trial.directors as f64;
@@ -251,7 +254,7 @@
             .collect()
     }
 
-    /// The share of seconds of undisturbed caches and parents in which no request came.
+    /// The share of seconds of undisturbed caches and parents in which no request arrived.
     fn idle_share(&self) -> f64 {
         let (mut idle, mut all) = (0u32, 0u32);
         for second in self.warm_up()..self.seconds() {
@@ -290,10 +293,13 @@
         }
     }
 
-    /// Windows whose load is to be even.
+    /// Describes the calm windows whose load balance is outside the limits of the settings.
     fn uneven_windows(&self) -> Vec<String> {
         let describe = |window: &Evenness, node: &str, share: f64| {
-            format!("{:?} {node} got {share:.2} of its share from {} s", window.tier, window.from)
+            format!(
+                "{:?} {node} got {share:.2} times its fair share in the window from {} s",
+                window.tier, window.from
+            )
         };
         let mut found = Vec::new();
         for window in self.windows.iter().filter(|window| window.calm) {
@@ -307,7 +313,7 @@
         found
     }
 
-    /// The requests of each node whose name begins so.
+    /// The requests by second of each node whose name starts with the prefix.
     fn curves(&self, prefix: &str) -> Vec<Vec<u64>> {
         let nodes = self.requests.iter().filter(|(name, _)| name.starts_with(prefix));
         nodes.map(|(_, requests)| requests.iter().map(|count| u64::from(*count)).collect()).collect()
@@ -335,7 +341,7 @@
     }
 
     fn write_windows(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "window     tier     load   most over share       least over share")?;
+        writeln!(f, "window     tier     load   highest ratio         lowest ratio of load to fair share")?;
         for window in &self.windows {
             writeln!(
                 f,
@@ -356,10 +362,10 @@
 
     fn write_aftermath(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for after in &self.aftermath {
-            let again = after.even_after.map_or("not again".into(), |s| format!("after {s:.1} s"));
+            let again = after.even_after.map_or("not before the end".into(), |s| format!("after {s:.1} s"));
             writeln!(
                 f,
-                "{:>6.1} s {}: the others' most over share in the next second {:.2}; even {again}",
+                "{:>6.1} s {}: highest ratio of the other caches in the next second {:.2}; even {again}",
                 after.at, after.what, after.next_second
             )?;
         }
@@ -371,9 +377,9 @@
     fn violations(&self) -> Vec<String> {
         let must_be_zero = [
             ("lookups without an answer", self.total.unanswered),
-            ("answers that were not asked for, or second ones", self.total.unexpected),
+            ("answers without a matching lookup, or repeated answers", self.total.unexpected),
             ("cold nodes that collapsed", self.collapses),
-            ("requests to nodes that had left, after the grace", self.stray_requests),
+            ("requests to nodes that had left, after the grace period", self.stray_requests),
             ("directors that exited by themselves", self.exited_directors as u64),
         ];
         let found = must_be_zero.iter().filter(|(_, count)| *count > 0);
@@ -385,7 +391,10 @@
         let owed = (self.total.asked - self.total.excused).max(1);
         let share = self.total.satisfied as f64 / owed as f64;
         if share < self.trial.satisfied {
-            violations.push(format!("satisfied {share:.3} of all lookups, of {:.3}", self.trial.satisfied));
+            violations.push(format!(
+                "satisfied {share:.3} of all lookups, at least {:.3} required",
+                self.trial.satisfied
+            ));
         }
         violations
     }
@@ -394,16 +403,16 @@
         format!("{}: {} directors, {} lookups", self.trial.name, self.trial.directors, self.total.asked)
     }
 
-    /// The requests of each node by second, and how lookups ended.
+    /// Charts of the requests at each node and of the outcomes of lookups, by second.
     fn charts(&self) -> Vec<Chart> {
         let fields: [fn(&ClientTally) -> u64; 3] =
             [|tally| tally.asked, |tally| tally.satisfied, |tally| tally.rejected];
         let lookups = fields.map(|field| self.seconds.iter().map(field).collect()).to_vec();
         let chart = |name, curves| Chart { name, curves, line: None };
         vec![
-            chart("requests a second at each cache", self.curves("cache")),
-            chart("requests a second at each parent", self.curves("parent")),
-            chart("lookups a second: asked, satisfied, rejected", lookups),
+            chart("requests per second at each cache", self.curves("cache")),
+            chart("requests per second at each parent", self.curves("parent")),
+            chart("lookups per second: asked, satisfied, rejected", lookups),
         ]
     }
 }
@@ -415,7 +424,7 @@
         self.write_aftermath(f)?;
         writeln!(
             f,
-            "new senders at a cache within a second, part of all directors: most {:.2}, mean {:.2}; idle seconds of nodes {:.4}",
+            "new senders of a cache in a second, as a share of all directors: maximum {:.2}, mean {:.2}; share of idle node seconds {:.4}",
             self.herd_max, self.herd_mean, self.idle_share
         )?;
         if self.max_wake_delay > BUSY_MACHINE_DELAY_SECONDS {
@@ -429,7 +438,7 @@
             write!(f, "{report}")?;
         }
         for violation in self.violations() {
-            writeln!(f, "NOT WELL {violation}")?;
+            writeln!(f, "VIOLATION {violation}")?;
         }
         Ok(())
     }
--- a/crates/testbed/src/fleet/run.rs
+++ b/crates/testbed/src/fleet/run.rs
@@ -1,4 +1,4 @@
-//! A trial from start to end.
+//! Runs a fleet trial: starts all processes and stubs, injects the faults, and collects the report.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -34,43 +34,45 @@
 use crate::schedule::take_due;
 use crate::trial_state::TrialState;
 
-/// Copies of discovery, each of which publishes changes at its own time.
+/// The number of discovery copies, each of which publishes changes after its own delay.
 const DISCOVERY_COPIES: usize = 3;
-/// The list says so much later that a node has crashed.
+/// The delay after which the endpoint list shows that a node has crashed.
 const CRASH_NOTICE_DELAY_SECONDS: f64 = 0.7;
-/// How long after the list says that a node has gone requests may still come to it.
+/// How long requests may still arrive at a node after the endpoint list shows that it is gone.
 const DRAIN_GRACE_SECONDS: f64 = 2.0;
 const STRAY_TOLERANCE_SECONDS: f64 = 0.5;
 const START_TIMEOUT: Duration = Duration::from_secs(60);
 const STEP_INTERVAL: Duration = Duration::from_millis(5);
-/// How long after the load's end the last answers may come.
+/// How long after the end of the load the last answers may arrive.
 const LAST_ANSWER_TIMEOUT: Duration = Duration::from_millis(BUDGET_MS + 600);
-/// When the first change of the hierarchy is proposed, and how soon again if nobody accepts it.
+/// When the first change of the hierarchy is proposed.
 const FIRST_PROPOSAL_SECONDS: f64 = 2.0;
+/// The delay before a proposal that no holder accepted is repeated.
 const PROPOSAL_RETRY_SECONDS: f64 = 0.5;
 
-/// What is to be done at its time.
+/// An action that is scheduled for a time under load.
 enum ScheduledAction {
-    /// Begin a fault, by its number.
+    /// Start the fault with this number.
     Begin(usize),
-    /// End it.
+    /// End the fault with this number.
     End(usize),
-    /// Publish that crashed nodes have gone.
+    /// Publish that these crashed nodes are gone.
     AnnounceGone(Vec<usize>),
-    /// Publish an event at one copy of discovery.
+    /// Publish an event on one discovery copy.
     Publish { discovery: usize, event: String },
-    /// Propose another shape of the hierarchy.
+    /// Make the hierarchy proposal with this number.
     ProposeHierarchy(usize),
 }
 
-/// Runs a trial.
+/// Runs a fleet trial.
 ///
-/// `program` is the command of a real director; configurations and logs go to `folder`. `progress` gets a line each
-/// second and at each fault.
+/// `program` is the command of a real director. Configurations and logs are written to `folder`. `progress` gets a
+/// line for each second and each fault.
 ///
 /// # Errors
 ///
-/// If a file, socket or process of the trial can't be made. Violations are no errors: they are in the report.
+/// Returns an error if a file, socket or process of the trial can't be created. Violations are not errors: the report
+/// lists them.
 pub fn run(
     trial: &Trial,
     program: &dyn Fn() -> Command,
@@ -80,7 +82,7 @@
     std::fs::create_dir_all(folder).map_err(io_error(folder.display().to_string()))?;
     let mut rng = Pcg32::seed_from_u64(trial.seed);
     let over = Arc::new(AtomicBool::new(false));
-    // The clock of the nodes begins here; that of clients and the report later.
+    // The clock of the nodes starts here. The clock of the clients and the report starts with the load.
     let nodes_started = Instant::now();
     let nodes = start_nodes(trial, &mut rng, nodes_started, &over)?;
     let state = Arc::new(TrialState::new(nodes_started));
@@ -107,7 +109,7 @@
     Ok(load.report(&measured))
 }
 
-/// Requests a second that a node of mean speed bears.
+/// The capacity of a node of mean speed, in requests per second.
 fn capacity(trial: &Trial, tier: Tier) -> f64 {
     match tier {
         Tier::Cache => trial.rate / trial.caches as f64 / trial.load,
@@ -116,7 +118,7 @@
     }
 }
 
-/// Starts caches, parents and the origin, in this order.
+/// Starts the caches, the parents and the origin, in this order.
 fn start_nodes(
     trial: &Trial,
     rng: &mut Pcg32,
@@ -140,7 +142,8 @@
                 max_copies,
                 rejects_stale_tokens: trial.duties.as_ref().is_none_or(|duties| !duties.no_gate),
             };
-            let (node, listener) = Node::start(settings, started, over).map_err(io_error("a stand-in"))?;
+            let (node, listener) =
+                Node::start(settings, started, over).map_err(io_error("starting a stub node"))?;
             nodes.push(node);
             listeners.push(listener);
         }
@@ -166,7 +169,8 @@
     let endpoints: Vec<Value> = nodes.iter().map(|node| endpoint_of(node, "ready", 0)).collect();
     let mut copies = Vec::new();
     for _ in 0..DISCOVERY_COPIES {
-        let copy = DiscoveryStub::start(state, channel().0).map_err(io_error("the feed"))?;
+        let copy =
+            DiscoveryStub::start(state, channel().0).map_err(io_error("starting the discovery stub"))?;
         copy.publish(&members_event(&endpoints, true));
         copies.push(copy);
     }
@@ -207,43 +211,44 @@
     Ok(())
 }
 
-/// What is measured at the end of the load, before the directors' last answers.
+/// Measurements at the end of the load, before the directors' last answers.
 struct Measured {
-    /// How long the load lasted.
+    /// The duration of the load.
     seconds: f64,
-    /// The CPU time of all directors under load.
+    /// The CPU time that all directors used under load.
     cpu_seconds: f64,
-    /// Of the voters.
+    /// The statuses of the voters.
     statuses: Vec<MemberStatus>,
 }
 
-/// The time under load.
+/// The phase of a trial under load, with all injected faults.
 struct LoadPhase<'a> {
     trial: &'a Trial,
     targets: FaultTargets<'a>,
     rng: Pcg32,
     start: Instant,
-    /// The same by the wall clock.
+    /// The start in Unix milliseconds.
     start_ms: u64,
-    /// By how much the clock of the nodes is ahead.
+    /// Seconds by which the clock of the nodes is ahead of the clock of the load.
     node_clock_offset: f64,
-    /// The CPU time of all directors before the load.
+    /// The CPU time that all directors had used before the load.
     cpu_seconds_before: f64,
     faults: Vec<Fault>,
     actions: Vec<(f64, ScheduledAction)>,
     active: HashMap<usize, ActiveFault>,
     windows: Vec<FaultWindow>,
-    /// Changes of the hierarchy that were proposed.
+    /// The number of accepted hierarchy proposals.
     proposals: u64,
     exited_directors: usize,
-    /// How late this program itself was woken: where the machine is too busy, a trial says nothing of directors.
+    /// The longest wake-up delay of this thread in seconds. On a machine that is too busy, the trial's result is not
+    /// valid.
     max_wake_delay: f64,
-    /// The last second of which a line was printed.
+    /// The last second for which a progress line was printed.
     reported_second: u64,
 }
 
 impl<'a> LoadPhase<'a> {
-    /// Starts the clients of all directors and plans the faults.
+    /// Starts the clients of all directors and schedules the faults.
     fn start(
         mut targets: FaultTargets<'a>,
         nodes_started: Instant,
@@ -324,7 +329,7 @@
         let nodes: Vec<String> =
             active.nodes.iter().map(|node| self.targets.nodes[*node].name.clone()).collect();
         let (names, directors) = (nodes.join(" "), active.directors.len());
-        progress(&format!("{now:>6.1} s  {:?} {names} of directors {directors}", fault.kind));
+        progress(&format!("{now:>6.1} s  {:?} nodes [{names}] directors {directors}", fault.kind));
         let what = format!("{:?}", fault.kind);
         self.windows.push(FaultWindow { what, nodes, from: fault.at, to: fault.at + fault.lasts });
         self.active.insert(number, active);
@@ -351,7 +356,8 @@
         self.publish_later(&endpoints, now);
     }
 
-    /// Publishes a change of the list: at the first copy of discovery at once, at the others later.
+    /// Schedules the publication of a change of the endpoint list: on the first discovery copy without delay, on the
+    /// others later.
     fn publish_later(&mut self, endpoints: &[Value], now: f64) {
         if endpoints.is_empty() {
             return;
@@ -363,7 +369,7 @@
         }
     }
 
-    /// Proposes a shape of the hierarchy to the holder of its role; again later while there is none.
+    /// Proposes a hierarchy version to the holder of the hierarchy role. Retries later if no holder accepts it.
     fn propose(&mut self, number: usize, now: f64) {
         let Some(coordination) = &self.targets.coordination else { return };
         let voters = &coordination.voters;
@@ -417,7 +423,7 @@
         })
     }
 
-    /// The counts of all nodes by the clock of the load, and their health checks by name.
+    /// The counts of all nodes, with times by the clock of the load, and their health checks by node name.
     fn node_outcomes(&self, seconds: f64) -> (Vec<NodeOutcome>, BTreeMap<String, Vec<HealthCheck>>) {
         let mut outcomes = Vec::new();
         let mut health_checks = BTreeMap::new();
@@ -476,7 +482,7 @@
     directors.iter().map(|director| director.process.cpu_seconds()).sum()
 }
 
-/// Starts the clients of all directors, of which one in ten gets more lookups than the others.
+/// Starts the clients of all directors. One in ten directors gets `uneven` times more lookups than the others.
 fn start_clients(trial: &Trial, directors: &mut [Director], start: Instant, over: &Arc<AtomicBool>) {
     let weight = |number: usize| if number.is_multiple_of(10) { trial.uneven } else { 1.0 };
     let all_weights: f64 = (0..directors.len()).map(weight).sum();
@@ -491,7 +497,7 @@
     }
 }
 
-/// The begin and end of each fault, and proposals of the hierarchy where the trial has them.
+/// The start and end of each fault, and the hierarchy proposals if the trial has any.
 fn planned_actions(trial: &Trial, faults: &[Fault]) -> Vec<(f64, ScheduledAction)> {
     let mut actions = Vec::new();
     for (number, fault) in faults.iter().enumerate() {
@@ -507,7 +513,7 @@
     actions
 }
 
-/// Counts by a clock that began so much later.
+/// Converts counts to a clock that started `shift` seconds later.
 fn shift_counts(mut counts: NodeCounts, shift: f64) -> NodeCounts {
     let tenths = (shift * 10.0).round() as usize;
     counts.requests.drain(..tenths.min(counts.requests.len()));
--- a/crates/testbed/src/fleet/settings.rs
+++ b/crates/testbed/src/fleet/settings.rs
@@ -12,48 +12,48 @@
     Fleet(#[garde(dive)] Trial),
 }
 
-/// A kind of fault. Its name is part of reports.
+/// The kinds of faults. Their names appear in reports.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Caches answer nothing, and go on afterwards with what came meanwhile.
+    /// Some caches answer nothing for the duration, then process the requests that arrived meanwhile.
     StopCaches,
-    /// The same for parents.
+    /// Like `StopCaches`, for parents.
     StopParents,
-    /// Caches work `by` times longer.
+    /// Some caches take `by` times longer for each request.
     SlowCaches,
-    /// The same for parents.
+    /// Like `SlowCaches`, for parents.
     SlowParents,
-    /// Caches crash: connections are reset, new ones are closed, and they begin anew, cold and empty, with a new start
-    /// in the list.
+    /// Some caches crash: their connections are shut down and new ones closed. At the end of the fault they restart
+    /// cold and empty, with a new start time in the endpoint list.
     CrashCaches,
-    /// What a share of the directors sends to one cache is lost.
+    /// Requests from a share of the directors to one cache are lost.
     CutTo,
-    /// What one cache answers a share of the directors is lost.
+    /// Answers from one cache to a share of the directors are lost.
     CutFrom,
-    /// All connections to some caches are reset.
+    /// All connections to some caches are shut down.
     Reset,
-    /// Directors are stopped (SIGSTOP) and continued.
+    /// Some directors are stopped (SIGSTOP) and continued.
     StopDirectors,
-    /// Directors are killed and started again, with no memory.
+    /// Some directors are killed and restarted without their state.
     KillDirectors,
-    /// Voters are stopped and continued.
+    /// Some voters are stopped and continued.
     StopVoters,
-    /// Voters are killed and started again.
+    /// Some voters are killed and restarted.
     KillVoters,
     /// The holder of the assignment of health-check targets is stopped and continued.
     StopOwner,
-    /// It is killed and started again.
+    /// The holder of the assignment of health-check targets is killed and restarted.
     KillOwner,
     /// The holder of the hierarchy role is stopped and continued.
     StopDriver,
-    /// It is killed and started again.
+    /// The holder of the hierarchy role is killed and restarted.
     KillDriver,
-    /// What some members send to one voter is held back and arrives late.
+    /// Messages from some members to one voter are held back and arrive late.
     HoldTo,
-    /// What one voter answers some members is held back and arrives late.
+    /// Answers from one voter to some members are held back and arrive late.
     HoldFrom,
-    /// A minority of the voters and all others are cut off from one another.
+    /// A network partition: a minority of the voters, with a third of the other members, is cut off from all others.
     Part,
     /// All connections between some members and the voters are reset.
     ResetWays,
@@ -62,7 +62,7 @@
 }
 
 impl FaultKind {
-    /// The kinds that are drawn in rounds; their order belongs to what a seed stands for.
+    /// The kinds that rounds of faults are drawn from. Their order determines what a seed draws.
     pub(crate) const DRAWN: [FaultKind; 13] = [
         FaultKind::StopDriver,
         FaultKind::KillDriver,
@@ -79,7 +79,7 @@
         FaultKind::KillDirectors,
     ];
 
-    /// Whether it strikes voters, holders or their links.
+    /// Whether the fault affects voters, role holders or health checks, which only trials with coordination have.
     fn needs_coordination(self) -> bool {
         !matches!(
             self,
@@ -97,16 +97,16 @@
     }
 }
 
-/// Coordination between the directors of a trial.
+/// The settings of coordination between the directors of a trial.
 ///
-/// Fields with bounds are named as their keys: an error finds the key in the file by the name of the field.
+/// Fields with bounds have the names of their keys, because an error finds the key in the file by the field's name.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct CoordinationTrial {
-    /// The number of voters, which are the first directors.
+    /// The number of voters. The first directors are the voters.
     #[garde(range(min = 1, max = 15))]
     pub voters: usize,
-    /// How long a lease is granted for.
+    /// The duration of a lease.
     #[garde(range(min = 100, max = 60_000))]
     pub lease_ms: u64,
     /// The interval of heartbeats.
@@ -115,11 +115,11 @@
     /// The interval between two health checks of one node.
     #[garde(range(min = 100, max = 60_000))]
     pub probe_ms: u64,
-    /// The number of rounds of one to three faults that the seed draws, after the faults of the file.
+    /// The number of rounds of one to three faults each, drawn from the seed. They follow the faults of the file.
     #[garde(range(max = 10_000))]
     #[serde(default)]
     pub rounds: usize,
-    /// The length of a round in seconds; its faults last half of that at most.
+    /// The length of a round in seconds. Its faults last at most half of it.
     #[garde(range(min = 1.0, max = 600.0))]
     #[serde(default = "default_round_s")]
     pub round_s: f64,
@@ -127,19 +127,19 @@
     #[garde(skip)]
     #[serde(default)]
     pub warming: bool,
-    /// Seconds between two proposals of another shape of the hierarchy; 0: none is proposed.
+    /// Seconds between two proposals of a changed hierarchy; 0 means that none is proposed.
     #[garde(range(min = 0.0, max = 3600.0))]
     #[serde(default)]
     pub change_s: f64,
-    /// The longest pause between health checks of a node that no fault strikes, in seconds.
+    /// The longest allowed gap between health checks of a node that no fault affects, in seconds.
     #[garde(range(min = 0.0, max = 600.0))]
     #[serde(default = "default_gap_s")]
     pub gap_s: f64,
-    /// The most health checks of a node in a second, over the usual number.
+    /// The highest allowed rate of health checks of a node, as a multiple of the configured rate.
     #[garde(range(min = 1.0, max = 100.0))]
     #[serde(default = "default_burst")]
     pub burst: f64,
-    /// Nodes accept effects of old holders too, which a trial then has to show.
+    /// Whether nodes also accept requests of former role holders. A trial with this key is expected to report violations.
     #[garde(skip)]
     #[serde(default)]
     pub no_gate: bool,
@@ -157,47 +157,47 @@
     100.0
 }
 
-/// A fault of a trial.
+/// One fault of a trial.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Fault {
-    /// What kind.
+    /// The kind of fault.
     #[garde(skip)]
     pub kind: FaultKind,
-    /// Seconds from the start of the load.
+    /// When the fault begins, in seconds from the start of the load.
     #[garde(range(min = 0.0, max = 3600.0))]
     pub at: f64,
-    /// How many seconds it lasts.
+    /// How long the fault lasts, in seconds.
     #[garde(range(min = 0.0, max = 600.0))]
     #[serde(default = "default_one")]
     pub lasts: f64,
-    /// The share of the caches, parents or directors that it strikes: one at least.
+    /// The share of the caches, parents or directors that the fault affects. At least one is affected.
     #[garde(range(min = 0.0, max = 1.0))]
     #[serde(default)]
     pub of: f64,
-    /// How many times longer slowed nodes work.
+    /// The factor by which slowed nodes take longer for each request.
     #[garde(range(min = 1.0, max = 100.0))]
     #[serde(default = "default_one")]
     pub by: f64,
 }
 
-/// A fleet trial.
+/// The settings of a fleet trial.
 ///
-/// Fields with bounds are named as their keys: an error finds the key in the file by the name of the field.
+/// Fields with bounds have the names of their keys, because an error finds the key in the file by the field's name.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Trial {
-    /// What the report is headed with.
+    /// The name in the heading of the report.
     #[garde(length(min = 1, max = 40))]
     pub name: String,
-    /// The seed of all that is drawn: speeds, lookups, faults.
+    /// The seed of all random choices: node speeds, lookups, faults.
     #[garde(skip)]
     #[serde(default)]
     pub seed: u64,
-    /// How long the load lasts.
+    /// The duration of the load in seconds.
     #[garde(range(min = 2, max = 3600))]
     pub seconds: u64,
-    /// How many seconds at its start are left out of the figures on even load.
+    /// Seconds at the start of the load that the figures on load balance leave out.
     #[garde(range(max = 600))]
     #[serde(default = "default_warm_up")]
     pub warm_up: u64,
@@ -210,28 +210,28 @@
     /// The number of parents.
     #[garde(range(min = 1, max = 64))]
     pub parents: usize,
-    /// Lookups a second of all clients together.
+    /// Lookups per second of all clients together.
     #[garde(range(min = 1.0, max = 20_000.0))]
     pub rate: f64,
-    /// The number of objects that they ask for.
+    /// The number of distinct objects that clients look up.
     #[garde(range(min = 1, max = 10_000_000))]
     pub objects: u64,
-    /// How many copies a cache keeps; a parent keeps four times as many.
+    /// The number of copies that a cache keeps. A parent keeps four times as many.
     #[garde(range(min = 1, max = 1_000_000))]
     pub kept: usize,
-    /// The load of caches and parents over their capacity, if caches answer `hits` themselves.
+    /// The ratio of load to capacity of caches and parents, given that caches answer the share `hits` themselves.
     #[garde(range(min = 0.05, max = 2.0))]
     #[serde(default = "default_load")]
     pub load: f64,
-    /// The hit ratio of caches that capacities assume.
+    /// The hit ratio of caches from which the capacity of parents is computed.
     #[garde(range(min = 0.0, max = 0.99))]
     #[serde(default = "default_hits")]
     pub hits: f64,
-    /// How many times more lookups one in ten directors gets than the others.
+    /// The factor by which one in ten directors gets more lookups than the others.
     #[garde(range(min = 1.0, max = 50.0))]
     #[serde(default = "default_one")]
     pub uneven: f64,
-    /// By how much the speeds of nodes differ from the mean at most, as a share of it.
+    /// The largest deviation of a node's speed from the mean, as a share of the mean.
     #[garde(range(min = 0.0, max = 0.9))]
     #[serde(default)]
     pub speeds: f64,
@@ -239,27 +239,28 @@
     #[garde(range(min = 0.0, max = 0.9))]
     #[serde(default)]
     pub hot: f64,
-    /// By how many seconds changes of the list come later at most; they do so at two thirds of the directors.
+    /// The longest delay of changes of the endpoint list, in seconds. Changes are delayed at two thirds of the directors.
     #[garde(range(min = 0.0, max = 60.0))]
     #[serde(default)]
     pub late_lists: f64,
-    /// Coordination; without it, directors share nothing.
+    /// Coordination. Without it, directors share no state.
     #[garde(dive)]
     #[serde(default)]
     pub duties: Option<CoordinationTrial>,
-    /// The faults.
+    /// The faults of the trial.
     #[garde(dive)]
     #[serde(default)]
     pub faults: Vec<Fault>,
-    /// The most that a node may get of its fair share in a window of five seconds with no fault in it or before it.
+    /// The highest allowed ratio of a node's load to its fair share, in a window of five seconds without a fault in it
+    /// or shortly before it.
     #[garde(range(min = 1.0, max = 100.0))]
     #[serde(default = "default_most")]
     pub most: f64,
-    /// The least that it may get.
+    /// The lowest allowed ratio of a node's load to its fair share in such a window.
     #[garde(range(min = 0.0, max = 1.0))]
     #[serde(default)]
     pub least: f64,
-    /// The least share of all lookups that is satisfied.
+    /// The lowest allowed share of lookups that succeed.
     #[garde(range(min = 0.0, max = 1.0))]
     #[serde(default)]
     pub satisfied: f64,
@@ -285,17 +286,17 @@
     100.0
 }
 
-/// Reads the settings of a fleet trial. `file` names them in errors.
+/// Parses the settings of a fleet trial. `file` is the file name in errors.
 ///
 /// # Errors
 ///
-/// One for each fault, with file, line and key.
+/// Returns one error for each problem, with file, line and key.
 pub fn parse(file: &str, text: &str) -> Result<Trial, Vec<ConfigError>> {
     let form = parse_single_form(file, text, "fleet")?;
     let Form::Fleet(trial) = &form.value;
     match trial.inconsistency() {
         Some((key, problem)) => {
-            let remedy = "leave time after it, and name whom it strikes";
+            let remedy = "keep warm-up, faults and voters within the trial, and add duties for faults that need coordination";
             Err(vec![form.error(file, key, problem, remedy)])
         }
         None => Ok(trial.clone()),
@@ -303,17 +304,17 @@
 }
 
 impl Trial {
-    /// A key and what is wrong with it beside other keys.
+    /// The first key that contradicts another key, and the problem with it.
     fn inconsistency(&self) -> Option<(&'static str, &'static str)> {
         let end = self.seconds as f64;
         if self.warm_up as f64 >= end {
-            Some(("fleet.warm-up", "longer than the whole"))
+            Some(("fleet.warm-up", "longer than the trial"))
         } else if self.duties.is_none() && self.faults.iter().any(|fault| fault.kind.needs_coordination()) {
-            Some(("fleet.faults", "one strikes voters, and there are no duties"))
+            Some(("fleet.faults", "one needs coordination, and there are no duties"))
         } else if self.duties.as_ref().is_some_and(|duties| duties.voters > self.directors) {
             Some(("fleet.duties.voters", "more than there are directors"))
         } else if self.faults.iter().any(|fault| fault.at + fault.lasts > end) {
-            Some(("fleet.faults", "one lasts past the end"))
+            Some(("fleet.faults", "one ends after the trial"))
         } else {
             None
         }
