--- a/crates/testbed/src/client_load.rs
+++ b/crates/testbed/src/client_load.rs
@@ -1,4 +1,5 @@
-//! Clients of the stand-in load: each has a connection to one director and sends one lookup at a time, by the clock.
+//! Client load: each client has a connection to one director and sends one lookup at a time, at a fixed interval. The
+//! encoding of requests and answers is shared by all trials.
 
 use std::collections::HashMap;
 use std::io::{self, ErrorKind, Read, Write};
@@ -16,26 +17,26 @@
 use crate::threads::lock;
 use crate::trial_state::TrialState;
 
-/// How long a client waits; the directors' settings say the same.
+/// The time budget of a client's lookup. The directors' settings have the same value.
 pub(crate) const BUDGET_MS: u64 = 800;
-/// How long after a purge older copies may still come.
+/// How long after a purge older copies may still be served.
 const PURGE_GRACE_MS: u64 = 2_500;
-/// How much longer than its budget a client waits before it counts a lookup as unanswered.
+/// How much longer than the budget a client waits before it counts a lookup as unanswered.
 const ANSWER_TOLERANCE_MS: u64 = 3_000;
 /// The request class of all lookups.
 const REQUEST_CLASS: &str = "footage";
-/// Bytes of an answer that hold the time at which its copy was made, hexadecimal.
+/// The number of hexadecimal digits at the start of an answer's body that hold the issue time of the copy.
 const ISSUED_TIME_DIGITS: usize = 16;
 
-/// When a lookup succeeded, and after how long.
+/// The time and latency of a lookup that succeeded.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TimedLatency {
-    /// The second of the trial in which the answer came.
+    /// The second of the trial in which the answer arrived.
     pub(crate) second: u64,
     pub(crate) micros: u64,
 }
 
-/// What one client saw.
+/// The counts of one client.
 #[derive(Default)]
 pub(crate) struct ClientStats {
     pub(crate) requests: u64,
@@ -44,24 +45,24 @@
     pub(crate) failed: u64,
     /// Requests that ended without an answer.
     pub(crate) unanswered: u64,
-    /// Answers to nothing that was asked, second answers, and bytes that are no answer.
+    /// Answers without a matching lookup, repeated answers, and bytes that are not a valid answer.
     pub(crate) unexpected: u64,
-    /// Answers with a copy from before a purge, after its grace.
+    /// Answers with a copy from before a purge, to lookups sent after the grace period of the purge.
     pub(crate) stale: u64,
-    /// Of the requests that succeeded.
+    /// The latencies of the requests that succeeded.
     pub(crate) latencies: Vec<TimedLatency>,
 }
 
-/// When each object was purged last, in Unix milliseconds.
+/// The time of the last purge of each object, in Unix milliseconds.
 pub(crate) type Purges = Arc<Mutex<HashMap<u64, u64>>>;
 
-/// One client.
+/// A client of one director.
 pub(crate) struct Client {
     pub(crate) director: SocketAddr,
-    /// Its number, from 1.
+    /// The client's number, from 1.
     pub(crate) number: u64,
     pub(crate) seed: u64,
-    /// How many objects there are to ask for.
+    /// The number of distinct objects that clients look up.
     pub(crate) objects: u64,
     /// The time between two lookups.
     pub(crate) interval: Duration,
@@ -73,7 +74,7 @@
 pub enum Response {
     /// The object's bytes.
     Success(Vec<u8>),
-    /// The request is refused and may be asked again.
+    /// The request was rejected and may be sent again.
     Rejected,
     /// The request has failed.
     Failed,
@@ -89,7 +90,7 @@
         let mut next = Instant::now() + self.interval.mul_f64(rng.random());
         while !self.trial.is_over() {
             std::thread::sleep(next.saturating_duration_since(Instant::now()));
-            // No backlog: a slow answer does not make a burst of the next ones.
+            // Skip lookups that are overdue, so that a slow answer is not followed by a burst of lookups.
             next = (next + self.interval).max(Instant::now());
             let object = (self.objects as f64 * rng.random::<f64>().powi(3)) as u64;
             if connection.is_none() {
@@ -105,7 +106,7 @@
         stats
     }
 
-    /// Sends one lookup, waits for its answer and counts it. After an error the connection is of no more use.
+    /// Sends one lookup, waits for its answer and counts it. After an error the connection must not be used again.
     fn send_lookup(
         &self,
         stream: &mut TcpStream,
@@ -161,17 +162,17 @@
     }
 }
 
-/// When the copy in an answer was made, in Unix milliseconds.
+/// When the copy in an answer was issued, in Unix milliseconds.
 fn issued_ms_of(body: &[u8]) -> Option<u64> {
     let digits = std::str::from_utf8(body.get(..ISSUED_TIME_DIGITS).unwrap_or_default()).ok()?;
     u64::from_str_radix(digits, 16).ok()
 }
 
-/// Encodes a lookup of an object, as a client writes it.
+/// Encodes a lookup of an object as a client sends it.
 pub fn encode_request(request: u64, call: u32, object: u64) -> Vec<u8> {
     let request = format!("{request:016x}");
     let budget = BUDGET_MS.to_string();
-    // Sizes of 4 to 16 KB: lookups differ in the cost of their transfer, and so in what they are worth.
+    // Sizes of 4 to 16 KB, so that lookups differ in transfer cost and therefore in value.
     let size_kb = (4 + parent_position(object) % 13).to_string();
     let object = format!("{object:016x}");
     let fields = [
@@ -185,10 +186,10 @@
     encode_call(call, REQUEST_CLASS, &fields)
 }
 
-/// Encodes a MessagePack-RPC request: its method is the request class, its arguments are the fields and no body.
+/// Encodes a MessagePack-RPC request. The method is the request class, the arguments are the fields and an empty body.
 pub(crate) fn encode_call(call: u32, class: &str, fields: &[(&str, &str)]) -> Vec<u8> {
     let mut message = vec![0x94, 0];
-    // Writing into memory does not fail.
+    // Writing to a `Vec` does not fail.
     let _ = encode::write_uint(&mut message, u64::from(call));
     let _ = encode::write_str(&mut message, class);
     let _ = encode::write_array_len(&mut message, 2);
@@ -204,17 +205,17 @@
     ErrorKind::InvalidData.into()
 }
 
-/// Reads the answer to this call. An answer to any other is invalid data.
+/// Reads the answer to this call. An answer to another call is an error of kind `InvalidData`.
 fn read_response(stream: &mut TcpStream, call: u32) -> io::Result<Response> {
     let (number, answer) = read_any_response(stream)?;
     if number == call { Ok(answer) } else { Err(invalid_data(())) }
 }
 
-/// Reads the next answer and the number of its call.
+/// Reads the next answer. Returns the number of its call and the answer.
 ///
 /// # Errors
 ///
-/// Bytes that are no answer are `ErrorKind::InvalidData`; all else is the connection's error.
+/// Returns `ErrorKind::InvalidData` for bytes that are not a valid answer, otherwise the error of the connection.
 pub fn read_any_response(stream: &mut impl Read) -> io::Result<(u32, Response)> {
     let mut byte = [0; 1];
     stream.read_exact(&mut byte)?;
@@ -228,9 +229,9 @@
     }
     stream.read_exact(&mut byte)?;
     match byte {
-        // An error and no result.
+        // An array: the error. The result is nil.
         [0x92] => Ok((call, read_failure(stream)?)),
-        // No error and a result.
+        // Nil in place of the error. The result follows.
         [0xc0] => Ok((call, read_success(stream)?)),
         _ => Err(invalid_data(())),
     }
@@ -269,10 +270,9 @@
     Ok(())
 }
 
-/// A histogram of latencies in microseconds, for its percentiles.
+/// A histogram of latencies in microseconds, from which percentiles are read.
 pub(crate) fn histogram(micros: impl Iterator<Item = u64>) -> Histogram<u64> {
-    let mut histogram =
-        Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that a histogram can have");
+    let mut histogram = Histogram::new_with_bounds(1, 60_000_000, 3).expect("valid histogram bounds");
     micros.for_each(|us| histogram.saturating_record(us.max(1)));
     histogram
 }
--- a/crates/testbed/src/clock.rs
+++ b/crates/testbed/src/clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock, in the unit of the operators' protocol.
+//! The wall clock in milliseconds, the unit of the operators' protocol.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
--- a/crates/testbed/src/copies.rs
+++ b/crates/testbed/src/copies.rs
@@ -1,8 +1,9 @@
-//! The copies that a stand-in node keeps.
+//! The copies that a stub node keeps.
 
 use std::collections::{HashMap, VecDeque};
 
-/// Copies by object, with when the origin issued them (Unix milliseconds); the oldest is evicted first.
+/// Copies by object, with the time at which the origin issued them (Unix milliseconds). The copy that was inserted
+/// first is evicted first.
 #[derive(Default)]
 pub(crate) struct Copies {
     pub(crate) issued_ms: HashMap<u64, u64>,
@@ -10,7 +11,7 @@
 }
 
 impl Copies {
-    /// Keeps a copy, and evicts the oldest beyond `max_copies`.
+    /// Adds or updates a copy, and evicts the oldest copies beyond `max_copies`.
     pub(crate) fn keep(&mut self, object: u64, issued_ms: u64, max_copies: usize) {
         if self.issued_ms.insert(object, issued_ms).is_none() {
             self.insertion_order.push_back(object);
--- a/crates/testbed/src/director_process.rs
+++ b/crates/testbed/src/director_process.rs
@@ -1,4 +1,4 @@
-//! Directors on loopback as processes of their own: configurations, starts, and lines of the endpoint list.
+//! Director processes on loopback: their configurations, their start, and the entries of their endpoint list.
 
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
@@ -11,10 +11,10 @@
 use crate::process::{ChildProcess, TrialError};
 
 const SERVING_POLL: Duration = Duration::from_millis(20);
-/// Names the file of a director's coordination settings to it.
+/// The environment variable with the file of a director's coordination settings.
 const COORDINATION_VARIABLE: &str = "SABLECROSS_DUTY";
 
-/// Starts a director, whose log is appended to `log`. `coordination` is the file of its coordination settings.
+/// Starts a director. Its log is appended to `log`; `coordination` is the file of its coordination settings, if any.
 pub(crate) fn spawn_director(
     program: &dyn Fn() -> Command,
     config: &Path,
@@ -28,7 +28,7 @@
     ChildProcess::start(&mut command, log, "a director")
 }
 
-/// Waits until a process accepts connections, for `timeout` after `since` at most.
+/// Waits until a process accepts connections, at most until `timeout` after `since`.
 pub(crate) fn wait_until_serving(
     name: &str,
     address: SocketAddr,
@@ -49,7 +49,7 @@
     Ok(())
 }
 
-/// An entry of the endpoint list. Caches are in the zone `edge`, all other nodes in `hub`.
+/// An entry of the endpoint list. Caches are in the zone `edge`, all other nodes in the zone `hub`.
 pub(crate) fn endpoint_json(
     name: &str,
     address: SocketAddr,
@@ -62,12 +62,12 @@
         "weight": 1, "since_ms": since_ms})
 }
 
-/// The fields of an event with these entries; a snapshot replaces all entries before it.
+/// The fields of a discovery event with these entries. A snapshot replaces all earlier entries.
 pub(crate) fn members_event(endpoints: &[Value], is_snapshot: bool) -> String {
     format!("\"members\":{}", json!({"index": 1, "snapshot": is_snapshot, "endpoints": endpoints}))
 }
 
-/// What a director is told of its nodes.
+/// The behavior of nodes that a director's settings describe.
 pub(crate) struct NodeModel {
     pub(crate) slow_start_initial_share: f64,
     pub(crate) slow_start_us: u64,
@@ -76,7 +76,8 @@
     pub(crate) stream_kb_per_s: f64,
 }
 
-/// The configuration of one of `directors` directors of the only location. `known` holds the events up to now.
+/// The configuration of one of `directors` directors, all in the same location. `known` holds the discovery events so
+/// far.
 pub(crate) fn director_config(
     number: usize,
     directors: usize,
--- a/crates/testbed/src/discovery_stub.rs
+++ b/crates/testbed/src/discovery_stub.rs
@@ -1,5 +1,5 @@
-//! Stand-in discovery: publishes events to all directors as server-sent events, and hears which version of the
-//! hierarchy each has applied.
+//! Stub discovery service: publishes events to all directors as server-sent events, and receives reports of the
+//! hierarchy version that each director has applied.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,10 +12,10 @@
 use crate::threads::{lock, spawn};
 use crate::trial_state::TrialState;
 
-/// Where directors report the version that they have applied.
+/// The request with which directors report the version that they have applied.
 const APPLIED_REQUEST: &str = "POST /v1/hierarchy/in-force";
 const MAX_REPORT_BYTES: usize = 4_096;
-/// How often a comment is sent where there are no events.
+/// The interval of keepalive comments when there are no events.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Default)]
@@ -24,24 +24,24 @@
     published: Condvar,
 }
 
-/// The stand-in; clones share the events.
+/// The discovery stub. Clones share the events.
 #[derive(Clone)]
 pub(crate) struct DiscoveryStub {
     log: Arc<EventLog>,
     pub(crate) address: SocketAddr,
 }
 
-/// A director's report of the version that it has applied.
+/// A director's report of the hierarchy version that it has applied.
 #[derive(Debug, Deserialize)]
 pub(crate) struct AppliedReport {
     #[serde(rename = "party")]
     pub(crate) participant: String,
     pub(crate) number: u64,
-    /// The version's digest, hexadecimal.
+    /// The digest of the version, in hexadecimal.
     pub(crate) digest: String,
 }
 
-/// The header of a request, as far as it is needed.
+/// The parts of an HTTP request's header that the stub needs.
 #[derive(Default)]
 struct RequestHeader {
     request_line: String,
@@ -85,7 +85,7 @@
                 }
                 let (own, reports, trial) = (own.clone(), reports.clone(), Arc::clone(&trial));
                 spawn(move || {
-                    // A director that goes ends its connection.
+                    // An error means that the director has ended the connection.
                     let _ = own.serve(&stream, &reports, &trial);
                 });
             }
@@ -103,7 +103,7 @@
         number
     }
 
-    /// All events up to now.
+    /// All events so far.
     pub(crate) fn events(&self) -> Vec<String> {
         lock(&self.log.events).clone()
     }
@@ -120,7 +120,7 @@
             let mut body = vec![0; header.content_length.min(MAX_REPORT_BYTES)];
             reader.read_exact(&mut body)?;
             if let Ok(report) = serde_json::from_slice(&body) {
-                // Nobody listens any more at the end of the trial.
+                // At the end of the trial, the receiver may already be gone.
                 let _ = reports.send(report);
             }
             return stream.write_all(b"HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n");
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -1,4 +1,4 @@
-//! One experiment from start to end: real directors under load while the hierarchy changes.
+//! Runs an experiment: real directors under load while the hierarchy changes.
 
 mod hierarchy_generator;
 mod rollout_driver;
@@ -32,7 +32,7 @@
 use crate::trial_state::TrialState;
 
 const NS_PER_SECOND: u64 = 1_000_000_000;
-/// Short, so that many changes fit an experiment.
+/// The slow start window, short enough for many changes in one experiment.
 const SLOW_START_WINDOW_NS: u64 = 2 * NS_PER_SECOND;
 const SLOW_START_INITIAL_SHARE: f64 = 0.25;
 const COLLAPSE_MULTIPLE: f64 = 2.0;
@@ -40,24 +40,24 @@
 const CLIENTS_PER_DIRECTOR: usize = 8;
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 const STEP_INTERVAL: Duration = Duration::from_millis(10);
-/// How long after the load a client may still wait for its last answer.
+/// How much longer than its budget a client may wait for its last answer after the load.
 const CLIENT_END_TOLERANCE_MS: u64 = 5_000;
 /// The longest delay of a purge on its way to a node.
 const MAX_PURGE_DELAY_MS: u64 = 700;
-/// Purges are of the objects that are asked for most.
+/// Purges choose among this many of the most requested objects.
 const PURGED_OBJECTS: u64 = 50;
-/// How often, with faults, another change is proposed while the last one is carried out.
+/// The probability, with faults, that another change is proposed while the last one is still in progress.
 const OVERLAPPING_CHANGE_PROBABILITY: f64 = 0.3;
 const OVERLAPPING_CHANGE_PAUSE: Duration = Duration::from_millis(50);
 const CHANGE_PAUSE: Duration = Duration::from_millis(300);
 const UNPLANNED_CHANGE_PAUSE: Duration = Duration::from_secs(3);
 
-/// The nodes of the first hierarchy by their number in it.
+/// The nodes of the first hierarchy, by their number in it.
 type Nodes = BTreeMap<NodeId, StartedNode>;
 
-/// A director that serves.
+/// A running director.
 struct StartedDirector {
-    /// Ends with the experiment.
+    /// Kept because the process is killed when the value is dropped.
     _process: ChildProcess,
     _port: ReservedPort,
     address: SocketAddr,
@@ -65,12 +65,13 @@
 
 /// Runs an experiment.
 ///
-/// `director` is the command of a real director; its configuration and log go to `folder`, as does the log of the
-/// rollout. `progress` gets a line each second.
+/// `director` is the command of a real director. Configurations, directors' logs and the rollout log are written to
+/// `folder`. `progress` gets a line for each second.
 ///
 /// # Errors
 ///
-/// If a file, socket or process of the experiment can't be made. Violations are no errors: they are in the report.
+/// Returns an error if a file, socket or process of the experiment can't be created. Violations are not errors: the
+/// report lists them.
 pub fn run(
     experiment: &Experiment,
     director: &dyn Fn() -> Command,
@@ -83,7 +84,8 @@
     let first = generator.initial();
     let nodes = start_nodes(experiment, &first, &trial)?;
     let (report_sender, reports) = channel();
-    let discovery = DiscoveryStub::start(&trial, report_sender).map_err(io_error("the feed"))?;
+    let discovery =
+        DiscoveryStub::start(&trial, report_sender).map_err(io_error("starting the discovery stub"))?;
     publish_first_events(&discovery, &nodes, &first);
     let directors = start_directors(experiment, director, folder, &discovery)?;
     let parents = nodes.values().map(|started| &started.node).filter(|node| node.role == Role::Parent);
@@ -128,14 +130,14 @@
         };
         let (copies, follows_path) = (experiment.kept, experiment.follow_named_path);
         let started = Node::start(&node.name, role, copies, follows_path, trial);
-        let started = started.map_err(io_error("a stand-in"))?;
+        let started = started.map_err(io_error("starting a stub node"))?;
         trial.add_address(&node.name, started.address);
         nodes.insert(id, started);
     }
     Ok(nodes)
 }
 
-/// Publishes the endpoint list and the first version of the hierarchy.
+/// Publishes the endpoint list and the first hierarchy version.
 fn publish_first_events(discovery: &DiscoveryStub, nodes: &Nodes, first: &Hierarchy) {
     let endpoints: Vec<_> = nodes.values().map(|started| ready_endpoint(started, 0)).collect();
     discovery.publish(&members_event(&endpoints, true));
@@ -168,7 +170,7 @@
         let name = format!("director-{number}");
         let config_file = folder.join(format!("{name}.json"));
         let log = folder.join(format!("{name}.log"));
-        // That of an earlier run.
+        // Removes the log of an earlier run.
         let _ = std::fs::remove_file(&log);
         let events = discovery.events();
         let feed = (discovery.address, &events[..]);
@@ -182,7 +184,7 @@
     Ok(directors)
 }
 
-/// Starts all clients. Each sends what it saw at its end.
+/// Starts all clients. Each sends its counts when it finishes.
 fn start_clients(
     experiment: &Experiment,
     directors: &[StartedDirector],
@@ -208,7 +210,7 @@
     stats
 }
 
-/// Waits for what the clients saw. One that does not come to its end is left out.
+/// Waits for the counts of the clients. Clients that do not finish in time are left out.
 fn collect_stats(client_stats: &Receiver<ClientStats>, clients: usize) -> Vec<ClientStats> {
     let deadline = Instant::now() + Duration::from_millis(BUDGET_MS + CLIENT_END_TOLERANCE_MS);
     let mut all = Vec::new();
@@ -221,7 +223,7 @@
     all
 }
 
-/// The time under load: changes of the hierarchy and purges.
+/// The phase of an experiment under load, with changes of the hierarchy and purges.
 struct LoadPhase<'a> {
     experiment: &'a Experiment,
     first: Hierarchy,
@@ -231,14 +233,14 @@
     purges: Purges,
     trial: Arc<TrialState>,
     start: Instant,
-    /// How many changes were proposed.
+    /// The number of changes proposed so far.
     changes: usize,
     next_change: Instant,
-    /// The next change does not wait for the end of the last one.
+    /// Whether the next change is proposed without waiting for the end of the last one.
     is_overlapping_change: bool,
-    /// How many purges were made.
+    /// The number of purges so far.
     purges_made: u64,
-    /// The last second of which a line was printed.
+    /// The last second for which a progress line was printed.
     reported_second: u64,
 }
 
@@ -285,7 +287,7 @@
         Ok(())
     }
 
-    /// Proposes another shape if it is time for one.
+    /// Proposes another hierarchy if a change is due.
     fn change_hierarchy(&mut self) -> Result<(), TrialError> {
         let is_idle = self.driver.rollout.progress().is_none();
         let is_due = self.changes < self.experiment.rewirings && Instant::now() >= self.next_change;
@@ -314,13 +316,14 @@
         Ok(())
     }
 
-    /// The published shape with the numbers of nodes from the first one: a recovered driver numbers them anew.
+    /// The published hierarchy with the node numbers of the first one. They differ after the driver was recovered, which
+    /// renumbers the nodes.
     fn current_shape(&self) -> Hierarchy {
         let spec = HierarchySpec::from_hierarchy(1, self.driver.rollout.published().version);
         spec.to_hierarchy(Some(&self.first)).map_or_else(|_| self.first.clone(), |(_, shape)| shape)
     }
 
-    /// Publishes the new start of nodes that come back.
+    /// Publishes the new start times of nodes that return to the hierarchy cold.
     fn announce_cold_nodes(&self, current: &Hierarchy, target: &Hierarchy) {
         let cold: Vec<_> = target
             .iter()
@@ -332,7 +335,7 @@
         }
     }
 
-    /// Purges an object if it is time for it. Each node learns of it at its own time.
+    /// Purges an object if a purge is due. Each node receives the purge after its own delay.
     fn purge(&mut self) {
         let due = self.start.elapsed().as_millis() as u64 * self.experiment.purges / 1_000;
         if due <= self.purges_made {
@@ -351,7 +354,7 @@
         }
     }
 
-    /// A line for each second.
+    /// Prints a progress line once per second.
     fn report_progress(&mut self, progress: &mut impl FnMut(&str)) {
         let second = self.start.elapsed().as_secs();
         if second <= self.reported_second {
--- a/crates/testbed/src/experiment/hierarchy_generator.rs
+++ b/crates/testbed/src/experiment/hierarchy_generator.rs
@@ -1,4 +1,4 @@
-//! Draws the hierarchy of an experiment, and changes of it, from the seed.
+//! Generates the hierarchy of an experiment and changes of it from the seed.
 
 use std::sync::Arc;
 
@@ -12,23 +12,25 @@
 
 const FILL_WINDOW_NS: u64 = NS_PER_SECOND / 2;
 const STEP_TIMEOUT_NS: u64 = 8 * NS_PER_SECOND;
-/// The part of the origin's ceiling that plans leave free.
+/// The share of the origin's ceiling that plans leave unused.
 const CEILING_MARGIN: f64 = 0.1;
 const ORIGIN: NodeId = 0;
 const ORIGIN_TIER: u8 = 0;
 const CACHE_TIER: u8 = 3;
-/// How many drawn shapes are tried until one is admitted.
+/// How many random hierarchies are tried until one is admitted.
 const MAX_DRAWS: usize = 50;
-/// How often a parent of the tier at the origin fills from others of its tier, where the settings allow it.
+/// The probability that a parent of the tier next to the origin fills from others of its tier, if the settings allow
+/// it.
 const CHAIN_PROBABILITY: f64 = 0.4;
+/// The probability that a change of a parent removes it.
 const REMOVAL_PROBABILITY: f64 = 0.2;
-/// How often two parents, one of which fills from the other, change places.
+/// The probability that two parents, one of which fills from the other, swap places.
 const SWAP_PROBABILITY: f64 = 0.6;
 
-/// Nodes that a change replaces; none: removed.
+/// The nodes that a change replaces. `None` removes a node.
 type NodeChanges = Vec<(NodeId, Option<Arc<HierarchyNode>>)>;
 
-/// The origin is node 0, parents come next, then the caches.
+/// Generates hierarchies. The origin is node 0, followed by the parents and then the caches.
 pub(super) struct HierarchyGenerator<'a> {
     experiment: &'a Experiment,
     pub(super) rng: Pcg32,
@@ -77,7 +79,7 @@
         (1..=self.parents()).contains(&id)
     }
 
-    /// The first hierarchy: half of the parents are asked by caches and fill from the other half.
+    /// The first hierarchy: caches fill from half of the parents, which fill from the other half.
     pub(super) fn initial(&mut self) -> Hierarchy {
         let parents = self.parents();
         let near_caches = parents.div_ceil(2);
@@ -96,7 +98,7 @@
         self.node(&format!("upper-{id}"), tier, sources)
     }
 
-    /// Lets all caches fill from all parents of the tier nearest to them.
+    /// Makes all caches fill from all parents of the tier nearest to them.
     fn with_caches(&self, mut hierarchy: Hierarchy) -> Hierarchy {
         let of_tier = |tier: u8| -> Vec<NodeId> {
             hierarchy.iter().filter(|(_, node)| node.tier == tier).map(|(id, _)| id).collect()
@@ -113,8 +115,8 @@
         hierarchy
     }
 
-    /// Draws another shape: parents change tiers and sources, go, or come back cold. `start_cold` restarts a node and
-    /// returns when (nanoseconds). None if no drawn shape is admitted.
+    /// Draws a changed hierarchy, in which parents change tiers and sources, are removed, or return cold. `start_cold`
+    /// restarts a node and returns its start time (nanoseconds). Returns `None` if no drawn hierarchy is admitted.
     pub(super) fn next_shape(
         &mut self,
         current: &Hierarchy,
@@ -136,7 +138,7 @@
         None
     }
 
-    /// One parent gets another tier and other sources, goes, or comes back.
+    /// Moves one parent to another tier with other sources, removes it, or returns it to the hierarchy.
     fn change_parent(&mut self, hierarchy: Hierarchy, start_cold: impl Fn(NodeId) -> u64) -> Hierarchy {
         let id = self.rng.random_range(1..=self.parents());
         let tier = self.rng.random_range(1..=2u8);
@@ -164,8 +166,8 @@
         sources
     }
 
-    /// Now and then two parents change places, one of which fills from the other: without steps between, a fill could
-    /// run in a circle.
+    /// Swaps, at random, two parents of which one fills from the other. If such a swap were published in a single step, a
+    /// fill could loop between them.
     fn swap_chained_parents(&mut self, hierarchy: Hierarchy) -> Hierarchy {
         let chained: Vec<(NodeId, NodeId)> = hierarchy
             .iter()
@@ -194,7 +196,7 @@
         hierarchy.with_changes(swapped)
     }
 
-    /// Lets no node fill from one that is not there.
+    /// Removes sources that are not in the hierarchy.
     fn without_missing_sources(&self, hierarchy: Hierarchy) -> Hierarchy {
         let is_missing = |source: &NodeId| hierarchy.get(*source).is_none();
         let changed: NodeChanges = hierarchy
--- a/crates/testbed/src/experiment/rollout_driver.rs
+++ b/crates/testbed/src/experiment/rollout_driver.rs
@@ -1,5 +1,5 @@
-//! Carries out changes of the hierarchy as a controller does, over links that delay, double and lose what they carry,
-//! and is killed and recovered from its log.
+//! Carries out changes of the hierarchy as a controller does, over links that delay, duplicate and lose versions. The
+//! driver is also killed and recovered from its log.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -24,28 +24,31 @@
 use crate::settings::Experiment;
 use crate::trial_state::TrialState;
 
-/// A node that left gets nothing so long after the last lookup from before has ended.
+/// Requests to a node that has left count as stray this long after the last lookup from before has ended.
 const STRAY_GRACE_MS: u64 = 2_000;
-/// The longest delay of a version on its way to a parent.
+/// The longest delay of a version on its way to a parent, without faults.
 const MAX_VERSION_DELAY_MS: u64 = 100;
+/// The longest delay of a version on its way to a parent, with faults.
 const MAX_VERSION_DELAY_WITH_FAULTS_MS: u64 = 700;
 const DUPLICATE_PROBABILITY: f64 = 0.3;
 const LOSS_PROBABILITY: f64 = 0.2;
-/// How often the driver is killed before an action of a change.
+/// The probability that the driver is killed before an action of a change.
 const KILL_PROBABILITY: f64 = 0.04;
-/// How often, in each step of a change, a parent fails for `PARENT_FAILURE_MS`.
+/// The probability, for each call of `RolloutDriver::step` during a change, that a parent fails for
+/// `PARENT_FAILURE_MS`.
 const PARENT_FAILURE_PROBABILITY: f64 = 0.000_5;
 const PARENT_FAILURE_MS: u64 = 1_000;
-/// How often a version is published again until all have applied it.
+/// The interval at which a version is published again until all participants have applied it.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// How long the driver waits for a disk that can't be written, and how often it tries.
+/// How long the driver retries writes to a failing disk.
 const DISK_RETRY_TIMEOUT: Duration = Duration::from_secs(10);
+/// The interval between these retries.
 const DISK_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A version on its way to a parent.
 struct DelayedVersion {
     due: Instant,
-    /// The parent's place among the parents.
+    /// The parent's index in `RolloutDriver::parents`.
     parent: usize,
     number: u64,
     version: Hierarchy,
@@ -60,7 +63,7 @@
     pub(super) made_ms: u64,
 }
 
-/// The controller of the hierarchy and the links to those that take part.
+/// The hierarchy controller and its links to the participants.
 pub(super) struct RolloutDriver<'a> {
     experiment: &'a Experiment,
     pub(super) rng: Pcg32,
@@ -73,17 +76,17 @@
     delayed_versions: Vec<DelayedVersion>,
     pub(super) delayed_purges: Vec<DelayedPurge>,
     trial: Arc<TrialState>,
-    /// How often it was killed.
+    /// How often the driver was killed.
     pub(super) kills: u64,
-    /// Lines of its log, and faults.
+    /// Log lines of the rollout, and injected faults.
     pub(super) notes: Vec<String>,
     next_retry: Instant,
-    /// The committed version of which nodes that left have been told.
+    /// The committed version at which nodes that left were last notified.
     departures_announced_version: u64,
 }
 
 impl<'a> RolloutDriver<'a> {
-    /// Begins with the first version, which all participants have applied. Its log goes to the folder.
+    /// Starts with the first version, which all parents have applied. The rollout log is written to `folder`.
     pub(super) fn start(
         experiment: &'a Experiment,
         first: &Hierarchy,
@@ -99,7 +102,7 @@
         let participants: Vec<Participant> =
             directors.chain(parents.iter().map(|parent| Participant::from(parent.name.as_str()))).collect();
         let log_file = folder.join("driver.redb");
-        // That of an earlier run.
+        // Removes the log of an earlier run.
         let _ = std::fs::remove_file(&log_file);
         let mut driver = RolloutDriver {
             experiment,
@@ -122,12 +125,12 @@
         Ok(driver)
     }
 
-    /// The wall clock in nanoseconds, as the rollout counts time.
+    /// The wall clock in nanoseconds, the unit of time of the rollout.
     fn now_ns() -> u64 {
         unix_ms() * 1_000_000
     }
 
-    /// Whether a fault of this probability happens now.
+    /// Draws whether a fault of this probability happens now. Without faults in the settings, none does.
     fn draw_fault(&mut self, probability: f64) -> bool {
         self.experiment.faults && self.rng.random::<f64>() < probability
     }
@@ -143,7 +146,7 @@
         let copies = if self.draw_fault(DUPLICATE_PROBABILITY) { 2 } else { 1 };
         for _ in 0..copies {
             for parent in 0..self.parents.len() {
-                // One that is lost is sent again until it is applied.
+                // A lost version is published again until all participants have applied it.
                 if self.draw_fault(LOSS_PROBABILITY) {
                     continue;
                 }
@@ -181,11 +184,11 @@
         }
     }
 
-    /// Kills the driver where it is, and recovers it from its log.
+    /// Simulates a crash of the driver between two actions, and recovers it from its log.
     fn restart(&mut self) -> Result<(), TrialError> {
         self.kills += 1;
-        let folder = tempfile::tempdir().map_err(io_error("folder"))?;
-        // The old log lets go of its file before it is opened again.
+        let folder = tempfile::tempdir().map_err(io_error("creating a temporary folder"))?;
+        // The old log must release its file before the file is opened again.
         let placeholder = ControllerLog::open(&folder.path().join("spare"))?.0;
         drop(std::mem::replace(&mut self.log, placeholder));
         let (log, records) = ControllerLog::open(&self.log_file)?;
@@ -194,16 +197,16 @@
         Ok(())
     }
 
-    /// Gives the rollout an input and carries out what follows.
+    /// Passes an input to the rollout and carries out the resulting actions.
     pub(super) fn handle(&mut self, input: RolloutInput) -> Result<(), TrialError> {
-        // A refusal is in the notes; the experiment goes on.
+        // A rejected input is recorded in the notes, and the experiment goes on.
         if let Err(e) = self.rollout.handle(input, Self::now_ns()) {
-            self.notes.push(format!("refused: {e}"));
+            self.notes.push(format!("rejected: {e}"));
         }
         self.carry_out_actions()
     }
 
-    /// Does all that is due now.
+    /// Delivers everything that is due, injects faults, and advances the rollout.
     pub(super) fn step(&mut self, reports: &Receiver<AppliedReport>) -> Result<(), TrialError> {
         let now = Instant::now();
         self.deliver_versions(now)?;
@@ -244,7 +247,7 @@
         });
     }
 
-    /// Takes in what directors have applied.
+    /// Passes the directors' reports of applied versions to the rollout.
     fn handle_reports(&mut self, reports: &Receiver<AppliedReport>) -> Result<(), TrialError> {
         for report in reports.try_iter() {
             self.handle(RolloutInput::VersionApplied {
@@ -256,7 +259,7 @@
         Ok(())
     }
 
-    /// Announces the published version again while participants lack it.
+    /// Announces the published version again if participants have not applied it.
     fn announce_again(&mut self) {
         if self.rollout.missing_participants().is_empty() {
             return;
@@ -274,16 +277,16 @@
         self.handle(RolloutInput::HealthReport { origin_load: origin, down_nodes })
     }
 
-    /// Now and then a parent fails in the middle of a change.
+    /// With a small probability, makes a parent fail during a change.
     fn maybe_fail_parent(&mut self) {
         if self.experiment.faults && self.is_changing() && self.draw_fault(PARENT_FAILURE_PROBABILITY) {
             let parent = self.rng.random_range(0..self.parents.len());
             self.parents[parent].fail_for(PARENT_FAILURE_MS);
-            self.notes.push(format!("fault: {} fails for a second", self.parents[parent].name));
+            self.notes.push(format!("fault: {} fails for 1 s", self.parents[parent].name));
         }
     }
 
-    /// Tells parents that are in no version any more from when on nothing is to come to them.
+    /// Tells parents that are in neither the committed nor the published version from when on requests to them are stray.
     fn announce_departures(&mut self) {
         let NumberedVersion { number: committed_number, version: committed } = self.rollout.committed();
         let NumberedVersion { number: published_number, version: published } = self.rollout.published();
@@ -299,12 +302,12 @@
         self.departures_announced_version = committed_number;
     }
 
-    /// Publishes a shape at once, without a plan: for comparison.
+    /// Publishes a hierarchy in one step, without a plan, for comparison with planned changes.
     pub(super) fn apply_at_once(&mut self, target: Hierarchy) -> Result<(), TrialError> {
         let number = self.rollout.published().number + 1;
         self.trial.count(|second| second.version = number);
         self.announce(number, &target);
-        // The driver begins anew with it, so that what comes next starts from there.
+        // The rollout restarts from this version, so that later changes start from it.
         self.log.append(&RolloutRecord::Checkpoint {
             number,
             next_change: 1,
@@ -315,7 +318,7 @@
         Ok(())
     }
 
-    /// How many changes ended in which way, by the lines of the log.
+    /// The number of changes by outcome, from the log lines of the rollout.
     pub(super) fn outcomes(&self) -> BTreeMap<String, u64> {
         let mut outcomes = BTreeMap::new();
         for line in self.notes.iter().filter(|line| line.contains(" ended how=")) {
@@ -327,7 +330,8 @@
     }
 }
 
-/// Writes a record. Nothing may follow before, so a disk that is full or fails for a while is waited for.
+/// Writes a record to the log. Later actions must not happen before the record is written, so the write is retried
+/// while the disk is full or fails.
 fn write_with_retry(log: &mut ControllerLog, record: &RolloutRecord) -> Result<(), ControllerLogError> {
     let start = Instant::now();
     loop {
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,10 +1,11 @@
-//! Trials on loopback: real directors as processes of their own among stand-ins, under load and faults; a report.
+//! Trials on loopback: real director processes run against stubs, under load and injected faults, and a report lists
+//! figures and violations.
 //!
-//! Stand-in nodes, discovery and clients run in this process and follow the operators' published protocol. Nothing here
-//! decides for directors: changes of the hierarchy are planned and carried out by `sablecross-hierarchy`.
+//! Stub nodes, stub discovery and clients run in this process and follow the operators' published protocol. Nothing
+//! here decides for directors: `sablecross-hierarchy` plans and carries out changes of the hierarchy.
 //!
 //! - [`run`]: an experiment with changes of the hierarchy ([`settings`], [`Report`])
-//! - [`fleet`]: many directors, even load, coordination between them
+//! - [`fleet`]: many directors, load balance and coordination between directors
 //! - [`scale`]: thousands of directors behind relays
 //! - [`soak`]: overlapping faults, checked by invariants
 
--- a/crates/testbed/src/node_stub.rs
+++ b/crates/testbed/src/node_stub.rs
@@ -1,5 +1,5 @@
-//! Stand-in caches, parents and origin of an experiment: they keep copies, fill from named sources, collapse under too
-//! much load while they are cold, and count each fill with the path it came by.
+//! Stub caches, parents and origin of an experiment. They keep copies, fill from named sources, collapse under too much
+//! load while they are cold, and count fills that arrive at the same node twice.
 
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -18,17 +18,18 @@
 use crate::threads::{lock, spawn};
 use crate::trial_state::TrialState;
 
-/// How long the origin and the other nodes work on a request.
+/// How long the origin works on a request.
 const ORIGIN_WORK: Duration = Duration::from_millis(4);
+/// How long a cache or parent works on a request.
 const NODE_WORK: Duration = Duration::from_millis(1);
-/// How long a cold node that collapsed fails everything.
+/// How long a cold node that collapsed fails every request.
 const COLLAPSED_MS: u64 = 2_000;
 const FILL_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const FILL_READ_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The length of a body beyond the time at which its copy was made.
+/// The number of bytes in a body after the issue time of the copy.
 const BODY_PADDING: usize = 240;
 
-/// Where a node stands in the hierarchy.
+/// The role of a node in the hierarchy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Role {
     Cache,
@@ -37,7 +38,7 @@
 }
 
 impl Role {
-    /// Its type in the endpoint list.
+    /// The node type in the endpoint list.
     pub(crate) fn kind(self) -> &'static str {
         match self {
             Role::Cache => "small",
@@ -47,14 +48,14 @@
     }
 }
 
-/// The version of the hierarchy that a node has applied.
+/// The hierarchy version that a node has applied.
 #[derive(Default)]
 struct AppliedVersion {
     holder: VersionHolder,
     paths: Arc<FillPaths>,
 }
 
-/// The requests in the current second of the wall clock.
+/// The number of requests in the current second of the wall clock.
 #[derive(Default)]
 struct SecondCount {
     second: u64,
@@ -72,42 +73,43 @@
     }
 }
 
-/// One node.
+/// A stub node.
 pub(crate) struct Node {
     pub(crate) name: String,
     pub(crate) role: Role,
     trial: Arc<TrialState>,
     max_copies: usize,
-    /// Whether it fills along the path that the director named.
+    /// Whether the node fills along the path that the director named.
     follows_named_path: bool,
     copies: Mutex<Copies>,
     hierarchy: Mutex<AppliedVersion>,
     idle_connections: Mutex<HashMap<String, Vec<TcpStream>>>,
-    /// When it was last started cold, in Unix milliseconds; 0: long ago.
+    /// When the node was last restarted cold, in Unix milliseconds. 0 means never, so that the node is warm.
     cold_since_ms: AtomicU64,
-    /// It fails everything until then.
+    /// The node fails every request until this time, in Unix milliseconds.
     down_until_ms: AtomicU64,
-    /// It has left the hierarchy, and nothing is to come here after this; 0: it has not.
+    /// Requests after this time (Unix milliseconds) are stray, because the node has left the hierarchy. 0 means that it
+    /// has not left.
     stray_after_ms: AtomicU64,
     load: Mutex<SecondCount>,
     next_fill: AtomicU64,
 }
 
-/// What a node needs of an attempt.
+/// The parts of an attempt that a node needs.
 struct Pull {
     tag: String,
     object: u64,
-    /// How old a copy may be; 0: of any age.
+    /// The highest accepted age of a copy. 0 means any age.
     max_age_ms: u64,
     source: Option<String>,
-    /// The sources beyond the first one.
+    /// The sources after the first one.
     path: Vec<String>,
-    /// The nodes that a fill has come through.
+    /// The nodes that a fill has passed.
     visited: Vec<String>,
 }
 
 impl Pull {
-    /// None if a field that is there is no number.
+    /// Returns `None` if a numeric field is present but not a number.
     fn from_request(request: &PullRequest) -> Option<Pull> {
         let object = match request.field("key") {
             Some(_) => request.object()?,
@@ -132,7 +134,7 @@
     }
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 enum PullOutcome {
     Copy { issued_ms: u64, is_hit: bool },
     Miss,
@@ -157,14 +159,14 @@
     }
 }
 
-/// Where a node listens, and what it is.
+/// A node and its address.
 pub(crate) struct StartedNode {
     pub(crate) node: Arc<Node>,
     pub(crate) address: SocketAddr,
 }
 
 impl Node {
-    /// Listens on a port of its own until the trial is over.
+    /// Starts a node that listens on a port of its own until the trial is over.
     pub(crate) fn start(
         name: &str,
         role: Role,
@@ -194,7 +196,7 @@
         Ok(StartedNode { node, address })
     }
 
-    /// Offers a version of the hierarchy. Returns the number and digest of the one that is applied then.
+    /// Offers a hierarchy version. Returns the number and digest of the version that is in force afterwards.
     pub(crate) fn offer(&self, number: u64, version: &Hierarchy) -> (u64, u64) {
         let mut applied = lock(&self.hierarchy);
         if applied.holder.offer(number, version) == OfferOutcome::Accepted {
@@ -203,12 +205,12 @@
         (applied.holder.number(), applied.holder.version().map_or(0, Hierarchy::digest))
     }
 
-    /// Counts what comes after this time (Unix milliseconds) as stray; none: nothing is.
+    /// Counts requests after this time (Unix milliseconds) as stray. `None` means that no request is stray.
     pub(crate) fn set_stray_after(&self, stray_after_ms: Option<u64>) {
         self.stray_after_ms.store(stray_after_ms.unwrap_or(0), Ordering::Relaxed);
     }
 
-    /// Fails everything for a while.
+    /// Fails every request for `ms` milliseconds.
     pub(crate) fn fail_for(&self, ms: u64) {
         self.down_until_ms.store(unix_ms() + ms, Ordering::Relaxed);
     }
@@ -217,7 +219,7 @@
         unix_ms() < self.down_until_ms.load(Ordering::Relaxed)
     }
 
-    /// Begins anew, cold and empty. Returns when, in Unix milliseconds.
+    /// Restarts the node cold and empty. Returns the start time in Unix milliseconds.
     pub(crate) fn restart_cold(&self) -> u64 {
         *lock(&self.copies) = Copies::default();
         let now_ms = unix_ms();
@@ -225,7 +227,7 @@
         now_ms
     }
 
-    /// Drops the copy of an object if it is from before the purge.
+    /// Drops the copy of an object if it was issued before the purge.
     pub(crate) fn purge(&self, object: u64, purged_ms: u64) {
         let mut copies = lock(&self.copies);
         if copies.issued_ms.get(&object).is_some_and(|issued| *issued < purged_ms) {
@@ -240,13 +242,13 @@
             }
             let own = Arc::clone(self);
             spawn(move || {
-                // A connection that ends in the middle is its peer's matter.
+                // An error means that the peer has ended the connection.
                 let _ = own.serve(&stream);
             });
         }
     }
 
-    /// Answers the attempts of one connection, one after another.
+    /// Answers the attempts on one connection, one after another.
     fn serve(&self, mut stream: &TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let mut reader = BufReader::new(stream);
@@ -307,7 +309,8 @@
         }
     }
 
-    /// Counts a request. A cold node collapses at a multiple of what its warmth bears.
+    /// Counts a request, and returns whether the node is down or collapses. A cold node collapses under load at a multiple
+    /// of its reduced capacity.
     fn is_overloaded(&self, now_ms: u64) -> bool {
         if now_ms < self.down_until_ms.load(Ordering::Relaxed) {
             return true;
@@ -322,7 +325,7 @@
         true
     }
 
-    /// Requests a second at which it collapses; none once it is warm.
+    /// The load at which the node collapses, in requests per second. `None` once the node is warm.
     fn collapse_limit(&self, now_ms: u64) -> Option<f64> {
         let cold_since_ms = self.cold_since_ms.load(Ordering::Relaxed);
         if cold_since_ms == 0 {
@@ -338,7 +341,7 @@
         (share < 1.0).then_some(node.capacity * share * rules.collapse_multiple)
     }
 
-    /// The source that the asker named, or what the applied version says.
+    /// The source that the request named, or else the source of the applied hierarchy version.
     fn source(&self, pull: &Pull) -> Option<String> {
         if let Some(source) = &pull.source {
             return Some(source.clone());
@@ -353,7 +356,7 @@
         Some(hierarchy.node_name(source).to_owned())
     }
 
-    /// Fetches a copy. Returns when it was issued; none if the source has none.
+    /// Fetches a copy from a source. Returns when the copy was issued, or `None` if the source returned no copy.
     fn fill(&self, pull: &Pull, source: &str) -> io::Result<Option<u64>> {
         let Some(mut stream) = self.connect(source)? else { return Ok(None) };
         let number = self.next_fill.fetch_add(1, Ordering::Relaxed);
@@ -364,7 +367,7 @@
         Ok(issued_ms)
     }
 
-    /// An idle connection to a node or a new one; none if nobody has this name.
+    /// An idle or new connection to a node. `None` if no node has this name.
     fn connect(&self, source: &str) -> io::Result<Option<TcpStream>> {
         let idle = lock(&self.idle_connections).get_mut(source).and_then(Vec::pop);
         if idle.is_some() {
@@ -377,7 +380,8 @@
         Ok(Some(stream))
     }
 
-    /// The fields of a fill: with the path up to here and, where the director named one, the rest of its path.
+    /// The fields of a fill request: the path so far including this node and, if nodes follow the director's path, the
+    /// rest of that path.
     fn fill_fields(&self, pull: &Pull) -> String {
         let mut visited = pull.visited.clone();
         visited.push(self.name.clone());
@@ -396,7 +400,7 @@
     }
 }
 
-/// Reads the answer to a fill: when the copy was issued, if there is one.
+/// Reads the answer to a fill. Returns when the copy was issued, if the answer has one.
 fn read_fill_answer(stream: &TcpStream) -> io::Result<Option<u64>> {
     let mut reader = BufReader::new(stream);
     let mut line = String::new();
--- a/crates/testbed/src/ports.rs
+++ b/crates/testbed/src/ports.rs
@@ -1,4 +1,4 @@
-//! Ports of the processes of a trial, which no other trial on the machine is given meanwhile.
+//! Port reservation for the processes of a trial, safe against other trials on the same machine.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -14,42 +14,43 @@
 #[cfg(test)]
 mod tests;
 
-/// They lie below those that the system gives to connections.
+/// The range lies below the ephemeral ports that the system assigns to connections.
 const PORTS: Range<u16> = 12_000..32_000;
-/// How many ports are tried before there is none.
+/// How many ports are tried before allocation fails.
 const PORT_ATTEMPTS: usize = 100;
 
-/// A port that is kept for one process, over its restarts too, until this is dropped.
+/// A port that is reserved for one process, including its restarts, until this value is dropped.
 pub(crate) struct ReservedPort {
     pub(crate) address: SocketAddr,
-    /// Bound and never listening: the process may listen there, as both allow the address to be used again.
+    /// The socket is bound but never listens. The process can listen on the address, because both set SO_REUSEADDR.
     _socket: Socket,
 }
 
 impl ReservedPort {
-    /// Fails if anybody else has the port.
+    /// Reserves a port. Fails if the port is in use or reserved.
     fn reserve(port: u16) -> io::Result<ReservedPort> {
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, port));
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         socket.bind(&address.into())?;
-        // Only now: with it before, another trial's reservation would not be seen.
+        // The option must be set after `bind`: if it were set before, `bind` would succeed on a port that another trial
+        // has reserved.
         socket.set_reuse_address(true)?;
         Ok(ReservedPort { address, _socket: socket })
     }
 }
 
-/// Finds free ports. Trials beside one another seldom try the same.
+/// Allocates free ports in random order, so that concurrent trials seldom try the same ones.
 pub(crate) struct PortAllocator(Pcg32);
 
 impl PortAllocator {
     pub(crate) fn new() -> PortAllocator {
-        // Trials of one program, as tests are, draw apart as well.
+        // Trials in the same process, such as tests, use different seeds as well.
         static ALLOCATORS: AtomicU64 = AtomicU64::new(0);
         let own = ALLOCATORS.fetch_add(1, Ordering::Relaxed) << 32;
         PortAllocator(Pcg32::seed_from_u64(own | u64::from(std::process::id())))
     }
 
-    /// A free port.
+    /// Reserves a free port.
     pub(crate) fn allocate(&mut self) -> Result<ReservedPort, TrialError> {
         let mut last_error = io::ErrorKind::AddrInUse.into();
         for _ in 0..PORT_ATTEMPTS {
@@ -58,10 +59,10 @@
                 Err(e) => last_error = e,
             }
         }
-        Err(io_error("a port")(last_error))
+        Err(io_error("reserving a port")(last_error))
     }
 
-    /// So many free ports.
+    /// Reserves `count` free ports.
     pub(crate) fn allocate_all(&mut self, count: usize) -> Result<Vec<ReservedPort>, TrialError> {
         (0..count).map(|_| self.allocate()).collect()
     }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,4 +1,4 @@
-//! The result of an experiment: a table, JSON, charts over time.
+//! The result of an experiment, as text, JSON and charts over time.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -14,9 +14,9 @@
 /// The result of an experiment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Report {
-    /// The settings.
+    /// The settings of the experiment.
     pub experiment: Experiment,
-    /// All lookups.
+    /// The number of all lookups.
     pub lookups: u64,
     /// Lookups that succeeded.
     pub satisfied: u64,
@@ -28,58 +28,58 @@
     /// Lookups without an answer.
     #[serde(rename = "lost")]
     pub unanswered: u64,
-    /// Answers to nothing that was asked, and bytes that are no answer.
+    /// Answers without a matching lookup, and bytes that are not a valid answer.
     #[serde(rename = "strange")]
     pub unexpected: u64,
-    /// Answers with a copy from before a purge, after its grace.
+    /// Answers with a copy from before a purge, to lookups sent after the grace period of the purge.
     #[serde(rename = "old")]
     pub stale: u64,
-    /// Clients that did not come to an end.
+    /// Clients that did not finish in time.
     #[serde(rename = "missing")]
     pub unfinished_clients: usize,
     /// The median latency of lookups that succeeded, in microseconds.
     #[serde(rename = "p50")]
     pub p50_us: u64,
-    /// Its 99th percentile.
+    /// The 99th percentile of the latency of lookups that succeeded, in microseconds.
     #[serde(rename = "p99")]
     pub p99_us: u64,
-    /// The most fetches at the origin in a second.
+    /// The highest number of fetches from the origin in a second.
     #[serde(rename = "origin_most")]
     pub origin_max: u64,
-    /// Fetches at the origin a second, on average.
+    /// Fetches from the origin per second, on average.
     pub origin_mean: f64,
     /// Requests that nodes answered from their copies.
     pub hits: u64,
     /// Requests for which nodes fetched a copy.
     pub fills: u64,
-    /// Fills that came to a node that they had come through before.
+    /// Fills that arrived at a node that they had already passed.
     pub loops: u64,
     /// Cold nodes that collapsed under their load.
     #[serde(rename = "falls")]
     pub collapses: u64,
-    /// Requests to nodes that had left the hierarchy, after their grace.
+    /// Requests to nodes that had left the hierarchy, after their grace period.
     #[serde(rename = "strays")]
     pub stray_requests: u64,
     /// Changes of the hierarchy that were proposed.
     pub changes: usize,
-    /// How many changes ended in which way.
+    /// The number of changes by outcome.
     #[serde(rename = "endings")]
     pub change_outcomes: BTreeMap<String, u64>,
-    /// How often the driver of the changes was killed.
+    /// How often the rollout driver was killed.
     #[serde(rename = "kills")]
     pub driver_kills: u64,
     /// The counts of each second.
     pub seconds: Vec<Second>,
-    /// Lines of the driver's log, and faults.
+    /// Log lines of the rollout driver, and injected faults.
     pub notes: Vec<String>,
 }
 
-/// What an experiment counted, from which its report is made.
+/// The counts of an experiment, from which its report is computed.
 pub(crate) struct ExperimentOutcome {
     pub(crate) seconds: Vec<Second>,
     pub(crate) client_stats: Vec<ClientStats>,
     pub(crate) unfinished_clients: usize,
-    /// The seconds whose figures count, which leaves the warm-up out.
+    /// The seconds of the trial that the figures cover, without the warm-up.
     pub(crate) window: Range<u64>,
     pub(crate) changes: usize,
     pub(crate) change_outcomes: BTreeMap<String, u64>,
@@ -96,7 +96,7 @@
         self.client_stats.iter().flat_map(|stats| &stats.latencies)
     }
 
-    /// Sets the 99th percentile of each second.
+    /// Sets the 99th percentile of the latency of each second.
     fn set_percentiles(&mut self) {
         for number in 0..self.seconds.len() {
             let latencies = self.latencies().filter(|latency| latency.second == number as u64);
@@ -105,10 +105,10 @@
         }
     }
 
-    /// The seconds in the window, as far as there are.
+    /// The counts of the seconds in the window, as far as they exist.
     fn measured_seconds(&self) -> &[Second] {
         let from = (self.window.start as usize).min(self.seconds.len());
-        // The last second is cut short.
+        // The window may end after the last counted second.
         let to = (self.window.end as usize).min(self.seconds.len()).max(from);
         &self.seconds[from..to]
     }
@@ -157,18 +157,18 @@
 impl TrialReport for Report {
     fn violations(&self) -> Vec<String> {
         let must_be_zero = [
-            ("fills that came to a node twice", self.loops),
+            ("fills that arrived at a node twice", self.loops),
             ("cold nodes that collapsed", self.collapses),
             ("requests to nodes that had left", self.stray_requests),
             ("lookups without an answer", self.all_unanswered()),
-            ("answers that were not asked for", self.unexpected),
+            ("answers without a matching lookup", self.unexpected),
             ("copies from before a purge", self.stale),
         ];
         let found = must_be_zero.iter().filter(|(_, count)| *count > 0);
         let mut violations: Vec<String> = found.map(|(what, count)| format!("{what}: {count}")).collect();
         let ceiling = self.experiment.ceiling;
         if self.origin_max as f64 > ceiling {
-            violations.push(format!("origin: {} in a second, of {ceiling}", self.origin_max));
+            violations.push(format!("origin: {} fetches in a second, ceiling {ceiling}", self.origin_max));
         }
         violations
     }
@@ -185,10 +185,14 @@
         };
         let ceiling = Some(self.experiment.ceiling as u64);
         vec![
-            chart("fetches at the origin, a second (line: ceiling)", |second| second.origin_fetches, ceiling),
-            chart("hits, a second", |second| second.hits, None),
+            chart(
+                "fetches from the origin per second (line: ceiling)",
+                |second| second.origin_fetches,
+                ceiling,
+            ),
+            chart("hits per second", |second| second.hits, None),
             chart("99th percentile of the latency, ms", |second| second.p99_us / 1_000, None),
-            chart("published version", |second| second.version, None),
+            chart("published hierarchy version", |second| second.version, None),
         ]
     }
 }
@@ -215,7 +219,7 @@
         writeln!(f, "latency p50 {p50_ms:.1} ms  p99 {p99_ms:.1} ms")?;
         writeln!(
             f,
-            "origin {:.0} a second, {} at most, ceiling {}  hits {}  fills {}",
+            "origin {:.0} per second, {} at most, ceiling {}  hits {}  fills {}",
             self.origin_mean, self.origin_max, settings.ceiling, self.hits, self.fills
         )?;
         writeln!(
--- a/crates/testbed/src/schedule.rs
+++ b/crates/testbed/src/schedule.rs
@@ -1,16 +1,16 @@
-//! When something is to be done, and whom it concerns.
+//! Scheduling of actions, and random choice of their targets and times.
 
 use rand::RngExt;
 use rand_pcg::Pcg32;
 
-/// Removes and returns the earliest action whose time has come. Times are in seconds.
+/// Removes and returns the earliest action that is due. Times are in seconds.
 pub(crate) fn take_due<T>(actions: &mut Vec<(f64, T)>, now: f64) -> Option<T> {
     let due = actions.iter().enumerate().filter(|(_, (at, _))| *at <= now);
     let (earliest, _) = due.min_by(|a, b| a.1.0.total_cmp(&b.1.0))?;
     Some(actions.remove(earliest).1)
 }
 
-/// Draws this share of the numbers below `count`, but one at least.
+/// Draws a random sample of this share of the numbers below `count`, with at least one number.
 pub(crate) fn sample(rng: &mut Pcg32, count: usize, share: f64) -> Vec<usize> {
     let mut numbers: Vec<usize> = (0..count).collect();
     let drawn = ((count as f64 * share).round() as usize).clamp(1, count);
@@ -22,7 +22,7 @@
     numbers
 }
 
-/// Seconds until the next event of a Poisson process with this rate a second.
+/// Draws the time in seconds until the next event of a Poisson process with `rate` events per second.
 pub(crate) fn exponential_interval(rng: &mut Pcg32, rate: f64) -> f64 {
     -(1.0 - rng.random::<f64>()).ln() / rate
 }
--- a/crates/testbed/src/settings.rs
+++ b/crates/testbed/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of an experiment, and what the settings files of all trials have in common.
+//! The settings of an experiment, and the parsing that the settings files of all trials share.
 
 use garde::Validate;
 use sablecross_sexpr_config::{ConfigError, Located};
@@ -11,23 +11,23 @@
     Experiment(#[garde(dive)] Experiment),
 }
 
-/// An experiment.
+/// The settings of an experiment.
 ///
-/// Fields with bounds are named as their keys: an error finds the key in the file by the name of the field.
+/// Fields with bounds have the names of their keys, because an error finds the key in the file by the field's name.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Experiment {
-    /// What the report is headed with.
+    /// The name in the heading of the report.
     #[garde(length(min = 1, max = 40))]
     pub name: String,
-    /// The seed of all that is drawn: lookups, changes, faults.
+    /// The seed of all random choices: lookups, changes, faults.
     #[garde(skip)]
     #[serde(default)]
     pub seed: u64,
-    /// How long the load lasts.
+    /// The duration of the load in seconds.
     #[garde(range(min = 2, max = 3600))]
     pub seconds: u64,
-    /// How many seconds at the start of the load are left out of the figures.
+    /// Seconds at the start of the load that the figures leave out.
     #[garde(range(max = 600))]
     #[serde(default = "default_warm_up")]
     pub warm_up: u64,
@@ -40,45 +40,47 @@
     /// The number of parents.
     #[garde(range(min = 1, max = 32))]
     pub uppers: usize,
-    /// Lookups a second of all clients together.
+    /// Lookups per second of all clients together.
     #[garde(range(min = 1, max = 20_000))]
     pub rate: u64,
-    /// The number of objects that they ask for.
+    /// The number of distinct objects that clients look up.
     #[garde(range(min = 1, max = 10_000_000))]
     pub objects: u64,
-    /// How many copies each cache and parent keeps.
+    /// The number of copies that each cache and parent keeps.
     #[garde(range(min = 1, max = 1_000_000))]
     pub kept: usize,
-    /// How many fetches the origin bears in a second.
+    /// The ceiling of the origin's load, in fetches per second.
     #[garde(range(min = 1.0, max = 1e6))]
     pub ceiling: f64,
-    /// The hit ratio of each cache that plans assume.
+    /// The hit ratio that plans assume for caches and parents.
     #[garde(range(min = 0.0, max = 1.0))]
     #[serde(default = "default_half")]
     pub hit: f64,
-    /// The number of changes of the hierarchy, one after another.
+    /// The number of changes of the hierarchy.
     #[garde(range(max = 1_000))]
     #[serde(default)]
     pub rewirings: usize,
-    /// Whether parents of the tier at the origin may fill from one another, which makes fill paths longer.
+    /// Whether parents of the tier next to the origin may fill from one another, which makes fill paths longer.
     #[garde(skip)]
     #[serde(default = "default_true")]
     #[serde(rename = "chains")]
     pub parent_chains: bool,
-    /// Whether changes are carried out by a plan; else each in one step.
+    /// Whether changes are carried out by a plan. Otherwise each change is published in one step.
     #[garde(skip)]
     #[serde(default = "default_true")]
     pub plan: bool,
-    /// Whether versions come late, doubled and out of order, the driver is killed and changes overlap.
+    /// Whether faults are injected: versions arrive late, twice, out of order or not at all, parents fail, the rollout
+    /// driver is killed, and changes overlap.
     #[garde(skip)]
     #[serde(default)]
     pub faults: bool,
-    /// Whether parents fill along the path that directors name; else by the version that each has applied.
+    /// Whether parents fill along the path that directors name. Otherwise they fill by the hierarchy version that each has
+    /// applied.
     #[garde(skip)]
     #[serde(default)]
     #[serde(rename = "ways")]
     pub follow_named_path: bool,
-    /// Purges a second.
+    /// Purges per second.
     #[garde(range(max = 100))]
     #[serde(default)]
     pub purges: u64,
@@ -96,7 +98,7 @@
     true
 }
 
-/// Reads a file that holds a single form with this name.
+/// Parses a file that holds a single form with this name.
 pub(crate) fn parse_single_form<T>(file: &str, text: &str, name: &str) -> Result<Located<T>, Vec<ConfigError>>
 where
     T: DeserializeOwned + Validate<Context = ()>,
@@ -113,16 +115,16 @@
         }]);
     };
     if !forms.is_empty() {
-        return Err(vec![last.error(file, name, format!("a second {name}"), "keep one a file")]);
+        return Err(vec![last.error(file, name, format!("a second {name}"), "keep one form in each file")]);
     }
     Ok(last)
 }
 
-/// Reads the settings of an experiment. `file` names them in errors.
+/// Parses the settings of an experiment. `file` is the file name in errors.
 ///
 /// # Errors
 ///
-/// One for each fault, with file, line and key.
+/// Returns one error for each problem, with file, line and key.
 pub fn parse(file: &str, text: &str) -> Result<Experiment, Vec<ConfigError>> {
     let first = parse_single_form(file, text, "experiment")?;
     let Form::Experiment(experiment) = &first.value;
@@ -130,8 +132,8 @@
         return Err(vec![first.error(
             file,
             "experiment.warm-up",
-            "longer than the whole",
-            "leave time after it",
+            "longer than the experiment",
+            "make it shorter than the key seconds",
         )]);
     }
     Ok(experiment.clone())
--- a/crates/testbed/src/trial_report.rs
+++ b/crates/testbed/src/trial_report.rs
@@ -1,4 +1,4 @@
-//! What the reports of all trials have in common: violations, files, charts.
+//! Common parts of the reports of all trials: violations, report files and charts.
 
 use std::fmt::Display;
 use std::io;
@@ -9,18 +9,18 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// Why a report could not be written.
+/// The reason why a report could not be written.
 #[derive(Debug, Error)]
 pub enum ReportError {
     /// A file can't be written.
     #[error("{file}: {why}")]
     File {
-        /// Its name in the folder.
+        /// The name of the file in the report's folder.
         file: &'static str,
-        /// What the system said.
+        /// The system's error.
         why: io::Error,
     },
-    /// The report is no JSON.
+    /// The report can't be encoded as JSON.
     #[error("report.json: {0}")]
     Json(#[from] serde_json::Error),
     /// The charts can't be drawn.
@@ -32,22 +32,22 @@
     ReportError::Plot(error.to_string())
 }
 
-/// The result of a trial. Printed, it is report.txt.
+/// The result of a trial. Its `Display` form is the content of report.txt.
 pub trait TrialReport: Display + Serialize {
-    /// What must not have happened and did; empty if all is well.
+    /// Descriptions of all violated requirements. Empty if there are none.
     fn violations(&self) -> Vec<String>;
 
-    /// The heading of its charts.
+    /// The heading of the charts.
     fn title(&self) -> String;
 
     /// Charts over the seconds of the trial.
     fn charts(&self) -> Vec<Chart>;
 
-    /// Writes report.json, report.txt and, where there are charts, plot.svg to a folder.
+    /// Writes report.json, report.txt and, if there are charts, plot.svg to a folder.
     ///
     /// # Errors
     ///
-    /// If a file can't be written or the charts can't be drawn.
+    /// Returns an error if a file can't be written or the charts can't be drawn.
     fn write(&self, folder: &Path) -> Result<(), ReportError> {
         write_file(folder, "report.json", &serde_json::to_string_pretty(self)?)?;
         write_file(folder, "report.txt", &self.to_string())?;
@@ -70,13 +70,13 @@
     std::fs::write(folder.join(file), text).map_err(|why| ReportError::File { file, why })
 }
 
-/// Curves over the seconds of a trial.
+/// A chart of one or more curves over the seconds of a trial.
 pub struct Chart {
     /// The caption.
     pub name: &'static str,
     /// The values of each curve by second.
     pub curves: Vec<Vec<u64>>,
-    /// A horizontal line, such as a bound.
+    /// The value of a horizontal line, such as a limit.
     pub line: Option<u64>,
 }
 
--- a/crates/testbed/src/trial_state.rs
+++ b/crates/testbed/src/trial_state.rs
@@ -1,4 +1,5 @@
-//! What the stand-ins of one trial share: when it began, whether it is over, counts by second, addresses of nodes.
+//! The state that the stubs of one trial share: its start time, whether it is over, counts by second, and the addresses
+//! of nodes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,19 +14,19 @@
 /// The counts of one second of an experiment.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Second {
-    /// Fetches at the origin.
+    /// Fetches from the origin.
     #[serde(rename = "origin")]
     pub origin_fetches: u64,
     /// Requests that a node answered from its copies.
     pub hits: u64,
     /// Requests for which a node fetched a copy.
     pub fills: u64,
-    /// Fills that came to a node that they had come through before.
+    /// Fills that arrived at a node that they had already passed.
     pub loops: u64,
     /// Cold nodes that collapsed under their load.
     #[serde(rename = "falls")]
     pub collapses: u64,
-    /// Requests that came to a node after it had left the hierarchy and its grace was over.
+    /// Requests that arrived at a node after it had left the hierarchy and its grace period was over.
     #[serde(rename = "strays")]
     pub stray_requests: u64,
     /// Lookups that succeeded.
@@ -35,16 +36,16 @@
     pub rejected: u64,
     /// Lookups that failed.
     pub failed: u64,
-    /// The newest version of the hierarchy that was published.
+    /// The newest hierarchy version that was published.
     pub version: u64,
-    /// The 99th percentile of the latency, in microseconds.
+    /// The 99th percentile of the latency of lookups, in microseconds.
     #[serde(rename = "p99")]
     pub p99_us: u64,
 }
 
-/// The state that all stand-ins of a trial share.
+/// The state that all stubs of a trial share.
 pub(crate) struct TrialState {
-    /// When the trial began.
+    /// When the trial started.
     pub(crate) started: Instant,
     over: AtomicBool,
     seconds: Mutex<Vec<Second>>,
@@ -57,7 +58,7 @@
         TrialState { started, over, seconds: Mutex::default(), addresses: RwLock::default() }
     }
 
-    /// Changes the counts of the current second.
+    /// Updates the counts of the current second.
     pub(crate) fn count(&self, change: impl FnOnce(&mut Second)) {
         let current = self.started.elapsed().as_secs() as usize;
         let mut seconds = lock(&self.seconds);
@@ -68,17 +69,17 @@
         change(&mut seconds[current]);
     }
 
-    /// The counts of all seconds up to now.
+    /// The counts of all seconds so far.
     pub(crate) fn seconds(&self) -> Vec<Second> {
         lock(&self.seconds).clone()
     }
 
-    /// The counts of the last second that is over; zeros before there is one.
+    /// The counts of the last complete second, or zeros before there is one.
     pub(crate) fn last_complete_second(&self) -> Second {
         lock(&self.seconds).iter().rev().nth(1).cloned().unwrap_or_default()
     }
 
-    /// Ends the trial: stand-ins stop.
+    /// Ends the trial, so that the stubs stop.
     pub(crate) fn finish(&self) {
         self.over.store(true, Ordering::Relaxed);
     }
@@ -87,7 +88,7 @@
         self.over.load(Ordering::Relaxed)
     }
 
-    /// Makes the address of a node known to the other nodes.
+    /// Registers the address of a node, so that other nodes can fill from it.
     pub(crate) fn add_address(&self, node: &str, address: SocketAddr) {
         let mut addresses = self.addresses.write().unwrap_or_else(|e| e.into_inner());
         addresses.insert(node.to_owned(), address);
