--- a/crates/testbed/src/bin/lab-director.rs
+++ b/crates/testbed/src/bin/lab-director.rs
@@ -1,4 +1,4 @@
-//! A real director, for the tests of the lab.
+//! The director program that the tests of this crate start.
 
 use std::process::ExitCode;
 
--- a/crates/testbed/src/ports/tests.rs
+++ b/crates/testbed/src/ports/tests.rs
@@ -1,12 +1,13 @@
-//! Who may use a reserved port.
+//! Tests of port reservation.
 
 use std::net::TcpListener;
 
 use super::*;
 
-/// Guards against two trials whose directors have the same port: the clients of the one ask the other.
+/// Guards against two trials that use the same port, so that clients of one trial reach a director of the other. A
+/// reserved port must be refused to others, and its own process must be able to listen on it repeatedly.
 #[test]
-fn a_reserved_port_is_nobody_elses_and_its_process_may_listen_there_again_and_again() {
+fn a_reserved_port_is_exclusive_and_its_process_can_listen_on_it_repeatedly() {
     let reserved = PortAllocator::new().allocate().unwrap();
     let port = reserved.address.port();
     for _ in 0..2 {
--- a/crates/testbed/src/pull_request/tests.rs
+++ b/crates/testbed/src/pull_request/tests.rs
@@ -1,4 +1,4 @@
-//! Lines of attempts, as directors write them and as nobody should.
+//! Tests of the parser with valid and malformed lines of attempts.
 
 use super::{PullRequest, PullRequestError};
 
@@ -24,12 +24,12 @@
     assert_eq!((pull.object(), pull.wait_ms(), pull.max_age_ms()), (None, None, None));
     assert_eq!((pull.source(), pull.held_tag()), (None, None));
     assert_eq!((pull.path(), pull.visited()), (Vec::new(), Vec::new()));
-    // Copies of any age.
+    // `within=0` accepts copies of any age.
     assert_eq!(PullRequest::parse("PULL 1f within=0 0").unwrap().max_age_ms(), None);
 }
 
 #[test]
-fn other_lines_are_refused() {
+fn invalid_lines_are_rejected() {
     for line in ["", "METER 1f", "pull 1f - 0", " PULL 1f - 0"] {
         assert_eq!(PullRequest::parse(line), Err(PullRequestError::OtherCommand), "{line:?}");
     }
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! A trial of a small fleet: real directors, every kind of fault, every lookup answered once.
+//! Trials of small fleets: real directors under injected faults, and every lookup must get exactly one outcome.
 
 use std::process::Command;
 
@@ -6,7 +6,7 @@
 use sablecross_testbed::fleet::{run, settings};
 
 #[test]
-fn faults_between_processes_lose_no_lookup_and_push_over_no_cold_cache() {
+fn faults_between_processes_lose_no_lookup_and_collapse_no_cold_cache() {
     let text = "(fleet (name . \"test\") (seed . 3) (seconds . 22) (warm-up . 2) (directors . 8) (caches . 5) (parents . 3)
         (rate . 80) (objects . 3000) (kept . 600) (uneven . 3) (late-lists . 1) (hot . 0.1)
         (faults
@@ -27,7 +27,7 @@
     assert_eq!(t.asked, t.satisfied + t.rejected + t.failed + t.excused, "{report}");
     assert!(t.satisfied * 2 > t.asked, "{report}");
     assert_eq!(report.aftermath.len(), 8);
-    // What befell the nodes was felt: the stopped, the cut off and the crashed one had idle seconds.
+    // All 5 caches, 3 parents and the origin are in the report, and requests arrived at them.
     assert!(
         report.requests.len() == 9 && report.requests.values().flatten().sum::<u32>() > 1_000,
         "{report}"
@@ -36,9 +36,11 @@
     assert!(std::fs::read_to_string(folder.path().join("plot.svg")).unwrap().contains("each cache"));
 }
 
-/// Six directors that probe boxes on behalf of all, blows to the dealer and to others, links that hold up and part.
+/// Six directors share out the health checks of all nodes, while role holders and other directors are killed or
+/// stopped, and links between members and voters are held back, partitioned and reset. No health check of a former
+/// holder may be accepted, and the gaps between health checks must stay within the limit.
 #[test]
-fn one_owner_at_a_time_between_processes_and_steady_probes() {
+fn each_role_has_one_holder_at_a_time_and_health_checks_stay_regular() {
     let text = "(fleet (name . \"duty\") (seed . 5) (seconds . 34) (warm-up . 5) (directors . 6) (caches . 5) (parents . 2)
         (rate . 40) (objects . 2000) (kept . 600)
         (duties ((voters . 3) (lease-ms . 1000) (beat-ms . 200) (probe-ms . 500) (gap-s . 10) (burst . 4) (change-s . 6) (warming . #t)))
@@ -68,7 +70,7 @@
 }
 
 #[test]
-fn faulty_trials_are_refused_by_key() {
+fn invalid_trials_are_rejected_by_key() {
     let cases = [
         ("", "no (fleet ...) form"),
         ("(fleet (name . \"x\"))", "missing field `seconds`"),
@@ -84,7 +86,7 @@
           (duties ((voters . 3) (lease-ms . 1000) (beat-ms . 200) (probe-ms . 500))))", "fleet.duties.voters"),
     ];
     for (text, what) in cases {
-        let said = settings::parse("f", text).unwrap_err()[0].to_string();
-        assert!(said.contains(what), "{said}");
+        let error = settings::parse("f", text).unwrap_err()[0].to_string();
+        assert!(error.contains(what), "{error}");
     }
 }
--- a/crates/testbed/tests/report_format.rs
+++ b/crates/testbed/tests/report_format.rs
@@ -1,14 +1,14 @@
-//! report.json is read by scripts: every field of each report, with its name and place. The literals do not follow the
-//! names of the code.
+//! Scripts read report.json, so every field of each report must keep its name and position. The literals here are
+//! independent of the names in the code.
 
 use sablecross_testbed::{Report, fleet, scale};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Decodes a report and encodes it again, which drops no field, adds none and moves none.
-fn assert_stays<R: Serialize + DeserializeOwned>(text: &str) {
-    let report: R = serde_json::from_str(text).expect("a whole report");
-    assert_eq!(serde_json::to_string(&report).expect("plain values"), text);
+/// Checks that a report that is decoded and encoded again has the same fields in the same order.
+fn assert_round_trips<R: Serialize + DeserializeOwned>(text: &str) {
+    let report: R = serde_json::from_str(text).expect("a complete report");
+    assert_eq!(serde_json::to_string(&report).expect("the report can be encoded"), text);
 }
 
 const EXPERIMENT: &str = r#"{"experiment":{"name":"all","seed":7,"seconds":60,"warm-up":5,"directors":3,"caches":18,"uppers":11,"rate":300,"objects":8000,"kept":180,"ceiling":200.0,"hit":0.25,"rewirings":6,"chains":false,"plan":false,"faults":true,"ways":true,"purges":2},"lookups":1,"satisfied":2,"nacked":3,"failed":4,"lost":5,"strange":6,"old":7,"missing":8,"p50":9,"p99":10,"origin_most":11,"origin_mean":12.5,"hits":13,"fills":14,"loops":15,"falls":16,"strays":17,"changes":18,"endings":{"done":19},"kills":20,"seconds":[{"origin":1,"hits":2,"fills":3,"loops":4,"falls":5,"strays":6,"satisfied":7,"nacked":8,"failed":9,"version":10,"p99":11}],"notes":["a line"]}"#;
@@ -23,15 +23,15 @@
 
 #[test]
 fn the_report_of_an_experiment() {
-    assert_stays::<Report>(EXPERIMENT);
+    assert_round_trips::<Report>(EXPERIMENT);
 }
 
 #[test]
 fn the_report_of_a_fleet_trial() {
-    assert_stays::<fleet::Report>(FLEET);
+    assert_round_trips::<fleet::Report>(FLEET);
 }
 
 #[test]
 fn the_report_of_a_scale_trial() {
-    assert_stays::<scale::Report>(&SCALE.replace("LATENCY", LATENCY).replace("SIDE", SIDE));
+    assert_round_trips::<scale::Report>(&SCALE.replace("LATENCY", LATENCY).replace("SIDE", SIDE));
 }
--- a/crates/testbed/tests/settings_format.rs
+++ b/crates/testbed/tests/settings_format.rs
@@ -1,10 +1,10 @@
-//! The settings forms of trials: every key as it is spelled in files, and the values that keys which are left out get.
+//! The settings forms of trials: the spelling of every key in files, and the default values of omitted keys.
 
 use sablecross_testbed::{fleet, scale, settings};
 
-/// What a file's form comes to, with the names of its keys.
+/// Parsed settings as JSON, with the names of their keys.
 fn json(value: &impl serde::Serialize) -> String {
-    serde_json::to_string(value).expect("plain values")
+    serde_json::to_string(value).expect("the settings can be encoded")
 }
 
 #[test]
@@ -12,16 +12,16 @@
     let text = r#"(experiment (name . "all") (seed . 7) (seconds . 60) (warm-up . 5) (directors . 3) (caches . 18) (uppers . 11)
         (rate . 300) (objects . 8000) (kept . 180) (ceiling . 200.0) (hit . 0.25) (rewirings . 6) (chains . #f) (plan . #f)
         (faults . #t) (ways . #t) (purges . 2))"#;
-    let read = settings::parse("all.scm", text).expect("it is well formed");
+    let read = settings::parse("all.scm", text).expect("valid settings");
     let expected = r#"{"name":"all","seed":7,"seconds":60,"warm-up":5,"directors":3,"caches":18,"uppers":11,"rate":300,"objects":8000,"kept":180,"ceiling":200.0,"hit":0.25,"rewirings":6,"chains":false,"plan":false,"faults":true,"ways":true,"purges":2}"#;
     assert_eq!(json(&read), expected);
 }
 
 #[test]
-fn an_experiment_with_needed_keys_alone() {
+fn an_experiment_with_required_keys_only() {
     let text = r#"(experiment (name . "few") (seconds . 60) (directors . 3) (caches . 18) (uppers . 11) (rate . 300)
         (objects . 8000) (kept . 180) (ceiling . 200.0))"#;
-    let read = settings::parse("few.scm", text).expect("it is well formed");
+    let read = settings::parse("few.scm", text).expect("valid settings");
     let expected = r#"{"name":"few","seed":0,"seconds":60,"warm-up":3,"directors":3,"caches":18,"uppers":11,"rate":300,"objects":8000,"kept":180,"ceiling":200.0,"hit":0.5,"rewirings":0,"chains":true,"plan":true,"faults":false,"ways":false,"purges":0}"#;
     assert_eq!(json(&read), expected);
 }
@@ -34,29 +34,29 @@
         (duties ((voters . 5) (lease-ms . 1000) (beat-ms . 400) (probe-ms . 500) (rounds . 12) (round-s . 6.0) (warming . #t)
                  (change-s . 9.0) (gap-s . 4.0) (burst . 3.0) (no-gate . #t)))
         (faults ((kind . stop-caches) (at . 1.0) (lasts . 2.0) (of . 0.5) (by . 3.0))))"#;
-    let read = fleet::settings::parse("all.scm", text).expect("it is well formed");
+    let read = fleet::settings::parse("all.scm", text).expect("valid settings");
     let expected = r#"{"name":"all","seed":7,"seconds":70,"warm-up":6,"directors":100,"caches":12,"parents":5,"rate":300.0,"objects":20000,"kept":600,"load":0.5,"hits":0.4,"uneven":2.0,"speeds":0.1,"hot":0.2,"late-lists":3.0,"duties":{"voters":5,"lease-ms":1000,"beat-ms":400,"probe-ms":500,"rounds":12,"round-s":6.0,"warming":true,"change-s":9.0,"gap-s":4.0,"burst":3.0,"no-gate":true},"faults":[{"kind":"stop-caches","at":1.0,"lasts":2.0,"of":0.5,"by":3.0}],"most":2.5,"least":0.1,"satisfied":0.6}"#;
     assert_eq!(json(&read), expected);
 }
 
 #[test]
-fn a_fleet_trial_with_needed_keys_alone() {
+fn a_fleet_trial_with_required_keys_only() {
     let text = r#"(fleet (name . "few") (seconds . 70) (directors . 100) (caches . 12) (parents . 5) (rate . 300.0)
         (objects . 20000) (kept . 600)
         (duties ((voters . 5) (lease-ms . 1000) (beat-ms . 400) (probe-ms . 500))))"#;
-    let read = fleet::settings::parse("few.scm", text).expect("it is well formed");
+    let read = fleet::settings::parse("few.scm", text).expect("valid settings");
     let expected = r#"{"name":"few","seed":0,"seconds":70,"warm-up":4,"directors":100,"caches":12,"parents":5,"rate":300.0,"objects":20000,"kept":600,"load":0.6,"hits":0.5,"uneven":1.0,"speeds":0.0,"hot":0.0,"late-lists":0.0,"duties":{"voters":5,"lease-ms":1000,"beat-ms":400,"probe-ms":500,"rounds":0,"round-s":5.0,"warming":false,"change-s":0.0,"gap-s":600.0,"burst":100.0,"no-gate":false},"faults":[],"most":100.0,"least":0.0,"satisfied":0.0}"#;
     assert_eq!(json(&read), expected);
 }
 
-/// Kinds of faults by their words in a file, in a trial that has all they may strike.
-fn fleet_fault(kind: &str) -> String {
+/// The JSON of a fault of this kind, parsed in a trial that has coordination and can have every kind of fault.
+fn fleet_fault_json(kind: &str) -> String {
     let text = format!(
         r#"(fleet (name . "k") (seconds . 70) (directors . 100) (caches . 12) (parents . 5) (rate . 300.0) (objects . 20000)
             (kept . 600) (duties ((voters . 5) (lease-ms . 1000) (beat-ms . 400) (probe-ms . 500)))
             (faults ((kind . {kind}) (at . 1.0))))"#
     );
-    json(&fleet::settings::parse("k.scm", &text).expect("it is well formed").faults)
+    json(&fleet::settings::parse("k.scm", &text).expect("valid settings").faults)
 }
 
 #[test]
@@ -86,7 +86,7 @@
     ];
     for kind in kinds {
         let expected = format!(r#"[{{"kind":"{kind}","at":1.0,"lasts":1.0,"of":0.0,"by":1.0}}]"#);
-        assert_eq!(fleet_fault(kind), expected);
+        assert_eq!(fleet_fault_json(kind), expected);
     }
 }
 
@@ -97,15 +97,15 @@
         (changes . 0.25) (ack-ms . 1500) (batch-ms . 90) (held-ms . 4000) (purge-within . 8.0) (change-within . 4.0)
         (core . 0.02) (memory-mb . 60.0) (bytes . 6000.0) (relay-core . 0.5)
         (faults ((kind . restart-directors) (at . 5.0) (lasts . 9.0) (of . 0.5) (count . 480))))"#;
-    let read = scale::settings::parse("all.scm", text).expect("it is well formed");
+    let read = scale::settings::parse("all.scm", text).expect("valid settings");
     let expected = r#"{"name":"all","seed":7,"seconds":100,"warm-up":6,"settle":20,"hollow":400,"processes":2,"real":5,"relays":13,"voters":5,"regions":4,"feeds":3,"nodes":490,"zones":64,"purges":35.0,"changes":0.25,"ack-ms":1500,"batch-ms":90,"held-ms":4000,"purge-within":8.0,"change-within":4.0,"core":0.02,"memory-mb":60.0,"bytes":6000.0,"relay-core":0.5,"faults":[{"kind":"restart-directors","at":5.0,"lasts":9.0,"of":0.5,"count":480}]}"#;
     assert_eq!(json(&read), expected);
 }
 
 #[test]
-fn a_scale_trial_with_needed_keys_alone() {
+fn a_scale_trial_with_required_keys_only() {
     let text = r#"(scale (name . "few") (seconds . 100) (hollow . 400) (nodes . 490) (zones . 64) (purges . 35.0) (changes . 0.25))"#;
-    let read = scale::settings::parse("few.scm", text).expect("it is well formed");
+    let read = scale::settings::parse("few.scm", text).expect("valid settings");
     let expected = r#"{"name":"few","seed":0,"seconds":100,"warm-up":5,"settle":30,"hollow":400,"processes":0,"real":0,"relays":0,"voters":0,"regions":1,"feeds":4,"nodes":490,"zones":64,"purges":35.0,"changes":0.25,"ack-ms":2000,"batch-ms":100,"held-ms":120000,"purge-within":8.2,"change-within":5.0,"core":0.022,"memory-mb":64.0,"bytes":7000.0,"relay-core":1.0,"faults":[]}"#;
     assert_eq!(json(&read), expected);
 }
@@ -130,14 +130,14 @@
             r#"(scale (name . "k") (seconds . 100) (hollow . 400) (relays . 13) (voters . 5) (nodes . 490) (zones . 64)
                 (purges . 35.0) (changes . 0.25) (faults ((kind . {kind}) (at . 5.0))))"#
         );
-        let read = scale::settings::parse("k.scm", &text).expect("it is well formed");
+        let read = scale::settings::parse("k.scm", &text).expect("valid settings");
         let expected = format!(r#"[{{"kind":"{kind}","at":5.0,"lasts":1.0,"of":0.0,"count":0}}]"#);
         assert_eq!(json(&read.faults), expected);
     }
 }
 
-/// A form with one key set out of its bounds; what a file with it gets as an error.
-fn fault_of(form: &str, complete: &str, key: &str, value: &str) -> String {
+/// Sets one key of a complete form to a value out of its bounds, and returns the first error.
+fn bounds_error(form: &str, complete: &str, key: &str, value: &str) -> String {
     let cut = complete.find(&format!("({key} . "));
     let text = match cut {
         Some(from) => {
@@ -146,20 +146,20 @@
         }
         None => format!("{} ({key} . {value}))", complete.strip_suffix(')').expect("a closed form")),
     };
-    let faults = match form {
+    let errors = match form {
         "experiment" => settings::parse("f.scm", &text).map(drop),
         "fleet" => fleet::settings::parse("f.scm", &text).map(drop),
         _ => scale::settings::parse("f.scm", &text).map(drop),
     };
-    faults.expect_err("a value out of bounds")[0].to_string()
+    errors.expect_err("a value out of bounds")[0].to_string()
 }
 
-/// Each key with a value out of its bounds; the error names the key as the file does.
-fn assert_named_by_key(form: &str, complete: &str, keys: &[(&str, &str)]) {
+/// Checks for each key that a value out of its bounds gives an error that names the key as the file spells it.
+fn assert_errors_name_key(form: &str, complete: &str, keys: &[(&str, &str)]) {
     for (key, value) in keys {
-        let fault = fault_of(form, complete, key, value);
-        assert!(fault.starts_with("f.scm:"), "{fault}");
-        assert!(fault.contains(&format!(" {form}.{key}: ")), "{form}.{key}: {fault}");
+        let error = bounds_error(form, complete, key, value);
+        assert!(error.starts_with("f.scm:"), "{error}");
+        assert!(error.contains(&format!(" {form}.{key}: ")), "{form}.{key}: {error}");
     }
 }
 
@@ -182,7 +182,7 @@
         ("rewirings", "1001"),
         ("purges", "101"),
     ];
-    assert_named_by_key("experiment", complete, &keys);
+    assert_errors_name_key("experiment", complete, &keys);
 }
 
 #[test]
@@ -209,7 +209,7 @@
         ("least", "1.5"),
         ("satisfied", "1.5"),
     ];
-    assert_named_by_key("fleet", complete, &keys);
+    assert_errors_name_key("fleet", complete, &keys);
 }
 
 #[test]
@@ -241,5 +241,5 @@
         ("bytes", "0.5"),
         ("relay-core", "17.0"),
     ];
-    assert_named_by_key("scale", complete, &keys);
+    assert_errors_name_key("scale", complete, &keys);
 }
--- a/crates/testbed/tests/small.rs
+++ b/crates/testbed/tests/small.rs
@@ -1,19 +1,20 @@
-//! A small installation: real directors, changes with faults, every lookup answered once.
+//! Tests of an experiment with a small installation: real directors, changes of the hierarchy with faults, and every
+//! lookup must get exactly one outcome.
 
 use std::process::Command;
 
 use sablecross_testbed::{Experiment, TrialReport, run, settings};
 
-fn experiment(more: &str) -> Experiment {
+fn experiment(more_keys: &str) -> Experiment {
     let text = format!(
         "(experiment (name . \"test\") (seed . 7) (seconds . 14) (warm-up . 2) (directors . 2) (caches . 4) (uppers . 5)
-         (rate . 60) (objects . 500) (kept . 200) (ceiling . 200) {more})"
+         (rate . 60) (objects . 500) (kept . 200) (ceiling . 200) {more_keys})"
     );
     settings::parse("test", &text).unwrap()
 }
 
 #[test]
-fn changes_with_faults_keep_every_rule() {
+fn changes_with_faults_cause_no_violation() {
     let folder = tempfile::tempdir().unwrap();
     let director = || Command::new(env!("CARGO_BIN_EXE_lab-director"));
     let e = experiment("(rewirings . 4) (faults . #t) (purges . 4)");
@@ -22,7 +23,7 @@
     assert!(report.satisfied > 200 && report.satisfied * 100 > report.lookups * 90, "{report}");
     assert_eq!(report.lookups, report.satisfied + report.rejected + report.failed);
     assert!(report.changes > 0 && report.change_outcomes.values().sum::<u64>() > 0, "{:?}", report.notes);
-    // Directors have taken what the driver told, and said so.
+    // The log shows that the director has applied the version that the driver published.
     let log = std::fs::read_to_string(folder.path().join("director-0.log")).unwrap();
     assert!(log.contains("hierarchy in force version=2"), "{log}");
     report.write(folder.path()).unwrap();
@@ -30,7 +31,7 @@
 }
 
 #[test]
-fn faulty_experiments_are_refused_by_key() {
+fn invalid_experiments_are_rejected_by_key() {
     let cases = [
         ("", "no (experiment ...) form"),
         ("(experiment (name . \"x\"))", "missing field `seconds`"),
@@ -44,7 +45,7 @@
         ),
     ];
     for (text, what) in cases {
-        let said = settings::parse("f", text).unwrap_err()[0].to_string();
-        assert!(said.contains(what), "{said}");
+        let error = settings::parse("f", text).unwrap_err()[0].to_string();
+        assert!(error.contains(what), "{error}");
     }
 }
