--- a/crates/testbed/src/fleet/run.rs
+++ b/crates/testbed/src/fleet/run.rs
@@ -1,4 +1,4 @@
-//! A trial from start to end.
+//! Runs a fleet trial: starts all processes and stubs, injects the faults, and collects the report.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -34,43 +34,45 @@
 use crate::schedule::take_due;
 use crate::trial_state::TrialState;
 
-/// Copies of discovery, each of which publishes changes at its own time.
+/// The number of discovery copies, each of which publishes changes after its own delay.
 const DISCOVERY_COPIES: usize = 3;
-/// The list says so much later that a node has crashed.
-const CRASH_NOTICE_SECONDS: f64 = 0.7;
-/// How long after the list says that a node has gone requests may still come to it.
-const DRAIN_GRACE: f64 = 2.0;
-const STRAY_TOLERANCE: f64 = 0.5;
+/// The delay after which the endpoint list shows that a node has crashed.
+const CRASH_NOTICE_DELAY_SECONDS: f64 = 0.7;
+/// How long requests may still arrive at a node after the endpoint list shows that it is gone.
+const DRAIN_GRACE_SECONDS: f64 = 2.0;
+const STRAY_TOLERANCE_SECONDS: f64 = 0.5;
 const START_TIMEOUT: Duration = Duration::from_secs(60);
 const STEP_INTERVAL: Duration = Duration::from_millis(5);
-/// How long after the load's end the last answers may come.
-const LAST_ANSWERS: Duration = Duration::from_millis(BUDGET_MS + 600);
-/// When the first change of the hierarchy is proposed, and how soon again if nobody accepts it.
-const FIRST_PROPOSAL_AT: f64 = 2.0;
+/// How long after the end of the load the last answers may arrive.
+const LAST_ANSWER_TIMEOUT: Duration = Duration::from_millis(BUDGET_MS + 600);
+/// When the first change of the hierarchy is proposed.
+const FIRST_PROPOSAL_SECONDS: f64 = 2.0;
+/// The delay before a proposal that no holder accepted is repeated.
 const PROPOSAL_RETRY_SECONDS: f64 = 0.5;
 
-/// What is to be done at its time.
+/// An action that is scheduled for a time under load.
 enum ScheduledAction {
-    /// Begin a fault, by its number.
+    /// Start the fault with this number.
     Begin(usize),
-    /// End it.
+    /// End the fault with this number.
     End(usize),
-    /// Publish that crashed nodes have gone.
+    /// Publish that these crashed nodes are gone.
     AnnounceGone(Vec<usize>),
-    /// Publish an event at one copy of discovery.
+    /// Publish an event on one discovery copy.
     Publish { discovery: usize, event: String },
-    /// Propose another shape of the hierarchy.
+    /// Make the hierarchy proposal with this number.
     ProposeHierarchy(usize),
 }
 
-/// Runs a trial.
+/// Runs a fleet trial.
 ///
-/// `program` is the command of a real director; configurations and logs go to `folder`. `progress` gets a line each
-/// second and at each fault.
+/// `program` is the command of a real director. Configurations and logs are written to `folder`. `progress` gets a
+/// line for each second and each fault.
 ///
 /// # Errors
 ///
-/// If a file, socket or process of the trial can't be made. Violations are no errors: they are in the report.
+/// Returns an error if a file, socket or process of the trial can't be created. Violations are not errors: the report
+/// lists them.
 pub fn run(
     trial: &Trial,
     program: &dyn Fn() -> Command,
@@ -80,7 +82,7 @@
     std::fs::create_dir_all(folder).map_err(io_error(folder.display().to_string()))?;
     let mut rng = Pcg32::seed_from_u64(trial.seed);
     let over = Arc::new(AtomicBool::new(false));
-    // The clock of the nodes begins here; that of clients and the report later.
+    // The clock of the nodes starts here. The clock of the clients and the report starts with the load.
     let nodes_started = Instant::now();
     let nodes = start_nodes(trial, &mut rng, nodes_started, &over)?;
     let state = Arc::new(TrialState::new(nodes_started));
@@ -98,16 +100,16 @@
     progress(&format!("{} directors serve after {elapsed:.1} s", trial.directors));
 
     let targets = FaultTargets { trial, program, nodes, directors, discovery, coordination };
-    let mut load = Load::start(targets, nodes_started, rng, &over);
+    let mut load = LoadPhase::start(targets, nodes_started, rng, &over);
     load.run(&mut progress)?;
     let measured = load.measure();
     over.store(true, Ordering::Relaxed);
     state.finish();
-    std::thread::sleep(LAST_ANSWERS);
+    std::thread::sleep(LAST_ANSWER_TIMEOUT);
     Ok(load.report(&measured))
 }
 
-/// Requests a second that a node of mean speed bears.
+/// The capacity of a node of mean speed, in requests per second.
 fn capacity(trial: &Trial, tier: Tier) -> f64 {
     match tier {
         Tier::Cache => trial.rate / trial.caches as f64 / trial.load,
@@ -116,7 +118,7 @@
     }
 }
 
-/// Starts caches, parents and the origin, in this order.
+/// Starts the caches, the parents and the origin, in this order.
 fn start_nodes(
     trial: &Trial,
     rng: &mut Pcg32,
@@ -138,9 +140,10 @@
                 tier,
                 capacity: capacity(trial, tier) * speed,
                 max_copies,
-                is_guarded: trial.duties.as_ref().is_none_or(|duties| !duties.no_gate),
+                rejects_stale_tokens: trial.duties.as_ref().is_none_or(|duties| !duties.no_gate),
             };
-            let (node, listener) = Node::start(settings, started, over).map_err(io_error("a stand-in"))?;
+            let (node, listener) =
+                Node::start(settings, started, over).map_err(io_error("starting a stub node"))?;
             nodes.push(node);
             listeners.push(listener);
         }
@@ -166,7 +169,8 @@
     let endpoints: Vec<Value> = nodes.iter().map(|node| endpoint_of(node, "ready", 0)).collect();
     let mut copies = Vec::new();
     for _ in 0..DISCOVERY_COPIES {
-        let copy = DiscoveryStub::start(state, channel().0).map_err(io_error("the feed"))?;
+        let copy =
+            DiscoveryStub::start(state, channel().0).map_err(io_error("starting the discovery stub"))?;
         copy.publish(&members_event(&endpoints, true));
         copies.push(copy);
     }
@@ -207,62 +211,63 @@
     Ok(())
 }
 
-/// What is measured at the end of the load, before the directors' last answers.
+/// Measurements at the end of the load, before the directors' last answers.
 struct Measured {
-    /// How long the load lasted.
+    /// The duration of the load.
     seconds: f64,
-    /// The CPU time of all directors under load.
+    /// The CPU time that all directors used under load.
     cpu_seconds: f64,
-    /// Of the voters.
+    /// The statuses of the voters.
     statuses: Vec<MemberStatus>,
 }
 
-/// The time under load.
-struct Load<'a> {
+/// The phase of a trial under load, with all injected faults.
+struct LoadPhase<'a> {
     trial: &'a Trial,
     targets: FaultTargets<'a>,
     rng: Pcg32,
     start: Instant,
-    /// The same by the wall clock.
+    /// The start in Unix milliseconds.
     start_ms: u64,
-    /// By how much the clock of the nodes is ahead.
-    node_clock_shift: f64,
-    /// The CPU time of all directors before the load.
+    /// Seconds by which the clock of the nodes is ahead of the clock of the load.
+    node_clock_offset: f64,
+    /// The CPU time that all directors had used before the load.
     cpu_seconds_before: f64,
     faults: Vec<Fault>,
     actions: Vec<(f64, ScheduledAction)>,
     active: HashMap<usize, ActiveFault>,
     windows: Vec<FaultWindow>,
-    /// Changes of the hierarchy that were proposed.
+    /// The number of accepted hierarchy proposals.
     proposals: u64,
     exited_directors: usize,
-    /// How late this program itself was woken: where the machine is too busy, a trial says nothing of directors.
+    /// The longest wake-up delay of this thread in seconds. On a machine that is too busy, the trial's result is not
+    /// valid.
     max_wake_delay: f64,
-    /// The last second of which a line was printed.
+    /// The last second for which a progress line was printed.
     reported_second: u64,
 }
 
-impl<'a> Load<'a> {
-    /// Starts the clients of all directors and plans the faults.
+impl<'a> LoadPhase<'a> {
+    /// Starts the clients of all directors and schedules the faults.
     fn start(
         mut targets: FaultTargets<'a>,
         nodes_started: Instant,
         mut rng: Pcg32,
         over: &Arc<AtomicBool>,
-    ) -> Load<'a> {
+    ) -> LoadPhase<'a> {
         let trial = targets.trial;
         let start = Instant::now();
         start_clients(trial, &mut targets.directors, start, over);
         let start_ms = unix_ms();
         let cpu_seconds_before = cpu_seconds(&targets.directors);
         let faults: Vec<Fault> = trial.faults.iter().cloned().chain(draw_faults(trial, &mut rng)).collect();
-        Load {
+        LoadPhase {
             trial,
             targets,
             rng,
             start,
             start_ms,
-            node_clock_shift: (start - nodes_started).as_secs_f64(),
+            node_clock_offset: (start - nodes_started).as_secs_f64(),
             cpu_seconds_before,
             actions: planned_actions(trial, &faults),
             faults,
@@ -319,12 +324,12 @@
         let fault = &active.fault;
         if fault.kind == FaultKind::CrashCaches {
             let announcement = ScheduledAction::AnnounceGone(active.nodes.clone());
-            self.actions.push((now + CRASH_NOTICE_SECONDS, announcement));
+            self.actions.push((now + CRASH_NOTICE_DELAY_SECONDS, announcement));
         }
         let nodes: Vec<String> =
             active.nodes.iter().map(|node| self.targets.nodes[*node].name.clone()).collect();
         let (names, directors) = (nodes.join(" "), active.directors.len());
-        progress(&format!("{now:>6.1} s  {:?} {names} of directors {directors}", fault.kind));
+        progress(&format!("{now:>6.1} s  {:?} nodes [{names}] directors {directors}", fault.kind));
         let what = format!("{:?}", fault.kind);
         self.windows.push(FaultWindow { what, nodes, from: fault.at, to: fault.at + fault.lasts });
         self.active.insert(number, active);
@@ -346,12 +351,13 @@
         let nodes: Vec<&Arc<Node>> = numbers.iter().map(|number| &self.targets.nodes[*number]).collect();
         let endpoints: Vec<Value> = nodes.iter().map(|node| endpoint_of(node, "gone", 0)).collect();
         for node in nodes {
-            node.leave(DRAIN_GRACE + self.trial.late_lists + STRAY_TOLERANCE);
+            node.leave(DRAIN_GRACE_SECONDS + self.trial.late_lists + STRAY_TOLERANCE_SECONDS);
         }
         self.publish_later(&endpoints, now);
     }
 
-    /// Publishes a change of the list: at the first copy of discovery at once, at the others later.
+    /// Schedules the publication of a change of the endpoint list: on the first discovery copy without delay, on the
+    /// others later.
     fn publish_later(&mut self, endpoints: &[Value], now: f64) {
         if endpoints.is_empty() {
             return;
@@ -363,7 +369,7 @@
         }
     }
 
-    /// Proposes a shape of the hierarchy to the holder of its role; again later while there is none.
+    /// Proposes a hierarchy version to the holder of the hierarchy role. Retries later if no holder accepts it.
     fn propose(&mut self, number: usize, now: f64) {
         let Some(coordination) = &self.targets.coordination else { return };
         let voters = &coordination.voters;
@@ -417,12 +423,12 @@
         })
     }
 
-    /// The counts of all nodes by the clock of the load, and their health checks by name.
+    /// The counts of all nodes, with times by the clock of the load, and their health checks by node name.
     fn node_outcomes(&self, seconds: f64) -> (Vec<NodeOutcome>, BTreeMap<String, Vec<HealthCheck>>) {
         let mut outcomes = Vec::new();
         let mut health_checks = BTreeMap::new();
         for node in &self.targets.nodes {
-            let mut counts = shift_counts(node.counts(), self.node_clock_shift);
+            let mut counts = shift_counts(node.counts(), self.node_clock_offset);
             let mut checks = std::mem::take(&mut counts.health_checks);
             checks.retain(|check| check.at <= seconds);
             health_checks.insert(node.name.clone(), checks);
@@ -454,7 +460,7 @@
             leases: &leases,
         });
         let (seconds, directors) = (measured.seconds, self.trial.directors as f64);
-        report.bytes = links.links.bytes(|_| true).iter().sum::<u64>() as f64 / seconds / directors;
+        report.bytes = links.proxies.bytes(|_| true).iter().sum::<u64>() as f64 / seconds / directors;
         report.cpu = measured.cpu_seconds / seconds / directors;
         report.changes_proposed = self.proposals;
         report.refused_by_voters = measured.statuses.iter().map(|status| status.rejected_here).sum();
@@ -476,7 +482,7 @@
     directors.iter().map(|director| director.process.cpu_seconds()).sum()
 }
 
-/// Starts the clients of all directors, of which one in ten gets more lookups than the others.
+/// Starts the clients of all directors. One in ten directors gets `uneven` times more lookups than the others.
 fn start_clients(trial: &Trial, directors: &mut [Director], start: Instant, over: &Arc<AtomicBool>) {
     let weight = |number: usize| if number.is_multiple_of(10) { trial.uneven } else { 1.0 };
     let all_weights: f64 = (0..directors.len()).map(weight).sum();
@@ -491,7 +497,7 @@
     }
 }
 
-/// The begin and end of each fault, and proposals of the hierarchy where the trial has them.
+/// The start and end of each fault, and the hierarchy proposals if the trial has any.
 fn planned_actions(trial: &Trial, faults: &[Fault]) -> Vec<(f64, ScheduledAction)> {
     let mut actions = Vec::new();
     for (number, fault) in faults.iter().enumerate() {
@@ -500,14 +506,14 @@
     }
     let interval = trial.duties.as_ref().map_or(0.0, |duties| duties.change_s);
     if interval > 0.0 {
-        let times = (0..).map(|number| (number, FIRST_PROPOSAL_AT + number as f64 * interval));
+        let times = (0..).map(|number| (number, FIRST_PROPOSAL_SECONDS + number as f64 * interval));
         let in_time = times.take_while(|(_, at)| at + interval <= trial.seconds as f64);
         actions.extend(in_time.map(|(number, at)| (at, ScheduledAction::ProposeHierarchy(number))));
     }
     actions
 }
 
-/// Counts by a clock that began so much later.
+/// Converts counts to a clock that started `shift` seconds later.
 fn shift_counts(mut counts: NodeCounts, shift: f64) -> NodeCounts {
     let tenths = (shift * 10.0).round() as usize;
     counts.requests.drain(..tenths.min(counts.requests.len()));
