--- a/crates/testbed/src/fleet/report.rs
+++ b/crates/testbed/src/fleet/report.rs
@@ -438,7 +438,7 @@
             write!(f, "{report}")?;
         }
         for violation in self.violations() {
-            writeln!(f, "VIOLATION {violation}")?;
+            writeln!(f, "NOT WELL {violation}")?;
         }
         Ok(())
     }
