--- a/crates/coordination/src/action.rs
+++ b/crates/coordination/src/action.rs
@@ -21,7 +21,7 @@
     CheckHealth {
         /// The target to check.
         target: u64,
-        /// Accompanies the check. The target rejects older tokens.
+        /// The token that accompanies the check. The target rejects older tokens.
         token: FencingToken,
     },
     /// The holder of a role has published a newer version to all members.
@@ -39,7 +39,7 @@
     RoleAcquired {
         /// The role.
         role: RoleId,
-        /// Accompanies each effect of the role.
+        /// The token that accompanies each effect of the role.
         token: FencingToken,
     },
     /// This member no longer holds the role.
--- a/crates/coordination/src/coordinator/reconfiguration.rs
+++ b/crates/coordination/src/coordinator/reconfiguration.rs
@@ -40,7 +40,7 @@
         Ok(())
     }
 
-    /// Hands its roles over through the voters that granted them, and ends its own voter.
+    /// Hands this member's roles over through the voters that granted them, and ends this member's voter.
     fn stop_voting(&mut self, now: Ns) {
         self.hand_over_all(now);
         self.candidates.clear();
--- a/crates/coordination/src/failure_detector.rs
+++ b/crates/coordination/src/failure_detector.rs
@@ -72,7 +72,7 @@
     }
 
     /// Returns how long the member has been silent, relative to the silence after which it counts as dead: values of
-    /// 1 and above mean dead. Infinite if no heartbeat of the member was ever received.
+    /// 1 and above mean dead. The level is infinite if no heartbeat of the member was ever received.
     pub fn suspicion_level(&self, now: Ns, member: Member) -> f64 {
         let Some(heartbeats) = self.heartbeats.get(&member) else { return f64::INFINITY };
         let dead_after_ns = (DEAD_AFTER_INTERVALS * heartbeats.mean_interval_ns).max(MIN_DEAD_AFTER_NS);
--- a/crates/coordination/src/fencing.rs
+++ b/crates/coordination/src/fencing.rs
@@ -5,7 +5,7 @@
 
 use crate::Member;
 
-/// Accompanies each effect of a role's holder. The term grows with each change of the holder.
+/// The token that accompanies each effect of a role's holder. The term grows with each change of the holder.
 ///
 /// Voters keep nothing on disk, so they may forget a grant and grant the same term twice. A [`FencingGuard`] then
 /// admits the first holder of that term that reaches it and rejects the other.
--- a/crates/coordination/src/register_writer.rs
+++ b/crates/coordination/src/register_writer.rs
@@ -104,8 +104,9 @@
         }
     }
 
-    /// Handles a voter's reply to a read with `token`. The read ends once a majority of the voters has sent complete
-    /// replies (the voter can't have forgotten a value), or once all voters have replied. The newest value read counts.
+    /// Handles a voter's reply to a read with `token`. A reply is complete if the voter can't have forgotten a value.
+    /// The read ends once a majority of the voters has sent complete replies, or once all voters have replied. The
+    /// newest value read counts.
     pub(crate) fn on_read(
         &mut self,
         now: Ns,
--- a/crates/coordination/src/voter_node.rs
+++ b/crates/coordination/src/voter_node.rs
@@ -48,7 +48,7 @@
     health_log: HealthLog,
     hot_objects: HotObjectCounts,
     publications: BTreeMap<RoleId, Publication>,
-    /// By role and member number.
+    /// The published version that each member applies, by role and member number.
     applied_versions: BTreeMap<(RoleId, u32), MemberVersion>,
 }
 
--- a/crates/hierarchy/src/fill_path.rs
+++ b/crates/hierarchy/src/fill_path.rs
@@ -9,8 +9,8 @@
 
 use crate::version::{FULL_SHARE, Hierarchy, NodeId};
 
-/// The maximum number of nodes on a path. A longer path is truncated; the tiers of a settings file, 0 to 7, allow one
-/// only through siblings.
+/// The maximum number of nodes on a path. A longer path is truncated. Settings files have the tiers 0 to 7, so a path can
+/// be longer only if nodes fill from nodes of their own tier.
 pub const MAX_PATH_LENGTH: usize = 16;
 
 /// The hash rings of one version, one for each tier.
--- a/crates/hierarchy/src/load_flow.rs
+++ b/crates/hierarchy/src/load_flow.rs
@@ -81,7 +81,7 @@
     /// Computes the flow through a version.
     ///
     /// # Errors
-    /// A cycle; its first and last node are the same.
+    /// Returns a cycle if the version has one. The first and the last node of the cycle are the same.
     pub fn new(nodes: Vec<Option<&'a FlowNode>>) -> Result<FlowGraph<'a>, Vec<u32>> {
         let share = |index: u32| nodes[index as usize].map_or(0, |flow| flow.node.ring_share);
         let takes_requests = |flow: &FlowNode| -> Vec<u32> {
@@ -213,9 +213,9 @@
     .collect()
 }
 
-/// Finds a node that may get requests by one of the versions while it has no source in the other one. If it applied the
-/// other version, it could not fill. So a node has to be in the version before others fill from it, and it can be removed
-/// only when none does any more.
+/// Finds a node that may get requests by one of the versions while it has no source in the other one. If the node applied
+/// the other version, it could not fill. So a node has to be in the version before other nodes fill from it, and it can be
+/// removed only when no node fills from it any more.
 fn find_dead_end(before: &FlowGraph<'_>, after: &FlowGraph<'_>, union: &[Vec<u32>]) -> Option<u32> {
     let mut is_source = vec![false; union.len()];
     union.iter().flatten().for_each(|&source| is_source[source as usize] = true);
--- a/crates/hierarchy/src/plan/mod.rs
+++ b/crates/hierarchy/src/plan/mod.rs
@@ -168,7 +168,7 @@
 /// Plans the steps from the committed version to an admitted one, at the Unix time `now`.
 ///
 /// # Errors
-/// The bound with the smallest excess, if no plan was found.
+/// Returns the bound with the smallest excess if no plan was found.
 pub fn plan(from: &Hierarchy, to: &Hierarchy, now: Ns) -> Result<Plan, PlanError> {
     let mut evaluations = 0;
     let mut least_exceeded = None;
--- a/crates/hierarchy/src/spec/mod.rs
+++ b/crates/hierarchy/src/spec/mod.rs
@@ -211,7 +211,7 @@
     /// new ones. Unchanged nodes are shared with `known`, so that comparing the two versions is cheap.
     ///
     /// # Errors
-    /// If two nodes have the same name, or a source is not defined.
+    /// Returns an error if two nodes have the same name, or if a source is not defined.
     pub fn to_hierarchy(&self, known: Option<&Hierarchy>) -> Result<(u64, Hierarchy), SpecError> {
         let ids = self.assign_ids(known)?;
         let rules = Arc::new(self.header.to_rules());
--- a/crates/hierarchy/src/spec/settings_file.rs
+++ b/crates/hierarchy/src/spec/settings_file.rs
@@ -14,7 +14,7 @@
 /// `known` has keep their ids.
 ///
 /// # Errors
-/// All errors of the file up to a limit, each with its line, column, key and cause.
+/// Returns all errors of the file up to a limit, each with its line, column, key and cause.
 pub fn parse_settings(
     file: &str,
     text: &str,
--- a/crates/hierarchy/src/topological_order.rs
+++ b/crates/hierarchy/src/topological_order.rs
@@ -157,7 +157,7 @@
 /// Sorts all nodes of a graph, given the sources of each node, so that each node precedes its sources.
 ///
 /// # Errors
-/// A cycle, if the graph has one; its first and last node are the same.
+/// Returns a cycle if the graph has one. The first and the last node of the cycle are the same.
 pub fn topological_sort(sources: &[Vec<u32>]) -> Result<Vec<u32>, Vec<u32>> {
     let mut unsorted_dependents = vec![0u32; sources.len()];
     sources.iter().flatten().for_each(|&source| unsorted_dependents[source as usize] += 1);
--- a/crates/testbed/src/soak/client.rs
+++ b/crates/testbed/src/soak/client.rs
@@ -22,7 +22,7 @@
 /// A request that was written at most this long before its connection ended may have crossed the end of the connection.
 /// Such a request is not lost: a real client sends it again on another connection.
 const CROSSING_SECONDS: f64 = 0.15;
-/// How much later than a request counts as lost its client stops waiting.
+/// A client stops waiting for an answer this long after the request counts as lost.
 const LOST_TOLERANCE_SECONDS: f64 = 0.3;
 /// How many reads look for answers that arrived before the end of a connection.
 const MAX_FINAL_READS: usize = 20;
--- a/crates/testbed/src/soak/director.rs
+++ b/crates/testbed/src/soak/director.rs
@@ -32,7 +32,7 @@
 const PAUSE_TOLERANCE_SECONDS: f64 = 0.2;
 /// A new process is sent no signal for this long: it can't handle one before its own code runs.
 const SIGNAL_HANDLERS_READY_SECONDS: f64 = 0.2;
-/// How long before a fault is recorded connections may already break, and how long after its end they may still break.
+/// How long before the recorded start of a fault, and how long after its end, connections may break because of the fault.
 const BREAKING_MARGIN_BEFORE_SECONDS: f64 = 0.1;
 const BREAKING_MARGIN_AFTER_SECONDS: f64 = 0.3;
 /// A request that was written at most this long after an exempt span is also exempt.
@@ -53,11 +53,11 @@
     process: Option<ChildProcess>,
     /// When the director was asked to stop, if it was.
     stopping_since: Option<Seconds>,
-    /// When the director was paused by SIGSTOP.
+    /// The spans in which the director was paused by SIGSTOP.
     pauses: Vec<Span>,
-    /// When the director owes no answer in time because it was killed or paused.
+    /// The spans in which requests are exempt from the deadline because the director was killed or paused.
     exempt: Vec<Span>,
-    /// When connections of the director may break because of a fault.
+    /// The spans in which connections of the director may break because of a fault.
     breaking: Vec<Span>,
     /// The index of the discovery address that the director uses.
     discovery_address: usize,
--- a/crates/testbed/src/soak/discovery.rs
+++ b/crates/testbed/src/soak/discovery.rs
@@ -14,9 +14,10 @@
 const POLL: Duration = Duration::from_millis(20);
 /// How often a comment is sent on an idle connection.
 const KEEPALIVE_INTERVAL_SECONDS: f64 = 0.5;
-/// All directors count as notified of an event this long after it was published, ...
+/// All directors count as notified of an event this long after it was published, or `NOTIFIED_AFTER_OUTAGE_SECONDS` after
+/// the end of the last outage or silence, whichever is later.
 const NOTIFIED_AFTER_SECONDS: f64 = 7.0;
-/// ... but not before this long after the end of the last outage or silence.
+/// How long after an outage or silence directors may still not have been notified; see `NOTIFIED_AFTER_SECONDS`.
 const NOTIFIED_AFTER_OUTAGE_SECONDS: f64 = 3.0;
 
 /// The part of an event that the judge uses.
--- a/crates/testbed/src/soak/judge.rs
+++ b/crates/testbed/src/soak/judge.rs
@@ -40,7 +40,7 @@
     pub(crate) written_at: Seconds,
     /// When the client had written the last byte; none until then.
     pub(crate) written_by: Option<Seconds>,
-    /// How many seconds the client waits from then on.
+    /// How many seconds after `written_at` the client waits for the answer.
     pub(crate) budget: f64,
     /// When the client closed its connection or cancelled the request.
     pub(crate) client_gone_at: Option<Seconds>,
--- a/crates/testbed/src/soak/node.rs
+++ b/crates/testbed/src/soak/node.rs
@@ -73,13 +73,13 @@
     /// By object, when the node's copy was made, in Unix milliseconds.
     copies: HashMap<u64, u64>,
     connections: Vec<Arc<TcpStream>>,
-    /// The node reads nothing until then.
+    /// The node reads nothing until this time.
     stuck_until: Seconds,
-    /// The node accepts no connection until then.
+    /// The node accepts no connection until this time.
     accepts_from: Seconds,
     /// The calls that the node has accepted; none if its capacity is unlimited.
     admissions: Option<AdmissionQueue>,
-    /// The node was cold and overloaded, has collapsed and stays down.
+    /// Whether the node has collapsed because it was overloaded while cold. A collapsed node stays down.
     has_collapsed: bool,
 }
 
