--- a/crates/director/src/node_registry.rs
+++ b/crates/director/src/node_registry.rs
@@ -118,7 +118,7 @@
     /// Assigns an index to a new node: a free one if there is one, otherwise the next one.
     fn assign_index(&mut self, name: &str) -> usize {
         let node = self.free_indexes.pop().unwrap_or(self.nodes.len());
-        tracing::info!("node {name} has index {node}");
+        tracing::info!("node {node} is {name}");
         if node == self.nodes.len() {
             self.nodes.push(KnownNode::default());
         }
--- a/crates/testbed/src/soak/judge/slow_start.rs
+++ b/crates/testbed/src/soak/judge/slow_start.rs
@@ -183,7 +183,7 @@
         let ratio = self.load_ratio();
         write!(
             f,
-            "node {node}, {age:.2} s old at {at:.3} s: {calls} calls in a second, {allowed:.1} allowed with the random margin \
+            "node {node}, {age:.2} s old at {at:.3} s: {calls} calls in a second, {allowed:.1} allowed with the scatter \
              ({ratio:.2}), from {directors} directors"
         )
     }
