--- a/crates/cli/src/relay.rs
+++ b/crates/cli/src/relay.rs
@@ -242,7 +242,7 @@
     let config = RelayServerConfig::load(&target.settings)?;
     if config.voters().next().is_none() {
         return Err(vec![format!(
-            "{}: no member votes, so no member accepts events",
+            "{}: no member is a voter, so no relay accepts events",
             target.settings.display()
         )]);
     }
--- a/src/cache_policy.rs
+++ b/src/cache_policy.rs
@@ -27,7 +27,7 @@
 const RANK_UNCACHED: u8 = 0;
 /// The rank of a copy that may be requested only once. Such copies are evicted first.
 const RANK_FIRST_SEEN: u8 = 1;
-/// The rank of a copy that is requested again. A third rank for frequently requested copies brought no gain.
+/// The rank of a copy that is requested again.
 const RANK_REUSED: u8 = 2;
 
 /// The rank at which an answer is cached.
--- a/src/load_shedding.rs
+++ b/src/load_shedding.rs
@@ -14,7 +14,7 @@
 /// The minimum limit, before it is divided among directors. A node has to get some attempts to show that it has
 /// recovered.
 const MIN_LIMIT: f64 = 2.0;
-/// How much an answer in time raises a limit that is in use. Slower growth (0.3) made no difference.
+/// How much an answer in time raises a limit that is in use.
 const LIMIT_GROWTH: f64 = 0.5;
 /// The share of a limit that one late answer takes away. Limits shrink multiplicatively and grow additively, which
 /// divides a node fairly among directors.
@@ -41,8 +41,7 @@
 /// The share of its limit that a cache gives to requests of its own share of the ring, at average priority. It is
 /// slightly above 1, so that the limit is in use and can grow.
 const PRIMARY_SHARE: f64 = 1.05;
-/// How much that share grows per standard deviation of priority. A steeper slope gave worse results where it was
-/// tried (`docs/design.md`).
+/// How much that share grows per standard deviation of priority.
 const PRIMARY_SHARE_SLOPE: f64 = 0.35;
 
 /// The share of late attempts above which the location is overloaded. All nodes are then slow, and any further
