--- a/crates/testbed/src/soak/judge/slow_start.rs
+++ b/crates/testbed/src/soak/judge/slow_start.rs
@@ -216,7 +216,7 @@
         self.count("cold nodes that collapsed");
         let ColdWindow { allowed, calls_by_informed, .. } = window;
         let detail = format!(
-            "{nearest}, {allowed:.1} without the margin; {calls_by_informed} calls by directors that were sent its start"
+            "{nearest}, {allowed:.1} without the scatter; {calls_by_informed} calls by directors that were sent its start"
         );
         window.breaks_rule().then(|| Finding { rule: Rule::SlowStart, evidence: window.evidence(), detail })
     }
