--- a/crates/director/src/dispatch/inflight_requests.rs
+++ b/crates/director/src/dispatch/inflight_requests.rs
@@ -16,7 +16,7 @@
     pub(super) deadline: Ns,
     /// Whether the final answer has been sent, or none is needed any more.
     pub(super) is_answered: bool,
-    /// The hierarchy version that determines its fill paths: the one that was active when the request arrived.
+    /// The hierarchy version that determines the request's fill paths: the one that was active when it arrived.
     pub(super) hierarchy: Option<Arc<ActiveHierarchy>>,
     /// The connection on which each attempt is outstanding; `None` if the attempt has ended or was never sent.
     connections_by_attempt: Vec<Option<NodeConnectionId>>,
--- a/src/burst.rs
+++ b/src/burst.rs
@@ -2,8 +2,8 @@
 //! several caches until its traffic falls again.
 //!
 //! Traffic is counted in windows of [`WINDOW`]. The prediction for a cache is the median of three earlier windows.
-//! These are spaced apart, so that an object with rising traffic does not raise its own baseline. The standard
-//! deviation is that of the residuals of this prediction.
+//! These are spaced apart, so that an object with rising traffic does not raise its own baseline. An object is in burst
+//! if its traffic exceeds the prediction by a multiple of the standard deviation of the prediction's residuals.
 
 use std::collections::HashMap;
 
--- a/src/deadline_margin.rs
+++ b/src/deadline_margin.rs
@@ -1,12 +1,13 @@
-//! Answers requests earlier while this process is woken late, because an answer that is decided on time still has to
-//! pass through the caller's threads.
+//! The margin by which requests are answered earlier while the caller's threads are woken late. An answer that is
+//! decided on time still has to pass through these threads.
 
 use crate::types::{Ns, Request};
 
 const MS: Ns = 1_000_000;
 /// Delays up to this are covered by the margin that callers keep.
 const TOLERATED_DELAY: Ns = 5 * MS;
-/// Delays are counted up to this. A longer one means that the process was stopped, after which delays are as before.
+/// Longer delays count as this one. They mean that the process was stopped; later delays are as short as before the
+/// stop.
 const MAX_COUNTED_DELAY: Ns = 50 * MS;
 /// The margin is this multiple of the counted delay. An answer waits for two threads to be woken, and each of them
 /// may be woken later than any thread was recently.
@@ -32,7 +33,7 @@
     }
 }
 
-/// The longest recent delay; none if the caller measures no delays.
+/// Computes the margin from the longest recent delay, which is none if the caller measures no delays.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DeadlineMargin {
     peak: Option<Peak>,
--- a/src/effects.rs
+++ b/src/effects.rs
@@ -22,7 +22,7 @@
 }
 
 /// The time from which nodes no longer recognise a repeat of the request, whether this director or the client makes
-/// it.
+/// it. [`Ns::MAX`] if the effect is not deduplicated, or while no attempt may have been executed.
 pub(crate) fn recognised_until(effect: Effect, request: &Request) -> Ns {
     let Effect::Deduplicated { window, .. } = effect else { return Ns::MAX };
     let ends = possibly_executed(request).map(|attempt| attempt.sent_at.saturating_add(window));
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -224,7 +224,8 @@
         let fresh = Endpoint::new(settings, update);
         match slot {
             Some(known) if known.is_same_process(&update) => known.listing = update,
-            // Another process at the same index. Attempts at the previous process still end at this index.
+            // Another process has taken this index. Outstanding attempts at the previous process will still end at this
+            // index, so they stay counted.
             Some(known) => {
                 *known = Endpoint {
                     outstanding: known.outstanding,
--- a/src/fill_price.rs
+++ b/src/fill_price.rs
@@ -13,8 +13,8 @@
 /// How much an outcome past the latency objective raises a parent's price, multiplied by the cube root of the number
 /// of directors: each of many directors sees only few outcomes of a parent.
 const PRICE_RISE: f64 = 0.24;
-/// How much an outcome within the objective lowers the price, with the same factor. It is far less than the rise,
-/// because most outcomes of a parent at its capacity have to be in time.
+/// How much an outcome within the objective lowers the price, multiplied by the same cube root. It is far less than
+/// the rise, because most outcomes of a parent at its capacity have to be in time.
 const PRICE_FALL: f64 = 0.05;
 /// The share of each step by which the prices of all other parents move, because they share the origin and the links.
 const OTHER_PARENTS_SHARE: f64 = 0.2;
@@ -79,7 +79,8 @@
     }
 }
 
-/// The step by which an outcome moves the price of its source, before it is multiplied for the number of directors.
+/// The step by which an outcome moves the price of its source, before it is multiplied by the cube root of the number
+/// of directors.
 pub(crate) fn price_step(outcome: Outcome, is_timely: bool, is_cache_hit: Option<bool>) -> f64 {
     match outcome {
         Outcome::Success if is_cache_hit == Some(true) => 0.0,
--- a/src/origin_limit.rs
+++ b/src/origin_limit.rs
@@ -6,7 +6,7 @@
 
 /// The initial limit, before it is divided among directors. It is low, because the capacity of the origin is unknown.
 const INITIAL_LIMIT: f64 = 4.0;
-/// The growth per answer in time, before it is divided in the same way. It is slow, because all locations share the
+/// The growth per answer in time, before it is divided among directors. It is slow, because all locations share the
 /// origin.
 const GROWTH: f64 = 0.2;
 /// A late answer multiplies the limit by this.
@@ -14,7 +14,7 @@
 /// A failure multiplies the limit by this, which is a larger decrease, because a failure is stronger evidence than a
 /// late answer.
 const FAILURE_DECREASE_FACTOR: f64 = 0.7;
-/// The minimum limit after a failure, which is the probability that one fetch at a time is admitted.
+/// The minimum limit after a failure. While no fetch is outstanding, the next one is admitted with this probability.
 const MIN_LIMIT: f64 = 0.1;
 
 /// The origin limit of one director.
--- a/src/outlier_ejection.rs
+++ b/src/outlier_ejection.rs
@@ -11,8 +11,8 @@
 /// The weight of one outcome in the failure rate of a cache and in the fill failure rate of a source. A few failures
 /// in a row eject a node, a single one never does.
 pub(crate) const OUTCOME_WEIGHT: f64 = 0.12;
-/// The weight of one outcome of an attempt sent directly to a parent or the origin. Few attempts are, so each counts
-/// more.
+/// The weight of one outcome of an attempt sent directly to a parent or the origin. Few attempts are sent directly to
+/// them, so each counts more.
 const DIRECT_OUTCOME_WEIGHT: f64 = 0.35;
 /// The failure rate above which a node is ejected. Half this rate made no difference.
 const EJECTION_FAILURE_RATE: f64 = 0.4;
@@ -214,7 +214,7 @@
 }
 
 impl Blame {
-    /// Blames the one that also fails in other attempts, and both if the failure rates do not tell them apart.
+    /// Blames whichever of node and source also fails in other attempts, or both if their failure rates are close.
     pub(crate) fn assign(node_failure_rate: f64, source_failure_rate: f64) -> Blame {
         Blame {
             node: node_failure_rate > source_failure_rate - BLAME_MARGIN,
--- a/src/router.rs
+++ b/src/router.rs
@@ -9,9 +9,9 @@
 //! A decision takes these steps, in this order:
 //! 1. No attempt is made past the deadline, without enough time left, or without retry budget (`retry_budget`).
 //! 2. The ring of parents selects the source of a fill, and the ring of the caches of the director's own zone selects
-//!    the node (`hash_ring`). Only nodes count that are up (`outlier_ejection`), that are warm or have credit
-//!    (`slow_start`), and that have room (`load_shedding`). A trial, which checks whether a failing node works again,
-//!    takes precedence.
+//!    the node (`hash_ring`). Both must be up (`outlier_ejection`) and must be warm or have credit (`slow_start`), and
+//!    the node must also have room (`load_shedding`). A trial, which checks whether a failing node works again, takes
+//!    precedence.
 //! 3. An object in burst rotates over several caches (`burst`).
 //! 4. If no parent is available, the origin is the source, within a limit (`origin_limit`).
 //! 5. A source whose price is above the request's priority is left out (`fill_price`).
@@ -198,8 +198,9 @@
         RouteDecision::Attempt(spec)
     }
 
-    /// How long to wait before `route` is called again if no event comes first. This is the time until a hedge, until
-    /// outstanding attempts have to be cancelled, or until the answer may have to be sent early.
+    /// How long to wait before `route` is called again if no event comes first. This is the shortest of
+    /// the times until a hedge, until outstanding attempts have to be cancelled, and until the answer may have to be
+    /// sent early.
     pub fn next_check(&self, now: Ns, request: &Request) -> Option<Ns> {
         let has_outstanding = outstanding(request) > 0;
         let answer_time = self.answer_time(now, request);
--- a/src/router/selection.rs
+++ b/src/router/selection.rs
@@ -149,7 +149,7 @@
         self.request.attempts.iter().any(|attempt| attempt.source == Some(source) && failed(attempt))
     }
 
-    /// The nearest parent with a much lower price, if the fill is too expensive at this one.
+    /// The nearest other parent with a much lower price, if the price of `parent` is above the request's priority.
     fn cheaper_parent(&self, parent: usize) -> Option<usize> {
         let price_of = |node: usize| Some(self.router.endpoints.get(node)?.fill_price);
         let price = price_of(parent)?;
@@ -259,7 +259,8 @@
         time_left.min(transfers as Ns + UNFILLED_TIMEOUT_LATENCIES * BASE_LATENCY)
     }
 
-    /// The maximum age of a copy, given the source that was found, even if the fill is too expensive there.
+    /// The maximum age of a copy. `source` is the source that was found, even if its price is above the request's
+    /// priority.
     fn max_age(&self, source: Option<usize>) -> Option<Ns> {
         let has_ended_attempt = self.request.attempts.iter().any(|attempt| attempt.outcome.is_some());
         let is_fill_likely = source.is_some() && !has_ended_attempt;
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// The share of its full capacity that a node has reached by now, at least.
+/// The minimum share of its full capacity that a node has reached by now.
 fn capacity_share(settings: &Settings, endpoint: &Endpoint, now: Ns) -> f64 {
     let started_at = endpoint.listing.started_at;
     if started_at == 0 || endpoint.role == EndpointRole::Origin {
--- a/src/types.rs
+++ b/src/types.rs
@@ -1,4 +1,4 @@
-//! The plain data types that the decision module takes and returns.
+//! The plain data types that the router takes and returns.
 //!
 //! All times are in nanoseconds ([`Ns`]) on one monotonic clock that the caller chooses, and all sizes are in
 //! kilobytes. The caller assigns small indices to nodes, zones, machine kinds and request classes.
