--- a/crates/hierarchy/src/admission.rs
+++ b/crates/hierarchy/src/admission.rs
@@ -115,7 +115,7 @@
     /// Admits the first version.
     ///
     /// # Errors
-    /// The rule that the version violates.
+    /// Returns the rule that the version violates, if it violates one.
     pub fn new(first: Hierarchy) -> Result<Admission, AdmissionError> {
         let mut admission = Admission::empty(&first);
         admission.admit(&first)?;
@@ -126,7 +126,7 @@
     /// checked.
     ///
     /// # Errors
-    /// The rule about nodes, sources or loops that the version violates.
+    /// Returns the rule about nodes, sources or loops that the version violates, if it violates one.
     pub fn from_active(version: Hierarchy) -> Result<Admission, AdmissionError> {
         let mut admission = Admission::empty(&version);
         admission.check_nodes_and_cycles(&version)?;
@@ -143,7 +143,7 @@
     /// not checked, because the steps of the plan bound it.
     ///
     /// # Errors
-    /// The rule that the version violates; it must not be applied.
+    /// Returns the rule that the version violates, if it violates one; the version must not be applied then.
     pub fn check_structure(version: &Hierarchy) -> Result<(), AdmissionError> {
         Admission::from_active(version.clone())?;
         check_paths_to_origin(version, RequiredPaths::NodesInUse)
@@ -157,7 +157,7 @@
     /// Checks a version and makes it the last admitted one.
     ///
     /// # Errors
-    /// The rule that the version violates; the last admitted version stays.
+    /// Returns the rule that the version violates, if it violates one; the last admitted version stays.
     pub fn admit(&mut self, version: &Hierarchy) -> Result<(), AdmissionError> {
         self.check_nodes_and_cycles(version)?;
         let checked =
--- a/crates/hierarchy/src/fill_path.rs
+++ b/crates/hierarchy/src/fill_path.rs
@@ -86,7 +86,7 @@
 /// loops that no plan allows, which can occur if participants apply versions that are not successive.
 ///
 /// # Errors
-/// The reason why the node must not forward the fill.
+/// Returns the reason if the node must not forward the fill.
 pub fn check_fill_path<'a>(
     own_name: &str,
     passed: impl Iterator<Item = &'a str>,
--- a/crates/hierarchy/src/load_flow.rs
+++ b/crates/hierarchy/src/load_flow.rs
@@ -178,7 +178,7 @@
 /// Checks whether one version may follow another at the Unix time `now`, whichever of the two each participant applies.
 ///
 /// # Errors
-/// The bound that the step would violate.
+/// Returns the bound that the step would violate, if it would violate one.
 pub fn check_transition(
     before: &FlowGraph<'_>,
     after: &FlowGraph<'_>,
--- a/crates/hierarchy/src/plan/search.rs
+++ b/crates/hierarchy/src/plan/search.rs
@@ -20,7 +20,8 @@
 /// Finds the positions after each step of a plan with the fewest steps.
 ///
 /// # Errors
-/// The bound with the smallest excess if there is no plan, or [`PlanError::TooLarge`].
+/// Returns the bound with the smallest excess if there is no plan, or [`PlanError::TooLarge`] if the limit on evaluated
+/// candidate steps is reached first.
 pub(super) fn fewest_steps(
     space: &PlanSpace<'_>,
     evaluations: &mut usize,
--- a/crates/hierarchy/src/plan/sweep.rs
+++ b/crates/hierarchy/src/plan/sweep.rs
@@ -22,7 +22,8 @@
 /// Finds the positions after each step of a plan that advances all tracks to their end.
 ///
 /// # Errors
-/// The bound that prevents any advance, or [`PlanError::TooLarge`].
+/// Returns the bound that prevents any advance, if one does, or [`PlanError::TooLarge`] if no further advance was found
+/// when the limit on evaluated candidate steps was reached.
 pub(super) fn large_steps(
     space: &PlanSpace<'_>,
     evaluations: &mut usize,
--- a/crates/hierarchy/src/rollout/mod.rs
+++ b/crates/hierarchy/src/rollout/mod.rs
@@ -80,7 +80,7 @@
     /// Creates a rollout whose committed version is one that every participant applies, or will apply before any other.
     ///
     /// # Errors
-    /// [`RolloutError::NotAdmitted`] if the version is not admitted.
+    /// Returns [`RolloutError::NotAdmitted`] if the version is not admitted.
     pub fn new(
         number: u64,
         version: Hierarchy,
@@ -170,7 +170,7 @@
     /// Handles an event at the time `now`. [`Rollout::take_actions`] returns the actions that result from it.
     ///
     /// # Errors
-    /// A proposal or a rollback that is not possible is rejected, and the state is unchanged.
+    /// Returns an error if a proposal or a rollback is not possible; the state is then unchanged.
     pub fn handle(&mut self, input: RolloutInput, now: Ns) -> Result<(), RolloutError> {
         match input {
             RolloutInput::Propose { target } => self.propose(target, now)?,
--- a/crates/hierarchy/src/rollout/recovery.rs
+++ b/crates/hierarchy/src/rollout/recovery.rs
@@ -27,7 +27,7 @@
     /// published again.
     ///
     /// # Errors
-    /// [`RolloutError::InvalidLog`] if no rollout can have written these records in this order.
+    /// Returns [`RolloutError::InvalidLog`] if no rollout can have written these records in this order.
     pub fn recover(
         records: &[RolloutRecord],
         participants: impl IntoIterator<Item = Participant>,
--- a/crates/relay-server/src/publisher.rs
+++ b/crates/relay-server/src/publisher.rs
@@ -17,7 +17,7 @@
 /// sent again with the same idempotency key and gets the same result.
 const VOTER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why publishing an event failed_attempt.
+/// Why publishing an event failed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PublishCallError {
     /// A voter rejected the event; every other voter would reject it, too.
@@ -28,7 +28,7 @@
     TimedOut {
         /// The timeout of the call.
         timeout: Duration,
-        /// Why the last call to a voter failed_attempt.
+        /// Why the last call to a voter failed.
         last_failure: String,
     },
     /// No member is a voter, so no relay accepts events.
@@ -50,7 +50,7 @@
 enum AttemptOutcome {
     Accepted(u64),
     Rejected(String),
-    /// The call failed_attempt; another voter may accept the event.
+    /// The call failed; another voter may accept the event.
     Failed {
         reason: String,
         leader: Option<u32>,
--- a/src/outlier_ejection.rs
+++ b/src/outlier_ejection.rs
@@ -14,7 +14,7 @@
 /// The weight of one outcome of an attempt sent directly to a parent or the origin. Few attempts are sent directly to
 /// them, so each counts more.
 const DIRECT_OUTCOME_WEIGHT: f64 = 0.35;
-/// The failure rate above which a node is ejected. Half this rate made no difference.
+/// The failure rate above which a node is ejected.
 const EJECTION_FAILURE_RATE: f64 = 0.4;
 /// The time from an ejection to the first trial, and between checks of a suspected parent, which gets hardly any
 /// other attempts directly.
