--- a/crates/testbed/src/scale/evaluation.rs
+++ b/crates/testbed/src/scale/evaluation.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::pool_messages::{Came, Finished, PoolProgress};
+use super::pool_messages::{EventArrival, Finished, PoolProgress};
 use super::report::{DirectorUse, Latency, RecoveryTime, RelayUse, Report};
 use super::settings::Scale;
 use super::source::Published;
@@ -102,7 +102,7 @@
 
 /// What all processes together had of each number.
 struct Arrivals {
-    by_number: BTreeMap<u64, Came>,
+    by_number: BTreeMap<u64, EventArrival>,
     /// Numbers under which not all had the same event.
     different: u64,
     /// Events that came under two numbers.
@@ -111,17 +111,18 @@
 
 impl Arrivals {
     fn new(counts: &Counts) -> Arrivals {
-        let mut by_number: BTreeMap<u64, Came> = BTreeMap::new();
-        let mut different = counts.finished.iter().map(|finished| finished.differs).sum();
-        for came in counts.finished.iter().flat_map(|finished| &finished.came) {
-            let known = by_number.entry(came.number).or_insert(Came { by: 0, last: 0, ..*came });
-            different += u64::from(known.content.zip(came.content).is_some_and(|(a, b)| a != b));
-            known.content = known.content.or(came.content);
-            known.by += came.by;
-            known.last = known.last.max(came.last);
+        let mut by_number: BTreeMap<u64, EventArrival> = BTreeMap::new();
+        let mut different = counts.finished.iter().map(|finished| finished.different_events).sum();
+        for arrival in counts.finished.iter().flat_map(|finished| &finished.arrivals) {
+            let known =
+                by_number.entry(arrival.number).or_insert(EventArrival { count: 0, last_ns: 0, ..*arrival });
+            different += u64::from(known.content.zip(arrival.content).is_some_and(|(a, b)| a != b));
+            known.content = known.content.or(arrival.content);
+            known.count += arrival.count;
+            known.last_ns = known.last_ns.max(arrival.last_ns);
         }
         let contents: Vec<u32> =
-            by_number.values().filter_map(|came| came.content).filter(|content| *content > 0).collect();
+            by_number.values().filter_map(|arrival| arrival.content).filter(|content| *content > 0).collect();
         // A content under two numbers was applied twice, whatever each director made of it.
         let doubled = (contents.len() - contents.iter().collect::<BTreeSet<_>>().len()) as u64;
         let mut arrivals = Arrivals { by_number, different, doubled };
@@ -140,8 +141,8 @@
 
     /// When an event was applied everywhere; none: it was not.
     fn applied_everywhere(&self, event: &Published) -> Option<u64> {
-        let came = self.by_number.get(&event.number?)?;
-        Some(came.last).filter(|at| *at > 0)
+        let arrival = self.by_number.get(&event.number?)?;
+        Some(arrival.last_ns).filter(|at| *at > 0)
     }
 }
 
@@ -198,10 +199,10 @@
             known_by_relays: Latency::new(&latencies.known_by_relays),
             reported_early: latencies.reported_early,
             missed: sum(|finished| finished.missed),
-            out_of_order: sum(|finished| finished.disorder),
-            applied_twice: sum(|finished| finished.twice) + arrivals.doubled,
+            out_of_order: sum(|finished| finished.out_of_order),
+            applied_twice: sum(|finished| finished.applied_twice) + arrivals.doubled,
             different_events: arrivals.different,
-            expired: sum(|finished| finished.lapsed),
+            expired: sum(|finished| finished.expired),
             wrong_lists: sum(|finished| finished.wrong_lists),
             gaps: progress_sum(|progress| progress.gaps),
             skipped: progress_sum(|progress| progress.skipped),
--- a/crates/testbed/src/scale/installation.rs
+++ b/crates/testbed/src/scale/installation.rs
@@ -110,7 +110,7 @@
     /// Waits until all simulated directors are connected. Returns how long that took.
     pub(super) fn wait_until_connected(&mut self) -> Result<Duration, TrialError> {
         let begun = Instant::now();
-        while self.pools.iter().any(|pool| pool.progress.up < pool.directors) {
+        while self.pools.iter().any(|pool| pool.progress.connected < pool.directors) {
             if begun.elapsed() > CONNECTED_TIMEOUT || self.exited() > 0 {
                 return Err(TrialError::NotServing {
                     name: "a process of hollow directors".into(),
@@ -143,10 +143,10 @@
     /// A line on the state of the simulated directors.
     pub(super) fn progress_line(&self, second: u64, published: usize) -> String {
         let progress = || self.pools.iter().map(|pool| pool.progress);
-        let slowest = progress().map(|progress| progress.least).min().unwrap_or(0);
-        let newest = progress().map(|progress| progress.most).max().unwrap_or(0);
+        let slowest = progress().map(|progress| progress.lowest_applied).min().unwrap_or(0);
+        let newest = progress().map(|progress| progress.highest_applied).max().unwrap_or(0);
         let behind = newest.saturating_sub(slowest);
-        let alive: usize = progress().map(|progress| progress.alive).sum();
+        let alive: usize = progress().map(|progress| progress.running).sum();
         let gaps: u64 = progress().map(|progress| progress.gaps).sum();
         format!(
             "{second:>4} of {} s  alive {alive}  published {published}  slowest behind {behind}  gaps {gaps}",
@@ -159,7 +159,8 @@
         let begun = Instant::now();
         loop {
             self.take_reports();
-            let is_behind = |pool: &&PoolProcess| pool.progress.alive > 0 && pool.progress.least < number;
+            let is_behind =
+                |pool: &&PoolProcess| pool.progress.running > 0 && pool.progress.lowest_applied < number;
             let behind = self.pools.iter().filter(is_behind).count();
             if behind == 0 || begun.elapsed() > timeout {
                 return behind;
@@ -242,7 +243,7 @@
 
     /// Ends the simulated directors and collects what they report; a process that reports nothing is left out.
     pub(super) fn finish(&mut self, source: &Source) -> Result<Vec<Finished>, TrialError> {
-        self.send_to_all(&PoolCommand::Finish { told: source.events(), list: source.list() })?;
+        self.send_to_all(&PoolCommand::Finish { published: source.events(), list: source.list() })?;
         let begun = Instant::now();
         while self.pools.iter().any(|pool| pool.finished.is_none()) && begun.elapsed() < RESULT_TIMEOUT {
             self.take_reports();
--- a/crates/testbed/src/scale/pool.rs
+++ b/crates/testbed/src/scale/pool.rs
@@ -1,5 +1,5 @@
-//! A process of simulated directors: one thread for all their sockets, commands by its standard input, reports by its
-//! standard output.
+//! A process of simulated directors. One thread serves all their sockets; the process reads commands from standard
+//! input and writes reports to standard output.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
@@ -16,35 +16,37 @@
 use crate::threads::spawn;
 
 const WAKER: Token = Token(0);
-/// How often directors do what is due by the clock.
-const TURN_LENGTH: Duration = Duration::from_millis(20);
+/// How often the timers of the directors run.
+const TIMER_INTERVAL: Duration = Duration::from_millis(20);
 /// How often the process reports its progress.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// The first calls are spread over this time.
+/// The first connections of the directors are spread over this time.
 const START_SPREAD: Duration = Duration::from_secs(2);
 
+/// The simulated directors of this process with their event loop.
 struct Pool {
     poll: Poll,
     shared: Shared,
-    /// By token.
+    /// The director with token `n` is at index `n - 1`; token 0 is the waker's.
     directors: Vec<SimulatedDirector>,
-    /// Where each number of the trial is among them.
-    places: BTreeMap<usize, usize>,
+    /// The index in `directors` by the director's number in the trial.
+    indexes: BTreeMap<usize, usize>,
+    /// Age in milliseconds after which a snapshot may leave a purge out.
     binds_ms: u64,
 }
 
-fn bad(why: impl ToString) -> io::Error {
+fn invalid_data(why: impl ToString) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, why.to_string())
 }
 
-fn send_report(word: &PoolReport) -> io::Result<()> {
+fn send_report(report: &PoolReport) -> io::Result<()> {
     let mut out = io::stdout().lock();
-    serde_json::to_writer(&mut out, word)?;
+    serde_json::to_writer(&mut out, report)?;
     out.write_all(b"\n")?;
     out.flush()
 }
 
-/// Runs a process of simulated directors until the trial has its result, or has ended.
+/// Runs a process of simulated directors until it has reported its result or standard input ends.
 ///
 /// # Errors
 ///
@@ -55,50 +57,53 @@
     let (sender, commands) = channel();
     spawn(move || {
         for line in io::stdin().lock().lines().map_while(Result::ok) {
-            let command = serde_json::from_str(&line).map_err(bad);
+            let command = serde_json::from_str(&line).map_err(invalid_data);
             if sender.send(command).is_err() || waker.wake().is_err() {
                 return;
             }
         }
-        // The trial is gone.
+        // The trial closed standard input or has exited.
         std::process::exit(0);
     });
-    let first: io::Result<PoolCommand> = commands.recv().map_err(bad)?;
-    let PoolCommand::Begin { config, directors, binds_ms } = first? else { return Err(bad("no beginning")) };
-    let config = Config::parse(&config).map_err(bad)?;
+    let first: io::Result<PoolCommand> = commands.recv().map_err(invalid_data)?;
+    let PoolCommand::Begin { config, directors, binds_ms } = first? else {
+        return Err(invalid_data("the first command is not Begin"));
+    };
+    let config = Config::parse(&config).map_err(invalid_data)?;
     let shared = Shared {
-        tick: PoolProgress { most: config.known.last, ..PoolProgress::default() },
+        progress: PoolProgress { highest_applied: config.known.last, ..PoolProgress::default() },
         config,
         clock: Clock::start(),
-        began: Instant::now(),
-        found: Finished::default(),
-        came: BTreeMap::new(),
-        limbo: Vec::new(),
+        started: Instant::now(),
+        result: Finished::default(),
+        arrivals: BTreeMap::new(),
+        dropped_behind_cut: Vec::new(),
     };
-    let places = directors.iter().enumerate().map(|(place, own)| (own.number, place)).collect();
-    let many = directors.len().max(1) as u32;
-    let hollow = directors.into_iter().enumerate();
-    let hollow = hollow
-        .map(|(n, own)| SimulatedDirector::new(own, Token(n + 1), &shared, START_SPREAD * n as u32 / many));
-    Pool { poll, directors: hollow.collect(), shared, places, binds_ms }.serve(&commands)
+    let indexes = directors.iter().enumerate().map(|(index, identity)| (identity.number, index)).collect();
+    let count = directors.len().max(1) as u32;
+    let simulated = directors.into_iter().enumerate();
+    let simulated = simulated.map(|(n, identity)| {
+        SimulatedDirector::new(identity, Token(n + 1), &shared, START_SPREAD * n as u32 / count)
+    });
+    Pool { poll, directors: simulated.collect(), shared, indexes, binds_ms }.serve(&commands)
 }
 
 impl Pool {
     fn serve(mut self, commands: &Receiver<io::Result<PoolCommand>>) -> io::Result<()> {
         let mut events = Events::with_capacity(1_024);
-        let (mut next_turn, mut next_report) = (Instant::now(), Instant::now());
+        let (mut next_timer, mut next_report) = (Instant::now(), Instant::now());
         loop {
-            match self.poll.poll(&mut events, Some(next_turn.saturating_duration_since(Instant::now()))) {
+            match self.poll.poll(&mut events, Some(next_timer.saturating_duration_since(Instant::now()))) {
                 Err(e) if e.kind() != io::ErrorKind::Interrupted => return Err(e),
                 _ => {}
             }
             for event in events.iter().filter(|e| e.token() != WAKER) {
-                self.directors[event.token().0 - 1].ready(&mut self.shared);
+                self.directors[event.token().0 - 1].on_socket_ready(&mut self.shared);
             }
             loop {
                 match commands.try_recv() {
                     Ok(command) => {
-                        if self.carry_out(command?)? {
+                        if self.execute(command?)? {
                             return Ok(());
                         }
                     }
@@ -106,12 +111,12 @@
                     Err(TryRecvError::Disconnected) => return Ok(()),
                 }
             }
-            if Instant::now() < next_turn {
+            if Instant::now() < next_timer {
                 continue;
             }
-            next_turn = Instant::now() + TURN_LENGTH;
+            next_timer = Instant::now() + TIMER_INTERVAL;
             let registry = self.poll.registry();
-            self.directors.iter_mut().for_each(|h| h.tick(&mut self.shared, registry));
+            self.directors.iter_mut().for_each(|h| h.on_timer(&mut self.shared, registry));
             if Instant::now() >= next_report {
                 next_report = Instant::now() + REPORT_INTERVAL;
                 self.report_progress()?;
@@ -120,46 +125,49 @@
     }
 
     fn report_progress(&mut self) -> io::Result<()> {
-        let on = self.directors.iter().filter(|h| h.is_on());
-        let tick = &mut self.shared.tick;
-        tick.at = shared_ns();
-        tick.alive = on.clone().count();
-        tick.up = on.clone().filter(|h| h.is_up()).count();
-        tick.least = on.map(SimulatedDirector::last).min().unwrap_or(tick.most);
-        send_report(&PoolReport::Tick(*tick))
+        let running = self.directors.iter().filter(|h| h.is_running());
+        let progress = &mut self.shared.progress;
+        progress.at_ns = shared_ns();
+        progress.running = running.clone().count();
+        progress.connected = running.clone().filter(|h| h.was_connected()).count();
+        progress.lowest_applied =
+            running.map(SimulatedDirector::last_applied).min().unwrap_or(progress.highest_applied);
+        send_report(&PoolReport::Tick(*progress))
     }
 
-    /// Carries out a command. Whether it was the last one.
-    fn carry_out(&mut self, command: PoolCommand) -> io::Result<bool> {
-        let Pool { directors, places, shared, .. } = self;
-        let mut each = |numbers: &[usize], to: &mut dyn FnMut(&mut SimulatedDirector, &mut Shared)| {
-            for place in numbers.iter().filter_map(|n| places.get(n)) {
-                to(&mut directors[*place], shared);
-            }
-        };
+    /// Executes a command. Returns whether it was the last one.
+    fn execute(&mut self, command: PoolCommand) -> io::Result<bool> {
+        let Pool { directors, indexes, shared, .. } = self;
+        let mut for_each =
+            |numbers: &[usize], action: &mut dyn FnMut(&mut SimulatedDirector, &mut Shared)| {
+                for index in numbers.iter().filter_map(|n| indexes.get(n)) {
+                    action(&mut directors[*index], shared);
+                }
+            };
         match command {
-            PoolCommand::Begin { .. } => return Err(bad("a second beginning")),
-            PoolCommand::Kill(who) => each(&who, &mut |h, shared| h.kill(shared)),
-            PoolCommand::Start(who) => each(&who, &mut |h, shared| h.start(shared)),
-            PoolCommand::Cut(who, from) => each(&who, &mut |h, _| h.cut.extend(&from)),
-            PoolCommand::Slow(who, slow) => each(&who, &mut |h, shared| {
-                h.slow = slow;
-                h.ready(shared);
+            PoolCommand::Begin { .. } => return Err(invalid_data("Begin is allowed only once")),
+            PoolCommand::Kill(numbers) => for_each(&numbers, &mut |h, shared| h.kill(shared)),
+            PoolCommand::Start(numbers) => for_each(&numbers, &mut |h, shared| h.start(shared)),
+            PoolCommand::Cut(numbers, feeds) => for_each(&numbers, &mut |h, _| h.cut_feeds.extend(&feeds)),
+            PoolCommand::Slow(numbers, reads_slowly) => for_each(&numbers, &mut |h, shared| {
+                h.reads_slowly = reads_slowly;
+                h.on_socket_ready(shared);
             }),
             PoolCommand::Heal => {
-                // What came meanwhile was never seen: the sockets are looked at anew.
-                for h in directors.iter_mut().filter(|h| !h.cut.is_empty()) {
-                    h.cut.clear();
-                    h.ready(shared);
+                // Directors ignored readiness events during the cut, and these do not come again: each socket is
+                // tried once.
+                for h in directors.iter_mut().filter(|h| !h.cut_feeds.is_empty()) {
+                    h.cut_feeds.clear();
+                    h.on_socket_ready(shared);
                 }
-                shared.limbo.clear();
+                shared.dropped_behind_cut.clear();
             }
-            PoolCommand::Finish { told, list } => {
-                for h in directors.iter().filter(|h| h.is_on()) {
-                    h.finish(&told, &list, self.binds_ms, shared);
+            PoolCommand::Finish { published, list } => {
+                for h in directors.iter().filter(|h| h.is_running()) {
+                    h.finish(&published, &list, self.binds_ms, shared);
                 }
-                shared.found.came = std::mem::take(&mut shared.came).into_values().collect();
-                send_report(&PoolReport::Finished(Box::new(std::mem::take(&mut shared.found))))?;
+                shared.result.arrivals = std::mem::take(&mut shared.arrivals).into_values().collect();
+                send_report(&PoolReport::Finished(Box::new(std::mem::take(&mut shared.result))))?;
                 return Ok(true);
             }
         }
--- a/crates/testbed/src/scale/pool_messages.rs
+++ b/crates/testbed/src/scale/pool_messages.rs
@@ -11,98 +11,127 @@
     now.tv_sec as u64 * 1_000_000_000 + now.tv_nsec as u64
 }
 
-/// One simulated director.
+/// A simulated director: its number, its address and its feeds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct DirectorIdentity {
     pub(crate) number: usize,
     /// The address from which it connects.
     pub(crate) source: Ipv4Addr,
-    /// Where it connects, the first one first.
+    /// The feeds that it may connect to, in order of preference.
     pub(crate) feeds: Vec<SocketAddr>,
 }
 
-/// A confirmed event of the load: its number, which one it is (its content), and when its purge was made (Unix
-/// milliseconds; 0: a change of the list).
+/// A confirmed event of the load.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(crate) struct PublishedEvent {
+    /// The number under which it was confirmed.
     pub(crate) number: u64,
+    /// Identifies the event within the load, from 1.
     pub(crate) content: u32,
+    /// When the purge was made, in Unix milliseconds; 0 for a change of the list.
     pub(crate) purged_ms: u64,
 }
 
 /// A command to a process.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum PoolCommand {
-    /// The first command: which directors to run.
+    /// Runs these directors. This is the first command of a process.
     Begin {
-        /// The configuration of a director, with the list of the start as what is known.
+        /// The configuration of a director; its known events are the endpoint list at the start of the trial.
         config: String,
         directors: Vec<DirectorIdentity>,
-        /// A snapshot may leave a purge out after this.
+        /// Age in milliseconds after which a snapshot may leave a purge out.
         binds_ms: u64,
     },
-    /// These directors lose their connections and all that they know.
+    /// Kills these directors: they lose their connections and all state.
     Kill(Vec<usize>),
-    /// Those of these that were killed start again, with what was known at the start of the trial.
+    /// Starts those of these directors that are killed, with the known events of the configuration.
     Start(Vec<usize>),
-    /// Nothing passes any more between these directors and these addresses.
+    /// Cuts the connections between these directors and these addresses: no data passes any more.
     Cut(Vec<usize>, Vec<SocketAddr>),
-    /// All cuts are over.
+    /// Ends all cuts.
     Heal,
-    /// These directors read a byte at a time, or normally again.
+    /// Makes these directors read one byte at a time (true), or normally again (false).
     Slow(Vec<usize>, bool),
-    /// The load is over: the events that were published, and for each node the content of its last change and whether it
-    /// has gone. The process reports its result and exits.
-    Finish { told: Vec<PublishedEvent>, list: Vec<(u32, bool)> },
+    /// Compares what the directors applied with what was published, reports the result and exits.
+    Finish {
+        #[serde(rename = "told")]
+        published: Vec<PublishedEvent>,
+        /// For each node, the content of its last change and whether it has gone.
+        list: Vec<(u32, bool)>,
+    },
 }
 
 /// The state and the counts of all directors of one process.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct PoolProgress {
-    pub(crate) at: u64,
+    /// When the report was made, by the shared clock.
+    #[serde(rename = "at")]
+    pub(crate) at_ns: u64,
     /// Directors that run.
-    pub(crate) alive: usize,
-    /// Directors that were connected once since their start.
-    pub(crate) up: usize,
-    /// The lowest number that a director has applied, and the highest.
-    pub(crate) least: u64,
-    pub(crate) most: u64,
+    #[serde(rename = "alive")]
+    pub(crate) running: usize,
+    /// Directors that run and have been connected since their start.
+    #[serde(rename = "up")]
+    pub(crate) connected: usize,
+    /// The lowest last number among the directors that run.
+    #[serde(rename = "least")]
+    pub(crate) lowest_applied: u64,
+    /// The highest number that a director has applied.
+    #[serde(rename = "most")]
+    pub(crate) highest_applied: u64,
     pub(crate) bytes_in: u64,
     pub(crate) bytes_out: u64,
     pub(crate) reads: u64,
     pub(crate) calls: u64,
-    pub(crate) taken: u64,
-    /// Calls for events that were missing or unreadable, and events that were skipped as they stayed unreadable.
+    /// Events that were applied, over all directors.
+    #[serde(rename = "taken")]
+    pub(crate) applied: u64,
+    /// New subscriptions because an event was missing or unreadable.
     pub(crate) gaps: u64,
+    /// Events that were skipped because they stayed unreadable.
     pub(crate) skipped: u64,
 }
 
-/// When an event was applied by the directors of this process.
+/// How the directors of one process applied an event.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Came {
+pub(crate) struct EventArrival {
     pub(crate) number: u64,
-    /// None: here it was only part of a snapshot, which says nothing of the event under this number.
+    /// None if the number came only with a snapshot, which does not identify the event.
     pub(crate) content: Option<u32>,
-    /// By how many.
-    pub(crate) by: u32,
-    /// By the last of those that ran when it was published, by the shared clock.
-    pub(crate) last: u64,
+    /// How many directors applied it.
+    #[serde(rename = "by")]
+    pub(crate) count: u32,
+    /// When the last director applied it, by the shared clock; 0 if none counts. Directors that were still catching up
+    /// to this number after a restart do not count.
+    #[serde(rename = "last")]
+    pub(crate) last_ns: u64,
 }
 
 /// The result of one process.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Finished {
-    pub(crate) came: Vec<Came>,
+    /// Arrivals of events, by rising numbers.
+    #[serde(rename = "came")]
+    pub(crate) arrivals: Vec<EventArrival>,
+    /// Published events that a director did not apply.
     pub(crate) missed: u64,
-    pub(crate) disorder: u64,
-    pub(crate) twice: u64,
-    /// Another content came under a number than to others of this process.
-    pub(crate) differs: u64,
-    /// Purges that a snapshot left out as they need not be kept any more, and lists that are not as they were published.
-    pub(crate) lapsed: u64,
+    /// Events that came out of order.
+    #[serde(rename = "disorder")]
+    pub(crate) out_of_order: u64,
+    /// Events that a director applied twice.
+    #[serde(rename = "twice")]
+    pub(crate) applied_twice: u64,
+    /// Events whose content differs from the one that another director of the process had under the same number.
+    #[serde(rename = "differs")]
+    pub(crate) different_events: u64,
+    /// Events that a director did not apply, as a snapshot replaced them and need not contain them any more.
+    #[serde(rename = "lapsed")]
+    pub(crate) expired: u64,
+    /// Directors whose endpoint list differs from the published one.
     pub(crate) wrong_lists: u64,
     pub(crate) restarts: u64,
-    /// Milliseconds from each restart until a director had applied all that was applied elsewhere then.
+    /// Milliseconds from each restart until the director had applied all that others had applied at the restart.
     pub(crate) catch_up: Vec<u64>,
 }
 
--- a/crates/testbed/src/scale/simulated_director.rs
+++ b/crates/testbed/src/scale/simulated_director.rs
@@ -1,5 +1,6 @@
-//! One simulated director: the product's own code for discovery, and no clients. The stream is followed by the rules of
-//! `sablecross-discovery`, events are read by the director's own code, and its decision module is updated by them.
+//! A simulated director: it runs the product's own discovery code and serves no clients. It follows the event stream by
+//! the rules of `sablecross-discovery`, parses events with the code of the real director, and applies them to a real
+//! decision module.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
@@ -21,84 +22,106 @@
 
 use crate::fleet::link_proxy::dial_from;
 
-use super::pool_messages::{Came, DirectorIdentity, Finished, PoolProgress, PublishedEvent, shared_ns};
+use super::pool_messages::{
+    DirectorIdentity, EventArrival, Finished, PoolProgress, PublishedEvent, shared_ns,
+};
 
-/// What the directors of one process share.
+/// State that all simulated directors of one process share.
 pub(crate) struct Shared {
     pub(crate) config: Config,
     pub(crate) clock: Clock,
-    pub(crate) began: Instant,
-    pub(crate) tick: PoolProgress,
-    pub(crate) found: Finished,
-    /// By number.
-    pub(crate) came: BTreeMap<u64, Came>,
-    pub(crate) limbo: Vec<(SocketAddr, TcpStream)>,
+    pub(crate) started: Instant,
+    pub(crate) progress: PoolProgress,
+    pub(crate) result: Finished,
+    /// Arrivals by event number.
+    pub(crate) arrivals: BTreeMap<u64, EventArrival>,
+    /// Sockets that directors dropped behind a cut. They stay open until the cut is healed, so that the other end does
+    /// not see them close.
+    pub(crate) dropped_behind_cut: Vec<(SocketAddr, TcpStream)>,
 }
 
 impl Shared {
+    /// Counts one director that applied an event. `content` is none for a snapshot; `timed` says whether the time of the
+    /// arrival counts.
     fn record_arrival(&mut self, number: u64, content: Option<u32>, timed: bool) {
-        let came = self.came.entry(number).or_default();
-        self.found.differs += u64::from(came.content.zip(content).is_some_and(|(known, new)| known != new));
-        (came.number, came.content, came.by) = (number, came.content.or(content), came.by + 1);
+        let arrival = self.arrivals.entry(number).or_default();
+        self.result.different_events +=
+            u64::from(arrival.content.zip(content).is_some_and(|(known, new)| known != new));
+        (arrival.number, arrival.content, arrival.count) =
+            (number, arrival.content.or(content), arrival.count + 1);
         if timed {
-            came.last = shared_ns();
+            arrival.last_ns = shared_ns();
         }
     }
 }
 
+/// The state of a director's connection to its feed.
 enum ConnectionPhase {
-    /// Killed.
-    Off,
-    Waits(Instant),
-    /// What is dialled into a cut never answers.
-    Dials(Option<TcpStream>, Instant),
+    /// The director was killed.
+    Stopped,
+    /// The director connects at this time.
+    Waiting(Instant),
+    /// Connecting since this time. There is no socket if the feed is behind a cut: such an attempt ends by its timeout.
+    Connecting(Option<TcpStream>, Instant),
     Open(Box<OpenConnection>),
 }
 
 struct OpenConnection {
     socket: TcpStream,
-    stream: EventStreamParser,
-    heard: Instant,
+    parser: EventStreamParser,
+    /// When bytes were last read.
+    last_read: Instant,
 }
 
-/// What a director holds in one life.
+/// What a director knows from its start until it is killed.
 struct DirectorState {
-    choice: Router,
-    roster: NodeRegistry,
-    upper: ParentHierarchy,
+    router: Router,
+    node_registry: NodeRegistry,
+    hierarchy_parents: ParentHierarchy,
     cursor: EventCursor,
     feeds: FeedSelector,
-    began: Instant,
-    /// The most that was in force elsewhere when it began: up to there it catches up.
-    behind: u64,
+    started: Instant,
+    /// The highest number that another director of the process had applied when this one started. The director has
+    /// caught up once it has applied this number.
+    catch_up_target: u64,
     caught_up: bool,
-    up: bool,
-    /// The last number taken, and up to where nothing was passed over or a whole list took its place.
-    last: u64,
-    solid: u64,
-    /// By content: which were taken.
-    seen: Vec<u64>,
-    /// From where to where it was told a whole list in place of what came between, and when.
-    jumps: Vec<(u64, u64, u64)>,
-    /// By node: its last change.
-    list: Vec<u32>,
+    /// Whether a feed has answered since the start.
+    was_connected: bool,
+    /// The number of the last applied event.
+    last_number: u64,
+    /// The highest number up to which every event was applied or replaced by a snapshot.
+    contiguous: u64,
+    /// A bit for each content: whether its event was applied.
+    applied_contents: Vec<u64>,
+    /// Snapshots that replaced events: the number before the first replaced event, the number of the snapshot, and
+    /// when it was applied, in milliseconds of the director's clock.
+    snapshot_gaps: Vec<(u64, u64, u64)>,
+    /// The content of each node's last change, by the number of the node.
+    last_changes: Vec<u32>,
 }
 
+/// One simulated director with its connection.
 pub(crate) struct SimulatedDirector {
-    pub(crate) own: DirectorIdentity,
+    pub(crate) identity: DirectorIdentity,
     token: Token,
-    life: Box<DirectorState>,
-    link: ConnectionPhase,
-    called: Instant,
-    before: u64,
-    pub(crate) cut: Vec<SocketAddr>,
-    pub(crate) slow: bool,
+    state: Box<DirectorState>,
+    connection: ConnectionPhase,
+    /// When the last connection attempt began.
+    connect_began: Instant,
+    /// The last applied number at that time.
+    number_before: u64,
+    /// Feeds from which the director is cut off.
+    pub(crate) cut_feeds: Vec<SocketAddr>,
+    /// Whether the director reads one byte at each timer tick.
+    pub(crate) reads_slowly: bool,
 }
 
-/// Why a connection is over.
+/// Why a connection ended.
 enum ConnectionEnd {
     Failed,
-    Again,
+    /// An event was missing or unreadable: the director subscribes again.
+    Resubscribe,
+    /// The feed ended the stream.
     Ended,
 }
 
@@ -109,76 +132,80 @@
 }
 
 impl DirectorState {
-    fn begin(own: &DirectorIdentity, shared: &Shared, behind: u64) -> DirectorState {
+    /// The state at a start, with the events of the configuration applied.
+    fn new(identity: &DirectorIdentity, shared: &Shared, catch_up_target: u64) -> DirectorState {
         let Config { settings, known, .. } = &shared.config;
         let mut settings = settings.clone();
-        settings.director_index = own.number;
-        let (home, others) = own.feeds.split_first().expect("a hollow director has a feed");
-        let mut life = DirectorState {
-            choice: Router::new(settings, own.number as u64, shared.clock.now()),
-            roster: NodeRegistry::default(),
-            upper: ParentHierarchy::new(shared.config.settings.parent_kind),
+        settings.director_index = identity.number;
+        let (home, others) =
+            identity.feeds.split_first().expect("a simulated director has at least one feed");
+        let mut state = DirectorState {
+            router: Router::new(settings, identity.number as u64, shared.clock.now()),
+            node_registry: NodeRegistry::default(),
+            hierarchy_parents: ParentHierarchy::new(shared.config.settings.parent_kind),
             cursor: EventCursor::after_number(known.last),
-            feeds: FeedSelector::new(&format!("hollow-{}", own.number), *home, others),
-            began: Instant::now(),
-            behind,
-            caught_up: behind == 0,
-            up: false,
-            last: known.last,
-            solid: known.last,
-            seen: Vec::new(),
-            jumps: Vec::new(),
-            list: Vec::new(),
+            feeds: FeedSelector::new(&format!("hollow-{}", identity.number), *home, others),
+            started: Instant::now(),
+            catch_up_target,
+            caught_up: catch_up_target == 0,
+            was_connected: false,
+            last_number: known.last,
+            contiguous: known.last,
+            applied_contents: Vec::new(),
+            snapshot_gaps: Vec::new(),
+            last_changes: Vec::new(),
         };
         for event in &known.events {
-            life.take(&event.event, shared);
+            state.apply(&event.event, shared);
         }
-        life
+        state
     }
 
-    /// As the desk does it.
-    fn take(&mut self, fact: &DiscoveryEvent, shared: &Shared) {
+    /// Applies an event as a real director does.
+    fn apply(&mut self, event: &DiscoveryEvent, shared: &Shared) {
         let now: Ns = shared.clock.now();
-        match fact {
-            DiscoveryEvent::Endpoints { endpoints: members, is_snapshot: whole } => {
-                let DirectorState { roster, upper, .. } = self;
-                roster.release_unused(u64::MAX, |_| true);
+        match event {
+            DiscoveryEvent::Endpoints { endpoints, is_snapshot } => {
+                let DirectorState { node_registry, hierarchy_parents, .. } = self;
+                node_registry.release_unused(u64::MAX, |_| true);
                 let names = &shared.config.names;
-                roster.observe_starts(members, now);
+                node_registry.observe_starts(endpoints, now);
                 let mut lines: Vec<_> =
-                    members.iter().filter_map(|m| roster.endpoint_update(names, m, now)).collect();
-                roster.mark_gone(&lines, *whole, 0);
-                upper.update_parents(&mut lines, *whole, |node| roster.name(node).to_owned());
-                self.choice.update_endpoints(now, &lines, *whole);
-                // Nobody writes its notes to a log.
-                self.choice.take_log_lines();
+                    endpoints.iter().filter_map(|e| node_registry.endpoint_update(names, e, now)).collect();
+                node_registry.mark_gone(&lines, *is_snapshot, 0);
+                hierarchy_parents
+                    .update_parents(&mut lines, *is_snapshot, |node| node_registry.name(node).to_owned());
+                self.router.update_endpoints(now, &lines, *is_snapshot);
+                // A simulated director has no log: its log lines are dropped.
+                self.router.take_log_lines();
             }
             DiscoveryEvent::Purge { object, group } => {
-                self.choice.record_purge(now, *object, *group, 0);
+                self.router.record_purge(now, *object, *group, 0);
             }
-            DiscoveryEvent::Hierarchy(told) => {
-                if let Some((lines, _)) = self.upper.adopt(told) {
-                    self.choice.update_endpoints(now, &lines, false);
+            DiscoveryEvent::Hierarchy(hierarchy) => {
+                if let Some((lines, _)) = self.hierarchy_parents.adopt(hierarchy) {
+                    self.router.update_endpoints(now, &lines, false);
                 }
             }
         }
     }
 
-    /// Checks by itself what the rules of the feed let through.
-    fn check(&mut self, number: u64, event: &Value, shared: &mut Shared) {
-        let found = &mut shared.found;
-        found.disorder += u64::from(number <= self.last);
+    /// Counts an event that is out of order, applied twice or older than the node's last change. The check does not rely
+    /// on the discovery code, which has accepted the event.
+    fn check_event(&mut self, number: u64, event: &Value, shared: &mut Shared) {
+        let result = &mut shared.result;
+        result.out_of_order += u64::from(number <= self.last_number);
         let members = event.get("members");
-        let whole = members.is_some_and(|m| m["snapshot"] == true);
-        self.last = number;
-        if whole {
-            self.jumps.push((self.solid, number, shared.clock.now() / 1_000_000));
-            self.solid = number;
-        } else if number == self.solid + 1 {
-            self.solid = number;
+        let is_snapshot = members.is_some_and(|m| m["snapshot"] == true);
+        self.last_number = number;
+        if is_snapshot {
+            self.snapshot_gaps.push((self.contiguous, number, shared.clock.now() / 1_000_000));
+            self.contiguous = number;
+        } else if number == self.contiguous + 1 {
+            self.contiguous = number;
         }
         let content = match members {
-            Some(_) if whole => 0,
+            Some(_) if is_snapshot => 0,
             Some(members) => members["index"].as_u64().unwrap_or(0) as u32,
             None => {
                 let key = event.pointer("/purge/key").and_then(Value::as_str).unwrap_or_default();
@@ -187,164 +214,182 @@
         };
         if content > 0 {
             let (word, bit) = (content as usize / 64, 1 << (content % 64));
-            if self.seen.len() <= word {
-                self.seen.resize(word + 1, 0);
+            if self.applied_contents.len() <= word {
+                self.applied_contents.resize(word + 1, 0);
             }
-            found.twice += u64::from(self.seen[word] & bit != 0);
-            self.seen[word] |= bit;
+            result.applied_twice += u64::from(self.applied_contents[word] & bit != 0);
+            self.applied_contents[word] |= bit;
         }
-        let held = if whole { std::mem::take(&mut self.list) } else { Vec::new() };
+        let previous = if is_snapshot { std::mem::take(&mut self.last_changes) } else { Vec::new() };
         for line in members.and_then(|m| m["endpoints"].as_array()).into_iter().flatten() {
             let node = line["name"].as_str().and_then(|n| n.rsplit('-').next()?.parse::<usize>().ok());
             let (Some(node), Some(change)) = (node, line["weight"].as_u64()) else { continue };
-            if self.list.len() <= node {
-                self.list.resize(node + 1, 0);
+            if self.last_changes.len() <= node {
+                self.last_changes.resize(node + 1, 0);
             }
-            let before = held.get(node).copied().unwrap_or_default().max(self.list[node]);
-            found.disorder += u64::from(before > change as u32);
-            self.list[node] = change as u32;
+            let before = previous.get(node).copied().unwrap_or_default().max(self.last_changes[node]);
+            result.out_of_order += u64::from(before > change as u32);
+            self.last_changes[node] = change as u32;
         }
-        shared.record_arrival(number, (!whole).then_some(content), number > self.behind);
+        shared.record_arrival(number, (!is_snapshot).then_some(content), number > self.catch_up_target);
     }
 
-    /// What it has not taken of all that was told, unless that binds no more.
+    /// Counts the published events after `known` that were not applied, and a list that differs from the published one.
+    /// An event that a snapshot replaced counts as expired if it was a change of the list, or a purge that had reached
+    /// the age at which a snapshot may leave it out; else it counts as missed.
     fn finish(
         &self,
-        told: &[PublishedEvent],
+        published: &[PublishedEvent],
         list: &[(u32, bool)],
         known: u64,
         binds_ms: u64,
-        found: &mut Finished,
+        result: &mut Finished,
     ) {
-        for t in told.iter().filter(|t| t.number > known) {
-            let taken =
-                self.seen.get(t.content as usize / 64).is_some_and(|w| w & (1 << (t.content % 64)) != 0);
-            if taken {
+        for event in published.iter().filter(|event| event.number > known) {
+            let was_applied = self
+                .applied_contents
+                .get(event.content as usize / 64)
+                .is_some_and(|w| w & (1 << (event.content % 64)) != 0);
+            if was_applied {
                 continue;
             }
-            let passed = self.jumps.iter().find(|(from, to, _)| (from + 1..=*to).contains(&t.number));
-            match passed {
-                Some((_, _, at)) if t.purged_ms == 0 || t.purged_ms + binds_ms <= *at => found.lapsed += 1,
-                _ => found.missed += 1,
+            let replaced =
+                self.snapshot_gaps.iter().find(|(from, to, _)| (from + 1..=*to).contains(&event.number));
+            match replaced {
+                Some((_, _, at)) if event.purged_ms == 0 || event.purged_ms + binds_ms <= *at => {
+                    result.expired += 1
+                }
+                _ => result.missed += 1,
             }
         }
-        let same = list.iter().enumerate().all(|(n, (change, gone))| {
-            let held = self.list.get(n).copied().unwrap_or(0);
-            held == *change || (*gone && held == 0)
+        let is_same = list.iter().enumerate().all(|(n, (change, gone))| {
+            let applied = self.last_changes.get(n).copied().unwrap_or(0);
+            applied == *change || (*gone && applied == 0)
         });
-        found.wrong_lists += u64::from(!same);
+        result.wrong_lists += u64::from(!is_same);
     }
 }
 
 impl SimulatedDirector {
+    /// A director that connects for the first time after `spread`.
     pub(crate) fn new(
-        own: DirectorIdentity,
+        identity: DirectorIdentity,
         token: Token,
         shared: &Shared,
         spread: Duration,
     ) -> SimulatedDirector {
-        let life = Box::new(DirectorState::begin(&own, shared, 0));
+        let state = Box::new(DirectorState::new(&identity, shared, 0));
         let now = Instant::now();
-        let (link, cut) = (ConnectionPhase::Waits(now + spread), Vec::new());
-        SimulatedDirector { own, token, life, link, called: now, before: 0, cut, slow: false }
+        let (connection, cut_feeds) = (ConnectionPhase::Waiting(now + spread), Vec::new());
+        SimulatedDirector {
+            identity,
+            token,
+            state,
+            connection,
+            connect_began: now,
+            number_before: 0,
+            cut_feeds,
+            reads_slowly: false,
+        }
     }
 
-    pub(crate) fn is_on(&self) -> bool {
-        !matches!(self.link, ConnectionPhase::Off)
+    pub(crate) fn is_running(&self) -> bool {
+        !matches!(self.connection, ConnectionPhase::Stopped)
     }
 
-    /// Its call was answered once in this life.
-    pub(crate) fn is_up(&self) -> bool {
-        self.is_on() && self.life.up
+    /// Whether the director runs and a feed has answered since its start.
+    pub(crate) fn was_connected(&self) -> bool {
+        self.is_running() && self.state.was_connected
     }
 
-    pub(crate) fn last(&self) -> u64 {
-        self.life.cursor.last_number()
+    pub(crate) fn last_applied(&self) -> u64 {
+        self.state.cursor.last_number()
     }
 
-    /// It forgets all that it knew.
+    /// Stops the director and drops its connection. Its next start begins with a new state.
     pub(crate) fn kill(&mut self, shared: &mut Shared) {
-        let link = std::mem::replace(&mut self.link, ConnectionPhase::Off);
-        self.drop_connection(link, shared);
+        let connection = std::mem::replace(&mut self.connection, ConnectionPhase::Stopped);
+        self.drop_connection(connection, shared);
     }
 
+    /// Starts a director that was killed with the events of the configuration; does nothing if it runs.
     pub(crate) fn start(&mut self, shared: &mut Shared) {
-        if self.is_on() {
+        if self.is_running() {
             return;
         }
-        let behind = shared.tick.most;
-        *self.life = DirectorState::begin(&self.own, shared, behind);
-        shared.found.restarts += 1;
-        self.link = ConnectionPhase::Waits(Instant::now());
+        let catch_up_target = shared.progress.highest_applied;
+        *self.state = DirectorState::new(&self.identity, shared, catch_up_target);
+        shared.result.restarts += 1;
+        self.connection = ConnectionPhase::Waiting(Instant::now());
     }
 
-    fn drop_connection(&mut self, link: ConnectionPhase, shared: &mut Shared) {
-        let address = self.life.feeds.current();
-        let socket = match link {
+    fn drop_connection(&mut self, connection: ConnectionPhase, shared: &mut Shared) {
+        let address = self.state.feeds.current();
+        let socket = match connection {
             ConnectionPhase::Open(open) => open.socket,
-            ConnectionPhase::Dials(Some(socket), _) => socket,
+            ConnectionPhase::Connecting(Some(socket), _) => socket,
             _ => return,
         };
-        // Nobody at the other end hears of it before the cut is healed.
-        if self.cut.contains(&address) {
-            shared.limbo.push((address, socket));
+        // The other end must not see the connection close before the cut is healed.
+        if self.cut_feeds.contains(&address) {
+            shared.dropped_behind_cut.push((address, socket));
         }
     }
 
-    /// What is due by the clock.
-    pub(crate) fn tick(&mut self, shared: &mut Shared, registry: &Registry) {
+    /// Does what is due by the clock: connects, ends a connection by its timeout, or reads slowly.
+    pub(crate) fn on_timer(&mut self, shared: &mut Shared, registry: &Registry) {
         let limits = &shared.config.limits;
-        let done = match &mut self.link {
-            ConnectionPhase::Off => return,
-            ConnectionPhase::Waits(until) if Instant::now() < *until => return,
-            ConnectionPhase::Waits(_) => return self.call(shared, registry),
-            ConnectionPhase::Dials(_, since)
+        let outcome = match &mut self.connection {
+            ConnectionPhase::Stopped => return,
+            ConnectionPhase::Waiting(until) if Instant::now() < *until => return,
+            ConnectionPhase::Waiting(_) => return self.connect(shared, registry),
+            ConnectionPhase::Connecting(_, since)
                 if since.elapsed() < Duration::from_nanos(limits.connect_timeout) =>
             {
                 return;
             }
-            ConnectionPhase::Dials(..) => Err(ConnectionEnd::Failed),
-            ConnectionPhase::Open(open) if open.heard.elapsed() >= limits.feed_silence_timeout => {
+            ConnectionPhase::Connecting(..) => Err(ConnectionEnd::Failed),
+            ConnectionPhase::Open(open) if open.last_read.elapsed() >= limits.feed_silence_timeout => {
                 Err(ConnectionEnd::Failed)
             }
-            ConnectionPhase::Open(_) if self.slow => self.read(shared, 1),
+            ConnectionPhase::Open(_) if self.reads_slowly => self.read(shared, 1),
             ConnectionPhase::Open(_) => return,
         };
-        self.ended(done, shared);
+        self.on_connection_end(outcome, shared);
     }
 
-    fn call(&mut self, shared: &mut Shared, registry: &Registry) {
-        shared.tick.calls += 1;
-        (self.called, self.before) = (Instant::now(), self.last());
-        let at = self.life.feeds.current();
-        if self.cut.contains(&at) {
-            self.link = ConnectionPhase::Dials(None, self.called);
+    fn connect(&mut self, shared: &mut Shared, registry: &Registry) {
+        shared.progress.calls += 1;
+        (self.connect_began, self.number_before) = (Instant::now(), self.last_applied());
+        let at = self.state.feeds.current();
+        if self.cut_feeds.contains(&at) {
+            self.connection = ConnectionPhase::Connecting(None, self.connect_began);
             return;
         }
         match self.dial(at, registry) {
-            Ok(socket) => self.link = ConnectionPhase::Dials(Some(socket), self.called),
-            Err(e) => self.ended(Err(e.into()), shared),
+            Ok(socket) => self.connection = ConnectionPhase::Connecting(Some(socket), self.connect_began),
+            Err(e) => self.on_connection_end(Err(e.into()), shared),
         }
     }
 
     fn dial(&self, at: SocketAddr, registry: &Registry) -> io::Result<TcpStream> {
-        let mut socket = dial_from(self.own.source, at)?;
+        let mut socket = dial_from(self.identity.source, at)?;
         registry.register(&mut socket, self.token, Interest::READABLE | Interest::WRITABLE)?;
         Ok(socket)
     }
 
-    /// Its socket can do something.
-    pub(crate) fn ready(&mut self, shared: &mut Shared) {
-        let done = self.on_ready(shared);
-        self.ended(done, shared);
+    /// Handles a socket that became readable or writable.
+    pub(crate) fn on_socket_ready(&mut self, shared: &mut Shared) {
+        let outcome = self.connect_or_read(shared);
+        self.on_connection_end(outcome, shared);
     }
 
-    fn on_ready(&mut self, shared: &mut Shared) -> Result<(), ConnectionEnd> {
-        let at = self.life.feeds.current();
-        if self.cut.contains(&at) {
+    fn connect_or_read(&mut self, shared: &mut Shared) -> Result<(), ConnectionEnd> {
+        let at = self.state.feeds.current();
+        if self.cut_feeds.contains(&at) {
             return Ok(());
         }
-        if let ConnectionPhase::Dials(socket, _) = &mut self.link {
+        if let ConnectionPhase::Connecting(socket, _) = &mut self.connection {
             let Some(open) = socket else { return Ok(()) };
             if let Some(e) = open.take_error()? {
                 return Err(e.into());
@@ -354,47 +399,47 @@
                 Err(e) if e.kind() == ErrorKind::NotConnected => return Ok(()),
                 Err(e) => return Err(e.into()),
             }
-            // So few bytes always fit into a new connection.
-            let asks = events_request(at, self.life.cursor.last_number());
-            open.write_all(asks.as_bytes())?;
-            shared.tick.bytes_out += asks.len() as u64;
-            let stream = EventStreamParser::new(shared.config.limits.max_feed_event_bytes);
+            // The request is short enough for the empty send buffer of a new connection.
+            let request = events_request(at, self.state.cursor.last_number());
+            open.write_all(request.as_bytes())?;
+            shared.progress.bytes_out += request.len() as u64;
+            let parser = EventStreamParser::new(shared.config.limits.max_feed_event_bytes);
             let Some(socket) = socket.take() else { return Ok(()) };
-            self.link =
-                ConnectionPhase::Open(Box::new(OpenConnection { socket, stream, heard: Instant::now() }));
+            self.connection =
+                ConnectionPhase::Open(Box::new(OpenConnection { socket, parser, last_read: Instant::now() }));
         }
-        if self.slow { Ok(()) } else { self.read(shared, 16 << 10) }
+        if self.reads_slowly { Ok(()) } else { self.read(shared, 16 << 10) }
     }
 
-    fn read(&mut self, shared: &mut Shared, most: usize) -> Result<(), ConnectionEnd> {
+    fn read(&mut self, shared: &mut Shared, max_bytes: usize) -> Result<(), ConnectionEnd> {
         let mut bytes = [0; 16 << 10];
         loop {
-            let ConnectionPhase::Open(open) = &mut self.link else { return Ok(()) };
-            match open.socket.read(&mut bytes[..most]) {
+            let ConnectionPhase::Open(open) = &mut self.connection else { return Ok(()) };
+            match open.socket.read(&mut bytes[..max_bytes]) {
                 Ok(0) => {
                     return Err(open
-                        .stream
+                        .parser
                         .finish()
                         .map_or(ConnectionEnd::Failed, |()| ConnectionEnd::Ended));
                 }
                 Ok(n) => {
-                    shared.tick.reads += 1;
-                    shared.tick.bytes_in += n as u64;
-                    open.heard = Instant::now();
-                    open.stream.push(&bytes[..n]);
-                    while let ConnectionPhase::Open(open) = &mut self.link
-                        && let Some(said) = open.stream.next_item().map_err(|_| ConnectionEnd::Failed)?
+                    shared.progress.reads += 1;
+                    shared.progress.bytes_in += n as u64;
+                    open.last_read = Instant::now();
+                    open.parser.push(&bytes[..n]);
+                    while let ConnectionPhase::Open(open) = &mut self.connection
+                        && let Some(item) = open.parser.next_item().map_err(|_| ConnectionEnd::Failed)?
                     {
-                        match said {
+                        match item {
                             StreamItem::Connected => {
-                                self.life.feeds.on_connected();
-                                self.life.up = true;
+                                self.state.feeds.on_connected();
+                                self.state.was_connected = true;
                             }
-                            StreamItem::Event { id, data } => self.event(id, &data, shared)?,
+                            StreamItem::Event { id, data } => self.on_event(id, &data, shared)?,
                             StreamItem::Comment(_) => {}
                         }
                     }
-                    if most == 1 {
+                    if max_bytes == 1 {
                         return Ok(());
                     }
                 }
@@ -405,57 +450,58 @@
         }
     }
 
-    fn event(&mut self, id: Option<u64>, data: &str, shared: &mut Shared) -> Result<(), ConnectionEnd> {
+    fn on_event(&mut self, id: Option<u64>, data: &str, shared: &mut Shared) -> Result<(), ConnectionEnd> {
         let value: Result<Value, String> = serde_json::from_str(data).map_err(|e| e.to_string());
         let parsed = value
             .as_ref()
             .map_err(String::clone)
             .and_then(|value| NumberedEvent::from_json(value).map_err(|e| e.to_string()));
-        match self.life.cursor.classify(id, parsed.map(|e| (e.number, e.event))) {
-            EventVerdict::New(fact) => {
-                shared.tick.taken += 1;
-                self.life.take(&fact, shared);
-                let number = self.last();
-                self.life.check(number, value.as_ref().unwrap_or(&Value::Null), shared);
-                shared.tick.most = shared.tick.most.max(number);
-                if !self.life.caught_up && number >= self.life.behind {
-                    self.life.caught_up = true;
-                    shared.found.catch_up.push(self.life.began.elapsed().as_millis() as u64);
+        match self.state.cursor.classify(id, parsed.map(|e| (e.number, e.event))) {
+            EventVerdict::New(event) => {
+                shared.progress.applied += 1;
+                self.state.apply(&event, shared);
+                let number = self.last_applied();
+                self.state.check_event(number, value.as_ref().unwrap_or(&Value::Null), shared);
+                shared.progress.highest_applied = shared.progress.highest_applied.max(number);
+                if !self.state.caught_up && number >= self.state.catch_up_target {
+                    self.state.caught_up = true;
+                    shared.result.catch_up.push(self.state.started.elapsed().as_millis() as u64);
                 }
             }
             EventVerdict::Duplicate => {}
             EventVerdict::Resubscribe(_) => {
-                shared.tick.gaps += 1;
-                return Err(ConnectionEnd::Again);
+                shared.progress.gaps += 1;
+                return Err(ConnectionEnd::Resubscribe);
             }
-            EventVerdict::Skip { .. } => shared.tick.skipped += 1,
+            EventVerdict::Skip { .. } => shared.progress.skipped += 1,
         }
         Ok(())
     }
 
-    /// The rules of the follower on whom to call next, and when.
-    fn ended(&mut self, done: Result<(), ConnectionEnd>, shared: &mut Shared) {
-        let Err(over) = done else { return };
-        let link = std::mem::replace(&mut self.link, ConnectionPhase::Off);
-        self.drop_connection(link, shared);
-        match over {
-            ConnectionEnd::Failed => self.life.feeds.on_failed(shared.began.elapsed()),
-            ConnectionEnd::Ended => self.life.feeds.on_stream_ended(shared.began.elapsed()),
-            ConnectionEnd::Again => {}
+    /// Handles the end of a connection: selects the next feed and when to connect, by the rules of a real director.
+    fn on_connection_end(&mut self, outcome: Result<(), ConnectionEnd>, shared: &mut Shared) {
+        let Err(end) = outcome else { return };
+        let connection = std::mem::replace(&mut self.connection, ConnectionPhase::Stopped);
+        self.drop_connection(connection, shared);
+        match end {
+            ConnectionEnd::Failed => self.state.feeds.on_failed(shared.started.elapsed()),
+            ConnectionEnd::Ended => self.state.feeds.on_stream_ended(shared.started.elapsed()),
+            ConnectionEnd::Resubscribe => {}
         }
         let pause = shared.config.limits.feed_retry_delay;
-        let early = self.last() == self.before && self.called.elapsed() < pause;
-        self.link = ConnectionPhase::Waits(Instant::now() + if early { pause } else { Duration::ZERO });
+        let is_early = self.last_applied() == self.number_before && self.connect_began.elapsed() < pause;
+        self.connection =
+            ConnectionPhase::Waiting(Instant::now() + if is_early { pause } else { Duration::ZERO });
     }
 
     pub(crate) fn finish(
         &self,
-        told: &[PublishedEvent],
+        published: &[PublishedEvent],
         list: &[(u32, bool)],
         binds_ms: u64,
         shared: &mut Shared,
     ) {
         let known = shared.config.known.last;
-        self.life.finish(told, list, known, binds_ms, &mut shared.found);
+        self.state.finish(published, list, known, binds_ms, &mut shared.result);
     }
 }
