--- a/crates/testbed/src/scale/evaluation.rs
+++ b/crates/testbed/src/scale/evaluation.rs
@@ -1,4 +1,4 @@
-//! Makes the report of a scale trial from what was counted.
+//! Computes the report of a scale trial from its counters and samples.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,70 +7,70 @@
 use super::settings::Scale;
 use super::source::Published;
 
-/// The bytes of packet headers, by arithmetic: a packet of data and its acknowledgement for each read, ...
+/// Bytes of packet headers for each read, by arithmetic: a data packet and its acknowledgement.
 const HEADER_BYTES_PER_READ: f64 = 132.0;
-/// ... and nine packets beside for each call.
+/// Bytes of packet headers for each call beyond those of its reads, by arithmetic: nine packets.
 const HEADER_BYTES_PER_CALL: f64 = 594.0;
 const NS_PER_MS: f64 = 1e6;
 const NS_PER_SECOND: f64 = 1e9;
-/// An event that takes longer to be applied everywhere is late through a fault.
+/// An event that takes longer than this to be applied everywhere counts towards the recovery time of a fault.
 const LATE_NS: u64 = 1_000_000_000;
-/// How far the wall clock, in whole milliseconds, and the shared clock may be apart.
+/// Largest expected difference between the wall clock, which is read in whole milliseconds, and the shared clock.
 const CLOCK_TOLERANCE_NS: u64 = 5_000_000;
 
-/// A fault as it was carried out, by the shared clock.
+/// When a fault was in force, by the shared clock.
 #[derive(Clone, Debug)]
 pub(crate) struct FaultWindow {
     pub(crate) what: String,
-    /// Its number in the settings.
+    /// The index of the fault in the settings.
     pub(crate) number: usize,
     pub(crate) from_ns: u64,
     pub(crate) to_ns: u64,
 }
 
-/// What a process had used.
+/// CPU time and memory of a process up to a moment.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ProcessUse {
     pub(crate) cpu_seconds: f64,
     pub(crate) memory_mb: f64,
 }
 
-/// Bytes of a relay with other relays.
+/// Bytes that a relay exchanged with other relays.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RelayBytes {
     pub(crate) sent: u64,
     pub(crate) received: u64,
 }
 
-/// What all processes had used at one moment.
+/// The resource use of all processes at one moment.
 #[derive(Clone, Debug)]
 pub(crate) struct Sample {
-    /// By the shared clock.
+    /// When the sample was taken, by the shared clock.
     pub(crate) at_ns: u64,
-    /// Of the processes of simulated directors.
+    /// The progress of each process of simulated directors.
     pub(crate) progress: Vec<PoolProgress>,
     pub(crate) simulated: Vec<ProcessUse>,
     pub(crate) real: Vec<ProcessUse>,
-    /// Of all real directors: sent, received.
+    /// Bytes that all real directors sent and received.
     pub(crate) real_bytes: [u64; 2],
     pub(crate) relays: Vec<ProcessUse>,
     pub(crate) relay_bytes: Vec<RelayBytes>,
-    /// This program, which is the source where there are no relays.
+    /// CPU time of this program, which is the source if there are no relays.
     pub(crate) own_cpu_seconds: f64,
 }
 
-/// What the relays report of a number: since when it is applied everywhere, by the shared clock.
+/// An event number, and when it was applied everywhere according to the relays, by the shared clock.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReportedNumber {
     pub(crate) number: u64,
     pub(crate) since_ns: u64,
 }
 
-/// What was counted over the whole trial.
+/// Counters of the whole trial.
 pub(crate) struct Counts {
-    /// The begin of the load by the shared clock.
+    /// When the load started, by the shared clock.
     pub(crate) start_ns: u64,
-    /// By content, from 1.
+    /// The event with content `n` is at index `n - 1`.
     pub(crate) published: Vec<Published>,
     pub(crate) publish_retries: usize,
     pub(crate) progress: Vec<PoolProgress>,
@@ -83,30 +83,30 @@
     pub(crate) reals_skipped: u64,
     pub(crate) exited: usize,
     pub(crate) max_wake_delay: f64,
-    /// By rising numbers.
+    /// What the relays report, by rising numbers.
     pub(crate) reported: Vec<ReportedNumber>,
 }
 
-/// What the report of a trial is made from.
+/// The input from which the report is computed.
 pub(crate) struct Evaluation<'a> {
     pub(crate) settings: &'a Scale,
     pub(crate) counts: &'a Counts,
-    /// At the end of the warm-up.
+    /// The sample at the end of the warm-up.
     pub(crate) first: &'a Sample,
-    /// At the end of the load.
+    /// The sample at the end of the load.
     pub(crate) last: &'a Sample,
-    /// Names.
+    /// The names of the relays.
     pub(crate) relays: &'a [String],
     pub(crate) faults: &'a [FaultWindow],
 }
 
-/// What all processes together had of each number.
+/// The arrivals of all processes, merged by event number.
 struct Arrivals {
     by_number: BTreeMap<u64, EventArrival>,
-    /// Numbers under which not all had the same event.
+    /// Events whose content differs between directors, or from the published one.
     different: u64,
-    /// Events that came under two numbers.
-    doubled: u64,
+    /// Events that arrived under two numbers.
+    duplicated: u64,
 }
 
 impl Arrivals {
@@ -114,23 +114,23 @@
         let mut by_number: BTreeMap<u64, EventArrival> = BTreeMap::new();
         let mut different = counts.finished.iter().map(|finished| finished.different_events).sum();
         for arrival in counts.finished.iter().flat_map(|finished| &finished.arrivals) {
-            let known =
+            let merged =
                 by_number.entry(arrival.number).or_insert(EventArrival { count: 0, last_ns: 0, ..*arrival });
-            different += u64::from(known.content.zip(arrival.content).is_some_and(|(a, b)| a != b));
-            known.content = known.content.or(arrival.content);
-            known.count += arrival.count;
-            known.last_ns = known.last_ns.max(arrival.last_ns);
+            different += u64::from(merged.content.zip(arrival.content).is_some_and(|(a, b)| a != b));
+            merged.content = merged.content.or(arrival.content);
+            merged.count += arrival.count;
+            merged.last_ns = merged.last_ns.max(arrival.last_ns);
         }
         let contents: Vec<u32> =
             by_number.values().filter_map(|arrival| arrival.content).filter(|content| *content > 0).collect();
-        // A content under two numbers was applied twice, whatever each director made of it.
-        let doubled = (contents.len() - contents.iter().collect::<BTreeSet<_>>().len()) as u64;
-        let mut arrivals = Arrivals { by_number, different, doubled };
+        // A content under two numbers counts as applied twice, even if no single director applied it twice.
+        let duplicated = (contents.len() - contents.iter().collect::<BTreeSet<_>>().len()) as u64;
+        let mut arrivals = Arrivals { by_number, different, duplicated };
         arrivals.different += arrivals.wrong_contents(&counts.published);
         arrivals
     }
 
-    /// Published events under whose number another one came.
+    /// Counts the published events under whose number another event arrived.
     fn wrong_contents(&self, published: &[Published]) -> u64 {
         let is_wrong = |(place, event): &(usize, &Published)| {
             let content = event.number.and_then(|number| self.by_number.get(&number)?.content);
@@ -139,7 +139,7 @@
         published.iter().enumerate().filter(is_wrong).count() as u64
     }
 
-    /// When an event was applied everywhere; none: it was not.
+    /// When an event was applied everywhere; none if it was not confirmed or has no timed arrival.
     fn applied_everywhere(&self, event: &Published) -> Option<u64> {
         let arrival = self.by_number.get(&event.number?)?;
         Some(arrival.last_ns).filter(|at| *at > 0)
@@ -167,7 +167,7 @@
     changes_in_faults: EventLatencies,
     known_by_relays: Vec<f64>,
     reported_early: usize,
-    /// The longest by the second of publication, in milliseconds.
+    /// The longest latency for each second of publication, in milliseconds.
     seconds: Vec<u64>,
 }
 
@@ -200,7 +200,7 @@
             reported_early: latencies.reported_early,
             missed: sum(|finished| finished.missed),
             out_of_order: sum(|finished| finished.out_of_order),
-            applied_twice: sum(|finished| finished.applied_twice) + arrivals.doubled,
+            applied_twice: sum(|finished| finished.applied_twice) + arrivals.duplicated,
             different_events: arrivals.different,
             expired: sum(|finished| finished.expired),
             wrong_lists: sum(|finished| finished.wrong_lists),
@@ -226,27 +226,27 @@
         }
     }
 
-    /// From the first sample to the last.
+    /// Seconds from the first sample to the last.
     fn measured_seconds(&self) -> f64 {
         ((self.last.at_ns - self.first.at_ns) as f64 / NS_PER_SECOND).max(1e-3)
     }
 
-    /// For each fault, when all that was published before its end was applied everywhere.
+    /// For each fault, when all events queued before its end were applied everywhere.
     fn recovered_at(&self, arrivals: &Arrivals) -> Vec<u64> {
         let recovered_at = |fault: &FaultWindow| {
-            let before = self.counts.published.iter().filter(|event| event.at <= fault.to_ns);
+            let before = self.counts.published.iter().filter(|event| event.queued_ns <= fault.to_ns);
             let applied = before.filter_map(|event| arrivals.applied_everywhere(event));
             applied.filter(|at| *at >= fault.from_ns).max().unwrap_or(fault.to_ns).max(fault.to_ns)
         };
         self.faults.iter().map(recovered_at).collect()
     }
 
-    /// The ends of the faults that were in the way of an event and excuse its lateness.
+    /// The end times of the faults that overlap with the delivery of an event and excuse its lateness.
     fn faults_in_way(&self, event: &Published, applied_at: u64, recovered_at: &[u64]) -> Vec<u64> {
         let faults = self.faults.iter().zip(recovered_at);
         faults
             .filter(|(fault, _)| self.settings.faults[fault.number].kind.excuses_lateness())
-            .filter(|(fault, recovered_at)| event.at <= **recovered_at && applied_at >= fault.from_ns)
+            .filter(|(fault, recovered_at)| event.queued_ns <= **recovered_at && applied_at >= fault.from_ns)
             .map(|(fault, _)| fault.to_ns)
             .collect()
     }
@@ -265,8 +265,8 @@
         for event in &self.counts.published {
             let Some(applied_at) = arrivals.applied_everywhere(event) else { continue };
             let ends = self.faults_in_way(event, applied_at, &recovered_at);
-            let millis = applied_at.saturating_sub(event.at) as f64 / NS_PER_MS;
-            let kind = match (ends.is_empty(), event.change) {
+            let millis = applied_at.saturating_sub(event.queued_ns) as f64 / NS_PER_MS;
+            let kind = match (ends.is_empty(), event.is_change) {
                 (true, false) => &mut all.purges,
                 (true, true) => &mut all.changes,
                 (false, false) => &mut all.purges_in_faults,
@@ -277,7 +277,8 @@
             if ends.is_empty() {
                 self.add_reported(&mut all, event, applied_at);
             }
-            let second = (event.at.saturating_sub(self.counts.start_ns) as f64 / NS_PER_SECOND) as usize;
+            let second =
+                (event.queued_ns.saturating_sub(self.counts.start_ns) as f64 / NS_PER_SECOND) as usize;
             if let Some(longest) = all.seconds.get_mut(second) {
                 *longest = millis.max(*longest as f64) as u64;
             }
@@ -285,40 +286,43 @@
         all
     }
 
-    /// Whether an event took longer than it may, counted from the last end of a fault in its way.
+    /// Whether an event took longer than the settings allow, counted from its publication or, if later, from the end of
+    /// the last fault in its way.
     fn is_late(&self, event: &Published, applied_at: u64, fault_ends: &[u64]) -> bool {
         let settings = self.settings;
-        let within_ms = 1e3 * if event.change { settings.change_within } else { settings.purge_within };
-        let since = fault_ends.iter().copied().fold(event.at, u64::max);
+        let within_ms = 1e3 * if event.is_change { settings.change_within } else { settings.purge_within };
+        let since = fault_ends.iter().copied().fold(event.queued_ns, u64::max);
         applied_at.saturating_sub(since) as f64 / NS_PER_MS > within_ms
     }
 
-    /// When the relays reported that an event was applied everywhere.
+    /// Records when the relays reported that an event was applied everywhere, and whether that was too early.
     fn add_reported(&self, all: &mut Latencies, event: &Published, applied_at: u64) {
         let reported = &self.counts.reported;
-        // A leader knows only what came after it began.
-        if reported.first().is_none_or(|first| first.since_ns > event.at) {
+        // A leader reports only numbers that were applied everywhere after it became the leader.
+        if reported.first().is_none_or(|first| first.since_ns > event.queued_ns) {
             return;
         }
         let place = reported.partition_point(|reported| Some(reported.number) < event.number);
         if let Some(ReportedNumber { since_ns, .. }) = reported.get(place) {
-            all.known_by_relays.push(since_ns.saturating_sub(event.at) as f64 / NS_PER_MS);
+            all.known_by_relays.push(since_ns.saturating_sub(event.queued_ns) as f64 / NS_PER_MS);
             all.reported_early += usize::from(since_ns + CLOCK_TOLERANCE_NS < applied_at);
         }
     }
 
     fn confirmation_latency(&self) -> Latency {
         let confirmed = self.counts.published.iter().filter(|event| event.number.is_some());
-        let millis: Vec<f64> =
-            confirmed.map(|event| event.confirmed.saturating_sub(event.at) as f64 / NS_PER_MS).collect();
+        let millis: Vec<f64> = confirmed
+            .map(|event| event.confirmed_ns.saturating_sub(event.queued_ns) as f64 / NS_PER_MS)
+            .collect();
         Latency::new(&millis)
     }
 
     fn recovery_times(&self, arrivals: &Arrivals) -> Vec<RecoveryTime> {
         let recovered_at = self.recovered_at(arrivals);
         let recovery_time = |(fault, recovered_at): (&FaultWindow, &u64)| {
-            let before = self.counts.published.iter().filter(|event| event.at <= *recovered_at);
-            let applied = before.filter_map(|event| Some((event.at, arrivals.applied_everywhere(event)?)));
+            let before = self.counts.published.iter().filter(|event| event.queued_ns <= *recovered_at);
+            let applied =
+                before.filter_map(|event| Some((event.queued_ns, arrivals.applied_everywhere(event)?)));
             let late =
                 applied.filter(|(at, applied_at)| *applied_at >= fault.from_ns && applied_at - at > LATE_NS);
             let last = late.map(|(_, applied_at)| applied_at).max();
@@ -335,13 +339,13 @@
         self.faults.iter().zip(&recovered_at).map(recovery_time).collect()
     }
 
-    /// How much a count of all simulated directors grew a second, over their number.
+    /// The rate of a counter for each simulated director and second.
     fn rate_of_simulated(&self, field: fn(&PoolProgress) -> u64) -> f64 {
         let sum = |sample: &Sample| sample.progress.iter().map(field).sum::<u64>();
         (sum(self.last) - sum(self.first)) as f64 / self.director_seconds(self.settings.hollow)
     }
 
-    /// The measured time of so many directors together.
+    /// The measured time multiplied by the number of directors.
     fn director_seconds(&self, directors: usize) -> f64 {
         directors.max(1) as f64 * self.measured_seconds()
     }
--- a/crates/testbed/src/scale/installation.rs
+++ b/crates/testbed/src/scale/installation.rs
@@ -1,4 +1,4 @@
-//! The directors and relays of a scale trial, and what is done to them.
+//! The directors and relays of a scale trial, and the faults that are applied to them.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -19,7 +19,7 @@
 use super::run::ScheduledAction;
 use super::settings::{Fault, FaultKind, Scale};
 use super::source::{Source, status};
-use super::tier::{Program, Tier, binds_ms};
+use super::tier::{Program, Tier, purge_retention_ms};
 use crate::clock::unix_ms;
 use crate::director_process::{NodeModel, director_config, spawn_director, wait_until_serving};
 use crate::fleet::link_proxy::{HeldDirections, LinkProxies, PlannedLink};
@@ -27,12 +27,12 @@
 use crate::process::{TrialError, cpu_seconds_of, io_error};
 use crate::schedule::sample;
 
-/// How long simulated directors may take until all are connected.
+/// Timeout for all simulated directors to connect.
 const CONNECTED_TIMEOUT: Duration = Duration::from_secs(120);
 const REAL_START_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long real directors may take to log their counters.
+/// Timeout for real directors to log their counters.
 const COUNTERS_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long processes may take to report their result.
+/// Timeout for the processes of simulated directors to report their result.
 const RESULT_TIMEOUT: Duration = Duration::from_secs(60);
 const STATUS_INTERVAL: Duration = Duration::from_millis(250);
 const MODEL: NodeModel = NodeModel {
@@ -42,7 +42,7 @@
     stream_kb_per_s: 400.0,
 };
 
-/// The address from which the link of a real director connects, by which relays know it.
+/// The address from which the links of a real director connect. It is the director's name in the status of relays.
 fn real_source(real: usize) -> Ipv4Addr {
     Ipv4Addr::new(127, 15, (real >> 8) as u8, real as u8 + 1)
 }
@@ -52,16 +52,16 @@
     Ipv4Addr::from(u32::from(Ipv4Addr::new(127, 16, 0, 1)) + number as u32)
 }
 
-/// A fault while it lasts.
+/// A fault that is in force.
 pub(super) struct ActiveFault {
     kind: FaultKind,
-    /// The relay that it strikes.
+    /// The relay that it affects.
     pub(super) relay: Option<usize>,
-    /// The simulated directors that it strikes.
+    /// The simulated directors that it affects.
     pub(super) directors: Vec<usize>,
 }
 
-/// What a trial consists of.
+/// The processes of a trial and the links between them.
 pub(super) struct Installation<'a> {
     settings: &'a Scale,
     program: Program<'a>,
@@ -75,16 +75,16 @@
 }
 
 impl<'a> Installation<'a> {
-    /// Starts all directors with the events that are known already.
+    /// Starts all directors with the given known events.
     pub(super) fn start(
         settings: &'a Scale,
         program: Program<'a>,
         folder: &Path,
         tier: Tier,
         known: &Value,
-        over: &Arc<AtomicBool>,
+        has_ended: &Arc<AtomicBool>,
     ) -> Result<Installation<'a>, TrialError> {
-        let links = link_real_directors(settings, &tier, over)?;
+        let links = link_real_directors(settings, &tier, has_ended)?;
         let reals = start_real_directors(settings, program, folder, &links, known)?;
         let (sender, reports) = channel();
         let pools = start_pools(settings, program, folder, &tier, known, &sender)?;
@@ -92,7 +92,7 @@
         Ok(Installation { settings, program, tier, pools, reals, links, reports, rng })
     }
 
-    /// Takes in what processes of simulated directors have reported.
+    /// Stores the reports that the processes of simulated directors have sent.
     pub(super) fn take_reports(&mut self) {
         for ReportFromPool { pool, report } in self.reports.try_iter() {
             match report {
@@ -109,11 +109,11 @@
 
     /// Waits until all simulated directors are connected. Returns how long that took.
     pub(super) fn wait_until_connected(&mut self) -> Result<Duration, TrialError> {
-        let begun = Instant::now();
+        let started = Instant::now();
         while self.pools.iter().any(|pool| pool.progress.connected < pool.directors) {
-            if begun.elapsed() > CONNECTED_TIMEOUT || self.exited() > 0 {
+            if started.elapsed() > CONNECTED_TIMEOUT || self.exited() > 0 {
                 return Err(TrialError::NotServing {
-                    name: "a process of hollow directors".into(),
+                    name: "a process of simulated directors".into(),
                     within: CONNECTED_TIMEOUT.as_secs(),
                     log: "hollow-*.log".into(),
                 });
@@ -121,10 +121,10 @@
             std::thread::sleep(Duration::from_millis(50));
             self.take_reports();
         }
-        Ok(begun.elapsed())
+        Ok(started.elapsed())
     }
 
-    /// What all processes have used up to now.
+    /// Samples the resource use of all processes.
     pub(super) fn sample(&mut self) -> Sample {
         self.take_reports();
         let relays = &self.tier.relays;
@@ -140,7 +140,7 @@
         }
     }
 
-    /// A line on the state of the simulated directors.
+    /// A progress line with the state of the simulated directors.
     pub(super) fn progress_line(&self, second: u64, published: usize) -> String {
         let progress = || self.pools.iter().map(|pool| pool.progress);
         let slowest = progress().map(|progress| progress.lowest_applied).min().unwrap_or(0);
@@ -154,41 +154,43 @@
         )
     }
 
-    /// Waits until all simulated directors have applied a number. Returns how many processes have not in time.
+    /// Waits until all simulated directors have applied an event number. Returns the number of processes with directors
+    /// that have not by the timeout.
     pub(super) fn wait_for_number(&mut self, number: u64, timeout: Duration) -> usize {
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             self.take_reports();
             let is_behind =
                 |pool: &&PoolProcess| pool.progress.running > 0 && pool.progress.lowest_applied < number;
             let behind = self.pools.iter().filter(is_behind).count();
-            if behind == 0 || begun.elapsed() > timeout {
+            if behind == 0 || started.elapsed() > timeout {
                 return behind;
             }
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// Waits until the relays report that all real directors have applied a number. Returns how many have not in time.
+    /// Waits until the relays report that all real directors have applied an event number. Returns the number of real
+    /// directors that have not by the timeout; 0 if there are no relays.
     pub(super) fn wait_for_reals(&self, number: u64, timeout: Duration) -> usize {
         if self.tier.relays.is_empty() {
             return 0;
         }
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             let applied = self.applied_by_readers();
             let is_behind = |real: &usize| {
                 applied.get(&real_source(*real).to_string()).is_none_or(|applied| *applied < number)
             };
             let behind = (0..self.reals.len()).filter(is_behind).count();
-            if behind == 0 || begun.elapsed() > timeout {
+            if behind == 0 || started.elapsed() > timeout {
                 return behind;
             }
             std::thread::sleep(STATUS_INTERVAL);
         }
     }
 
-    /// The number that each reader of the relays has applied, by its name.
+    /// The highest event number that each reader of the relays has applied, by the reader's name.
     fn applied_by_readers(&self) -> BTreeMap<String, u64> {
         let mut applied: BTreeMap<String, u64> = BTreeMap::new();
         for status in self.tier.feeds.iter().filter_map(|feed| status(*feed)) {
@@ -203,7 +205,7 @@
         applied
     }
 
-    /// The numbers that the relays report as applied everywhere.
+    /// The event numbers that the leader of the relays reports as applied everywhere.
     pub(super) fn reported_numbers(&self) -> Vec<ReportedNumber> {
         let leader = self.tier.leader();
         let Some(status) = leader.and_then(|relay| status(self.tier.feeds[relay])) else {
@@ -218,15 +220,15 @@
             .collect()
     }
 
-    /// Events that real directors skipped as unreadable, by the counters that they log. One that logs none in time
-    /// counts as one event.
+    /// The number of events that real directors skipped as unreadable, from the counters that they log. A director that
+    /// logs no counters in time counts as one event.
     pub(super) fn events_skipped_by_reals(&self) -> u64 {
         for real in &self.reals {
             real.process.signal(Signal::USR1);
         }
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut skipped: Vec<Option<u64>> = vec![None; self.reals.len()];
-        while skipped.contains(&None) && begun.elapsed() < COUNTERS_TIMEOUT {
+        while skipped.contains(&None) && started.elapsed() < COUNTERS_TIMEOUT {
             std::thread::sleep(Duration::from_millis(50));
             skipped = self.reals.iter().map(RealDirector::skipped_events).collect();
         }
@@ -241,18 +243,18 @@
         reals.chain(pools).chain(relays).filter(|has_exited| *has_exited).count()
     }
 
-    /// Ends the simulated directors and collects what they report; a process that reports nothing is left out.
+    /// Ends the simulated directors and collects their results. A process that reports no result in time is left out.
     pub(super) fn finish(&mut self, source: &Source) -> Result<Vec<Finished>, TrialError> {
         self.send_to_all(&PoolCommand::Finish { published: source.events(), list: source.list() })?;
-        let begun = Instant::now();
-        while self.pools.iter().any(|pool| pool.finished.is_none()) && begun.elapsed() < RESULT_TIMEOUT {
+        let started = Instant::now();
+        while self.pools.iter().any(|pool| pool.finished.is_none()) && started.elapsed() < RESULT_TIMEOUT {
             self.take_reports();
             std::thread::sleep(Duration::from_millis(10));
         }
         Ok(self.pools.iter_mut().filter_map(|pool| pool.finished.take()).map(|finished| *finished).collect())
     }
 
-    /// What each process of simulated directors reported last.
+    /// The last progress report of each process of simulated directors.
     pub(super) fn progress(&self) -> Vec<PoolProgress> {
         self.pools.iter().map(|pool| pool.progress).collect()
     }
@@ -262,9 +264,7 @@
         self.pools.len()
     }
 
-    // ---- faults ----
-
-    /// Draws what a fault strikes and begins it. Restarts of directors are added to `actions`.
+    /// Draws the targets of a fault and begins it. Restarts of directors are added to `actions`.
     pub(super) fn begin_fault(
         &mut self,
         fault: &Fault,
@@ -281,12 +281,12 @@
             FaultKind::KillDirectors | FaultKind::SlowDirectors => {
                 active.directors = sample(&mut self.rng, self.settings.hollow, fault.of);
             }
-            FaultKind::RestartDirectors => self.plan_restarts(fault, now, actions),
+            FaultKind::RestartDirectors => self.schedule_restarts(fault, now, actions),
             FaultKind::CutRegion => active.directors = self.cut_region()?,
             FaultKind::Burst => source.burst(fault.count),
         }
         if let Some(relay) = active.relay {
-            self.strike_relay(fault.kind, relay)?;
+            self.apply_relay_fault(fault.kind, relay)?;
         }
         match fault.kind {
             FaultKind::KillDirectors => self.send_to_all(&PoolCommand::Kill(active.directors.clone()))?,
@@ -298,7 +298,8 @@
         Ok(active)
     }
 
-    fn plan_restarts(&mut self, fault: &Fault, now: f64, actions: &mut Vec<(f64, ScheduledAction)>) {
+    /// Schedules kills of random directors within the duration of a fault, each with a restart within half a second.
+    fn schedule_restarts(&mut self, fault: &Fault, now: f64, actions: &mut Vec<(f64, ScheduledAction)>) {
         for _ in 0..fault.count {
             let director = self.rng.random_range(0..self.settings.hollow);
             let killed_at = now + (fault.lasts - 1.0).max(0.0) * self.rng.random::<f64>();
@@ -308,7 +309,8 @@
         }
     }
 
-    fn strike_relay(&mut self, kind: FaultKind, relay: usize) -> Result<(), TrialError> {
+    /// Begins a fault of one relay.
+    fn apply_relay_fault(&mut self, kind: FaultKind, relay: usize) -> Result<(), TrialError> {
         let (to, from) = (HeldDirections { to: true, from: false }, HeldDirections { to: false, from: true });
         match kind {
             FaultKind::KillRelay | FaultKind::KillOwner => self.tier.relays[relay].kill()?,
@@ -320,7 +322,7 @@
         Ok(())
     }
 
-    /// Cuts one region off from all others. Returns its simulated directors.
+    /// Cuts a random region off from all others. Returns the simulated directors of the region.
     fn cut_region(&mut self) -> Result<Vec<usize>, TrialError> {
         let region = self.rng.random_range(0..self.settings.regions);
         let (settings, tier) = (self.settings, &self.tier);
@@ -343,11 +345,12 @@
         Ok(inside)
     }
 
+    /// Ends a fault: removes cuts, and restarts or resumes what it killed or stopped.
     pub(super) fn end_fault(&mut self, active: &ActiveFault) -> Result<(), TrialError> {
         self.tier.hold(|_| true, HeldDirections::default());
         match (active.kind, active.relay) {
             (FaultKind::KillRelay | FaultKind::KillOwner, Some(relay)) => {
-                self.tier.relays[relay].start_again(self.program)?;
+                self.tier.relays[relay].restart(self.program)?;
             }
             (FaultKind::StopRelay | FaultKind::StopOwner, Some(relay)) => {
                 self.tier.relays[relay].signal(Signal::CONT);
@@ -392,11 +395,11 @@
     config.to_string()
 }
 
-/// Makes a link from each real director to each of its relays.
+/// Creates a link from each real director to each of its relays.
 fn link_real_directors(
     settings: &Scale,
     tier: &Tier,
-    over: &Arc<AtomicBool>,
+    has_ended: &Arc<AtomicBool>,
 ) -> Result<LinkProxies, TrialError> {
     let mut planned = Vec::new();
     for real in 0..settings.real {
@@ -405,7 +408,7 @@
             planned.push(PlannedLink { pair: (real, place), to, from: real_source(real) });
         }
     }
-    LinkProxies::between(planned, over).map_err(io_error("links of real directors"))
+    LinkProxies::between(planned, has_ended).map_err(io_error("links of real directors"))
 }
 
 fn start_real_directors(
@@ -420,7 +423,7 @@
     for real in 0..settings.real {
         let name = format!("director-{real}");
         let (config, log) = (folder.join(format!("{name}.json")), folder.join(format!("{name}.log")));
-        // That of an earlier run.
+        // Removes the log of an earlier run.
         let _ = std::fs::remove_file(&log);
         let feeds: Vec<_> = (0..settings.feeds).filter_map(|place| links.address(real, place)).collect();
         let port = ports.allocate()?;
@@ -433,7 +436,7 @@
     Ok(reals)
 }
 
-/// Starts the processes of simulated directors, over which these are spread in turn.
+/// Starts the processes of simulated directors and assigns the directors to them in turn.
 fn start_pools(
     settings: &Scale,
     program: Program,
@@ -442,8 +445,8 @@
     known: &Value,
     reports: &Sender<ReportFromPool>,
 ) -> Result<Vec<PoolProcess>, TrialError> {
-    let nowhere = ([127, 0, 0, 1], 0).into();
-    let config = config_text(settings, 0, nowhere, &tier.feeds_of(0, settings.feeds), known);
+    let unused_address = ([127, 0, 0, 1], 0).into();
+    let config = config_text(settings, 0, unused_address, &tier.feeds_of(0, settings.feeds), known);
     let mut pools = Vec::new();
     for pool in 0..settings.process_count() {
         let numbers = (pool..settings.hollow).step_by(settings.process_count());
@@ -455,8 +458,8 @@
             })
             .collect();
         let mut process = PoolProcess::start(program, pool, folder, reports.clone(), directors.len())?;
-        let (config, binds_ms) = (config.clone(), binds_ms(settings));
-        process.send(&PoolCommand::Begin { config, directors, binds_ms })?;
+        let (config, purge_retention_ms) = (config.clone(), purge_retention_ms(settings));
+        process.send(&PoolCommand::Begin { config, directors, purge_retention_ms })?;
         pools.push(process);
     }
     Ok(pools)
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -1,5 +1,5 @@
-//! A scale trial: thousands of simulated directors, many to a process, which run the product's own code for discovery,
-//! real directors beside them, relays between them and the source, events to all of them, faults between processes.
+//! A scale trial: events are published through relays to thousands of simulated directors and some real ones, while
+//! faults are injected. Each process runs many simulated directors, which use the product's own discovery code.
 
 mod evaluation;
 mod installation;
--- a/crates/testbed/src/scale/pool.rs
+++ b/crates/testbed/src/scale/pool.rs
@@ -32,7 +32,7 @@
     /// The index in `directors` by the director's number in the trial.
     indexes: BTreeMap<usize, usize>,
     /// Age in milliseconds after which a snapshot may leave a purge out.
-    binds_ms: u64,
+    purge_retention_ms: u64,
 }
 
 fn invalid_data(why: impl ToString) -> io::Error {
@@ -66,7 +66,7 @@
         std::process::exit(0);
     });
     let first: io::Result<PoolCommand> = commands.recv().map_err(invalid_data)?;
-    let PoolCommand::Begin { config, directors, binds_ms } = first? else {
+    let PoolCommand::Begin { config, directors, purge_retention_ms } = first? else {
         return Err(invalid_data("the first command is not Begin"));
     };
     let config = Config::parse(&config).map_err(invalid_data)?;
@@ -85,7 +85,7 @@
     let simulated = simulated.map(|(n, identity)| {
         SimulatedDirector::new(identity, Token(n + 1), &shared, START_SPREAD * n as u32 / count)
     });
-    Pool { poll, directors: simulated.collect(), shared, indexes, binds_ms }.serve(&commands)
+    Pool { poll, directors: simulated.collect(), shared, indexes, purge_retention_ms }.serve(&commands)
 }
 
 impl Pool {
@@ -164,7 +164,7 @@
             }
             PoolCommand::Finish { published, list } => {
                 for h in directors.iter().filter(|h| h.is_running()) {
-                    h.finish(&published, &list, self.binds_ms, shared);
+                    h.compare_with_published(&published, &list, self.purge_retention_ms, shared);
                 }
                 shared.result.arrivals = std::mem::take(&mut shared.arrivals).into_values().collect();
                 send_report(&PoolReport::Finished(Box::new(std::mem::take(&mut shared.result))))?;
--- a/crates/testbed/src/scale/pool_messages.rs
+++ b/crates/testbed/src/scale/pool_messages.rs
@@ -41,7 +41,8 @@
         config: String,
         directors: Vec<DirectorIdentity>,
         /// Age in milliseconds after which a snapshot may leave a purge out.
-        binds_ms: u64,
+        #[serde(rename = "binds_ms")]
+        purge_retention_ms: u64,
     },
     /// Kills these directors: they lose their connections and all state.
     Kill(Vec<usize>),
--- a/crates/testbed/src/scale/processes.rs
+++ b/crates/testbed/src/scale/processes.rs
@@ -1,4 +1,4 @@
-//! The processes of directors: simulated ones, many to a process, and real ones.
+//! The processes of directors: each runs many simulated directors or one real director.
 
 use std::io::{BufRead, BufReader, Write};
 use std::path::{Path, PathBuf};
@@ -12,7 +12,7 @@
 use crate::process::{ChildProcess, TrialError, io_error};
 use crate::threads::spawn;
 
-/// What a process had used up to now.
+/// CPU time and memory of a process up to now.
 pub(super) fn process_use(process: &ChildProcess) -> ProcessUse {
     ProcessUse { cpu_seconds: process.cpu_seconds(), memory_mb: process.resident_mb() }
 }
@@ -27,16 +27,16 @@
 /// A process of simulated directors.
 pub(super) struct PoolProcess {
     pub(super) process: ChildProcess,
-    /// How many directors it has.
+    /// The number of directors in the process.
     pub(super) directors: usize,
-    /// What it reported last.
+    /// The last progress report.
     pub(super) progress: PoolProgress,
-    /// Its result, once it has reported one.
+    /// The result, once the process has reported it.
     pub(super) finished: Option<Box<Finished>>,
 }
 
 impl PoolProcess {
-    /// Starts the process, whose log goes to the folder and whose reports to `reports`.
+    /// Starts the process. Its log goes to the folder and its reports go to `reports`.
     pub(super) fn start(
         program: Program,
         number: usize,
@@ -45,10 +45,10 @@
         directors: usize,
     ) -> Result<PoolProcess, TrialError> {
         let log = folder.join(format!("hollow-{number}.log"));
-        // That of an earlier run.
+        // Removes the log of an earlier run.
         let _ = std::fs::remove_file(&log);
         let mut command = program(&["testbed", "hollow"]);
-        let mut process = ChildProcess::start(command.stdout(Stdio::piped()), &log, "hollow directors")?;
+        let mut process = ChildProcess::start(command.stdout(Stdio::piped()), &log, "simulated directors")?;
         if let Some(output) = process.0.stdout.take() {
             spawn(move || {
                 for line in BufReader::new(output).lines().map_while(Result::ok) {
@@ -77,7 +77,7 @@
 }
 
 impl RealDirector {
-    /// Events that it skipped as unreadable; none until its log has a line of counters.
+    /// The number of events that it skipped as unreadable; none until its log has a line of counters.
     pub(super) fn skipped_events(&self) -> Option<u64> {
         let text = std::fs::read_to_string(&self.log).unwrap_or_default();
         let line = text.lines().rev().find(|line| line.contains("counters "))?;
--- a/crates/testbed/src/scale/report.rs
+++ b/crates/testbed/src/scale/report.rs
@@ -1,5 +1,5 @@
-//! The result of a scale trial: how long events took to be applied everywhere, what directors and relays used, what the
-//! faults did.
+//! The result of a scale trial: how long events took to be applied everywhere, the resource use of directors and
+//! relays, and the effect of the faults.
 
 use std::fmt;
 
@@ -9,12 +9,12 @@
 use crate::client_load::histogram;
 use crate::trial_report::{Chart, TrialReport};
 
-/// How far the bytes of simulated directors may differ from those of real ones before their figures are of no use.
+/// Largest relative difference between the bytes of simulated and real directors at which the simulated figures count.
 const MAX_BYTES_DIFFERENCE: f64 = 0.1;
-/// The same for CPU time and memory.
+/// Largest relative difference between the CPU time or memory of simulated and real directors.
 const MAX_USE_DIFFERENCE: f64 = 0.25;
-/// A program that was woken so many seconds late ran on a machine too busy to judge by.
-const BUSY_MACHINE_DELAY: f64 = 0.5;
+/// If this program was woken later than this, the machine was too busy for its times to be judged.
+const BUSY_MACHINE_DELAY_SECONDS: f64 = 0.5;
 
 /// Latencies of some events, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
@@ -45,7 +45,7 @@
     }
 }
 
-/// What one director used, on average.
+/// The average resource use of one director.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct DirectorUse {
     /// How many directors.
@@ -69,12 +69,12 @@
     }
 }
 
-/// What a relay used.
+/// The resource use of a relay.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RelayUse {
     /// Its name.
     pub name: String,
-    /// Whether it votes.
+    /// Whether the relay votes.
     pub voter: bool,
     /// The part of a core.
     pub cpu: f64,
@@ -88,7 +88,7 @@
     pub sent: f64,
 }
 
-/// How long events were over a second late through a fault.
+/// A fault, and how long events took over a second to be applied everywhere because of it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RecoveryTime {
     /// The fault.
@@ -99,7 +99,7 @@
     pub lasted: f64,
     /// Seconds from its begin until the last late event was applied everywhere; 0: none was late.
     pub from_begin: f64,
-    /// The same from its end.
+    /// Seconds from its end until the last late event was applied everywhere; 0 if none was late.
     pub from_end: f64,
 }
 
@@ -112,7 +112,7 @@
     pub published: usize,
     /// Of these, those that the source never confirmed.
     pub unconfirmed: usize,
-    /// Calls that were made again as the one before had no answer.
+    /// Calls that were retried after a failure.
     #[serde(rename = "again")]
     pub publish_retries: usize,
     /// From publication to the confirmation by the source.
@@ -130,10 +130,10 @@
     /// Without a fault in the way, from publication until the relays report that an event is applied everywhere.
     #[serde(rename = "known")]
     pub known_by_relays: Latency,
-    /// How often the relays reported so before it was.
+    /// Events that the relays reported as applied everywhere before they were.
     #[serde(rename = "early")]
     pub reported_early: usize,
-    /// Events that a director did not get.
+    /// Events that a director did not apply.
     pub missed: u64,
     /// Events that came out of order.
     #[serde(rename = "disorder")]
@@ -144,7 +144,7 @@
     /// Numbers under which not all directors had the same event.
     #[serde(rename = "differs")]
     pub different_events: u64,
-    /// Purges that a snapshot left out as they need not be kept any more.
+    /// Events that a director did not apply, as a snapshot replaced them and need not contain them any more.
     #[serde(rename = "lapsed")]
     pub expired: u64,
     /// Endpoint lists that are not as they were published.
@@ -155,7 +155,7 @@
     pub skipped: u64,
     /// Restarts of directors.
     pub restarts: u64,
-    /// From a director's restart until it had applied all that was applied elsewhere then.
+    /// From a director's restart until it had applied all that others had applied at the restart.
     pub catch_up: Latency,
     /// What a simulated director used.
     #[serde(rename = "hollow")]
@@ -174,11 +174,11 @@
     pub relays: Vec<RelayUse>,
     /// This program's part of a core; without relays, the source is in it.
     pub own_cpu: f64,
-    /// How long the faults made events late.
+    /// The faults, and how long they made events late.
     pub faults: Vec<RecoveryTime>,
     /// Processes of simulated directors that had not applied the last event in time.
     pub behind: usize,
-    /// Real directors that had not applied it.
+    /// Real directors that had not applied the last event in time.
     pub reals_behind: usize,
     /// Events that real directors skipped as unreadable.
     #[serde(rename = "reals_gaps")]
@@ -188,14 +188,14 @@
     /// Processes that exited by themselves.
     #[serde(rename = "ended")]
     pub exited: usize,
-    /// Seconds by which this program was woken too late at most.
+    /// The longest delay with which this program was woken, in seconds.
     #[serde(rename = "late")]
     pub max_wake_delay: f64,
     /// The longest time until applied everywhere, in milliseconds, by the second of publication.
     pub seconds: Vec<u64>,
 }
 
-/// The figures of simulated directors over those of real ones.
+/// The ratios of the figures of simulated directors to those of real directors.
 struct SimulationRatios {
     bytes: f64,
     cpu: f64,
@@ -203,7 +203,7 @@
 }
 
 impl Report {
-    /// None if there are no real directors.
+    /// The ratios of simulated to real figures; none if there are no real directors.
     fn simulation_ratios(&self) -> Option<SimulationRatios> {
         let (simulated, real) = (&self.simulated, &self.real);
         (real.count > 0).then(|| SimulationRatios {
@@ -213,15 +213,15 @@
         })
     }
 
-    /// Which figures of simulated directors are of no use, as those of real ones beside them differ.
-    fn useless_figures(&self) -> Vec<String> {
+    /// The figures of simulated directors that differ too much from those of the real directors in the same trial.
+    fn unusable_figures(&self) -> Vec<String> {
         let Some(ratios) = self.simulation_ratios() else { return Vec::new() };
         let figures = [("processor time", ratios.cpu), ("memory", ratios.memory)];
-        let useless = figures.into_iter().filter(|(_, ratio)| (ratio - 1.0).abs() > MAX_USE_DIFFERENCE);
-        useless.map(|(what, ratio)| format!("{what}: {ratio:.2} of a real one's")).collect()
+        let unusable = figures.into_iter().filter(|(_, ratio)| (ratio - 1.0).abs() > MAX_USE_DIFFERENCE);
+        unusable.map(|(what, ratio)| format!("{what}: {ratio:.2} of a real one's")).collect()
     }
 
-    /// What must not have happened and did.
+    /// Counters that must be 0 and are not.
     fn counted_violations(&self) -> Vec<String> {
         let must_be_zero = [
             ("events missed", self.missed),
@@ -256,10 +256,10 @@
         .collect()
     }
 
-    /// Uses beyond the bounds of the settings.
+    /// Resource use beyond the bounds of the settings.
     fn excessive_uses(&self) -> Vec<String> {
         let settings = &self.trial;
-        // What is sent again after a fault, or in a burst, is no part of the steady load.
+        // Bytes that are sent again after a fault, or in a burst, are not part of the steady load.
         let is_steady = settings.faults.is_empty();
         let mut bounds = Vec::new();
         for (kind, used) in [("simulated", &self.simulated), ("real", &self.real)] {
@@ -276,8 +276,8 @@
         for relay in &self.relays {
             bounds.push((format!("part of a core of {}", relay.name), relay.cpu, settings.relay_core));
         }
-        let exceeded = bounds.into_iter().filter(|(_, used, most)| used > most);
-        exceeded.map(|(what, used, most)| format!("{what}: {used:.4}, of {most}")).collect()
+        let exceeded = bounds.into_iter().filter(|(_, used, max)| used > max);
+        exceeded.map(|(what, used, max)| format!("{what}: {used:.4}, of {max}")).collect()
     }
 
     fn write_latencies(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -337,7 +337,7 @@
             "this program {:.3} of a core, woken {:.2} s late at most",
             self.own_cpu, self.max_wake_delay
         )?;
-        if self.max_wake_delay > BUSY_MACHINE_DELAY {
+        if self.max_wake_delay > BUSY_MACHINE_DELAY_SECONDS {
             writeln!(f, "the machine was too busy to judge times by")?;
         }
         Ok(())
@@ -348,7 +348,8 @@
     fn violations(&self) -> Vec<String> {
         let mut violations = self.counted_violations();
         violations.extend(self.late_events());
-        // Bytes that differ make another load of the trial. Faults strike simulated directors alone.
+        // If the bytes differ, the simulated directors did not have the load of real ones. With faults the bytes are
+        // not compared, as faults affect simulated directors alone.
         if self.trial.faults.is_empty()
             && let Some(SimulationRatios { bytes, .. }) = self.simulation_ratios()
             && (bytes - 1.0).abs() > MAX_BYTES_DIFFERENCE
@@ -402,7 +403,7 @@
                 fault.at, fault.what, fault.lasted, fault.from_begin, fault.from_end
             )?;
         }
-        for figure in self.useless_figures() {
+        for figure in self.unusable_figures() {
             writeln!(f, "simulated figures not to be used, the real ones' stand: {figure}")?;
         }
         for violation in self.violations() {
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -1,4 +1,4 @@
-//! A trial from start to end.
+//! Runs a scale trial from start to end.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -15,34 +15,37 @@
 use super::report::Report;
 use super::settings::Scale;
 use super::source::{Outlet, Source, first_event};
-use super::tier::{Program, Tier, binds_ms};
+use super::tier::{Program, Tier, purge_retention_ms};
 use crate::discovery_stub::DiscoveryStub;
 use crate::process::{TrialError, io_error, machine_memory_mb};
 use crate::schedule::take_due;
 use crate::trial_state::TrialState;
 
-/// The memory that a simulated director, a purge that it knows, a real director and a relay are taken to need before a
-/// start, by measurement with some to spare.
+/// Memory of a simulated director without purges. This figure and the next three were measured and have some margin;
+/// they serve to check the size of a trial before its start.
 const SIMULATED_MB: f64 = 0.7;
+/// Memory of one purge that a simulated director keeps.
 const PURGE_MB: f64 = 0.000_08;
+/// Memory of a real director.
 const REAL_MB: f64 = 12.0;
+/// Memory of a relay.
 const RELAY_MB: f64 = 64.0;
 const MAX_PROCESSES: usize = 400;
 const STEP_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What is to be done at its time.
+/// An action that runs at a scheduled time.
 pub(super) enum ScheduledAction {
-    /// Begin a fault, by its number.
+    /// Begins the fault at this index of the settings.
     Begin(usize),
-    /// End it.
+    /// Ends the fault at this index of the settings.
     End(usize),
     KillDirector(usize),
     StartDirector(usize),
 }
 
-/// Fails if a trial needs more than half of the machine's memory, or too many processes.
+/// Fails if a trial needs more than half of the machine's memory or more than `MAX_PROCESSES` processes.
 fn check_size(settings: &Scale) -> Result<(), TrialError> {
-    let kept_seconds = (binds_ms(settings) as f64 / 1e3).min(settings.seconds as f64);
+    let kept_seconds = (purge_retention_ms(settings) as f64 / 1e3).min(settings.seconds as f64);
     let bursts: f64 = settings.faults.iter().map(|fault| fault.count as f64).sum();
     let known_purges = settings.purges * kept_seconds + bursts;
     let needed_mb = settings.hollow as f64 * (SIMULATED_MB + PURGE_MB * known_purges)
@@ -78,71 +81,75 @@
 ) -> Result<Report, TrialError> {
     check_size(settings)?;
     std::fs::create_dir_all(folder).map_err(io_error(folder.display().to_string()))?;
-    let over = Arc::new(AtomicBool::new(false));
+    let has_ended = Arc::new(AtomicBool::new(false));
     let state = Arc::new(TrialState::new(Instant::now()));
-    let (tier, outlet) = start_tier(settings, program, folder, &state, &over)?;
+    let (tier, outlet) = start_tier(settings, program, folder, &state, &has_ended)?;
     let Some((source, first_number)) = Source::start(settings, outlet) else {
-        return Err(TrialError::TooLarge("the list was not taken".into()));
+        return Err(TrialError::TooLarge("the endpoint list could not be published".into()));
     };
     let known = known_events(settings, first_number);
-    let mut installation = Installation::start(settings, program, folder, tier, &known, &over)?;
+    let mut installation = Installation::start(settings, program, folder, tier, &known, &has_ended)?;
     let connected_after = installation.wait_until_connected()?.as_secs_f64();
     let (simulated, real) = (settings.hollow, settings.real);
-    progress(&format!("{simulated} hollow and {real} real directors follow after {connected_after:.1} s"));
+    progress(&format!(
+        "{simulated} simulated and {real} real directors connected after {connected_after:.1} s"
+    ));
 
     let mut load = Load::new(settings, installation, source, first_number);
     load.run(&mut progress)?;
     let report = load.finish()?;
-    over.store(true, Ordering::Relaxed);
+    has_ended.store(true, Ordering::Relaxed);
     state.finish();
     Ok(report)
 }
 
-/// Starts the relays, or the one source where there are none or none of them votes.
+/// Starts the relays, and the one source if no relay votes.
 fn start_tier(
     settings: &Scale,
     program: Program,
     folder: &Path,
     state: &Arc<TrialState>,
-    over: &Arc<AtomicBool>,
+    has_ended: &Arc<AtomicBool>,
 ) -> Result<(Tier, Outlet), TrialError> {
     if settings.voters > 0 {
-        let tier = Tier::start(settings, program, folder, None, over)?;
+        let tier = Tier::start(settings, program, folder, None, has_ended)?;
         let voters = tier.voters();
         return Ok((tier, Outlet::Relays(voters)));
     }
-    let source = DiscoveryStub::start(state, channel().0).map_err(io_error("the feed"))?;
+    let source = DiscoveryStub::start(state, channel().0).map_err(io_error("the discovery source"))?;
     let tier = match settings.relays {
-        0 => Tier::without_relays(source.address, over)?,
-        _ => Tier::start(settings, program, folder, Some(source.address), over)?,
+        0 => Tier::without_relays(source.address, has_ended)?,
+        _ => Tier::start(settings, program, folder, Some(source.address), has_ended)?,
     };
     Ok((tier, Outlet::Source(source)))
 }
 
-/// What directors know at their start: the whole list.
+/// The events that directors know at their start: a snapshot of the endpoint list.
 fn known_events(settings: &Scale, number: u64) -> Value {
     let text = format!("{{\"n\":{number},{}}}", first_event(settings));
     let event: Value = serde_json::from_str(&text).unwrap_or_default();
     json!({"n": number, "events": [event]})
 }
 
-/// The time under load.
+/// The phase of a trial in which events are published and faults are injected.
 struct Load<'a> {
     settings: &'a Scale,
     installation: Installation<'a>,
     source: Source,
-    /// The number of the whole list, the first event.
+    /// The number of the first event, the snapshot of the endpoint list.
     first_number: u64,
     start: Instant,
-    /// The same by the shared clock.
+    /// The start by the shared clock.
     start_ns: u64,
+    /// Actions to run, with their times in seconds from the start.
     actions: Vec<(f64, ScheduledAction)>,
+    /// Faults that are in force, by their index in the settings.
     active: BTreeMap<usize, ActiveFault>,
     windows: Vec<FaultWindow>,
-    /// At the end of the warm-up.
+    /// The sample at the end of the warm-up.
     first_sample: Option<Sample>,
     max_wake_delay: f64,
-    /// The last second of which a line was printed.
+    /// The last second for which a progress line was printed.
     reported_second: u64,
 }
 
@@ -183,7 +190,7 @@
             let now = self.start.elapsed().as_secs_f64();
             self.source.step(self.settings, now);
             while let Some(action) = take_due(&mut self.actions, now) {
-                self.carry_out(action, now, progress)?;
+                self.execute(action, now, progress)?;
             }
             self.installation.take_reports();
             if self.first_sample.is_none() && now >= self.settings.warm_up as f64 {
@@ -199,7 +206,7 @@
         Ok(())
     }
 
-    fn carry_out(
+    fn execute(
         &mut self,
         action: ScheduledAction,
         now: f64,
@@ -253,7 +260,7 @@
         }
         let last_sample = self.installation.sample();
         let first_sample = self.first_sample.take().unwrap_or_else(|| last_sample.clone());
-        // A restart that fell past the end comes now.
+        // Starts the directors whose restart was scheduled after the end of the load.
         self.installation.send_to_all(&PoolCommand::Start((0..self.settings.hollow).collect()))?;
         let counts = self.counts()?;
         let relays: Vec<String> =
--- a/crates/testbed/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -17,37 +17,37 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// One relay that does not vote, drawn from the seed, is killed and started again with no memory.
+    /// One relay that does not vote, drawn from the seed, is killed and restarted without its earlier state.
     KillRelay,
     /// One relay that does not vote is stopped and continued.
     StopRelay,
-    /// The leader of the relays is killed and started again.
+    /// The leader of the relays is killed and restarted.
     KillOwner,
     /// The leader is stopped and continued.
     StopOwner,
-    /// What one relay that does not vote sends to the others is held back.
+    /// Data that one relay that does not vote sends to the others is held back.
     CutTo,
-    /// What the others answer it is held back.
+    /// The answers of the others to one relay that does not vote are held back.
     CutFrom,
-    /// The relays and directors of one region and all others are cut off from one another.
+    /// The relays and directors of one region are cut off from all others.
     CutRegion,
-    /// A share of the directors is killed and started again at the end of the fault.
+    /// A share of the directors is killed, and restarted at the end of the fault.
     KillDirectors,
     /// `count` directors are restarted, one after another.
     RestartDirectors,
-    /// A share of the directors reads a byte a second.
+    /// A share of the directors reads one byte at each timer tick.
     SlowDirectors,
-    /// `count` purges at once.
+    /// `count` purges are published at once.
     Burst,
 }
 
 impl FaultKind {
-    /// Whether events may be late through it. Restarts of directors and many purges at once excuse nothing.
+    /// Whether events may be late because of the fault. Restarts of directors and bursts of purges are no excuse.
     pub(crate) fn excuses_lateness(self) -> bool {
-        self.strikes_relays() || self == FaultKind::SlowDirectors
+        self.affects_relays() || self == FaultKind::SlowDirectors
     }
 
-    fn strikes_relays(self) -> bool {
+    fn affects_relays(self) -> bool {
         use FaultKind::{CutFrom, CutRegion, CutTo, KillOwner, KillRelay, StopOwner, StopRelay};
         matches!(self, KillRelay | StopRelay | KillOwner | StopOwner | CutTo | CutFrom | CutRegion)
     }
@@ -67,7 +67,7 @@
     #[garde(range(min = 0.0, max = 3600.0))]
     #[serde(default = "second")]
     pub lasts: f64,
-    /// The share of the directors that it strikes.
+    /// The share of the directors that the fault affects.
     #[garde(range(min = 0.0, max = 1.0))]
     #[serde(default)]
     pub of: f64,
@@ -79,32 +79,32 @@
 
 /// A scale trial.
 ///
-/// Fields with bounds are named as their keys: an error finds the key in the file by the name of the field.
+/// Fields with bounds have the names of their keys, as errors find the key in the file by the field's name.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Scale {
-    /// What the report is headed with.
+    /// The name of the trial, with which the report begins.
     #[garde(length(min = 1, max = 40))]
     pub name: String,
-    /// The seed of all that is drawn: events, faults.
+    /// The seed of random events and faults.
     #[garde(skip)]
     #[serde(default)]
     pub seed: u64,
-    /// How long the load lasts.
+    /// The duration of the load in seconds.
     #[garde(range(min = 5, max = 3600))]
     pub seconds: u64,
-    /// How many seconds at its start are left out of the figures.
+    /// Seconds at the start of the load that the resource figures leave out.
     #[garde(range(max = 600))]
     #[serde(default = "warm_up")]
     pub warm_up: u64,
-    /// How many seconds after the load the last event has to be applied everywhere.
+    /// Seconds after the load within which the last event must be applied everywhere.
     #[garde(range(min = 1, max = 600))]
     #[serde(default = "settle")]
     pub settle: u64,
     /// The number of simulated directors.
     #[garde(range(min = 1, max = 20_000))]
     pub hollow: usize,
-    /// The number of processes of simulated directors; 0: one for 500.
+    /// The number of processes of simulated directors; 0 for one process for each 500 directors.
     #[garde(range(max = 64))]
     #[serde(default)]
     pub processes: usize,
@@ -112,11 +112,11 @@
     #[garde(range(max = 200))]
     #[serde(default)]
     pub real: usize,
-    /// The number of relays; 0: one source serves all directors.
+    /// The number of relays; with 0, one source serves all directors.
     #[garde(range(max = 64))]
     #[serde(default)]
     pub relays: usize,
-    /// How many relays vote; 0: they follow a source outside.
+    /// The number of relays that vote; with 0, the relays follow a separate source.
     #[garde(range(max = 9))]
     #[serde(default)]
     pub voters: usize,
@@ -131,7 +131,7 @@
     /// The number of nodes in the endpoint list.
     #[garde(range(min = 1, max = 5_000))]
     pub nodes: usize,
-    /// The number of locations that they are spread over.
+    /// The number of zones that the nodes are spread over.
     #[garde(range(min = 1, max = 1_000))]
     pub zones: usize,
     /// Purges a second.
@@ -140,39 +140,41 @@
     /// Changes of the endpoint list a second.
     #[garde(range(min = 0.0, max = 1_000.0))]
     pub changes: f64,
-    /// How long the stream of a reader lasts until it calls again, and so reports what it has applied.
+    /// How long a reader's stream lasts, in milliseconds. The reader then calls again and so reports what it has
+    /// applied.
     #[garde(range(min = 100, max = 60_000))]
     #[serde(default = "ack_ms")]
     pub ack_ms: u64,
-    /// How often relays pass new events on to a reader.
+    /// The interval in milliseconds at which relays pass new events on to a reader.
     #[garde(range(min = 1, max = 10_000))]
     #[serde(default = "batch_ms")]
     pub batch_ms: u64,
-    /// How long relays keep a purge beyond the time in which caches clear it.
+    /// How many milliseconds relays keep a purge beyond the time in which caches clear it.
     #[garde(range(min = 100, max = 3_600_000))]
     #[serde(default = "held_ms")]
     pub held_ms: u64,
-    /// Seconds from the publication of a purge until it is applied everywhere, at most; after the end of a fault.
+    /// Maximum seconds from the publication of a purge, or the end of a fault in its way, until it is applied
+    /// everywhere.
     #[garde(range(min = 0.1, max = 600.0))]
     #[serde(default = "purge_within")]
     pub purge_within: f64,
-    /// The same for changes of the list.
+    /// Maximum seconds for a change of the endpoint list, counted in the same way.
     #[garde(range(min = 0.1, max = 600.0))]
     #[serde(default = "change_within")]
     pub change_within: f64,
-    /// How much of a core a director may use.
+    /// The share of a core that a director may use.
     #[garde(range(min = 0.0, max = 1.0))]
     #[serde(default = "core")]
     pub core: f64,
-    /// How much memory a director may use.
+    /// The memory in MB that a director may use.
     #[garde(range(min = 1.0, max = 10_000.0))]
     #[serde(default = "memory_mb")]
     pub memory_mb: f64,
-    /// How many bytes a second a director may receive and send.
+    /// The bytes a second that a director may receive and send together.
     #[garde(range(min = 1.0, max = 1e9))]
     #[serde(default = "bytes")]
     pub bytes: f64,
-    /// How much of a core a relay may use.
+    /// The share of a core that a relay may use.
     #[garde(range(min = 0.0, max = 16.0))]
     #[serde(default = "second")]
     pub relay_core: f64,
@@ -241,7 +243,7 @@
         own.min(self.hollow)
     }
 
-    /// Checks it again after the command line has changed some of it.
+    /// Validates the settings again after the command line has changed some of them.
     ///
     /// # Errors
     ///
@@ -251,8 +253,8 @@
         self.inconsistency().map_or(Ok(()), |(key, what)| Err(format!("{key}: {what}")))
     }
 
-    /// Whether a fault of relays would find none to strike.
-    fn strikes_none(&self, kind: FaultKind) -> bool {
+    /// Whether there is no relay that a fault of this kind could affect.
+    fn has_no_target(&self, kind: FaultKind) -> bool {
         match kind {
             FaultKind::KillOwner | FaultKind::StopOwner => self.voters == 0,
             FaultKind::CutRegion => self.relays == 0,
@@ -260,28 +262,28 @@
         }
     }
 
-    /// A key and what is wrong with it beside other keys.
+    /// A key whose value contradicts other keys, and the problem.
     fn inconsistency(&self) -> Option<(&'static str, &'static str)> {
         let end = self.seconds as f64;
         if self.warm_up >= self.seconds {
-            Some(("scale.warm-up", "longer than the whole"))
+            Some(("scale.warm-up", "longer than the load, or as long"))
         } else if self.voters > self.relays {
             Some(("scale.voters", "more than there are relays"))
-        } else if self.faults.iter().any(|f| f.kind.strikes_relays() && self.strikes_none(f.kind)) {
+        } else if self.faults.iter().any(|f| f.kind.affects_relays() && self.has_no_target(f.kind)) {
             Some(("scale.faults", "one strikes plain relays, or the owner, and there are none"))
         } else if self.faults.iter().any(|f| f.at + f.lasts > end) {
             Some(("scale.faults", "one lasts past the end"))
         } else if self.nodes < self.zones + 2 {
-            Some(("scale.nodes", "fewer than one a zone, a parent and the origin"))
+            Some(("scale.nodes", "fewer than one for each zone, a parent and the origin"))
         } else {
             None
         }
     }
 
-    /// The same trial without relays and their faults: one source serves all directors.
+    /// The same trial without relays and their faults, in which one source serves all directors.
     pub fn without_relays(mut self) -> Scale {
         (self.relays, self.voters) = (0, 0);
-        self.faults.retain(|f| !f.kind.strikes_relays());
+        self.faults.retain(|f| !f.kind.affects_relays());
         self
     }
 }
@@ -290,7 +292,7 @@
 ///
 /// # Errors
 ///
-/// One for each fault, with file, line and key.
+/// One error for each problem, with file, line and key.
 pub fn parse(file: &str, text: &str) -> Result<Scale, Vec<ConfigError>> {
     let form = parse_single_form(file, text, "scale")?;
     let Form::Scale(scale) = &form.value;
--- a/crates/testbed/src/scale/simulated_director.rs
+++ b/crates/testbed/src/scale/simulated_director.rs
@@ -41,8 +41,8 @@
 }
 
 impl Shared {
-    /// Counts one director that applied an event. `content` is none for a snapshot; `timed` says whether the time of the
-    /// arrival counts.
+    /// Counts one director that applied an event. `content` is none for a snapshot; `timed` says whether the time of
+    /// the arrival counts.
     fn record_arrival(&mut self, number: u64, content: Option<u32>, timed: bool) {
         let arrival = self.arrivals.entry(number).or_default();
         self.result.different_events +=
@@ -90,12 +90,12 @@
     /// The number of the last applied event.
     last_number: u64,
     /// The highest number up to which every event was applied or replaced by a snapshot.
-    contiguous: u64,
+    contiguous_number: u64,
     /// A bit for each content: whether its event was applied.
     applied_contents: Vec<u64>,
     /// Snapshots that replaced events: the number before the first replaced event, the number of the snapshot, and
     /// when it was applied, in milliseconds of the director's clock.
-    snapshot_gaps: Vec<(u64, u64, u64)>,
+    replaced_ranges: Vec<(u64, u64, u64)>,
     /// The content of each node's last change, by the number of the node.
     last_changes: Vec<u32>,
 }
@@ -150,9 +150,9 @@
             caught_up: catch_up_target == 0,
             was_connected: false,
             last_number: known.last,
-            contiguous: known.last,
+            contiguous_number: known.last,
             applied_contents: Vec::new(),
-            snapshot_gaps: Vec::new(),
+            replaced_ranges: Vec::new(),
             last_changes: Vec::new(),
         };
         for event in &known.events {
@@ -190,8 +190,8 @@
         }
     }
 
-    /// Counts an event that is out of order, applied twice or older than the node's last change. The check does not rely
-    /// on the discovery code, which has accepted the event.
+    /// Counts an event that is out of order, applied twice or older than the node's last change. The check does not
+    /// rely on the discovery code, which has accepted the event.
     fn check_event(&mut self, number: u64, event: &Value, shared: &mut Shared) {
         let result = &mut shared.result;
         result.out_of_order += u64::from(number <= self.last_number);
@@ -199,10 +199,10 @@
         let is_snapshot = members.is_some_and(|m| m["snapshot"] == true);
         self.last_number = number;
         if is_snapshot {
-            self.snapshot_gaps.push((self.contiguous, number, shared.clock.now() / 1_000_000));
-            self.contiguous = number;
-        } else if number == self.contiguous + 1 {
-            self.contiguous = number;
+            self.replaced_ranges.push((self.contiguous_number, number, shared.clock.now() / 1_000_000));
+            self.contiguous_number = number;
+        } else if number == self.contiguous_number + 1 {
+            self.contiguous_number = number;
         }
         let content = match members {
             Some(_) if is_snapshot => 0,
@@ -237,12 +237,12 @@
     /// Counts the published events after `known` that were not applied, and a list that differs from the published one.
     /// An event that a snapshot replaced counts as expired if it was a change of the list, or a purge that had reached
     /// the age at which a snapshot may leave it out; else it counts as missed.
-    fn finish(
+    fn compare_with_published(
         &self,
         published: &[PublishedEvent],
         list: &[(u32, bool)],
         known: u64,
-        binds_ms: u64,
+        purge_retention_ms: u64,
         result: &mut Finished,
     ) {
         for event in published.iter().filter(|event| event.number > known) {
@@ -254,9 +254,9 @@
                 continue;
             }
             let replaced =
-                self.snapshot_gaps.iter().find(|(from, to, _)| (from + 1..=*to).contains(&event.number));
+                self.replaced_ranges.iter().find(|(from, to, _)| (from + 1..=*to).contains(&event.number));
             match replaced {
-                Some((_, _, at)) if event.purged_ms == 0 || event.purged_ms + binds_ms <= *at => {
+                Some((_, _, at)) if event.purged_ms == 0 || event.purged_ms + purge_retention_ms <= *at => {
                     result.expired += 1
                 }
                 _ => result.missed += 1,
@@ -302,6 +302,7 @@
         self.is_running() && self.state.was_connected
     }
 
+    /// The number of the last event that the director has applied.
     pub(crate) fn last_applied(&self) -> u64 {
         self.state.cursor.last_number()
     }
@@ -323,6 +324,7 @@
         self.connection = ConnectionPhase::Waiting(Instant::now());
     }
 
+    /// Closes a connection, or keeps its socket open while the director is cut off from the feed.
     fn drop_connection(&mut self, connection: ConnectionPhase, shared: &mut Shared) {
         let address = self.state.feeds.current();
         let socket = match connection {
@@ -358,6 +360,7 @@
         self.on_connection_end(outcome, shared);
     }
 
+    /// Starts a connection to the current feed.
     fn connect(&mut self, shared: &mut Shared, registry: &Registry) {
         shared.progress.calls += 1;
         (self.connect_began, self.number_before) = (Instant::now(), self.last_applied());
@@ -384,6 +387,7 @@
         self.on_connection_end(outcome, shared);
     }
 
+    /// Sends the request once the connection is established, then reads unless the director reads slowly.
     fn connect_or_read(&mut self, shared: &mut Shared) -> Result<(), ConnectionEnd> {
         let at = self.state.feeds.current();
         if self.cut_feeds.contains(&at) {
@@ -411,6 +415,7 @@
         if self.reads_slowly { Ok(()) } else { self.read(shared, 16 << 10) }
     }
 
+    /// Reads at most `max_bytes` at a time until the socket is empty, or once if `max_bytes` is 1.
     fn read(&mut self, shared: &mut Shared, max_bytes: usize) -> Result<(), ConnectionEnd> {
         let mut bytes = [0; 16 << 10];
         loop {
@@ -494,14 +499,14 @@
             ConnectionPhase::Waiting(Instant::now() + if is_early { pause } else { Duration::ZERO });
     }
 
-    pub(crate) fn finish(
+    pub(crate) fn compare_with_published(
         &self,
         published: &[PublishedEvent],
         list: &[(u32, bool)],
-        binds_ms: u64,
+        purge_retention_ms: u64,
         shared: &mut Shared,
     ) {
         let known = shared.config.known.last;
-        self.state.finish(published, list, known, binds_ms, &mut shared.result);
+        self.state.compare_with_published(published, list, known, purge_retention_ms, &mut shared.result);
     }
 }
--- a/crates/testbed/src/scale/source.rs
+++ b/crates/testbed/src/scale/source.rs
@@ -1,5 +1,5 @@
-//! The load of a scale trial: purges and changes of the list, drawn from the seed and published as an operator's program
-//! does it, to the relay that leads, or by the one source where there are no voting relays.
+//! The load of a scale trial: purges and changes of the endpoint list, drawn from the seed. They are published to the
+//! leader of the relays in the way of an operator's program, or by the one source if no relay votes.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -21,11 +21,11 @@
 use crate::schedule::exponential_interval;
 use crate::threads::{lock, spawn};
 
-/// How long a call of a relay may take.
+/// Timeout of a call to a relay.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest status that is read.
+/// Maximum size of a relay's status.
 const MAX_STATUS_BYTES: usize = 16 << 20;
-/// The most publishers of purges: each waits for the answer to one event.
+/// Maximum number of publishers of purges. Each waits for the answer to one event at a time.
 const MAX_PUBLISHERS: usize = 64;
 
 /// Where events are published.
@@ -33,7 +33,7 @@
 pub(crate) enum Outlet {
     /// The one source.
     Source(DiscoveryStub),
-    /// The voters, one of which leads.
+    /// The voters, one of which is the leader.
     Relays(Vec<MemberForm>),
 }
 
@@ -45,20 +45,20 @@
     serde_json::from_slice(&body).ok().filter(|_| code == 200)
 }
 
-/// Which of the relays leads now.
+/// The index of the relay that is the leader now.
 pub(crate) fn leader(relays: &[SocketAddr]) -> Option<usize> {
     relays.iter().position(|relay| status(*relay).is_some_and(|status| status["role"] == "owner"))
 }
 
-/// Publishes one event after the other.
+/// Publishes events one at a time.
 enum Publisher {
     Source(DiscoveryStub),
     Relays { publisher: publisher::Publisher, retries: Arc<AtomicUsize>, given_up: Arc<AtomicBool> },
 }
 
 impl Publisher {
-    /// Publishes an event until it is confirmed, and returns its number; none once the trial has given up. `key` is the
-    /// same for each try.
+    /// Publishes an event, retries until it is confirmed, and returns its number; none once the trial has given up. All
+    /// attempts carry the same `key`.
     fn publish(&mut self, event: &str, key: &str) -> Option<u64> {
         let (publisher, retries, given_up) = match self {
             Publisher::Source(source) => return Some(source.publish(event)),
@@ -78,74 +78,79 @@
 /// An event of the load, and when it was confirmed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Published {
-    /// A change of the list, or else a purge.
-    pub(crate) change: bool,
-    /// When it was due at the source, by the shared clock.
-    pub(crate) at: u64,
-    /// When the purge was made, in Unix milliseconds; 0: a change of the list.
+    /// Whether the event changes the endpoint list; else it is a purge.
+    pub(crate) is_change: bool,
+    /// When the event was queued for publication, by the shared clock.
+    pub(crate) queued_ns: u64,
+    /// When the purge was made, in Unix milliseconds; 0 for a change of the list.
     pub(crate) purged_ms: u64,
     /// Its number, once it is confirmed.
     pub(crate) number: Option<u64>,
     /// When it was confirmed, by the shared clock.
-    pub(crate) confirmed: u64,
+    pub(crate) confirmed_ns: u64,
 }
 
-/// A node of the list.
+/// The state of a node in the endpoint list.
 #[derive(Clone, Copy)]
-struct NodeLine {
+struct ListEntry {
     status: &'static str,
+    /// When the node last became ready, in Unix milliseconds; 0 if that was at the start.
     since: u64,
+    /// The content of the last change.
     change: u32,
 }
 
 /// The endpoint list.
-struct List {
+struct EndpointList {
     zones: usize,
-    lines: Vec<NodeLine>,
+    entries: Vec<ListEntry>,
 }
 
-impl List {
-    /// An entry of the list. Its weight is the content of its last change, which directors ignore.
-    fn line(&self, n: usize) -> Value {
-        let last = self.lines.len() - 1;
+impl EndpointList {
+    /// An entry in its JSON form. The weight holds the content of the last change, as directors ignore weights.
+    fn entry(&self, n: usize) -> Value {
+        let last = self.entries.len() - 1;
         let kind = match n {
             _ if n == last => "origin",
             _ if n % 30 == 29 => "parent",
             _ => "small",
         };
-        let NodeLine { status, since, change } = self.lines[n];
+        let ListEntry { status, since, change } = self.entries[n];
         let address = SocketAddr::from(([10, 0, (n >> 8) as u8, n as u8], 10_080));
         json!({"name": format!("node-{n}"), "address": address, "zone": format!("zone-{}", n % self.zones),
             "type": kind, "group": n % 8, "status": status, "weight": change, "since_ms": since})
     }
 }
 
-/// The first event of the load: the whole list.
-pub(crate) fn first_event(s: &Scale) -> String {
-    let list = List::of(s);
-    let lines: Vec<Value> = (0..s.nodes).map(|n| list.line(n)).collect();
-    format!("\"members\":{}", json!({"index": 0, "snapshot": true, "endpoints": lines}))
+/// The first event of a trial: a snapshot of the endpoint list.
+pub(crate) fn first_event(settings: &Scale) -> String {
+    let list = EndpointList::new(settings);
+    let entries: Vec<Value> = (0..settings.nodes).map(|n| list.entry(n)).collect();
+    format!("\"members\":{}", json!({"index": 0, "snapshot": true, "endpoints": entries}))
 }
 
-impl List {
-    fn of(s: &Scale) -> List {
-        List { zones: s.zones, lines: vec![NodeLine { status: "ready", since: 0, change: 0 }; s.nodes] }
+impl EndpointList {
+    fn new(settings: &Scale) -> EndpointList {
+        EndpointList {
+            zones: settings.zones,
+            entries: vec![ListEntry { status: "ready", since: 0, change: 0 }; settings.nodes],
+        }
     }
 
-    /// Another state of one node, never of the origin.
-    fn change(&mut self, rng: &mut Pcg32, content: u32) -> String {
-        let n = rng.random_range(0..self.lines.len() - 1);
-        let line = &mut self.lines[n];
-        line.change = content;
-        line.status = match (line.status, rng.random::<f64>() < 0.5) {
+    /// Changes the status of a random node other than the origin, and returns the event.
+    fn change_node(&mut self, rng: &mut Pcg32, content: u32) -> String {
+        let n = rng.random_range(0..self.entries.len() - 1);
+        let entry = &mut self.entries[n];
+        entry.change = content;
+        entry.status = match (entry.status, rng.random::<f64>() < 0.5) {
             ("ready", true) => "draining",
             ("ready", false) => "gone",
             _ => "ready",
         };
-        if line.status == "ready" {
-            line.since = unix_ms();
+        if entry.status == "ready" {
+            entry.since = unix_ms();
         }
-        format!("\"members\":{}", json!({"index": content, "snapshot": false, "endpoints": [self.line(n)]}))
+        format!("\"members\":{}", json!({"index": content, "snapshot": false, "endpoints": [self.entry(n)]}))
     }
 }
 
@@ -155,7 +160,7 @@
     has_ended: bool,
 }
 
-/// Contents of events that wait for a publisher.
+/// Queue of events, by content, that wait for a publisher.
 #[derive(Default)]
 struct Queue {
     state: Mutex<QueueState>,
@@ -188,51 +193,53 @@
     }
 }
 
-/// Events by content, from 1; content 0 is no event of the load.
+/// The event with content `n` is at index `n - 1`. Content 0 is the first snapshot, which is not part of the load.
 type PublishedEvents = Arc<Mutex<Vec<Published>>>;
 
 /// The source of all events.
 pub(crate) struct Source {
     published: PublishedEvents,
-    list: Arc<Mutex<List>>,
-    /// Of purges, of changes.
+    list: Arc<Mutex<EndpointList>>,
+    /// The queue of purges and the queue of changes.
     queues: Arc<[Queue; 2]>,
     outlet: Outlet,
-    /// What the keys of all events begin with.
+    /// Prefix of the keys of all events.
     key_prefix: u64,
     seed: u64,
     retries: Arc<AtomicUsize>,
     given_up: Arc<AtomicBool>,
     rng: Pcg32,
-    /// When the next purge and the next change are due, in seconds.
-    due: [f64; 2],
+    /// When the next purge and the next change are due, in seconds from the start of the load.
+    due_seconds: [f64; 2],
 }
 
 impl Source {
-    /// Publishes the whole list and returns its number; none if it was not taken.
-    pub(crate) fn start(s: &Scale, outlet: Outlet) -> Option<(Source, u64)> {
-        let mut rng = Pcg32::seed_from_u64(s.seed);
-        let due = [s.purges, s.changes]
+    /// Publishes the first snapshot and starts the publishers. Returns the snapshot's number, or none if it was not
+    /// confirmed.
+    pub(crate) fn start(settings: &Scale, outlet: Outlet) -> Option<(Source, u64)> {
+        let mut rng = Pcg32::seed_from_u64(settings.seed);
+        let due_seconds = [settings.purges, settings.changes]
             .map(|r| if r > 0.0 { exponential_interval(&mut rng, r) } else { f64::INFINITY });
         let source = Source {
             published: PublishedEvents::default(),
-            list: Arc::new(Mutex::new(List::of(s))),
+            list: Arc::new(Mutex::new(EndpointList::new(settings))),
             queues: Arc::default(),
             outlet,
             key_prefix: unix_ms(),
-            seed: s.seed + 1,
+            seed: settings.seed + 1,
             retries: Arc::default(),
             given_up: Arc::default(),
             rng,
-            due,
+            due_seconds,
         };
-        let first = source.publisher().publish(&first_event(s), &format!("{}-0", source.key_prefix))?;
+        let first =
+            source.publisher().publish(&first_event(settings), &format!("{}-0", source.key_prefix))?;
         let publishers = match &source.outlet {
             Outlet::Source(_) => 1,
-            Outlet::Relays(_) => ((s.purges * 0.3) as usize + 4).min(MAX_PUBLISHERS),
+            Outlet::Relays(_) => ((settings.purges * 0.3) as usize + 4).min(MAX_PUBLISHERS),
         };
         (0..publishers).for_each(|_| source.start_publisher(false));
-        // Changes of one node keep their order.
+        // All changes go through one publisher, so that those of one node keep their order.
         source.start_publisher(true);
         Some((source, first))
     }
@@ -248,7 +255,7 @@
         }
     }
 
-    /// Publishes the events of one queue on a thread of its own.
+    /// Starts a thread that publishes the events of one queue.
     fn start_publisher(&self, of_changes: bool) {
         let (published, list) = (Arc::clone(&self.published), Arc::clone(&self.list));
         let queues = Arc::clone(&self.queues);
@@ -257,7 +264,7 @@
         spawn(move || {
             while let Some(content) = queues[usize::from(of_changes)].next() {
                 let event = if of_changes {
-                    lock(&list).change(&mut rng, content)
+                    lock(&list).change_node(&mut rng, content)
                 } else {
                     let purged_ms = lock(&published)[content as usize - 1].purged_ms;
                     format!("\"purge\":{{\"key\":\"{content:016x}\",\"at\":{purged_ms}}}")
@@ -266,37 +273,43 @@
                 let Some(number) = publisher.publish(&event, &key) else { return };
                 let published = &mut lock(&published)[content as usize - 1];
                 published.number = Some(number);
-                published.confirmed = shared_ns();
+                published.confirmed_ns = shared_ns();
             }
         });
     }
 
-    /// Queues what is due by now, in seconds from the start of the load.
+    /// Queues the events that are due. `now` is in seconds from the start of the load.
     pub(crate) fn step(&mut self, settings: &Scale, now: f64) {
         for (queue, rate) in [settings.purges, settings.changes].into_iter().enumerate() {
-            while self.due[queue] <= now {
-                self.due[queue] += exponential_interval(&mut self.rng, rate);
+            while self.due_seconds[queue] <= now {
+                self.due_seconds[queue] += exponential_interval(&mut self.rng, rate);
                 self.enqueue(queue == 1);
             }
         }
     }
 
-    fn enqueue(&self, change: bool) {
+    fn enqueue(&self, is_change: bool) {
         let content = {
             let mut published = lock(&self.published);
-            let purged_ms = if change { 0 } else { unix_ms() };
-            published.push(Published { change, at: shared_ns(), purged_ms, number: None, confirmed: 0 });
+            let purged_ms = if is_change { 0 } else { unix_ms() };
+            published.push(Published {
+                is_change,
+                queued_ns: shared_ns(),
+                purged_ms,
+                number: None,
+                confirmed_ns: 0,
+            });
             published.len() as u32
         };
-        self.queues[usize::from(change)].push(content);
+        self.queues[usize::from(is_change)].push(content);
     }
 
-    /// Queues so many purges at once.
-    pub(crate) fn burst(&self, purges: usize) {
-        (0..purges).for_each(|_| self.enqueue(false));
+    /// Queues `count` purges at once.
+    pub(crate) fn burst(&self, count: usize) {
+        (0..count).for_each(|_| self.enqueue(false));
     }
 
-    /// Waits until all that was queued is confirmed, or the time is over; then gives up.
+    /// Waits until all queued events are confirmed or the timeout has passed, then stops all retries.
     pub(crate) fn finish(&self, timeout: Duration) {
         self.queues.iter().for_each(Queue::end);
         let begun = Instant::now();
@@ -323,10 +336,10 @@
 
     /// The content of each node's last change, and whether the node has gone.
     pub(crate) fn list(&self) -> Vec<(u32, bool)> {
-        lock(&self.list).lines.iter().map(|line| (line.change, line.status == "gone")).collect()
+        lock(&self.list).entries.iter().map(|entry| (entry.change, entry.status == "gone")).collect()
     }
 
-    /// Calls that were made again as the one before had no answer.
+    /// The number of calls that were retried after a failure.
     pub(crate) fn retries(&self) -> usize {
         self.retries.load(Ordering::Relaxed)
     }
--- a/crates/testbed/src/scale/tier.rs
+++ b/crates/testbed/src/scale/tier.rs
@@ -1,4 +1,4 @@
-//! The relays of a trial: settings, processes, regions, and the links between them.
+//! The relays of a trial: their settings, processes and regions, and the links between them.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
@@ -17,7 +17,7 @@
 use crate::ports::{PortAllocator, ReservedPort, addresses_of};
 use crate::process::{ChildProcess, TrialError, io_error};
 
-/// How long relays may take until they serve and have a leader.
+/// Timeout for the relays to serve and to elect a leader.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Makes a command of this program with other arguments.
@@ -30,9 +30,9 @@
     file: PathBuf,
     log: PathBuf,
     process: ChildProcess,
-    /// The CPU time of its processes before this one.
+    /// CPU time of the relay's earlier processes.
     earlier_cpu_seconds: f64,
-    /// Killed by the trial, and not started again yet.
+    /// Whether the trial killed the relay and has not restarted it.
     is_killed: bool,
 }
 
@@ -47,7 +47,7 @@
     ) -> Result<Relay, TrialError> {
         let name = format!("relay-{number}");
         let (file, log) = (folder.join(format!("{name}.scm")), folder.join(format!("{name}.log")));
-        // That of an earlier run.
+        // Removes the log of an earlier run.
         let _ = std::fs::remove_file(&log);
         std::fs::write(&file, settings).map_err(io_error(file.display().to_string()))?;
         let process = Relay::spawn(program, &file, &log)?;
@@ -65,31 +65,30 @@
         self.earlier_cpu_seconds + current
     }
 
-    /// What all its processes have used up to now.
+    /// CPU time of all processes of this relay, and memory of the current one.
     pub(crate) fn process_use(&self) -> ProcessUse {
         ProcessUse { cpu_seconds: self.cpu_seconds(), memory_mb: self.process.resident_mb() }
     }
 
-    /// Sends a signal.
     pub(crate) fn signal(&self, signal: Signal) {
         self.process.signal(signal);
     }
 
-    /// Kills it, until `start_again`.
+    /// Kills the relay; `restart` starts it again.
     pub(crate) fn kill(&mut self) -> Result<(), TrialError> {
         self.earlier_cpu_seconds = self.cpu_seconds();
         self.is_killed = true;
-        self.process.kill().map_err(io_error("a relay's end"))
+        self.process.kill().map_err(io_error("killing a relay"))
     }
 
-    /// Starts it again after it was killed, with no memory.
-    pub(crate) fn start_again(&mut self, program: Program) -> Result<(), TrialError> {
+    /// Restarts the relay after it was killed. It begins without its earlier state.
+    pub(crate) fn restart(&mut self, program: Program) -> Result<(), TrialError> {
         self.process = Relay::spawn(program, &self.file, &self.log)?;
         self.is_killed = false;
         Ok(())
     }
 
-    /// It does not serve, or has no leader to follow.
+    /// The error for a relay that does not serve or has no leader in time.
     fn not_serving(&self) -> TrialError {
         TrialError::NotServing {
             name: self.name.clone(),
@@ -98,13 +97,13 @@
         }
     }
 
-    /// Whether it has exited by itself.
+    /// Whether the relay exited without being killed by the trial.
     pub(crate) fn has_exited(&mut self) -> bool {
         !self.is_killed && self.process.has_exited()
     }
 }
 
-/// The relays with the links between them, or the one source in their place.
+/// The relays with the links between them, or the one source that serves in their place.
 pub(crate) struct Tier {
     pub(crate) relays: Vec<Relay>,
     /// Where directors connect: the relays, or the source.
@@ -112,14 +111,17 @@
     voter_count: usize,
     regions: usize,
     links: LinkProxies,
-    /// Those of the relays.
+    /// The reserved ports of the relays.
     _ports: Vec<ReservedPort>,
 }
 
 impl Tier {
-    /// No relays: directors connect to the source.
-    pub(crate) fn without_relays(source: SocketAddr, over: &Arc<AtomicBool>) -> Result<Tier, TrialError> {
-        let links = LinkProxies::between(Vec::new(), over).map_err(io_error("links"))?;
+    /// A tier without relays: directors connect to the source.
+    pub(crate) fn without_relays(
+        source: SocketAddr,
+        has_ended: &Arc<AtomicBool>,
+    ) -> Result<Tier, TrialError> {
+        let links = LinkProxies::between(Vec::new(), has_ended).map_err(io_error("links"))?;
         Ok(Tier {
             relays: Vec::new(),
             feeds: vec![source],
@@ -130,18 +132,18 @@
         })
     }
 
-    /// Starts the relays and waits until they serve. Where some vote, one of them leads then; where none does, they
-    /// follow `source`.
+    /// Starts the relays and waits until they serve. If some vote, it also waits until one of them is the leader; if
+    /// none votes, they follow `source`.
     pub(crate) fn start(
         settings: &Scale,
         program: Program,
         folder: &Path,
         source: Option<SocketAddr>,
-        over: &Arc<AtomicBool>,
+        has_ended: &Arc<AtomicBool>,
     ) -> Result<Tier, TrialError> {
         let ports = PortAllocator::new().allocate_all(settings.relays)?;
         let feeds = addresses_of(&ports);
-        let links = link_relays(&feeds, over)?;
+        let links = link_relays(&feeds, has_ended)?;
         let mut relays = Vec::new();
         for (number, address) in feeds.iter().enumerate() {
             let text = relay_settings(settings, number, &feeds, source, &links);
@@ -176,7 +178,8 @@
         voters.map(|(number, address)| MemberForm { number, address: *address, votes: true }).collect()
     }
 
-    /// Where a director connects: to `count` relays, first those of its own region, by which directors are spread.
+    /// The `count` relays that a director may connect to, those of its own region first. The lists are rotated so that
+    /// directors spread over the relays.
     pub(crate) fn feeds_of(&self, director: usize, count: usize) -> Vec<SocketAddr> {
         let (own, others): (Vec<usize>, Vec<usize>) =
             (0..self.feeds.len()).partition(|relay| self.region(*relay) == self.region(director));
@@ -185,7 +188,7 @@
         relays.take(count).map(|relay| self.feeds[relay]).collect()
     }
 
-    /// The relays of a region, and all others.
+    /// The addresses of the relays of a region, and those of all others.
     pub(crate) fn feeds_by_region(&self, region: usize) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
         let (inside, outside): (Vec<usize>, Vec<usize>) =
             (0..self.feeds.len()).partition(|relay| self.region(*relay) == region);
@@ -193,24 +196,24 @@
         (feeds(inside), feeds(outside))
     }
 
-    /// The relay that leads now.
+    /// The relay that is the leader now.
     pub(crate) fn leader(&self) -> Option<usize> {
         leader(&self.feeds)
     }
 
-    /// One of the relays that do not vote, by a drawn number.
+    /// Selects one of the relays that do not vote by a random number.
     pub(crate) fn non_voter(&self, drawn: usize) -> usize {
         self.voter_count + drawn % (self.relays.len() - self.voter_count).max(1)
     }
 
-    /// Holds back what passes on the links that are meant.
-    pub(crate) fn hold(&self, is_meant: impl Fn(&Pair) -> bool, held: HeldDirections) {
-        for pair in self.links.pairs().filter(|pair| is_meant(pair)) {
+    /// Holds back data on the selected links in the given directions.
+    pub(crate) fn hold(&self, is_selected: impl Fn(&Pair) -> bool, held: HeldDirections) {
+        for pair in self.links.pairs().filter(|pair| is_selected(pair)) {
             self.links.hold(*pair, held);
         }
     }
 
-    /// Bytes of a relay with other relays, in calls of both sides.
+    /// Bytes that a relay exchanged with other relays, in calls of either side.
     pub(crate) fn bytes(&self, relay: usize) -> RelayBytes {
         let [requests_sent, answers_received] = self.links.bytes(|pair| pair.0 == relay);
         let [requests_received, answers_sent] = self.links.bytes(|pair| pair.1 == relay);
@@ -218,7 +221,7 @@
     }
 }
 
-/// The same list from another place on.
+/// The list rotated to the left by `by` places, modulo its length.
 fn rotated(list: &[usize], by: usize) -> Vec<usize> {
     let mut list = list.to_vec();
     if !list.is_empty() {
@@ -228,15 +231,15 @@
     list
 }
 
-/// Makes a link from each relay to each other one.
-fn link_relays(feeds: &[SocketAddr], over: &Arc<AtomicBool>) -> Result<LinkProxies, TrialError> {
+/// Creates a link from each relay to each other relay.
+fn link_relays(feeds: &[SocketAddr], has_ended: &Arc<AtomicBool>) -> Result<LinkProxies, TrialError> {
     let pairs = (0..feeds.len()).flat_map(|a| (0..feeds.len()).map(move |b| (a, b)));
     let planned = pairs.filter(|(a, b)| a != b).map(|pair| PlannedLink {
         pair,
         to: feeds[pair.1],
         from: Ipv4Addr::LOCALHOST,
     });
-    LinkProxies::between(planned.collect(), over).map_err(io_error("links between relays"))
+    LinkProxies::between(planned.collect(), has_ended).map_err(io_error("links between relays"))
 }
 
 fn wait_until_serving(relays: &mut [Relay], since: Instant) -> Result<(), TrialError> {
@@ -251,7 +254,7 @@
     Ok(())
 }
 
-/// The settings of a relay, with its own links to all others.
+/// The settings of a relay, in which the other relays have the addresses of its links to them.
 fn relay_settings(
     settings: &Scale,
     own: usize,
@@ -278,11 +281,12 @@
     text
 }
 
-/// How long caches have to clear what is purged, and how far clocks may be apart: both in the settings of relays.
+/// Time in which caches clear a purged object, as relays are told.
 const CLEARED_MS: u64 = 1_000;
+/// Largest clock difference that relays allow for.
 const SLACK_MS: u64 = 2_000;
 
-/// For how long after a purge relays keep it.
-pub(crate) fn binds_ms(settings: &Scale) -> u64 {
+/// How long relays keep a purge after it was made, in milliseconds.
+pub(crate) fn purge_retention_ms(settings: &Scale) -> u64 {
     CLEARED_MS + settings.held_ms
 }
