--- a/crates/fault-injection/src/calls.rs
+++ b/crates/fault-injection/src/calls.rs
@@ -1,5 +1,5 @@
-//! The functions of the C library that take the place of its own. Each asks whether a fault is due, else it makes the
-//! system call itself.
+//! Replacements for functions of the C library. Each injects a fault if one is due, and else makes the system call
+//! itself.
 #![allow(clippy::missing_safety_doc)]
 
 use libc::{
@@ -9,10 +9,10 @@
 use crate::plan::{Call, Fault};
 use crate::{send_log, state};
 
-/// Errors after which a connection stays broken: the next call must not find it whole.
-const BREAKING: [i32; 3] = [libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET];
+/// Errors that break a connection for good: the socket is shut down, so that later calls don't find it intact.
+const BREAKING_ERRORS: [i32; 3] = [libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET];
 
-/// The error with which a call of this kind is to fail now, if any.
+/// The error with which a call of this kind has to fail now, if any.
 fn due_error(call: Call) -> Option<i32> {
     match state::fault(call)? {
         Fault::Errno(errno) => Some(errno),
@@ -20,7 +20,7 @@
     }
 }
 
-/// The result of a system call as the C library returns it.
+/// Converts the result of a system call to the type that the C library returns.
 fn result(value: c_long) -> c_int {
     value as c_int
 }
@@ -32,11 +32,11 @@
     Other,
 }
 
-/// Whether a socket speaks TCP: pairs within the process do not break.
+/// Whether a socket is of an internet family. Socket pairs within the process get no faults.
 fn is_internet(socket: c_int) -> bool {
     let mut domain: c_int = 0;
     let mut length = size_of::<c_int>() as libc::socklen_t;
-    // SAFETY: the kernel fills the number that it is given.
+    // SAFETY: the kernel writes to the given number.
     let done = unsafe {
         libc::syscall(
             libc::SYS_getsockopt,
@@ -50,9 +50,9 @@
     done == 0 && (domain == libc::AF_INET || domain == libc::AF_INET6)
 }
 
-/// What a descriptor is.
+/// Which kind of descriptor this is.
 fn descriptor_kind(descriptor: c_int) -> DescriptorKind {
-    // SAFETY: the kernel fills the structure that it is given.
+    // SAFETY: the kernel writes to the given structure.
     let mode = unsafe {
         let mut status: libc::stat = std::mem::zeroed();
         if libc::syscall(libc::SYS_fstat, descriptor, &mut status) != 0 {
@@ -67,7 +67,7 @@
     }
 }
 
-/// How many bytes a transfer may move, or the error with which it fails.
+/// The maximum number of bytes of a transfer, or the result with which it fails.
 fn transfer(descriptor: c_int, on_socket: Call, on_file: Call) -> Result<usize, c_int> {
     let call = match descriptor_kind(descriptor) {
         DescriptorKind::Socket => on_socket,
@@ -78,7 +78,7 @@
         None => Ok(usize::MAX),
         Some(Fault::Short(bytes)) => Ok(bytes.max(1)),
         Some(Fault::Errno(errno)) => {
-            if call == on_socket && BREAKING.contains(&errno) {
+            if call == on_socket && BREAKING_ERRORS.contains(&errno) {
                 // SAFETY: a system call without pointers.
                 unsafe { libc::syscall(libc::SYS_shutdown, descriptor, libc::SHUT_RDWR) };
             }
@@ -87,13 +87,13 @@
     }
 }
 
-/// The first `max_bytes` of the parts of a gathered or scattered transfer.
+/// The parts of a gathered or scattered transfer, truncated to `max_bytes` in all.
 fn truncated(parts: &[iovec], max_bytes: usize) -> Vec<iovec> {
-    let mut left = max_bytes;
+    let mut remaining = max_bytes;
     let mut truncated = Vec::new();
     for part in parts {
-        let length = part.iov_len.min(left);
-        left -= length;
+        let length = part.iov_len.min(remaining);
+        remaining -= length;
         truncated.push(iovec { iov_base: part.iov_base, iov_len: length });
     }
     truncated
@@ -101,11 +101,11 @@
 
 #[unsafe(no_mangle)]
 pub(crate) unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, time: *mut libc::timespec) -> c_int {
-    // SAFETY: the caller's arguments go on unchanged.
+    // SAFETY: the caller's arguments are passed on unchanged.
     let done = unsafe { libc::syscall(libc::SYS_clock_gettime, clock, time) };
     if done == 0 && clock == libc::CLOCK_REALTIME {
         let offset = state::clock_offset_ms();
-        // SAFETY: the kernel has just filled it.
+        // SAFETY: the kernel has just written to this structure.
         let time = unsafe { &mut *time };
         let nanoseconds = time.tv_nsec + (offset.rem_euclid(1_000)) * 1_000_000;
         time.tv_sec += offset.div_euclid(1_000) + nanoseconds / 1_000_000_000;
@@ -114,7 +114,7 @@
     result(done)
 }
 
-/// A function whose arguments go on to one system call, unless a fault is due.
+/// Defines a function that passes its arguments on to one system call, unless a fault is due.
 macro_rules! forwarded {
     ($name:ident, $kind:expr, $number:expr, ($($argument:ident: $type:ty),*)) => {
         #[unsafe(no_mangle)]
@@ -122,7 +122,7 @@
             if let Some(errno) = due_error($kind) {
                 return state::fail(errno);
             }
-            // SAFETY: the caller's arguments go on unchanged.
+            // SAFETY: the caller's arguments are passed on unchanged.
             result(unsafe { libc::syscall($number, $($argument),*) })
         }
     };
@@ -138,13 +138,13 @@
 forwarded!(eventfd, Call::EventFd, libc::SYS_eventfd2, (value: c_uint, flags: c_int));
 forwarded!(socketpair, Call::SocketPair, libc::SYS_socketpair,
     (domain: c_int, kind: c_int, protocol: c_int, pair: *mut c_int));
-forwarded!(poll, Call::Wait, libc::SYS_poll, (watched: *mut c_void, many: c_uint, timeout: c_int));
+forwarded!(poll, Call::Wait, libc::SYS_poll, (watched: *mut c_void, count: c_uint, timeout: c_int));
 forwarded!(fsync, Call::Sync, libc::SYS_fsync, (file: c_int));
 forwarded!(fdatasync, Call::Sync, libc::SYS_fdatasync, (file: c_int));
 
 #[unsafe(no_mangle)]
 pub(crate) unsafe extern "C" fn shutdown(socket: c_int, how: c_int) -> c_int {
-    send_log::note_shutdown(socket);
+    send_log::log_shutdown(socket);
     // SAFETY: a system call without pointers.
     result(unsafe { libc::syscall(libc::SYS_shutdown, socket, how) })
 }
@@ -158,20 +158,20 @@
 ) -> c_int {
     if let Some(errno) = due_error(Call::Accept) {
         if errno == libc::ECONNABORTED {
-            // The connection that was aborted is gone from the queue.
-            // SAFETY: no address is asked for, and the descriptor is this call's own.
+            // An aborted connection is no longer in the queue of the listener: one is accepted and closed.
+            // SAFETY: no address is requested, and only this call uses the descriptor.
             unsafe {
                 let none = std::ptr::null_mut::<c_void>();
-                let taken = libc::syscall(libc::SYS_accept4, listener, none, none, 0);
-                if taken < 0 {
-                    return result(taken);
+                let accepted = libc::syscall(libc::SYS_accept4, listener, none, none, 0);
+                if accepted < 0 {
+                    return result(accepted);
                 }
-                libc::syscall(libc::SYS_close, taken);
+                libc::syscall(libc::SYS_close, accepted);
             }
         }
         return state::fail(errno);
     }
-    // SAFETY: the caller's arguments go on unchanged.
+    // SAFETY: the caller's arguments are passed on unchanged.
     result(unsafe { libc::syscall(libc::SYS_accept4, listener, address, length, flags) })
 }
 
@@ -179,7 +179,7 @@
 pub(crate) unsafe extern "C" fn epoll_wait(
     epoll: c_int,
     events: *mut c_void,
-    most: c_int,
+    max_events: c_int,
     timeout: c_int,
 ) -> c_int {
     if let Some(errno) = due_error(Call::Wait) {
@@ -187,7 +187,7 @@
     }
     let mask = std::ptr::null::<c_void>();
     // SAFETY: the caller's arguments go on unchanged, with no signal mask.
-    result(unsafe { libc::syscall(libc::SYS_epoll_pwait, epoll, events, most, timeout, mask, 8) })
+    result(unsafe { libc::syscall(libc::SYS_epoll_pwait, epoll, events, max_events, timeout, mask, 8) })
 }
 
 #[unsafe(no_mangle)]
@@ -195,27 +195,31 @@
     if let Some(errno) = due_error(Call::Open) {
         return state::fail(errno);
     }
-    // SAFETY: the caller's arguments go on unchanged.
+    // SAFETY: the caller's arguments are passed on unchanged.
     result(unsafe { libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path, flags, mode) })
 }
 
 #[unsafe(no_mangle)]
 pub(crate) unsafe extern "C" fn read(descriptor: c_int, to: *mut c_void, length: size_t) -> ssize_t {
     match transfer(descriptor, Call::Receive, Call::FileRead) {
-        Err(failed) => failed as ssize_t,
+        Err(result) => result as ssize_t,
         // SAFETY: the caller's buffer, or a part of it.
-        Ok(most) => unsafe { libc::syscall(libc::SYS_read, descriptor, to, length.min(most)) as ssize_t },
+        Ok(max_bytes) => unsafe {
+            libc::syscall(libc::SYS_read, descriptor, to, length.min(max_bytes)) as ssize_t
+        },
     }
 }
 
 #[unsafe(no_mangle)]
 pub(crate) unsafe extern "C" fn write(descriptor: c_int, from: *const c_void, length: size_t) -> ssize_t {
     // SAFETY: the caller's buffer.
-    unsafe { send_log::note(from, length, descriptor) };
+    unsafe { send_log::log_write(from, length, descriptor) };
     match transfer(descriptor, Call::Send, Call::FileWrite) {
-        Err(failed) => failed as ssize_t,
+        Err(result) => result as ssize_t,
         // SAFETY: the caller's buffer, or a part of it.
-        Ok(most) => unsafe { libc::syscall(libc::SYS_write, descriptor, from, length.min(most)) as ssize_t },
+        Ok(max_bytes) => unsafe {
+            libc::syscall(libc::SYS_write, descriptor, from, length.min(max_bytes)) as ssize_t
+        },
     }
 }
 
@@ -227,10 +231,10 @@
     at: off64_t,
 ) -> ssize_t {
     match transfer(descriptor, Call::Send, Call::FileWrite) {
-        Err(failed) => failed as ssize_t,
+        Err(result) => result as ssize_t,
         // SAFETY: the caller's buffer, or a part of it.
-        Ok(most) => unsafe {
-            libc::syscall(libc::SYS_pwrite64, descriptor, from, length.min(most), at) as ssize_t
+        Ok(max_bytes) => unsafe {
+            libc::syscall(libc::SYS_pwrite64, descriptor, from, length.min(max_bytes), at) as ssize_t
         },
     }
 }
@@ -243,12 +247,20 @@
     flags: c_int,
 ) -> ssize_t {
     match transfer(socket, Call::Receive, Call::FileRead) {
-        Err(failed) => failed as ssize_t,
+        Err(result) => result as ssize_t,
         // SAFETY: the caller's buffer, or a part of it.
-        Ok(most) => unsafe {
-            let nobody = std::ptr::null::<c_void>();
-            let read = libc::syscall(libc::SYS_recvfrom, socket, to, length.min(most), flags, nobody, nobody);
-            send_log::note_read(to, usize::try_from(read).unwrap_or(0), socket);
+        Ok(max_bytes) => unsafe {
+            let no_address = std::ptr::null::<c_void>();
+            let read = libc::syscall(
+                libc::SYS_recvfrom,
+                socket,
+                to,
+                length.min(max_bytes),
+                flags,
+                no_address,
+                no_address,
+            );
+            send_log::log_read(to, usize::try_from(read).unwrap_or(0), socket);
             read as ssize_t
         },
     }
@@ -262,46 +274,49 @@
     flags: c_int,
 ) -> ssize_t {
     // SAFETY: the caller's buffer.
-    unsafe { send_log::note(from, length, socket) };
+    unsafe { send_log::log_write(from, length, socket) };
     match transfer(socket, Call::Send, Call::FileWrite) {
-        Err(failed) => failed as ssize_t,
+        Err(result) => result as ssize_t,
         // SAFETY: the caller's buffer, or a part of it.
-        Ok(most) => unsafe {
-            let nobody = std::ptr::null::<c_void>();
-            libc::syscall(libc::SYS_sendto, socket, from, length.min(most), flags, nobody, 0) as ssize_t
+        Ok(max_bytes) => unsafe {
+            let no_address = std::ptr::null::<c_void>();
+            libc::syscall(libc::SYS_sendto, socket, from, length.min(max_bytes), flags, no_address, 0)
+                as ssize_t
         },
     }
 }
 
 #[unsafe(no_mangle)]
-pub(crate) unsafe extern "C" fn writev(descriptor: c_int, parts: *const iovec, many: c_int) -> ssize_t {
+pub(crate) unsafe extern "C" fn writev(descriptor: c_int, parts: *const iovec, count: c_int) -> ssize_t {
     // SAFETY: the caller's buffers.
-    unsafe { send_log::note_parts(descriptor, parts, many) };
+    unsafe { send_log::log_gathered_write(descriptor, parts, count) };
     match transfer(descriptor, Call::Send, Call::FileWrite) {
-        Err(failed) => failed as ssize_t,
-        // SAFETY: the caller tells how many parts there are.
-        Ok(usize::MAX) => unsafe { libc::syscall(libc::SYS_writev, descriptor, parts, many) as ssize_t },
-        // SAFETY: as above, of which some are left out.
-        Ok(most) => unsafe {
-            let shorter = truncated(std::slice::from_raw_parts(parts, many as usize), most);
-            libc::syscall(libc::SYS_writev, descriptor, shorter.as_ptr(), many) as ssize_t
+        Err(result) => result as ssize_t,
+        // SAFETY: the caller gives the number of parts.
+        Ok(usize::MAX) => unsafe { libc::syscall(libc::SYS_writev, descriptor, parts, count) as ssize_t },
+        // SAFETY: the caller gives the number of parts; the truncated parts lie within them.
+        Ok(max_bytes) => unsafe {
+            let shorter = truncated(std::slice::from_raw_parts(parts, count as usize), max_bytes);
+            libc::syscall(libc::SYS_writev, descriptor, shorter.as_ptr(), count) as ssize_t
         },
     }
 }
 
-type Start = extern "C" fn(*mut c_void) -> *mut c_void;
+/// The start routine of a thread.
+type StartRoutine = extern "C" fn(*mut c_void) -> *mut c_void;
 
 #[unsafe(no_mangle)]
 pub(crate) unsafe extern "C" fn pthread_create(
     thread: *mut pthread_t,
     attributes: *const pthread_attr_t,
-    start: Start,
+    start: StartRoutine,
     argument: *mut c_void,
 ) -> c_int {
     if let Some(errno) = due_error(Call::Thread) {
         return errno;
     }
-    type Create = unsafe extern "C" fn(*mut pthread_t, *const pthread_attr_t, Start, *mut c_void) -> c_int;
+    type Create =
+        unsafe extern "C" fn(*mut pthread_t, *const pthread_attr_t, StartRoutine, *mut c_void) -> c_int;
     // SAFETY: the next definition of this symbol is the C library's, of the type that it documents.
     unsafe {
         let next = libc::dlsym(libc::RTLD_NEXT, c"pthread_create".as_ptr());
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,9 +1,11 @@
-//! Fault injection for tests: a shared object that is preloaded into one process (`LD_PRELOAD`) and makes its system
-//! calls fail, fall short or tell another wall clock, as a plan prescribes.
+//! Fault injection for tests: a shared object that is preloaded into one process (`LD_PRELOAD`). According to a plan,
+//! it makes system calls fail or transfer fewer bytes, and shifts the wall clock.
 //!
-//! The environment variable `SABLECROSS_FAULTS` names the plan, a text file that is read again whenever it changes, so
-//! that a test can switch faults on and off while the process runs. The grammar stands in `plan`. Calls that no rule names go
-//! straight to the kernel. A second variable names a log of what is sent to nodes (`send_log`). Nothing here allocates on behalf of the host process between a failing call and its `errno`.
+//! The environment variable `SABLECROSS_FAULTS` names the plan, a text file that is read again every few
+//! milliseconds, so that a test can switch faults on and off while the process runs. The module `plan` documents the
+//! grammar. Calls that no rule names go straight to the kernel. The variable `SABLECROSS_SEND_LOG` names a log of
+//! what is sent to nodes (`send_log`). Nothing here allocates on behalf of the host process between a failing call
+//! and its `errno`.
 
 mod calls;
 mod plan;
--- a/crates/fault-injection/src/plan.rs
+++ b/crates/fault-injection/src/plan.rs
@@ -1,11 +1,11 @@
 //! The plan: which calls fail, how and when.
 //!
-//! One rule a line; times are milliseconds of the monotonic clock since the process began:
+//! Each line holds one rule. `FROM` and `TO` are milliseconds of the monotonic clock since the process started:
 //!
 //! ```text
-//! clock FROM OFFSET                    from then on the wall clock is off by so many milliseconds
-//! fail CALL ERRNO FROM TO PERCENT      so many of a hundred calls fail with this error
-//! short CALL BYTES FROM TO PERCENT     so many of a hundred calls move at most so many bytes
+//! clock FROM OFFSET                    shifts the wall clock by OFFSET milliseconds from then on
+//! fail CALL ERRNO FROM TO PERCENT      makes this percentage of the calls fail with this error
+//! short CALL BYTES FROM TO PERCENT     limits this percentage of the calls to a transfer of BYTES bytes
 //! ```
 
 use std::str::{FromStr, SplitWhitespace};
@@ -23,9 +23,9 @@
     Accept,
     /// `connect`.
     Connect,
-    /// Reads from a socket, by whatever function.
+    /// Reads from a socket, by any function.
     Receive,
-    /// Writes to a socket, by whatever function.
+    /// Writes to a socket, by any function.
     Send,
     /// `epoll_wait` and `poll`.
     Wait,
@@ -49,16 +49,16 @@
     Sync,
 }
 
-/// What a rule does to a call.
+/// The effect of a rule on a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It fails with this error number.
+    /// The call fails with this error number.
     Errno(i32),
-    /// It moves at most so many bytes.
+    /// The call transfers at most this many bytes.
     Short(usize),
 }
 
-/// Makes a part of the calls of one kind fail or fall short for a while.
+/// Applies a fault to a percentage of the calls of one kind from `from_ms` until before `to_ms`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Rule {
     pub(crate) call: Call,
@@ -68,21 +68,21 @@
     pub(crate) percent: u64,
 }
 
-/// Sets the offset of the wall clock from a time on.
+/// Sets the offset of the wall clock from `from_ms` on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ClockStep {
     pub(crate) from_ms: u64,
     pub(crate) offset_ms: i64,
 }
 
-/// All rules of one file.
+/// The rules of one plan file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
     pub(crate) rules: Vec<Rule>,
     pub(crate) steps: Vec<ClockStep>,
 }
 
-/// A line of the plan that is not a rule.
+/// The error for a line of the plan that is not a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlanError {
     /// The number of the line, from 1.
@@ -141,7 +141,7 @@
 }
 
 impl Plan {
-    /// Adds the rule of one line; `None` if it is not a rule.
+    /// Parses one line and adds its rule; returns `None` if the line is not a rule.
     fn add_rule(&mut self, line: &str) -> Option<()> {
         let mut words = line.split_whitespace();
         match words.next()? {
@@ -166,13 +166,14 @@
         words.next().is_none().then_some(())
     }
 
-    /// How far the wall clock is off at this time.
+    /// The offset of the wall clock at this time: that of the latest step.
     pub(crate) fn clock_offset_ms(&self, at_ms: u64) -> i64 {
         let past = self.steps.iter().filter(|step| step.from_ms <= at_ms);
         past.max_by_key(|step| step.from_ms).map_or(0, |step| step.offset_ms)
     }
 
-    /// The fault of this call, if any; `roll` draws from 0 to 99.
+    /// The fault that this call gets, if any: that of the first rule in force whose percentage exceeds the next value
+    /// of `roll`, a random number from 0 to 99.
     pub(crate) fn fault(&self, call: Call, at_ms: u64, mut roll: impl FnMut() -> u64) -> Option<Fault> {
         let mut due = self.rules.iter().filter(|r| r.call == call && (r.from_ms..r.to_ms).contains(&at_ms));
         due.find(|rule| roll() < rule.percent).map(|rule| rule.fault)
--- a/crates/fault-injection/src/send_log.rs
+++ b/crates/fault-injection/src/send_log.rs
@@ -1,15 +1,14 @@
-//! The log of what a process sends to nodes, and of the connections that it ends: the moment at which each attempt or
-//! kill is about to be written to its socket, and each socket to be shut, by the monotonic clock, which all processes of
-//! the machine share.
+//! The send log: when a process is about to write an attempt or a kill to a node's socket, when it is about to shut a
+//! socket down, and when it has read a client's request. Times are of the monotonic clock, which all processes of the
+//! machine share.
 //!
-//! The environment variable `SABLECROSS_SEND_LOG` names the file; without it nothing is noted. One line each:
+//! The environment variable `SABLECROSS_SEND_LOG` names the file; without it nothing is logged. Each event is one line:
 //!
 //! ```text
-//! NANOSECONDS LOCAL_PORT PEER_PORT FIRST_LINE  the time, the ports of this process's end and of the other one, what is written
-//!                                              up to its first line end
-//! NANOSECONDS LOCAL_PORT PEER_PORT SHUT        the same of a socket that is shut
-//! NANOSECONDS LOCAL_PORT PEER_PORT READ AGE    the same of a request that is read, and for how many milliseconds the kernel has
-//!                                              had the last byte on that socket
+//! NANOSECONDS LOCAL_PORT PEER_PORT FIRST_LINE  the time, the ports of both ends, and the first line of what is written
+//! NANOSECONDS LOCAL_PORT PEER_PORT SHUT        a socket is about to be shut down
+//! NANOSECONDS LOCAL_PORT PEER_PORT READ AGE    a request was read; AGE is the time in milliseconds since the
+//!                                              kernel received the last byte on the socket
 //! ```
 
 use std::io::Write;
@@ -21,15 +20,16 @@
 
 /// The environment variable that names the log's file.
 const VARIABLE: &std::ffi::CStr = c"SABLECROSS_SEND_LOG";
-/// What is noted begins with one of these words.
+/// A write is logged if it begins with one of these commands.
 const COMMANDS: [&[u8]; 2] = [b"PULL ", b"KILL "];
-/// A request of a client begins with these bytes: an array of four, the first of which is the type of a call.
+/// A client's request begins with these bytes: a MessagePack array of four elements, of which the first is the type of
+/// a call.
 const REQUEST: &[u8] = &[0x94, 0];
-/// The longest line of the log; the first line of a message is cut to fit.
+/// Maximum length of a log line; longer lines are truncated.
 const MAX_LINE_BYTES: usize = 256;
 const FILE_MODE: c_int = 0o644;
 
-/// The descriptor of the log; none if it has no name or can't be opened.
+/// The descriptor of the log; none if the variable is not set or the file can't be opened.
 static FILE: OnceLock<Option<c_int>> = OnceLock::new();
 
 fn open() -> Option<c_int> {
@@ -45,9 +45,9 @@
     c_int::try_from(file).ok().filter(|file| *file >= 0)
 }
 
-/// The port of an end of a socket, as `SYS_getsockname` or `SYS_getpeername` tells it; 0 if it has none.
+/// The port of one end of a socket, by the system call `SYS_getsockname` or `SYS_getpeername`; 0 if that fails.
 fn port(socket: c_int, end: c_long) -> u16 {
-    // SAFETY: the kernel fills the structure that it is given, up to the length that it is told.
+    // SAFETY: the kernel fills the structure that it is given, up to the given length.
     unsafe {
         let mut address: libc::sockaddr_in = std::mem::zeroed();
         let mut length = size_of::<libc::sockaddr_in>() as libc::socklen_t;
@@ -56,7 +56,7 @@
     }
 }
 
-/// Writes a line to the log; what does not fit is left out.
+/// Writes a line to the log, truncated to `MAX_LINE_BYTES`.
 fn write_line(file: c_int, socket: c_int, text: &[u8]) {
     let mut line = [0u8; MAX_LINE_BYTES];
     let mut rest = &mut line[..MAX_LINE_BYTES - 1];
@@ -65,19 +65,19 @@
     let _ = rest.write(text);
     let used = MAX_LINE_BYTES - 1 - rest.len();
     line[used] = b'\n';
-    // SAFETY: the buffer has the length that is told.
+    // SAFETY: the buffer has at least the given length.
     unsafe { libc::syscall(libc::SYS_write, file, line.as_ptr(), used + 1) };
 }
 
-/// Notes that a socket is about to be shut.
-pub(crate) fn note_shutdown(socket: c_int) {
+/// Logs that a socket is about to be shut down.
+pub(crate) fn log_shutdown(socket: c_int) {
     let Some(file) = *FILE.get_or_init(open) else { return };
     write_line(file, socket, b"SHUT");
 }
 
 /// How long ago the kernel received the last byte on a socket, in milliseconds.
 fn last_received_age_ms(socket: c_int) -> u32 {
-    // SAFETY: the kernel fills the structure that it is given, up to the length that it is told.
+    // SAFETY: the kernel fills the structure that it is given, up to the given length.
     unsafe {
         let mut info: libc::tcp_info = std::mem::zeroed();
         let mut length = size_of::<libc::tcp_info>() as libc::socklen_t;
@@ -87,12 +87,12 @@
     }
 }
 
-/// Notes what was read, if it begins a request of a client.
+/// Logs a read if the bytes begin a client's request.
 ///
 /// # Safety
 /// `bytes` has to point to `length` readable bytes.
-pub(crate) unsafe fn note_read(bytes: *const c_void, length: usize, socket: c_int) {
-    // SAFETY: the caller's promise.
+pub(crate) unsafe fn log_read(bytes: *const c_void, length: usize, socket: c_int) {
+    // SAFETY: the caller guarantees that the memory is readable.
     let bytes = unsafe { std::slice::from_raw_parts(bytes.cast::<u8>(), length) };
     if !bytes.starts_with(REQUEST) {
         return;
@@ -105,26 +105,26 @@
     write_line(file, socket, &text[..used]);
 }
 
-/// Notes the first part of a gathered write, if it begins a message to a node.
+/// Logs a gathered write if its first part begins a message to a node.
 ///
 /// # Safety
 /// `parts` has to point to `count` parts of readable memory.
-pub(crate) unsafe fn note_parts(socket: c_int, parts: *const iovec, count: c_int) {
+pub(crate) unsafe fn log_gathered_write(socket: c_int, parts: *const iovec, count: c_int) {
     if count > 0 {
-        // SAFETY: the caller's promise.
-        unsafe { note((*parts).iov_base, (*parts).iov_len, socket) }
+        // SAFETY: the caller guarantees that the memory is readable.
+        unsafe { log_write((*parts).iov_base, (*parts).iov_len, socket) }
     }
 }
 
-/// Notes a write, if it begins a message to a node.
+/// Logs a write if the bytes begin a message to a node.
 ///
 /// # Safety
 /// `bytes` has to point to `length` readable bytes.
-pub(crate) unsafe fn note(bytes: *const c_void, length: usize, socket: c_int) {
+pub(crate) unsafe fn log_write(bytes: *const c_void, length: usize, socket: c_int) {
     if length == 0 || bytes.is_null() {
         return;
     }
-    // SAFETY: the caller's promise.
+    // SAFETY: the caller guarantees that the memory is readable.
     let bytes = unsafe { std::slice::from_raw_parts(bytes.cast::<u8>(), length) };
     if !COMMANDS.iter().any(|command| bytes.starts_with(command)) {
         return;
--- a/crates/fault-injection/src/state.rs
+++ b/crates/fault-injection/src/state.rs
@@ -1,4 +1,5 @@
-//! The plan in force in this process, and the time since it began. All calls here go straight to the kernel.
+//! The plan in force in this process, and the time since the process started. All system calls of this module go
+//! straight to the kernel.
 
 use std::cell::Cell;
 use std::ffi::CString;
@@ -15,18 +16,21 @@
 /// The largest plan file that is read.
 const MAX_PLAN_BYTES: usize = 16 << 10;
 
-/// What the faults of this process depend on.
+/// The plan with what it takes to apply it.
 struct State {
+    /// The path of the plan's file; none if the variable is not set.
     path: Option<CString>,
-    began_ms: u64,
+    started_ms: u64,
+    /// When the file was last read.
     read_ms: u64,
     plan: Plan,
+    /// The state of the random number generator.
     random: u64,
 }
 
 thread_local! {
-    /// Set while this thread is in here: what it calls meanwhile is not subject to faults.
-    static INSIDE: Cell<bool> = const { Cell::new(false) };
+    /// Set while this thread uses the state: calls that it makes meanwhile are not subject to faults.
+    static IN_STATE: Cell<bool> = const { Cell::new(false) };
 }
 
 static STATE: OnceLock<Mutex<State>> = OnceLock::new();
@@ -53,13 +57,13 @@
     };
     let now = monotonic_ms();
     let random = now.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
-    let mut state = State { path, began_ms: now, read_ms: 0, plan: Plan::default(), random };
+    let mut state = State { path, started_ms: now, read_ms: 0, plan: Plan::default(), random };
     state.reread(now);
     Mutex::new(state)
 }
 
 impl State {
-    /// Reads the plan's file again if the interval is over. A file that cannot be read or parsed changes nothing.
+    /// Reads the plan's file again if `REREAD_MS` has passed. If the file can't be read or parsed, the plan stays.
     fn reread(&mut self, now: u64) {
         let Some(path) = self.path.as_ref().filter(|_| now >= self.read_ms + REREAD_MS) else { return };
         self.read_ms = now;
@@ -75,13 +79,13 @@
             read
         };
         let text = usize::try_from(read).ok().and_then(|n| std::str::from_utf8(&bytes[..n]).ok());
-        // A plan that is being written is read again before long.
+        // A file that is just being written may not parse; it is read again after the interval.
         if let Some(Ok(plan)) = text.map(str::parse) {
             self.plan = plan;
         }
     }
 
-    /// A number from 0 to 99 (xorshift).
+    /// Draws a number from 0 to 99 (xorshift).
     fn roll(random: &mut u64) -> u64 {
         *random ^= *random << 13;
         *random ^= *random >> 7;
@@ -90,36 +94,37 @@
     }
 }
 
-/// Looks at the state with the milliseconds since the process began; `None` while this thread is in here already.
-fn with_state<T>(look: impl FnOnce(&mut State, u64) -> Option<T>) -> Option<T> {
-    if INSIDE.try_with(|inside| inside.replace(true)).unwrap_or(true) {
+/// Calls `access` with the state and the milliseconds since the process started. Returns `None` if this thread uses the
+/// state already.
+fn with_state<T>(access: impl FnOnce(&mut State, u64) -> Option<T>) -> Option<T> {
+    if IN_STATE.try_with(|inside| inside.replace(true)).unwrap_or(true) {
         return None;
     }
-    let found = {
+    let result = {
         let mut state = STATE.get_or_init(new_state).lock().unwrap_or_else(|e| e.into_inner());
         let now = monotonic_ms();
         state.reread(now);
-        let since = now - state.began_ms;
-        look(&mut state, since)
+        let elapsed_ms = now - state.started_ms;
+        access(&mut state, elapsed_ms)
     };
-    INSIDE.with(|inside| inside.set(false));
-    found
+    IN_STATE.with(|inside| inside.set(false));
+    result
 }
 
-/// The fault of a call of this kind now, if any.
+/// The fault that a call of this kind gets now, if any.
 pub(crate) fn fault(call: Call) -> Option<Fault> {
-    with_state(|state, since| {
+    with_state(|state, elapsed_ms| {
         let State { plan, random, .. } = state;
-        plan.fault(call, since, || State::roll(random))
+        plan.fault(call, elapsed_ms, || State::roll(random))
     })
 }
 
-/// How far the wall clock is off now, in milliseconds.
+/// The offset of the wall clock now, in milliseconds.
 pub(crate) fn clock_offset_ms() -> i64 {
-    with_state(|state, since| Some(state.plan.clock_offset_ms(since))).unwrap_or(0)
+    with_state(|state, elapsed_ms| Some(state.plan.clock_offset_ms(elapsed_ms))).unwrap_or(0)
 }
 
-/// Fails a call with this error.
+/// Sets `errno` to this error and returns -1, the result of a failed call.
 pub(crate) fn fail(errno: i32) -> c_int {
     // SAFETY: the address is this thread's own.
     unsafe { *libc::__errno_location() = errno };
