--- a/crates/capacity/src/cost.rs
+++ b/crates/capacity/src/cost.rs
@@ -1,4 +1,4 @@
-//! A measured cost, and the clocks and counters by which costs are measured.
+//! A measured cost, and the functions that measure time and memory.
 
 use std::fmt;
 use std::time::Instant;
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MeasurementKind {
-    /// Counted; the same in each run.
+    /// Counted: the values are the same in each run.
     Counted,
     /// Timed: the median of rounds in which all sizes take turns.
     Timed,
@@ -24,7 +24,7 @@
 pub struct Cost {
     /// The name that `--only` takes and docs/capacity.scm lists.
     pub name: &'static str,
-    /// What is measured.
+    /// Description of what is measured.
     #[serde(rename = "what")]
     pub description: &'static str,
     /// What the size counts.
@@ -40,7 +40,7 @@
 }
 
 impl Cost {
-    /// Fits a line through the points; see [`LinearFit::least_squares`] for when there is none.
+    /// Fits a line through the points; [`LinearFit::least_squares`] says when it returns `None`.
     pub fn fit(&self) -> Option<LinearFit> {
         LinearFit::least_squares(&self.points)
     }
@@ -67,12 +67,12 @@
 
 impl fmt::Display for Cost {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let how = format!("{:?}", self.kind).to_lowercase();
-        writeln!(f, "{}: {} ({how}, {} over {})", self.name, self.description, self.unit, self.size_unit)?;
+        let kind = format!("{:?}", self.kind).to_lowercase();
+        writeln!(f, "{}: {} ({kind}, {} over {})", self.name, self.description, self.unit, self.size_unit)?;
         for p in &self.points {
             writeln!(f, "  {:>9} {:>14}", p.size, format_significant(p.value))?;
         }
-        let Some(line) = self.fit() else { return writeln!(f, "  no line") };
+        let Some(line) = self.fit() else { return writeln!(f, "  no line can be fitted") };
         write!(
             f,
             "  slope {} intercept {}",
@@ -81,7 +81,7 @@
         )?;
         write!(
             f,
-            " worst residual {:.0}% last slope {:.2} of the first",
+            " largest residual {:.0}% ratio of last to first slope {:.2}",
             100.0 * line.max_relative_residual,
             line.slope_ratio
         )?;
@@ -101,17 +101,17 @@
     format!("{value:.digits$}")
 }
 
-/// Measures all sizes in turn, round after round, and takes the median of each. A disturbance of the machine that lasts
-/// a while so affects all sizes alike.
+/// Measures each size once a round and returns the median of the rounds for each size. All sizes take turns, so that a
+/// longer disturbance of the machine affects all of them alike.
 pub(crate) fn measure_interleaved<T>(
     sizes: &mut [(f64, T)],
     rounds: usize,
-    mut take: impl FnMut(&mut T) -> f64,
+    mut measure_once: impl FnMut(&mut T) -> f64,
 ) -> Vec<Point> {
     let mut samples = vec![Vec::with_capacity(rounds); sizes.len()];
     for _ in 0..rounds {
-        for ((_, at), samples) in sizes.iter_mut().zip(&mut samples) {
-            samples.push(take(at));
+        for ((_, state), samples) in sizes.iter_mut().zip(&mut samples) {
+            samples.push(measure_once(state));
         }
     }
     sizes
@@ -121,13 +121,13 @@
         .collect()
 }
 
-/// Returns the median, the upper one of an even number of samples, or NaN without samples.
+/// Returns the median: the upper of the two middle values if the number of samples is even, NaN if there are none.
 pub(crate) fn median(mut samples: Vec<f64>) -> f64 {
     samples.sort_by(f64::total_cmp);
     samples.get(samples.len() / 2).copied().unwrap_or(f64::NAN)
 }
 
-/// Returns the microseconds that the work takes, and its result.
+/// Runs `work` and returns its duration in microseconds and its result.
 pub(crate) fn time_micros<T>(work: impl FnOnce() -> T) -> (f64, T) {
     let started = Instant::now();
     let result = work();
@@ -139,7 +139,7 @@
     resident_bytes_of("self")
 }
 
-/// Returns the resident memory of another process, by its id as text.
+/// Returns the resident memory of a process in bytes; `process` is its id, or `self`.
 pub(crate) fn resident_bytes_of(process: &str) -> Option<f64> {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).ok()?;
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
@@ -147,11 +147,12 @@
     Some(kilobytes * 1024.0)
 }
 
-/// Returns the bytes of one item: the growth of this process while `many` are made, divided by their number.
-pub(crate) fn resident_growth_per_item<T>(many: usize, make: impl Fn(usize) -> T) -> f64 {
+/// Returns the bytes of one item: the growth of this process's resident memory while `count` items are made, divided by
+/// `count`.
+pub(crate) fn resident_growth_per_item<T>(count: usize, make_item: impl Fn(usize) -> T) -> f64 {
     let before = resident_bytes().unwrap_or(f64::NAN);
-    let all: Vec<T> = (0..many).map(make).collect();
+    let items: Vec<T> = (0..count).map(make_item).collect();
     let after = resident_bytes().unwrap_or(f64::NAN);
-    std::hint::black_box(&all);
-    (after - before) / many as f64
+    std::hint::black_box(&items);
+    (after - before) / count as f64
 }
--- a/crates/capacity/src/error.rs
+++ b/crates/capacity/src/error.rs
@@ -1,41 +1,41 @@
-//! Why a cost could not be measured.
+//! Errors of measurements.
 
 use std::io;
 
 use thiserror::Error;
 
-/// Why a cost could not be measured.
+/// The reason why a cost could not be measured.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum MeasurementError {
-    /// A process, file or connection of the measurement failed.
+    /// An operation on a process, file or connection of the measurement failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The director did not accept connections in time after its start.
-    #[error("a director does not serve")]
+    /// The director did not accept connections within 10 seconds of its start.
+    #[error("the director did not accept connections within 10 s of its start")]
     DirectorNotServing,
-    /// The director did not satisfy the lookups that were sent, so that its figures would be those of another load.
-    #[error("of {rate} lookups a second {satisfied:.0} satisfied, {others:.0} not")]
+    /// The director did not satisfy the lookups that were sent. Its figures would not be those of the intended load.
+    #[error("of {rate} lookups a second, {satisfied:.0} were satisfied and {others:.0} were not")]
     LookupsNotSatisfied {
-        /// Lookups sent a second.
+        /// Number of lookups sent a second.
         rate: f64,
-        /// Lookups satisfied a second.
+        /// Number of lookups satisfied a second.
         satisfied: f64,
-        /// Lookups answered otherwise a second.
+        /// Number of lookups a second that received any other answer.
         others: f64,
     },
     /// A simulated member lost its connection to a voter during the measurement.
-    #[error("a member of {members} lost a voter: {source}")]
+    #[error("one of {members} members lost its connection to a voter: {source}")]
     VoterLost {
-        /// Members in the trial, the voters among them.
+        /// Number of members in the trial, including the voters.
         members: u32,
-        /// What the connection reported.
+        /// The error of the connection.
         source: io::Error,
     },
     /// No voter held the assignment role throughout the measurement.
-    #[error("no steady dealer of {members}")]
+    #[error("no voter held the assignment role throughout the measurement with {members} members")]
     NoSteadyAssigner {
-        /// Members in the trial, the voters among them.
+        /// Number of members in the trial, including the voters.
         members: u32,
     },
 }
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -1,8 +1,8 @@
-//! A straight line through measured points, and the size at which they leave it.
+//! Fits a straight line through measured points and finds the size from which the cost grows faster.
 
 use serde::Serialize;
 
-/// A cost that exceeds the line by more than this share has bent.
+/// Share of the predicted value by which a cost may exceed the line before it counts as bent.
 const BEND_TOLERANCE: f64 = 0.25;
 
 /// The value of a cost at one size.
@@ -10,18 +10,19 @@
 pub struct Point {
     /// The size.
     pub size: f64,
-    /// What was measured at it.
+    /// The value measured at this size.
     pub value: f64,
 }
 
-/// The line with the least squares of *relative* residuals: the sizes lie decades apart, and each counts alike.
+/// The line with the least sum of squared *relative* residuals. The sizes span several orders of magnitude, and relative
+/// residuals give each of them the same weight.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct LinearFit {
     /// Growth for each unit of size.
     pub slope: f64,
     /// Value at size zero.
     pub intercept: f64,
-    /// Largest residual as a share of the value measured there.
+    /// Largest residual as a share of the value measured at that size.
     #[serde(rename = "worst")]
     pub max_relative_residual: f64,
     /// Slope between the last two sizes divided by the slope between the first two.
@@ -38,46 +39,50 @@
         self.intercept + self.slope * size
     }
 
-    /// Fits a line. Returns `None` with fewer than three points, if all sizes are equal, or if a number is not finite.
+    /// Fits a line through the points. Returns `None` if there are fewer than three points, if all sizes are equal, or if
+    /// a number is not finite.
     pub fn least_squares(points: &[Point]) -> Option<LinearFit> {
         let (slope, intercept) = weighted_least_squares(points)?;
-        let off =
+        let relative_residual =
             |p: &Point| (intercept + slope * p.size - p.value).abs() / p.value.abs().max(f64::MIN_POSITIVE);
-        let worst = points.iter().map(off).fold(0.0, f64::max);
-        let half = &points[..points.len().div_ceil(2).max(3)];
-        let (s, i) = weighted_least_squares(half)?;
-        let rest = &points[half.len()..];
-        let bend = rest.iter().find(|p| p.value > (1.0 + BEND_TOLERANCE) * (i + s * p.size)).map(|p| p.size);
-        let local = |a: &Point, b: &Point| (b.value - a.value) / (b.size - a.size);
-        let turn = match points {
-            [a, b, .., c, d] => local(c, d) / local(a, b),
+        let max_residual = points.iter().map(relative_residual).fold(0.0, f64::max);
+        let smaller_half = &points[..points.len().div_ceil(2).max(3)];
+        let (half_slope, half_intercept) = weighted_least_squares(smaller_half)?;
+        let larger_half = &points[smaller_half.len()..];
+        let bend_at = larger_half
+            .iter()
+            .find(|p| p.value > (1.0 + BEND_TOLERANCE) * (half_intercept + half_slope * p.size))
+            .map(|p| p.size);
+        let slope_between = |a: &Point, b: &Point| (b.value - a.value) / (b.size - a.size);
+        let slope_ratio = match points {
+            [a, b, .., c, d] => slope_between(c, d) / slope_between(a, b),
             _ => 1.0,
         };
-        Some(LinearFit { slope, intercept, max_relative_residual: worst, slope_ratio: turn, bend_at: bend })
+        Some(LinearFit { slope, intercept, max_relative_residual: max_residual, slope_ratio, bend_at })
     }
 }
 
-/// Slope and intercept, each point weighted by one over the square of its value. A value of zero is weighted like the
-/// smallest value that is not zero.
+/// Returns the slope and the intercept of the line with the least weighted squares. The weight of a point is one over the
+/// square of its value; a value of zero has the weight of the smallest value that is not zero.
 fn weighted_least_squares(points: &[Point]) -> Option<(f64, f64)> {
     if points.len() < 3 || points.iter().any(|p| !p.value.is_finite() || !p.size.is_finite()) {
         return None;
     }
-    let least = points.iter().map(|p| p.value.abs()).filter(|v| *v > 0.0).fold(f64::INFINITY, f64::min);
-    let floor = if least.is_finite() { least } else { 1.0 };
+    let min_nonzero = points.iter().map(|p| p.value.abs()).filter(|v| *v > 0.0).fold(f64::INFINITY, f64::min);
+    let min_magnitude = if min_nonzero.is_finite() { min_nonzero } else { 1.0 };
     let (mut w, mut x, mut y, mut xx, mut xy) = (0.0, 0.0, 0.0, 0.0, 0.0);
     for p in points {
-        let weight = p.value.abs().max(floor).powi(-2);
+        let weight = p.value.abs().max(min_magnitude).powi(-2);
         w += weight;
         x += weight * p.size;
         y += weight * p.value;
         xx += weight * p.size * p.size;
         xy += weight * p.size * p.value;
     }
-    let apart = w * xx - x * x;
-    if apart <= f64::EPSILON * w * xx {
+    let determinant = w * xx - x * x;
+    if determinant <= f64::EPSILON * w * xx {
         return None;
     }
-    let slope = (w * xy - x * y) / apart;
+    let slope = (w * xy - x * y) / determinant;
     Some((slope, (y - slope * x) / w))
 }
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the parts of sablecross cost as they grow: each cost is measured at several sizes and fitted with a line, and the
-//! tables of docs/CAPACITY.md are computed from the lines for the target size.
+//! Measures how the costs of sablecross grow. Each cost is measured at several sizes and fitted with a line; the tables
+//! of docs/CAPACITY.md are computed from these lines for the target size.
 
 mod coordination;
 mod cost;
--- a/crates/capacity/src/model.rs
+++ b/crates/capacity/src/model.rs
@@ -1,5 +1,5 @@
-//! The capacity model: the target size, the budgets, the assumptions and the measured costs of a settings file such as
-//! docs/capacity.scm, and the loads that follow from them.
+//! The capacity model. It holds the target size, the budgets, the assumptions and the measured costs of a settings file
+//! such as docs/capacity.scm, and calculates the loads that follow from them.
 
 mod forms;
 
@@ -12,15 +12,15 @@
 /// The content of one settings file.
 #[derive(Clone, Debug)]
 pub struct CapacityModel {
-    /// The size that has to be carried.
+    /// The size of the installation that has to be carried.
     pub target: Target,
-    /// What control may use.
+    /// The resources that control may use.
     pub budget: Budget,
-    /// What is assumed and not measured.
+    /// The values that are assumed and not measured.
     pub assumptions: Assumptions,
-    /// The measured costs by name.
+    /// The measured costs, by name.
     pub slopes: BTreeMap<String, Slope>,
-    /// The figures of single runs by name.
+    /// The figures of single runs, by name.
     pub figures: BTreeMap<String, Figure>,
     /// Names of the slopes in the order of the file.
     pub slope_names: Vec<String>,
@@ -30,13 +30,13 @@
 ///
 /// # Errors
 ///
-/// Every error that is found: syntax, keys and ranges, forms that stand twice, and forms, slopes or figures that the
-/// tables need and that are missing.
+/// Returns all errors of the file: wrong syntax, unknown keys, values out of range, forms that appear twice, and missing
+/// forms, slopes or figures that the tables need.
 pub fn parse(file: &str, text: &str) -> Result<CapacityModel, Vec<ConfigError>> {
     let mut builder = ModelBuilder::default();
     for form in sablecross_sexpr_config::parse_forms::<Form>(file, text)? {
         if builder.insert(&form.value) {
-            builder.errors.push(form.error(file, "name", "stands twice", "leave one of the two out"));
+            builder.errors.push(form.error(file, "name", "appears twice", "remove one of the two forms"));
         }
     }
     builder.finish(file)
@@ -55,7 +55,7 @@
 }
 
 impl ModelBuilder {
-    /// Adds a form; true if there was one of its kind, or of its name, already.
+    /// Adds a form. Returns true if a form of its kind, or a slope or figure of its name, was there already.
     fn insert(&mut self, form: &Form) -> bool {
         match form {
             Form::Target(target) => self.target.replace(target.clone()).is_some(),
@@ -74,10 +74,11 @@
     }
 
     fn finish(mut self, file: &str) -> Result<CapacityModel, Vec<ConfigError>> {
-        let unknown: Vec<&str> = REQUIRED_NAMES.iter().copied().filter(|name| !self.is_known(name)).collect();
-        for name in unknown {
-            let problem = format!("no slope or figure of the name {name}");
-            let remedy = "measure it, or leave a figure without a value";
+        let missing_names: Vec<&str> =
+            REQUIRED_NAMES.iter().copied().filter(|name| !self.is_known(name)).collect();
+        for name in missing_names {
+            let problem = format!("no slope or figure has the name {name}");
+            let remedy = "measure it, or add a (figure ...) form without a value";
             self.errors.push(missing(file, "name", problem, remedy));
         }
         match (self.target, self.budget, self.assumptions) {
@@ -104,12 +105,12 @@
     }
 }
 
-/// An error about something that the file lacks; it stands at the file's begin.
+/// Returns an error about something that the file lacks; it names the first line and column of the file.
 fn missing(file: &str, key: &str, problem: String, remedy: &str) -> ConfigError {
     ConfigError { file: file.into(), line: 1, column: 1, key: key.into(), problem, remedy: remedy.into() }
 }
 
-/// Slopes and figures that the tables need.
+/// Names of the slopes and figures that the tables need.
 const REQUIRED_NAMES: &[&str] = &[
     "module-purge-known",
     "module-purge-rate",
@@ -167,12 +168,12 @@
 ];
 
 impl CapacityModel {
-    /// Returns a cost at a size by its line, or NaN if there is no slope of that name.
+    /// Returns the value of a cost's line at a size, or NaN if there is no slope of that name.
     pub fn predict(&self, name: &str, size: f64) -> f64 {
         self.slopes.get(name).map_or(f64::NAN, |s| s.intercept + s.slope * size)
     }
 
-    /// Returns the value measured at exactly this size, or else the one by the line.
+    /// Returns the value measured at exactly this size, or the value of the line if this size was not measured.
     pub fn measured_or_predicted(&self, name: &str, size: f64) -> f64 {
         let points = self.slopes.get(name).map(|s| &s.points[..]).unwrap_or_default();
         points.iter().find(|p| p.0 == size).map_or_else(|| self.predict(name, size), |p| p.1)
@@ -188,46 +189,46 @@
         self.figures.get(name).and_then(|f| f.value)
     }
 
-    /// Changes of the endpoint list a second.
+    /// Returns the number of changes of the endpoint list a second.
     pub fn changes_per_s(&self) -> f64 {
         self.target.changes_a_day / 86_400.0
     }
 
-    /// Purges that affect decisions at any time.
+    /// Returns the number of purges that affect decisions at any time.
     pub fn active_purges(&self) -> f64 {
         self.target.purges * self.assumptions.binds_s
     }
 
-    /// Purges that a relay keeps and sends to a reader that has none.
+    /// Returns the number of purges that a relay keeps and sends to a reader that has none.
     pub fn retained_purges(&self) -> f64 {
         self.target.purges * (self.assumptions.binds_s + self.assumptions.slack_s)
     }
 
-    /// Bytes of events a second, without packet headers.
+    /// Returns the bytes of events a second, without packet headers.
     pub fn event_bytes_per_s(&self) -> f64 {
         self.target.purges * self.slope("feed-purge-bytes")
             + self.changes_per_s() * self.slope("feed-change-bytes")
     }
 
-    /// Bytes a second of an event stream that arrives in `packets` packets a second, each with its acknowledgement, and
+    /// Returns the bytes a second of an event stream with `packets` packets a second, each with its acknowledgement, and
     /// with `comment` bytes of comments a second.
     pub fn subscriber_bytes_per_s(&self, packets: f64, comment: f64) -> f64 {
         self.event_bytes_per_s() + comment + packets * 2.0 * self.assumptions.head
     }
 
-    /// Bytes a second of the calls by which a reader reports what it has applied.
+    /// Returns the bytes a second of the calls by which a reader reports what it has applied.
     pub fn reconnect_bytes_per_s(&self) -> f64 {
         let a = &self.assumptions;
         (2.0 * a.call + a.connection * a.head) * 1e3 / a.ack_ms
     }
 
-    /// Bytes that a reader without any state receives: the endpoint list and the purges that the relay keeps.
+    /// Returns the bytes that a reader without any state receives: the endpoint list and the purges that the relay keeps.
     pub fn snapshot_bytes(&self) -> f64 {
         self.predict("feed-list-bytes", self.target.nodes)
             + self.retained_purges() * self.slope("feed-purge-bytes")
     }
 
-    /// Batches of events a second.
+    /// Returns the number of batches of events a second.
     pub fn batches_per_s(&self) -> f64 {
         (1e3 / self.assumptions.batch_ms).min(self.target.purges + self.changes_per_s())
     }
--- a/crates/capacity/src/model/forms.rs
+++ b/crates/capacity/src/model/forms.rs
@@ -38,7 +38,7 @@
     /// Load of the busiest director as a multiple of the mean.
     #[garde(range(min = 1.0, max = 100.0))]
     pub busiest: f64,
-    /// Bits of bodies a second at the peak, of all directors.
+    /// Bits of response bodies a second at the peak, of all directors.
     #[garde(range(min = 1.0, max = 1e15))]
     pub bits: f64,
     /// Purges a second.
@@ -55,7 +55,7 @@
     pub cut_s: f64,
 }
 
-/// What control may use, and how fast it has to be.
+/// The resources that control may use, and the time within which it has to apply purges and changes.
 #[derive(Clone, Debug, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Budget {
@@ -68,7 +68,7 @@
     /// Bytes of control a second, to and from a director.
     #[garde(range(min = 1.0, max = 1e9))]
     pub bytes: f64,
-    /// Processor time of the one control process of a machine set aside, in percent of a core.
+    /// Processor time of the control process of a machine set aside for control, in percent of a core.
     #[garde(range(min = 1.0, max = 1e4))]
     pub machine_core: f64,
     /// Seconds after which a purge has to be applied everywhere.
@@ -79,7 +79,7 @@
     pub change_s: f64,
 }
 
-/// What is assumed and not measured: sizes of protocol headers, timers and limits.
+/// The values that are assumed and not measured: sizes of protocol headers, timers and limits.
 #[derive(Clone, Debug, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Assumptions {
@@ -90,10 +90,10 @@
     /// Bytes of a comment that keeps an event stream alive.
     #[garde(range(min = 2.0, max = 1e3))]
     pub comment: f64,
-    /// Bytes of the head of an HTTP call, and as many of the head of its answer.
+    /// Bytes of the head of an HTTP request; the head of its response is taken to be as long.
     #[garde(range(min = 20.0, max = 1e4))]
     pub call: f64,
-    /// Packets that open and close a connection.
+    /// Number of packets that open and close a connection.
     #[garde(range(min = 6.0, max = 20.0))]
     pub connection: f64,
     /// Milliseconds between two batches of events.
@@ -105,24 +105,25 @@
     /// Seconds for which a purge affects decisions.
     #[garde(range(min = 1.0, max = 1e5))]
     pub binds_s: f64,
-    /// Further seconds for which a relay keeps a purge at most, for clock skew and until its snapshot moves on.
+    /// Maximum further seconds for which a relay keeps a purge: 10 s for clock skew, and up to 10 s until its
+    /// snapshot moves on.
     #[garde(range(min = 0.0, max = 1e4))]
     pub slack_s: f64,
-    /// Link of one control machine, in bits a second.
+    /// Capacity of the network link of one control machine, in bits a second.
     #[garde(range(min = 1e6, max = 1e12))]
     pub machine_link: f64,
-    /// File descriptors of a director, and as many of a node.
+    /// Limit of file descriptors of a director, and of a node.
     #[garde(range(min = 16.0, max = 1e6))]
     pub descriptors: f64,
-    /// Connections of a relay.
+    /// Limit of connections of a relay.
     #[garde(range(min = 16.0, max = 1e6))]
     pub connections: f64,
-    /// Bytes of the largest body.
+    /// Bytes of the largest response body.
     #[garde(range(min = 1.0, max = 1e9))]
     pub body: f64,
 }
 
-/// A cost that was measured over sizes. `sablecross slopes --only NAME` measures it again, unless `command` names
+/// A cost that was measured at several sizes. `sablecross cost-slopes --only NAME` measures it again, unless `command` names
 /// another command.
 #[derive(Clone, Debug, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
@@ -139,14 +140,15 @@
     /// Largest residual, in percent of the value that was measured there.
     #[garde(skip)]
     pub worst: f64,
-    /// The size from which the cost grows faster than the line; 0 if it does not.
+    /// The first size at which the cost exceeds the line through the smaller half of the sizes by more than a quarter; 0
+    /// if there is none.
     #[garde(skip)]
     #[serde(default)]
     pub bend: f64,
     /// Unit of the cost.
     #[garde(length(min = 1))]
     pub unit: String,
-    /// What the size counts.
+    /// Unit of the size, for example nodes.
     #[garde(length(min = 1))]
     pub over: String,
     /// Pairs of a size and the value measured at it.
@@ -155,23 +157,23 @@
     /// Date and time of the run.
     #[garde(length(min = 1))]
     pub run: String,
-    /// The command that measures the cost, if it is not `sablecross slopes`.
+    /// The command that measures the cost, if it is not `sablecross cost-slopes`.
     #[garde(skip)]
     #[serde(default)]
     pub command: Option<String>,
 }
 
-/// A figure of one run. Without a value it has not been measured yet.
+/// A figure of one run. A figure without a value has not been measured yet.
 #[derive(Clone, Debug, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Figure {
     /// Name of the figure.
     #[garde(length(min = 1, max = 60))]
     pub name: String,
-    /// What it is the figure of.
+    /// Description of what is measured.
     #[garde(length(min = 1))]
     pub what: String,
-    /// Its unit.
+    /// Unit of the value.
     #[garde(length(min = 1))]
     pub unit: String,
     /// The measured value.
@@ -182,7 +184,7 @@
     #[garde(skip)]
     #[serde(default)]
     pub run: Option<String>,
-    /// The command that measures it.
+    /// The command that measures the figure.
     #[garde(length(min = 1))]
     pub command: String,
 }
--- a/crates/capacity/tests/slopes.rs
+++ b/crates/capacity/tests/slopes.rs
@@ -76,8 +76,8 @@
     assert!(sheet.tables().contains("**not carried**: 130 % of a core of 100 % of a core"));
     let faults = with("").expect_err("a name that is needed is missing");
     assert!(faults[0].to_string().contains("scale-relay-core"), "{faults:?}");
-    let twice = with(&format!("{open}\n{open}")).expect_err("a name stands twice");
-    assert!(twice[0].to_string().contains("stands twice"), "{twice:?}");
+    let twice = with(&format!("{open}\n{open}")).expect_err("a name that appears twice");
+    assert!(twice[0].to_string().contains("appears twice"), "{twice:?}");
 }
 
 #[test]
