--- a/crates/capacity/src/coordination.rs
+++ b/crates/capacity/src/coordination.rs
@@ -1,5 +1,6 @@
-//! What coordination costs members and voters, without sockets: coordinators in one simulated time, each message encoded
-//! and decoded as between processes, and the time of each party's own code counted apart.
+//! Measures what coordination costs members and voters, without sockets. All coordinators run on one simulated clock.
+//! Each message is encoded and decoded as it is between processes, and the time of each member's code is measured
+//! separately.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Instant;
@@ -13,10 +14,11 @@
 
 pub(crate) const MS: Ns = 1_000_000;
 const SEC: Ns = 1_000 * MS;
-/// Numbers of members; 13 is that of the relays alone, 3,800 that of all directors.
-pub(crate) const MEMBERS: [u32; 7] = [13, 50, 100, 200, 500, 1_000, 3_800];
-const TARGETS: [u64; 6] = [0, 20, 50, 100, 200, 490];
-/// Members in the measurements over health-check targets.
+/// Numbers of members: 13 is the number of relays, 3,800 the number of directors at the target size.
+pub(crate) const MEMBER_COUNTS: [u32; 7] = [13, 50, 100, 200, 500, 1_000, 3_800];
+/// Numbers of health-check targets.
+const TARGET_COUNTS: [u64; 6] = [0, 20, 50, 100, 200, 490];
+/// Number of members in the measurements by the number of health-check targets.
 const TARGET_TRIAL_MEMBERS: u32 = 100;
 pub(crate) const VOTERS: u32 = 5;
 const ROUNDS: usize = 5;
@@ -34,15 +36,18 @@
     }
 }
 
-/// Of one party: calls made or answered, bytes in both directions, nanoseconds of its own code.
+/// What one member or voter used.
 #[derive(Clone, Copy, Default)]
-struct PartyUsage {
+struct MemberUsage {
+    /// Number of calls made or answered.
     calls: u64,
+    /// Bytes of messages in both directions.
     bytes: u64,
+    /// Nanoseconds spent in the member's code.
     elapsed_ns: u64,
 }
 
-/// An encoded call on its way to a voter.
+/// An encoded call that has not been delivered to its voter yet.
 struct PendingCall {
     from: Member,
     voter: u32,
@@ -50,15 +55,15 @@
     body: Vec<u8>,
 }
 
-/// Coordinators in one simulated time, the first ones of them voters.
+/// Coordinators on one simulated clock. The first `VOTERS` of them are voters.
 struct SimulatedFleet {
     now: Ns,
     coordinators: Vec<Coordinator>,
-    usage: Vec<PartyUsage>,
+    usage: Vec<MemberUsage>,
     pending_calls: VecDeque<PendingCall>,
 }
 
-fn timed<T>(usage: &mut PartyUsage, work: impl FnOnce() -> T) -> T {
+fn timed<T>(usage: &mut MemberUsage, work: impl FnOnce() -> T) -> T {
     let started = Instant::now();
     let result = work();
     usage.elapsed_ns += started.elapsed().as_nanos() as u64;
@@ -81,19 +86,19 @@
         let coordinators: Vec<Coordinator> = (0..members).map(coordinator).collect();
         SimulatedFleet {
             now: 0,
-            usage: vec![PartyUsage::default(); coordinators.len()],
+            usage: vec![MemberUsage::default(); coordinators.len()],
             coordinators,
             pending_calls: VecDeque::new(),
         }
     }
 
-    /// Carries out the actions of a coordinator: its calls are encoded and queued, its health checks succeed at once.
+    /// Carries out the actions of a coordinator. Its calls are encoded and queued; its health checks succeed at once.
     fn run_actions(&mut self, number: usize) {
         loop {
             let (coordinator, usage) = (&mut self.coordinators[number], &mut self.usage[number]);
             let me = coordinator.me();
             let actions = timed(usage, || coordinator.take_actions());
-            let mut probes = Vec::new();
+            let mut health_checks = Vec::new();
             for action in actions {
                 match action {
                     Action::Call { voter, call_id: number, messages } => {
@@ -101,14 +106,14 @@
                         let body = timed(usage, || rmp_serde::to_vec(&request)).unwrap_or_default();
                         self.pending_calls.push_back(PendingCall { from: me, voter, call_id: number, body });
                     }
-                    Action::CheckHealth { target, token } => probes.push((target, token)),
+                    Action::CheckHealth { target, token } => health_checks.push((target, token)),
                     _ => {}
                 }
             }
-            if probes.is_empty() {
+            if health_checks.is_empty() {
                 return;
             }
-            for (target, token) in probes {
+            for (target, token) in health_checks {
                 timed(usage, || {
                     coordinator.on_check_result(self.now, target, token, Ok(HealthState::Healthy(Some(0.5))))
                 });
@@ -118,32 +123,32 @@
 
     fn deliver(&mut self, call: PendingCall) {
         let PendingCall { from, voter, call_id: number, body } = call;
-        let (at, by) = (voter as usize, from.number as usize);
-        let (coordinator, usage) = (&mut self.coordinators[at], &mut self.usage[at]);
-        let answer = timed(usage, || {
+        let (voter_index, caller_index) = (voter as usize, from.number as usize);
+        let (coordinator, usage) = (&mut self.coordinators[voter_index], &mut self.usage[voter_index]);
+        let replies_body = timed(usage, || {
             let messages = rmp_serde::from_slice::<Request>(&body).map(|r| r.messages).unwrap_or_default();
             rmp_serde::to_vec(&coordinator.on_request(self.now, from, &messages)).unwrap_or_default()
         });
-        for party in [at, by] {
-            self.usage[party].calls += 1;
-            self.usage[party].bytes += (body.len() + answer.len()) as u64;
+        for index in [voter_index, caller_index] {
+            self.usage[index].calls += 1;
+            self.usage[index].bytes += (body.len() + replies_body.len()) as u64;
         }
-        self.run_actions(at);
-        let (coordinator, usage) = (&mut self.coordinators[by], &mut self.usage[by]);
+        self.run_actions(voter_index);
+        let (coordinator, usage) = (&mut self.coordinators[caller_index], &mut self.usage[caller_index]);
         timed(usage, || {
-            let replies: Vec<Reply> = rmp_serde::from_slice(&answer).unwrap_or_default();
+            let replies: Vec<Reply> = rmp_serde::from_slice(&replies_body).unwrap_or_default();
             coordinator.on_replies(self.now, voter, number, replies);
         });
-        self.run_actions(by);
+        self.run_actions(caller_index);
     }
 
     fn run(&mut self, until: Ns) {
         while self.now < until {
             self.now += 5 * MS;
             for number in 0..self.coordinators.len() {
-                // The starts of the members are spread over one heartbeat interval.
-                let begins = mix(number as u64) % (500 * MS);
-                if self.now < begins || self.coordinators[number].next_wakeup() > self.now {
+                // Members start at times spread over one heartbeat interval.
+                let start_time = mix(number as u64) % (500 * MS);
+                if self.now < start_time || self.coordinators[number].next_wakeup() > self.now {
                     continue;
                 }
                 let (coordinator, usage) = (&mut self.coordinators[number], &mut self.usage[number]);
@@ -160,34 +165,38 @@
         self.coordinators
             .iter()
             .take(VOTERS as usize)
-            .position(|o| o.token(self.now, ASSIGNMENT_ROLE).is_some())
+            .position(|coordinator| coordinator.token(self.now, ASSIGNMENT_ROLE).is_some())
     }
 }
 
-/// Usage a second of a member, of a voter, and of the voter that holds the assignment role.
+/// Mean usage a second of a plain member, of a plain voter, and of the voter that holds the assignment role.
 #[derive(Clone, Copy)]
 struct UsagePerSecond {
-    member: PartyUsage,
-    voter: PartyUsage,
-    assigner: PartyUsage,
+    member: MemberUsage,
+    voter: MemberUsage,
+    assigner: MemberUsage,
 }
 
 const MEASURED_SECONDS: u64 = 6;
 
 fn measure_usage(members: u32, targets: u64) -> Option<UsagePerSecond> {
     let mut fleet = SimulatedFleet::new(members, targets);
-    // Twice the time after which a silent member counts as failed: all members are known, the assignment is stable.
+    // After twice the time in which a silent member counts as failed, all members are known and the assignment is stable.
     fleet.run(12 * SEC);
-    let before = fleet.assigner()?;
-    fleet.usage.iter_mut().for_each(|u| *u = PartyUsage::default());
+    let initial_assigner = fleet.assigner()?;
+    fleet.usage.iter_mut().for_each(|u| *u = MemberUsage::default());
     fleet.run((12 + MEASURED_SECONDS) * SEC);
-    let assigner = fleet.assigner().filter(|d| *d == before)?;
-    let mean = |which: &dyn Fn(usize) -> bool| {
-        let all: Vec<PartyUsage> =
-            (0..fleet.usage.len()).filter(|n| which(*n)).map(|n| fleet.usage[n]).collect();
-        let many = MEASURED_SECONDS * all.len().max(1) as u64;
-        let of = |what: fn(&PartyUsage) -> u64| all.iter().map(what).sum::<u64>() / many;
-        PartyUsage { calls: of(|u| u.calls), bytes: of(|u| u.bytes), elapsed_ns: of(|u| u.elapsed_ns) }
+    let assigner = fleet.assigner().filter(|index| *index == initial_assigner)?;
+    let mean = |includes: &dyn Fn(usize) -> bool| {
+        let usages: Vec<MemberUsage> =
+            (0..fleet.usage.len()).filter(|n| includes(*n)).map(|n| fleet.usage[n]).collect();
+        let divisor = MEASURED_SECONDS * usages.len().max(1) as u64;
+        let mean_of = |field: fn(&MemberUsage) -> u64| usages.iter().map(field).sum::<u64>() / divisor;
+        MemberUsage {
+            calls: mean_of(|u| u.calls),
+            bytes: mean_of(|u| u.bytes),
+            elapsed_ns: mean_of(|u| u.elapsed_ns),
+        }
     };
     let voters = VOTERS as usize;
     Some(UsagePerSecond {
@@ -197,95 +206,125 @@
     })
 }
 
-type Row = (f64, Vec<UsagePerSecond>);
+type UsageRow = (f64, Vec<UsagePerSecond>);
 
 fn cost(
     name: &'static str,
-    what: &'static str,
+    description: &'static str,
     size_unit: &'static str,
     kind: MeasurementKind,
-    rows: &[Row],
-    of: fn(&UsagePerSecond) -> f64,
+    rows: &[UsageRow],
+    value_of: fn(&UsagePerSecond) -> f64,
 ) -> Cost {
-    let value = |samples: &[UsagePerSecond]| crate::cost::median(samples.iter().map(of).collect());
-    let points = rows.iter().map(|(size, samples)| Point { size: *size, value: value(samples) }).collect();
+    let median_value =
+        |samples: &[UsagePerSecond]| crate::cost::median(samples.iter().map(value_of).collect());
+    let points =
+        rows.iter().map(|(size, samples)| Point { size: *size, value: median_value(samples) }).collect();
     let unit = match kind {
         MeasurementKind::Timed => "% of a core",
         _ if name.ends_with("calls") => "calls a second",
         _ => "bytes a second",
     };
-    Cost { name, description: what, size_unit, unit, kind, points }
+    Cost { name, description, size_unit, unit, kind, points }
 }
 
-fn percent_of_core(usage: PartyUsage) -> f64 {
+fn percent_of_core(usage: MemberUsage) -> f64 {
     usage.elapsed_ns as f64 / 1e7
 }
 
 pub(crate) fn measure_by_members() -> Vec<Cost> {
-    let mut rows: Vec<Row> = MEMBERS.iter().map(|m| (f64::from(*m), Vec::new())).collect();
+    let mut rows: Vec<UsageRow> = MEMBER_COUNTS.iter().map(|m| (f64::from(*m), Vec::new())).collect();
     for _ in 0..ROUNDS {
-        for (members, (_, samples)) in MEMBERS.iter().zip(&mut rows) {
+        for (members, (_, samples)) in MEMBER_COUNTS.iter().zip(&mut rows) {
             samples.extend(measure_usage(*members, 0));
         }
     }
     let cost = |name, what, kind, of| cost(name, what, "members", kind, &rows, of);
     vec![
-        cost("duties-member-bytes", "a member, both ways", MeasurementKind::Counted, |s| {
-            s.member.bytes as f64
-        }),
-        cost("duties-member-time", "a member's own code", MeasurementKind::Timed, |s| {
-            percent_of_core(s.member)
-        }),
-        cost("duties-voter-calls", "at a voter", MeasurementKind::Counted, |s| s.voter.calls as f64),
-        cost("duties-voter-bytes", "a voter, both ways", MeasurementKind::Counted, |s| s.voter.bytes as f64),
-        cost("duties-voter-time", "a voter's own code", MeasurementKind::Timed, |s| percent_of_core(s.voter)),
-        cost("duties-dealer-bytes", "the voter that deals, both ways", MeasurementKind::Counted, |s| {
-            s.assigner.bytes as f64
+        cost(
+            "duties-member-bytes",
+            "messages of a member, sent and received",
+            MeasurementKind::Counted,
+            |s| s.member.bytes as f64,
+        ),
+        cost(
+            "duties-member-time",
+            "processor time of a member, without sockets",
+            MeasurementKind::Timed,
+            |s| percent_of_core(s.member),
+        ),
+        cost("duties-voter-calls", "calls answered by a voter", MeasurementKind::Counted, |s| {
+            s.voter.calls as f64
         }),
-        cost("duties-dealer-time", "own code of the voter that deals", MeasurementKind::Timed, |s| {
-            percent_of_core(s.assigner)
+        cost("duties-voter-bytes", "messages of a voter, sent and received", MeasurementKind::Counted, |s| {
+            s.voter.bytes as f64
         }),
+        cost(
+            "duties-voter-time",
+            "processor time of a voter, without sockets",
+            MeasurementKind::Timed,
+            |s| percent_of_core(s.voter),
+        ),
+        cost(
+            "duties-dealer-bytes",
+            "messages of the holder of the assignment role, sent and received",
+            MeasurementKind::Counted,
+            |s| s.assigner.bytes as f64,
+        ),
+        cost(
+            "duties-dealer-time",
+            "processor time of the holder of the assignment role, without sockets",
+            MeasurementKind::Timed,
+            |s| percent_of_core(s.assigner),
+        ),
     ]
 }
 
 pub(crate) fn measure_by_targets() -> Vec<Cost> {
-    let mut rows: Vec<Row> = TARGETS.iter().map(|b| (*b as f64, Vec::new())).collect();
+    let mut rows: Vec<UsageRow> = TARGET_COUNTS.iter().map(|count| (*count as f64, Vec::new())).collect();
     for _ in 0..ROUNDS {
-        for (targets, (_, samples)) in TARGETS.iter().zip(&mut rows) {
+        for (targets, (_, samples)) in TARGET_COUNTS.iter().zip(&mut rows) {
             samples.extend(measure_usage(TARGET_TRIAL_MEMBERS, *targets));
         }
     }
     let cost = |name, what, kind, of| cost(name, what, "boxes probed", kind, &rows, of);
     vec![
-        cost("duties-facts-bytes", "a member of 100, both ways", MeasurementKind::Counted, |s| {
-            s.member.bytes as f64
-        }),
+        cost(
+            "duties-facts-bytes",
+            "messages of a member of 100, sent and received",
+            MeasurementKind::Counted,
+            |s| s.member.bytes as f64,
+        ),
         cost(
             "duties-facts-voter-bytes",
-            "a voter of 100 members, both ways",
+            "messages of a voter of 100 members, sent and received",
             MeasurementKind::Counted,
             |s| s.voter.bytes as f64,
         ),
-        cost("duties-facts-voter-time", "own code of a voter of 100 members", MeasurementKind::Timed, |s| {
-            percent_of_core(s.voter)
-        }),
+        cost(
+            "duties-facts-voter-time",
+            "processor time of a voter of 100 members, without sockets",
+            MeasurementKind::Timed,
+            |s| percent_of_core(s.voter),
+        ),
     ]
 }
 
-/// The time in which a member finds the owners of 490 health-check targets after the assignment has changed.
+/// Measures the time in which a member finds the owners of 490 health-check targets after the assignment has changed.
 pub(crate) fn measure_shares() -> Cost {
-    let shares = |many: u32| {
-        RendezvousShares::from_weights((0..many).map(|number| (Member { number, incarnation: 1 }, 1.0)))
+    let shares = |count: u32| {
+        RendezvousShares::from_weights((0..count).map(|number| (Member { number, incarnation: 1 }, 1.0)))
     };
     let mut sizes: Vec<(f64, RendezvousShares)> =
-        MEMBERS.iter().map(|m| (f64::from(*m), shares(*m))).collect();
+        MEMBER_COUNTS.iter().map(|count| (f64::from(*count), shares(*count))).collect();
     let points = measure_interleaved(&mut sizes, ROUNDS, |shares| {
         time_micros(|| (0..490).filter(|target| shares.owner(*target).is_some()).count()).0
     });
-    let what = "whose 490 boxes are after one change of the deal, at each member";
+    let description =
+        "time to find the owners of 490 targets after a change of the assignment, at each member";
     Cost {
         name: "duties-share-time",
-        description: what,
+        description,
         size_unit: "members",
         unit: "us",
         kind: MeasurementKind::Timed,
@@ -293,19 +332,21 @@
     }
 }
 
-/// The bytes of a complete assignment, as a voter sends it to a member that has just started.
+/// Measures the bytes of a complete assignment, as a voter sends it to a member that has just started.
 pub(crate) fn measure_assignment_bytes() -> Cost {
-    let point = |&many: &u32| {
-        let members = (0..many).map(|number| Member { number, incarnation: 1_764_576_000_123_000 }).collect();
-        let roster = Assignment { members, ..Default::default() };
-        let bytes = rmp_serde::to_vec(&vec![Reply::Assigned(roster)]).map_or(f64::NAN, |b| b.len() as f64);
-        Point { size: f64::from(many), value: bytes }
+    let point = |&count: &u32| {
+        let members =
+            (0..count).map(|number| Member { number, incarnation: 1_764_576_000_123_000 }).collect();
+        let assignment = Assignment { members, ..Default::default() };
+        let bytes =
+            rmp_serde::to_vec(&vec![Reply::Assigned(assignment)]).map_or(f64::NAN, |b| b.len() as f64);
+        Point { size: f64::from(count), value: bytes }
     };
-    let points = MEMBERS.iter().map(point).collect();
-    let what = "the deal told whole by one voter";
+    let points = MEMBER_COUNTS.iter().map(point).collect();
+    let description = "a complete assignment sent by one voter";
     Cost {
         name: "duties-roster-bytes",
-        description: what,
+        description,
         size_unit: "members",
         unit: "bytes",
         kind: MeasurementKind::Counted,
--- a/crates/capacity/src/discovery.rs
+++ b/crates/capacity/src/discovery.rs
@@ -1,4 +1,4 @@
-//! What discovery events cost a director that reads them: their bytes, and the time of the code that reads them.
+//! Measures discovery events: their bytes, and the time in which a director's code reads them.
 
 use std::hint::black_box;
 
@@ -10,24 +10,25 @@
 use crate::cost::{Cost, MeasurementKind, measure_interleaved, time_micros};
 use crate::fit::Point;
 
-const EVENTS: [usize; 5] = [10, 100, 1_000, 10_000, 40_000];
-const NODES: [usize; 6] = [20, 50, 100, 200, 350, 490];
+const EVENT_COUNTS: [usize; 5] = [10, 100, 1_000, 10_000, 40_000];
+const NODE_COUNTS: [usize; 6] = [20, 50, 100, 200, 350, 490];
 const ROUNDS: usize = 11;
 const MAX_BUFFERED_BYTES: usize = 4 << 20;
-/// Number of the first event: as large as after some days, so that its digits count.
+/// Number of the first event. It has as many digits as the numbers of a source that has run for some days.
 const FIRST_NUMBER: u64 = 10_000_000;
+/// Unix time of the purges in milliseconds.
 const PURGED_AT_MS: u64 = 1_764_576_000_123;
 
-pub(crate) fn event_block(n: u64, what: &str) -> String {
-    format!("id: {n}\ndata: {{\"n\":{n},{what}}}\n\n")
+pub(crate) fn event_block(n: u64, payload: &str) -> String {
+    format!("id: {n}\ndata: {{\"n\":{n},{payload}}}\n\n")
 }
 
-/// Returns the event with this number as a purge, as it is on the stream.
+/// Returns a purge event with this number, encoded as on the event stream.
 pub fn purge_event(n: u64) -> String {
     purge_event_at(n, PURGED_AT_MS + n)
 }
 
-/// The same for a purge made at this millisecond of the Unix clock.
+/// Returns a purge event with this number for a purge made at this Unix time in milliseconds.
 pub(crate) fn purge_event_at(n: u64, at: u64) -> String {
     event_block(n, &format!("\"purge\":{{\"key\":\"{:016x}\",\"at\":{at}}}", mix(n)))
 }
@@ -50,32 +51,33 @@
     members_event(n, &[endpoint((n % 490) as usize, status)], false)
 }
 
-/// Returns the event with this number as a complete endpoint list.
+/// Returns an event with this number that contains a complete endpoint list.
 pub fn snapshot_event(n: u64, nodes: usize) -> String {
     let all: Vec<Value> = (0..nodes).map(|node| endpoint(node, "ready")).collect();
     members_event(n, &all, true)
 }
 
-/// Reads a stream as a director does (blocks, JSON, event, order of numbers) and returns how many events were new.
+/// Reads a stream as a director does and returns the number of new events. It parses the blocks, the JSON and the events
+/// and checks the order of the event numbers.
 fn read_events(text: &[u8]) -> usize {
     let mut stream = EventStreamParser::new(MAX_BUFFERED_BYTES);
     stream.push(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
     let mut cursor = EventCursor::after_number(FIRST_NUMBER - 1);
-    let mut taken = 0;
-    for piece in text.chunks(16 << 10) {
-        stream.push(piece);
+    let mut new_events = 0;
+    for chunk in text.chunks(16 << 10) {
+        stream.push(chunk);
         while let Ok(Some(item)) = stream.next_item() {
             let StreamItem::Event { id, data } = item else { continue };
             let parsed = serde_json::from_str(&data).map_err(|e| e.to_string());
             let parsed = parsed.and_then(|v: Value| NumberedEvent::from_json(&v).map_err(|e| e.to_string()));
             let parsed = parsed.map(|e| (e.number, e.event));
-            if let EventVerdict::New(fact) = cursor.classify(id, parsed) {
-                black_box(fact);
-                taken += 1;
+            if let EventVerdict::New(event) = cursor.classify(id, parsed) {
+                black_box(event);
+                new_events += 1;
             }
         }
     }
-    taken
+    new_events
 }
 
 fn measure_bytes_and_time(
@@ -87,16 +89,20 @@
         texts.iter().map(|(size, text)| Point { size: *size as f64, value: text.len() as f64 }).collect();
     let mut sizes: Vec<(f64, String)> = texts.into_iter().map(|(s, t)| (s as f64, t)).collect();
     let time = measure_interleaved(&mut sizes, ROUNDS, |text| {
-        let many = (1_000_000 / text.len()).clamp(1, 1_000);
-        let (elapsed, taken) = time_micros(|| (0..many).map(|_| read_events(text.as_bytes())).sum::<usize>());
-        assert!(taken >= many, "the reading code took {taken} events of a text made for it");
-        elapsed / many as f64
+        let repetitions = (1_000_000 / text.len()).clamp(1, 1_000);
+        let (elapsed, new_events) =
+            time_micros(|| (0..repetitions).map(|_| read_events(text.as_bytes())).sum::<usize>());
+        assert!(
+            new_events >= repetitions,
+            "only {new_events} new events were read in {repetitions} passes over a generated stream"
+        );
+        elapsed / repetitions as f64
     });
-    let [(bytes_name, bytes_what), (time_name, time_what)] = names;
+    let [(bytes_name, bytes_description), (time_name, time_description)] = names;
     vec![
         Cost {
             name: bytes_name,
-            description: bytes_what,
+            description: bytes_description,
             size_unit,
             unit: "bytes",
             kind: MeasurementKind::Counted,
@@ -104,7 +110,7 @@
         },
         Cost {
             name: time_name,
-            description: time_what,
+            description: time_description,
             size_unit,
             unit: "us",
             kind: MeasurementKind::Timed,
@@ -113,30 +119,35 @@
     ]
 }
 
-fn event_texts(of: impl Fn(u64) -> String) -> Vec<(usize, String)> {
-    EVENTS.iter().map(|&many| (many, (FIRST_NUMBER..FIRST_NUMBER + many as u64).map(&of).collect())).collect()
+fn event_texts(encode_event: impl Fn(u64) -> String) -> Vec<(usize, String)> {
+    EVENT_COUNTS
+        .iter()
+        .map(|&count| (count, (FIRST_NUMBER..FIRST_NUMBER + count as u64).map(&encode_event).collect()))
+        .collect()
 }
 
 pub(crate) fn measure_purges() -> Vec<Cost> {
     let names =
-        [("feed-purge-bytes", "so many purges on the socket"), ("feed-purge-time", "so many purges read")];
+        [("feed-purge-bytes", "purge events, encoded"), ("feed-purge-time", "time to read purge events")];
     measure_bytes_and_time(names, "purges", event_texts(purge_event))
 }
 
 pub(crate) fn measure_changes() -> Vec<Cost> {
     let names = [
-        ("feed-change-bytes", "so many changes of one line on the socket"),
-        ("feed-change-time", "so many changes of one line read"),
+        ("feed-change-bytes", "change events of one endpoint each, encoded"),
+        ("feed-change-time", "time to read change events of one endpoint each"),
     ];
     measure_bytes_and_time(names, "changes", event_texts(change_event))
 }
 
 pub(crate) fn measure_lists() -> Vec<Cost> {
-    let names =
-        [("feed-list-bytes", "the whole list as an event"), ("feed-list-time", "the whole list read")];
+    let names = [
+        ("feed-list-bytes", "an event with the complete endpoint list, encoded"),
+        ("feed-list-time", "time to read an event with the complete endpoint list"),
+    ];
     measure_bytes_and_time(
         names,
         "nodes",
-        NODES.iter().map(|&nodes| (nodes, snapshot_event(FIRST_NUMBER, nodes))).collect(),
+        NODE_COUNTS.iter().map(|&nodes| (nodes, snapshot_event(FIRST_NUMBER, nodes))).collect(),
     )
 }
