--- a/crates/capacity/src/real_director.rs
+++ b/crates/capacity/src/real_director.rs
@@ -1,6 +1,6 @@
-//! What a real director uses as a process: processor time, memory and descriptors, with stand-ins for the discovery
-//! source, the nodes and the clients on loopback. Processor time is what the system counts for its threads, so that other
-//! load on the machine matters little.
+//! Measures the processor time, memory and file descriptors of a real director process. Stub servers on loopback take
+//! the place of the discovery source, the nodes and the clients. Processor time is the time that the system counts for
+//! the director's threads, so that other load on the machine has little effect.
 
 mod discovery_load;
 mod lookup_load;
@@ -20,9 +20,10 @@
 use crate::cost::{Cost, MeasurementKind};
 use crate::fit::Point;
 
-/// Makes the command that starts a director.
+/// Builds the command that starts a director.
 pub type DirectorCommand<'a> = &'a dyn Fn() -> Command;
 
+/// Number of nodes in the endpoint list, unless a measurement varies it.
 const NODES: usize = 490;
 const WARM_UP: Duration = Duration::from_secs(3);
 const MEASUREMENT_SPAN: Duration = Duration::from_secs(8);
@@ -37,15 +38,15 @@
 
 fn cost(
     name: &'static str,
-    what: &'static str,
-    over: &'static str,
+    description: &'static str,
+    size_unit: &'static str,
     unit: &'static str,
-    p: Vec<Point>,
+    points: Vec<Point>,
 ) -> Cost {
-    let how = match unit {
+    let kind = match unit {
         "bytes" => MeasurementKind::Resident,
         "open" => MeasurementKind::Counted,
         _ => MeasurementKind::Timed,
     };
-    Cost { name, description: what, size_unit: over, unit, kind: how, points: p }
+    Cost { name, description, size_unit, unit, kind, points }
 }
--- a/crates/capacity/src/real_director/discovery_load.rs
+++ b/crates/capacity/src/real_director/discovery_load.rs
@@ -1,4 +1,4 @@
-//! What a director uses while the discovery source sends purges and changes.
+//! Measures a director while the discovery source sends purges and changes.
 
 use std::io;
 use std::thread;
@@ -16,86 +16,88 @@
 use crate::discovery;
 use crate::fit::Point;
 
-/// Starts one director for each size, all at the same time, each with its own discovery source.
+/// Starts one director for each size, each with its own discovery source. All directors run at the same time.
 pub(super) fn start_with_feeds(
-    program: DirectorCommand,
+    director_command: DirectorCommand,
     sizes: &[f64],
     script_for: impl Fn(f64) -> FeedScript,
 ) -> Result<Vec<(Director, StubServer)>, MeasurementError> {
     let endpoints: Vec<Value> = (0..NODES).map(|n| discovery::endpoint(n, "ready")).collect();
-    let begin = |size: &f64| {
-        let what = script_for(*size);
-        let feed = serve_connections(move |stream, stop| serve_feed(stream, stop, what))?;
-        Ok((Director::start(program, feed.address, &endpoints, None)?, feed))
+    let start = |size: &f64| {
+        let script = script_for(*size);
+        let feed = serve_connections(move |stream, stop| serve_feed(stream, stop, script))?;
+        Ok((Director::start(director_command, feed.address, &endpoints, None)?, feed))
     };
-    sizes.iter().map(begin).collect()
+    sizes.iter().map(start).collect()
 }
 
-/// Processor time at each size: the median of all rounds.
+/// Measures the processor time at each size, as the median of all rounds.
 fn measure_cpu(
-    program: DirectorCommand,
+    director_command: DirectorCommand,
     sizes: &[f64],
     script_for: impl Fn(f64) -> FeedScript,
 ) -> Result<Vec<Point>, MeasurementError> {
-    let all = start_with_feeds(program, sizes, script_for)?;
+    let directors = start_with_feeds(director_command, sizes, script_for)?;
     thread::sleep(WARM_UP);
     let mut samples = vec![Vec::new(); sizes.len()];
     for _ in 0..ROUNDS {
-        let before = all.iter().map(|(d, _)| d.cpu_micros()).collect::<io::Result<Vec<f64>>>()?;
+        let before =
+            directors.iter().map(|(director, _)| director.cpu_micros()).collect::<io::Result<Vec<f64>>>()?;
         let started = Instant::now();
         thread::sleep(MEASUREMENT_SPAN);
-        for ((samples, before), (director, _)) in samples.iter_mut().zip(before).zip(&all) {
+        for ((samples, before), (director, _)) in samples.iter_mut().zip(before).zip(&directors) {
             samples.push((director.cpu_micros()? - before) / started.elapsed().as_secs_f64() / 1e4);
         }
     }
     Ok(points(sizes, samples.into_iter().map(median)))
 }
 
-pub(crate) fn measure_purge_rate(program: DirectorCommand) -> Result<Vec<Cost>, MeasurementError> {
+pub(crate) fn measure_purge_rate(director_command: DirectorCommand) -> Result<Vec<Cost>, MeasurementError> {
     let sizes = [5.0, 20.0, 35.0, 100.0, 200.0, 350.0];
     let script_for = |rate: f64| {
-        let first = (rate * PURGE_WINDOW_S) as u64;
+        let initial_purges = (rate * PURGE_WINDOW_S) as u64;
         FeedScript {
-            initial_purges: first,
+            initial_purges,
             initial_span_ms: PURGE_WINDOW_S * 1e3,
             events_per_s: rate,
             batch_interval: Duration::ZERO,
             sends_changes: false,
         }
     };
-    let what = "a real director, 490 nodes listed, each purge told by itself, as many known as bind";
+    let description =
+        "a real director with 490 nodes listed and all active purges known, one event for each purge";
     Ok(vec![cost(
         "real-purge-time",
-        what,
+        description,
         "purges a second",
         PERCENT_OF_CORE,
-        measure_cpu(program, &sizes, script_for)?,
+        measure_cpu(director_command, &sizes, script_for)?,
     )])
 }
 
-pub(crate) fn measure_batches(program: DirectorCommand) -> Result<Vec<Cost>, MeasurementError> {
+pub(crate) fn measure_batches(director_command: DirectorCommand) -> Result<Vec<Cost>, MeasurementError> {
     let sizes = [1.0, 2.0, 5.0, 10.0, 20.0];
-    let script_for = |pieces: f64| {
-        let batch = Duration::from_secs_f64(1.0 / pieces);
+    let script_for = |batches_per_s: f64| {
+        let batch_interval = Duration::from_secs_f64(1.0 / batches_per_s);
         FeedScript {
             initial_purges: 4_400,
             initial_span_ms: PURGE_WINDOW_S * 1e3,
             events_per_s: 35.0,
-            batch_interval: batch,
+            batch_interval,
             sends_changes: false,
         }
     };
-    let what = "a real director, 490 nodes listed, 35 purges a second told in so many batches";
+    let description = "a real director with 490 nodes listed, 35 purges a second sent in batches";
     Ok(vec![cost(
         "real-batch-time",
-        what,
+        description,
         "batches a second",
         PERCENT_OF_CORE,
-        measure_cpu(program, &sizes, script_for)?,
+        measure_cpu(director_command, &sizes, script_for)?,
     )])
 }
 
-pub(crate) fn measure_change_rate(program: DirectorCommand) -> Result<Vec<Cost>, MeasurementError> {
+pub(crate) fn measure_change_rate(director_command: DirectorCommand) -> Result<Vec<Cost>, MeasurementError> {
     let sizes = [0.25, 1.0, 5.0, 10.0, 25.0];
     let script_for = |rate| FeedScript {
         initial_purges: 0,
@@ -104,12 +106,13 @@
         batch_interval: Duration::ZERO,
         sends_changes: true,
     };
-    let what = "a real director, 490 nodes listed, one-line changes of which a quarter are parents";
+    let description =
+        "a real director with 490 nodes listed, changes of one endpoint each, a quarter of them parents";
     Ok(vec![cost(
         "real-change-time",
-        what,
+        description,
         "changes a second",
         PERCENT_OF_CORE,
-        measure_cpu(program, &sizes, script_for)?,
+        measure_cpu(director_command, &sizes, script_for)?,
     )])
 }
--- a/crates/capacity/src/real_director/stub_server.rs
+++ b/crates/capacity/src/real_director/stub_server.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the discovery source and the nodes, on loopback.
+//! Stub servers on loopback that take the place of the discovery source and the nodes.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,8 +13,8 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
 
-/// What a discovery source sends: purges at once when it is called, with times spread over `initial_span_ms` before the
-/// call, then events at a rate, in batches.
+/// The events that a stub discovery source sends. It sends the initial purges as soon as a director connects, with times
+/// spread over the `initial_span_ms` milliseconds before; then it sends events at a fixed rate, in batches.
 #[derive(Clone, Copy)]
 pub(super) struct FeedScript {
     pub(super) initial_purges: u64,
@@ -24,8 +24,8 @@
     pub(super) sends_changes: bool,
 }
 
-/// Sends nothing but the comments that keep the stream alive.
-pub(super) const QUIET: FeedScript = FeedScript {
+/// A script without events: the source sends only the comments that keep the stream alive.
+pub(super) const KEEPALIVES_ONLY: FeedScript = FeedScript {
     initial_purges: 0,
     initial_span_ms: 0.0,
     events_per_s: 0.0,
@@ -42,7 +42,7 @@
 impl Drop for StubServer {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
-        // Wakes the listener.
+        // The connection wakes the listener thread, which then sees `stop`.
         let _ = TcpStream::connect(self.address);
     }
 }
@@ -52,7 +52,7 @@
     serve: impl Fn(TcpStream, &AtomicBool) -> io::Result<()> + Send + Sync + 'static,
 ) -> io::Result<StubServer> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
-    let (at, stop) = (listener.local_addr()?, Arc::new(AtomicBool::new(false)));
+    let (address, stop) = (listener.local_addr()?, Arc::new(AtomicBool::new(false)));
     let (serve, stop_accepting) = (Arc::new(serve), Arc::clone(&stop));
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -60,14 +60,14 @@
                 return;
             }
             let (serve, stop) = (Arc::clone(&serve), Arc::clone(&stop_accepting));
-            // A director reconnects by itself after an error.
+            // The error of a connection is ignored: the director reconnects after it.
             thread::spawn(move || serve(stream, &stop));
         }
     });
-    Ok(StubServer { address: at, stop })
+    Ok(StubServer { address, stop })
 }
 
-/// Answers one call of a director with an event stream.
+/// Answers one request of a director with an event stream.
 pub(super) fn serve_feed(mut stream: TcpStream, stop: &AtomicBool, script: FeedScript) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut request = BufReader::new(stream.try_clone()?);
@@ -78,20 +78,20 @@
     stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")?;
     let (now, mut n) = (unix_ms(), 2);
     let mut text = String::new();
-    for at in 0..script.initial_purges {
+    for index in 0..script.initial_purges {
         text += &discovery::purge_event_at(
             n,
-            now - ((script.initial_purges - at) as f64 / script.initial_purges as f64
+            now - ((script.initial_purges - index) as f64 / script.initial_purges as f64
                 * script.initial_span_ms) as u64,
         );
         n += 1;
     }
     stream.write_all(text.as_bytes())?;
-    let (started, mut sent, mut alive) = (Instant::now(), 0u64, 0u64);
+    let (started, mut sent, mut last_keepalive_s) = (Instant::now(), 0u64, 0u64);
     while !stop.load(Ordering::Relaxed) {
-        let passed = started.elapsed();
+        let elapsed = started.elapsed();
         text.clear();
-        while (sent as f64) < passed.as_secs_f64() * script.events_per_s {
+        while (sent as f64) < elapsed.as_secs_f64() * script.events_per_s {
             text += &if script.sends_changes {
                 discovery::change_event(n)
             } else {
@@ -103,8 +103,8 @@
                 text.clear();
             }
         }
-        if passed.as_secs() > alive {
-            alive = passed.as_secs();
+        if elapsed.as_secs() > last_keepalive_s {
+            last_keepalive_s = elapsed.as_secs();
             text += ": .\n\n";
         }
         stream.write_all(text.as_bytes())?;
@@ -113,11 +113,11 @@
     Ok(())
 }
 
-/// Answers each attempt at once with a cache hit whose body has this length.
-pub(super) fn serve_node(mut stream: TcpStream, stop: &AtomicBool, length: usize) -> io::Result<()> {
+/// Answers each attempt at once with a cache hit whose body has `body_length` bytes.
+pub(super) fn serve_node(mut stream: TcpStream, stop: &AtomicBool, body_length: usize) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut reader = BufReader::new(stream.try_clone()?);
-    let body = vec![b'x'; length];
+    let body = vec![b'x'; body_length];
     let mut line = String::new();
     while !stop.load(Ordering::Relaxed) {
         line.clear();
@@ -125,16 +125,16 @@
             return Ok(());
         }
         let mut words = line.split_whitespace();
-        let (Some("PULL"), Some(id), Some(_), Some(request)) =
+        let (Some("PULL"), Some(id), Some(_), Some(request_length)) =
             (words.next(), words.next(), words.next(), words.next())
         else {
             continue;
         };
-        let request: u64 = request.parse().map_err(|_| io::ErrorKind::InvalidData)?;
-        io::copy(&mut (&mut reader).take(request + 2), &mut io::sink())?;
+        let request_length: u64 = request_length.parse().map_err(|_| io::ErrorKind::InvalidData)?;
+        io::copy(&mut (&mut reader).take(request_length + 2), &mut io::sink())?;
         let issued = unix_ms();
-        let mut out =
-            format!("{id} ACK how=HIT,entity=00000000000000a1,issued={issued} {length}\r\n").into_bytes();
+        let mut out = format!("{id} ACK how=HIT,entity=00000000000000a1,issued={issued} {body_length}\r\n")
+            .into_bytes();
         out.extend_from_slice(&body);
         out.extend_from_slice(b"\r\n");
         stream.write_all(&out)?;
--- a/crates/capacity/src/real_director/voting.rs
+++ b/crates/capacity/src/real_director/voting.rs
@@ -1,4 +1,4 @@
-//! What directors that vote use: five of them as processes, the other members as threads.
+//! Measures directors that vote. Five directors run as processes; the other members run as threads.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -16,7 +16,7 @@
 use sablecross_director::wire::rpc;
 
 use super::process::{Director, VoterSetup, free_address};
-use super::stub_server::{QUIET, serve_connections, serve_feed};
+use super::stub_server::{KEEPALIVES_ONLY, serve_connections, serve_feed};
 use super::{DirectorCommand, MEASUREMENT_SPAN, PERCENT_OF_CORE, ROUNDS, cost, points};
 use crate::MeasurementError;
 use crate::coordination::{MS, VOTERS, coordination_config};
@@ -29,29 +29,31 @@
     request: &Request,
     limits: &Limits,
 ) -> io::Result<Vec<Reply>> {
-    let bad = |_| io::Error::from(io::ErrorKind::InvalidData);
+    let invalid_data = |_| io::Error::from(io::ErrorKind::InvalidData);
     let body = rmp_serde::to_vec(request).map_err(|e| io::Error::other(e.to_string()))?;
     stream.write_all(&rpc::encode_call(number, PEER_CALL_METHOD, &body))?;
-    let (mut bytes, mut more) = (Vec::new(), [0; 4_096]);
+    let (mut received, mut buffer) = (Vec::new(), [0; 4_096]);
     loop {
-        match rpc::decode_response(&bytes, limits) {
-            Ok((_, Some(body), _)) => return rmp_serde::from_slice(body).map_err(|e| bad(e.to_string())),
+        match rpc::decode_response(&received, limits) {
+            Ok((_, Some(body), _)) => {
+                return rmp_serde::from_slice(body).map_err(|e| invalid_data(e.to_string()));
+            }
             Ok((_, None, _)) => return Err(io::ErrorKind::Unsupported.into()),
-            Err(rpc::DecodeError::Invalid(why)) => return Err(bad(why.to_string())),
-            Err(rpc::DecodeError::Incomplete) => match stream.read(&mut more)? {
+            Err(rpc::DecodeError::Invalid(reason)) => return Err(invalid_data(reason.to_string())),
+            Err(rpc::DecodeError::Incomplete) => match stream.read(&mut buffer)? {
                 0 => return Err(io::ErrorKind::UnexpectedEof.into()),
-                n => bytes.extend_from_slice(&more[..n]),
+                n => received.extend_from_slice(&buffer[..n]),
             },
         }
     }
 }
 
-/// Runs a member without clients, with a connection to each voter, until `stop` is set.
+/// Runs a member that has no clients and one connection to each voter, until `stop` is set.
 fn run_member(number: u32, voters: &[SocketAddr], started: Instant, stop: &AtomicBool) -> io::Result<()> {
     let now = || started.elapsed().as_nanos() as Ns + 1;
     let limits = Limits::new(64, 64, 0, 0);
-    let streams = voters.iter().map(|at| {
-        let stream = TcpStream::connect(at)?;
+    let streams = voters.iter().map(|address| {
+        let stream = TcpStream::connect(address)?;
         stream.set_nodelay(true)?;
         Ok(stream)
     });
@@ -72,35 +74,39 @@
     Ok(())
 }
 
-fn is_assigner(at: SocketAddr) -> io::Result<bool> {
+fn is_assigner(address: SocketAddr) -> io::Result<bool> {
     let request = Request { from: Member::default(), messages: vec![Message::ShowStatus] };
-    let replies = call_member(at, &request, Duration::from_secs(2))?;
-    let status =
-        replies.into_iter().filter_map(|s| if let Reply::Status(status) = s { Some(status) } else { None });
-    Ok(status.flat_map(|s| s.roles).any(|role| role.role == ASSIGNMENT_ROLE && role.own_lease.is_some()))
+    let replies = call_member(address, &request, Duration::from_secs(2))?;
+    let status = replies
+        .into_iter()
+        .filter_map(|reply| if let Reply::Status(status) = reply { Some(status) } else { None });
+    Ok(status
+        .flat_map(|status| status.roles)
+        .any(|role| role.role == ASSIGNMENT_ROLE && role.own_lease.is_some()))
 }
 
-/// Processor time, in percent of a core, of a plain voter and of the one that holds the assignment role, among so many
-/// members, the voters included.
-fn measure_voting(program: DirectorCommand, members: u32) -> Result<[f64; 2], MeasurementError> {
-    let feed = serve_connections(move |stream, stop| serve_feed(stream, stop, QUIET))?;
+/// Returns the processor time, in percent of a core, of a plain voter and of the voter that holds the assignment role.
+/// `members` includes the voters.
+fn measure_voting(director_command: DirectorCommand, members: u32) -> Result<[f64; 2], MeasurementError> {
+    let feed = serve_connections(move |stream, stop| serve_feed(stream, stop, KEEPALIVES_ONLY))?;
     let voters = (0..VOTERS).map(|_| free_address()).collect::<io::Result<Vec<SocketAddr>>>()?;
     let coordination_file =
         std::env::temp_dir().join(format!("slopes-duty-{}-{members}.scm", std::process::id()));
     let mut text = String::from("(duty (lease-ms . 1000) (beat-ms . 500) (probing . #f))\n");
-    for (number, at) in voters.iter().enumerate() {
-        text += &format!("(voter (number . {number}) (address . \"{at}\"))\n");
+    for (number, address) in voters.iter().enumerate() {
+        text += &format!("(voter (number . {number}) (address . \"{address}\"))\n");
     }
     std::fs::write(&coordination_file, text)?;
-    let start = |(number, at): (usize, &SocketAddr)| {
+    let start = |(number, address): (usize, &SocketAddr)| {
         Director::start(
-            program,
+            director_command,
             feed.address,
             &[],
-            Some(VoterSetup { number, address: *at, coordination_file: &coordination_file }),
+            Some(VoterSetup { number, address: *address, coordination_file: &coordination_file }),
         )
     };
-    let all = voters.iter().enumerate().map(start).collect::<Result<Vec<Director>, MeasurementError>>()?;
+    let directors =
+        voters.iter().enumerate().map(start).collect::<Result<Vec<Director>, MeasurementError>>()?;
     let (started, stop) = (Instant::now(), Arc::new(AtomicBool::new(false)));
     let threads: Vec<_> = (VOTERS..members)
         .map(|number| {
@@ -108,42 +114,46 @@
             thread::spawn(move || run_member(number, &voters, started, &stop))
         })
         .collect();
-    // Twice the time after which a silent member counts as failed.
+    // The assignment is stable after twice the time in which a silent member counts as failed.
     thread::sleep(Duration::from_secs(11));
-    let assigner = voters.iter().position(|at| is_assigner(*at).unwrap_or(false));
-    let before = all.iter().map(Director::cpu_micros).collect::<io::Result<Vec<f64>>>()?;
+    let assigner = voters.iter().position(|address| is_assigner(*address).unwrap_or(false));
+    let before = directors.iter().map(Director::cpu_micros).collect::<io::Result<Vec<f64>>>()?;
     let started = Instant::now();
     thread::sleep(MEASUREMENT_SPAN);
-    let after = all.iter().map(Director::cpu_micros).collect::<io::Result<Vec<f64>>>()?;
+    let after = directors.iter().map(Director::cpu_micros).collect::<io::Result<Vec<f64>>>()?;
     let span = started.elapsed().as_secs_f64();
     stop.store(true, Ordering::Relaxed);
-    let lost = threads.into_iter().filter_map(|t| t.join().ok()?.err()).next();
-    // The directors have read the file; one that is left behind does no harm.
+    let first_error = threads.into_iter().filter_map(|t| t.join().ok()?.err()).next();
+    // The directors have read the file. If it can't be removed, it stays in the temporary folder.
     let _ = std::fs::remove_file(&coordination_file);
-    if let Some(source) = lost {
+    if let Some(source) = first_error {
         return Err(MeasurementError::VoterLost { members, source });
     }
-    let assigner = assigner.filter(|d| is_assigner(voters[*d]).unwrap_or(false));
+    let assigner = assigner.filter(|index| is_assigner(voters[*index]).unwrap_or(false));
     let assigner = assigner.ok_or(MeasurementError::NoSteadyAssigner { members })?;
-    let cores: Vec<f64> = after.iter().zip(before).map(|(a, b)| (a - b) / span / 1e4).collect();
-    let others = cores.iter().enumerate().filter(|(n, _)| *n != assigner).map(|(_, core)| *core);
-    Ok([others.sum::<f64>() / f64::from(VOTERS - 1), cores[assigner]])
+    let cpu_percents: Vec<f64> = after.iter().zip(before).map(|(a, b)| (a - b) / span / 1e4).collect();
+    let others =
+        cpu_percents.iter().enumerate().filter(|(n, _)| *n != assigner).map(|(_, cpu_percent)| *cpu_percent);
+    Ok([others.sum::<f64>() / f64::from(VOTERS - 1), cpu_percents[assigner]])
 }
 
-pub(crate) fn measure_voters(program: DirectorCommand) -> Result<Vec<Cost>, MeasurementError> {
+pub(crate) fn measure_voters(director_command: DirectorCommand) -> Result<Vec<Cost>, MeasurementError> {
     let sizes = [13.0, 50.0, 100.0, 200.0, 400.0];
     let mut samples = vec![[const { Vec::new() }; 2]; sizes.len()];
     for _ in 0..ROUNDS {
         for (members, samples) in sizes.iter().zip(&mut samples) {
-            let [voter, assigner] = measure_voting(program, *members as u32)?;
+            let [voter, assigner] = measure_voting(director_command, *members as u32)?;
             samples[0].push(voter);
             samples[1].push(assigner);
         }
     }
-    let of = |n: usize| points(&sizes, samples.iter().map(|s| median(s[n].clone())));
-    let what = ["a real director that votes, with sockets", "the one of them that deals, with sockets"];
+    let points_of = |n: usize| points(&sizes, samples.iter().map(|s| median(s[n].clone())));
+    let descriptions = [
+        "a real director that votes, with sockets",
+        "the voter that holds the assignment role, with sockets",
+    ];
     Ok(vec![
-        cost("real-voter-time", what[0], "members", PERCENT_OF_CORE, of(0)),
-        cost("real-dealer-time", what[1], "members", PERCENT_OF_CORE, of(1)),
+        cost("real-voter-time", descriptions[0], "members", PERCENT_OF_CORE, points_of(0)),
+        cost("real-dealer-time", descriptions[1], "members", PERCENT_OF_CORE, points_of(1)),
     ])
 }
--- a/crates/capacity/src/suite.rs
+++ b/crates/capacity/src/suite.rs
@@ -1,4 +1,4 @@
-//! All costs by name, in the order of docs/CAPACITY.md.
+//! The list of all costs, in the order of docs/CAPACITY.md, and the functions that measure them.
 
 use crate::MeasurementError;
 use crate::cost::{Cost, MeasurementKind};
@@ -6,18 +6,18 @@
 use crate::real_director::DirectorCommand;
 use crate::{coordination, discovery, real_director, router};
 
-/// Costs that are measured together.
+/// Costs that one function measures together.
 struct CostGroup {
-    /// Their names.
+    /// Names of the costs.
     names: &'static [&'static str],
     measure: fn(&MeasurementEnvironment) -> Result<Vec<Cost>, MeasurementError>,
 }
 
-/// How the processes are started in which a cost is measured.
+/// The functions that start the processes in which costs are measured.
 pub struct MeasurementEnvironment<'a> {
-    /// Measures one size of a cost of memory in a process of its own, whose memory nothing else has touched.
+    /// Measures one size of a memory cost in a separate process, whose memory no other measurement has used.
     pub measure_memory: &'a dyn Fn(&str, usize) -> Option<f64>,
-    /// Makes the command that starts a director.
+    /// Builds the command that starts a director.
     pub director_command: DirectorCommand<'a>,
 }
 
@@ -67,32 +67,35 @@
     CostGroup { names: &["duties-share-time"], measure: |_| Ok(vec![coordination::measure_shares()]) },
     CostGroup {
         names: &["real-purge-time"],
-        measure: |w| real_director::measure_purge_rate(w.director_command),
+        measure: |environment| real_director::measure_purge_rate(environment.director_command),
     },
     CostGroup {
         names: &["real-batch-time"],
-        measure: |w| real_director::measure_batches(w.director_command),
+        measure: |environment| real_director::measure_batches(environment.director_command),
     },
     CostGroup {
         names: &["real-change-time"],
-        measure: |w| real_director::measure_change_rate(w.director_command),
+        measure: |environment| real_director::measure_change_rate(environment.director_command),
     },
     CostGroup {
         names: &["real-told-time", "real-told-memory"],
-        measure: |w| real_director::measure_initial_purges(w.director_command),
+        measure: |environment| real_director::measure_initial_purges(environment.director_command),
     },
     CostGroup {
         names: &["real-start-time", "real-start-memory"],
-        measure: |w| real_director::measure_list_starts(w.director_command),
+        measure: |environment| real_director::measure_list_starts(environment.director_command),
     },
     CostGroup {
         names: &["real-lookup-time", "real-lookup-memory", "real-lookup-descriptors"],
-        measure: |w| real_director::measure_lookups(w.director_command),
+        measure: |environment| real_director::measure_lookups(environment.director_command),
+    },
+    CostGroup {
+        names: &["real-body-time"],
+        measure: |environment| real_director::measure_bodies(environment.director_command),
     },
-    CostGroup { names: &["real-body-time"], measure: |w| real_director::measure_bodies(w.director_command) },
     CostGroup {
         names: &["real-voter-time", "real-dealer-time"],
-        measure: |w| real_director::measure_voters(w.director_command),
+        measure: |environment| real_director::measure_voters(environment.director_command),
     },
     CostGroup {
         names: &["duties-roster-bytes"],
@@ -116,7 +119,7 @@
 fn measure_router_memory(environment: &MeasurementEnvironment) -> Result<Vec<Cost>, MeasurementError> {
     measure_resident(
         "module-memory",
-        "a module with its list and pies",
+        "a router with its endpoint list and hash rings",
         "nodes",
         &router::MEMORY_SIZES,
         environment,
@@ -124,11 +127,17 @@
 }
 
 fn measure_purge_memory(environment: &MeasurementEnvironment) -> Result<Vec<Cost>, MeasurementError> {
-    let what = "a module with ten nodes and so many purges";
-    measure_resident("module-purge-memory", what, "known purges", &router::PURGE_MEMORY_SIZES, environment)
+    let description = "a router with ten nodes and the known purges";
+    measure_resident(
+        "module-purge-memory",
+        description,
+        "known purges",
+        &router::PURGE_MEMORY_SIZES,
+        environment,
+    )
 }
 
-/// Measures one size of a cost of memory in this process. Returns `None` if no such cost has this name.
+/// Measures one size of a memory cost in this process. Returns `None` if no memory cost has this name.
 pub fn measure_memory(name: &str, size: usize) -> Option<f64> {
     match name {
         "module-memory" => Some(router::router_memory(size)),
@@ -137,25 +146,25 @@
     }
 }
 
-/// Returns all names in their order.
+/// Returns the names of all costs, in the order in which they are measured.
 pub fn names() -> impl Iterator<Item = &'static str> {
-    COST_GROUPS.iter().flat_map(|f| f.names.iter().copied())
+    COST_GROUPS.iter().flat_map(|group| group.names.iter().copied())
 }
 
-/// Measures the costs whose names begin with `only`, each group together, and hands each to `on_cost` when it is done.
+/// Measures the costs whose names begin with `only` and passes each of them to `on_cost` as soon as its group is measured.
 ///
 /// # Errors
 ///
-/// The first error of a group; the costs before it have been handed on.
+/// Returns the first error of a group. The costs of the groups before it have been passed to `on_cost`.
 pub fn measure(
     only: &str,
     environment: &MeasurementEnvironment,
     mut on_cost: impl FnMut(Cost),
 ) -> Result<(), MeasurementError> {
-    for family in COST_GROUPS.iter().filter(|f| f.names.iter().any(|n| n.starts_with(only))) {
-        (family.measure)(environment)?
+    for group in COST_GROUPS.iter().filter(|group| group.names.iter().any(|name| name.starts_with(only))) {
+        (group.measure)(environment)?
             .into_iter()
-            .filter(|c| c.name.starts_with(only))
+            .filter(|cost| cost.name.starts_with(only))
             .for_each(&mut on_cost);
     }
     Ok(())
