--- a/crates/capacity/src/report/row.rs
+++ b/crates/capacity/src/report/row.rs
@@ -1,4 +1,4 @@
-//! One row of a table: where its figure comes from, and how it compares with its budget.
+//! One row of a table: its figure, the source of the figure, and the comparison with its budget.
 
 /// One row of a table.
 #[derive(Default)]
@@ -6,33 +6,33 @@
     pub(in crate::report) description: String,
     pub(in crate::report) value: Option<f64>,
     pub(in crate::report) unit: &'static str,
-    /// The slopes, the figure, or the limits from which the value comes.
+    /// Names of the slopes, the figure or the limits from which the value comes.
     pub(in crate::report) source: &'static str,
-    /// Whether the value comes from a run and not from arithmetic.
+    /// Whether the value was measured by a run; otherwise it is calculated.
     pub(in crate::report) is_measured: bool,
-    /// What carries this load.
+    /// The part of the system that carries this load.
     pub(in crate::report) mechanism: &'static str,
     pub(in crate::report) budget: Option<f64>,
 }
 
-/// A row computed from the slopes or limits that `from` names.
+/// Returns a row calculated from the slopes or limits that `source` names.
 pub(in crate::report) fn calculated(
-    what: impl Into<String>,
+    description: impl Into<String>,
     value: f64,
     unit: &'static str,
-    from: &'static str,
+    source: &'static str,
 ) -> Row {
-    Row { description: what.into(), value: Some(value), unit, source: from, ..Row::default() }
+    Row { description: description.into(), value: Some(value), unit, source, ..Row::default() }
 }
 
-/// A row measured by the run that `from` names; without a value it waits for that run.
+/// Returns a row measured by the run that `source` names. A row without a value has not been measured yet.
 pub(in crate::report) fn measured(
-    what: impl Into<String>,
+    description: impl Into<String>,
     value: Option<f64>,
     unit: &'static str,
-    from: &'static str,
+    source: &'static str,
 ) -> Row {
-    Row { description: what.into(), value, unit, source: from, is_measured: true, ..Row::default() }
+    Row { description: description.into(), value, unit, source, is_measured: true, ..Row::default() }
 }
 
 impl Row {
@@ -44,6 +44,7 @@
         Row { budget: Some(budget), ..self }
     }
 
+    /// Compares the figure with the budget: how many times it fits into the budget, or that it exceeds it.
     pub(in crate::report) fn assessment(&self) -> String {
         match (self.value, self.budget) {
             (None, _) => "not measured yet".into(),
@@ -58,11 +59,12 @@
     }
 }
 
-/// Formats a value with a unit of suitable scale.
+/// Formats a value with its unit, scaled to a suitable multiple of the unit.
 pub(in crate::report) fn format_amount(value: f64, unit: &str) -> String {
-    let scaled = |steps: &[(f64, &str)]| {
-        let (by, word) = steps.iter().rev().find(|(by, _)| value.abs() >= *by).unwrap_or(&steps[0]);
-        format!("{} {word}", format_three_digits(value / by))
+    let scaled = |scales: &[(f64, &str)]| {
+        let (factor, prefixed_unit) =
+            scales.iter().rev().find(|(factor, _)| value.abs() >= *factor).unwrap_or(&scales[0]);
+        format!("{} {prefixed_unit}", format_three_digits(value / factor))
     };
     match unit {
         "B" => scaled(&[(1.0, "B"), (1e3, "KB"), (1e6, "MB"), (1e9, "GB")]),
--- a/crates/capacity/src/report/sections.rs
+++ b/crates/capacity/src/report/sections.rs
@@ -1,4 +1,4 @@
-//! The rows of each table that the model gives.
+//! The sections and rows of each table.
 
 mod control;
 mod workload;
@@ -12,31 +12,32 @@
 const COORDINATION: &str = "coordination (`crates/coordination`) among the 13";
 const ALL_MEMBERS: &str = "none: all directors as members";
 
-/// Whom or when the rows are about, and the rows.
+/// The role or event that the rows are about, and the rows.
 pub(super) type Section = (&'static str, Vec<Row>);
 
 const PERCENT_OF_CORE: &str = "% of a core";
 const PER_SECOND: &str = "a second";
 const FEED_BYTES: &str = "feed-purge-bytes, feed-change-bytes, heads";
-const BASE_BYTES: &str = "feed-list-bytes, feed-purge-bytes, binds-s, slack-s";
-const LINK_TIME: &str = "the bytes over machine-link";
+const SNAPSHOT_BYTES: &str = "feed-list-bytes, feed-purge-bytes, binds-s, slack-s";
+const LINK_TIME: &str = "the bytes divided by machine-link";
 
 impl CapacityModel {
-    pub(super) fn figure_row(&self, what: &str, unit: &'static str, name: &'static str) -> Row {
-        measured(what, self.figure(name), unit, name)
+    /// Returns a row with the measured figure of this name.
+    pub(super) fn figure_row(&self, description: &str, unit: &'static str, name: &'static str) -> Row {
+        measured(description, self.figure(name), unit, name)
     }
 
-    /// A row with the value measured at this size, or else the one by the line.
+    /// Returns a row with the value measured at this size, or the value of the line if this size was not measured.
     pub(super) fn slope_row(
         &self,
-        what: impl Into<String>,
+        description: impl Into<String>,
         size: f64,
         unit: &'static str,
         name: &'static str,
     ) -> Row {
         let points = self.slopes.get(name).map(|s| &s.points[..]).unwrap_or_default();
-        let measured = points.iter().any(|p| p.0 == size);
-        Row { is_measured: measured, ..calculated(what, self.measured_or_predicted(name, size), unit, name) }
+        let is_measured = points.iter().any(|p| p.0 == size);
+        Row { is_measured, ..calculated(description, self.measured_or_predicted(name, size), unit, name) }
     }
 
     pub(in crate::report) fn sections(&self) -> Vec<(&'static str, Vec<Section>)> {
@@ -44,11 +45,11 @@
             ("A director's control", self.director_sections()),
             ("Voters and lease holders", self.voter_sections()),
             ("Source and relays", self.source_sections()),
-            ("Until applied everywhere", self.propagation_sections()),
-            ("Cache nodes and parents as far as directors cause it; the command line", self.node_sections()),
-            ("The ordinary path", self.request_path_sections()),
+            ("Time until applied everywhere", self.propagation_sections()),
+            ("Load of directors on cache nodes and parents; the command line", self.node_sections()),
+            ("The request path", self.request_path_sections()),
             ("The router with all nodes listed", self.router_sections()),
-            ("At starts, at failures, after the hour", self.startup_sections()),
+            ("Starts, failures, and reconnection after a partition", self.startup_sections()),
         ]
     }
 }
--- a/crates/capacity/tests/settings_format.rs
+++ b/crates/capacity/tests/settings_format.rs
@@ -1,10 +1,11 @@
-//! The spelling of every key of docs/capacity.scm, and the JSON of a cost: names that stay when Rust identifiers change.
+//! Tests of the keys of docs/capacity.scm and the JSON, forms and text of a cost, which stay the same when Rust
+//! identifiers change.
 
 use sablecross_capacity::{Cost, LinearFit, MeasurementKind, Point, model};
 use serde_json::json;
 
-/// Each form with every key; `value`, `run`, `bend` and `command` are the keys with a default.
-const HEAD: &str = r#"
+/// A settings file with every form and every key. The keys `value`, `run`, `bend` and `command` have defaults.
+const ALL_KEYS: &str = r#"
 (target (directors . 11) (nodes . 12) (regions . 13) (zones . 14) (machines . 15) (lookups . 16) (busiest . 17) (bits . 18)
   (purges . 19) (changes-a-day . 20) (restarts-a-day . 21) (cut-s . 22))
 (budget (core . 31) (memory-mb . 32) (bytes . 33) (machine-core . 34) (purge-s . 35) (change-s . 36))
@@ -18,19 +19,19 @@
 (figure (name . "fourth") (what . "an open figure") (unit . "B") (command . "run it later"))
 "#;
 
-/// HEAD with an open figure for each name that the tables need.
+/// Returns `ALL_KEYS` with a figure without a value for each name that the tables need.
 fn complete() -> String {
     let settings = include_str!("../../../docs/capacity.scm");
     let names = settings.split("(name . \"").skip(1).filter_map(|rest| rest.split('"').next());
-    let open =
+    let open_figure =
         |name: &str| format!("(figure (name . {name:?}) (what . \"w\") (unit . \"u\") (command . \"c\"))\n");
-    HEAD.to_owned() + &names.map(open).collect::<String>()
+    ALL_KEYS.to_owned() + &names.map(open_figure).collect::<String>()
 }
 
 #[test]
 fn every_key_and_every_default_is_read() {
-    let read = model::parse("all.scm", &complete()).expect("a form with every key");
-    let text = format!("{:?}", (&read.target, &read.budget, &read.assumptions));
+    let model = model::parse("all.scm", &complete()).expect("valid settings with every key");
+    let text = format!("{:?}", (&model.target, &model.budget, &model.assumptions));
     let values = text.split(|c: char| !c.is_ascii_digit() && c != '.').filter(|v| !v.is_empty());
     let values: Vec<f64> = values.filter_map(|v| v.parse().ok()).collect();
     let expected = [
@@ -66,32 +67,32 @@
         51.0,
     ];
     assert_eq!(values, expected, "{text}");
-    let first = format!("{:?}", read.slopes["first"]);
+    let first = format!("{:?}", model.slopes["first"]);
     for part in
         ["\"first\"", "2.5", "0.5", "7.5", "20.0", "\"us\"", "\"nodes\"", "(10.0, 26.0)", "(30.0, 76.0)"]
     {
         assert!(first.contains(part), "{part} in {first}");
     }
     assert!(first.contains("\"2026-12-02 04:58\"") && first.contains("Some(\"measure it\")"), "{first}");
-    let second = format!("{:?}", read.slopes["second"]);
+    let second = format!("{:?}", model.slopes["second"]);
     assert!(second.contains("0.0") && second.ends_with("None }"), "{second}");
-    let third = format!("{:?}", read.figures["third"]);
+    let third = format!("{:?}", model.figures["third"]);
     for part in ["\"a figure\"", "\"s\"", "Some(0.5)", "Some(\"another run\")", "\"run it\""] {
         assert!(third.contains(part), "{part} in {third}");
     }
-    let fourth = format!("{:?}", read.figures["fourth"]);
+    let fourth = format!("{:?}", model.figures["fourth"]);
     assert_eq!(fourth.matches("None").count(), 2, "{fourth}");
-    assert_eq!(read.slope_names, ["first", "second"]);
+    assert_eq!(model.slope_names, ["first", "second"]);
 }
 
 #[test]
 fn an_unknown_key_and_a_value_out_of_range_are_named_by_the_key() {
-    model::parse("all.scm", &complete()).expect("faultless before the change");
-    let fault = |from: &str, to: &str| {
-        let faults = model::parse("all.scm", &complete().replace(from, to)).expect_err("a faulty form");
-        faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
+    model::parse("all.scm", &complete()).expect("the settings are valid before the change");
+    let error_after_replacing = |from: &str, to: &str| {
+        let errors = model::parse("all.scm", &complete().replace(from, to)).expect_err("invalid settings");
+        errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
     };
-    assert!(fault("(regions . 13)", "(region . 13)").contains("region"));
+    assert!(error_after_replacing("(regions . 13)", "(region . 13)").contains("region"));
     for (from, to, key) in [
         ("(regions . 13)", "(regions . 0)", "regions"),
         ("(busiest . 17)", "(busiest . 101)", "busiest"),
@@ -101,25 +102,18 @@
         ("(head . 41)", "(head . 1)", "head"),
         ("(slack-s . 48)", "(slack-s . 10001)", "slack"),
     ] {
-        let line = fault(from, to);
-        assert!(line.contains("all.scm:") && line.contains(key), "{line}");
+        let error = error_after_replacing(from, to);
+        assert!(error.contains("all.scm:") && error.contains(key), "{error}");
     }
 }
 
-fn cost(how: MeasurementKind) -> Cost {
+fn cost(kind: MeasurementKind) -> Cost {
     let points = vec![
         Point { size: 1.0, value: 3.0 },
         Point { size: 2.0, value: 5.0 },
         Point { size: 3.0, value: 7.0 },
     ];
-    Cost {
-        name: "a-name",
-        description: "what is measured",
-        size_unit: "nodes",
-        unit: "us",
-        kind: how,
-        points,
-    }
+    Cost { name: "a-name", description: "what is measured", size_unit: "nodes", unit: "us", kind, points }
 }
 
 #[test]
