--- a/crates/capacity/src/coordination.rs
+++ b/crates/capacity/src/coordination.rs
@@ -233,13 +233,13 @@
 }
 
 pub(crate) fn measure_by_members() -> Vec<Cost> {
-    let mut rows: Vec<UsageRow> = MEMBER_COUNTS.iter().map(|m| (f64::from(*m), Vec::new())).collect();
+    let mut rows: Vec<UsageRow> = MEMBER_COUNTS.iter().map(|count| (f64::from(*count), Vec::new())).collect();
     for _ in 0..ROUNDS {
         for (members, (_, samples)) in MEMBER_COUNTS.iter().zip(&mut rows) {
             samples.extend(measure_usage(*members, 0));
         }
     }
-    let cost = |name, what, kind, of| cost(name, what, "members", kind, &rows, of);
+    let cost = |name, description, kind, value_of| cost(name, description, "members", kind, &rows, value_of);
     vec![
         cost(
             "duties-member-bytes",
@@ -287,7 +287,8 @@
             samples.extend(measure_usage(TARGET_TRIAL_MEMBERS, *targets));
         }
     }
-    let cost = |name, what, kind, of| cost(name, what, "boxes probed", kind, &rows, of);
+    let cost =
+        |name, description, kind, value_of| cost(name, description, "boxes probed", kind, &rows, value_of);
     vec![
         cost(
             "duties-facts-bytes",
--- a/crates/capacity/src/report/sections/workload.rs
+++ b/crates/capacity/src/report/sections/workload.rs
@@ -71,7 +71,7 @@
             )
             .with_budget(a.descriptors / 2.0 - 16.0),
             calculated(
-                "body traffic of a director, sent and as much received",
+                "body traffic of a director, sent; as much is received",
                 8.0 * body_bytes_per_s,
                 "bit/s",
                 "target",
@@ -85,7 +85,7 @@
                 body_source,
             ),
             calculated(
-                "lookups of the largest body that carry this traffic",
+                "lookups of the largest body that carry the target's body traffic",
                 full_body_rate,
                 PER_SECOND,
                 body_source,
@@ -242,6 +242,7 @@
     }
 }
 
-fn sent_row(what: &str, bytes: f64) -> Row {
-    calculated(what, bytes, "B", SNAPSHOT_BYTES).with_mechanism(RELAYS)
+/// Returns a row with the bytes of snapshots that are sent.
+fn sent_row(description: &str, bytes: f64) -> Row {
+    calculated(description, bytes, "B", SNAPSHOT_BYTES).with_mechanism(RELAYS)
 }
