--- a/crates/capacity/src/router.rs
+++ b/crates/capacity/src/router.rs
@@ -331,9 +331,9 @@
             .zip(&samples)
             .map(move |(n, s)| Point { size: *n as f64, value: median(s[call].clone()) })
     };
-    let cost = |(call, (name, what))| {
+    let cost = |(call, (name, description))| {
         let points = points_of_call(call).collect();
-        Cost { name, description: what, size_unit: "nodes", unit: "ns", kind: MeasurementKind::Timed, points }
+        Cost { name, description, size_unit: "nodes", unit: "ns", kind: MeasurementKind::Timed, points }
     };
     descriptions.into_iter().enumerate().map(cost).collect()
 }
