--- a/crates/capacity/src/coordination.rs
+++ b/crates/capacity/src/coordination.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Instant;
 
-use sablecross::mix;
+use sablecross::split_mix64;
 use sablecross_coordination::messages::{ASSIGNMENT_ROLE, Assignment, HealthState, Reply, Request};
 use sablecross_coordination::{Action, CoordinationConfig, Coordinator, Member, Ns, RendezvousShares};
 
@@ -29,7 +29,7 @@
         roles: vec![ASSIGNMENT_ROLE, 1],
         lease_duration: SEC,
         round_timeout: 200 * MS,
-        claim_spacing: 50 * MS,
+        attempt_spacing: 50 * MS,
         heartbeat_interval: 500 * MS,
         check_interval: SEC,
         check_timeout: 400 * MS,
@@ -77,7 +77,7 @@
             let mut coordinator = Coordinator::new(
                 Member { number, incarnation: 1 },
                 coordination_config(),
-                mix(number.into()),
+                split_mix64(number.into()),
                 0,
             );
             coordinator.update_targets(0, &targets);
@@ -147,7 +147,7 @@
             self.now += 5 * MS;
             for number in 0..self.coordinators.len() {
                 // Members start at times spread over one heartbeat interval.
-                let start_time = mix(number as u64) % (500 * MS);
+                let start_time = split_mix64(number as u64) % (500 * MS);
                 if self.now < start_time || self.coordinators[number].next_wakeup() > self.now {
                     continue;
                 }
--- a/crates/capacity/src/discovery.rs
+++ b/crates/capacity/src/discovery.rs
@@ -2,7 +2,7 @@
 
 use std::hint::black_box;
 
-use sablecross::mix;
+use sablecross::split_mix64;
 use sablecross_director::discovery_event::NumberedEvent;
 use sablecross_discovery::{EventCursor, EventStreamParser, EventVerdict, StreamItem};
 use serde_json::{Value, json};
@@ -30,12 +30,13 @@
 
 /// Returns a purge event with this number for a purge made at this Unix time in milliseconds.
 pub(crate) fn purge_event_at(n: u64, at: u64) -> String {
-    event_block(n, &format!("\"purge\":{{\"key\":\"{:016x}\",\"at\":{at}}}", mix(n)))
+    event_block(n, &format!("\"purge\":{{\"key\":\"{:016x}\",\"at\":{at}}}", split_mix64(n)))
 }
 
 pub(crate) fn endpoint(node: usize, status: &str) -> Value {
     let kind = if node % 4 == 1 { "parent" } else { "small" };
-    let (name, zone) = (format!("s-{:08x}", mix(node as u64) as u32), format!("zone-{:02}", node * 64 / 490));
+    let (name, zone) =
+        (format!("s-{:08x}", split_mix64(node as u64) as u32), format!("zone-{:02}", node * 64 / 490));
     let address = format!("10.{}.{}.9:10080", node / 64, node % 64);
     json!({"name": name, "zone": zone, "address": address, "type": kind, "group": node / 2,
         "status": status, "weight": 4, "since_ms": 0})
--- a/crates/capacity/src/real_director/lookup_load.rs
+++ b/crates/capacity/src/real_director/lookup_load.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use sablecross::mix;
+use sablecross::split_mix64;
 use sablecross_testbed::client_load::{Response, encode_request, read_any_response};
 use serde_json::{Value, json};
 
@@ -54,7 +54,7 @@
                 while !stop.load(Ordering::Relaxed) {
                     while (sent as f64) < started.elapsed().as_secs_f64() * rate / CLIENTS as f64 {
                         sent += 1;
-                        let object = mix(client << 40 | sent);
+                        let object = split_mix64(client << 40 | sent);
                         stream.write_all(&encode_request(object, sent as u32, object % 20_000))?;
                     }
                     thread::sleep(Duration::from_millis(1));
--- a/crates/capacity/src/real_director/voting.rs
+++ b/crates/capacity/src/real_director/voting.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use sablecross::mix;
+use sablecross::split_mix64;
 use sablecross_coordination::messages::{ASSIGNMENT_ROLE, Message, Reply, Request};
 use sablecross_coordination::{Action, Coordinator, Member, Ns};
 use sablecross_director::coordination::call_member;
@@ -59,7 +59,7 @@
     });
     let mut streams = streams.collect::<io::Result<Vec<TcpStream>>>()?;
     let me = Member { number, incarnation: 1 };
-    let mut coordinator = Coordinator::new(me, coordination_config(), mix(number.into()), now());
+    let mut coordinator = Coordinator::new(me, coordination_config(), split_mix64(number.into()), now());
     while !stop.load(Ordering::Relaxed) {
         coordinator.step(now());
         for action in coordinator.take_actions() {
--- a/crates/capacity/src/router.rs
+++ b/crates/capacity/src/router.rs
@@ -5,7 +5,7 @@
 
 use sablecross::{
     Attempt, Effect, EndpointState, EndpointUpdate, Ns, Outcome, Request, RequestClass, RouteDecision,
-    Router, Settings, mix, rank,
+    Router, Settings, rank, split_mix64,
 };
 
 use crate::cost::{
@@ -76,7 +76,7 @@
     let machine_kind = |n| if n + 1 == nodes { 2 } else { usize::from(n % 4 == 1) };
     let endpoint = |n: usize| EndpointUpdate {
         node: n,
-        rank: rank(&format!("s-{:08x}", mix(n as u64) as u32)),
+        rank: rank(&format!("s-{:08x}", split_mix64(n as u64) as u32)),
         zone: n * zone_count(nodes) / nodes,
         machine_kind: machine_kind(n),
         cell: n / 2,
@@ -95,7 +95,7 @@
 
 fn router_with_purges(known: usize) -> Router {
     let mut router = Router::new(settings(10), 7, START_TIME);
-    (0..known as u64).for_each(|n| router.record_purge(START_TIME, Some(mix(n)), 0, 0));
+    (0..known as u64).for_each(|n| router.record_purge(START_TIME, Some(split_mix64(n)), 0, 0));
     router
 }
 
@@ -117,7 +117,7 @@
         let (elapsed, ()) = time_micros(|| {
             for _ in 0..35 {
                 let now = START_TIME + SEC + load.next * SEC / 35;
-                load.router.record_purge(now, Some(mix(load.next % load.known)), 0, 0);
+                load.router.record_purge(now, Some(split_mix64(load.next % load.known)), 0, 0);
                 load.next += 1;
             }
         });
@@ -143,7 +143,7 @@
     impl PurgeLoad {
         fn purge(&mut self) {
             let now = START_TIME + self.next * SEC / self.rate;
-            self.router.record_purge(now, Some(mix(self.next)), 0, 0);
+            self.router.record_purge(now, Some(split_mix64(self.next)), 0, 0);
             self.next += 1;
         }
     }
@@ -260,7 +260,7 @@
         (self.elapsed_ns, self.attempts) = ([0.0; 3], 0);
         for _ in 0..REQUESTS_PER_ROUND {
             self.now += 2 * MS;
-            self.next = mix(self.next);
+            self.next = split_mix64(self.next);
             let mut request = Request {
                 object: self.next % 20_000,
                 part: 0,
--- a/crates/cli/src/coordination.rs
+++ b/crates/cli/src/coordination.rs
@@ -152,12 +152,12 @@
     println!("{address} member {} incarnation {} ({voter})", member.number, member.incarnation);
     status.roles.iter().for_each(print_role);
     print_assignment(status);
-    for RoleReport { role, text } in &status.role_status {
+    for RoleReport { role, text } in &status.role_reports {
         println!("  {}: {text}", role_name(*role));
     }
     println!(
         "  stale tokens rejected here {}, older assignments ignored {}, own tokens rejected elsewhere {}",
-        status.rejected_here, status.stale_assignments_ignored, status.own_rejections
+        status.stale_tokens_rejected, status.stale_assignments_ignored, status.own_rejections
     );
 }
 
@@ -225,7 +225,7 @@
 }
 
 fn role_status(status: MemberStatus, role: RoleId) -> Option<String> {
-    status.role_status.into_iter().find(|report| report.role == role).map(|report| report.text)
+    status.role_reports.into_iter().find(|report| report.role == role).map(|report| report.text)
 }
 
 fn change(file: &Path, follow: f64, target: &Target) -> Result<CommandOutcome, Vec<String>> {
--- a/crates/coordination/src/coordination_config.rs
+++ b/crates/coordination/src/coordination_config.rs
@@ -23,8 +23,8 @@
     pub lease_duration: Ns,
     /// How long a member waits for the replies to one round of requests to the voters.
     pub round_timeout: Ns,
-    /// The delay between the attempts of two candidates with successive ranks; see [`LeaseConfig::claim_spacing`].
-    pub claim_spacing: Ns,
+    /// The delay between the attempts of two candidates with successive ranks; see [`LeaseConfig::attempt_spacing`].
+    pub attempt_spacing: Ns,
     /// The interval between a member's heartbeats to the voters.
     pub heartbeat_interval: Ns,
     /// The interval between the health checks of a target, across all members.
@@ -70,7 +70,7 @@
             voter_count: self.voter_count(),
             duration: self.lease_duration,
             round_timeout: self.round_timeout,
-            claim_spacing: self.claim_spacing,
+            attempt_spacing: self.attempt_spacing,
         }
     }
 }
--- a/crates/coordination/src/coordinator/requests.rs
+++ b/crates/coordination/src/coordinator/requests.rs
@@ -86,10 +86,10 @@
             assignment_valid_for: self.assignment_valid_until.saturating_sub(now),
             target_count: self.checks.own_target_count() as u32,
             checks_sent: self.checks.checks_sent(),
-            rejected_here: node.map_or(0, VoterNode::rejected_count),
+            stale_tokens_rejected: node.map_or(0, VoterNode::rejected_count),
             stale_assignments_ignored: self.stale_assignments_ignored,
             own_rejections: self.own_rejections,
-            role_status: self.role_reports.clone().into_iter().map(RoleReport::from).collect(),
+            role_reports: self.role_reports.clone().into_iter().map(RoleReport::from).collect(),
         }
     }
 
--- a/crates/coordination/src/health_check_schedule.rs
+++ b/crates/coordination/src/health_check_schedule.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use sablecross::mix;
+use sablecross::split_mix64;
 
 use crate::rendezvous_shares::RendezvousShares;
 use crate::{Member, Ns};
@@ -71,7 +71,7 @@
     pub(crate) fn update_targets(&mut self, now: Ns, targets: &BTreeSet<u64>) {
         self.targets.retain(|target, _| targets.contains(target));
         for target in targets {
-            let due_at = now + mix(target ^ self.seed) % self.interval.max(1);
+            let due_at = now + split_mix64(target ^ self.seed) % self.interval.max(1);
             let new = Target { is_own: false, observed_at: None, due_at, sent_at: None };
             self.targets.entry(*target).or_insert(new);
         }
--- a/crates/coordination/src/lease_candidate.rs
+++ b/crates/coordination/src/lease_candidate.rs
@@ -26,7 +26,7 @@
     pub round_timeout: Ns,
     /// An attempt is delayed by this time for each candidate with a lower rank, plus a random part of up to this time
     /// that doubles with each failed attempt.
-    pub claim_spacing: Ns,
+    pub attempt_spacing: Ns,
 }
 
 /// An action that the caller has to carry out for a candidate.
@@ -238,9 +238,9 @@
     /// each failure.
     fn begin_wait(&mut self, now: Ns, min_delay: Ns) {
         self.random_state = self.random_state.wrapping_mul(LCG_MULTIPLIER).wrapping_add(LCG_INCREMENT);
-        let spread = self.config.claim_spacing << self.failures.min(MAX_BACKOFF_DOUBLINGS);
+        let spread = self.config.attempt_spacing << self.failures.min(MAX_BACKOFF_DOUBLINGS);
         let jitter = if spread > 0 { (self.random_state >> 33) % spread } else { 0 };
-        let by_rank = u64::from(self.rank) * self.config.claim_spacing;
+        let by_rank = u64::from(self.rank) * self.config.attempt_spacing;
         self.state = CandidateState::Waiting { until: now + min_delay + by_rank + jitter };
     }
 
--- a/crates/coordination/src/messages/status.rs
+++ b/crates/coordination/src/messages/status.rs
@@ -33,7 +33,7 @@
     pub checks_sent: u64,
     /// The number of stale tokens that the member's voter has rejected.
     #[serde(rename = "refused")]
-    pub rejected_here: u64,
+    pub stale_tokens_rejected: u64,
     /// The number of older assignments that the member has received and ignored.
     #[serde(rename = "passed_over")]
     pub stale_assignments_ignored: u64,
@@ -42,7 +42,7 @@
     pub own_rejections: u64,
     /// The status lines of the roles that the member holds.
     #[serde(rename = "status")]
-    pub role_status: Vec<RoleReport>,
+    pub role_reports: Vec<RoleReport>,
 }
 
 /// A role as a voter knows it, with the lease if the member itself holds the role.
--- a/crates/coordination/src/rendezvous_shares.rs
+++ b/crates/coordination/src/rendezvous_shares.rs
@@ -1,6 +1,6 @@
 //! Determines which member each target belongs to.
 
-use sablecross::mix;
+use sablecross::split_mix64;
 
 use crate::Member;
 
@@ -36,6 +36,6 @@
 /// Hashes the target and the member to a number between 0 and 1, both excluded.
 fn unit_interval_hash(target: u64, member: u32) -> f64 {
     const BITS: u32 = f64::MANTISSA_DIGITS;
-    let hash = mix(target ^ mix(u64::from(member))) >> (u64::BITS - BITS);
+    let hash = split_mix64(target ^ split_mix64(u64::from(member))) >> (u64::BITS - BITS);
     (hash as f64 / (1u64 << BITS) as f64).max(f64::MIN_POSITIVE)
 }
--- a/crates/coordination/src/voter.rs
+++ b/crates/coordination/src/voter.rs
@@ -124,7 +124,7 @@
 impl Voter {
     /// Creates a voter that may have granted leases before a restart and has forgotten them. `max_lease` bounds the
     /// duration of a lease and must be the same at all voters.
-    pub fn without_memory(now: Ns, max_lease: Ns) -> Voter {
+    pub fn after_restart(now: Ns, max_lease: Ns) -> Voter {
         Voter {
             highest_term: 0,
             grant: None,
@@ -135,7 +135,7 @@
 
     /// Creates a voter that has certainly granted nothing before. It replies at once.
     pub fn first_start(now: Ns, max_lease: Ns) -> Voter {
-        Voter { silent_until: now, ..Voter::without_memory(now, max_lease) }
+        Voter { silent_until: now, ..Voter::after_restart(now, max_lease) }
     }
 
     /// The highest term that the voter has granted or learned of.
--- a/crates/coordination/src/voter_node.rs
+++ b/crates/coordination/src/voter_node.rs
@@ -55,7 +55,7 @@
 impl VoterNode {
     /// Creates the voter with this index in the configured order, after a start without stored state.
     pub fn new(index: u32, config: &CoordinationConfig, now: Ns) -> VoterNode {
-        let voter = |role: &RoleId| (*role, Voter::without_memory(now, config.lease_duration));
+        let voter = |role: &RoleId| (*role, Voter::after_restart(now, config.lease_duration));
         let register = |role: &RoleId| (*role, RegisterReplica::new(index, config.voter_count()));
         VoterNode {
             index,
--- a/crates/coordination/tests/coordinator.rs
+++ b/crates/coordination/tests/coordinator.rs
@@ -22,7 +22,7 @@
         roles: vec![ASSIGNMENT_ROLE, HIERARCHY_ROLE],
         lease_duration: SEC,
         round_timeout: 200 * MS,
-        claim_spacing: 50 * MS,
+        attempt_spacing: 50 * MS,
         heartbeat_interval: 200 * MS,
         check_interval: SEC,
         check_timeout: 400 * MS,
--- a/crates/coordination/tests/leases.rs
+++ b/crates/coordination/tests/leases.rs
@@ -9,7 +9,7 @@
 const MS: Ns = 1_000_000;
 const LEASE: Ns = 1_000 * MS;
 const CONFIG: LeaseConfig =
-    LeaseConfig { voter_count: 5, duration: LEASE, round_timeout: 200 * MS, claim_spacing: 50 * MS };
+    LeaseConfig { voter_count: 5, duration: LEASE, round_timeout: 200 * MS, attempt_spacing: 50 * MS };
 
 fn member(number: u32) -> Member {
     Member { number, incarnation: 1 }
@@ -200,7 +200,7 @@
         sim.run(2_000);
         let holder = sim.holder().expect("a holder");
         let now = sim.now;
-        sim.voters = vec![Voter::without_memory(now, LEASE); 5];
+        sim.voters = vec![Voter::after_restart(now, LEASE); 5];
         sim.run(900);
         assert!(sim.holder().is_none_or(|current| current == holder));
         sim.run(3_000);
@@ -219,7 +219,7 @@
         // The voters restart one after another, each sooner than a lease expires.
         for v in 0..5 {
             let now = sim.now;
-            sim.voters[v] = Voter::without_memory(now, LEASE);
+            sim.voters[v] = Voter::after_restart(now, LEASE);
             sim.run(300);
         }
         sim.run(4_000);
--- a/crates/coordination/tests/model_check.rs
+++ b/crates/coordination/tests/model_check.rs
@@ -14,7 +14,7 @@
 
 const LEASE: Ns = 4;
 const CONFIG: LeaseConfig =
-    LeaseConfig { voter_count: 3, duration: LEASE, round_timeout: 2, claim_spacing: 1 };
+    LeaseConfig { voter_count: 3, duration: LEASE, round_timeout: 2, attempt_spacing: 1 };
 
 /// A protection that is removed, to show that the search finds the resulting violation.
 #[derive(Clone, Copy, PartialEq)]
@@ -227,7 +227,7 @@
                 state.restarts += 1;
                 state.voters[v] = match self.fault {
                     Fault::NoSilence => Voter::first_start(state.now, LEASE),
-                    _ => Voter::without_memory(state.now, LEASE),
+                    _ => Voter::after_restart(state.now, LEASE),
                 };
             }
             Transition::HandOver(n) => {
--- a/crates/coordination/tests/scale.rs
+++ b/crates/coordination/tests/scale.rs
@@ -17,7 +17,7 @@
         roles: vec![ASSIGNMENT_ROLE],
         lease_duration: SEC,
         round_timeout: SEC / 5,
-        claim_spacing: SEC / 20,
+        attempt_spacing: SEC / 20,
         heartbeat_interval: SEC,
         check_interval: SEC,
         check_timeout: SEC / 2,
--- a/crates/coordination/tests/wire_format.rs
+++ b/crates/coordination/tests/wire_format.rs
@@ -327,10 +327,10 @@
         assignment_valid_for: 45,
         target_count: 46,
         checks_sent: 47,
-        rejected_here: 48,
+        stale_tokens_rejected: 48,
         stale_assignments_ignored: 49,
         own_rejections: 50,
-        role_status: vec![RoleReport { role: 23, text: "runs".into() }],
+        role_reports: vec![RoleReport { role: 23, text: "runs".into() }],
     };
     assert_encoding(status, b"\x9c\x92\x01\x02+,\x91\x94\x17(\x92\x92\x01\x02)\x92\x92\x05\x92\x01\x02*\x93\x92\x06\x07\x92\x01\x02\x92\x92\x01\x02\x92\x03\x04-./012\x91\x92\x17\xa4runs", r#"{"me":{"number":1,"life":2},"voter":43,"silent":44,"duties":[{"duty":23,"highest":40,"owner":[{"number":1,"life":2},41],"own":[{"term":5,"owner":{"number":1,"life":2}},42]}],"roster":{"stamp":{"term":6,"number":7},"dealer":{"number":1,"life":2},"members":[{"number":1,"life":2},{"number":3,"life":4}]},"holds":45,"chores":46,"probes":47,"refused":48,"passed_over":49,"was_refused":50,"status":[[23,"runs"]]}"#);
 }
--- a/crates/director/src/coordination/agent.rs
+++ b/crates/director/src/coordination/agent.rs
@@ -14,7 +14,7 @@
 use crossbeam_channel::{Receiver, TryRecvError};
 use mio::event::Event as Readiness;
 use mio::{Events, Poll, Token, Waker};
-use sablecross::{LoadReport, Ns, Settings, mix};
+use sablecross::{LoadReport, Ns, Settings, split_mix64};
 use sablecross_coordination::messages::{AppliedVersion, HealthObservation, HealthState, Request, RoleId};
 use sablecross_coordination::{Action, Coordinator, FencingToken, LeaseEnd, Member};
 
@@ -70,7 +70,7 @@
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         let incarnation = since_epoch.map_or(1, |elapsed| elapsed.as_millis() as u64);
         let number = u32::try_from(router_settings.director_index).unwrap_or(u32::MAX);
-        let seed = mix(incarnation ^ router_settings.director_index as u64);
+        let seed = split_mix64(incarnation ^ router_settings.director_index as u64);
         let now = shared.clock.now();
         let voters = VoterConnections::new(&settings.config.voters, &settings.voter_addresses);
         tracing::info!(number, incarnation, voters = voters.len(), "coordination member");
@@ -80,7 +80,7 @@
             inbox,
             poll,
             voters,
-            checks_health: settings.probing,
+            checks_health: settings.checks_health,
             nodes: CheckedNodes::new(),
             endpoints: EndpointList::new(router_settings),
             hierarchy: HierarchyRole::new(settings.member_gone_after),
--- a/crates/director/src/coordination/agent/warming.rs
+++ b/crates/director/src/coordination/agent/warming.rs
@@ -1,7 +1,7 @@
 //! The warming role: its holder has cold caches fetch the objects that the fleet requests most. Every director reports
 //! which objects its own clients request most.
 
-use sablecross::{Ns, Settings, mix};
+use sablecross::{Ns, Settings, split_mix64};
 use sablecross_coordination::messages::HotObjectCount;
 use sablecross_coordination::{CacheWarmer, FencingToken, Fetch, FetchOutcome, HotObject, WarmingLimits};
 
@@ -154,5 +154,5 @@
 /// Returns a request id of 16 hex digits. Its first digit is `d`, so that it differs from the id of every client's
 /// request.
 fn fetch_request_id(tag: health_check::HealthCheckTag) -> String {
-    format!("d{:015x}", mix(tag.token.term ^ mix(tag.sequence)) >> 4)
+    format!("d{:015x}", split_mix64(tag.token.term ^ split_mix64(tag.sequence)) >> 4)
 }
--- a/crates/director/src/coordination_settings.rs
+++ b/crates/director/src/coordination_settings.rs
@@ -177,7 +177,7 @@
     /// The addresses of the voters, in the order of `config.voters`.
     pub voter_addresses: Vec<SocketAddr>,
     /// Whether the health of nodes is checked.
-    pub probing: bool,
+    pub checks_health: bool,
     /// How long a member may be missing before a change of the hierarchy stops waiting for it, in nanoseconds.
     pub member_gone_after: sablecross::Ns,
     /// How cold caches are warmed, or `None` if they are not. The initial share of a cold cache and the time until it
@@ -207,7 +207,7 @@
         Ok(CoordinationSettings {
             config: coordination_config(&duty, &voters),
             voter_addresses: voters.iter().map(|voter| voter.address).collect(),
-            probing: duty.probing,
+            checks_health: duty.probing,
             member_gone_after: duty.gone_after_ms * NS_PER_MS,
             warming: duty.warming.then(|| warming_limits(&duty)),
         })
@@ -276,7 +276,7 @@
         roles: ROLES.iter().map(|role| role.0).collect(),
         lease_duration: duty.lease_ms * NS_PER_MS,
         round_timeout: duty.round_ms * NS_PER_MS,
-        claim_spacing: duty.apart_ms * NS_PER_MS,
+        attempt_spacing: duty.apart_ms * NS_PER_MS,
         heartbeat_interval: duty.beat_ms * NS_PER_MS,
         check_interval: duty.probe_ms * NS_PER_MS,
         check_timeout: duty.patience_ms * NS_PER_MS,
--- a/crates/director/src/dispatch/event_handlers.rs
+++ b/crates/director/src/dispatch/event_handlers.rs
@@ -73,7 +73,7 @@
         }
         self.executor.counters.received += 1;
         self.coordination.record_request(incoming.object, incoming.part, incoming.class);
-        let client_deadline = incoming.arrived_at + incoming.budget;
+        let client_deadline = incoming.arrived_at + incoming.time_budget;
         let deadline = client_deadline.saturating_sub(self.executor.shared.limits.answer_margin);
         let request = request_for_router(&incoming, deadline);
         let key = self.executor.requests.insert(incoming, deadline, self.hierarchy.active().cloned());
--- a/crates/director/src/events.rs
+++ b/crates/director/src/events.rs
@@ -79,7 +79,7 @@
     /// When it arrived, or the earliest time at which it may have arrived.
     pub arrived_at: Ns,
     /// How long its client waits for an answer, from `arrived_at` on.
-    pub budget: Ns,
+    pub time_budget: Ns,
 }
 
 /// A copy as a node served it.
--- a/crates/director/src/name_table.rs
+++ b/crates/director/src/name_table.rs
@@ -44,7 +44,7 @@
     let numbered = names.iter().enumerate().map(|(number, name)| {
         let text = name
             .as_str()
-            .ok_or_else(|| SettingsError::NotAName { key: key.to_owned(), value: name.to_string() })?;
+            .ok_or_else(|| SettingsError::NotAString { key: key.to_owned(), value: name.to_string() })?;
         Ok((text.to_owned(), number))
     });
     numbered.collect()
--- a/crates/director/src/node_registry.rs
+++ b/crates/director/src/node_registry.rs
@@ -129,7 +129,7 @@
 
     /// Records the states of nodes. Nodes that a snapshot leaves out are gone. `next` is the key of the next request.
     /// Returns the nodes that this list declares as gone, including those that were gone before.
-    pub fn mark_gone(
+    pub fn record_states(
         &mut self,
         updates: &[EndpointUpdate],
         is_snapshot: bool,
--- a/crates/director/src/os_error.rs
+++ b/crates/director/src/os_error.rs
@@ -29,7 +29,7 @@
 }
 
 /// Whether an `accept` was interrupted, or took a connection that had already failed. It can be called again at once.
-pub(crate) fn is_failed_connection(e: &io::Error) -> bool {
+pub(crate) fn is_transient_accept_error(e: &io::Error) -> bool {
     const FAILED: [i32; 11] = [
         libc::ECONNABORTED,
         libc::EINTR,
@@ -47,7 +47,7 @@
 }
 
 /// Whether there is currently no route to the peer. If this lasts, the peer may be the cause as well.
-pub(crate) fn is_network_trouble(e: &io::Error) -> bool {
+pub(crate) fn is_network_unreachable(e: &io::Error) -> bool {
     const NETWORK: [i32; 3] = [libc::EADDRNOTAVAIL, libc::ENETDOWN, libc::ENETUNREACH];
     e.raw_os_error().is_some_and(|number| NETWORK.contains(&number))
 }
--- a/crates/director/src/process/config.rs
+++ b/crates/director/src/process/config.rs
@@ -185,8 +185,8 @@
             limits: Limits::new(
                 limit(&root, "sockets")?,
                 limit(&root, "memory_mb")?,
-                settings.nanoseconds("ceilings.dialTimeoutUs")?,
-                settings.nanoseconds("ceilings.keepaliveUs")?,
+                settings.duration("ceilings.dialTimeoutUs")?,
+                settings.duration("ceilings.keepaliveUs")?,
             ),
             known,
         })
--- a/crates/director/src/stall_detector.rs
+++ b/crates/director/src/stall_detector.rs
@@ -54,7 +54,7 @@
 
     /// Whether the next wait must return at once, to find the input that the last one may have missed. That input
     /// counts as arrived at the beginning of the last wait, so no other input may arrive during the next one.
-    pub(crate) fn must_look_again(&self) -> bool {
+    pub(crate) fn must_poll_again(&self) -> bool {
         self.carried_over > 0
     }
 }
--- a/crates/director/src/stall_detector/tests.rs
+++ b/crates/director/src/stall_detector/tests.rs
@@ -10,7 +10,7 @@
     let mut stalls = StallDetector::new(0);
     assert_eq!(stalls.on_wakeup(MS, WAIT, 51 * MS, true), 0);
     assert_eq!(stalls.on_wakeup(52 * MS, WAIT, 60 * MS, true), 0);
-    assert!(!stalls.must_look_again());
+    assert!(!stalls.must_poll_again());
 }
 
 #[test]
@@ -18,7 +18,7 @@
     let mut stalls = StallDetector::new(0);
     assert_eq!(stalls.on_wakeup(400 * MS, WAIT, 410 * MS, true), 400 * MS);
     // Input that had arrived by then was there when the wait began, and was reported.
-    assert!(!stalls.must_look_again());
+    assert!(!stalls.must_poll_again());
     assert_eq!(stalls.on_wakeup(411 * MS, WAIT, 420 * MS, true), 0);
 }
 
@@ -29,10 +29,10 @@
     for (has_reported_all, found) in [(true, "something"), (false, "nothing, as it was interrupted")] {
         let mut stalls = StallDetector::new(0);
         assert_eq!(stalls.on_wakeup(MS, WAIT, 451 * MS, has_reported_all), 451 * MS, "{found}");
-        assert!(stalls.must_look_again(), "{found}");
+        assert!(stalls.must_poll_again(), "{found}");
         // The next wait returns at once, and finds the rest.
         assert_eq!(stalls.on_wakeup(452 * MS, Duration::ZERO, 452 * MS, true), 452 * MS, "{found}");
-        assert!(!stalls.must_look_again(), "{found}");
+        assert!(!stalls.must_poll_again(), "{found}");
         assert_eq!(stalls.on_wakeup(453 * MS, WAIT, 460 * MS, true), 0, "{found}");
     }
 }
--- a/crates/director/src/wire/client_acceptor.rs
+++ b/crates/director/src/wire/client_acceptor.rs
@@ -11,7 +11,7 @@
 
 use crate::counters;
 use crate::log_rate_limiter::LogRateLimiter;
-use crate::os_error::is_failed_connection;
+use crate::os_error::is_transient_accept_error;
 use crate::shared::SharedContext;
 
 /// Accepts client connections.
@@ -84,7 +84,7 @@
                     return None;
                 }
                 // This connection failed before it was accepted; others may wait behind it.
-                Err(e) if is_failed_connection(&e) => {}
+                Err(e) if is_transient_accept_error(&e) => {}
                 Err(e) => {
                     log.warn(self.shared.clock.now(), || format!("accept failed: {e}"));
                     break;
--- a/crates/director/src/wire/client_connection.rs
+++ b/crates/director/src/wire/client_connection.rs
@@ -395,7 +395,7 @@
                     is_client_retry: fields.is_client_retry,
                     body: Arc::new(body),
                     arrived_at: self.arrived_at,
-                    budget: fields.budget_ms * NS_PER_MS,
+                    time_budget: fields.budget_ms * NS_PER_MS,
                 }))
             }
         }
--- a/crates/director/src/wire/client_server.rs
+++ b/crates/director/src/wire/client_server.rs
@@ -115,7 +115,7 @@
             readable.append(&mut self.readable);
             self.read_all(readable);
             // After a stall, other clients may have gone that this poll has not reported.
-            if has_reported_all && !self.stalls.must_look_again() {
+            if has_reported_all && !self.stalls.must_poll_again() {
                 self.shared.record_clients_checked(woken_at);
             }
             let now = self.shared.clock.now();
@@ -145,7 +145,7 @@
     }
 
     fn poll_timeout(&self, next_sweep: Ns) -> Duration {
-        if !self.readable.is_empty() || self.stalls.must_look_again() {
+        if !self.readable.is_empty() || self.stalls.must_poll_again() {
             return Duration::ZERO;
         }
         let next = self.acceptor.retry_at().map_or(next_sweep, |at| at.min(next_sweep));
--- a/crates/director/src/wire/node_connections.rs
+++ b/crates/director/src/wire/node_connections.rs
@@ -17,7 +17,7 @@
 use crate::counters;
 use crate::events::{ConnectionLoss, Event, NodeConnectionId, RequestId};
 use crate::log_rate_limiter::LogRateLimiter;
-use crate::os_error::{is_local_shortage, is_network_trouble, is_would_block};
+use crate::os_error::{is_local_shortage, is_network_unreachable, is_would_block};
 use crate::shared::SharedContext;
 
 /// A command from the dispatcher to the thread of the node connections.
@@ -232,7 +232,7 @@
         match connected {
             Ok(stream) => connection.stream = Some(stream),
             Err(e) if is_local_shortage(&e) => {
-                connection.shortage_loss = if is_network_trouble(&e) {
+                connection.shortage_loss = if is_network_unreachable(&e) {
                     ConnectionLoss::Unreachable
                 } else {
                     ConnectionLoss::LocalShortage
--- a/crates/director/src/wire/node_pool.rs
+++ b/crates/director/src/wire/node_pool.rs
@@ -152,7 +152,7 @@
         self.withdraw(|candidate| {
             !remains_ready(candidate.node) || candidate.source.is_some_and(|source| !remains_ready(source))
         });
-        for node in self.registry.mark_gone(&updates, is_snapshot, next) {
+        for node in self.registry.record_states(&updates, is_snapshot, next) {
             self.retire_all(node);
         }
         updates
--- a/crates/director/tests/codec.rs
+++ b/crates/director/tests/codec.rs
@@ -232,7 +232,7 @@
         is_client_retry: false,
         body: memory_budget.allocate_body(2).expect("room").into(),
         arrived_at: 0,
-        budget: 0,
+        time_budget: 0,
     };
     let bare = AttemptSpec {
         node: 0,
--- a/crates/director/tests/coordination_settings_format.rs
+++ b/crates/director/tests/coordination_settings_format.rs
@@ -29,13 +29,13 @@
             roles: vec![0, 1, 2],
             lease_duration: 301 * MS,
             round_timeout: 102 * MS,
-            claim_spacing: 53 * MS,
+            attempt_spacing: 53 * MS,
             heartbeat_interval: 204 * MS,
             check_interval: 1_005 * MS,
             check_timeout: 406 * MS,
         },
         voter_addresses: vec!["127.0.0.1:10089".parse().expect("one"), "[::1]:10081".parse().expect("one")],
-        probing: true,
+        checks_health: true,
         member_gone_after: 60_007 * MS,
         warming: Some(WarmingLimits {
             warm_requests_per_second: 20.5,
@@ -50,7 +50,7 @@
     let without = text.replace("(probing . #t) (warming . #t)", "(probing . #f) (warming . #f)");
     assert_eq!(
         CoordinationSettings::parse("f", &without).expect("read"),
-        CoordinationSettings { probing: false, warming: None, ..complete }
+        CoordinationSettings { checks_health: false, warming: None, ..complete }
     );
 }
 
@@ -63,13 +63,13 @@
             roles: vec![0, 1, 2],
             lease_duration: 1_000 * MS,
             round_timeout: 200 * MS,
-            claim_spacing: 50 * MS,
+            attempt_spacing: 50 * MS,
             heartbeat_interval: 200 * MS,
             check_interval: 1_000 * MS,
             check_timeout: 400 * MS,
         },
         voter_addresses: vec!["127.0.0.1:10080".parse().expect("one")],
-        probing: true,
+        checks_health: true,
         member_gone_after: 60_000 * MS,
         warming: None,
     };
--- a/crates/director/tests/wire_format.rs
+++ b/crates/director/tests/wire_format.rs
@@ -213,7 +213,7 @@
         is_client_retry: false,
         body: memory_budget.allocate_body(length).expect("room").into(),
         arrived_at: 0,
-        budget: 0,
+        time_budget: 0,
     };
     let bare = AttemptSpec {
         node: 0,
--- a/crates/inflight/src/settings.rs
+++ b/crates/inflight/src/settings.rs
@@ -42,7 +42,7 @@
     },
     /// An item of a list of names is not a string.
     #[error("bad setting: {key}: {value}")]
-    NotAName {
+    NotAString {
         /// The path of the list.
         key: String,
         /// The item as read.
@@ -89,7 +89,7 @@
     }
 
     /// Parses a duration in microseconds and returns it in nanoseconds, at most 366 days.
-    pub fn nanoseconds(&self, key: &str) -> Result<Ns> {
+    pub fn duration(&self, key: &str) -> Result<Ns> {
         Ok(clamped_nanoseconds(self.get(key)?))
     }
 
@@ -163,19 +163,19 @@
         may_cancel: map.get("ceilings.mayCancel")?,
         may_hedge: map.get("ceilings.parallelTries")?,
         may_send_retry_after: map.get("ceilings.retryAfter")?,
-        max_retry_after: map.nanoseconds("ceilings.maxRetryAfterUs")?,
+        max_retry_after: map.duration("ceilings.maxRetryAfterUs")?,
         max_attempts: map.get("ceilings.sendCap")?,
         slow_start_initial_share: map.share("guarantees.coldFrom")?,
-        slow_start_window: map.nanoseconds("guarantees.warmAfterUs")?,
+        slow_start_window: map.duration("guarantees.warmAfterUs")?,
         collapse_multiple: map.non_negative_number("guarantees.fallMultiple")?,
         parent_slow_start_initial_share: map.share("extra.parentStartsAt")?,
-        parent_slow_start_window: map.nanoseconds("extra.parentColdUs")?,
+        parent_slow_start_window: map.duration("extra.parentColdUs")?,
         parent_collapse_multiple: map.non_negative_number("extra.upperFallMultiple")?,
         stream_kb_per_s: map.non_negative_number("extra.streamKbPerS")?,
         may_bypass_cache: map.get("extra.direct")?,
         may_coalesce: map.get("extra.joins")?,
-        purge_propagation_window: map.nanoseconds("extra.clearedWithinUs")?,
-        tick: map.nanoseconds("periodUs")?,
+        purge_propagation_window: map.duration("extra.clearedWithinUs")?,
+        tick: map.duration("periodUs")?,
     })
 }
 
@@ -212,7 +212,7 @@
     let effect = effect(map, index)?;
     let stretch_key = key("aimStretch");
     Ok(RequestClass {
-        latency_objective: map.nanoseconds(&key("aimUs"))?,
+        latency_objective: map.duration(&key("aimUs"))?,
         latency_objective_stretch: map
             .0
             .contains_key(&stretch_key)
@@ -234,7 +234,7 @@
         "at_most_once" => Ok(Effect::SideEffecting),
         "deduplicated" => Ok(Effect::Deduplicated {
             within: deduplication_scope(map, index)?,
-            window: map.nanoseconds(&format!("classes.{index}.memorySpanUs"))?,
+            window: map.duration(&format!("classes.{index}.memorySpanUs"))?,
         }),
         other => Err(invalid(&key, other)),
     }
--- a/crates/inflight/tests/settings_format.rs
+++ b/crates/inflight/tests/settings_format.rs
@@ -151,8 +151,8 @@
         expected_settings()
     );
     let map = settings_with("az", Some("1"));
-    assert_eq!(map.nanoseconds("ceilings.dialTimeoutUs").expect("valid settings"), 400_000_000);
-    assert_eq!(map.nanoseconds("ceilings.keepaliveUs").expect("valid settings"), 30_000_000_000);
+    assert_eq!(map.duration("ceilings.dialTimeoutUs").expect("valid settings"), 400_000_000);
+    assert_eq!(map.duration("ceilings.keepaliveUs").expect("valid settings"), 30_000_000_000);
     assert_eq!(map.text("discovery").expect("valid settings"), "on_request");
     assert_eq!(map.list::<u32>("extra.zoneBalancers").expect("valid settings"), [3, 4]);
     assert_eq!(map.get::<f64>("extra.streamKbPerS").expect("valid settings"), 9_000.5);
--- a/crates/relay-server/src/server/startup.rs
+++ b/crates/relay-server/src/server/startup.rs
@@ -189,7 +189,7 @@
             voter_count: voter_names.len() as u32,
             duration: form.lease_ms * NS_PER_MS,
             round_timeout: form.round_ms * NS_PER_MS,
-            claim_spacing: form.apart_ms * NS_PER_MS,
+            attempt_spacing: form.apart_ms * NS_PER_MS,
         },
         voter_names,
         call_timeout: 2 * form.lease_ms * NS_PER_MS,
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -31,7 +31,7 @@
 pub use event::{Event, EventError, ParsedEvent};
 pub use log::{Log, LogEntry, LogFull};
 pub use messages::{EntryPosition, PeerAnswer, PeerCall, PeerReply, PeerRequest, ReplicaState};
-pub use relay::{ApplyOutcome, Relay, ResubscribeReason, UpstreamCall};
+pub use relay::{ApplyOutcome, Relay, ResubscribeReason, UpstreamTarget};
 pub use retention::RetentionWindow;
 pub use sablecross_coordination::{FencingToken, Member, Ns};
 pub use snapshot::{HierarchyEvent, Snapshot};
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -62,7 +62,7 @@
 
 /// The upstream to call, and the number to call it with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct UpstreamCall {
+pub struct UpstreamTarget {
     /// Index of the upstream in the settings.
     pub upstream: usize,
     /// The number that this relay and all its subscribers that are not missing have applied.
@@ -265,11 +265,11 @@
 impl Relay {
     /// Returns the upstream to follow now, and the number to call it with. The caller has to ask before each call,
     /// and also while a stream is open, because the upstream to follow may change.
-    pub fn upstream_to_follow(&mut self, now: Ns) -> Option<UpstreamCall> {
+    pub fn upstream_to_follow(&mut self, now: Ns) -> Option<UpstreamTarget> {
         let floor = self.subscribers.floor(now, self.last_number());
         let RelayMode::Plain(plain) = &self.mode else { return None };
         let upstream = plain.upstream.current()?;
-        Some(UpstreamCall { upstream, applied_number: floor.min(plain.log.last_number()) })
+        Some(UpstreamTarget { upstream, applied_number: floor.min(plain.log.last_number()) })
     }
 
     /// Records that the call of the upstream failed or that its stream broke. A clean end of a stream is no failure.
--- a/crates/relay/src/replica_group/mod.rs
+++ b/crates/relay/src/replica_group/mod.rs
@@ -99,7 +99,7 @@
         let recovers = !is_alone && config.safety_checks.recovery;
         ReplicaGroup {
             index,
-            voter: Voter::without_memory(now, config.lease.duration),
+            voter: Voter::after_restart(now, config.lease.duration),
             candidate: LeaseCandidate::new(member, index, config.lease, seed, now),
             guard: FencingGuard::default(),
             log: ReplicaLog::new(log),
--- a/crates/relay/tests/cases.rs
+++ b/crates/relay/tests/cases.rs
@@ -490,8 +490,8 @@
     // sent again.
     relay.on_subscriber_connected(2 * SEC, START_UNIX_MS, "d", 12);
     assert_eq!(receive(&mut relay, 13, &purge(4, START_UNIX_MS)), ApplyOutcome::Applied);
-    assert_eq!(relay.upstream_to_follow(2 * SEC), Some(UpstreamCall { upstream: 0, applied_number: 12 }));
+    assert_eq!(relay.upstream_to_follow(2 * SEC), Some(UpstreamTarget { upstream: 0, applied_number: 12 }));
     assert_eq!(receive(&mut relay, 13, &purge(4, START_UNIX_MS)), ApplyOutcome::Duplicate);
     relay.on_subscriber_connected(3 * SEC, START_UNIX_MS, "d", 13);
-    assert_eq!(relay.upstream_to_follow(3 * SEC), Some(UpstreamCall { upstream: 0, applied_number: 13 }));
+    assert_eq!(relay.upstream_to_follow(3 * SEC), Some(UpstreamTarget { upstream: 0, applied_number: 13 }));
 }
--- a/crates/relay/tests/help/mod.rs
+++ b/crates/relay/tests/help/mod.rs
@@ -26,7 +26,7 @@
         voter_count: voters as u32,
         duration: 400 * MS,
         round_timeout: 100 * MS,
-        claim_spacing: 40 * MS,
+        attempt_spacing: 40 * MS,
     };
     GroupConfig {
         voter_names: (0..voters).map(|v| format!("r{v}")).collect(),
--- a/crates/testbed/src/fleet/link_proxy.rs
+++ b/crates/testbed/src/fleet/link_proxy.rs
@@ -48,7 +48,7 @@
 }
 
 /// Starts a non-blocking connection from a given local address.
-pub(crate) fn dial_from(from: Ipv4Addr, to: SocketAddr) -> io::Result<TcpStream> {
+pub(crate) fn connect_from(from: Ipv4Addr, to: SocketAddr) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
     // Without this option the connection is only slower.
@@ -75,14 +75,17 @@
         over: &Arc<AtomicBool>,
     ) -> io::Result<LinkProxies> {
         let all = (0..members).flat_map(|m| voters.iter().enumerate().map(move |(v, to)| ((m, v), *to)));
-        LinkProxies::between(
+        LinkProxies::start_planned(
             all.map(|(pair, to)| PlannedLink { pair, to, from: Ipv4Addr::LOCALHOST }).collect(),
             over,
         )
     }
 
     /// Creates the planned links. They end when `over` is set.
-    pub(crate) fn between(planned: Vec<PlannedLink>, over: &Arc<AtomicBool>) -> io::Result<LinkProxies> {
+    pub(crate) fn start_planned(
+        planned: Vec<PlannedLink>,
+        over: &Arc<AtomicBool>,
+    ) -> io::Result<LinkProxies> {
         let poll = Poll::new()?;
         let mut listeners = Vec::new();
         let mut addresses = BTreeMap::new();
@@ -198,7 +201,7 @@
         let first = self.listeners.len();
         while let Ok((mut stream, _)) = self.listeners[at].0.accept() {
             let PlannedLink { pair, to, from } = self.listeners[at].1;
-            let Ok(mut voter) = dial_from(from, to) else { continue };
+            let Ok(mut voter) = connect_from(from, to) else { continue };
             let token = first + 2 * self.next;
             let both = Interest::READABLE | Interest::WRITABLE;
             let begun = self
--- a/crates/testbed/src/fleet/report.rs
+++ b/crates/testbed/src/fleet/report.rs
@@ -408,7 +408,7 @@
         let fields: [fn(&ClientTally) -> u64; 3] =
             [|tally| tally.asked, |tally| tally.satisfied, |tally| tally.rejected];
         let lookups = fields.map(|field| self.seconds.iter().map(field).collect()).to_vec();
-        let chart = |name, curves| Chart { name, curves, line: None };
+        let chart = |name, curves| Chart { name, curves, limit_line: None };
         vec![
             chart("requests per second at each cache", self.curves("cache")),
             chart("requests per second at each parent", self.curves("parent")),
--- a/crates/testbed/src/fleet/run.rs
+++ b/crates/testbed/src/fleet/run.rs
@@ -463,7 +463,7 @@
         report.bytes = links.proxies.bytes(|_| true).iter().sum::<u64>() as f64 / seconds / directors;
         report.cpu = measured.cpu_seconds / seconds / directors;
         report.changes_proposed = self.proposals;
-        report.refused_by_voters = measured.statuses.iter().map(|status| status.rejected_here).sum();
+        report.refused_by_voters = measured.statuses.iter().map(|status| status.stale_tokens_rejected).sum();
         report.stale_assignments =
             measured.statuses.iter().map(|status| status.stale_assignments_ignored).sum();
         for counts in nodes.iter().map(|node| &node.counts) {
--- a/crates/testbed/src/pull_request.rs
+++ b/crates/testbed/src/pull_request.rs
@@ -77,7 +77,7 @@
     }
 
     /// The entity tag of the copy that the client has.
-    pub(crate) fn held_tag(&self) -> Option<&'a str> {
+    pub(crate) fn client_copy_tag(&self) -> Option<&'a str> {
         self.field("mine")
     }
 
--- a/crates/testbed/src/pull_request/tests.rs
+++ b/crates/testbed/src/pull_request/tests.rs
@@ -8,7 +8,7 @@
     let pull = PullRequest::parse(line).unwrap();
     assert_eq!(pull.tag, "1f");
     assert_eq!((pull.object(), pull.wait_ms(), pull.max_age_ms()), (Some(0x2a), Some(800), Some(50)));
-    assert_eq!((pull.source(), pull.held_tag()), (Some("upper-1"), Some("t7")));
+    assert_eq!((pull.source(), pull.client_copy_tag()), (Some("upper-1"), Some("t7")));
     assert_eq!(pull.path(), ["upper-2", "origin"]);
     assert_eq!(pull.visited(), ["a"]);
     assert_eq!((pull.field("class"), pull.field("duty")), (Some("read"), None));
@@ -22,7 +22,7 @@
 fn absent_fields_are_none() {
     let pull = PullRequest::parse("PULL 1f - 0").unwrap();
     assert_eq!((pull.object(), pull.wait_ms(), pull.max_age_ms()), (None, None, None));
-    assert_eq!((pull.source(), pull.held_tag()), (None, None));
+    assert_eq!((pull.source(), pull.client_copy_tag()), (None, None));
     assert_eq!((pull.path(), pull.visited()), (Vec::new(), Vec::new()));
     // `within=0` accepts copies of any age.
     assert_eq!(PullRequest::parse("PULL 1f within=0 0").unwrap().max_age_ms(), None);
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -181,7 +181,7 @@
         let chart = |name, field: fn(&Second) -> u64, line| Chart {
             name,
             curves: vec![self.seconds.iter().map(field).collect()],
-            line,
+            limit_line: line,
         };
         let ceiling = Some(self.experiment.ceiling as u64);
         vec![
--- a/crates/testbed/src/scale/installation.rs
+++ b/crates/testbed/src/scale/installation.rs
@@ -408,7 +408,7 @@
             planned.push(PlannedLink { pair: (real, place), to, from: real_source(real) });
         }
     }
-    LinkProxies::between(planned, has_ended).map_err(io_error("links of real directors"))
+    LinkProxies::start_planned(planned, has_ended).map_err(io_error("links of real directors"))
 }
 
 fn start_real_directors(
--- a/crates/testbed/src/scale/report.rs
+++ b/crates/testbed/src/scale/report.rs
@@ -368,7 +368,7 @@
     fn charts(&self) -> Vec<Chart> {
         let name = "longest ms to applied everywhere, by the second of publication (line: bound of purges)";
         let line = Some((1e3 * self.trial.purge_within) as u64);
-        vec![Chart { name, curves: vec![self.seconds.clone()], line }]
+        vec![Chart { name, curves: vec![self.seconds.clone()], limit_line: line }]
     }
 }
 
--- a/crates/testbed/src/scale/simulated_director.rs
+++ b/crates/testbed/src/scale/simulated_director.rs
@@ -20,7 +20,7 @@
 };
 use serde_json::Value;
 
-use crate::fleet::link_proxy::dial_from;
+use crate::fleet::link_proxy::connect_from;
 
 use super::pool_messages::{
     DirectorIdentity, EventArrival, Finished, PoolProgress, PublishedEvent, shared_ns,
@@ -172,7 +172,7 @@
                 node_registry.observe_starts(endpoints, now);
                 let mut lines: Vec<_> =
                     endpoints.iter().filter_map(|e| node_registry.endpoint_update(names, e, now)).collect();
-                node_registry.mark_gone(&lines, *is_snapshot, 0);
+                node_registry.record_states(&lines, *is_snapshot, 0);
                 hierarchy_parents
                     .update_parents(&mut lines, *is_snapshot, |node| node_registry.name(node).to_owned());
                 self.router.update_endpoints(now, &lines, *is_snapshot);
@@ -376,7 +376,7 @@
     }
 
     fn dial(&self, at: SocketAddr, registry: &Registry) -> io::Result<TcpStream> {
-        let mut socket = dial_from(self.identity.source, at)?;
+        let mut socket = connect_from(self.identity.source, at)?;
         registry.register(&mut socket, self.token, Interest::READABLE | Interest::WRITABLE)?;
         Ok(socket)
     }
--- a/crates/testbed/src/scale/tier.rs
+++ b/crates/testbed/src/scale/tier.rs
@@ -121,7 +121,7 @@
         source: SocketAddr,
         has_ended: &Arc<AtomicBool>,
     ) -> Result<Tier, TrialError> {
-        let links = LinkProxies::between(Vec::new(), has_ended).map_err(io_error("links"))?;
+        let links = LinkProxies::start_planned(Vec::new(), has_ended).map_err(io_error("links"))?;
         Ok(Tier {
             relays: Vec::new(),
             feeds: vec![source],
@@ -239,7 +239,7 @@
         to: feeds[pair.1],
         from: Ipv4Addr::LOCALHOST,
     });
-    LinkProxies::between(planned.collect(), has_ended).map_err(io_error("links between relays"))
+    LinkProxies::start_planned(planned.collect(), has_ended).map_err(io_error("links between relays"))
 }
 
 fn wait_until_serving(relays: &mut [Relay], since: Instant) -> Result<(), TrialError> {
--- a/crates/testbed/src/soak/node.rs
+++ b/crates/testbed/src/soak/node.rs
@@ -116,7 +116,7 @@
             source: request.source().map(str::to_owned),
             wait_ms: request.wait_ms()?,
             max_age_ms: request.max_age_ms(),
-            held_tag: request.held_tag().map(str::to_owned),
+            held_tag: request.client_copy_tag().map(str::to_owned),
         })
     }
 
--- a/crates/testbed/src/trial_report.rs
+++ b/crates/testbed/src/trial_report.rs
@@ -77,12 +77,13 @@
     /// The values of each curve by second.
     pub curves: Vec<Vec<u64>>,
     /// The value of a horizontal line, such as a limit.
-    pub line: Option<u64>,
+    pub limit_line: Option<u64>,
 }
 
 impl Chart {
     fn draw(&self, area: &DrawingArea<SVGBackend, Shift>) -> Result<(), ReportError> {
-        let highest = self.curves.iter().flatten().max().copied().unwrap_or(0).max(self.line.unwrap_or(0));
+        let highest =
+            self.curves.iter().flatten().max().copied().unwrap_or(0).max(self.limit_line.unwrap_or(0));
         let top = highest * 11 / 10 + 1;
         let length = self.curves.iter().map(Vec::len).max().unwrap_or(0).max(1);
         let mut chart = ChartBuilder::on(area)
@@ -97,7 +98,7 @@
             let points = curve.iter().copied().enumerate();
             chart.draw_series(LineSeries::new(points, &Palette99::pick(i))).map_err(plot_error)?;
         }
-        if let Some(line) = self.line {
+        if let Some(line) = self.limit_line {
             let points = [(0, line), (length, line)];
             chart.draw_series(LineSeries::new(points, &RED)).map_err(plot_error)?;
         }
--- a/src/hash_ring.rs
+++ b/src/hash_ring.rs
@@ -17,7 +17,7 @@
 
 /// Hashes a number to a number (SplitMix64). The result is part of the protocol between directors of different
 /// versions.
-pub fn mix(x: u64) -> u64 {
+pub fn split_mix64(x: u64) -> u64 {
     let mut z = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -26,18 +26,18 @@
 
 /// The position of a part of an object on the ring of caches.
 pub fn cache_position(object: u64, part: u32) -> u64 {
-    mix(object ^ mix(u64::from(part)))
+    split_mix64(object ^ split_mix64(u64::from(part)))
 }
 
 /// The position of an object on the ring of parents. All parts of the object share it.
 pub fn parent_position(object: u64) -> u64 {
-    mix(!object)
+    split_mix64(!object)
 }
 
 /// A fraction in [0, 1) that depends only on the key. It replaces a random number where all directors, or all
 /// decisions at the same time, have to use the same value.
 pub(crate) fn unit_fraction(key: u64) -> f64 {
-    (mix(key) % FRACTION_STEPS) as f64 / FRACTION_STEPS as f64
+    (split_mix64(key) % FRACTION_STEPS) as f64 / FRACTION_STEPS as f64
 }
 
 /// A member of a hash ring. Members are ordered by their fields, in the order of declaration.
@@ -121,5 +121,6 @@
 fn virtual_nodes_of(member: &RingMember) -> impl Iterator<Item = VirtualNode> + use<> {
     let &RingMember { rank, node, withheld_virtual_nodes } = member;
     let count = VIRTUAL_NODES.saturating_sub(withheld_virtual_nodes);
-    (0..u64::from(count)).map(move |index| VirtualNode { position: mix(mix(rank) ^ index), node })
+    (0..u64::from(count))
+        .map(move |index| VirtualNode { position: split_mix64(split_mix64(rank) ^ index), node })
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -20,6 +20,8 @@
 mod transfer_time;
 mod types;
 
-pub use hash_ring::{HashRing, RingMember, VIRTUAL_NODES, cache_position, mix, parent_position, rank};
+pub use hash_ring::{
+    HashRing, RingMember, VIRTUAL_NODES, cache_position, parent_position, rank, split_mix64,
+};
 pub use router::Router;
 pub use types::*;
--- a/tests/stable_values.rs
+++ b/tests/stable_values.rs
@@ -30,7 +30,7 @@
         (u64::MAX, 0xe4d9_7177_1b65_2c20),
     ];
     for (number, value) in mixed {
-        assert_eq!(mix(number), value, "{number}");
+        assert_eq!(split_mix64(number), value, "{number}");
     }
     let copies = [
         (0, 0, 0xa706_dd2f_4d19_7e6f),
