--- a/crates/relay-server/src/publisher.rs
+++ b/crates/relay-server/src/publisher.rs
@@ -24,7 +24,7 @@
     #[error("{0}")]
     Rejected(String),
     /// No voter accepted the event in time. It may still be committed: publish it again with the same key.
-    #[error("no voter accepted the event in {timeout:?}; the last failure was: {last_failure}")]
+    #[error("no answer in {timeout:?}; the last failure was: {last_failure}")]
     TimedOut {
         /// The timeout of the call.
         timeout: Duration,
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -192,7 +192,7 @@
             ),
             chart("hits per second", |second| second.hits, None),
             chart("99th percentile of the latency, ms", |second| second.p99_us / 1_000, None),
-            chart("published hierarchy version", |second| second.version, None),
+            chart("published version", |second| second.version, None),
         ]
     }
 }
