--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -74,7 +74,7 @@
             return sablecross_director::process::run();
         }
         Command::Testbed(testbed::Command::Hollow) => {
-            return match sablecross_testbed::scale::hollow() {
+            return match sablecross_testbed::scale::run_simulated_directors() {
                 Ok(()) => ExitCode::SUCCESS,
                 Err(e) => {
                     eprintln!("{e}");
--- a/crates/director/src/wire/read_buffer.rs
+++ b/crates/director/src/wire/read_buffer.rs
@@ -56,8 +56,8 @@
     /// Reads from the source once. Returns false at the end of the source.
     ///
     /// # Errors
-    /// `InvalidData` if the message is longer than the maximum length, `OutOfMemory` if the memory budget has no room
-    /// for it, otherwise the error of the source.
+    /// Returns `InvalidData` if the message is longer than the maximum length, `OutOfMemory` if the memory
+    /// budget has no room for it, and otherwise the error of the source if reading fails.
     pub(crate) fn fill(&mut self, mut source: impl Read) -> io::Result<bool> {
         if self.end == self.bytes.len() {
             self.bytes.copy_within(self.start..self.end, 0);
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -13,7 +13,7 @@
 mod source;
 mod tier;
 
-pub use pool::run as hollow;
+pub use pool::run as run_simulated_directors;
 pub use report::{DirectorUse, Latency, RecoveryTime, RelayUse, Report};
 pub use run::run;
 pub use settings::Scale;
