--- a/crates/testbed/src/soak/lateness.rs
+++ b/crates/testbed/src/soak/lateness.rs
@@ -78,7 +78,7 @@
             (self.p999 * 1e3, self.samples.longest() * 1e3, self.writes.longest() * 1e3);
         write!(
             f,
-            "soak threads late by {p999:.1} ms at the 99.9th percentile, {worst:.1} ms at most; longest write {write:.1} ms"
+            "own threads late by {p999:.1} ms at the 99.9th percentile, {worst:.1} ms at most; longest write {write:.1} ms"
         )
     }
 }
--- a/crates/testbed/src/soak/report.rs
+++ b/crates/testbed/src/soak/report.rs
@@ -81,7 +81,7 @@
         let judged = if self.is_judged(violation) { "judged" } else { "not judged" };
         writeln!(f, "{violation} [{judged}]")?;
         for TimeSpan { from, to } in self.lateness.invalidating(&violation.evidence) {
-            writeln!(f, "            {from:.3} to {to:.3} s: soak threads late")?;
+            writeln!(f, "            {from:.3} to {to:.3} s: own threads late")?;
         }
         let is_recent = |fault: &&FaultSpan| {
             fault.from <= violation.at && fault.to >= violation.at - RECENT_FAULT_SECONDS
--- a/crates/testbed/src/soak/report/tests.rs
+++ b/crates/testbed/src/soak/report/tests.rs
@@ -95,7 +95,7 @@
     ] {
         for late in [0.0, 0.2, 60.0] {
             let report = report(late, vec![observed(Rule::Lost, 4.0, 6.0), exact(rule)]);
-            assert_eq!(report.verdict(), Verdict::Failed, "{rule:?} with soak threads late by {late} s");
+            assert_eq!(report.verdict(), Verdict::Failed, "{rule:?} with own threads late by {late} s");
             assert!(!report.to_string().contains("too busy"), "{report}");
         }
     }
@@ -116,8 +116,8 @@
     assert_eq!(lines[judged + 1], "  5.000 s Stray: request 7 [judged]");
     let not_judged = position("  5.100 s Lost: request 7 [not judged]");
     assert!(judged < not_judged, "{text}");
-    assert_eq!(lines[not_judged + 1], "            5.000 to 5.200 s: soak threads late");
-    assert_eq!(text.matches("soak threads late").count(), 3, "{text}");
+    assert_eq!(lines[not_judged + 1], "            5.000 to 5.200 s: own threads late");
+    assert_eq!(text.matches("own threads late").count(), 3, "{text}");
 }
 
 /// Guards against a judged violation that is not printed because a busy machine causes many others.
