--- a/crates/relay/src/event.rs
+++ b/crates/relay/src/event.rs
@@ -23,7 +23,7 @@
         limit: usize,
     },
     /// The event is not the JSON object that the protocol requires.
-    #[error("the event is not a JSON object of the control feed: {0}")]
+    #[error("the event is no JSON as the feed has it: {0}")]
     InvalidJson(String),
     /// The event's number is not below [`MAX_EVENT_NUMBER`].
     #[error("the event number {0} is not below {MAX_EVENT_NUMBER}, past which JSON numbers are not exact")]
