--- a/crates/relay/tests/cases.rs
+++ b/crates/relay/tests/cases.rs
@@ -294,7 +294,7 @@
             "{\"n\":9007199254740992,\"purge\":{}}".to_owned(),
             "number 9007199254740992 is not below 9007199254740992",
         ),
-        ("[1]".to_owned(), "not a JSON object of the control feed"),
+        ("[1]".to_owned(), "no JSON as the feed has it"),
         (r#"{"purge":{"at":5}}"#.to_owned(), "purge: it names neither a key nor a group"),
         (r#"{"purge":{"key":"xyz","at":5}}"#.to_owned(), "purge: key \"xyz\" is not a hexadecimal object id"),
         (r#"{"purge":{"key":"12"}}"#.to_owned(), "purge: missing field `at`"),
