--- a/crates/director/tests/coordination.rs
+++ b/crates/director/tests/coordination.rs
@@ -9,6 +9,7 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
+use help::reserved_address::{ReservedAddress, addresses_of};
 use help::*;
 use sablecross_coordination::messages::{MemberStatus, Message, Reply, Request};
 use sablecross_coordination::{FencingGuard, Member};
@@ -39,10 +40,6 @@
     placed.replace("\"zoneBalancers\": [0, 1]", "\"zoneBalancers\": [0, 3]")
 }
 
-fn free_address() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port")
-}
-
 fn status(at: SocketAddr) -> Option<MemberStatus> {
     let replies =
         call_member(at, &Request { from: OUTSIDE, messages: vec![Message::ShowStatus] }, SHORT_TIMEOUT)
@@ -97,7 +94,8 @@
 
 #[test]
 fn three_directors_check_a_node_and_go_on_without_the_assigner() {
-    let at: Vec<SocketAddr> = (0..3).map(|_| free_address()).collect();
+    let reserved: [_; 3] = std::array::from_fn(|_| ReservedAddress::new());
+    let at = addresses_of(&reserved);
     let settings_file = settings_file("three", &settings(&at));
     let mut harnesses: Vec<Harness> = (0..3)
         .map(|n| {
@@ -149,7 +147,8 @@
 
 #[test]
 fn a_hand_over_and_a_stop_signal_pass_the_role_on() {
-    let at: Vec<SocketAddr> = (0..3).map(|_| free_address()).collect();
+    let reserved: [_; 3] = std::array::from_fn(|_| ReservedAddress::new());
+    let at = addresses_of(&reserved);
     let settings_file = settings_file("over", &settings(&at));
     let harnesses: Vec<Harness> = (0..3)
         .map(|n| {
@@ -183,7 +182,8 @@
 
 #[test]
 fn a_voter_is_added_and_the_holder_removed_by_reload() {
-    let at: Vec<SocketAddr> = (0..4).map(|_| free_address()).collect();
+    let reserved: [_; 4] = std::array::from_fn(|_| ReservedAddress::new());
+    let at = addresses_of(&reserved);
     let settings_file = settings_file("settle", &settings(&at[..3]));
     let harnesses: Vec<Harness> = (0..4)
         .map(|n| {
@@ -236,7 +236,8 @@
     let request = Request { from: OUTSIDE, messages: vec![Message::ShowStatus] };
     let e = call_member(harness.address, &request, LONG_TIMEOUT).expect_err("it answers no calls");
     assert!(e.to_string().contains("SABLECROSS_DUTY"), "{e}");
-    let at = free_address();
+    let reserved = ReservedAddress::new();
+    let at = reserved.address;
     let settings_file = settings_file("odd", &settings(&[at]));
     let harness = Harness::with_config_and_env(
         |config| config_of(&config, 0, at),
--- a/crates/director/tests/help/mod.rs
+++ b/crates/director/tests/help/mod.rs
@@ -2,6 +2,7 @@
 #![allow(dead_code)]
 
 pub(crate) mod faults;
+pub(crate) mod reserved_address;
 
 use std::collections::HashMap;
 use std::ffi::OsStr;
@@ -311,12 +312,16 @@
     /// The next log line that contains these words.
     pub(crate) fn wait_for_log(&self, words: &str) -> String {
         let start = Instant::now();
+        let mut other_lines = Vec::new();
         loop {
             let wait = LONG_TIMEOUT.saturating_sub(start.elapsed());
-            let line = self.log.recv_timeout(wait).unwrap_or_else(|_| panic!("no line with {words}"));
+            let line = self.log.recv_timeout(wait).unwrap_or_else(|e| {
+                panic!("no line with {words:?}: {e}; the log since the call: {other_lines:#?}")
+            });
             if line.contains(words) {
                 return line;
             }
+            other_lines.push(line);
         }
     }
 
--- a/crates/director/tests/stalls.rs
+++ b/crates/director/tests/stalls.rs
@@ -9,6 +9,7 @@
 use std::time::{Duration, Instant};
 
 use help::faults::FaultPlan;
+use help::reserved_address::ReservedAddress;
 use help::*;
 use rustix::process::{Pid, Signal, kill_process};
 use socket2::SockRef;
@@ -139,10 +140,6 @@
     }
 }
 
-fn free_address() -> std::net::SocketAddr {
-    std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("bound")
-}
-
 fn alive_within(address: std::net::SocketAddr, most: Duration) -> bool {
     let start = Instant::now();
     while start.elapsed() < most {
@@ -164,7 +161,8 @@
 fn an_unwritable_log_does_not_stop_the_service() {
     let full = std::fs::OpenOptions::new().write(true).open("/dev/full").expect("a full device");
     for log in [Stdio::from(full), Stdio::piped()] {
-        let at = free_address();
+        let reserved = ReservedAddress::new();
+        let at = reserved.address;
         let path = std::env::temp_dir().join(format!("sablecross-log-{}.json", at.port()));
         std::fs::write(&path, SAMPLE.replace("127.0.0.1:10080", &at.to_string())).expect("written");
         let mut child = Command::new(env!("CARGO_BIN_EXE_sablecross-director"))
@@ -205,7 +203,8 @@
 /// Guards against ending on a reload signal that arrives before the configuration has been read.
 #[test]
 fn a_reload_signal_during_the_start_does_not_end_the_program() {
-    let at = free_address();
+    let reserved = ReservedAddress::new();
+    let at = reserved.address;
     let path = std::env::temp_dir().join(format!("sablecross-fifo-{}", at.port()));
     assert!(Command::new("mkfifo").arg(&path).status().expect("made").success());
     let mut child = Command::new(env!("CARGO_BIN_EXE_sablecross-director"))
