--- a/src/cache_policy.rs
+++ b/src/cache_policy.rs
@@ -18,7 +18,7 @@
 /// has already applied the purge may be filled with an outdated copy again, through a director that does not know the
 /// purge yet, from a parent that has not applied it yet. The longer time costs only memory: such a copy is too old to
 /// be served to anyone.
-const PURGE_EXTRA_TIME: Ns = 120 * SECOND;
+const PURGE_HOLD_TIME: Ns = 120 * SECOND;
 /// How often purges that are no longer active are removed. A sweep at each purge would cost the square of the purge
 /// rate.
 const PURGE_SWEEP_INTERVAL: Ns = SECOND;
@@ -44,7 +44,7 @@
 struct CopyHistory {
     /// The number of requests so far, without the clients' own retries.
     requests: u32,
-    /// The shortest time that an answer took; none until an answer of unknown size was timed.
+    /// The shortest time that an answer took, in nanoseconds; none until an answer of unknown size was timed.
     transfer_time: Option<f64>,
 }
 
@@ -101,7 +101,7 @@
         self.get(request).is_some_and(|copy| copy.requests >= MIN_REQUESTS_FOR_REUSE)
     }
 
-    /// The shortest time that answers of unknown size took for this copy.
+    /// The shortest time that answers of unknown size took for this copy, in nanoseconds.
     pub(crate) fn transfer_time(&self, request: &Request) -> Option<f64> {
         self.get(request)?.known_transfer_time()
     }
@@ -139,7 +139,7 @@
     pub(crate) fn new(purge_propagation_window: Ns) -> Self {
         PurgeLog {
             purged_at: HashMap::new(),
-            active_for: purge_propagation_window + PURGE_EXTRA_TIME,
+            active_for: purge_propagation_window + PURGE_HOLD_TIME,
             next_sweep_at: 0,
         }
     }
--- a/src/deadline_margin.rs
+++ b/src/deadline_margin.rs
@@ -4,7 +4,7 @@
 use crate::types::{Ns, Request};
 
 const MS: Ns = 1_000_000;
-/// Delays up to this are covered by the margin that callers keep.
+/// Delays up to this are covered by the margin that callers subtract from the client's deadline.
 const TOLERATED_DELAY: Ns = 5 * MS;
 /// Longer delays count as this one. They mean that the process was stopped; later delays are as short as before the
 /// stop.
--- a/src/effects.rs
+++ b/src/effects.rs
@@ -39,7 +39,8 @@
 }
 
 /// The time at which outstanding attempts have to be cancelled, because a node that begins one later could repeat the
-/// effect of another. None while fewer than two attempts may have been executed.
+/// effect of another. None if the effect is not deduplicated, fewer than two attempts may have been executed, none is
+/// outstanding, or attempts cannot be cancelled.
 pub(crate) fn cancel_time(settings: &Settings, request: &Request) -> Option<Ns> {
     let has_outstanding = request.attempts.iter().any(|attempt| attempt.outcome.is_none());
     let is_repeated = possibly_executed(request).nth(1).is_some();
--- a/src/fill_price.rs
+++ b/src/fill_price.rs
@@ -10,10 +10,10 @@
 const MIN_PRICE: f64 = -3.0;
 /// The maximum price, so that requests well above average priority are filled however busy a parent is.
 const MAX_PRICE: f64 = 0.5;
-/// How much an outcome past the latency objective raises a parent's price, multiplied by the cube root of the number
-/// of directors: each of many directors sees only few outcomes of a parent.
+/// How much an answer past the latency objective, a timeout or a rejection raises a parent's price, multiplied by the
+/// cube root of the number of directors: each of many directors sees only few outcomes of a parent.
 const PRICE_RISE: f64 = 0.24;
-/// How much an outcome within the objective lowers the price, multiplied by the same cube root. It is far less than
+/// How much an answer within the objective lowers the price, multiplied by the same cube root. It is far less than
 /// the rise, because most outcomes of a parent at its capacity have to be in time.
 const PRICE_FALL: f64 = 0.05;
 /// The share of each step by which the prices of all other parents move, because they share the origin and the links.
--- a/src/load_shedding.rs
+++ b/src/load_shedding.rs
@@ -29,7 +29,7 @@
 /// A quick rejection counts as this many late answers, because the node itself reports that it has too much load.
 pub(crate) const REJECTION_SHRINK_STEPS: f64 = 2.0;
 
-/// An answer is late if it takes longer than this multiple of its predicted transfer time plus
+/// An answer is late if it takes longer than this multiple of the sum of its predicted transfer time and
 /// [`LATE_BASE_LATENCIES`].
 const LATE_MULTIPLE: f64 = 1.5;
 /// The base latencies that are added to the predicted transfer time.
--- a/src/mode_change.rs
+++ b/src/mode_change.rs
@@ -13,7 +13,8 @@
     Members { now: usize, before: usize },
     /// A node was ejected or restored.
     Health { node: usize, change: HealthChange },
-    /// A burst of an object has begun: its rate exceeds the threshold.
+    /// A burst of an object has begun: its rate exceeds the threshold. Both are in kilobytes per window, or in requests
+    /// per window where sizes are unknown.
     BurstBegins { object: u64, rate: f64, threshold: f64 },
     /// The bursts of this many objects have ended.
     BurstsEnd { objects: usize },
--- a/src/router.rs
+++ b/src/router.rs
@@ -116,7 +116,8 @@
         }
     }
 
-    /// Whether the caller has to poll for the endpoint list: at the start and after each failure of its subscription.
+    /// Whether the caller has to subscribe to changes of the endpoint list: at the start, and again after each failure
+    /// of the subscription.
     pub fn polls_endpoint_list(&self) -> bool {
         self.settings.polls_endpoint_list
     }
@@ -157,8 +158,8 @@
         self.purges.record(now, object, group, now.saturating_sub(age));
     }
 
-    /// Records how late a thread of the caller was woken. From the first call on, even with a delay of 0, requests
-    /// are answered earlier while these delays are long.
+    /// Records how late a thread of the caller was woken. Requests are answered earlier while these delays are long.
+    /// From the first call on, even with a delay of 0, [`Router::next_check`] includes the checks that this needs.
     pub fn record_wakeup_delay(&mut self, now: Ns, delay: Ns) {
         self.deadline_margin.record(now, delay);
     }
@@ -242,6 +243,8 @@
         &self.settings.request_classes[request.class]
     }
 
+    /// The predicted transfer time of a request, in nanoseconds: by its size if that is known, otherwise by earlier
+    /// answers with the same copy, otherwise the mean of its class.
     fn predicted_transfer_time(&self, request: &Request) -> f64 {
         let by_size = self.transfer_times.by_size(request);
         by_size
--- a/src/types.rs
+++ b/src/types.rs
@@ -24,7 +24,7 @@
     pub parent_kind: Option<usize>,
     /// The machine kind of the origin.
     pub origin_kind: usize,
-    /// Whether changes of the endpoint list are not pushed, so that the director has to poll for them.
+    /// Whether changes of the endpoint list are sent only on request, so that the director has to subscribe to them.
     pub polls_endpoint_list: bool,
     /// Whether outstanding attempts may be cancelled once a request is answered.
     pub may_cancel: bool,
@@ -157,7 +157,7 @@
     pub size_kb: f64,
     /// When the request arrived.
     pub arrived_at: Ns,
-    /// When the client stops waiting for an answer.
+    /// When the client stops waiting for an answer, or earlier by a margin that the caller keeps.
     pub deadline: Ns,
     /// Whether the client marked the request as a retry.
     pub is_client_retry: bool,
