--- a/tests/router/fleet.rs
+++ b/tests/router/fleet.rs
@@ -11,7 +11,7 @@
 use crate::support::*;
 
 const SEED: u64 = 1;
-/// So many that no single object accounts for a large share of a node's load.
+/// The number of objects: so many that no single one accounts for a large share of a node's load.
 const OBJECTS: u64 = 100_000;
 /// The time that an answer takes in addition to its transfer.
 const ANSWER_LATENCY: Ns = 3 * MS;
@@ -56,7 +56,7 @@
     pub(crate) attempts: Vec<AttemptRecord>,
     /// The directors at which requests arrive.
     pub(crate) serving: Vec<usize>,
-    /// The outcomes of attempts at nodes that do not succeed, by node.
+    /// The outcome of every attempt at a node, by node. Attempts at nodes that are not named here succeed.
     pub(crate) outcomes: BTreeMap<usize, Outcome>,
     rng: Pcg32,
     open: BTreeMap<u64, OpenRequest>,
@@ -220,8 +220,9 @@
         self.collapse_multiple * share.min(1.0) * self.capacity
     }
 
-    /// Describes the second in which the node came nearest to a collapse, if that second exceeds what is allowed.
-    /// `work` is the work of a request of each class, relative to the mean.
+    /// Describes the second in which the node came nearest to a collapse, if that second exceeds what is allowed. A
+    /// node that received nothing is described too. `work` is the work of a request of each class, relative to the
+    /// mean.
     pub(crate) fn find_collapse(&self, attempts: &[AttemptRecord], work: &[f64]) -> Option<String> {
         let is_own = |attempt: &&AttemptRecord| attempt.involves(self.node);
         let is_cold =
--- a/tests/router/main.rs
+++ b/tests/router/main.rs
@@ -1,4 +1,4 @@
-//! Table tests of the decision module, without the simulator.
+//! Table tests of the router, without the simulator.
 
 mod answers;
 mod cache_policy;
--- a/tests/router/slow_start.rs
+++ b/tests/router/slow_start.rs
@@ -187,7 +187,8 @@
                 request.is_client_retry = is_marked && index % requests_per_object > 0;
                 if let RouteDecision::Attempt(spec) = route_and_record(&mut router, now, &mut request) {
                     counts[i] += f64::from(u8::from(spec.node == 1));
-                    // These requests are slow and given up in the end, so they do not show that nodes serve in time.
+                    // Where clients retry, every attempt is rejected and the request is given up, so the router never
+                    // measures what a warm node serves.
                     finish_last(
                         &mut router,
                         now + MS,
--- a/tests/router/slow_start_classes.rs
+++ b/tests/router/slow_start_classes.rs
@@ -7,9 +7,9 @@
 use crate::slow_start_order::*;
 use crate::support::*;
 
-/// So long that demand exceeds the capacity of a cold node for most of it.
+/// A slow-start window during most of which demand exceeds the capacity of a cold node.
 const LONG_WINDOW: Ns = 20 * SEC;
-/// So long that the capacity of a cold node hardly changes during a quiet period.
+/// A slow-start window so long that the capacity of a cold node hardly changes during a quiet period.
 const ENDLESS_WINDOW: Ns = 120 * SEC;
 
 fn settings_with_window(objectives: &[Ns], window: Ns) -> Settings {
@@ -48,7 +48,8 @@
 
 // ---- credit that a class earns by its mean transfer time ----
 
-/// Guards against requests of the past that count as much as the present requests of their class, which take longer.
+/// Guards against a load estimate in which earlier requests of a class count as much as its present ones, which take
+/// longer.
 #[test]
 fn class_whose_objects_become_larger_overloads_no_cold_node() {
     let settings = settings_with(&[4 * MS, OBJECTIVE]);
@@ -91,7 +92,8 @@
     fleet.play(10 * SEC, &traffic);
     fleet.play(8 * SEC, &[other, of_unknown_size(200.0, slow)]);
     let slow_traffic = [other, of_unknown_size(200.0, slow)];
-    // The traffic at the end weighs requests as they usually are, because a slow answer is not more work.
+    // The last traffic determines how much work a request is. It has the usual transfer times, because a slow answer
+    // is not more work.
     let played = [(LONG_WINDOW / 2, slow_traffic.as_slice()), (MS, traffic.as_slice())];
     assert_no_collapse_during(&mut fleet, &settings, &played, &traffic, "while answers are slow");
 }
@@ -158,7 +160,7 @@
 /// Guards against load estimates that together exceed what nodes ever served, because each director has served for
 /// all in turn.
 #[test]
-fn directors_that_have_served_for_all_in_turn_push_no_cold_node() {
+fn directors_that_have_served_for_all_in_turn_overload_no_cold_node() {
     let settings = settings_with(&[OBJECTIVE]);
     let traffic = [of_known_size(PER_SECOND, TRANSFER_TIME)];
     let mut fleet = fleet_with(&settings);
--- a/tests/router/slow_start_order.rs
+++ b/tests/router/slow_start_order.rs
@@ -9,8 +9,11 @@
 pub(crate) const DIRECTORS: usize = 24;
 pub(crate) const CACHES: usize = 6;
 pub(crate) const PARENTS: usize = 3;
+/// The requests per second that arrive at all directors together.
 pub(crate) const PER_SECOND: f64 = 1_200.0;
+/// The requests per second that one warm cache can serve.
 const CACHE_CAPACITY: f64 = PER_SECOND / CACHES as f64;
+/// The requests per second that one warm parent can serve.
 const PARENT_CAPACITY: f64 = PER_SECOND / PARENTS as f64;
 
 const OLD_CACHE: usize = 2;
