--- a/crates/capacity/src/coordination.rs
+++ b/crates/capacity/src/coordination.rs
@@ -101,10 +101,10 @@
             let mut health_checks = Vec::new();
             for action in actions {
                 match action {
-                    Action::Call { voter, call_id: number, messages } => {
+                    Action::Call { voter, call_id, messages } => {
                         let request = Request { from: me, messages };
                         let body = timed(usage, || rmp_serde::to_vec(&request)).unwrap_or_default();
-                        self.pending_calls.push_back(PendingCall { from: me, voter, call_id: number, body });
+                        self.pending_calls.push_back(PendingCall { from: me, voter, call_id, body });
                     }
                     Action::CheckHealth { target, token } => health_checks.push((target, token)),
                     _ => {}
@@ -122,7 +122,7 @@
     }
 
     fn deliver(&mut self, call: PendingCall) {
-        let PendingCall { from, voter, call_id: number, body } = call;
+        let PendingCall { from, voter, call_id, body } = call;
         let (voter_index, caller_index) = (voter as usize, from.number as usize);
         let (coordinator, usage) = (&mut self.coordinators[voter_index], &mut self.usage[voter_index]);
         let replies_body = timed(usage, || {
@@ -137,7 +137,7 @@
         let (coordinator, usage) = (&mut self.coordinators[caller_index], &mut self.usage[caller_index]);
         timed(usage, || {
             let replies: Vec<Reply> = rmp_serde::from_slice(&replies_body).unwrap_or_default();
-            coordinator.on_replies(self.now, voter, number, replies);
+            coordinator.on_replies(self.now, voter, call_id, replies);
         });
         self.run_actions(caller_index);
     }
--- a/crates/capacity/src/model.rs
+++ b/crates/capacity/src/model.rs
@@ -12,9 +12,9 @@
 /// The content of one settings file.
 #[derive(Clone, Debug)]
 pub struct CapacityModel {
-    /// The size of the installation that has to be carried.
+    /// The size of the installation that the system has to support.
     pub target: Target,
-    /// The resources that control may use.
+    /// The resources that the control plane may use.
     pub budget: Budget,
     /// The values that are assumed and not measured.
     pub assumptions: Assumptions,
--- a/crates/capacity/src/model/forms.rs
+++ b/crates/capacity/src/model/forms.rs
@@ -13,7 +13,7 @@
     Figure(#[garde(dive)] Figure),
 }
 
-/// The size of the installation that has to be carried.
+/// The size of the installation that the system has to support.
 #[derive(Clone, Debug, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Target {
@@ -55,20 +55,20 @@
     pub cut_s: f64,
 }
 
-/// The resources that control may use, and the time within which it has to apply purges and changes.
+/// The resources that the control plane may use, and the time within which purges and changes have to be applied.
 #[derive(Clone, Debug, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Budget {
-    /// Processor time of control in a director, in percent of a core.
+    /// Processor time of the control plane in a director, in percent of a core.
     #[garde(range(min = 0.01, max = 1e4))]
     pub core: f64,
-    /// Memory of control in a director, in megabytes.
+    /// Memory of the control plane in a director, in megabytes.
     #[garde(range(min = 1.0, max = 1e6))]
     pub memory_mb: f64,
-    /// Bytes of control a second, to and from a director.
+    /// Bytes a second of the control plane, to and from a director.
     #[garde(range(min = 1.0, max = 1e9))]
     pub bytes: f64,
-    /// Processor time of the control process of a machine set aside for control, in percent of a core.
+    /// Processor time of the control process on a machine set aside for the control plane, in percent of a core.
     #[garde(range(min = 1.0, max = 1e4))]
     pub machine_core: f64,
     /// Seconds after which a purge has to be applied everywhere.
@@ -105,8 +105,8 @@
     /// Seconds for which a purge affects decisions.
     #[garde(range(min = 1.0, max = 1e5))]
     pub binds_s: f64,
-    /// Maximum further seconds for which a relay keeps a purge: 10 s for clock skew, and up to 10 s until its
-    /// snapshot moves on.
+    /// Maximum further seconds for which a relay keeps a purge: 10 s for clock skew, and up to 10 s until its log is
+    /// compacted.
     #[garde(range(min = 0.0, max = 1e4))]
     pub slack_s: f64,
     /// Capacity of the network link of one control machine, in bits a second.
--- a/crates/capacity/src/real_director/startup.rs
+++ b/crates/capacity/src/real_director/startup.rs
@@ -48,7 +48,8 @@
     Ok([0, 1].map(|n| points(sizes, samples.iter().map(|s| median(s[n].clone())))))
 }
 
-/// Measures starts of directors that receive the purges of the last hour at once.
+/// Measures starts of directors that receive many earlier purges at once: the largest number is that of one hour at 35
+/// purges a second.
 pub(crate) fn measure_initial_purges(
     director_command: DirectorCommand,
 ) -> Result<Vec<Cost>, MeasurementError> {
--- a/crates/capacity/src/real_director/stub_server.rs
+++ b/crates/capacity/src/real_director/stub_server.rs
@@ -14,7 +14,8 @@
 }
 
 /// The events that a stub discovery source sends. It sends the initial purges as soon as a director connects, with times
-/// spread over the `initial_span_ms` milliseconds before; then it sends events at a fixed rate, in batches.
+/// spread over the `initial_span_ms` milliseconds before; then it sends events at a fixed rate, in batches. If
+/// `batch_interval` is zero, it sends each event on its own.
 #[derive(Clone, Copy)]
 pub(super) struct FeedScript {
     pub(super) initial_purges: u64,
--- a/crates/capacity/src/real_director/voting.rs
+++ b/crates/capacity/src/real_director/voting.rs
@@ -63,10 +63,10 @@
     while !stop.load(Ordering::Relaxed) {
         coordinator.step(now());
         for action in coordinator.take_actions() {
-            let Action::Call { voter, call_id: number, messages } = action else { continue };
+            let Action::Call { voter, call_id, messages } = action else { continue };
             let request = Request { from: me, messages };
-            let replies = call_voter(&mut streams[voter as usize], number as u32 + 1, &request, &limits)?;
-            coordinator.on_replies(now(), voter, number, replies);
+            let replies = call_voter(&mut streams[voter as usize], call_id as u32 + 1, &request, &limits)?;
+            coordinator.on_replies(now(), voter, call_id, replies);
         }
         let next = coordinator.next_wakeup().saturating_sub(now()).clamp(MS, 100 * MS);
         thread::sleep(Duration::from_nanos(next));
--- a/crates/capacity/src/router.rs
+++ b/crates/capacity/src/router.rs
@@ -21,7 +21,8 @@
 /// Seconds for which the router keeps a purge: the propagation window and 120 s.
 const PURGE_WINDOW_S: u64 = 126;
 
-/// Numbers of nodes. As at the target size, each list has seven or eight nodes a zone, and a quarter of them are parents.
+/// Numbers of nodes. Lists of 50 nodes or more have about eight nodes a zone, as at the target size; the two shorter
+/// ones have ten. About a quarter of the nodes are parents.
 const NODE_COUNTS: [usize; 7] = [10, 20, 50, 100, 200, 350, 490];
 const KNOWN_PURGE_COUNTS: [usize; 6] = [100, 1_000, 4_400, 20_000, 44_100, 126_000];
 const PURGE_RATES: [u64; 7] = [5, 10, 20, 35, 70, 140, 350];
@@ -207,7 +208,7 @@
     vec![nodes / 2 / 4 * 4 + 1]
 }
 
-/// Returns the numbers of eight adjacent nodes of the list, which include the director's own zone.
+/// Returns the numbers of eight adjacent nodes in the middle of the list, some of them in the director's own zone.
 fn middle_zone(nodes: usize) -> Vec<usize> {
     let from = (nodes / 2).saturating_sub(4);
     (from..from + 8).collect()
@@ -242,7 +243,8 @@
     ]
 }
 
-/// Runs requests through the router: each one is routed, asked for the time of its next check, and succeeds.
+/// Runs requests through the router: calls `route` for each, and `next_check` and `on_outcome` with a success for each
+/// that is attempted.
 struct RequestPath {
     router: Router,
     now: Ns,
--- a/crates/discovery/src/event_cursor.rs
+++ b/crates/discovery/src/event_cursor.rs
@@ -19,7 +19,7 @@
     New(T),
     /// Ignore the event: it was applied before.
     Duplicate,
-    /// Call the feed again: an event was probably lost or cut on the connection.
+    /// Call the feed again: an event was probably lost or truncated on the connection.
     Resubscribe(ResubscribeReason),
     /// Continue without the event: it could not be parsed after a second call either.
     Skip {
--- a/crates/sim-adapter/src/event.rs
+++ b/crates/sim-adapter/src/event.rs
@@ -94,6 +94,7 @@
 /// An event for one instance.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Event<'a> {
+    /// The client disconnected or cancelled the request.
     Aborted {
         id: u32,
     },
@@ -109,10 +110,11 @@
     },
     Order(Order),
     Returned(Returned<'a>),
+    /// The timer that was set with this handle has fired.
     TimeoutFired {
         handle: u64,
     },
-    /// An event that the decision module does not use.
+    /// An event that the router does not use.
     Ignored,
 }
 
--- a/crates/sim-adapter/src/instance.rs
+++ b/crates/sim-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance of the decision module: a director of the simulated deployment.
+//! One instance of the router: a director of the simulated deployment.
 
 use std::collections::HashMap;
 
@@ -20,7 +20,7 @@
     report_names: Vec<String>,
 }
 
-/// Maps the addresses of nodes to the indices that the decision module uses, and back.
+/// Maps the addresses of nodes to the indices that the router uses, and back.
 #[derive(Default)]
 struct NodeIndex {
     by_address: HashMap<Address, usize>,
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs instances of the decision module for the operators' simulator: reads batches of events from standard input and
-//! writes a reply to each batch to standard output.
+//! Runs instances of the router for the operators' simulator: reads batches of events from standard input and writes a
+//! reply to each batch to standard output.
 
 mod error;
 mod event;
