--- a/crates/fault-injection/src/calls.rs
+++ b/crates/fault-injection/src/calls.rs
@@ -1,4 +1,4 @@
-//! Replacements for functions of the C library. Each injects a fault if one is due, and else makes the system call
+//! Replacements for functions of the C library. Each injects a fault if one is due, and otherwise makes the system call
 //! itself.
 #![allow(clippy::missing_safety_doc)]
 
@@ -186,7 +186,7 @@
         return state::fail(errno);
     }
     let mask = std::ptr::null::<c_void>();
-    // SAFETY: the caller's arguments go on unchanged, with no signal mask.
+    // SAFETY: the caller's arguments are passed on unchanged, with no signal mask.
     result(unsafe { libc::syscall(libc::SYS_epoll_pwait, epoll, events, max_events, timeout, mask, 8) })
 }
 
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -4,8 +4,8 @@
 //! The environment variable `SABLECROSS_FAULTS` names the plan, a text file that is read again every few
 //! milliseconds, so that a test can switch faults on and off while the process runs. The module `plan` documents the
 //! grammar. Calls that no rule names go straight to the kernel. The variable `SABLECROSS_SEND_LOG` names a log of
-//! what is sent to nodes (`send_log`). Nothing here allocates on behalf of the host process between a failing call
-//! and its `errno`.
+//! messages to nodes, requests of clients and shutdowns of sockets (`send_log`). Once a call has failed, nothing here
+//! allocates or changes `errno` before the call returns.
 
 mod calls;
 mod plan;
--- a/crates/fault-injection/src/plan.rs
+++ b/crates/fault-injection/src/plan.rs
@@ -19,13 +19,13 @@
     Bind,
     /// `listen`.
     Listen,
-    /// `accept` and `accept4`.
+    /// `accept4`.
     Accept,
     /// `connect`.
     Connect,
-    /// Reads from a socket, by any function.
+    /// `read` and `recv` on a socket.
     Receive,
-    /// Writes to a socket, by any function.
+    /// `write`, `writev` and `send` on a socket.
     Send,
     /// `epoll_wait` and `poll`.
     Wait,
@@ -37,13 +37,13 @@
     EventFd,
     /// `socketpair`.
     SocketPair,
-    /// Creation of threads.
+    /// `pthread_create`.
     Thread,
-    /// `open` and `openat`.
+    /// `open64`.
     Open,
-    /// Reads from a regular file.
+    /// `read` on a regular file.
     FileRead,
-    /// Writes to a regular file.
+    /// `write`, `writev` and `pwrite64` on a regular file.
     FileWrite,
     /// `fsync` and `fdatasync`.
     Sync,
--- a/crates/fault-injection/src/state.rs
+++ b/crates/fault-injection/src/state.rs
@@ -16,7 +16,7 @@
 /// The largest plan file that is read.
 const MAX_PLAN_BYTES: usize = 16 << 10;
 
-/// The plan with what it takes to apply it.
+/// The plan, and the state that is needed to apply it.
 struct State {
     /// The path of the plan's file; none if the variable is not set.
     path: Option<CString>,
@@ -68,7 +68,7 @@
         let Some(path) = self.path.as_ref().filter(|_| now >= self.read_ms + REREAD_MS) else { return };
         self.read_ms = now;
         let mut bytes = [0u8; MAX_PLAN_BYTES];
-        // SAFETY: the path ends in a zero byte and the buffer has the length that is told.
+        // SAFETY: the path ends in a zero byte and the buffer has the length that is passed.
         let read = unsafe {
             let file = libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path.as_ptr(), libc::O_CLOEXEC, 0);
             if file < 0 {
