--- a/crates/director/src/stall_detector/tests.rs
+++ b/crates/director/src/stall_detector/tests.rs
@@ -1,4 +1,4 @@
-//! How long input may have lain unread, after stops at each moment of a thread's loop.
+//! The time that input may have lain unread, after the process was stopped at each point of a thread's loop.
 
 use super::*;
 
@@ -22,8 +22,8 @@
     assert_eq!(stalls.on_wakeup(411 * MS, WAIT, 420 * MS, true), 0);
 }
 
-/// Guards against requests whose arrival time is too late: a wait reports the input that had arrived when it found
-/// something, and the thread may be stopped after that.
+/// Guards against arrival times of requests that are too late: a wait reports only the input that had arrived when it
+/// found something, and more may arrive if the thread is stopped after that.
 #[test]
 fn input_during_a_stopped_wait_counts_from_the_start_of_the_wait() {
     for (has_reported_all, found) in [(true, "something"), (false, "nothing, as it was interrupted")] {
--- a/crates/director/tests/coordination.rs
+++ b/crates/director/tests/coordination.rs
@@ -16,6 +16,7 @@
 use sablecross_director::coordination::settings::CoordinationSettings;
 use sablecross_director::coordination::{HealthCheckTag, call_member};
 
+/// The sender of calls that come from outside the fleet.
 const OUTSIDE: Member = Member { number: u32::MAX, incarnation: 0 };
 
 fn settings(voters: &[SocketAddr]) -> String {
--- a/crates/director/tests/sockets.rs
+++ b/crates/director/tests/sockets.rs
@@ -40,8 +40,8 @@
     assert!([first.connection, second.connection].contains(&third.connection), "idle connections are reused");
     third.answer("ACK", "how=HIT,entity=t1,issued=1", b"");
     client.assert_success(3, b"");
-    // A full answer whose tag is that of the client's copy is passed on as unchanged. An unchanged copy that the client
-    // does not hold is not a usable answer.
+    // A full answer with the tag of the client's copy is passed on as unchanged. An unchanged copy that the client does
+    // not hold is not a usable answer.
     client.send_request_with(4, 0x7a, 2_000, &[("ver", "t4")]);
     harness.cache.expect_pull().answer("ACK", "how=HIT,entity=t4,issued=1", b"not sent");
     assert_eq!(
@@ -152,7 +152,7 @@
 fn a_faulty_answer_closes_only_its_own_connection() {
     type Fault = fn(&NodeMessage);
     let cases: [(&str, Fault); 7] = [
-        ("unknown request", |t| t.write(b"0123456789abcdef ACK - x\r\n")),
+        ("malformed length", |t| t.write(b"0123456789abcdef ACK - x\r\n")),
         ("reset", |t| t.stream.shutdown(Shutdown::Both).expect("shut")),
         ("malformed line", |t| t.write(b"what is this\r\n")),
         ("endless line", |t| t.write(&[b'x'; 5_000])),
--- a/crates/director/tests/stalls.rs
+++ b/crates/director/tests/stalls.rs
@@ -1,5 +1,5 @@
-//! Stalls of the process and other rare events that coincide, on the real process. Most tests stop the process with a
-//! signal, let something happen, and continue it.
+//! Stalls of the process, and other rare conditions, on the real process. Most tests stop the process with a signal,
+//! cause an event such as a request or a disconnect, and continue the process.
 
 mod help;
 
@@ -126,8 +126,8 @@
     }
 }
 
-/// Guards against calling a copy unchanged that the client does not hold: the node answers `NOMOD` with the tag of another
-/// copy or none.
+/// Guards against reporting a copy that the client does not hold as unchanged: the node answers `NOMOD` with the tag of
+/// another copy or with none.
 #[test]
 fn a_copy_is_reported_unchanged_only_if_its_tag_matches() {
     for fields in ["how=HIT,entity=t2,issued=1", "how=HIT,issued=1", "-"] {
@@ -171,7 +171,7 @@
             .spawn()
             .expect("starts");
         let began = alive_within(at, Duration::from_secs(3));
-        // Each signal writes to a log that is not read.
+        // Each signal makes the director log a line, which can't be written.
         (0..300).filter(|_| began).for_each(|_| signal(child.id(), "USR1"));
         let serves = alive_within(at, Duration::from_secs(3));
         let ended = child.try_wait().expect("waited");
--- a/crates/director/tests/syscalls.rs
+++ b/crates/director/tests/syscalls.rs
@@ -194,7 +194,7 @@
         let setup = FaultSetup::with_effects();
         let mut client = setup.harness.client();
         setup.assert_served(&mut client, 1);
-        // Only writes to nodes fail meanwhile: this answer is sent after the fault is over.
+        // This request is answered after the fault is over, so that only writes to nodes fail meanwhile.
         let mut other = setup.harness.client();
         other.send_request(2, 2, 600);
         let pull = setup.harness.cache.next_pull();
@@ -278,7 +278,7 @@
     }
 }
 
-/// The fault library logs each send and each shutdown of a connection with its time; the soak reads this log.
+/// The fault library logs each send and each shutdown of a connection with its time; `sablecross soak` reads this log.
 #[test]
 fn the_fault_library_logs_sends_and_shutdowns() {
     let fault_plan = FaultPlan::new("");
