--- a/crates/director/src/coordination/agent/hierarchy.rs
+++ b/crates/director/src/coordination/agent/hierarchy.rs
@@ -71,7 +71,7 @@
         let token = controller.token();
         for action in controller.take_actions() {
             // The lease is checked before each action. Once it has expired, the remaining actions are dropped; the
-            // voters' guards would reject them in any case.
+            // voters reject them as soon as they have admitted the fencing token of another holder.
             if coordinator.token(now, HIERARCHY_ROLE) != Some(token) {
                 break;
             }
--- a/crates/director/src/coordination/agent/warming.rs
+++ b/crates/director/src/coordination/agent/warming.rs
@@ -151,8 +151,8 @@
     }
 }
 
-/// Returns a request id of 16 hex digits. Its first digit is `d`, so that it differs from the id of every client's
-/// request.
+/// Returns a request id of 16 hex digits, the first of which is `d` to distinguish fetches from clients' requests. The
+/// ids that clients choose are not checked for this digit.
 fn fetch_request_id(tag: health_check::HealthCheckTag) -> String {
     format!("d{:015x}", split_mix64(tag.token.term ^ split_mix64(tag.sequence)) >> 4)
 }
--- a/crates/director/src/coordination/member_client.rs
+++ b/crates/director/src/coordination/member_client.rs
@@ -14,12 +14,14 @@
 const RPC_ID: u32 = 1;
 const READ_BYTES: usize = 4_096;
 
-/// Calls a member, and waits for its replies for at most `timeout`.
+/// Calls a member, and waits for its replies. Connecting and each read take at most `timeout`, and no read begins after
+/// `timeout` has passed.
 ///
 /// # Errors
 ///
 /// The error of the connection; [`ErrorKind::InvalidData`] if the answer can't be decoded or the director does not
-/// answer calls of members; [`ErrorKind::TimedOut`] if there is no complete answer in time.
+/// answer calls of members; [`ErrorKind::WouldBlock`] or [`ErrorKind::TimedOut`] if there is no complete answer in
+/// time.
 pub fn call_member(member: SocketAddr, request: &Request, timeout: Duration) -> io::Result<Vec<Reply>> {
     let deadline = Instant::now() + timeout;
     let mut stream = TcpStream::connect_timeout(&member, timeout)?;
--- a/crates/director/src/coordination/mod.rs
+++ b/crates/director/src/coordination/mod.rs
@@ -116,8 +116,8 @@
     /// Reports a change of the endpoint list: all endpoints for a snapshot, otherwise only the changed ones.
     pub fn update_endpoints(&self, endpoints: &[Endpoint], is_snapshot: bool) {
         if self.0.is_some() {
-            // If the queue is full, the agent misses this change until the next one, and checks one node too many or
-            // too few.
+            // If the queue is full, the agent misses this change until a snapshot or a later change lists the same
+            // nodes. Meanwhile it checks the health of too many or too few nodes.
             self.send(AgentEvent::EndpointsChanged { endpoints: endpoints.to_vec(), is_snapshot });
         }
     }
@@ -125,15 +125,15 @@
     /// Passes reloaded settings to the agent.
     pub fn reconfigure(&self, settings: CoordinationSettings) {
         if !self.send(AgentEvent::Reconfigure(Box::new(settings))) {
-            tracing::error!("reload: coordination: it takes a restart");
+            tracing::error!("reload: coordination: the settings take effect after a restart");
         }
     }
 
     /// Reports that the dispatcher now applies this version of the hierarchy.
     pub fn hierarchy_applied(&self, applied: AppliedVersion) {
         if self.0.is_some() {
-            // If the queue is full, the version is reported with the next one. The holder of the hierarchy role waits
-            // meanwhile.
+            // If the queue is full, the report is lost until this version, or a newer one, is announced again. The
+            // holder of the hierarchy role waits meanwhile.
             self.send(AgentEvent::HierarchyApplied(applied));
         }
     }
--- a/crates/director/src/counters.rs
+++ b/crates/director/src/counters.rs
@@ -66,11 +66,11 @@
     pub answers: AtomicU64,
     /// The bytes of the bodies of these responses.
     pub answer_bytes: AtomicU64,
-    /// Responses that were not begun or not completed in time.
+    /// Responses that were not written completely, because they were too late or their connection was closed.
     pub unsent_answers: AtomicU64,
     /// The bytes of bodies that nodes sent.
     pub body_bytes: AtomicU64,
-    /// Invalid messages of clients.
+    /// Unusable messages of clients, and faults of clients that caused their connection to be closed.
     pub bad_messages: AtomicU64,
     /// Faults of nodes that caused their connection to be closed.
     pub bad_lines: AtomicU64,
@@ -90,15 +90,15 @@
     pub client_gone: AtomicU64,
     /// How often an attempt waited because it had to be checked first whether its client was still connected.
     pub unconfirmed: AtomicU64,
-    /// How often the process was stopped for longer than a request may lose without being noticed (see
-    /// `StallDetector`).
+    /// How often input of clients may have lain unread for longer than the threshold of `StallDetector`, usually
+    /// because the process was stopped.
     pub stalls: AtomicU64,
-    /// Connections that could not be established, accepted or registered for polling because this machine lacked a
-    /// resource.
+    /// How often a connection could not be established, accepted or registered for polling because this machine lacked
+    /// a resource.
     pub shortages: AtomicU64,
     /// Calls of the discovery feed.
     pub feed_calls: AtomicU64,
-    /// Gaps in the event stream, after which the feed was called again.
+    /// Missing or unreadable events, after which the feed was called again.
     pub feed_gaps: AtomicU64,
     /// Events that could not be used.
     pub feed_skipped: AtomicU64,
--- a/crates/director/src/dispatch/discovery.rs
+++ b/crates/director/src/dispatch/discovery.rs
@@ -60,7 +60,7 @@
         if let Some((updates, applied)) = self.hierarchy.adopt(version) {
             self.table.router.update_endpoints(self.executor.now, &updates, false);
             self.coordination.hierarchy_applied(applied);
-            // If the queue is full, the version is reported with the next event, or when discovery is called again.
+            // If the queue is full, this version is not reported until it, or a newer one, is announced again.
             let _ = self.applied_versions.try_send(applied);
         }
     }
--- a/crates/director/src/dispatch/dispatcher.rs
+++ b/crates/director/src/dispatch/dispatcher.rs
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Reports the longest wakeup delay since the last iteration to the router: that of the dispatcher's own next
-    /// timer, or that of another thread.
+    /// Reports the longest wakeup delay since the last iteration to the router: the delay of the dispatcher's next
+    /// timer or of another thread's wakeup.
     fn take_wakeup_delay(&mut self) {
         let own_delay =
             self.executor.timers.next_deadline().map_or(0, |due| self.executor.now.saturating_sub(due));
--- a/crates/director/src/limits.rs
+++ b/crates/director/src/limits.rs
@@ -48,7 +48,8 @@
     pub response_queue_length: usize,
     /// The capacity of the queue of commands to the thread of node connections.
     pub command_queue_length: usize,
-    /// The capacity of each queue to the discovery thread: that of feed moves, and that of applied versions.
+    /// The capacity of each of the two queues to the discovery thread, one for changes of the feeds and one for applied
+    /// versions of the hierarchy.
     pub feed_move_queue_length: usize,
     /// The stack size of each thread other than the main thread and the log thread.
     pub thread_stack_bytes: usize,
@@ -73,7 +74,8 @@
     pub partial_message_timeout: Ns,
     /// How long a client connection may be idle before it is closed.
     pub client_idle_timeout: Ns,
-    /// How long after it was accepted a client connection that has sent no message yet is not preferred for eviction.
+    /// The time after which an idle client connection that has sent no message since it was accepted is evicted before
+    /// other idle connections.
     pub new_client_grace: Ns,
     /// The delay before a system call that failed for lack of descriptors, memory or ports is retried.
     pub shortage_retry_interval: Ns,
@@ -96,7 +98,8 @@
     pub feed_retry_delay: Duration,
     /// How long requests are still accepted after the signal to stop.
     pub shutdown_delay: Ns,
-    /// How often the progress is checked during a shutdown, until everything is written.
+    /// How often the progress of a shutdown is checked, and how often sending is retried while the response queue is
+    /// full.
     pub shutdown_poll_interval: Ns,
     /// How long a client connection that is being closed may take to receive its last bytes.
     pub closing_timeout: Ns,
--- a/crates/director/src/node_registry.rs
+++ b/crates/director/src/node_registry.rs
@@ -75,7 +75,7 @@
     }
 
     /// Converts an endpoint to the form that the router reads. Returns `None` if the settings don't name its zone or
-    /// kind, or if it was gone before it became known.
+    /// kind, or if it is listed as gone and is not known.
     pub fn endpoint_update(
         &mut self,
         names: &NameTable,
--- a/crates/director/src/parent_hierarchy.rs
+++ b/crates/director/src/parent_hierarchy.rs
@@ -173,7 +173,8 @@
         parent.map_or(FULL_SHARE, |node| FULL_SHARE - node.ring_share.min(FULL_SHARE))
     }
 
-    /// Returns the path of an object's fill beyond its source, or `None` if there is only the origin on it.
+    /// Returns the path of an object's fill beyond its source. Returns `None` if there is only the origin on the path,
+    /// or if the version does not contain the source.
     pub fn fill_path(&self, source: &str, object: u64) -> Option<String> {
         let id = self.version.node_id(source)?;
         let path = self.fill_paths.path(&self.version, id, parent_position(object), |_| true);
@@ -182,7 +183,7 @@
     }
 }
 
-/// Returns the preferred sources of the edge caches, which are the nodes that no other node fills from.
+/// Returns the preferred sources of the edge caches, which are the nodes above tier 1 that no other node fills from.
 fn edge_parents(version: &Hierarchy) -> BTreeSet<NodeId> {
     let sources: BTreeSet<NodeId> = version.iter().flat_map(|(_, node)| node.sources.to_vec()).collect();
     let edge = version.iter().filter(|(id, node)| node.tier > 1 && !sources.contains(id));
--- a/crates/director/src/process/config.rs
+++ b/crates/director/src/process/config.rs
@@ -206,7 +206,7 @@
     text.parse().map_err(|_| ConfigError::NotAnAddress { key: key.to_owned(), value: text.to_owned() })
 }
 
-/// Reads `feed`, and `feeds` if the installation has more than one feed. The platform does not set `feeds`.
+/// Reads `feed`, and the optional `feeds`, which installations with more than one feed set.
 fn feeds(root: &Value) -> Result<Vec<SocketAddr>, ConfigError> {
     let mut feeds = vec![address(root, "feed")?];
     if let Some(more) = root.get("feeds") {
@@ -268,7 +268,7 @@
 
 fn scalar_text(value: &Value) -> String {
     match value {
-        // A comma separates the items of a list, so it can't be part of a text.
+        // A comma separates the items of a list, so it can't be part of a text. Spaces are replaced as well.
         Value::String(text) => text.replace([' ', ','], "_"),
         other => other.to_string(),
     }
--- a/crates/director/src/process/signals.rs
+++ b/crates/director/src/process/signals.rs
@@ -42,8 +42,8 @@
     fixed: FixedConfig,
     events: Sender<Event>,
     moves: Sender<FeedMove>,
-    /// The moves that the discovery client has not taken yet. If the queue is full, the oldest one is removed to make
-    /// room for a new one, so that no signal waits behind a feed that is down.
+    /// The changes of the feeds that the discovery client has not received yet. If the queue is full, the oldest one is
+    /// removed to make room for a new one, so that no signal has to wait while a feed is down.
     pending_moves: Receiver<FeedMove>,
     /// The time until which a failed reload is retried.
     reload_deadline: Option<Instant>,
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Reloads the configuration. Only the feeds and the known events of discovery are applied; all other changes take
-    /// a restart. An invalid configuration changes nothing.
+    /// Reloads the configuration. Only the feeds and the known events of discovery are applied; all other changes
+    /// require a restart. An invalid configuration changes nothing.
     fn reload_config(&self) -> Result<(), ConfigLoadError> {
         let config = Config::load()?;
         let unchanged = [
@@ -118,7 +118,7 @@
             ("settings", self.fixed.settings == config.settings),
         ];
         for (key, _) in unchanged.iter().filter(|(_, is_unchanged)| !is_unchanged) {
-            tracing::warn!("reload: {key}: has changed, which takes a restart");
+            tracing::warn!("reload: {key}: has changed, which takes effect after a restart");
         }
         tracing::info!("reload feed={} known={}", config.feeds[0], config.known.last);
         let mut latest = FeedMove { feeds: config.feeds, known: config.known };
--- a/crates/director/src/shared.rs
+++ b/crates/director/src/shared.rs
@@ -27,9 +27,9 @@
     pub memory_budget: Arc<MemoryBudget>,
     /// The queue of events to the dispatcher.
     pub events: Sender<Event>,
-    /// The time up to which everything that clients had sent has been read.
+    /// The local time, in nanoseconds, up to which everything that clients had sent has been read.
     clients_checked_at: AtomicU64,
-    /// The longest delay of a thread's wakeup since the dispatcher last took this value.
+    /// The longest delay of a thread's wakeup since the dispatcher last took this value, in nanoseconds.
     wakeup_delay: AtomicU64,
 }
 
--- a/crates/director/src/source_clock.rs
+++ b/crates/director/src/source_clock.rs
@@ -3,8 +3,8 @@
 //! This machine's wall clock may differ from the source's clock by an hour, and may step, so the age of a stamp is not
 //! measured by it. A stamp that has been received has already passed at its source: the latest stamp, plus the
 //! monotonic time since it was received, is a lower bound of the source's clock. Ages computed from this bound are
-//! never too large. A node counts as younger, and so as colder, than it is by the time that the latest stamp took
-//! through discovery. It never counts as warmer than it is.
+//! never too large. They are too small by the delay of the latest stamp in discovery, so a node may count as younger
+//! and colder than it is, but never as warmer.
 
 use sablecross::Ns;
 
--- a/crates/director/src/stall_detector.rs
+++ b/crates/director/src/stall_detector.rs
@@ -16,7 +16,8 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StallDetector {
     last_wakeup: Ns,
-    /// The time found at the last wait, if that wait may not have reported all input that arrived before its end.
+    /// How long input may have lain unread at the last wakeup, if the wait before it may not have reported all input;
+    /// otherwise 0.
     carried_over: Ns,
 }
 
--- a/crates/director/src/wire/applied_version_reporter.rs
+++ b/crates/director/src/wire/applied_version_reporter.rs
@@ -53,7 +53,7 @@
         match self.post(discovery, report.version) {
             Ok(()) => self.pending = None,
             Err(e) => {
-                tracing::debug!("discovery: applied version not taken: {e}");
+                tracing::debug!("discovery: the report of the applied version failed: {e}");
                 let due_at = now + self.shared.limits.feed_silence_timeout;
                 self.pending = Some(PendingReport { due_at, ..report });
             }
--- a/crates/director/src/wire/client_acceptor.rs
+++ b/crates/director/src/wire/client_acceptor.rs
@@ -95,7 +95,7 @@
         None
     }
 
-    /// Keeps a connection that could not be registered, to register it later: its requests are owed an answer.
+    /// Keeps a connection that could not be registered, to register it later: its requests must be answered.
     pub(super) fn keep_unregistered(&mut self, stream: TcpStream, peer: SocketAddr, unread_since: Ns) {
         self.unregistered = Some((TcpStream::from_std(stream.into()), peer));
         self.retry_later(unread_since);
--- a/crates/director/src/wire/client_connection.rs
+++ b/crates/director/src/wire/client_connection.rs
@@ -44,10 +44,10 @@
 /// Why a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum CloseReason {
-    /// The client has closed or reset the connection, or the connection's grace for closing is over.
+    /// The client has closed or reset the connection, or the director drops a connection that was closing.
     Disconnected,
-    /// Nothing is pending on the connection, and it was idle for too long, makes room for others, or the program is
-    /// stopping.
+    /// Nothing is pending on the connection, and it was idle for too long, has to make room for others, or is closed
+    /// because the program is stopping.
     Idle,
     Fault(ClientFault),
 }
@@ -114,7 +114,8 @@
         }
     }
 
-    /// Drops all state of the connection after its write side was shut down, and lets it close until the given time.
+    /// Drops all state of the connection after its write side was shut down. Until the given time, the connection waits
+    /// for the client to close it.
     pub(super) fn begin_closing(&mut self, until: Ns, shared: &SharedContext) {
         self.open_calls.clear();
         self.queued_responses.clear();
@@ -303,8 +304,8 @@
     ///
     /// A response past its deadline is still written, because a client's budget may be as short as 1 ms, less than a
     /// request takes to pass through the director. It is left out once it is late by `max_answer_lateness`. A response
-    /// that is begun has until `write_finish_grace` after its deadline, or after its begin if that is later, because
-    /// cutting it short would end all other calls on the connection.
+    /// that is begun must be complete within `write_finish_grace` of its deadline, or of the time at which it was begun
+    /// if that is later, because cutting it short would end all other calls on the connection.
     pub(super) fn write(&mut self, shared: &SharedContext) -> Result<(), CloseReason> {
         loop {
             let now = shared.clock.now();
--- a/crates/director/src/wire/client_server.rs
+++ b/crates/director/src/wire/client_server.rs
@@ -114,7 +114,7 @@
             // Connections accepted in this turn are also read in it, because their clients may have gone already.
             readable.append(&mut self.readable);
             self.read_all(readable);
-            // After a stall, other clients may have gone that this poll has not reported.
+            // After a stall, clients may have disconnected without being reported by this poll.
             if has_reported_all && !self.stalls.must_poll_again() {
                 self.shared.record_clients_checked(woken_at);
             }
@@ -193,8 +193,8 @@
     fn advance_shutdown(&mut self) -> bool {
         let now = self.shared.clock.now();
         let since = *self.shutdown_seen_at.get_or_insert(now);
-        // Connections that wait to be accepted are owed an answer. If accepting fails for lack of a resource, it is
-        // retried for `partial_message_timeout` before the listener is closed.
+        // The requests of connections that wait to be accepted must be answered. If accepting fails for lack of a
+        // resource, it is retried for `partial_message_timeout` before the listener is closed.
         let may_retry = self.acceptor.retry_at().is_some();
         if !may_retry || now >= since + self.shared.limits.partial_message_timeout {
             self.acceptor.close();
@@ -207,7 +207,7 @@
     }
 
     /// Closes a connection on which nothing is pending. The connection is read first: it stays open if a request has
-    /// arrived, which is owed an answer.
+    /// arrived, which must be answered.
     fn close_if_idle(&mut self, client: ClientId) {
         self.read(client);
         if self.connections.get(&client).is_some_and(ClientConnection::is_idle) {
--- a/crates/director/src/wire/node_connection.rs
+++ b/crates/director/src/wire/node_connection.rs
@@ -24,9 +24,9 @@
 /// A fault of a node for which its connection is closed.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub(super) enum NodeFault {
-    #[error("a message was not taken in time")]
+    #[error("a message could not be written in time")]
     WriteTimedOut,
-    #[error("a message was not taken")]
+    #[error("a message could not be written")]
     WriteFailed,
     #[error("an answer line is too long")]
     AnswerLineTooLong,
--- a/crates/director/src/wire/node_pool.rs
+++ b/crates/director/src/wire/node_pool.rs
@@ -20,7 +20,7 @@
 pub struct InflightAttempt {
     /// The request in flight.
     pub key: RequestKey,
-    /// The index of the attempt among those of the request.
+    /// The index of the attempt among the request's attempts.
     pub attempt: usize,
     /// When the attempt was handed to the connection.
     pub sent_at: Ns,
@@ -145,8 +145,8 @@
             endpoints.iter().filter_map(|endpoint| self.update_endpoint(endpoint, now)).collect();
         let states: HashMap<usize, EndpointState> =
             updates.iter().map(|update| (update.node, update.state)).collect();
-        // An attempt that still waits to be written must not begin after the drain grace, however late its connection is
-        // established.
+        // An attempt that still waits to be written must not begin after the node's grace period for draining, however
+        // late its connection is established.
         let remains_ready =
             |node| states.get(&node).map_or(!is_snapshot, |state| *state == EndpointState::Ready);
         self.withdraw(|candidate| {
