--- a/crates/director/src/limits.rs
+++ b/crates/director/src/limits.rs
@@ -46,7 +46,7 @@
     pub event_queue_length: usize,
     /// The capacity of the queue of responses to the client thread.
     pub response_queue_length: usize,
-    /// The capacity of the queue of commands to the thread of node connections.
+    /// The capacity of the queue of commands to the node thread.
     pub command_queue_length: usize,
     /// The capacity of each of the two queues to the discovery thread, one for changes of the feeds and one for applied
     /// versions of the hierarchy.
--- a/crates/director/src/wire/node_connections.rs
+++ b/crates/director/src/wire/node_connections.rs
@@ -20,7 +20,7 @@
 use crate::os_error::{is_local_shortage, is_network_unreachable, is_would_block};
 use crate::shared::SharedContext;
 
-/// A command from the dispatcher to the thread of the node connections.
+/// A command from the dispatcher to the node thread.
 pub enum ConnectionCommand {
     /// Opens a connection.
     Connect {
--- a/crates/director/src/wire/node_pool.rs
+++ b/crates/director/src/wire/node_pool.rs
@@ -30,9 +30,9 @@
     attempt: InflightAttempt,
     /// The node from which a miss is filled.
     source: Option<usize>,
-    /// Tells the connections' thread that the attempt must not be begun any more.
+    /// Tells the node thread that the attempt must not be begun any more.
     withdrawal: CancellationFlag,
-    /// Set by the connections' thread before it begins the attempt.
+    /// Set by the node thread before it begins the attempt.
     begin: BeginFlag,
 }
 
@@ -373,7 +373,7 @@
         let connection = self.connections.get(&id);
         let outstanding = connection.and_then(|connection| connection.outstanding.get(request_id));
         let Some(OutstandingAttempt { withdrawal, begin, .. }) = outstanding else { return false };
-        // This thread sets `withdrawal` and then reads `begin`; the connections' thread sets `begin` and then reads
+        // This thread sets `withdrawal` and then reads `begin`; the node thread sets `begin` and then reads
         // `withdrawal`. At least one of them sees the other's flag.
         withdrawal.cancel();
         if begin.is_set() {
--- a/crates/director/src/wire/outgoing_message.rs
+++ b/crates/director/src/wire/outgoing_message.rs
@@ -10,7 +10,7 @@
 use crate::events::{CancellationFlag, RequestId};
 use crate::memory_budget::Body;
 
-/// Set by the thread of the node connections before it checks whether a message may be begun; read by the dispatcher.
+/// Set by the node thread before it checks whether a message may be begun; read by the dispatcher.
 #[derive(Clone, Debug, Default)]
 pub struct BeginFlag(Arc<AtomicBool>);
 
@@ -34,9 +34,9 @@
     pub content: Content,
     /// Set by the dispatcher: the message must not be begun any more.
     pub withdrawal: CancellationFlag,
-    /// Set by the thread of the node connections before it begins the message.
+    /// Set by the node thread before it begins the message.
     pub begin: BeginFlag,
-    /// Set by the thread of the client connections: the client has cancelled the request or disconnected.
+    /// Set by the client thread: the client has cancelled the request or disconnected.
     pub client_cancellation: CancellationFlag,
 }
 
--- a/crates/director/src/wire/response_sender.rs
+++ b/crates/director/src/wire/response_sender.rs
@@ -1,4 +1,4 @@
-//! The dispatcher's handle to the thread of the client connections.
+//! The dispatcher's handle to the client thread.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -8,7 +8,7 @@
 
 use super::response::PendingResponse;
 
-/// Sends responses to the thread of the client connections, and tells it to shut down.
+/// Sends responses to the client thread, and tells it to shut down.
 pub(crate) struct ResponseSender {
     responses: Sender<PendingResponse>,
     waker: Waker,
@@ -16,7 +16,7 @@
 }
 
 impl ResponseSender {
-    /// `waker` wakes the clients' thread, which then checks `is_shutting_down`.
+    /// `waker` wakes the client thread, which then checks `is_shutting_down`.
     pub(super) fn new(
         responses: Sender<PendingResponse>,
         waker: Waker,
@@ -29,7 +29,7 @@
     pub(crate) fn send(&self, response: PendingResponse) -> Result<(), PendingResponse> {
         let sent = match self.responses.try_send(response) {
             Err(TrySendError::Full(response)) => Err(response),
-            // If the clients' thread has ended, no client is connected any more.
+            // If the client thread has ended, no client is connected any more.
             Ok(()) | Err(TrySendError::Disconnected(_)) => Ok(()),
         };
         // If waking fails, the thread handles the response when its poll times out.
