--- a/crates/director/src/wire/node_pool.rs
+++ b/crates/director/src/wire/node_pool.rs
@@ -20,7 +20,7 @@
 pub struct InflightAttempt {
     /// The request in flight.
     pub key: RequestKey,
-    /// The index of the attempt among those of the request.
+    /// The index of the attempt among the request's attempts.
     pub attempt: usize,
     /// When the attempt was handed to the connection.
     pub sent_at: Ns,
@@ -30,9 +30,9 @@
     attempt: InflightAttempt,
     /// The node from which a miss is filled.
     source: Option<usize>,
-    /// Tells the connections' thread that the attempt must not be begun any more.
+    /// Tells the node thread that the attempt must not be begun any more.
     withdrawal: CancellationFlag,
-    /// Set by the connections' thread before it begins the attempt.
+    /// Set by the node thread before it begins the attempt.
     begin: BeginFlag,
 }
 
@@ -145,8 +145,8 @@
             endpoints.iter().filter_map(|endpoint| self.update_endpoint(endpoint, now)).collect();
         let states: HashMap<usize, EndpointState> =
             updates.iter().map(|update| (update.node, update.state)).collect();
-        // An attempt that still waits to be written must not begin after the drain grace, however late its connection is
-        // established.
+        // An attempt that still waits to be written must not begin after the node's grace period for draining, however
+        // late its connection is established.
         let remains_ready =
             |node| states.get(&node).map_or(!is_snapshot, |state| *state == EndpointState::Ready);
         self.withdraw(|candidate| {
@@ -373,7 +373,7 @@
         let connection = self.connections.get(&id);
         let outstanding = connection.and_then(|connection| connection.outstanding.get(request_id));
         let Some(OutstandingAttempt { withdrawal, begin, .. }) = outstanding else { return false };
-        // This thread sets `withdrawal` and then reads `begin`; the connections' thread sets `begin` and then reads
+        // This thread sets `withdrawal` and then reads `begin`; the node thread sets `begin` and then reads
         // `withdrawal`. At least one of them sees the other's flag.
         withdrawal.cancel();
         if begin.is_set() {
