--- a/crates/coordination/src/cache_warmer.rs
+++ b/crates/coordination/src/cache_warmer.rs
@@ -6,7 +6,7 @@
 
 use crate::Ns;
 
-/// The pause before the next fetch doubles each time in a row that the cache is busy, up to this many times.
+/// Each fetch in a row that ends as busy or times out doubles the pause before the next one, up to this many times.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 /// Lower bounds of a cache's warmth and of the fetch rate, which prevent a division by zero.
 const MIN_WARMTH: f64 = 1e-3;
--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -330,7 +330,7 @@
             Reply::Lease { role, reply } => self.on_lease_reply(now, voter, role, reply),
             Reply::Assigned(assignment) => self.on_assignment(now, assignment),
             Reply::AssignmentChanged { since, version, assigner, joined, left } => {
-                // The change applies to another version than this member's: the next heartbeat requests the update
+                // A change from another version than this member's is ignored. The next heartbeat requests the update
                 // again.
                 if since == self.assignment.version {
                     let members = self.changed_members(&joined, &left);
--- a/crates/coordination/src/coordinator/reconfiguration.rs
+++ b/crates/coordination/src/coordinator/reconfiguration.rs
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Updates the own voter and candidates to the new voter index, or creates them if the member has become a voter.
+    /// Updates this member's voter and candidates to the new voter index, or creates them if the member has become a
+    /// voter.
     fn reconfigure_voter(&mut self, now: Ns) {
         let Some(voter) = self.config.voter_index(self.me.number) else { return };
         match self.voter_node.as_mut() {
--- a/crates/coordination/src/coordinator/roles.rs
+++ b/crates/coordination/src/coordinator/roles.rs
@@ -8,7 +8,7 @@
 use crate::register_writer::{RegisterAction, RegisterWriter};
 use crate::{Action, CandidateAction, FencingToken, LeaseCandidate, LeaseEnd, LeaseReply, Ns, VoterNode};
 
-const MS: Ns = 1_000_000;
+const NS_PER_MS: Ns = 1_000_000;
 
 impl Coordinator {
     /// Hands a role over to the voter with this member number, or to the next voter that is alive. Returns whether
@@ -192,7 +192,11 @@
     }
 
     fn on_role_acquired(&mut self, now: Ns, role: RoleId, token: FencingToken) {
-        self.log(format!("coordination lease acquired role={role} term={} at_ms={}", token.term, now / MS));
+        self.log(format!(
+            "coordination lease acquired role={role} term={} at_ms={}",
+            token.term,
+            now / NS_PER_MS
+        ));
         self.actions.push_back(Action::RoleAcquired { role, token });
         if role == ASSIGNMENT_ROLE {
             if let Some(node) = self.voter_node.as_mut() {
--- a/crates/coordination/src/hot_object_counts.rs
+++ b/crates/coordination/src/hot_object_counts.rs
@@ -5,7 +5,7 @@
 use crate::messages::HotObjectCount;
 use crate::{HotObject, Ns};
 
-/// The counts are halved after this time.
+/// The counts are halved after this time, or earlier when more than twice [`MAX_OBJECTS`] objects are counted.
 const HALF_LIFE: Ns = 5_000_000_000;
 /// At most this many objects are returned, or kept when the counts are halved.
 const MAX_OBJECTS: usize = 512;
--- a/crates/coordination/src/lease_candidate.rs
+++ b/crates/coordination/src/lease_candidate.rs
@@ -227,7 +227,7 @@
         }
     }
 
-    /// Moves the next attempt forward to `at`, as the lease was handed over to this member.
+    /// Moves the next attempt to `at` if that is earlier, because the lease was handed over to this member.
     pub fn schedule_attempt(&mut self, at: Ns) {
         if let CandidateState::Waiting { until } = &mut self.state {
             *until = at.min(*until);
--- a/crates/coordination/src/messages.rs
+++ b/crates/coordination/src/messages.rs
@@ -228,7 +228,7 @@
     /// Reply to a heartbeat: the assigner is alive, and this is the version of its current assignment.
     #[serde(rename = "Holds")]
     AssignmentConfirmed(AssignmentVersion),
-    /// A newer incarnation of the sender's number is known. Either another process uses the number, or the sender's
+    /// This newer incarnation of the sender's number is known. Either another process uses the number, or the sender's
     /// clock was set back.
     Displaced(u64),
     /// Reply to [`Message::FetchHealth`].
@@ -283,7 +283,7 @@
     NewestToken {
         /// The role.
         role: RoleId,
-        /// The newest token that has read or written the register.
+        /// The newest token that the voter has admitted for the register, or has learned from other voters.
         token: FencingToken,
         /// Whether the voter can't have forgotten a newer token.
         is_certain: bool,
--- a/crates/coordination/src/register_replica.rs
+++ b/crates/coordination/src/register_replica.rs
@@ -104,7 +104,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`StaleToken`] if a newer token has read or written before.
+    /// Returns [`StaleToken`] if the guard rejects the token; see [`FencingGuard::admit`].
     pub(crate) fn read(&mut self, token: FencingToken) -> Option<Result<ReadValue, StaleToken>> {
         if self.is_recovering() {
             return None;
@@ -118,7 +118,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`StaleToken`] if a newer token has read or written before.
+    /// Returns [`StaleToken`] if the guard rejects the token; see [`FencingGuard::admit`].
     pub(crate) fn write(&mut self, value: RegisterValue) -> Option<Result<u64, StaleToken>> {
         if self.is_recovering() {
             return None;
--- a/crates/coordination/src/voter_set.rs
+++ b/crates/coordination/src/voter_set.rs
@@ -5,7 +5,7 @@
 pub(crate) struct VoterSet(u64);
 
 impl VoterSet {
-    /// Higher indexes can't be in a set.
+    /// Only indexes below this can be in a set.
     pub(crate) const CAPACITY: u32 = 64;
 
     /// Returns the set of the first `count` voters.
--- a/crates/coordination/tests/wire_format.rs
+++ b/crates/coordination/tests/wire_format.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn values() {
+fn value_encodings_are_unchanged() {
     assert_encoding(A, b"\x92\x01\x02", r#"{"number":1,"life":2}"#);
     assert_encoding(TOKEN, b"\x92\x05\x92\x01\x02", r#"{"term":5,"owner":{"number":1,"life":2}}"#);
     assert_encoding(VERSION, b"\x92\x06\x07", r#"{"term":6,"number":7}"#);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn lease_requests_and_replies() {
+fn lease_message_encodings_are_unchanged() {
     assert_encoding(
         LeaseRequest::PreVote { round: 18, from: A },
         b"\x81\xa4Look\x92\x12\x92\x01\x02",
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn messages() {
+fn message_encodings_are_unchanged() {
     assert_encoding(
         Request { from: A, messages: vec![Message::Leave, Message::ShowStatus] },
         b"\x92\x92\x01\x02\x92\xa6Leaves\xa4Show",
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn replies() {
+fn reply_encodings_are_unchanged() {
     assert_encoding(
         Reply::Lease { role: 23, reply: LeaseReply::Granted { round: 18, term: 19 } },
         b"\x81\xa4Said\x92\x17\x81\xa7Granted\x92\x12\x13",
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn member_status() {
+fn status_encodings_are_unchanged() {
     let role = RoleStatus {
         role: 23,
         highest_term: 40,
@@ -336,14 +336,14 @@
 }
 
 #[test]
-fn tokens_of_assignments() {
+fn assignment_token_encoding_is_unchanged() {
     assert_eq!(VERSION.token(A), FencingToken { term: 100_663_303, holder: A });
     assert_eq!(AssignmentVersion::from_token(VERSION.token(A)), VERSION);
 }
 
 /// The order of fields and variants decides the order of map keys and which of two values is the newer one.
 #[test]
-fn ordering_of_values() {
+fn value_ordering_is_unchanged() {
     let mut members = [member(1, 9), member(2, 1), member(1, 2)];
     members.sort_unstable();
     assert_eq!(members, [member(1, 2), member(1, 9), member(2, 1)]);
