--- a/crates/controller-log/src/lib.rs
+++ b/crates/controller-log/src/lib.rs
@@ -10,7 +10,7 @@
 
 /// The records as JSON, by their index in the log.
 const RECORDS: TableDefinition<u64, &[u8]> = TableDefinition::new("records");
-/// The newest token that has written: its term, and the number and incarnation of its holder.
+/// The newest token with which a record was written: its term, and the number and incarnation of its holder.
 const NEWEST_TOKEN: TableDefinition<(), (u64, u32, u64)> = TableDefinition::new("newest");
 
 /// Why the log can't be opened, read or written.
@@ -93,8 +93,8 @@
         self.append_fenced(None, record)
     }
 
-    /// Appends a record on behalf of the holder of a role. A token that is older than the newest one that has written,
-    /// or that belongs to another holder of the same term, is rejected in the transaction that would store the record.
+    /// Appends a record on behalf of the holder of a role. A token that is older than the newest stored one, or that
+    /// belongs to another holder of the same term, is rejected in the transaction that would store the record.
     ///
     /// # Errors
     /// Returns an error if the record is not stored.
@@ -106,7 +106,7 @@
         self.append_fenced(Some(token), record)
     }
 
-    /// Returns the newest token that has written. A new holder needs a higher term.
+    /// Returns the newest token with which a record was written. A new holder needs a higher term.
     ///
     /// # Errors
     /// Returns an error if the log can't be read.
--- a/crates/hierarchy-controller/src/controller.rs
+++ b/crates/hierarchy-controller/src/controller.rs
@@ -244,10 +244,10 @@
         }
     }
 
-    /// Rolls back the running change.
+    /// Rolls back the running change. Has no effect if there is no rollout.
     ///
     /// # Errors
-    /// Returns an error if no change is running.
+    /// Returns an error if there is a rollout but no change is running.
     pub fn roll_back(&mut self, now: Ns) -> Result<(), ProposalError> {
         if let State::Running(rollout) = &mut self.state {
             rollout.handle(RolloutInput::RollBack, now)?;
--- a/crates/hierarchy-controller/src/membership.rs
+++ b/crates/hierarchy-controller/src/membership.rs
@@ -24,7 +24,7 @@
 }
 
 /// The members of the fleet by number. A missing member may only be disconnected and may still apply its version, so
-/// it counts as a participant until it returns, is restarted, or has been missing for `gone_after`.
+/// it remains a participant until it has been missing for `gone_after`.
 #[derive(Clone, Debug)]
 pub(crate) struct Membership {
     members: BTreeMap<u32, KnownMember>,
--- a/crates/hierarchy-controller/src/register_log.rs
+++ b/crates/hierarchy-controller/src/register_log.rs
@@ -5,8 +5,8 @@
 use sablecross_hierarchy::{Hierarchy, RolloutRecord};
 use thiserror::Error;
 
-/// The first byte of the register's content. A different value means another format version of the program, not
-/// damage.
+/// The first byte of the register's content. A different value means that a program with another format wrote the
+/// content, not that the content is damaged.
 const FORMAT_VERSION: u8 = 1;
 /// The largest content of the register in bytes. More does not fit into one call between members.
 const MAX_LOG_BYTES: usize = 200_000;
@@ -28,7 +28,7 @@
 /// Why the log can't be written to the register.
 #[derive(Debug, Error)]
 pub(crate) enum EncodeError {
-    /// The log is too long. It is shortened by the checkpoint at the end of the running change.
+    /// The log is too long. Only the checkpoint at the end of a change shortens it.
     #[error("hierarchy log too long bytes={bytes} max_bytes={MAX_LOG_BYTES}: make smaller changes")]
     TooLong {
         /// The length of the encoded log.
