--- a/crates/hierarchy/src/admission.rs
+++ b/crates/hierarchy/src/admission.rs
@@ -54,7 +54,7 @@
     /// The nodes of a tier together get more load than their total capacity.
     #[error(
         "tier {tier} gets {load:.0} requests a second and can take {capacity:.0} \
-         (add to it, or raise the hit ratios below it)"
+         (add capacity to the tier, or raise the hit ratios of the nodes that fill from it)"
     )]
     TierOverloaded {
         /// The tier.
--- a/crates/hierarchy/src/fill_path.rs
+++ b/crates/hierarchy/src/fill_path.rs
@@ -1,7 +1,7 @@
 //! The path of an object's fill through a version.
 //!
-//! Each tier is a hash ring, which the hash ring of the decision module builds. So all fills of one object that pass a
-//! tier go through the same node of it, whichever node they start at.
+//! Each tier is a hash ring ([`HashRing`] of the crate `sablecross`), so nodes with the same usable sources fill an
+//! object from the same source.
 
 use std::collections::BTreeMap;
 
--- a/crates/hierarchy/src/load_flow.rs
+++ b/crates/hierarchy/src/load_flow.rs
@@ -84,11 +84,11 @@
     /// Returns a cycle if the version has one. The first and the last node of the cycle are the same.
     pub fn new(nodes: Vec<Option<&'a FlowNode>>) -> Result<FlowGraph<'a>, Vec<u32>> {
         let share = |index: u32| nodes[index as usize].map_or(0, |flow| flow.node.ring_share);
-        let takes_requests = |flow: &FlowNode| -> Vec<u32> {
+        let active_sources = |flow: &FlowNode| -> Vec<u32> {
             flow.sources.iter().copied().filter(|&source| share(source) > 0).collect()
         };
         let possible_sources: Vec<Vec<u32>> =
-            nodes.iter().map(|flow| flow.map_or_else(Vec::new, takes_requests)).collect();
+            nodes.iter().map(|flow| flow.map_or_else(Vec::new, active_sources)).collect();
         let topological_order = topological_sort(&possible_sources)?;
         let preferred_sources =
             possible_sources.iter().map(|sources| preferred_sources(&nodes, sources)).collect();
--- a/crates/hierarchy/src/plan/mod.rs
+++ b/crates/hierarchy/src/plan/mod.rs
@@ -5,9 +5,9 @@
 //! has to stay below the ceiling less the margin.
 //!
 //! Each node that changes has a track (`tracks`): the sequence of states that it passes through. A node that joins the
-//! ring of its tier takes its virtual nodes in quarters, a node that leaves gives them up in quarters, and a node that
-//! changes its tier does both, with its sources changed in between, while no node fills from it. A step advances any
-//! number of tracks by any number of states.
+//! ring of its tier takes its virtual nodes in equal parts, and a node that leaves gives them up in equal parts. A node
+//! that changes its tier or was restarted does both: its tier and sources change only after it has given up all virtual
+//! nodes, when no node fills from it any more. A step advances any number of tracks by any number of states.
 //!
 //! For small changes, a breadth-first search (`search`) finds a plan with the fewest steps. For large changes, a greedy
 //! sweep (`sweep`) advances as many tracks in each step as the bounds allow, those of the nodes nearest to the origin
@@ -74,7 +74,9 @@
     pub evaluations: usize,
 }
 
-/// Why no plan was found. Of all bounds that candidate steps exceeded, this is the one with the smallest excess.
+/// Why no plan was found. The search reports the bound that its candidate steps exceeded the least, and the sweep the
+/// bound that its last candidate step violated. Of the errors for the different numbers of parts, the one with the
+/// smallest excess is reported.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum PlanError {
     /// A fill could return to a node that it has passed.
@@ -142,8 +144,8 @@
 }
 
 impl PlanError {
-    /// The ratio of a step's load to its bound; a loop or a missing path counts as larger than any ratio. The smallest
-    /// excess of all candidates belongs to the bound that stands in the way of every plan.
+    /// The ratio of a step's load to its bound; a loop or a missing path counts as larger than any ratio. The candidate
+    /// with the smallest excess is the one that is closest to being allowed, so its bound is the one to report.
     fn excess(&self) -> f64 {
         match self {
             PlanError::Cycle { .. } | PlanError::NoPathToOrigin { .. } => f64::MAX,
@@ -168,7 +170,7 @@
 /// Plans the steps from the committed version to an admitted one, at the Unix time `now`.
 ///
 /// # Errors
-/// Returns the bound with the smallest excess if no plan was found.
+/// Returns the bound that prevents a plan if no plan was found; see [`PlanError`].
 pub fn plan(from: &Hierarchy, to: &Hierarchy, now: Ns) -> Result<Plan, PlanError> {
     let mut evaluations = 0;
     let mut least_exceeded = None;
--- a/crates/hierarchy/src/plan/schedule.rs
+++ b/crates/hierarchy/src/plan/schedule.rs
@@ -20,11 +20,12 @@
 struct Schedule<'a> {
     space: &'a PlanSpace<'a>,
     position: Position,
-    /// The version with all sources, including those that are not in the version yet or not any more.
+    /// The version as planned. Its nodes may name sources that it does not contain yet or no longer contains.
     version: Hierarchy,
-    /// The version as it is published, without sources that are not in it.
+    /// The version as it is published, without these sources.
     published: Hierarchy,
-    /// The time of the first request of each node that a step of this plan lets take requests.
+    /// For each node that the plan has changed, the time of the first step that left it with virtual nodes. This counts
+    /// as the time of its first request.
     first_requests: BTreeMap<u32, Ns>,
     time: Ns,
     /// Whether the last step moved load, so that the objects that moved have to be filled before the next step.
--- a/crates/hierarchy/src/plan/search.rs
+++ b/crates/hierarchy/src/plan/search.rs
@@ -73,8 +73,8 @@
     ) -> Result<(), PlanError> {
         // A reached state contains no loop, because the step that reached it was checked.
         let Ok(before) = self.space.flow_graph(&self.positions[from]) else { return Ok(()) };
-        // The states that advance the most are tried first, so that of plans with equally many steps the one that
-        // advances faster is found.
+        // States are tried in descending order, those that advance the first tracks the most first, so that of plans
+        // with equally many steps one that advances these tracks early is found.
         for to in (from + 1..self.positions.len()).rev() {
             if self.reached[to] || !is_ahead(&self.positions[from], &self.positions[to]) {
                 continue;
--- a/crates/hierarchy/src/plan/tracks.rs
+++ b/crates/hierarchy/src/plan/tracks.rs
@@ -18,6 +18,7 @@
 
 /// The states that one node passes through, from the one before the change to the one after it.
 pub(super) struct Track {
+    /// The position of the node in [`PlanSpace::index`].
     pub(super) node: u32,
     pub(super) states: Vec<Option<FlowNode>>,
 }
--- a/crates/hierarchy/src/rollout/mod.rs
+++ b/crates/hierarchy/src/rollout/mod.rs
@@ -207,7 +207,8 @@
         }
     }
 
-    /// Queues a change behind the running one. It is planned when it starts, since only then its first version is known.
+    /// Queues a change behind the running one. It is planned when it starts, since only then the version that it starts
+    /// from is known.
     fn queue(&mut self, target: Hierarchy, running: u64, now: Ns) -> Result<(), RolloutError> {
         self.admission.clone().admit(&target)?;
         let spec = HierarchySpec::from_hierarchy(self.last_number, &target);
--- a/crates/hierarchy/src/rollout/steps.rs
+++ b/crates/hierarchy/src/rollout/steps.rs
@@ -183,7 +183,8 @@
     /// did.
     pub(super) fn supersede(&mut self, now: Ns) -> bool {
         let Some(target) = self.queued.clone() else { return false };
-        // The target was numbered by the version that was committed when it was queued, which may be another one now.
+        // The node ids of the target match the version that was committed when the change was queued. Another version
+        // may be committed now.
         let target = self.with_committed_ids(&target).unwrap_or(target);
         if let Err(error) = self.check_startable(&target, now) {
             self.drop_queued(&error);
--- a/crates/hierarchy/src/spec/mod.rs
+++ b/crates/hierarchy/src/spec/mod.rs
@@ -13,7 +13,7 @@
 use crate::version::{FULL_SHARE, Hierarchy, HierarchyNode, HierarchyRules, NodeId};
 pub use sablecross_sexpr_config::ConfigError;
 
-const NANOS_PER_MILLI: u64 = 1_000_000;
+const NS_PER_MS: u64 = 1_000_000;
 /// The longest duration that settings accept: one day.
 const MAX_DURATION_MS: u64 = 86_400_000;
 
@@ -187,12 +187,12 @@
             ceiling: rules.ceiling,
             margin: rules.margin,
             cold_from: rules.slow_start_initial_share,
-            warm_after_ms: rules.slow_start_window / NANOS_PER_MILLI,
+            warm_after_ms: rules.slow_start_window / NS_PER_MS,
             fall_multiple: rules.collapse_multiple,
             siblings: rules.allows_siblings,
-            hold_ms: rules.drain_window / NANOS_PER_MILLI,
-            settle_ms: rules.fill_window / NANOS_PER_MILLI,
-            give_up_ms: rules.step_timeout / NANOS_PER_MILLI,
+            hold_ms: rules.drain_window / NS_PER_MS,
+            settle_ms: rules.fill_window / NS_PER_MS,
+            give_up_ms: rules.step_timeout / NS_PER_MS,
         };
         let nodes = version.iter().map(|(_, node)| NodeSpec {
             name: node.name.to_string(),
@@ -202,7 +202,7 @@
             demand: node.demand,
             hit: node.hit_ratio,
             share: node.ring_share,
-            since_ms: node.started_at / NANOS_PER_MILLI,
+            since_ms: node.started_at / NS_PER_MS,
         });
         HierarchySpec { header, nodes: nodes.collect() }
     }
@@ -254,12 +254,12 @@
             ceiling: self.ceiling,
             margin: self.margin,
             slow_start_initial_share: self.cold_from,
-            slow_start_window: self.warm_after_ms.saturating_mul(NANOS_PER_MILLI),
+            slow_start_window: self.warm_after_ms.saturating_mul(NS_PER_MS),
             collapse_multiple: self.fall_multiple,
             allows_siblings: self.siblings,
-            drain_window: self.hold_ms.saturating_mul(NANOS_PER_MILLI),
-            fill_window: self.settle_ms.saturating_mul(NANOS_PER_MILLI),
-            step_timeout: self.give_up_ms.saturating_mul(NANOS_PER_MILLI),
+            drain_window: self.hold_ms.saturating_mul(NS_PER_MS),
+            fill_window: self.settle_ms.saturating_mul(NS_PER_MS),
+            step_timeout: self.give_up_ms.saturating_mul(NS_PER_MS),
         }
     }
 }
@@ -280,7 +280,7 @@
             demand: self.demand,
             hit_ratio: self.hit,
             ring_share: self.share,
-            started_at: self.since_ms.saturating_mul(NANOS_PER_MILLI),
+            started_at: self.since_ms.saturating_mul(NS_PER_MS),
         })
     }
 }
--- a/crates/hierarchy/src/version.rs
+++ b/crates/hierarchy/src/version.rs
@@ -12,7 +12,8 @@
 /// The number of virtual nodes that a node takes in the hash ring of its tier when it takes its full share.
 pub const FULL_SHARE: u16 = 256;
 
-/// The fraction of its collapse load that a cold node may get. The decision module uses the same fraction.
+/// The fraction of its collapse load that a cold node may get. Slow start in the crate `sablecross` uses the same
+/// fraction.
 pub const COLD_LOAD_FRACTION: f64 = 0.5;
 
 /// The settings that apply to a whole hierarchy and to its changes. Durations are in nanoseconds.
--- a/crates/hierarchy/tests/stored_format.rs
+++ b/crates/hierarchy/tests/stored_format.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_version_has_this_text_in_events() {
+fn event_encoding_is_unchanged() {
     assert_eq!(event(SETTINGS), EVENT);
     assert_eq!(serde_json::to_string(&decoded(EVENT)).expect("encoded"), EVENT);
     assert_eq!(serde_json::to_string(&decoded(MINIMAL)).expect("encoded"), DEFAULTS);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_version_has_this_text_in_settings_files() {
+fn settings_file_text_is_unchanged() {
     assert_eq!(decoded(EVENT).to_settings_text(), SETTINGS);
     assert_eq!(event(&decoded(EVENT).to_settings_text()), EVENT);
     let minimal = "(hierarchy (version . 1) (ceiling . 100))(node (name . \"o\") (tier . 0) (capacity . 9))";
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_form_has_this_text() {
+fn form_encodings_are_unchanged() {
     let head = r#"{"hierarchy":{"version":1,"ceiling":100.0,"margin":0.2,"cold-from":0.25,"warm-after-ms":20000,"fall-multiple":2.0,"siblings":false,"hold-ms":3000,"settle-ms":5000,"give-up-ms":30000}}"#;
     let node = r#"{"node":{"name":"o","tier":0,"sources":["p"],"capacity":9.0,"demand":0.0,"hit":0.0,"share":256,"since-ms":0}}"#;
     for text in [head, node] {
@@ -59,7 +59,7 @@
 
 /// Each process numbers nodes itself, so the digest depends on the names of nodes and not on their numbers.
 #[test]
-fn a_version_has_this_digest() {
+fn digests_are_unchanged() {
     let digest = |event: &str| decoded(event).to_hierarchy(None).expect("a version").1.digest();
     assert_eq!(digest(EVENT), 7_011_968_916_858_173_960);
     assert_eq!(digest(DEFAULTS), 9_500_622_338_283_066_805);
--- a/crates/hierarchy/tests/versions.rs
+++ b/crates/hierarchy/tests/versions.rs
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn admission_step_by_step_is_admission_at_once() {
+fn incremental_admission_agrees_with_admission_of_the_whole_version() {
     let mut rejected = 0;
     for seed in 0..40 {
         let mut rng = Pcg32::seed_from_u64(seed);
