--- a/crates/hierarchy/tests/plans.rs
+++ b/crates/hierarchy/tests/plans.rs
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn the_origin_stays_below_its_ceiling_or_the_ceiling_is_named() {
+fn the_origin_stays_below_its_ceiling_or_planning_fails() {
     // The parents get 300 requests a second, and the origin 60 of them. Objects that move are fetched again.
     let (from, to) = with_new_parent(400.0, 0);
     let with =
--- a/crates/hierarchy/tests/rollout.rs
+++ b/crates/hierarchy/tests/rollout.rs
@@ -253,7 +253,7 @@
     let committed = simulation.rollout.committed().version;
     assert_eq!(committed.digest(), target.digest());
     assert_eq!(committed.node_id("x"), None);
-    assert_ne!(committed.node_id("y"), Some(4), "y took the place of x, without a track of its own");
+    assert_ne!(committed.node_id("y"), Some(4), "y reuses the id of x, so it has no track of its own");
 }
 
 #[test]
