--- a/crates/relay/src/error.rs
+++ b/crates/relay/src/error.rs
@@ -7,7 +7,7 @@
 use crate::log::{LogFull, MAX_IDEMPOTENCY_KEY_BYTES};
 
 /// The reason why an event was not accepted. Except after [`PublishError::LeadershipLost`], no subscriber receives
-/// it.
+/// the event.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PublishError {
     /// This relay is not the leader; the value is the leader, if known.
--- a/crates/relay/src/messages.rs
+++ b/crates/relay/src/messages.rs
@@ -31,7 +31,8 @@
     pub last_entry: EntryPosition,
     /// The last number known to be committed.
     pub committed: u64,
-    /// The snapshot that precedes `entries`; present if the caller's number is below that of the snapshot.
+    /// The snapshot that precedes `entries`; `None` if the caller already has the log of this epoch up to the
+    /// snapshot's number.
     #[serde(rename = "base")]
     pub snapshot: Option<Snapshot>,
     /// Consecutive entries, the uncommitted ones included.
@@ -44,7 +45,7 @@
     /// A request for the leader's lease, or the return of it.
     #[serde(rename = "Duty")]
     Lease(LeaseRequest),
-    /// Sent by a voter that has restarted without memory: requests the log.
+    /// Sent by a voter that has lost its log in a restart: requests the log.
     #[serde(rename = "Learn")]
     Recover,
     /// Sent by a new leader: requests the log. The receiver rejects older leaders from then on.
@@ -72,7 +73,7 @@
         /// The entry before the first one of `entries`.
         #[serde(rename = "previous")]
         previous_entry: EntryPosition,
-        /// Replaces a log whose committed part is behind the snapshot.
+        /// Replaces the receiver's log if that is of another epoch or its committed part is behind the snapshot.
         #[serde(rename = "base")]
         snapshot: Option<Snapshot>,
         /// Consecutive entries.
@@ -165,7 +166,8 @@
         #[serde(rename = "by")]
         token: FencingToken,
     },
-    /// Answers [`PeerCall::Append`]: the voter's previous entry differs from the leader's.
+    /// Answers [`PeerCall::Append`]: the voter's log is of another epoch, or its previous entry differs from the
+    /// leader's.
     #[serde(rename = "Has")]
     Mismatch {
         /// Token of the call.
--- a/crates/relay/src/plain_relay.rs
+++ b/crates/relay/src/plain_relay.rs
@@ -1,4 +1,4 @@
-//! A plain relay: its log, and the events that it receives from another relay or from an outside feed.
+//! A plain relay: its log, and the events that it receives from another relay or from an external feed.
 
 use std::collections::BTreeMap;
 
@@ -38,10 +38,10 @@
         Some(self.upstream.current().unwrap_or_default())
     }
 
-    /// Processes an event of the upstream. When an event is missing or unreadable, the upstream is called again
-    /// once. If the event is still missing or unreadable after that, an empty event takes the number of an
-    /// unreadable event, and a complete list takes the place of all missing events before it, so that numbers stay
-    /// the same at all relays.
+    /// Processes an event of the upstream. When an event is missing or unreadable, the upstream is called again. If
+    /// the event is still missing or unreadable after that call, an empty event takes the number of an unreadable
+    /// event, and a complete list takes the place of all missing events before it, so that numbers stay the same at
+    /// all relays. As long as events are missing and no complete list is received, the upstream is called again.
     pub(crate) fn on_event(
         &mut self,
         unix_ms: u64,
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -157,7 +157,9 @@
             }
             RelayMode::Plain(plain) => {
                 if let Some(index) = plain.check_upstream(now) {
-                    let line = format!("upstream {index} is followed: the previous one was stale");
+                    let line = format!(
+                        "upstream {index} is followed: the previous one was stale, or the first one is tried again"
+                    );
                     self.actions.push(Action::Log(line));
                 }
                 plain.log.compact(unix_ms);
--- a/crates/relay/src/replica_group/mod.rs
+++ b/crates/relay/src/replica_group/mod.rs
@@ -8,11 +8,14 @@
 //!
 //! Voters have no disk. A voter that restarts has lost the tokens that it accepted and the entries that it stored,
 //! so it neither shows its log to a new leader nor stores entries until a majority of all voters, itself not
-//! counted, has answered its recovery calls. An answer from before such a restart must not be counted together with
-//! answers given after it. Every message therefore carries the latest incarnations that its sender knows of, and
+//! counted, has answered its recovery calls with complete logs. If too few voters have complete logs, it shows its
+//! own log as incomplete, and still stores nothing. An answer from before such a restart must not be counted together
+//! with answers given after it. Every message therefore carries the latest incarnations that its sender knows of, and
 //! answers of earlier incarnations are ignored (crash vectors: Michael, Ports, Sharma, Szekeres 2017). When no
 //! majority remembers the log, the leader resets it: a new epoch begins past every number that may have been sent
-//! to subscribers. [`ReplicaGroup`] is one voter of the group. `lease` decides which voter leads, `read_phase` is
+//! to subscribers.
+//!
+//! [`ReplicaGroup`] is one voter of the group. `lease` decides which voter leads, `read_phase` is
 //! the first phase of a leader, `replication` the second, `peer_requests` answers the calls of both phases, and
 //! `recovery` restores a voter after a restart.
 
--- a/crates/relay/src/replica_group/recovery.rs
+++ b/crates/relay/src/replica_group/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery after a restart: a voter without memory recovers the log from the other voters. Where too few of them
+//! Recovery after a restart: a voter that has lost its log recovers it from the other voters. If too few of them
 //! remember the log, a leader resets it.
 
 use std::collections::BTreeMap;
@@ -117,8 +117,7 @@
             self.voter.observe_term(highest_token.term);
         }
         self.adopt_most_advanced(unix_ms, states);
-        let source =
-            if is_complete { "from a majority" } else { "from what is left, too few voters remember it" };
+        let source = if is_complete { "from a majority" } else { "without a majority that remembers it" };
         let (committed, stored) = (self.log.committed_number(), self.log.last_number());
         self.log_line(format!("log recovered {source}: committed={committed} stored={stored}"));
     }
--- a/crates/relay/src/retention.rs
+++ b/crates/relay/src/retention.rs
@@ -1,12 +1,13 @@
 //! The retention window: how long events are kept.
 //!
-//! After a purge the router limits the age of the copies that it accepts, for the time that nodes take to clear and
-//! for `PURGE_HOLD_TIME` more. After that, no decision depends on whether the purge was received
+//! After a purge the router limits the age of the copies that it accepts, for the time that nodes take to clear purged
+//! objects and for `PURGE_HOLD_TIME` more. After that, no decision depends on whether the purge was received
 //! (`tests/retention.rs` shows this with the router), so a log does not need to keep the purge.
 
 use sablecross_coordination::Ns;
 
-/// For how long the router keeps applying a purge after nodes have cleared; equals the router's own constant.
+/// For how long the router keeps applying a purge after nodes have cleared the purged objects; equals
+/// `PURGE_EXTRA_TIME` of the router (`src/cache_policy.rs`).
 pub const PURGE_HOLD_TIME: Ns = 120_000_000_000;
 
 const NS_PER_MS: Ns = 1_000_000;
@@ -18,7 +19,7 @@
 /// The times that determine for how long a log keeps events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetentionWindow {
-    /// Time within which nodes clear a purge: the longest of all directors' settings.
+    /// Time within which nodes clear purged objects: the longest of all directors' settings.
     pub purge_propagation: Ns,
     /// [`PURGE_HOLD_TIME`] in service. Tests that need events to expire use a shorter time; no router may rely on
     /// such a log.
--- a/crates/relay/src/snapshot.rs
+++ b/crates/relay/src/snapshot.rs
@@ -28,7 +28,8 @@
     /// Token of the entry with the snapshot's number.
     #[serde(rename = "by")]
     pub token: FencingToken,
-    /// Whether a complete list is known. Until then nothing can be sent to subscribers that are behind the snapshot.
+    /// Whether the snapshot has a complete list. Without one, subscribers that are behind the snapshot are sent nothing
+    /// until the first event after the snapshot is a complete list.
     #[serde(rename = "listed")]
     pub has_list: bool,
     /// The latest index that the publisher gave the list.
--- a/crates/relay/src/staleness.rs
+++ b/crates/relay/src/staleness.rs
@@ -57,7 +57,7 @@
         format!(": fresh {age} owner {leader} term {term}\n\n")
     }
 
-    /// Parses a staleness comment. Returns `None` for any other comment, such as one of an outside feed.
+    /// Parses a staleness comment. Returns `None` for any other comment, such as one of an external feed.
     pub fn parse_comment(comment: &str) -> Option<StalenessComment> {
         let mut words = comment.trim().trim_start_matches(':').split_whitespace();
         if words.next() != Some("fresh") {
--- a/crates/relay/src/status.rs
+++ b/crates/relay/src/status.rs
@@ -14,7 +14,7 @@
     Leader,
     /// A voter that is not the leader.
     Voter,
-    /// A relay that has no vote and follows another relay or an outside feed.
+    /// A relay that has no vote and follows another relay or an external feed.
     #[default]
     Plain,
 }
--- a/crates/relay/tests/cases.rs
+++ b/crates/relay/tests/cases.rs
@@ -1,4 +1,4 @@
-//! Cases of the log, of subscribers, of merged statuses and of plain relays.
+//! Tests of the log, of subscribers, of merged statuses and of plain relays.
 
 mod help;
 
@@ -323,7 +323,8 @@
     subscribers.connected(SEC, "c", 8);
     assert_eq!(subscribers.floor(SEC + 49 * MS, 9), 0, "recomputed at most every 50 ms");
     assert_eq!(subscribers.floor(SEC + 50 * MS, 9), 5);
-    // Subscriber a is silent with its stream open. It holds the floor back until it is missing, and is then listed.
+    // Subscriber a is silent with its stream open. It holds the floor back until it is missing, and is then reported as
+    // missing.
     for s in 2..=10 {
         subscribers.connected(s * SEC, "b", 9);
         subscribers.connected(s * SEC, "c", 9);
--- a/crates/relay/tests/replica_group.rs
+++ b/crates/relay/tests/replica_group.rs
@@ -40,7 +40,7 @@
         net
     }
 
-    /// Returns a voter that starts without memory.
+    /// Returns a new incarnation of a voter, with an empty log.
     fn start(&mut self, index: usize, max_log_bytes: usize) -> Relay {
         self.incarnation_count += 1;
         let retention = RetentionWindow {
--- a/crates/relay/tests/schedules.rs
+++ b/crates/relay/tests/schedules.rs
@@ -1,5 +1,6 @@
 //! Random schedules of voters, plain relays, publishers and directors. Messages are delayed, lost, duplicated and
-//! reordered, links are cut in one direction, processes are paused and wake late, and voters restart without memory.
+//! reordered, links are cut in one direction, processes are paused and wake late, and voters lose their logs in
+//! restarts.
 //!
 //! `SABLECROSS_RELAY_SCHEDULES=N` sets the number of schedules.
 
@@ -214,7 +215,7 @@
                     let body = publication.body.clone();
                     if self.committed.get(&n) != Some(&body) {
                         self.record_failure(format!(
-                            "published as {n}, where {:?} is and not {body}",
+                            "{body} is published as {n}, where {:?} is committed",
                             self.committed.get(&n)
                         ));
                     } else if before.is_some_and(|b| b != n) && !self.majority_may_lose_log {
@@ -434,7 +435,7 @@
         let ParsedEvent { number, event } = Event::parse(data.as_bytes(), usize::MAX).expect("an event");
         let body = event.body();
         if number != Some(n) {
-            self.record_failure(format!("director {d}: {number:?} under {n}"));
+            self.record_failure(format!("director {d}: event {n} has the number {number:?} in its data"));
         }
         let is_committed = self.committed.get(&n).is_some_and(|t| t == body);
         if !is_committed {
@@ -445,7 +446,7 @@
             let later = [n].into_iter().chain(self.committed.range(n + 1..).map(|(m, _)| *m));
             if !later.into_iter().any(|m| received == Some((true, self.state_at(m).0))) {
                 self.record_failure(format!(
-                    "director {d} after {last}: {n} is {data} and {:?}",
+                    "director {d} after {last}: received {data} as event {n}, committed is {:?}",
                     self.committed.get(&n)
                 ));
             }
@@ -736,8 +737,8 @@
 #[test]
 fn the_schedules_detect_each_disabled_safety_check() {
     let all = SafetyChecks::default();
-    // A missing fencing check is seldom detected, so it gets more seeds: delayed calls of any leader can't change
-    // what is already committed.
+    // Delayed calls of any leader can't change what is already committed. A missing fencing check is therefore seldom
+    // detected, and gets more seeds.
     let disabled = [
         ("fencing", 800, SafetyChecks { fencing: false, ..all }),
         ("previous entry", 100, SafetyChecks { previous_entry: false, ..all }),
