--- a/crates/relay-server/src/settings.rs
+++ b/crates/relay-server/src/settings.rs
@@ -67,7 +67,7 @@
 /// The limit on file descriptors is too low for the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error(
-    "relay.connections: {needed} file descriptors are needed, the limit is {limit}: lower it, or raise the limit"
+    "relay.connections: {needed} file descriptors are needed, the limit is {limit}: lower this key, or raise the limit"
 )]
 pub struct DescriptorLimitError {
     /// File descriptors that the relay may need with these settings.
--- a/crates/relay-server/src/settings/forms.rs
+++ b/crates/relay-server/src/settings/forms.rs
@@ -55,8 +55,8 @@
     #[garde(range(min = 1, max = 3_600_000))]
     #[serde(default = "default_cleared_ms")]
     pub cleared_ms: u64,
-    /// How long the router applies a purge after that time. Values below the router's constant (`PURGE_HOLD_TIME`)
-    /// are for tests only.
+    /// How long the router still applies a purge after `cleared-ms`. Values below the router's constant
+    /// (`PURGE_HOLD_TIME`) are for tests only.
     #[garde(range(min = 100, max = 86_400_000))]
     #[serde(default = "default_held_ms")]
     pub held_ms: u64,
--- a/crates/relay-server/tests/http_format.rs
+++ b/crates/relay-server/tests/http_format.rs
@@ -12,7 +12,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An address of this test's own, so that parallel tests don't interfere.
+/// Returns an address of the test's own, so that parallel tests don't interfere.
 fn address(test: u8, last: u8) -> SocketAddr {
     (Ipv4Addr::new(127, 150 + test, (std::process::id() % 251) as u8, last), 7_070).into()
 }
--- a/crates/relay-server/tests/processes/common.rs
+++ b/crates/relay-server/tests/processes/common.rs
@@ -47,7 +47,7 @@
     format!(r#"{{"purge":{{"key":"{key:016x}","at":{}}}}}"#, unix_ms())
 }
 
-/// A list event of about this many bytes.
+/// Returns a list event of about this many bytes.
 pub(crate) fn large_list_event(bytes: usize, index: u64) -> String {
     let one = |i| {
         format!(
@@ -116,6 +116,7 @@
     address_block: [u8; 2],
     voters: u32,
     count: u32,
+    /// Further settings of each relay. The last form in this text is not closed; `start_relay` closes it.
     keys: String,
     /// Addresses of the proxies, by the calling relay and the called one.
     links: BTreeMap<(u32, u32), SocketAddr>,
@@ -123,7 +124,8 @@
 }
 
 impl RelayFleet {
-    /// `test` is a unique number of the test, which selects its address block.
+    /// `test` is a unique number of the test, which selects its address block. `keys` holds settings of the relay form
+    /// that all relays have.
     pub(crate) fn new(test: u8, voters: u32, plain: u32, keys: &str) -> RelayFleet {
         let address_block = [100 + test, (std::process::id() % 251) as u8];
         let dir = TempDir::new().expect("a folder");
@@ -278,8 +280,8 @@
     }
 
     /// Starts this many subscribers, spread over all relays.
-    pub(crate) fn subscribers(&self, many: u8) -> Vec<Subscriber> {
-        (0..many).map(|i| self.subscriber(i + 1, u32::from(i) % self.count)).collect()
+    pub(crate) fn subscribers(&self, count: u8) -> Vec<Subscriber> {
+        (0..count).map(|i| self.subscriber(i + 1, u32::from(i) % self.count)).collect()
     }
 }
 
@@ -416,7 +418,8 @@
     }
 }
 
-fn number(data: &str) -> Result<(u64, String), String> {
+/// Returns the number and the JSON of an event.
+fn parse_numbered(data: &str) -> Result<(u64, String), String> {
     let value: serde_json::Value = serde_json::from_str(data).map_err(|e| e.to_string())?;
     Ok((value["n"].as_u64().ok_or("no number")?, data.to_owned()))
 }
@@ -458,7 +461,7 @@
                 StreamItem::Comment(_) => {}
                 StreamItem::Event { id, data } => {
                     let mut received = received.lock().expect("a lock");
-                    match cursor.classify(id, number(&data)) {
+                    match cursor.classify(id, parse_numbered(&data)) {
                         EventVerdict::New(_) => received.events.push((cursor.last_number(), data)),
                         EventVerdict::Duplicate => {}
                         EventVerdict::Resubscribe(reason) => {
--- a/crates/relay-server/tests/processes/retention.rs
+++ b/crates/relay-server/tests/processes/retention.rs
@@ -11,16 +11,16 @@
 use serde_json::Value;
 
 /// Purges are active for one second and are kept for another half second.
-const SHORT: &str = "(cleared-ms . 500) (held-ms . 500) (slack-ms . 500)";
+const SHORT_RETENTION: &str = "(cleared-ms . 500) (held-ms . 500) (slack-ms . 500)";
 
-/// A list event that changes one endpoint.
+/// Returns a list event that changes one endpoint.
 fn change(name: &str, status: &str) -> String {
     format!(
         r#"{{"members":{{"index":2,"snapshot":false,"endpoints":[{{"name":"{name}","address":"127.0.0.1:9","zone":"e","type":"s","group":0,"status":"{status}","weight":1,"since_ms":0}}]}}}}"#
     )
 }
 
-/// The names of the endpoints in the list after these events.
+/// Returns the names of the endpoints in the list after these events.
 fn names(received: &Received) -> BTreeSet<String> {
     let mut names = BTreeSet::new();
     for (_, event) in &received.events {
@@ -40,8 +40,9 @@
     names
 }
 
-/// Checks a subscriber that was disconnected for longer than purges are active: it has received the events before that,
-/// then the complete list, then every event after the list.
+/// Checks a subscriber that was disconnected for longer than purges are active: it has received the events up to
+/// `before`, then the complete list, then every event after the list. The events from `bound` on were still active when
+/// it reconnected.
 fn assert_snapshot_replaced_expired(
     subscriber: &Subscriber,
     published: &Published,
@@ -73,7 +74,7 @@
 
 #[test]
 fn subscribers_disconnected_beyond_and_within_retention() {
-    let fleet = RelayFleet::start(41, 3, 1, SHORT);
+    let fleet = RelayFleet::start(41, 3, 1, SHORT_RETENTION);
     let mut published = fleet.publish_list();
     let mut publisher = fleet.publisher();
     let mut subscribers = fleet.subscribers(8);
@@ -106,7 +107,7 @@
 /// then for longer. Afterwards both must have the active purges and the current list.
 #[test]
 fn plain_relay_partitioned_from_all_voters() {
-    let mut fleet = RelayFleet::new(42, 3, 1, SHORT);
+    let mut fleet = RelayFleet::new(42, 3, 1, SHORT_RETENTION);
     let pauses: Vec<_> = (0..3).map(|to| fleet.add_link(3, to)).collect();
     let cut = |on: bool| {
         for pause in &pauses {
@@ -144,10 +145,11 @@
 /// must be sent the list once and then the events after it.
 #[test]
 fn large_complete_list_is_sent_once() {
-    let fleet = RelayFleet::start(43, 3, 1, &format!("{SHORT} (batch-bytes . 2048)"));
+    let fleet = RelayFleet::start(43, 3, 1, &format!("{SHORT_RETENTION} (batch-bytes . 2048)"));
     let mut published = fleet.publish_list();
     let mut publisher = fleet.publisher();
-    // They receive all events from the beginning; only what is published while they are disconnected comes late.
+    // All of these receive events from the beginning, so the late ones lack only what is published while they are
+    // disconnected.
     let subscribers = fleet.subscribers(4);
     let late = [fleet.subscriber(11, 0), fleet.subscriber(12, 3)];
     assert!(
@@ -167,7 +169,7 @@
     sleep(ms(3_500));
     let bound = published.publish(&mut publisher, "p", &purge_event(9));
     late.iter().for_each(|r| r.set_disconnected(false));
-    // Longer than purges are active.
+    // Waits for longer than purges are active.
     sleep(ms(2_500));
     published.0.extend(load.finish().0);
     for (subscriber, before) in late.iter().zip(before) {
--- a/crates/relay-server/tests/processes/subscribers.rs
+++ b/crates/relay-server/tests/processes/subscribers.rs
@@ -12,7 +12,7 @@
 use sablecross_relay::{RelayStatus, merge_statuses};
 use sablecross_relay_server::peer_client::{HttpResponse, PeerClient};
 
-/// Peak resident memory of a process in KB.
+/// Returns the peak resident memory of a process in KB.
 fn peak_memory_kb(pid: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("its status");
     let line = status.lines().find(|l| l.starts_with("VmHWM")).expect("its most memory");
@@ -90,7 +90,7 @@
     assert_complete(&subscribers, &published, &fleet);
 }
 
-/// A thousand purges are published within about a second.
+/// A thousand purges that 20 publishers send at the same time must reach all subscribers within 8 s.
 #[test]
 fn burst_of_a_thousand_purges() {
     let fleet = RelayFleet::start(23, 3, 1, "");
