--- a/crates/cli/src/coordination.rs
+++ b/crates/cli/src/coordination.rs
@@ -46,7 +46,7 @@
         #[arg(long)]
         json: bool,
     },
-    /// Proposes a version of the hierarchy to the holder of `driving`, and follows the change to its end.
+    /// Proposes a version of the hierarchy to the holder of the role `driving`, and follows the change to its end.
     Change {
         /// The settings file of the version, as S-expressions: see docs/hierarchy-operators.md.
         file: PathBuf,
@@ -269,6 +269,7 @@
         if status.contains("last refused") {
             return Ok(CommandOutcome::Rejected);
         }
+        // `0 missing` means that all participants have reported the version that was published last.
         if is_idle(&status) && status.contains(" 0 missing") {
             if has_run {
                 return Ok(CommandOutcome::Success);
@@ -283,7 +284,7 @@
     Ok(CommandOutcome::Rejected)
 }
 
-/// Whether a status text of the hierarchy role reports that no change is running.
+/// Returns whether a status text of the hierarchy role reports that no change is running.
 fn is_idle(status: &str) -> bool {
     status.contains("no change runs")
 }
--- a/crates/cli/src/cost_slopes.rs
+++ b/crates/cli/src/cost_slopes.rs
@@ -20,7 +20,7 @@
     /// Prints the names of the costs and measures nothing.
     #[arg(long)]
     names: bool,
-    /// Measures a memory cost at one size in this process; the command starts itself so for each size.
+    /// Measures a memory cost at one size in this process; the command starts itself with this option for each size.
     #[arg(long, hide = true, num_args = 2, value_names = ["NAME", "SIZE"])]
     bare: Vec<String>,
 }
--- a/crates/cli/src/hierarchy.rs
+++ b/crates/cli/src/hierarchy.rs
@@ -135,7 +135,7 @@
     Ok(if lines.is_empty() { CommandOutcome::Success } else { CommandOutcome::Rejected })
 }
 
-/// The load of each node, in requests per second; empty for a hierarchy with a loop.
+/// Returns the load of each node in requests per second; empty for a hierarchy with a loop.
 fn node_loads(version: &Hierarchy) -> BTreeMap<NodeId, f64> {
     let index = NodeIndex::from_versions(&[version]);
     let nodes = index.flow_nodes(version);
@@ -352,7 +352,7 @@
         }
     }
 
-    /// The numbers of the steps that change each node.
+    /// Returns the numbers of the steps that change each node.
     fn steps_by_node(&self) -> BTreeMap<NodeId, Vec<usize>> {
         let mut steps: BTreeMap<NodeId, Vec<usize>> = BTreeMap::new();
         for (index, step) in self.plan.steps.iter().enumerate() {
@@ -361,7 +361,7 @@
         steps
     }
 
-    /// Each step with the differences from the version before it.
+    /// Returns each step with the differences from the version before it.
     fn steps(&self) -> impl Iterator<Item = (&PlanStep, Vec<String>)> {
         let versions_before =
             std::iter::once(self.from).chain(self.plan.steps.iter().map(|step| &step.target));
--- a/crates/cli/src/relay.rs
+++ b/crates/cli/src/relay.rs
@@ -22,7 +22,7 @@
     /// The settings file of any relay; all members in it are called.
     #[arg(long)]
     settings: PathBuf,
-    /// The timeout of each call in seconds; for `publish`, the time to find a leader.
+    /// The timeout of each call in seconds; for `publish`, the time in which a voter must accept or reject each event.
     #[arg(long, default_value_t = 5.0)]
     time: f64,
 }
--- a/crates/cli/tests/relay.rs
+++ b/crates/cli/tests/relay.rs
@@ -73,7 +73,7 @@
     assert_eq!(numbers[1], numbers[0] + 1);
     assert_eq!(run(&["publish", "--settings", s, "--mark", "m", LIST, &valid]), (0, text));
     let (n, later) = (numbers[1].to_string(), (numbers[1] + 1).to_string());
-    // The relay records since when the event is in force with its next batch.
+    // The relay records since when the event is in force only in a later step.
     let started = Instant::now();
     let (code, text) = loop {
         let shown = run(&["show", "--settings", s, "--number", &n]);
--- a/crates/relay-server/src/connection.rs
+++ b/crates/relay-server/src/connection.rs
@@ -70,7 +70,7 @@
     /// How many bytes of `output` are written.
     written: usize,
     has_large_send_buffer: bool,
-    /// When request bytes were last read, bytes were last written, or the connection began to close.
+    /// When request bytes were last read, bytes were last written, or the connection began to close or to drain.
     pub(crate) last_active: Ns,
 }
 
--- a/crates/relay-server/src/server/mod.rs
+++ b/crates/relay-server/src/server/mod.rs
@@ -44,8 +44,8 @@
 const SHUTDOWN_TIMEOUT: Ns = 700 * NS_PER_MS;
 /// Size of the kernel's send buffer for another relay, and the smallest batch size for its event stream.
 const RELAY_SEND_BUFFER_BYTES: usize = 1 << 20;
-/// Most bytes of log entries in one call between voters. The body of a call may exceed `log-bytes`, which covers the
-/// largest event and the snapshot, by as much.
+/// Most bytes of log entries in one call between voters. `log-bytes` covers the largest event and the snapshot, and the
+/// body of a call may be larger than that by this many bytes.
 const MAX_CALL_BYTES: usize = 1 << 20;
 
 /// Why a relay can't start or continue to serve.
--- a/crates/tls-keys/src/expiry.rs
+++ b/crates/tls-keys/src/expiry.rs
@@ -5,7 +5,8 @@
 use crate::generation::{CertificateValidity, Generation};
 use crate::{DAY, Ns};
 
-/// Days before a certificate's expiry at which a notice is issued. Another one is issued once it has expired.
+/// Days before a certificate's expiry at which a notice is issued. Another one is issued once the certificate has
+/// expired.
 const NOTICE_DAYS: [u64; 3] = [30, 7, 1];
 
 /// A notice that a certificate expires soon or has expired.
