--- a/crates/testbed/src/soak/client.rs
+++ b/crates/testbed/src/soak/client.rs
@@ -24,7 +24,7 @@
 const CROSSING_SECONDS: f64 = 0.15;
 /// A client stops waiting for an answer this long after the request counts as lost.
 const LOST_TOLERANCE_SECONDS: f64 = 0.3;
-/// How many reads look for answers that arrived before the end of a connection.
+/// After the end of a connection, at most this many reads collect the answers that arrived before it.
 const MAX_FINAL_READS: usize = 20;
 const READ_POLL: Duration = Duration::from_millis(20);
 const READ_BYTES: usize = 16 << 10;
--- a/crates/testbed/src/soak/director.rs
+++ b/crates/testbed/src/soak/director.rs
@@ -290,7 +290,7 @@
         lock(&self.state).stopping_since.is_some()
     }
 
-    /// Whether a request that was written at this time is owed no answer in time.
+    /// Whether a request that was written at this time is exempt from the deadline.
     pub(crate) fn is_exempt(&self, written_at: Seconds, budget: f64) -> bool {
         let lost_at = written_at + budget + LOST_AFTER_SECONDS;
         let overlaps = |span: &Span| span.from < lost_at && span.to > written_at - EXEMPT_MARGIN_SECONDS;
--- a/crates/testbed/src/soak/discovery.rs
+++ b/crates/testbed/src/soak/discovery.rs
@@ -108,7 +108,7 @@
         events.iter().take(count).for_each(|event| self.note_start_sent(director, event));
     }
 
-    /// Ends all connections and accepts none for this many seconds.
+    /// Ends all connections, and for this many seconds also each new one at once.
     pub(crate) fn start_outage(&self, seconds: f64) {
         let mut state = lock(&self.state);
         state.down_until = self.judge.now() + seconds;
--- a/crates/testbed/src/soak/fault_plan.rs
+++ b/crates/testbed/src/soak/fault_plan.rs
@@ -56,7 +56,7 @@
         /// The error of the wall clock.
         offset_ms: i64,
     },
-    /// Discovery ends all connections and accepts none.
+    /// Discovery ends all connections, and each new one at once.
     DiscoveryOutage {
         /// The duration in seconds.
         seconds: f64,
@@ -130,7 +130,7 @@
     "fail receive ECONNRESET",
 ];
 
-/// Errors after which a connection is lost without a fault of the director.
+/// Errors that break a connection although the director works correctly.
 const CONNECTION_ERRORS: [&str; 4] = ["ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET", "ECONNABORTED"];
 
 const CLOCK_OFFSETS_MS: [i64; 4] = [3_600_000, -3_600_000, 5_000, -5_000];
@@ -150,7 +150,7 @@
 const MEAN_ROUND_INTERVAL_SECONDS: f64 = 1.5;
 /// The faults of one round are injected within this span of time.
 const ROUND_SPREAD_SECONDS: f64 = 0.4;
-/// No fault is injected before this time, and none in the last second.
+/// No round begins before this time, and none in the last second.
 const FIRST_ROUND_AT: Seconds = 2.0;
 
 /// How many directors share one sequence of rounds.
--- a/crates/testbed/src/soak/invariants.rs
+++ b/crates/testbed/src/soak/invariants.rs
@@ -5,13 +5,13 @@
 use super::Seconds;
 use super::evidence::Evidence;
 
-/// How far the wait that a node is given may exceed the time that its client has left.
+/// How far the wait that a node is given may exceed the time that the client has left.
 pub(crate) const WAIT_TOLERANCE_SECONDS: f64 = 0.15;
-/// How long after its client has disconnected or cancelled an attempt may still begin.
+/// How long an attempt may still begin after the client has disconnected or cancelled the request.
 pub(crate) const CLIENT_GONE_TOLERANCE_SECONDS: f64 = 0.1;
-/// Added to every bound, because the threads of the soak itself may also run late.
+/// Added to bounds on times that threads of the soak take, because these threads may also run late.
 pub(crate) const OBSERVER_TOLERANCE_SECONDS: f64 = 0.1;
-/// Added to a bound of the protocol where it is checked on real sockets.
+/// Added to the deduplication window where the send times of two attempts are compared.
 pub(crate) const SEND_TOLERANCE_SECONDS: f64 = 0.05;
 /// The longest time budget that clients give a request.
 pub(crate) const MAX_BUDGET_SECONDS: f64 = 2.0;
--- a/crates/testbed/src/soak/judge.rs
+++ b/crates/testbed/src/soak/judge.rs
@@ -338,8 +338,9 @@
         self.record(Finding { rule: Rule::EffectTwice, evidence, detail });
     }
 
-    /// Checks a served copy: one made (at `issued_ms`, Unix time) before a purge is a violation if its attempt was
-    /// received later than the purge grace after the director was notified of the purge.
+    /// Checks a served copy: one made (at `issued_ms`, Unix time) before a purge is a violation if its attempt was sent
+    /// later than the purge grace after the director was notified of the purge. `received_at` is when the attempt was
+    /// sent or, if that is not known, when it was received.
     pub(crate) fn on_copy_served(&self, id: u64, received_at: Seconds, issued_ms: u64) {
         let violated = {
             let state = lock(&self.state);
--- a/crates/testbed/src/soak/judge/attempt.rs
+++ b/crates/testbed/src/soak/judge/attempt.rs
@@ -28,11 +28,11 @@
     pub(crate) request: u64,
     /// The number of the node.
     pub(crate) node: usize,
-    /// The number of the node that it is to be filled from.
+    /// The number of the node from which the copy is to be filled, if the attempt names one.
     pub(crate) source: Option<usize>,
     /// How long the client still waits for the answer, as the attempt says.
     pub(crate) wait_ms: u64,
-    /// Whether its bytes may have waited unread at the node.
+    /// Whether the bytes of the attempt may have waited unread at the node.
     pub(crate) read_late: bool,
     /// The connection on which it was received.
     pub(crate) link: NodeLink,
--- a/crates/testbed/src/soak/judge/slow_start.rs
+++ b/crates/testbed/src/soak/judge/slow_start.rs
@@ -3,7 +3,7 @@
 //!
 //! Every call that reaches a cold node counts, including those that the node rejects, and all classes weigh the same. A
 //! call counts at the time at which it was sent if the send log of its director has that time, otherwise at the time at
-//! which it was read: a node that reads late finds at once the calls of a longer time.
+//! which it was read. A node that reads late reads the calls of a longer time at once.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -183,7 +183,7 @@
         let ratio = self.load_ratio();
         write!(
             f,
-            "node {node}, {age:.2} s old at {at:.3} s: {calls} calls in a second, {allowed:.1} allowed with the scatter \
+            "node {node}, {age:.2} s old at {at:.3} s: {calls} calls in a second, {allowed:.1} allowed with the random margin \
              ({ratio:.2}), from {directors} directors"
         )
     }
@@ -216,7 +216,7 @@
         self.count("cold nodes that collapsed");
         let ColdWindow { allowed, calls_by_informed, .. } = window;
         let detail = format!(
-            "{nearest}, {allowed:.1} without the scatter; {calls_by_informed} calls by directors that were sent its start"
+            "{nearest}, {allowed:.1} without the random margin; {calls_by_informed} calls by directors that were sent its start"
         );
         window.breaks_rule().then(|| Finding { rule: Rule::SlowStart, evidence: window.evidence(), detail })
     }
--- a/crates/testbed/src/soak/judge/slow_start/tests.rs
+++ b/crates/testbed/src/soak/judge/slow_start/tests.rs
@@ -130,7 +130,7 @@
     let nearest = state.nearest_cold_node.unwrap();
     assert_eq!((nearest.node, nearest.calls, nearest.directors), (13, 39, 3));
     assert_eq!((nearest.at, nearest.age), (12.0, 0.0));
-    let printed = "node 13, 0.00 s old at 12.000 s: 39 calls in a second, 66.1 allowed with the scatter (0.59), \
+    let printed = "node 13, 0.00 s old at 12.000 s: 39 calls in a second, 66.1 allowed with the random margin (0.59), \
                    from 3 directors";
     assert_eq!(nearest.to_string(), printed);
 }
--- a/crates/testbed/src/soak/node.rs
+++ b/crates/testbed/src/soak/node.rs
@@ -1,4 +1,4 @@
-//! Stub nodes: caches, parents and an origin that keep copies and misbehave on request.
+//! Stub nodes: caches, a parent and an origin that keep copies and misbehave on request.
 
 use std::collections::{HashMap, HashSet};
 use std::io::{self, BufRead, BufReader, Write};
@@ -24,8 +24,7 @@
 const BACKLOG: i32 = 128;
 /// The backlog while connections are accepted late: so small that further connections find no room.
 const DELAYED_BACKLOG: i32 = 0;
-/// How long after a phase in which it did not read or accept a node may still find bytes that waited unread, in
-/// seconds.
+/// For this long after a node was stuck or accepted connections late, it may still read bytes that had waited unread.
 const LATE_READ_SECONDS: f64 = 1.0;
 /// How often a stuck node checks whether it has collapsed.
 const STUCK_POLL: Duration = Duration::from_millis(20);
@@ -144,6 +143,7 @@
 /// An attempt that was read and waits for its execution.
 struct QueuedPull {
     pull: Pull,
+    /// The result of `Node::report_attempt`: when the attempt was sent or, if that is not known, when it was received.
     received_at: Seconds,
     admission: Admission,
 }
@@ -265,7 +265,7 @@
         !state.has_collapsed
     }
 
-    /// Returns how long to pause reading, at most for one poll interval; none if the node is not stuck.
+    /// Returns how long to pause reading, at most one poll interval; none if the node is not stuck or has collapsed.
     fn stuck_for(&self) -> Option<Duration> {
         let state = lock(&self.state);
         let stuck = state.stuck_until - self.judge.now();
@@ -467,7 +467,7 @@
     }
 }
 
-/// Sends what replaces the execution, if the behavior has such a replacement.
+/// Does what the behavior puts in place of the execution. Returns none if the attempt is to be executed.
 fn misbehave_before_work(
     behavior: Misbehavior,
     pull: &Pull,
@@ -486,7 +486,7 @@
     Ok(Some(Connection::Open))
 }
 
-/// Sends what replaces the answer, if the behavior has such a replacement.
+/// Does what the behavior puts in place of the answer. Returns none if the answer is to be sent.
 fn misbehave_after_work(
     behavior: Misbehavior,
     pull: &Pull,
--- a/crates/testbed/src/soak/report.rs
+++ b/crates/testbed/src/soak/report.rs
@@ -20,7 +20,7 @@
 /// The verdict of a soak on the directors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// No rule was broken, and no thread of the soak was late by more than the tolerance that each bound includes.
+    /// No rule was broken, and no thread of the soak was late by more than `OBSERVER_TOLERANCE_SECONDS`.
     Passed,
     /// A rule was broken, and no late thread of the soak can have caused that.
     Failed,
--- a/crates/testbed/src/soak/service.rs
+++ b/crates/testbed/src/soak/service.rs
@@ -17,9 +17,9 @@
 const CROWD_POLL: Duration = Duration::from_millis(50);
 
 impl Soak<'_> {
-    /// Carries out the plan at its times until `end`, each series and the crowd on its own thread. The lock in
-    /// `restarts` keeps a series that stops a director from overlapping with its other restarts. Returns when all are
-    /// over.
+    /// Carries out the plan at its times until `end`, each series and the crowd on its own thread. A series that stops
+    /// a director holds the director's lock in `restarts`, so that it does not overlap with other restarts of the
+    /// director. Returns when all are over.
     pub(super) fn run_service(&self, end: Seconds, restarts: &[Mutex<()>]) {
         let plan = plan_service(self.options);
         thread::scope(|scope| {
