--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -316,8 +316,8 @@
         Ok(())
     }
 
-    /// The published hierarchy with the node numbers of the first one. They differ after the driver was recovered, which
-    /// renumbers the nodes.
+    /// The published hierarchy with the node numbers of the first one. The numbers differ after a recovery of the
+    /// driver, because the recovery renumbers the nodes.
     fn current_shape(&self) -> Hierarchy {
         let spec = HierarchySpec::from_hierarchy(1, self.driver.rollout.published().version);
         spec.to_hierarchy(Some(&self.first)).map_or_else(|_| self.first.clone(), |(_, shape)| shape)
--- a/crates/testbed/src/experiment/rollout_driver.rs
+++ b/crates/testbed/src/experiment/rollout_driver.rs
@@ -24,7 +24,7 @@
 use crate::settings::Experiment;
 use crate::trial_state::TrialState;
 
-/// Requests to a node that has left count as stray this long after the last lookup from before has ended.
+/// Requests to a node that has left count as stray from this long after the end of the last lookup that began before.
 const STRAY_GRACE_MS: u64 = 2_000;
 /// The longest delay of a version on its way to a parent, without faults.
 const MAX_VERSION_DELAY_MS: u64 = 100;
@@ -42,7 +42,7 @@
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 /// How long the driver retries writes to a failing disk.
 const DISK_RETRY_TIMEOUT: Duration = Duration::from_secs(10);
-/// The interval between these retries.
+/// The interval between two retries of a write.
 const DISK_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A version on its way to a parent.
@@ -286,7 +286,8 @@
         }
     }
 
-    /// Tells parents that are in neither the committed nor the published version from when on requests to them are stray.
+    /// Sets the time from which requests are stray at each parent that is in neither the committed nor the published
+    /// version.
     fn announce_departures(&mut self) {
         let NumberedVersion { number: committed_number, version: committed } = self.rollout.committed();
         let NumberedVersion { number: published_number, version: published } = self.rollout.published();
--- a/crates/testbed/src/fleet/coordination_report.rs
+++ b/crates/testbed/src/fleet/coordination_report.rs
@@ -35,7 +35,7 @@
     /// Health checks that a node accepted although it had already accepted a newer token.
     #[serde(rename = "disorder")]
     pub stale_accepted: u64,
-    /// Fencing tokens with whose term a node accepted health checks of two holders.
+    /// Terms for which one node accepted health checks of two holders, summed over the nodes.
     #[serde(rename = "twins")]
     pub shared_tokens: u64,
     /// Terms with two holders, which occur if all voters have lost their memory of the term.
@@ -285,8 +285,8 @@
     fn write_health_checks(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
-            "coordination: {} health checks, {:.2} a node and second, {} of old holders refused, {} accepted; {} tokens with two \
-             holders; {} of their messages refused by voters, {} older assignments ignored",
+            "coordination: {} health checks, {:.2} per node and second, {} of old holders refused, {} accepted; {} tokens with two \
+             holders; {} messages of old holders refused by voters, {} older assignments ignored",
             self.health_checks,
             self.rate,
             self.refused,
@@ -297,7 +297,7 @@
         )?;
         writeln!(
             f,
-            "longest pause of a node {:.2} s, maximum in a second {} ({:.1} times the configured rate)",
+            "longest gap between health checks of a node {:.2} s, maximum in a second {} ({:.1} times the configured rate)",
             self.gap, self.burst, self.burst_times
         )
     }
@@ -306,8 +306,8 @@
         let [median, p99, longest] = self.takeover;
         writeln!(
             f,
-            "leases {} ({} terms given twice); after {} faults of a holder another one began after {median:.2} s in the median, \
-             {p99:.2} s at the 99th percentile, {longest:.2} s at most; {} were not followed by one",
+            "leases {} ({} terms with two holders); {} faults of holders: another member held the role after {median:.2} s in the \
+             median, {p99:.2} s at the 99th percentile, {longest:.2} s at most; after {} of them no other member held it",
             self.leases, self.reused_terms, self.holder_faults, self.without_takeover
         )
     }
@@ -329,7 +329,7 @@
     fn write_hierarchy(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
-            "hierarchy: {} changes proposed, {} begun, {} ended, version {}; members {} versions apart at most, {} went back",
+            "hierarchy: {} changes proposed, {} begun, {} ended, version {}; members {} versions apart at most, {} times one went back",
             self.changes_proposed,
             self.changes_begun,
             self.changes_ended,
@@ -352,7 +352,7 @@
         }
         writeln!(
             f,
-            "a member and the voters {:.0} bytes a second; a director {:.4} CPU",
+            "between a member and the voters {:.0} bytes per second; CPU of a director {:.4} seconds per second",
             self.bytes, self.cpu
         )
     }
--- a/crates/testbed/src/fleet/coordination_watch.rs
+++ b/crates/testbed/src/fleet/coordination_watch.rs
@@ -100,7 +100,8 @@
     let text = std::fs::read_to_string(log).unwrap_or_default();
     let lease_start = |line: &str| {
         let fields = line.split_once(LEASE_LINE)?.1;
-        // The times in a director's fields are not wall clock times. The time of the log line is, but only within a day.
+        // The times in a director's fields are not wall clock times. The log line begins with the wall clock time, of
+        // which only the time of day is used.
         let since_ms = (time_of_day_ms(line)? + DAY_MS - start_ms % DAY_MS) % DAY_MS;
         Some(LeaseStart {
             at: since_ms as f64 / 1e3,
--- a/crates/testbed/src/fleet/node.rs
+++ b/crates/testbed/src/fleet/node.rs
@@ -18,7 +18,7 @@
 use crate::copies::Copies;
 use crate::threads::{lock, spawn};
 
-/// A time in seconds. Nodes count from their own start, clients and reports from the start of the load.
+/// A time in seconds. Nodes count from the start of the trial, clients and reports from the start of the load.
 pub(crate) type Seconds = f64;
 
 /// The tier of a node in the hierarchy.
--- a/crates/testbed/src/fleet/settings.rs
+++ b/crates/testbed/src/fleet/settings.rs
@@ -197,7 +197,8 @@
     /// The duration of the load in seconds.
     #[garde(range(min = 2, max = 3600))]
     pub seconds: u64,
-    /// Seconds at the start of the load that the figures on load balance leave out.
+    /// Seconds at the start of the load that the figures on load balance and on gaps and bursts of health checks leave
+    /// out. Drawn faults begin after it.
     #[garde(range(max = 600))]
     #[serde(default = "default_warm_up")]
     pub warm_up: u64,
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -30,8 +30,8 @@
     /// The log of the hierarchy controller can't be opened or written.
     #[error("the log of the hierarchy controller: {0}")]
     Log(#[from] sablecross_controller_log::ControllerLogError),
-    /// The first hierarchy of the trial is not valid.
-    #[error("the first hierarchy of the trial: {0}")]
+    /// A hierarchy of the trial is not valid, or the controller can't be recovered from its log.
+    #[error("the hierarchy of the trial: {0}")]
     Hierarchy(#[from] RolloutError),
     /// A started process did not accept connections in time.
     #[error("{name} did not accept connections within {within} s: see {log}")]
--- a/crates/testbed/src/trial_state.rs
+++ b/crates/testbed/src/trial_state.rs
@@ -74,7 +74,7 @@
         lock(&self.seconds).clone()
     }
 
-    /// The counts of the last complete second, or zeros before there is one.
+    /// The counts of the second before the last one that was counted, or zeros before there is one.
     pub(crate) fn last_complete_second(&self) -> Second {
         lock(&self.seconds).iter().rev().nth(1).cloned().unwrap_or_default()
     }
--- a/crates/testbed/tests/report_format.rs
+++ b/crates/testbed/tests/report_format.rs
@@ -22,16 +22,16 @@
 const SIDE: &str = r#"{"many":1,"heard":2.5,"said":3.5,"cpu":4.5,"memory":5.5}"#;
 
 #[test]
-fn the_report_of_an_experiment() {
+fn the_json_report_of_an_experiment_keeps_its_fields() {
     assert_round_trips::<Report>(EXPERIMENT);
 }
 
 #[test]
-fn the_report_of_a_fleet_trial() {
+fn the_json_report_of_a_fleet_trial_keeps_its_fields() {
     assert_round_trips::<fleet::Report>(FLEET);
 }
 
 #[test]
-fn the_report_of_a_scale_trial() {
+fn the_json_report_of_a_scale_trial_keeps_its_fields() {
     assert_round_trips::<scale::Report>(&SCALE.replace("LATENCY", LATENCY).replace("SIDE", SIDE));
 }
--- a/crates/testbed/tests/settings_format.rs
+++ b/crates/testbed/tests/settings_format.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn an_experiment_with_every_key() {
+fn every_key_of_an_experiment_is_parsed() {
     let text = r#"(experiment (name . "all") (seed . 7) (seconds . 60) (warm-up . 5) (directors . 3) (caches . 18) (uppers . 11)
         (rate . 300) (objects . 8000) (kept . 180) (ceiling . 200.0) (hit . 0.25) (rewirings . 6) (chains . #f) (plan . #f)
         (faults . #t) (ways . #t) (purges . 2))"#;
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn an_experiment_with_required_keys_only() {
+fn omitted_keys_of_an_experiment_get_their_defaults() {
     let text = r#"(experiment (name . "few") (seconds . 60) (directors . 3) (caches . 18) (uppers . 11) (rate . 300)
         (objects . 8000) (kept . 180) (ceiling . 200.0))"#;
     let read = settings::parse("few.scm", text).expect("valid settings");
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_fleet_trial_with_every_key() {
+fn every_key_of_a_fleet_trial_is_parsed() {
     let text = r#"(fleet (name . "all") (seed . 7) (seconds . 70) (warm-up . 6) (directors . 100) (caches . 12) (parents . 5)
         (rate . 300.0) (objects . 20000) (kept . 600) (load . 0.5) (hits . 0.4) (uneven . 2.0) (speeds . 0.1) (hot . 0.2)
         (late-lists . 3.0) (most . 2.5) (least . 0.1) (satisfied . 0.6)
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_fleet_trial_with_required_keys_only() {
+fn omitted_keys_of_a_fleet_trial_get_their_defaults() {
     let text = r#"(fleet (name . "few") (seconds . 70) (directors . 100) (caches . 12) (parents . 5) (rate . 300.0)
         (objects . 20000) (kept . 600)
         (duties ((voters . 5) (lease-ms . 1000) (beat-ms . 400) (probe-ms . 500))))"#;
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn every_fault_of_a_fleet_trial() {
+fn every_fault_kind_of_a_fleet_trial_is_parsed() {
     let kinds = [
         "stop-caches",
         "stop-parents",
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_scale_trial_with_every_key() {
+fn every_key_of_a_scale_trial_is_parsed() {
     let text = r#"(scale (name . "all") (seed . 7) (seconds . 100) (warm-up . 6) (settle . 20) (hollow . 400) (processes . 2)
         (real . 5) (relays . 13) (voters . 5) (regions . 4) (feeds . 3) (nodes . 490) (zones . 64) (purges . 35.0)
         (changes . 0.25) (ack-ms . 1500) (batch-ms . 90) (held-ms . 4000) (purge-within . 8.0) (change-within . 4.0)
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_scale_trial_with_required_keys_only() {
+fn omitted_keys_of_a_scale_trial_get_their_defaults() {
     let text = r#"(scale (name . "few") (seconds . 100) (hollow . 400) (nodes . 490) (zones . 64) (purges . 35.0) (changes . 0.25))"#;
     let read = scale::settings::parse("few.scm", text).expect("valid settings");
     let expected = r#"{"name":"few","seed":0,"seconds":100,"warm-up":5,"settle":30,"hollow":400,"processes":0,"real":0,"relays":0,"voters":0,"regions":1,"feeds":4,"nodes":490,"zones":64,"purges":35.0,"changes":0.25,"ack-ms":2000,"batch-ms":100,"held-ms":120000,"purge-within":8.2,"change-within":5.0,"core":0.022,"memory-mb":64.0,"bytes":7000.0,"relay-core":1.0,"faults":[]}"#;
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn every_fault_of_a_scale_trial() {
+fn every_fault_kind_of_a_scale_trial_is_parsed() {
     let kinds = [
         "kill-relay",
         "stop-relay",
