--- a/crates/testbed/src/fleet/link_proxy.rs
+++ b/crates/testbed/src/fleet/link_proxy.rs
@@ -2,6 +2,9 @@
 //!
 //! Each pair of a member and a voter has its own proxy, which can hold back data in one or both directions or close the
 //! connections. Held data arrives late, as on a link that was down for a while.
+//!
+//! Scale trials use the proxies for other links as well: there the end that connects takes the place of the member, and
+//! the end that listens that of the voter.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, ErrorKind, Read, Write};
--- a/crates/testbed/src/scale/pool.rs
+++ b/crates/testbed/src/scale/pool.rs
@@ -50,7 +50,7 @@
 ///
 /// # Errors
 ///
-/// If standard output or the poll fails, or a command can't be read.
+/// Returns an error if standard output or the poll fails, or a command can't be read.
 pub fn run() -> io::Result<()> {
     let poll = Poll::new()?;
     let waker = Arc::new(Waker::new(poll.registry(), WAKER)?);
@@ -116,7 +116,7 @@
             }
             next_timer = Instant::now() + TIMER_INTERVAL;
             let registry = self.poll.registry();
-            self.directors.iter_mut().for_each(|h| h.on_timer(&mut self.shared, registry));
+            self.directors.iter_mut().for_each(|director| director.on_timer(&mut self.shared, registry));
             if Instant::now() >= next_report {
                 next_report = Instant::now() + REPORT_INTERVAL;
                 self.report_progress()?;
@@ -125,11 +125,11 @@
     }
 
     fn report_progress(&mut self) -> io::Result<()> {
-        let running = self.directors.iter().filter(|h| h.is_running());
+        let running = self.directors.iter().filter(|director| director.is_running());
         let progress = &mut self.shared.progress;
         progress.at_ns = shared_ns();
         progress.running = running.clone().count();
-        progress.connected = running.clone().filter(|h| h.was_connected()).count();
+        progress.connected = running.clone().filter(|director| director.was_connected()).count();
         progress.lowest_applied =
             running.map(SimulatedDirector::last_applied).min().unwrap_or(progress.highest_applied);
         send_report(&PoolReport::Tick(*progress))
@@ -146,25 +146,27 @@
             };
         match command {
             PoolCommand::Begin { .. } => return Err(invalid_data("Begin is allowed only once")),
-            PoolCommand::Kill(numbers) => for_each(&numbers, &mut |h, shared| h.kill(shared)),
-            PoolCommand::Start(numbers) => for_each(&numbers, &mut |h, shared| h.start(shared)),
-            PoolCommand::Cut(numbers, feeds) => for_each(&numbers, &mut |h, _| h.cut_feeds.extend(&feeds)),
-            PoolCommand::Slow(numbers, reads_slowly) => for_each(&numbers, &mut |h, shared| {
-                h.reads_slowly = reads_slowly;
-                h.on_socket_ready(shared);
+            PoolCommand::Kill(numbers) => for_each(&numbers, &mut |director, shared| director.kill(shared)),
+            PoolCommand::Start(numbers) => for_each(&numbers, &mut |director, shared| director.start(shared)),
+            PoolCommand::Cut(numbers, feeds) => {
+                for_each(&numbers, &mut |director, _| director.cut_feeds.extend(&feeds))
+            }
+            PoolCommand::Slow(numbers, reads_slowly) => for_each(&numbers, &mut |director, shared| {
+                director.reads_slowly = reads_slowly;
+                director.on_socket_ready(shared);
             }),
             PoolCommand::Heal => {
                 // Directors ignored readiness events during the cut, and these do not come again: each socket is
                 // tried once.
-                for h in directors.iter_mut().filter(|h| !h.cut_feeds.is_empty()) {
-                    h.cut_feeds.clear();
-                    h.on_socket_ready(shared);
+                for director in directors.iter_mut().filter(|director| !director.cut_feeds.is_empty()) {
+                    director.cut_feeds.clear();
+                    director.on_socket_ready(shared);
                 }
                 shared.dropped_behind_cut.clear();
             }
             PoolCommand::Finish { published, list } => {
-                for h in directors.iter().filter(|h| h.is_running()) {
-                    h.compare_with_published(&published, &list, self.purge_retention_ms, shared);
+                for director in directors.iter().filter(|director| director.is_running()) {
+                    director.compare_with_published(&published, &list, self.purge_retention_ms, shared);
                 }
                 shared.result.arrivals = std::mem::take(&mut shared.arrivals).into_values().collect();
                 send_report(&PoolReport::Finished(Box::new(std::mem::take(&mut shared.result))))?;
--- a/crates/testbed/src/scale/pool_messages.rs
+++ b/crates/testbed/src/scale/pool_messages.rs
@@ -75,10 +75,10 @@
     /// Directors that run and have been connected since their start.
     #[serde(rename = "up")]
     pub(crate) connected: usize,
-    /// The lowest last number among the directors that run.
+    /// The lowest of the last event numbers that the running directors have applied.
     #[serde(rename = "least")]
     pub(crate) lowest_applied: u64,
-    /// The highest number that a director has applied.
+    /// The highest event number that a director has applied.
     #[serde(rename = "most")]
     pub(crate) highest_applied: u64,
     pub(crate) bytes_in: u64,
--- a/crates/testbed/src/scale/report.rs
+++ b/crates/testbed/src/scale/report.rs
@@ -13,7 +13,7 @@
 const MAX_BYTES_DIFFERENCE: f64 = 0.1;
 /// Largest relative difference between the CPU time or memory of simulated and real directors.
 const MAX_USE_DIFFERENCE: f64 = 0.25;
-/// If this program was woken later than this, the machine was too busy for its times to be judged.
+/// If this program was woken later than this, the machine was too busy for the measured times to be judged.
 const BUSY_MACHINE_DELAY_SECONDS: f64 = 0.5;
 
 /// Latencies of some events, in milliseconds.
@@ -28,12 +28,12 @@
     /// The maximum.
     #[serde(rename = "most")]
     pub max: f64,
-    /// How many were applied everywhere later than they may be.
+    /// How many were applied everywhere later than allowed.
     pub late: usize,
 }
 
 impl Latency {
-    /// From milliseconds.
+    /// Summarizes latencies in milliseconds. None of them counts as late.
     pub(crate) fn new(millis: &[f64]) -> Latency {
         if millis.is_empty() {
             return Latency::default();
@@ -88,7 +88,7 @@
     pub sent: f64,
 }
 
-/// A fault, and how long events took over a second to be applied everywhere because of it.
+/// A fault, and until when events took more than a second to be applied everywhere because of the fault.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RecoveryTime {
     /// The fault.
@@ -97,7 +97,7 @@
     pub at: f64,
     /// How many seconds it lasted.
     pub lasted: f64,
-    /// Seconds from its begin until the last late event was applied everywhere; 0: none was late.
+    /// Seconds from its start until the last late event was applied everywhere; 0 if none was late.
     pub from_begin: f64,
     /// Seconds from its end until the last late event was applied everywhere; 0 if none was late.
     pub from_end: f64,
@@ -110,24 +110,24 @@
     pub trial: Scale,
     /// Events that were published.
     pub published: usize,
-    /// Of these, those that the source never confirmed.
+    /// Of these, those that the leader of the relays or the source never confirmed.
     pub unconfirmed: usize,
     /// Calls that were retried after a failure.
     #[serde(rename = "again")]
     pub publish_retries: usize,
-    /// From publication to the confirmation by the source.
+    /// The time from publication to the confirmation by the leader of the relays or by the source.
     pub confirmed: Latency,
-    /// From publication until applied everywhere: purges without a fault in the way.
+    /// The time from publication until an event was applied everywhere, for purges without a fault in the way.
     pub purges: Latency,
-    /// Changes of the list without a fault in the way.
+    /// The same time for changes of the list without a fault in the way.
     pub changes: Latency,
-    /// Purges with a fault in the way.
+    /// The same time for purges with a fault in the way.
     #[serde(rename = "struck_purges")]
     pub purges_in_faults: Latency,
-    /// Changes of the list with a fault in the way.
+    /// The same time for changes of the list with a fault in the way.
     #[serde(rename = "struck_changes")]
     pub changes_in_faults: Latency,
-    /// Without a fault in the way, from publication until the relays report that an event is applied everywhere.
+    /// The time from publication until the relays report that an event is applied everywhere, without a fault in the way.
     #[serde(rename = "known")]
     pub known_by_relays: Latency,
     /// Events that the relays reported as applied everywhere before they were.
@@ -149,13 +149,13 @@
     pub expired: u64,
     /// Endpoint lists that are not as they were published.
     pub wrong_lists: u64,
-    /// Calls for events that were missing or unreadable.
+    /// New subscriptions because an event was missing or unreadable.
     pub gaps: u64,
     /// Events that were skipped as unreadable.
     pub skipped: u64,
     /// Restarts of directors.
     pub restarts: u64,
-    /// From a director's restart until it had applied all that others had applied at the restart.
+    /// The time from a director's restart until it had applied all that others had applied at the restart.
     pub catch_up: Latency,
     /// What a simulated director used.
     #[serde(rename = "hollow")]
@@ -218,7 +218,7 @@
         let Some(ratios) = self.simulation_ratios() else { return Vec::new() };
         let figures = [("processor time", ratios.cpu), ("memory", ratios.memory)];
         let unusable = figures.into_iter().filter(|(_, ratio)| (ratio - 1.0).abs() > MAX_USE_DIFFERENCE);
-        unusable.map(|(what, ratio)| format!("{what}: {ratio:.2} of a real one's")).collect()
+        unusable.map(|(what, ratio)| format!("{what}: {ratio:.2} times that of a real director")).collect()
     }
 
     /// Counters that must be 0 and are not.
@@ -227,13 +227,13 @@
             ("events missed", self.missed),
             ("events out of order", self.out_of_order),
             ("events applied twice", self.applied_twice),
-            ("numbers with unlike events", self.different_events),
+            ("event numbers under which directors had different events", self.different_events),
             ("lists that are not as they were published", self.wrong_lists),
             ("events skipped as unreadable", self.skipped + self.reals_skipped),
             ("events that the source never confirmed", self.unconfirmed as u64),
             ("events that the relays reported as applied everywhere too early", self.reported_early as u64),
-            ("processes whose directors had not come to the last number", self.behind as u64),
-            ("real directors that had not come to the last number", self.reals_behind as u64),
+            ("processes whose directors had not applied the last event in time", self.behind as u64),
+            ("real directors that had not applied the last event in time", self.reals_behind as u64),
             ("processes that reported no result", self.silent as u64),
             ("processes that exited by themselves", self.exited as u64),
         ];
@@ -277,13 +277,13 @@
             bounds.push((format!("part of a core of {}", relay.name), relay.cpu, settings.relay_core));
         }
         let exceeded = bounds.into_iter().filter(|(_, used, max)| used > max);
-        exceeded.map(|(what, used, max)| format!("{what}: {used:.4}, of {max}")).collect()
+        exceeded.map(|(what, used, max)| format!("{what}: {used:.4}, limit {max}")).collect()
     }
 
     fn write_latencies(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
-            "published {}: {} of them never confirmed, {} calls again",
+            "published {}: {} of them never confirmed, {} calls retried",
             self.published, self.unconfirmed, self.publish_retries
         )?;
         writeln!(f, "from publication to applied everywhere")?;
@@ -301,7 +301,7 @@
         }
         writeln!(
             f,
-            "events missed {}, out of order {}, applied twice {}; expired {}; asked for again {}, unreadable {}",
+            "events missed {}, out of order {}, applied twice {}; expired {}; gaps {}, skipped as unreadable {}",
             self.missed, self.out_of_order, self.applied_twice, self.expired, self.gaps, self.skipped
         )
     }
@@ -317,7 +317,7 @@
         }
         writeln!(
             f,
-            "  with headers and acknowledgements {:.0} bytes/s by arithmetic, of {:.2} reads and {:.2} calls a second",
+            "  with headers and acknowledgements {:.0} bytes/s, computed from {:.2} reads and {:.2} calls a second",
             self.bytes_with_headers, self.reads, self.calls
         )?;
         for relay in &self.relays {
@@ -338,7 +338,7 @@
             self.own_cpu, self.max_wake_delay
         )?;
         if self.max_wake_delay > BUSY_MACHINE_DELAY_SECONDS {
-            writeln!(f, "the machine was too busy to judge times by")?;
+            writeln!(f, "the machine was too busy for the times to be judged")?;
         }
         Ok(())
     }
@@ -354,8 +354,8 @@
             && let Some(SimulationRatios { bytes, .. }) = self.simulation_ratios()
             && (bytes - 1.0).abs() > MAX_BYTES_DIFFERENCE
         {
-            let ratio = format!("{bytes:.2} of a real one's");
-            violations.push(format!("simulated figures not to be used: bytes a second: {ratio}"));
+            let ratio = format!("{bytes:.2} times those of a real director");
+            violations.push(format!("simulated figures not usable: bytes a second: {ratio}"));
         }
         violations.extend(self.excessive_uses());
         violations
@@ -399,12 +399,12 @@
         for fault in &self.faults {
             writeln!(
                 f,
-                "{:>6.1} s {} for {:.1} s: over a second behind until {:.1} s after its begin, {:.1} s after its end",
+                "{:>6.1} s {} for {:.1} s: events over a second late until {:.1} s after its start, {:.1} s after its end",
                 fault.at, fault.what, fault.lasted, fault.from_begin, fault.from_end
             )?;
         }
         for figure in self.unusable_figures() {
-            writeln!(f, "simulated figures not to be used, the real ones' stand: {figure}")?;
+            writeln!(f, "simulated figure not usable, the figure of the real directors applies: {figure}")?;
         }
         for violation in self.violations() {
             writeln!(f, "NOT WELL {violation}")?;
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -21,8 +21,8 @@
 use crate::schedule::take_due;
 use crate::trial_state::TrialState;
 
-/// Memory of a simulated director without purges. This figure and the next three were measured and have some margin;
-/// they serve to check the size of a trial before its start.
+/// Memory of a simulated director without purges. This figure and the next three have some margin; the size of a trial
+/// is checked with them before its start.
 const SIMULATED_MB: f64 = 0.7;
 /// Memory of one purge that a simulated director keeps.
 const PURGE_MB: f64 = 0.000_08;
@@ -59,7 +59,9 @@
     }
     let processes = settings.real + settings.relays + settings.process_count();
     if processes > MAX_PROCESSES {
-        return Err(TrialError::TooLarge(format!("{processes} processes, of {MAX_PROCESSES} at most")));
+        return Err(TrialError::TooLarge(format!(
+            "{processes} processes, at most {MAX_PROCESSES} are allowed"
+        )));
     }
     Ok(())
 }
@@ -71,8 +73,8 @@
 ///
 /// # Errors
 ///
-/// If the machine is too small for the trial, or a file, socket or process of it can't be made. Violations are no
-/// errors: they are in the report.
+/// Returns an error if the machine is too small for the trial, or a file, socket or process of the trial can't be
+/// created. Violations are not errors: the report lists them.
 pub fn run(
     settings: &Scale,
     program: Program,
--- a/crates/testbed/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -25,7 +25,7 @@
     KillOwner,
     /// The leader is stopped and continued.
     StopOwner,
-    /// Data that one relay that does not vote sends to the others is held back.
+    /// Requests to other relays from one relay that does not vote are held back.
     CutTo,
     /// The answers of the others to one relay that does not vote are held back.
     CutFrom,
@@ -57,13 +57,13 @@
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Fault {
-    /// What kind.
+    /// The kind of fault.
     #[garde(skip)]
     pub kind: FaultKind,
-    /// Seconds from the start of the load.
+    /// When the fault begins, in seconds from the start of the load.
     #[garde(range(min = 0.0, max = 3600.0))]
     pub at: f64,
-    /// How many seconds it lasts.
+    /// How long the fault lasts, in seconds.
     #[garde(range(min = 0.0, max = 3600.0))]
     #[serde(default = "second")]
     pub lasts: f64,
@@ -71,7 +71,7 @@
     #[garde(range(min = 0.0, max = 1.0))]
     #[serde(default)]
     pub of: f64,
-    /// How many restarts or purges.
+    /// The number of restarts or purges.
     #[garde(range(min = 0, max = 100_000))]
     #[serde(default)]
     pub count: usize,
@@ -247,7 +247,7 @@
     ///
     /// # Errors
     ///
-    /// The key and what is wrong with it.
+    /// Returns the key and what is wrong with it.
     pub fn checked(&self) -> Result<(), String> {
         self.validate().map_err(|e| format!("scale.{e}"))?;
         self.inconsistency().map_or(Ok(()), |(key, what)| Err(format!("{key}: {what}")))
@@ -292,7 +292,7 @@
 ///
 /// # Errors
 ///
-/// One error for each problem, with file, line and key.
+/// Returns one error for each problem, with file, line and key.
 pub fn parse(file: &str, text: &str) -> Result<Scale, Vec<ConfigError>> {
     let form = parse_single_form(file, text, "scale")?;
     let Form::Scale(scale) = &form.value;
--- a/crates/testbed/src/scale/simulated_director.rs
+++ b/crates/testbed/src/scale/simulated_director.rs
@@ -108,7 +108,7 @@
     connection: ConnectionPhase,
     /// When the last connection attempt began.
     connect_began: Instant,
-    /// The last applied number at that time.
+    /// The last event number that was applied before that attempt.
     number_before: u64,
     /// Feeds from which the director is cut off.
     pub(crate) cut_feeds: Vec<SocketAddr>,
@@ -190,8 +190,8 @@
         }
     }
 
-    /// Counts an event that is out of order, applied twice or older than the node's last change. The check does not
-    /// rely on the discovery code, which has accepted the event.
+    /// Records an applied event. Counts it if it is out of order, was applied twice, or is older than the last change of
+    /// a node. The check does not rely on the discovery code, which has accepted the event.
     fn check_event(&mut self, number: u64, event: &Value, shared: &mut Shared) {
         let result = &mut shared.result;
         result.out_of_order += u64::from(number <= self.last_number);
--- a/crates/testbed/src/scale/source.rs
+++ b/crates/testbed/src/scale/source.rs
@@ -1,5 +1,8 @@
 //! The load of a scale trial: purges and changes of the endpoint list, drawn from the seed. They are published to the
-//! leader of the relays in the way of an operator's program, or by the one source if no relay votes.
+//! leader of the relays, as an operator's program would, or by the one source if no relay votes.
+//!
+//! Each event of the load has a content: a number from 1 that identifies the event before its publication gives it an
+//! event number.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -96,7 +99,7 @@
     status: &'static str,
     /// When the node last became ready, in Unix milliseconds; 0 if that was at the start.
     since: u64,
-    /// The content of the last change.
+    /// The content of the last change; 0 if there was none.
     change: u32,
 }
 
