--- a/crates/testbed/src/fleet/link_proxy.rs
+++ b/crates/testbed/src/fleet/link_proxy.rs
@@ -4,7 +4,7 @@
 //! connections. Held data arrives late, as on a link that was down for a while.
 //!
 //! Scale trials use the proxies for other links as well: there the end that connects takes the place of the member, and
-//! the end that listens that of the voter.
+//! the end that listens takes the place of the voter.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, ErrorKind, Read, Write};
--- a/crates/testbed/src/scale/installation.rs
+++ b/crates/testbed/src/scale/installation.rs
@@ -345,8 +345,8 @@
         Ok(inside)
     }
 
-    /// Ends a fault: removes its cuts, and restarts or resumes what it killed, stopped or slowed. Releases all data that
-    /// is held back between relays, also by other faults.
+    /// Ends a fault: removes its cuts, and restarts or resumes what it killed, stopped or slowed. Releases all data
+    /// that is held back between relays, also by other faults.
     pub(super) fn end_fault(&mut self, active: &ActiveFault) -> Result<(), TrialError> {
         self.tier.hold(|_| true, HeldDirections::default());
         match (active.kind, active.relay) {
--- a/crates/testbed/src/scale/report.rs
+++ b/crates/testbed/src/scale/report.rs
@@ -127,7 +127,8 @@
     /// The same time for changes of the list with a fault in the way.
     #[serde(rename = "struck_changes")]
     pub changes_in_faults: Latency,
-    /// The time from publication until the relays report that an event is applied everywhere, without a fault in the way.
+    /// The time from publication until the relays report that an event is applied everywhere, for events without a fault
+    /// in the way.
     #[serde(rename = "known")]
     pub known_by_relays: Latency,
     /// Events that the relays reported as applied everywhere before they were.
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -97,7 +97,7 @@
         "{simulated} simulated and {real} real directors connected after {connected_after:.1} s"
     ));
 
-    let mut load = Load::new(settings, installation, source, first_number);
+    let mut load = LoadPhase::new(settings, installation, source, first_number);
     load.run(&mut progress)?;
     let report = load.finish()?;
     has_ended.store(true, Ordering::Relaxed);
@@ -134,7 +134,7 @@
 }
 
 /// The phase of a trial in which events are published and faults are injected.
-struct Load<'a> {
+struct LoadPhase<'a> {
     settings: &'a Scale,
     installation: Installation<'a>,
     source: Source,
@@ -155,19 +155,19 @@
     reported_second: u64,
 }
 
-impl<'a> Load<'a> {
+impl<'a> LoadPhase<'a> {
     fn new(
         settings: &'a Scale,
         installation: Installation<'a>,
         source: Source,
         first_number: u64,
-    ) -> Load<'a> {
+    ) -> LoadPhase<'a> {
         let mut actions = Vec::new();
         for (number, fault) in settings.faults.iter().enumerate() {
             actions.push((fault.at, ScheduledAction::Begin(number)));
             actions.push((fault.at + fault.lasts, ScheduledAction::End(number)));
         }
-        Load {
+        LoadPhase {
             settings,
             installation,
             source,
--- a/crates/testbed/src/scale/simulated_director.rs
+++ b/crates/testbed/src/scale/simulated_director.rs
@@ -190,8 +190,8 @@
         }
     }
 
-    /// Records an applied event. Counts it if it is out of order, was applied twice, or is older than the last change of
-    /// a node. The check does not rely on the discovery code, which has accepted the event.
+    /// Records an applied event. Counts it if it is out of order, was applied twice, or is older than the last change
+    /// of a node. The check does not rely on the discovery code, which has accepted the event.
     fn check_event(&mut self, number: u64, event: &Value, shared: &mut Shared) {
         let result = &mut shared.result;
         result.out_of_order += u64::from(number <= self.last_number);
