--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -21,8 +21,8 @@
 use crate::schedule::take_due;
 use crate::trial_state::TrialState;
 
-/// Memory of a simulated director without purges. This figure and the next three were measured and have some margin;
-/// they serve to check the size of a trial before its start.
+/// Memory of a simulated director without purges. This figure and the next three have some margin; the size of a trial
+/// is checked with them before its start.
 const SIMULATED_MB: f64 = 0.7;
 /// Memory of one purge that a simulated director keeps.
 const PURGE_MB: f64 = 0.000_08;
@@ -59,7 +59,9 @@
     }
     let processes = settings.real + settings.relays + settings.process_count();
     if processes > MAX_PROCESSES {
-        return Err(TrialError::TooLarge(format!("{processes} processes, of {MAX_PROCESSES} at most")));
+        return Err(TrialError::TooLarge(format!(
+            "{processes} processes, at most {MAX_PROCESSES} are allowed"
+        )));
     }
     Ok(())
 }
@@ -71,8 +73,8 @@
 ///
 /// # Errors
 ///
-/// If the machine is too small for the trial, or a file, socket or process of it can't be made. Violations are no
-/// errors: they are in the report.
+/// Returns an error if the machine is too small for the trial, or a file, socket or process of the trial can't be
+/// created. Violations are not errors: the report lists them.
 pub fn run(
     settings: &Scale,
     program: Program,
@@ -95,7 +97,7 @@
         "{simulated} simulated and {real} real directors connected after {connected_after:.1} s"
     ));
 
-    let mut load = Load::new(settings, installation, source, first_number);
+    let mut load = LoadPhase::new(settings, installation, source, first_number);
     load.run(&mut progress)?;
     let report = load.finish()?;
     has_ended.store(true, Ordering::Relaxed);
@@ -132,7 +134,7 @@
 }
 
 /// The phase of a trial in which events are published and faults are injected.
-struct Load<'a> {
+struct LoadPhase<'a> {
     settings: &'a Scale,
     installation: Installation<'a>,
     source: Source,
@@ -153,19 +155,19 @@
     reported_second: u64,
 }
 
-impl<'a> Load<'a> {
+impl<'a> LoadPhase<'a> {
     fn new(
         settings: &'a Scale,
         installation: Installation<'a>,
         source: Source,
         first_number: u64,
-    ) -> Load<'a> {
+    ) -> LoadPhase<'a> {
         let mut actions = Vec::new();
         for (number, fault) in settings.faults.iter().enumerate() {
             actions.push((fault.at, ScheduledAction::Begin(number)));
             actions.push((fault.at + fault.lasts, ScheduledAction::End(number)));
         }
-        Load {
+        LoadPhase {
             settings,
             installation,
             source,
