--- a/crates/capacity/src/router.rs
+++ b/crates/capacity/src/router.rs
@@ -52,7 +52,7 @@
         request_classes: vec![request_class],
         parent_kind: Some(1),
         origin_kind: 2,
-        polls_endpoint_list: false,
+        must_subscribe_to_endpoint_list: false,
         may_cancel: true,
         may_hedge: true,
         may_send_retry_after: true,
--- a/crates/director/tests/settings_format.rs
+++ b/crates/director/tests/settings_format.rs
@@ -62,7 +62,7 @@
         ],
         parent_kind: Some(1),
         origin_kind: 2,
-        polls_endpoint_list: false,
+        must_subscribe_to_endpoint_list: false,
         may_cancel: true,
         may_hedge: true,
         may_send_retry_after: true,
--- a/crates/inflight/src/settings.rs
+++ b/crates/inflight/src/settings.rs
@@ -159,7 +159,7 @@
         request_classes,
         parent_kind: usize::try_from(map.get::<i64>("extra.midKind")?).ok(),
         origin_kind: map.get("extra.masterKind")?,
-        polls_endpoint_list: map.text("discovery")? == "on_request",
+        must_subscribe_to_endpoint_list: map.text("discovery")? == "on_request",
         may_cancel: map.get("ceilings.mayCancel")?,
         may_hedge: map.get("ceilings.parallelTries")?,
         may_send_retry_after: map.get("ceilings.retryAfter")?,
--- a/crates/inflight/tests/settings_format.rs
+++ b/crates/inflight/tests/settings_format.rs
@@ -113,7 +113,7 @@
         ],
         parent_kind: Some(1),
         origin_kind: 2,
-        polls_endpoint_list: true,
+        must_subscribe_to_endpoint_list: true,
         may_cancel: true,
         may_hedge: false,
         may_send_retry_after: true,
@@ -165,7 +165,11 @@
     };
     check("extra.midKind", Some("-1"), Settings { parent_kind: None, ..expected_settings() });
     for discovery in ["pushed", "anything"] {
-        check("discovery", Some(discovery), Settings { polls_endpoint_list: false, ..expected_settings() });
+        check(
+            "discovery",
+            Some(discovery),
+            Settings { must_subscribe_to_endpoint_list: false, ..expected_settings() },
+        );
     }
     check("periodUs", Some("99999999999999999"), Settings { tick: MAX_DURATION_NS, ..expected_settings() });
     check("unheardOf.a.0", None, expected_settings());
--- a/crates/sim-adapter/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -68,7 +68,7 @@
         let settings = reader.take(length)?;
         let settings = std::str::from_utf8(settings).map_err(|_| AdapterError::SettingsNotText)?;
         let instance = Instance::open(settings, seed, now)?;
-        if instance.polls_endpoint_list() {
+        if instance.must_subscribe_to_endpoint_list() {
             reply.stream_changes(director);
         }
         self.instances.insert(director, instance);
--- a/crates/sim-adapter/src/instance.rs
+++ b/crates/sim-adapter/src/instance.rs
@@ -96,8 +96,8 @@
     }
 
     /// Whether the instance has to subscribe to changes of the endpoint list.
-    pub(crate) fn polls_endpoint_list(&self) -> bool {
-        self.inflight.router.polls_endpoint_list()
+    pub(crate) fn must_subscribe_to_endpoint_list(&self) -> bool {
+        self.inflight.router.must_subscribe_to_endpoint_list()
     }
 
     /// Handles an event of this instance and writes the resulting actions and log lines into the reply.
@@ -111,7 +111,7 @@
     ) -> Result<()> {
         match event {
             Event::DirectoryUpdate { scope: ListScope::Failed, .. } => {
-                if self.polls_endpoint_list() {
+                if self.must_subscribe_to_endpoint_list() {
                     reply.stream_changes(director);
                 }
             }
--- a/src/router.rs
+++ b/src/router.rs
@@ -118,8 +118,8 @@
 
     /// Whether the caller has to subscribe to changes of the endpoint list: at the start, and again after each failure
     /// of the subscription.
-    pub fn polls_endpoint_list(&self) -> bool {
-        self.settings.polls_endpoint_list
+    pub fn must_subscribe_to_endpoint_list(&self) -> bool {
+        self.settings.must_subscribe_to_endpoint_list
     }
 
     /// The effects of all request classes, by index.
--- a/src/types.rs
+++ b/src/types.rs
@@ -25,7 +25,7 @@
     /// The machine kind of the origin.
     pub origin_kind: usize,
     /// Whether changes of the endpoint list are sent only on request, so that the director has to subscribe to them.
-    pub polls_endpoint_list: bool,
+    pub must_subscribe_to_endpoint_list: bool,
     /// Whether outstanding attempts may be cancelled once a request is answered.
     pub may_cancel: bool,
     /// Whether one request may have two attempts outstanding at the same time.
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -28,7 +28,7 @@
         request_classes: vec![class_with_effect(Effect::Idempotent)],
         parent_kind: Some(1),
         origin_kind: 2,
-        polls_endpoint_list: false,
+        must_subscribe_to_endpoint_list: false,
         may_cancel: true,
         may_hedge: true,
         may_send_retry_after: true,
