--- a/tests/router/fleet.rs
+++ b/tests/router/fleet.rs
@@ -105,7 +105,7 @@
     }
 
     /// Simulates requests that arrive at random at the serving directors for this duration.
-    pub(crate) fn play(&mut self, duration: Ns, traffic: &[ClassTraffic]) {
+    pub(crate) fn run_for(&mut self, duration: Ns, traffic: &[ClassTraffic]) {
         let end = self.now + duration;
         let total: f64 = traffic.iter().map(|class| class.per_second).sum();
         loop {
--- a/tests/router/slow_start_classes.rs
+++ b/tests/router/slow_start_classes.rs
@@ -21,21 +21,21 @@
     traffic.iter().map(|class| class.per_second * class.transfer_time as f64).sum()
 }
 
-/// Checks that neither a cold cache nor a cold parent collapses while the traffic in `played` arrives. Warm nodes
-/// have the capacity for `capacity_traffic` or for the last traffic played, whichever is more work by the transfer
-/// times of the last traffic.
+/// Checks that neither a cold cache nor a cold parent collapses while the traffic of `phases` arrives. Warm nodes
+/// have the capacity for `capacity_traffic` or for the traffic of the last phase, whichever is more work by the
+/// transfer times of the last phase.
 fn assert_no_collapse_during(
     fleet: &mut Fleet,
     settings: &Settings,
-    played: &[(Ns, &[ClassTraffic])],
+    phases: &[(Ns, &[ClassTraffic])],
     capacity_traffic: &[ClassTraffic],
     case: &str,
 ) {
     let started_at = fleet.now;
     replace_one_of_each(fleet);
     fleet.announce();
-    played.iter().for_each(|&(duration, traffic)| fleet.play(duration, traffic));
-    let Some(&(_, last)) = played.last() else { return };
+    phases.iter().for_each(|&(duration, traffic)| fleet.run_for(duration, traffic));
+    let Some(&(_, last)) = phases.last() else { return };
     let mean = work_of(last) / last.iter().map(|class| class.per_second).sum::<f64>();
     let work: Vec<f64> = last.iter().map(|class| class.transfer_time as f64 / mean).collect();
     let capacity = work_of(capacity_traffic).max(work_of(last)) / mean;
@@ -57,8 +57,8 @@
     let after = [of_known_size(30.0, 500 * MS), of_known_size(600.0, TRANSFER_TIME)];
     for seconds in [10, 20, 40] {
         let mut fleet = fleet_with(&settings);
-        fleet.play(10 * SEC, &before);
-        fleet.play(seconds * SEC, &after);
+        fleet.run_for(10 * SEC, &before);
+        fleet.run_for(seconds * SEC, &after);
         let case = format!("{seconds} s after");
         assert_no_collapse_during(&mut fleet, &settings, &[(6 * SEC, &after)], &before, &case);
     }
@@ -71,11 +71,11 @@
     let settings = settings_with_window(&[OBJECTIVE, 10 * SEC], LONG_WINDOW);
     for share in [0.05, 0.2] {
         let traffic = [
-            of_known_size(PER_SECOND * (1.0 - share), TRANSFER_TIME),
-            of_known_size(PER_SECOND * share, TRANSFER_TIME / 2),
+            of_known_size(REQUESTS_PER_SECOND * (1.0 - share), TRANSFER_TIME),
+            of_known_size(REQUESTS_PER_SECOND * share, TRANSFER_TIME / 2),
         ];
         let mut fleet = fleet_with(&settings);
-        fleet.play(4 * SEC, &traffic);
+        fleet.run_for(4 * SEC, &traffic);
         let case = format!("{share} of all requests");
         assert_no_collapse_during(&mut fleet, &settings, &[(LONG_WINDOW, &traffic)], &traffic, &case);
     }
@@ -89,13 +89,13 @@
     let other = of_known_size(1_000.0, usual);
     let traffic = [other, of_unknown_size(200.0, usual)];
     let mut fleet = fleet_with(&settings);
-    fleet.play(10 * SEC, &traffic);
-    fleet.play(8 * SEC, &[other, of_unknown_size(200.0, slow)]);
+    fleet.run_for(10 * SEC, &traffic);
+    fleet.run_for(8 * SEC, &[other, of_unknown_size(200.0, slow)]);
     let slow_traffic = [other, of_unknown_size(200.0, slow)];
-    // The last traffic determines how much work a request is. It has the usual transfer times, because a slow answer
-    // is not more work.
-    let played = [(LONG_WINDOW / 2, slow_traffic.as_slice()), (MS, traffic.as_slice())];
-    assert_no_collapse_during(&mut fleet, &settings, &played, &traffic, "while answers are slow");
+    // The last phase determines how much work a request is. It has the usual transfer times, because a slow answer is
+    // not more work.
+    let phases = [(LONG_WINDOW / 2, slow_traffic.as_slice()), (MS, traffic.as_slice())];
+    assert_no_collapse_during(&mut fleet, &settings, &phases, &traffic, "while answers are slow");
 }
 
 /// Guards against an initial credit below 0 because of a class of which nothing is known. The minimum share is that
@@ -104,16 +104,16 @@
 fn class_without_requests_does_not_keep_a_cold_cache_idle() {
     let short = 2 * MS;
     let settings = settings_with_window(&[OBJECTIVE, 20 * SEC], LONG_WINDOW);
-    let traffic = [of_known_size(PER_SECOND, short)];
+    let traffic = [of_known_size(REQUESTS_PER_SECOND, short)];
     let mut fleet = fleet_with(&settings);
-    fleet.play(20 * SEC, &traffic);
+    fleet.run_for(20 * SEC, &traffic);
     replace_one_of_each(&mut fleet);
     fleet.announce();
     let attempts_before = fleet.attempts.len();
-    fleet.play(LONG_WINDOW, &traffic);
+    fleet.run_for(LONG_WINDOW, &traffic);
     let received =
         fleet.attempts[attempts_before..].iter().filter(|attempt| attempt.involves(NEW_CACHE)).count() as f64;
-    let full_share = PER_SECOND / CACHES as f64 * (LONG_WINDOW / SEC) as f64;
+    let full_share = REQUESTS_PER_SECOND / CACHES as f64 * (LONG_WINDOW / SEC) as f64;
     assert!(received >= 0.3 * full_share, "{received} of {full_share:.0}");
 }
 
@@ -123,9 +123,9 @@
 fn assert_no_collapse_after_quiet_period(settings: &Settings, traffic: &[ClassTraffic]) {
     let quiet = [ClassTraffic { per_second: DIRECTORS as f64, ..traffic[0] }];
     let mut fleet = fleet_with(settings);
-    fleet.play(10 * SEC, traffic);
-    let played = [(20 * SEC, quiet.as_slice()), (5 * SEC, traffic)];
-    assert_no_collapse_during(&mut fleet, settings, &played, traffic, "after a quiet period");
+    fleet.run_for(10 * SEC, traffic);
+    let phases = [(20 * SEC, quiet.as_slice()), (5 * SEC, traffic)];
+    assert_no_collapse_during(&mut fleet, settings, &phases, traffic, "after a quiet period");
 }
 
 /// Guards against credit saved for the longest transfers that is spent by a common class, whose transfers are also
@@ -162,14 +162,14 @@
 #[test]
 fn directors_that_have_served_for_all_in_turn_overload_no_cold_node() {
     let settings = settings_with(&[OBJECTIVE]);
-    let traffic = [of_known_size(PER_SECOND, TRANSFER_TIME)];
+    let traffic = [of_known_size(REQUESTS_PER_SECOND, TRANSFER_TIME)];
     let mut fleet = fleet_with(&settings);
-    fleet.play(4 * SEC, &traffic);
+    fleet.run_for(4 * SEC, &traffic);
     for director in 0..DIRECTORS {
         fleet.serving = vec![director];
-        fleet.play(4 * SEC, &traffic);
+        fleet.run_for(4 * SEC, &traffic);
     }
     fleet.serving = (0..DIRECTORS).collect();
-    fleet.play(2 * SEC, &traffic);
+    fleet.run_for(2 * SEC, &traffic);
     assert_no_collapse_during(&mut fleet, &settings, &[(6 * SEC, &traffic)], &traffic, "all serve again");
 }
--- a/tests/router/slow_start_order.rs
+++ b/tests/router/slow_start_order.rs
@@ -10,11 +10,11 @@
 pub(crate) const CACHES: usize = 6;
 pub(crate) const PARENTS: usize = 3;
 /// The requests per second that arrive at all directors together.
-pub(crate) const PER_SECOND: f64 = 1_200.0;
+pub(crate) const REQUESTS_PER_SECOND: f64 = 1_200.0;
 /// The requests per second that one warm cache can serve.
-const CACHE_CAPACITY: f64 = PER_SECOND / CACHES as f64;
+const CACHE_CAPACITY: f64 = REQUESTS_PER_SECOND / CACHES as f64;
 /// The requests per second that one warm parent can serve.
-const PARENT_CAPACITY: f64 = PER_SECOND / PARENTS as f64;
+const PARENT_CAPACITY: f64 = REQUESTS_PER_SECOND / PARENTS as f64;
 
 const OLD_CACHE: usize = 2;
 pub(crate) const NEW_CACHE: usize = 20;
@@ -70,7 +70,7 @@
     let started_at = fleet.now;
     replace_one_of_each(fleet);
     fleet.announce();
-    fleet.play(SLOW_START_WINDOW, traffic);
+    fleet.run_for(SLOW_START_WINDOW, traffic);
     let cold = [
         ColdNode::cache(settings, NEW_CACHE, started_at, CACHE_CAPACITY),
         ColdNode::parent(settings, NEW_PARENT, started_at, PARENT_CAPACITY),
@@ -91,10 +91,10 @@
 fn transfers_far_shorter_than_their_objective_overload_no_cold_node() {
     let short = 2 * MS;
     let settings = settings_with(&[300 * MS]);
-    let traffic = [of_known_size(PER_SECOND, short)];
+    let traffic = [of_known_size(REQUESTS_PER_SECOND, short)];
     for seconds in [8, 30] {
         let mut fleet = fleet_with(&settings);
-        fleet.play(seconds * SEC, &traffic);
+        fleet.run_for(seconds * SEC, &traffic);
         assert_cold_nodes_warm_up(&mut fleet, &settings, &traffic, &format!("after {seconds} s"));
     }
 }
@@ -104,12 +104,12 @@
 fn staggered_director_starts_with_short_transfers_overload_no_cold_node() {
     let short = 2 * MS;
     let settings = settings_with(&[300 * MS]);
-    let traffic = [of_known_size(PER_SECOND, short)];
+    let traffic = [of_known_size(REQUESTS_PER_SECOND, short)];
     let mut fleet = fleet_with(&settings);
-    fleet.play(4 * SEC, &traffic);
+    fleet.run_for(4 * SEC, &traffic);
     for director in 0..DIRECTORS {
         fleet.restart(director);
-        fleet.play(SEC / 2, &traffic);
+        fleet.run_for(SEC / 2, &traffic);
     }
     assert_cold_nodes_warm_up(&mut fleet, &settings, &traffic, "started within 12 s");
 }
@@ -119,11 +119,11 @@
 fn slow_answers_before_a_node_starts_do_not_overload_it() {
     let (usual, slow) = (20 * MS, 500 * MS);
     let settings = settings_with(&[2 * usual]);
-    let traffic = [of_unknown_size(PER_SECOND, usual)];
+    let traffic = [of_unknown_size(REQUESTS_PER_SECOND, usual)];
     let mut fleet = fleet_with(&settings);
-    fleet.play(10 * SEC, &traffic);
-    fleet.play(6 * SEC, &[of_unknown_size(PER_SECOND, slow)]);
-    fleet.play(4 * SEC, &traffic);
+    fleet.run_for(10 * SEC, &traffic);
+    fleet.run_for(6 * SEC, &[of_unknown_size(REQUESTS_PER_SECOND, slow)]);
+    fleet.run_for(4 * SEC, &traffic);
     assert_cold_nodes_warm_up(&mut fleet, &settings, &traffic, "4 s after slow answers");
 }
 
@@ -132,10 +132,10 @@
 fn objects_that_become_smaller_overload_no_cold_node() {
     let (small, large) = (20 * MS, 500 * MS);
     let settings = settings_with(&[2 * large]);
-    let traffic = [of_known_size(PER_SECOND, small)];
+    let traffic = [of_known_size(REQUESTS_PER_SECOND, small)];
     let mut fleet = fleet_with(&settings);
-    fleet.play(10 * SEC, &[of_known_size(PER_SECOND, large)]);
-    fleet.play(6 * SEC, &traffic);
+    fleet.run_for(10 * SEC, &[of_known_size(REQUESTS_PER_SECOND, large)]);
+    fleet.run_for(6 * SEC, &traffic);
     assert_cold_nodes_warm_up(&mut fleet, &settings, &traffic, "6 s after large objects");
 }
 
@@ -153,7 +153,7 @@
     list.iter_mut().filter(|listing| listing.node != ORIGIN).for_each(|listing| listing.started_at = START);
     let nodes: Vec<usize> = list.iter().map(|listing| listing.node).filter(|&node| node != ORIGIN).collect();
     let mut fleet = Fleet::start(DIRECTORS, settings.clone(), list);
-    fleet.play(15 * SEC, &[of_known_size(PER_SECOND, short)]);
+    fleet.run_for(15 * SEC, &[of_known_size(REQUESTS_PER_SECOND, short)]);
     let cold: Vec<ColdNode> = nodes
         .into_iter()
         .map(|node| match node {
@@ -176,17 +176,17 @@
         parent_slow_start_window: window,
         ..settings_with(&[OBJECTIVE, 2 * long])
     };
-    let usual = [of_known_size(PER_SECOND, TRANSFER_TIME), of_known_size(long_per_second, long)];
+    let usual = [of_known_size(REQUESTS_PER_SECOND, TRANSFER_TIME), of_known_size(long_per_second, long)];
     let mut fleet = fleet_with(&settings);
-    fleet.play(10 * SEC, &usual);
+    fleet.run_for(10 * SEC, &usual);
     let started_at = fleet.now;
     replace_one_of_each(&mut fleet);
     fleet.announce();
-    fleet.play(quiet, &[of_known_size(DIRECTORS as f64, TRANSFER_TIME)]);
-    fleet.play(5 * SEC, &usual);
+    fleet.run_for(quiet, &[of_known_size(DIRECTORS as f64, TRANSFER_TIME)]);
+    fleet.run_for(5 * SEC, &usual);
     let (short, long) = (TRANSFER_TIME as f64, long as f64);
-    let requests = PER_SECOND + long_per_second;
-    let mean = (PER_SECOND * short + long_per_second * long) / requests;
+    let requests = REQUESTS_PER_SECOND + long_per_second;
+    let mean = (REQUESTS_PER_SECOND * short + long_per_second * long) / requests;
     let cold = [
         ColdNode::cache(&settings, NEW_CACHE, started_at, requests / CACHES as f64),
         ColdNode::parent(&settings, NEW_PARENT, started_at, requests / PARENTS as f64),
@@ -202,15 +202,15 @@
 fn demand_that_moves_between_directors_overloads_no_cold_node() {
     let groups = 4;
     let settings = settings_with(&[OBJECTIVE]);
-    let traffic = [of_known_size(PER_SECOND, TRANSFER_TIME)];
+    let traffic = [of_known_size(REQUESTS_PER_SECOND, TRANSFER_TIME)];
     let mut fleet = fleet_with(&settings);
-    fleet.play(4 * SEC, &traffic);
+    fleet.run_for(4 * SEC, &traffic);
     for group in 0..groups {
         fleet.serving = (group..DIRECTORS).step_by(groups).collect();
-        fleet.play(6 * SEC, &traffic);
+        fleet.run_for(6 * SEC, &traffic);
     }
     fleet.serving = (0..DIRECTORS).collect();
-    fleet.play(2 * SEC, &traffic);
+    fleet.run_for(2 * SEC, &traffic);
     assert_cold_nodes_warm_up(&mut fleet, &settings, &traffic, "all serve again");
 }
 
@@ -220,9 +220,9 @@
 fn cold_node_among_warm_ones_is_not_overloaded() {
     for transfer_time in [20 * MS, TRANSFER_TIME] {
         let settings = settings_with(&[2 * transfer_time]);
-        let traffic = [of_known_size(PER_SECOND, transfer_time)];
+        let traffic = [of_known_size(REQUESTS_PER_SECOND, transfer_time)];
         let mut fleet = fleet_with(&settings);
-        fleet.play(8 * SEC, &traffic);
+        fleet.run_for(8 * SEC, &traffic);
         assert_cold_nodes_warm_up(&mut fleet, &settings, &traffic, &format!("{} ms", transfer_time / MS));
     }
 }
@@ -230,12 +230,12 @@
 #[test]
 fn new_directors_overload_no_cold_node() {
     let settings = settings_with(&[OBJECTIVE]);
-    let traffic = [of_known_size(PER_SECOND, TRANSFER_TIME)];
+    let traffic = [of_known_size(REQUESTS_PER_SECOND, TRANSFER_TIME)];
     for (restarted, before) in [(DIRECTORS, 0), (DIRECTORS, 1), (DIRECTORS, 3), (DIRECTORS / 2, 3)] {
         let mut fleet = fleet_with(&settings);
-        fleet.play(8 * SEC, &traffic);
+        fleet.run_for(8 * SEC, &traffic);
         (0..restarted).for_each(|director| fleet.restart(director));
-        fleet.play(before * SEC, &traffic);
+        fleet.run_for(before * SEC, &traffic);
         let case = format!("{restarted} directors started {before} s before");
         assert_cold_nodes_warm_up(&mut fleet, &settings, &traffic, &case);
     }
@@ -244,7 +244,7 @@
 #[test]
 fn failing_and_rejecting_nodes_overload_no_cold_node() {
     let settings = settings_with(&[OBJECTIVE]);
-    let traffic = [of_known_size(PER_SECOND, TRANSFER_TIME)];
+    let traffic = [of_known_size(REQUESTS_PER_SECOND, TRANSFER_TIME)];
     let (one, two) = ([NEW_CACHE].as_slice(), [3, 4].as_slice());
     for (nodes, outcome) in [
         (two, Outcome::Error),
@@ -255,9 +255,9 @@
         (one, Outcome::Overloaded),
     ] {
         let mut fleet = fleet_with(&settings);
-        fleet.play(8 * SEC, &traffic);
+        fleet.run_for(8 * SEC, &traffic);
         fleet.outcomes.extend(nodes.iter().map(|&node| (node, outcome)));
-        fleet.play(SEC, &traffic);
+        fleet.run_for(SEC, &traffic);
         assert_cold_nodes_warm_up(&mut fleet, &settings, &traffic, &format!("{nodes:?}: {outcome:?}"));
     }
 }
@@ -265,19 +265,19 @@
 #[test]
 fn overlapping_replacements_overload_no_cold_node() {
     let settings = settings_with(&[OBJECTIVE]);
-    let traffic = [of_known_size(PER_SECOND, TRANSFER_TIME)];
+    let traffic = [of_known_size(REQUESTS_PER_SECOND, TRANSFER_TIME)];
     for (replaced, apart) in [(3, 0), (5, SEC / 2), (CACHES, 0)] {
         let mut fleet = fleet_with(&settings);
-        fleet.play(8 * SEC, &traffic);
+        fleet.run_for(8 * SEC, &traffic);
         let mut cold = Vec::new();
         for old in 0..replaced {
             let new_node = NEW_CACHE + old;
             fleet.replace(old, new_node);
             fleet.announce();
             cold.push(ColdNode::cache(&settings, new_node, fleet.now, CACHE_CAPACITY));
-            fleet.play(apart, &traffic);
+            fleet.run_for(apart, &traffic);
         }
-        fleet.play(SLOW_START_WINDOW, &traffic);
+        fleet.run_for(SLOW_START_WINDOW, &traffic);
         assert_no_collapse(&fleet, &cold, &[1.0], &format!("{replaced} caches"));
     }
 }
@@ -285,15 +285,15 @@
 #[test]
 fn late_endpoint_list_updates_overload_no_cold_node() {
     let settings = settings_with(&[OBJECTIVE]);
-    let traffic = [of_known_size(PER_SECOND, TRANSFER_TIME)];
+    let traffic = [of_known_size(REQUESTS_PER_SECOND, TRANSFER_TIME)];
     let mut fleet = fleet_with(&settings);
-    fleet.play(8 * SEC, &traffic);
+    fleet.run_for(8 * SEC, &traffic);
     let started_at = fleet.now;
     replace_one_of_each(&mut fleet);
     fleet.outcomes.extend([OLD_CACHE, OLD_PARENT].map(|node| (node, Outcome::ConnectFailed)));
-    fleet.play(5 * SEC / 2, &traffic);
+    fleet.run_for(5 * SEC / 2, &traffic);
     fleet.announce();
-    fleet.play(SLOW_START_WINDOW, &traffic);
+    fleet.run_for(SLOW_START_WINDOW, &traffic);
     let cold = [
         ColdNode::cache(&settings, NEW_CACHE, started_at, CACHE_CAPACITY),
         ColdNode::parent(&settings, NEW_PARENT, started_at, PARENT_CAPACITY),
