--- a/crates/cli/src/hierarchy.rs
+++ b/crates/cli/src/hierarchy.rs
@@ -17,8 +17,8 @@
 
 use crate::CommandOutcome;
 
-const NANOS_PER_MILLI: u64 = 1_000_000;
-const NANOS_PER_SECOND: f64 = 1e9;
+const NS_PER_MS: u64 = 1_000_000;
+const NS_PER_SECOND: f64 = 1e9;
 
 #[derive(Subcommand)]
 pub(crate) enum Command {
@@ -251,12 +251,12 @@
             ("ceiling", rules.ceiling.to_string()),
             ("margin", rules.margin.to_string()),
             ("cold-from", rules.slow_start_initial_share.to_string()),
-            ("warm-after-ms", (rules.slow_start_window / NANOS_PER_MILLI).to_string()),
+            ("warm-after-ms", (rules.slow_start_window / NS_PER_MS).to_string()),
             ("fall-multiple", rules.collapse_multiple.to_string()),
             ("siblings", rules.allows_siblings.to_string()),
-            ("hold-ms", (rules.drain_window / NANOS_PER_MILLI).to_string()),
-            ("settle-ms", (rules.fill_window / NANOS_PER_MILLI).to_string()),
-            ("give-up-ms", (rules.step_timeout / NANOS_PER_MILLI).to_string()),
+            ("hold-ms", (rules.drain_window / NS_PER_MS).to_string()),
+            ("settle-ms", (rules.fill_window / NS_PER_MS).to_string()),
+            ("give-up-ms", (rules.step_timeout / NS_PER_MS).to_string()),
         ]
     };
     let pairs = values(old).into_iter().zip(values(new));
@@ -376,7 +376,7 @@
                 .map(|required| json!({"node": step.target.node_name(required.node), "warmth": required.warmth}))
                 .collect();
             json!({"changes": changes, "origin_peak": step.origin_peak, "origin_before": step.origin_before,
-                "moved": step.moved_load, "wait_ms": step.min_delay / NANOS_PER_MILLI, "warm": warm})
+                "moved": step.moved_load, "wait_ms": step.min_delay / NS_PER_MS, "warm": warm})
         });
         let steps: Vec<Value> = steps.collect();
         let fewest = self.plan.is_minimal;
@@ -400,7 +400,7 @@
                 out,
                 "step {}: after {:.1} s; {:.0} requests a second go to another node; origin at most {:.0} fetches a second, {:.0} before",
                 index + 1,
-                step.min_delay as f64 / NANOS_PER_SECOND,
+                step.min_delay as f64 / NS_PER_SECOND,
                 step.moved_load,
                 step.origin_peak,
                 step.origin_before
--- a/crates/hierarchy/src/rollout/mod.rs
+++ b/crates/hierarchy/src/rollout/mod.rs
@@ -93,13 +93,13 @@
             next_change: 1,
             version: HierarchySpec::from_hierarchy(number, &version),
         };
-        let mut rollout = Rollout::at(number, version, participants)?;
+        let mut rollout = Rollout::with_committed(number, version, participants)?;
         rollout.persist(checkpoint);
         rollout.publish();
         Ok(rollout)
     }
 
-    fn at(
+    fn with_committed(
         number: u64,
         version: Hierarchy,
         participants: impl IntoIterator<Item = Participant>,
--- a/crates/hierarchy/src/rollout/recovery.rs
+++ b/crates/hierarchy/src/rollout/recovery.rs
@@ -75,7 +75,7 @@
 impl Replay {
     fn apply(&mut self, record: &RolloutRecord, now: Ns) -> Result<(), RolloutError> {
         if let RolloutRecord::Checkpoint { number, next_change, version } = record {
-            let mut rollout = Rollout::at(*number, self.decode_version(version)?, [])?;
+            let mut rollout = Rollout::with_committed(*number, self.decode_version(version)?, [])?;
             rollout.next_change_id = *next_change;
             *self = Replay { rollout: Some(rollout), pending: None };
             return Ok(());
--- a/crates/hierarchy/tests/plans.rs
+++ b/crates/hierarchy/tests/plans.rs
@@ -13,7 +13,7 @@
 use sablecross_hierarchy::{
     Admission, FULL_SHARE, Hierarchy, HierarchyNode, HierarchyRules, NodeId, PlanError, plan,
 };
-use support::{SEC, all_masks, from_masks, node, random, read, rules};
+use support::{SEC, all_masks, from_masks, node, parse_version, random_version, rules};
 
 /// Whether a fill can pass a node twice while each participant applies one of two versions. This search is independent
 /// of the code under test.
@@ -94,7 +94,7 @@
 #[test]
 fn nodes_swap_tiers_and_move_below_their_dependents() {
     let h = |a: &str, b: &str| {
-        read(
+        parse_version(
             &format!(
                 "(node (name . \"o\") (tier . 0) (capacity . 1000)) {a} {b}
                  (node (name . \"e\") (tier . 3) (sources \"a\" \"b\") (capacity . 900) (demand . 100) (hit . 0.5))"
@@ -121,7 +121,7 @@
 
 /// A version with two parents, and one in which a third parent of this capacity has joined that started at `since`.
 fn with_new_parent(capacity: f64, since: u64) -> (Hierarchy, Hierarchy) {
-    let from = read(
+    let from = parse_version(
         r#"(node (name . "o") (tier . 0) (capacity . 900))
         (node (name . "p1") (tier . 1) (sources "o") (capacity . 400) (hit . 0.8))
         (node (name . "p2") (tier . 1) (sources "o") (capacity . 400) (hit . 0.8))
@@ -195,7 +195,7 @@
 fn a_node_that_gets_requests_has_a_source_in_both_versions() {
     for seed in 0..300 {
         let mut rng = Pcg32::seed_from_u64(seed);
-        let all = random(9, 3, 0.6, &mut rng);
+        let all = random_version(9, 3, 0.6, &mut rng);
         // Node 1 joins and node 2 leaves.
         let without = |h: &Hierarchy, gone: NodeId| {
             let fixed: Vec<_> = h
@@ -246,7 +246,7 @@
     let mut exact = 0;
     for seed in 0..200 {
         let mut rng = Pcg32::seed_from_u64(seed);
-        let from = random(9, 3, 0.6, &mut rng);
+        let from = random_version(9, 3, 0.6, &mut rng);
         let mut to = from.clone();
         for _ in 0..3 {
             let n = rng.random_range(1..9);
@@ -287,8 +287,8 @@
     #[test]
     fn at_ten_thousand_nodes_no_fill_passes_a_node_twice(seed in 0u64..1_000_000, moved in 20usize..400) {
         let mut rng = Pcg32::seed_from_u64(seed);
-        let from = random(10_000, 9_000, 0.9, &mut rng);
-        let other = random(10_000, 9_000, 0.9, &mut rng);
+        let from = random_version(10_000, 9_000, 0.9, &mut rng);
+        let other = random_version(10_000, 9_000, 0.9, &mut rng);
         let mut admission = Admission::new(from.clone()).unwrap();
         let mut to = from.clone();
         for _ in 0..moved {
--- a/crates/hierarchy/tests/support/mod.rs
+++ b/crates/hierarchy/tests/support/mod.rs
@@ -24,7 +24,7 @@
 pub(crate) const HEAD: &str = "(hierarchy (version . 1) (ceiling . 1000) (siblings . #t))";
 
 /// Parses a version from the forms of its nodes. Nodes of `known` keep their ids.
-pub(crate) fn read(nodes: &str, known: Option<&Hierarchy>) -> Hierarchy {
+pub(crate) fn parse_version(nodes: &str, known: Option<&Hierarchy>) -> Hierarchy {
     spec::parse_settings("test", &format!("{HEAD}{nodes}"), known).unwrap_or_else(|f| panic!("{f:?}")).1
 }
 
@@ -77,7 +77,7 @@
 
 /// Builds a random version: an origin, parents of tier 1, and `edge` nodes of tier 2 with demand. A parent fills from
 /// nodes of its own tier with the probability `siblings`.
-pub(crate) fn random(nodes: u32, edge: u32, siblings: f64, rng: &mut Pcg32) -> Hierarchy {
+pub(crate) fn random_version(nodes: u32, edge: u32, siblings: f64, rng: &mut Pcg32) -> Hierarchy {
     let upper = nodes - edge - 1;
     let mut h = Hierarchy::new(rules()).with_node(0, HierarchyNode { capacity: 1e9, ..node("o", 0, &[]) });
     let mut parents: Vec<NodeId> = (1..=upper).collect();
--- a/crates/hierarchy/tests/versions.rs
+++ b/crates/hierarchy/tests/versions.rs
@@ -9,7 +9,7 @@
 use sablecross_hierarchy::{
     Admission, AdmissionError, FULL_SHARE, Hierarchy, HierarchyNode, OfferOutcome, VersionHolder, spec,
 };
-use support::{HEAD, node, random, read, rules};
+use support::{HEAD, node, parse_version, random_version, rules};
 
 const SMALL: &str = r#"
 (node (name . "o") (tier . 0) (capacity . 2000))
@@ -74,15 +74,15 @@
 
 #[test]
 fn nodes_keep_their_ids_and_unchanged_ones_are_shared() {
-    let h = read(SMALL, None);
+    let h = parse_version(SMALL, None);
     let moved = SMALL.replace("\"p2\") (tier", "\"p3\") (tier").replace("\"p1\" \"p2\"", "\"p3\" \"p1\"");
-    let next = read(&moved, Some(&h));
+    let next = parse_version(&moved, Some(&h));
     assert_eq!(next.node_id("p1"), h.node_id("p1"));
     assert_eq!((next.node_id("p2"), next.node_id("p3")), (None, Some(4)));
     let names: Vec<_> = h.diff(&next).map(|d| h.node_name(d.node).to_owned()).collect();
     assert_eq!(names, ["p2", "e", "?"]);
     // Another process that reads the same file assigns other ids but gets the same digest.
-    assert_eq!(read(&moved, None).digest(), next.digest());
+    assert_eq!(parse_version(&moved, None).digest(), next.digest());
     assert_ne!(h.digest(), next.digest());
     let json = serde_json::to_string(&spec::HierarchySpec::from_hierarchy(7, &h)).unwrap();
     let decoded: spec::HierarchySpec = serde_json::from_str(&json).unwrap();
@@ -135,7 +135,7 @@
 
 #[test]
 fn rejections_name_node_and_figure() {
-    let base = read(SMALL, None);
+    let base = parse_version(SMALL, None);
     let (p1, p2) = (base.node_id("p1").unwrap(), base.node_id("p2").unwrap());
     let of = |name: &str| (**base.get(base.node_id(name).unwrap()).unwrap()).clone();
     let strict = Hierarchy::new(sablecross_hierarchy::HierarchyRules { allows_siblings: false, ..rules() });
@@ -203,7 +203,7 @@
     let mut rejected = 0;
     for seed in 0..40 {
         let mut rng = Pcg32::seed_from_u64(seed);
-        let mut admission = Admission::new(random(24, 8, 0.7, &mut rng)).unwrap();
+        let mut admission = Admission::new(random_version(24, 8, 0.7, &mut rng)).unwrap();
         for _ in 0..40 {
             let node = rng.random_range(1..24);
             let last = admission.last_admitted().clone();
@@ -221,7 +221,7 @@
 
 #[test]
 fn holders_accept_only_newer_versions() {
-    let (a, b) = (read(SMALL, None), read(&SMALL.replace("400", "300"), None));
+    let (a, b) = (parse_version(SMALL, None), parse_version(&SMALL.replace("400", "300"), None));
     let mut holder = VersionHolder::new();
     let offers = [
         (0, &a, OfferOutcome::Older),
@@ -240,7 +240,7 @@
 #[test]
 fn fills_of_an_object_meet_at_one_node_of_each_tier() {
     let mut rng = Pcg32::seed_from_u64(5);
-    let mut h = random(40, 20, 0.0, &mut rng);
+    let mut h = random_version(40, 20, 0.0, &mut rng);
     // A tier in between is added: each node of tier 2 fills from all of tier 1, and each edge node from all of tiers 1
     // and 2.
     let all: Vec<u32> = (1..20).collect();
