--- a/crates/coordination/src/failure_detector.rs
+++ b/crates/coordination/src/failure_detector.rs
@@ -4,8 +4,8 @@
 
 use crate::{Member, Ns};
 
-/// A member counts as dead after this many mean heartbeat intervals without a heartbeat. If one message in ten is
-/// lost, ten in a row are lost, so that a live member is declared dead by mistake, with a probability of 10^-10.
+/// A member counts as dead after this many mean heartbeat intervals without a heartbeat. If one message in ten is lost,
+/// a live member is declared dead by mistake with a probability of 10^-10.
 const DEAD_AFTER_INTERVALS: f64 = 10.0;
 /// A member never counts as dead after a shorter silence than this.
 const MIN_DEAD_AFTER_NS: f64 = 2e9;
