--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -237,7 +237,7 @@
     }
 
     /// Sets the status line that operators see for a role that this member holds.
-    pub fn set_role_status(&mut self, role: RoleId, text: String) {
+    pub fn set_role_report(&mut self, role: RoleId, text: String) {
         self.role_reports.insert(role, text);
     }
 
--- a/crates/coordination/src/lease_candidate.rs
+++ b/crates/coordination/src/lease_candidate.rs
@@ -1,6 +1,6 @@
 //! Acquires the lease of one role from the voters, renews it and hands it over.
 
-use crate::voter::{LeaseReply, LeaseRequest};
+use crate::lease_voter::{LeaseReply, LeaseRequest};
 use crate::voter_set::VoterSet;
 use crate::{FencingToken, Member, Ns};
 
--- a/crates/coordination/src/lease_voter.rs
+++ b/crates/coordination/src/lease_voter.rs
@@ -114,18 +114,18 @@
 /// A voter keeps nothing on disk, so it forgets its grants when it restarts. After a restart it is silent: it does
 /// not reply until every lease that it may have granted has expired.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Voter {
+pub struct LeaseVoter {
     highest_term: u64,
     grant: Option<Grant>,
     silent_until: Ns,
     max_lease: Ns,
 }
 
-impl Voter {
+impl LeaseVoter {
     /// Creates a voter that may have granted leases before a restart and has forgotten them. `max_lease` bounds the
     /// duration of a lease and must be the same at all voters.
-    pub fn after_restart(now: Ns, max_lease: Ns) -> Voter {
-        Voter {
+    pub fn after_restart(now: Ns, max_lease: Ns) -> LeaseVoter {
+        LeaseVoter {
             highest_term: 0,
             grant: None,
             silent_until: now + with_clock_drift_margin(max_lease),
@@ -134,8 +134,8 @@
     }
 
     /// Creates a voter that has certainly granted nothing before. It replies at once.
-    pub fn first_start(now: Ns, max_lease: Ns) -> Voter {
-        Voter { silent_until: now, ..Voter::after_restart(now, max_lease) }
+    pub fn first_start(now: Ns, max_lease: Ns) -> LeaseVoter {
+        LeaseVoter { silent_until: now, ..LeaseVoter::after_restart(now, max_lease) }
     }
 
     /// The highest term that the voter has granted or learned of.
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -3,18 +3,18 @@
 //!
 //! Some work is done by one director on behalf of the whole fleet. Such work is a *role*, and a role has at most one
 //! holder at a time. A few directors are *voters*: a [`LeaseCandidate`] requests the lease of a role, and each
-//! [`Voter`] grants or rejects it. The candidate becomes the holder when a majority of the voters has granted the
+//! [`LeaseVoter`] grants or rejects it. The candidate becomes the holder when a majority of the voters has granted the
 //! lease. The lease carries a term that grows with each new holder. The term and the holder form a [`FencingToken`]
 //! that accompanies each effect of the holder, and a [`FencingGuard`] where the effect takes place rejects older
-//! tokens. Leases keep holders from competing; safety rests on the guards alone, because a lease can expire between
-//! the holder's check of its clock and the effect.
+//! tokens. Leases keep holders from competing; safety rests on the guards alone, because a lease can expire between the
+//! holder's check of its clock and the effect.
 //!
 //! | module | content |
 //! | --- | --- |
 //! | `coordinator` | [`Coordinator`]: the coordination of one process; owns the state machines below |
 //! | `voter_node` | [`VoterNode`]: the state that one voter stores for the fleet |
 //! | `messages` | messages from members to voters, and the replies |
-//! | `lease_candidate`, `voter` | acquiring, renewing and granting a lease |
+//! | `lease_candidate`, `lease_voter` | acquiring, renewing and granting a lease |
 //! | `fencing` | fencing tokens, and the guard that checks them |
 //! | `register_writer`, `register_replica` | one value per role, replicated to the voters, written by the holder only |
 //! | `failure_detector`, `rendezvous_shares` | which members are alive, and which member a target belongs to |
@@ -35,13 +35,13 @@
 mod health_log;
 mod hot_object_counts;
 mod lease_candidate;
+mod lease_voter;
 mod member;
 pub mod messages;
 mod outstanding_calls;
 mod register_replica;
 mod register_writer;
 mod rendezvous_shares;
-mod voter;
 mod voter_node;
 mod voter_set;
 
@@ -52,9 +52,9 @@
 pub use failure_detector::FailureDetector;
 pub use fencing::{FencingGuard, FencingToken, StaleToken};
 pub use lease_candidate::{CandidateAction, LeaseCandidate, LeaseConfig, LeaseEnd};
+pub use lease_voter::{LeaseHolder, LeaseReply, LeaseRequest, LeaseVoter};
 pub use member::Member;
 pub use rendezvous_shares::RendezvousShares;
-pub use voter::{LeaseHolder, LeaseReply, LeaseRequest, Voter};
 pub use voter_node::{MemberVersion, VoterNode};
 
 pub use sablecross::Ns;
--- a/crates/coordination/src/messages.rs
+++ b/crates/coordination/src/messages.rs
@@ -11,7 +11,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::voter::{LeaseReply, LeaseRequest};
+use crate::lease_voter::{LeaseReply, LeaseRequest};
 use crate::{FencingToken, HotObject, Member, Ns};
 
 pub use assignment::{ASSIGNMENT_ROLE, Assignment, AssignmentVersion, RoleId};
--- a/crates/coordination/src/voter_node.rs
+++ b/crates/coordination/src/voter_node.rs
@@ -11,8 +11,8 @@
 };
 use crate::register_replica::RegisterReplica;
 use crate::{
-    CoordinationConfig, FailureDetector, FencingGuard, FencingToken, HotObject, LeaseRequest, Member, Ns,
-    StaleToken, Voter,
+    CoordinationConfig, FailureDetector, FencingGuard, FencingToken, HotObject, LeaseRequest, LeaseVoter,
+    Member, Ns, StaleToken,
 };
 
 /// What the holder of a role publishes to all members.
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug)]
 pub struct VoterNode {
     index: u32,
-    voters: BTreeMap<RoleId, Voter>,
+    lease_voters: BTreeMap<RoleId, LeaseVoter>,
     registers: BTreeMap<RoleId, RegisterReplica>,
     failure_detector: FailureDetector,
     /// The newest known incarnation of each member, by member number.
@@ -55,11 +55,11 @@
 impl VoterNode {
     /// Creates the voter with this index in the configured order, after a start without stored state.
     pub fn new(index: u32, config: &CoordinationConfig, now: Ns) -> VoterNode {
-        let voter = |role: &RoleId| (*role, Voter::after_restart(now, config.lease_duration));
+        let lease_voter = |role: &RoleId| (*role, LeaseVoter::after_restart(now, config.lease_duration));
         let register = |role: &RoleId| (*role, RegisterReplica::new(index, config.voter_count()));
         VoterNode {
             index,
-            voters: config.roles.iter().map(voter).collect(),
+            lease_voters: config.roles.iter().map(lease_voter).collect(),
             registers: config.roles.iter().map(register).collect(),
             failure_detector: FailureDetector::default(),
             incarnations: BTreeMap::new(),
@@ -101,12 +101,12 @@
 
     /// How long the voter remains silent after its start, during which it grants no leases.
     pub fn silent_for(&self, now: Ns) -> Ns {
-        self.voters.values().filter_map(|voter| voter.silent_for(now)).max().unwrap_or(0)
+        self.lease_voters.values().filter_map(|voter| voter.silent_for(now)).max().unwrap_or(0)
     }
 
     /// The roles as this voter knows them.
     pub fn role_status(&self, now: Ns) -> impl Iterator<Item = RoleStatus> + '_ {
-        self.voters.iter().map(move |(role, voter)| RoleStatus {
+        self.lease_voters.iter().map(move |(role, voter)| RoleStatus {
             role: *role,
             highest_term: voter.highest_term(),
             holder: voter.holder(now),
@@ -223,12 +223,12 @@
     }
 
     fn on_lease_request(&mut self, now: Ns, role: RoleId, request: LeaseRequest) -> Option<Reply> {
-        let reply = self.voters.get_mut(&role)?.on_request(now, request)?;
+        let reply = self.lease_voters.get_mut(&role)?.on_request(now, request)?;
         Some(Reply::Lease { role, reply })
     }
 
     fn observe_term(&mut self, role: RoleId, term: u64) {
-        if let Some(voter) = self.voters.get_mut(&role) {
+        if let Some(voter) = self.lease_voters.get_mut(&role) {
             voter.observe_term(term);
         }
     }
--- a/crates/coordination/tests/leases.rs
+++ b/crates/coordination/tests/leases.rs
@@ -18,7 +18,7 @@
 /// Voters and candidates that exchange messages with random delays.
 struct Simulation {
     now: Ns,
-    voters: Vec<Voter>,
+    voters: Vec<LeaseVoter>,
     candidates: Vec<LeaseCandidate>,
     /// Links that drop all messages: candidate, voter, and whether messages to the voter are dropped (otherwise its
     /// replies).
@@ -38,7 +38,7 @@
             .collect();
         Simulation {
             now: 0,
-            voters: vec![Voter::first_start(0, LEASE); CONFIG.voter_count as usize],
+            voters: vec![LeaseVoter::first_start(0, LEASE); CONFIG.voter_count as usize],
             candidates,
             cut_links: Vec::new(),
             stalled: Vec::new(),
@@ -183,9 +183,13 @@
         sim.cut_links = (0..3).flat_map(|candidate| (2..5).map(move |v| (candidate, v, true))).collect();
         sim.run(3_000);
         assert_eq!(sim.holder(), None);
-        let term = sim.voters.iter().map(Voter::highest_term).max();
+        let term = sim.voters.iter().map(LeaseVoter::highest_term).max();
         sim.run(10_000);
-        assert_eq!(term, sim.voters.iter().map(Voter::highest_term).max(), "pre-votes don't raise terms");
+        assert_eq!(
+            term,
+            sim.voters.iter().map(LeaseVoter::highest_term).max(),
+            "pre-votes don't raise terms"
+        );
         sim.cut_links.clear();
         sim.run(3_000);
         assert!(sim.holder().is_some());
@@ -200,7 +204,7 @@
         sim.run(2_000);
         let holder = sim.holder().expect("a holder");
         let now = sim.now;
-        sim.voters = vec![Voter::after_restart(now, LEASE); 5];
+        sim.voters = vec![LeaseVoter::after_restart(now, LEASE); 5];
         sim.run(900);
         assert!(sim.holder().is_none_or(|current| current == holder));
         sim.run(3_000);
@@ -219,7 +223,7 @@
         // The voters restart one after another, each sooner than a lease expires.
         for v in 0..5 {
             let now = sim.now;
-            sim.voters[v] = Voter::after_restart(now, LEASE);
+            sim.voters[v] = LeaseVoter::after_restart(now, LEASE);
             sim.run(300);
         }
         sim.run(4_000);
--- a/crates/coordination/tests/model_check.rs
+++ b/crates/coordination/tests/model_check.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct SystemState {
     now: Ns,
-    voters: Vec<Voter>,
+    voters: Vec<LeaseVoter>,
     candidates: Vec<LeaseCandidate>,
     requests: BTreeSet<(u32, usize, LeaseRequest)>,
     /// The token that each candidate has checked for its next effect.
@@ -113,7 +113,7 @@
         let candidate = |n: usize| LeaseCandidate::new(member(n), n as u32, CONFIG, 7, 0);
         vec![SystemState {
             now: 0,
-            voters: vec![Voter::first_start(0, LEASE); 3],
+            voters: vec![LeaseVoter::first_start(0, LEASE); 3],
             candidates: vec![candidate(0), candidate(1)],
             requests: BTreeSet::new(),
             checked: vec![None; 2],
@@ -226,8 +226,8 @@
             Transition::RestartVoter(v) => {
                 state.restarts += 1;
                 state.voters[v] = match self.fault {
-                    Fault::NoSilence => Voter::first_start(state.now, LEASE),
-                    _ => Voter::after_restart(state.now, LEASE),
+                    Fault::NoSilence => LeaseVoter::first_start(state.now, LEASE),
+                    _ => LeaseVoter::after_restart(state.now, LEASE),
                 };
             }
             Transition::HandOver(n) => {
--- a/crates/director/src/coordination/agent/hierarchy.rs
+++ b/crates/director/src/coordination/agent/hierarchy.rs
@@ -83,7 +83,7 @@
                 ControllerAction::Log(line) => tracing::info!("{line}"),
             }
         }
-        coordinator.set_role_status(HIERARCHY_ROLE, controller.status());
+        coordinator.set_role_report(HIERARCHY_ROLE, controller.status());
         self.execute_actions(now);
     }
 
--- a/crates/relay/src/replica_group/mod.rs
+++ b/crates/relay/src/replica_group/mod.rs
@@ -26,7 +26,7 @@
 mod replica_log;
 mod replication;
 
-use sablecross_coordination::{FencingGuard, FencingToken, LeaseCandidate, Member, Ns, Voter};
+use sablecross_coordination::{FencingGuard, FencingToken, LeaseCandidate, LeaseVoter, Member, Ns};
 
 use crate::action::Action;
 use crate::config::GroupConfig;
@@ -48,7 +48,7 @@
     index: u32,
     config: GroupConfig,
     /// Grants the lease to candidates, which include the one of this process.
-    voter: Voter,
+    voter: LeaseVoter,
     /// Applies for the lease.
     candidate: LeaseCandidate,
     /// Remembers the newest token that this voter accepted, and rejects older ones.
@@ -102,7 +102,7 @@
         let recovers = !is_alone && config.safety_checks.recovery;
         ReplicaGroup {
             index,
-            voter: Voter::after_restart(now, config.lease.duration),
+            voter: LeaseVoter::after_restart(now, config.lease.duration),
             candidate: LeaseCandidate::new(member, index, config.lease, seed, now),
             guard: FencingGuard::default(),
             log: ReplicaLog::new(log),
