--- a/crates/director/src/coordination/agent.rs
+++ b/crates/director/src/coordination/agent.rs
@@ -28,7 +28,7 @@
 use crate::coordination_settings::{CoordinationSettings, HIERARCHY_ROLE, WARMING_ROLE, role_name};
 use crate::discovery_event::Endpoint;
 use crate::events::{CallId, ClientId, Event};
-use crate::os_error::is_would_block;
+use crate::os_error::is_retryable;
 use crate::shared::SharedContext;
 
 const WAKER_TOKEN: Token = Token(usize::MAX);
@@ -98,7 +98,7 @@
             self.step(now);
             let timeout = self.shared.clock.until(self.next_wakeup(now));
             if let Err(e) = self.poll.poll(&mut events, Some(timeout))
-                && !is_would_block(&e)
+                && !is_retryable(&e)
             {
                 return tracing::error!("coordination: {e}");
             }
--- a/crates/director/src/limits.rs
+++ b/crates/director/src/limits.rs
@@ -50,7 +50,7 @@
     pub command_queue_length: usize,
     /// The capacity of each of the two queues to the discovery thread, one for changes of the feeds and one for applied
     /// versions of the hierarchy.
-    pub feed_move_queue_length: usize,
+    pub discovery_queue_length: usize,
     /// The stack size of each thread other than the main thread and the log thread.
     pub thread_stack_bytes: usize,
     /// The maximum length of a discovery event.
@@ -92,7 +92,7 @@
     pub write_finish_grace: Ns,
     /// The duration of silence after which the event stream counts as dead.
     pub feed_silence_timeout: Duration,
-    /// How often the discovery thread checks whether the feed has moved, while the stream is silent.
+    /// How often the discovery thread checks whether the feeds have changed, while the stream is silent.
     pub feed_poll_interval: Duration,
     /// The delay after a call of the feed that failed or ended at once.
     pub feed_retry_delay: Duration,
@@ -132,7 +132,7 @@
             event_queue_length: 4_096,
             response_queue_length: 8_192,
             command_queue_length: 8_192,
-            feed_move_queue_length: 4,
+            discovery_queue_length: 4,
             thread_stack_bytes: 512 << 10,
             max_feed_event_bytes: 4 << 20,
             connect_timeout,
--- a/crates/director/src/os_error.rs
+++ b/crates/director/src/os_error.rs
@@ -5,7 +5,7 @@
 /// Whether the call was interrupted or would have blocked, so that the connection or file is unchanged. The waits of a
 /// process that is stopped and continued are interrupted, for example when the process is limited to a part of a core,
 /// so callers measure time by the clock only.
-pub(crate) fn is_would_block(e: &io::Error) -> bool {
+pub(crate) fn is_retryable(e: &io::Error) -> bool {
     matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::WouldBlock)
 }
 
--- a/crates/director/src/process/director.rs
+++ b/crates/director/src/process/director.rs
@@ -89,16 +89,22 @@
 
 impl Director {
     fn assemble(signals: Signals, config: Config, startup: &StartupRetry) -> Result<Director, RunError> {
-        let (feed_moves, moves) = bounded(config.limits.feed_move_queue_length);
+        let (feed_changes, pending_feed_changes) = bounded(config.limits.discovery_queue_length);
         let fixed = FixedConfig::new(&config);
         let settings = CoordinationSettings::from_env().transpose();
         let settings = settings.map_err(|e| RunError::SettingsFile(e.into()))?;
         let names = NameTable { answers_peers: settings.is_some(), ..config.names };
         let (shared, events) = SharedContext::new(names, config.limits);
-        let signals = SignalHandler::new(signals, fixed, shared.events.clone(), feed_moves, moves.clone());
+        let signals = SignalHandler::new(
+            signals,
+            fixed,
+            shared.events.clone(),
+            feed_changes,
+            pending_feed_changes.clone(),
+        );
 
         let (clients, responses, listen) = bind_clients(config.listen, &shared, startup)?;
-        let (applied_versions, applied) = bounded(shared.limits.feed_move_queue_length);
+        let (applied_versions, applied) = bounded(shared.limits.discovery_queue_length);
         let (nodes, commands) =
             startup.retry(|| NodeConnectionServer::new(&shared)).map_err(RunError::NodeConnections)?;
         let pool = NodePool::new(commands, Arc::clone(&shared));
@@ -122,7 +128,7 @@
             config.name.clone(),
             FeedSelector::new(&config.name, *home, others),
             config.known.last,
-            moves,
+            pending_feed_changes,
             applied,
             Arc::clone(&shared),
         );
--- a/crates/director/src/process/signals.rs
+++ b/crates/director/src/process/signals.rs
@@ -13,7 +13,7 @@
 use crate::discovery_event::DiscoveryEvent;
 use crate::events::Event;
 use crate::parent_hierarchy::VersionAnnouncement;
-use crate::wire::discovery_client::FeedMove;
+use crate::wire::discovery_client::FeedChange;
 
 /// The signals that are handled.
 pub(super) const HANDLED_SIGNALS: [i32; 3] = [SIGHUP, SIGTERM, SIGUSR1];
@@ -41,24 +41,24 @@
     signals: Signals,
     fixed: FixedConfig,
     events: Sender<Event>,
-    moves: Sender<FeedMove>,
+    feed_changes: Sender<FeedChange>,
     /// The changes of the feeds that the discovery client has not received yet. If the queue is full, the oldest one is
     /// removed to make room for a new one, so that no signal has to wait while a feed is down.
-    pending_moves: Receiver<FeedMove>,
+    pending_feed_changes: Receiver<FeedChange>,
     /// The time until which a failed reload is retried.
     reload_deadline: Option<Instant>,
 }
 
 impl SignalHandler {
-    /// Creates a handler. `pending_moves` is the receiving end of `moves`.
+    /// Creates a handler. `pending_feed_changes` is the receiving end of `feed_changes`.
     pub(super) fn new(
         signals: Signals,
         fixed: FixedConfig,
         events: Sender<Event>,
-        moves: Sender<FeedMove>,
-        pending_moves: Receiver<FeedMove>,
+        feed_changes: Sender<FeedChange>,
+        pending_feed_changes: Receiver<FeedChange>,
     ) -> SignalHandler {
-        SignalHandler { signals, fixed, events, moves, pending_moves, reload_deadline: None }
+        SignalHandler { signals, fixed, events, feed_changes, pending_feed_changes, reload_deadline: None }
     }
 
     /// Handles signals until the dispatcher is gone. A failed reload is retried for a while, during which other signals
@@ -121,10 +121,10 @@
             tracing::warn!("reload: {key}: has changed, which takes effect after a restart");
         }
         tracing::info!("reload feed={} known={}", config.feeds[0], config.known.last);
-        let mut latest = FeedMove { feeds: config.feeds, known: config.known };
-        while let Err(TrySendError::Full(returned)) = self.moves.try_send(latest) {
+        let mut latest = FeedChange { feeds: config.feeds, known: config.known };
+        while let Err(TrySendError::Full(returned)) = self.feed_changes.try_send(latest) {
             latest = returned;
-            let _ = self.pending_moves.try_recv();
+            let _ = self.pending_feed_changes.try_recv();
         }
         Ok(())
     }
--- a/crates/director/src/wire/client_connection.rs
+++ b/crates/director/src/wire/client_connection.rs
@@ -17,7 +17,7 @@
 use crate::counters;
 use crate::events::{CallId, CancellationFlag, ClientId, Event, IncomingRequest};
 use crate::log_rate_limiter::LogRateLimiter;
-use crate::os_error::is_would_block;
+use crate::os_error::is_retryable;
 use crate::shared::SharedContext;
 
 /// A fault of a client, or a lack of room for it, for which its connection is closed.
@@ -228,7 +228,7 @@
             Ok(true) => Ok(true),
             Ok(false) => Err(CloseReason::Disconnected),
             Err(e) if e.kind() == ErrorKind::Interrupted => Ok(true),
-            Err(e) if is_would_block(&e) => {
+            Err(e) if is_retryable(&e) => {
                 self.unread_since = None;
                 Ok(false)
             }
@@ -250,7 +250,7 @@
             match (&self.stream).read(&mut bytes) {
                 Ok(n) if n > 0 => {}
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if is_would_block(&e) => return Ok(false),
+                Err(e) if is_retryable(&e) => return Ok(false),
                 _ => return Err(CloseReason::Disconnected),
             }
         }
@@ -332,7 +332,7 @@
                 }
                 Ok(false) => {}
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if is_would_block(&e) => return Ok(()),
+                Err(e) if is_retryable(&e) => return Ok(()),
                 Err(_) => return Err(CloseReason::Disconnected),
             }
         }
--- a/crates/director/src/wire/client_server.rs
+++ b/crates/director/src/wire/client_server.rs
@@ -21,7 +21,7 @@
 use crate::counters;
 use crate::events::{ClientId, Event};
 use crate::log_rate_limiter::LogRateLimiter;
-use crate::os_error::is_would_block;
+use crate::os_error::is_retryable;
 use crate::shared::SharedContext;
 use crate::stall_detector::StallDetector;
 
@@ -96,7 +96,7 @@
             let poll_began_at = self.shared.clock.now();
             let polled = self.poll.poll(&mut events, Some(wait));
             if let Err(e) = &polled
-                && !is_would_block(e)
+                && !is_retryable(e)
             {
                 return tracing::error!("connections of clients: {e}");
             }
--- a/crates/director/src/wire/discovery_client.rs
+++ b/crates/director/src/wire/discovery_client.rs
@@ -17,7 +17,7 @@
 use crate::counters;
 use crate::discovery_event::{DiscoveryEvent, KnownEvents, NumberedEvent};
 use crate::events::Event;
-use crate::os_error::is_would_block;
+use crate::os_error::is_retryable;
 use crate::parent_hierarchy::AppliedVersion;
 use crate::shared::SharedContext;
 
@@ -25,7 +25,7 @@
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
 /// A change of the feeds by a reloaded configuration.
-pub(crate) struct FeedMove {
+pub(crate) struct FeedChange {
     /// The feeds, with the home feed first.
     pub feeds: Vec<SocketAddr>,
     /// The events that the new configuration contains.
@@ -53,7 +53,7 @@
     /// The feed closed the stream, which is normal at any time.
     Ended,
     /// The configuration names other feeds.
-    Moved(FeedMove),
+    FeedsChanged(FeedChange),
     DispatcherGone,
 }
 
@@ -74,7 +74,7 @@
     shared: Arc<SharedContext>,
     cursor: EventCursor,
     feeds: FeedSelector,
-    moves: Receiver<FeedMove>,
+    feed_changes: Receiver<FeedChange>,
     reporter: AppliedVersionReporter,
     /// Whether the last call succeeded. True before the first call, because only changes are logged.
     is_up: bool,
@@ -88,14 +88,14 @@
         director_name: String,
         feeds: FeedSelector,
         after: u64,
-        moves: Receiver<FeedMove>,
+        feed_changes: Receiver<FeedChange>,
         applied_versions: Receiver<AppliedVersion>,
         shared: Arc<SharedContext>,
     ) -> DiscoveryClient {
         DiscoveryClient {
             cursor: EventCursor::after_number(after),
             feeds,
-            moves,
+            feed_changes,
             reporter: AppliedVersionReporter::new(director_name, applied_versions, Arc::clone(&shared)),
             is_up: true,
             has_been_up: false,
@@ -110,8 +110,8 @@
             let (call_began, last_before) = (Instant::now(), self.cursor.last_number());
             match self.call().err().unwrap_or(CallEnd::Ended) {
                 CallEnd::DispatcherGone => return,
-                CallEnd::Moved(feed_move) => {
-                    if self.follow_move(feed_move).is_err() {
+                CallEnd::FeedsChanged(feed_change) => {
+                    if self.apply_feed_change(feed_change).is_err() {
                         return;
                     }
                     continue;
@@ -153,12 +153,12 @@
 
     /// Switches to the new feeds. Event numbers continue across feeds, so of the events in the new configuration only
     /// those after the last applied one are new.
-    fn follow_move(&mut self, feed_move: FeedMove) -> Result<(), CallEnd> {
-        let Some((home, others)) = feed_move.feeds.split_first() else { return Ok(()) };
+    fn apply_feed_change(&mut self, feed_change: FeedChange) -> Result<(), CallEnd> {
+        let Some((home, others)) = feed_change.feeds.split_first() else { return Ok(()) };
         let from = self.feeds.current();
         tracing::info!("feed moved after={} from={from} to={home}", self.cursor.last_number());
         self.feeds = FeedSelector::new(self.reporter.director_name(), *home, others);
-        for event in feed_move.known.events {
+        for event in feed_change.known.events {
             if self.cursor.advance_if_next(event.number) {
                 self.forward(event.event)?;
             }
@@ -170,14 +170,14 @@
         self.shared.events.send(Event::Discovery(event)).map_err(|_| CallEnd::DispatcherGone)
     }
 
-    /// Fails with `CallEnd::Moved` if the configuration names other feeds.
-    fn check_moved(&self) -> Result<(), CallEnd> {
-        self.moves.try_recv().map_or(Ok(()), |feed_move| Err(CallEnd::Moved(feed_move)))
+    /// Fails with `CallEnd::FeedsChanged` if the configuration names other feeds.
+    fn check_feed_change(&self) -> Result<(), CallEnd> {
+        self.feed_changes.try_recv().map_or(Ok(()), |feed_change| Err(CallEnd::FeedsChanged(feed_change)))
     }
 
     /// Opens one connection to the feed and reads it until its end.
     fn call(&mut self) -> Result<(), CallEnd> {
-        self.check_moved()?;
+        self.check_feed_change()?;
         counters::add(&self.shared.counters.feed_calls, 1);
         let socket = self.connect()?;
         let mut parser = EventStreamParser::new(self.shared.limits.max_feed_event_bytes);
@@ -210,9 +210,9 @@
         let (began, mut bytes) = (Instant::now(), [0; READ_BUFFER_BYTES]);
         loop {
             self.reporter.report_if_due(self.feeds.current());
-            self.check_moved()?;
+            self.check_feed_change()?;
             match socket.read(&mut bytes) {
-                Err(e) if is_would_block(&e) => {
+                Err(e) if is_retryable(&e) => {
                     if began.elapsed() >= self.shared.limits.feed_silence_timeout {
                         return Err(CallEnd::Failed(CallError::Silent));
                     }
--- a/crates/director/src/wire/node_connection.rs
+++ b/crates/director/src/wire/node_connection.rs
@@ -18,7 +18,7 @@
 use super::write_remaining;
 use crate::counters;
 use crate::events::{ConnectionLoss, Event, NodeConnectionId, RequestId};
-use crate::os_error::is_would_block;
+use crate::os_error::is_retryable;
 use crate::shared::SharedContext;
 
 /// A fault of a node for which its connection is closed.
@@ -190,7 +190,7 @@
                     }
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if is_would_block(&e) || e.kind() == ErrorKind::NotConnected => return Ok(()),
+                Err(e) if is_retryable(&e) || e.kind() == ErrorKind::NotConnected => return Ok(()),
                 Err(_) => return Err(CloseReason::Fault(NodeFault::WriteFailed)),
             }
         }
@@ -211,7 +211,7 @@
                 Ok(true) => {}
                 Ok(false) => return Err(BROKEN),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if is_would_block(&e) => return Ok(false),
+                Err(e) if is_retryable(&e) => return Ok(false),
                 Err(e) if e.kind() == ErrorKind::InvalidData => {
                     return Err(CloseReason::Fault(NodeFault::AnswerLineTooLong));
                 }
--- a/crates/director/src/wire/node_connections.rs
+++ b/crates/director/src/wire/node_connections.rs
@@ -17,7 +17,7 @@
 use crate::counters;
 use crate::events::{ConnectionLoss, Event, NodeConnectionId, RequestId};
 use crate::log_rate_limiter::LogRateLimiter;
-use crate::os_error::{is_local_shortage, is_network_unreachable, is_would_block};
+use crate::os_error::{is_local_shortage, is_network_unreachable, is_retryable};
 use crate::shared::SharedContext;
 
 /// A command from the dispatcher to the node thread.
@@ -120,7 +120,7 @@
                 Duration::ZERO
             };
             if let Err(e) = self.poll.poll(&mut events, Some(wait))
-                && !is_would_block(&e)
+                && !is_retryable(&e)
             {
                 return tracing::error!("connections to nodes: {e}");
             }
