--- a/crates/testbed/src/soak/client.rs
+++ b/crates/testbed/src/soak/client.rs
@@ -14,7 +14,7 @@
 use super::Seconds;
 use super::director::Director;
 use super::invariants::{CLASSES, LOST_AFTER_SECONDS, MAX_BUDGET_SECONDS, Rule};
-use super::judge::{Judge, Request};
+use super::rule_checker::{Request, RuleChecker};
 use crate::client_load::{Response, encode_call, read_any_response};
 
 /// The number of different objects that clients request.
@@ -66,7 +66,7 @@
 /// A client of one director; it opens one connection after another.
 pub(crate) struct Client {
     pub(crate) director: Arc<Director>,
-    pub(crate) judge: Arc<Judge>,
+    pub(crate) checker: Arc<RuleChecker>,
     /// Set at the end of the soak.
     pub(crate) finished: Arc<AtomicBool>,
     /// The id of the next request, shared by all clients.
@@ -158,7 +158,7 @@
                 std::thread::sleep(NOT_ACCEPTING_WAIT);
                 continue;
             }
-            let began_at = self.judge.now();
+            let began_at = self.checker.now();
             let Ok(stream) = TcpStream::connect(self.director.address) else {
                 std::thread::sleep(CONNECT_RETRY_WAIT);
                 continue;
@@ -242,13 +242,13 @@
         let call = session.last_call;
         let held_tag = (rng.random_range(0..8) == 0).then_some(CACHED_TAG);
         let bytes = encode_request(id, call, class, object, budget_ms, held_tag);
-        self.judge.on_request(id, self.director.number, effect, object, budget_ms as f64 / 1_000.0);
+        self.checker.on_request(id, self.director.number, effect, object, budget_ms as f64 / 1_000.0);
         session.pending.insert(call, id);
         let written = match behavior {
             Behavior::SplitsWrites => self.write_in_pieces(session, id, &bytes, rng),
             _ => session.stream.write_all(&bytes),
         };
-        self.judge.on_request_sent(id);
+        self.checker.on_request_sent(id);
         if written.is_ok() { Connection::Open } else { Connection::Ended }
     }
 
@@ -264,7 +264,7 @@
         let (first, rest) = bytes.split_at(cut);
         session.stream.write_all(first)?;
         std::thread::sleep(Duration::from_millis(rng.random_range(5..200)));
-        self.judge.on_request_written(id);
+        self.checker.on_request_written(id);
         session.stream.write_all(rest)
     }
 
@@ -274,7 +274,7 @@
             let _ = socket2::SockRef::from(&session.stream).set_linger(Some(Duration::ZERO));
         }
         let _ = session.stream.shutdown(Shutdown::Both);
-        session.pending.values().for_each(|id| self.judge.on_client_gone(*id));
+        session.pending.values().for_each(|id| self.checker.on_client_gone(*id));
     }
 
     /// Cancels all pending requests.
@@ -284,7 +284,7 @@
             // Writing to memory does not fail; a connection that has ended is noticed at the next read.
             let _ = encode::write_uint(&mut message, u64::from(call));
             let _ = session.stream.write_all(&message);
-            self.judge.on_client_gone(id);
+            self.checker.on_client_gone(id);
             session.abandoned.insert(call, id);
         }
     }
@@ -295,14 +295,14 @@
             if self.read_answers(session) == Connection::Ended {
                 return Connection::Ended;
             }
-            let now = self.judge.now();
+            let now = self.checker.now();
             let is_overdue = |request: Request| {
                 now > request.written_at + request.budget + LOST_AFTER_SECONDS + LOST_TOLERANCE_SECONDS
             };
             let overdue: Vec<u32> = session
                 .pending
                 .iter()
-                .filter(|(_, id)| self.judge.request(**id).is_none_or(is_overdue))
+                .filter(|(_, id)| self.checker.request(**id).is_none_or(is_overdue))
                 .map(|(call, _)| *call)
                 .collect();
             for call in overdue {
@@ -336,17 +336,17 @@
     }
 
     fn on_answer(&self, session: &mut Session, call: u32, answer: &Response) {
-        self.judge.count(match answer {
+        self.checker.count(match answer {
             Response::Success(_) => "succeeded",
             Response::Rejected => "rejected",
             Response::Failed => "failed",
         });
         if let Some(id) = session.pending.remove(&call) {
-            self.judge.on_answer(id, object_of(answer));
+            self.checker.on_answer(id, object_of(answer));
         } else if session.abandoned.remove(&call).is_none() {
             let detail =
                 format!("director {}: answer to call {call}, which is not pending", self.director.number);
-            self.judge.record_violation(Rule::Stray, detail);
+            self.checker.record_violation(Rule::Stray, detail);
         }
     }
 
@@ -361,15 +361,15 @@
         // A client that writes slowly notices the end late; the send log has the exact time at which the director shut
         // the connection.
         let port = session.stream.local_addr().map_or(0, |address| address.port());
-        let shut_at = self.judge.shut_at(self.director.number, port, session.began_at);
-        let ended_at = shut_at.unwrap_or_else(|| self.judge.now());
+        let shut_at = self.checker.shut_at(self.director.number, port, session.began_at);
+        let ended_at = shut_at.unwrap_or_else(|| self.checker.now());
         for id in std::mem::take(&mut session.pending).into_values() {
-            let Some(request) = self.judge.request(id) else { continue };
+            let Some(request) = self.checker.request(id) else { continue };
             if ended_at < request.written_at + CROSSING_SECONDS {
-                self.judge.on_client_gone(id);
-                self.judge.count("requests that crossed the end of their connection");
+                self.checker.on_client_gone(id);
+                self.checker.count("requests that crossed the end of their connection");
             } else if self.director.may_break_connections() {
-                self.judge.count("requests on connections that broke by themselves");
+                self.checker.count("requests on connections that broke by themselves");
             } else {
                 self.on_lost(id, "its connection was closed");
             }
@@ -378,18 +378,18 @@
 
     /// Reports that a request has no answer: a violation, unless its director was killed or paused.
     fn on_lost(&self, id: u64, why: &str) {
-        let Some(request) = self.judge.request(id) else { return };
+        let Some(request) = self.checker.request(id) else { return };
         if self.director.is_exempt(request.written_at, request.budget) {
-            self.judge.count("requests at a director that was killed or paused");
+            self.checker.count("requests at a director that was killed or paused");
             return;
         }
         let number = self.director.number;
-        let after = self.judge.now() - request.written_at;
+        let after = self.checker.now() - request.written_at;
         let budget = request.budget;
         let detail = format!(
             "request {id:016x} at director {number}: {why}, {after:.3} s after it was written, budget {budget:.3}"
         );
-        self.judge.record_observed(Rule::Lost, request.written_at, detail);
+        self.checker.record_observed(Rule::Lost, request.written_at, detail);
     }
 }
 
--- a/crates/testbed/src/soak/director.rs
+++ b/crates/testbed/src/soak/director.rs
@@ -14,7 +14,7 @@
     CLASSES, COLLAPSE_MULTIPLE, DEDUPLICATION_WINDOW_SECONDS, LOST_AFTER_SECONDS, MAX_BUDGET_SECONDS, Rule,
     SLOW_START_INITIAL_SHARE, SLOW_START_SECONDS,
 };
-use super::judge::Judge;
+use super::rule_checker::RuleChecker;
 use super::{Options, Seconds};
 use crate::director_process::{NodeModel, director_config, spawn_director};
 use crate::ports::ReservedPort;
@@ -77,12 +77,17 @@
     /// The file in which the fault library logs what the director sends.
     pub(crate) send_log: PathBuf,
     _port: ReservedPort,
-    judge: Arc<Judge>,
+    checker: Arc<RuleChecker>,
     state: Mutex<DirectorState>,
 }
 
 impl Director {
-    pub(crate) fn new(number: usize, port: ReservedPort, folder: &Path, judge: &Arc<Judge>) -> Director {
+    pub(crate) fn new(
+        number: usize,
+        port: ReservedPort,
+        folder: &Path,
+        checker: &Arc<RuleChecker>,
+    ) -> Director {
         let file = |extension: &str| folder.join(format!("director-{number}.{extension}"));
         Director {
             number,
@@ -93,7 +98,7 @@
             log: file("log"),
             fault_rules: file("plan"),
             send_log: file("sends"),
-            judge: Arc::clone(judge),
+            checker: Arc::clone(checker),
             state: Mutex::default(),
         }
     }
@@ -108,7 +113,7 @@
             stream_kb_per_s: STREAM_KB_PER_S,
         };
         let feed = discovery.addresses[self.number][lock(&self.state).discovery_address];
-        let seed = options.seed.wrapping_mul(1_000).wrapping_add(self.judge.now() as u64) >> 1;
+        let seed = options.seed.wrapping_mul(1_000).wrapping_add(self.checker.now() as u64) >> 1;
         let mut config =
             director_config(self.number, options.directors, seed, self.address, (feed, &[]), &model);
         let known = discovery.known_events();
@@ -146,7 +151,7 @@
         discovery.note_known_at_start(self.number, known_events);
         let mut state = lock(&self.state);
         state.process = Some(process);
-        state.started_at = self.judge.now();
+        state.started_at = self.checker.now();
         state.stopping_since = None;
         Ok(())
     }
@@ -160,7 +165,7 @@
 
     /// Records that connections of the director may break for this many seconds.
     pub(crate) fn expect_broken_connections(&self, seconds: f64) {
-        let now = self.judge.now();
+        let now = self.checker.now();
         let span = Span {
             from: now - BREAKING_MARGIN_BEFORE_SECONDS,
             to: now + seconds + BREAKING_MARGIN_AFTER_SECONDS,
@@ -174,7 +179,7 @@
         if let Some(process) = state
             .process
             .as_ref()
-            .filter(|_| self.judge.now() > state.started_at + SIGNAL_HANDLERS_READY_SECONDS)
+            .filter(|_| self.checker.now() > state.started_at + SIGNAL_HANDLERS_READY_SECONDS)
         {
             process.signal(signal);
         }
@@ -193,7 +198,7 @@
 
     /// Kills the director if it runs. Its requests are exempt from the deadline until `end_exemption`.
     pub(crate) fn kill(&self) {
-        let now = self.judge.now();
+        let now = self.checker.now();
         let mut state = lock(&self.state);
         if let Some(mut process) = state.process.take() {
             let _ = process.kill();
@@ -203,14 +208,14 @@
 
     /// Ends the exemption after a kill: the director runs again.
     pub(crate) fn end_exemption(&self) {
-        let now = self.judge.now();
+        let now = self.checker.now();
         let mut state = lock(&self.state);
         state.exempt.iter_mut().filter(|span| span.to.is_infinite()).for_each(|span| span.to = now);
     }
 
     /// Pauses the director by SIGSTOP for this many seconds.
     pub(crate) fn pause(&self, seconds: f64) {
-        let now = self.judge.now();
+        let now = self.checker.now();
         {
             let mut state = lock(&self.state);
             state.exempt.push(Span { from: now, to: now + seconds + PAUSE_TOLERANCE_SECONDS });
@@ -225,11 +230,11 @@
     /// use their open connections until the director ends them.
     pub(crate) fn terminate(&self) {
         let started_at = lock(&self.state).started_at;
-        let too_early = started_at + SIGNAL_HANDLERS_READY_SECONDS + 0.01 - self.judge.now();
+        let too_early = started_at + SIGNAL_HANDLERS_READY_SECONDS + 0.01 - self.checker.now();
         if too_early > 0.0 {
             std::thread::sleep(Duration::from_secs_f64(too_early));
         }
-        let now = self.judge.now();
+        let now = self.checker.now();
         lock(&self.state).stopping_since.get_or_insert(now);
         self.signal(Signal::TERM);
     }
@@ -239,7 +244,7 @@
     /// answer are lost.
     pub(crate) fn wait_for_exit(&self) {
         let since = self.stopping_since();
-        while self.judge.now() < self.kill_due_at() {
+        while self.checker.now() < self.kill_due_at() {
             let exited = lock(&self.state).process.as_mut().map(|process| process.0.try_wait());
             match exited {
                 None => return,
@@ -247,7 +252,7 @@
                     lock(&self.state).process = None;
                     if !status.success() {
                         let detail = format!("director {}: {status}", self.number);
-                        self.judge.record_violation(Rule::Crash, detail);
+                        self.checker.record_violation(Rule::Crash, detail);
                     }
                     return;
                 }
@@ -255,14 +260,14 @@
             }
         }
         let detail = format!("director {} did not exit when it was asked to", self.number);
-        self.judge.record_observed(Rule::Crash, since, detail);
+        self.checker.record_observed(Rule::Crash, since, detail);
         // Dropping the process kills it.
         lock(&self.state).process = None;
     }
 
     /// Returns when the director was asked to stop; now if it was not.
     fn stopping_since(&self) -> Seconds {
-        lock(&self.state).stopping_since.unwrap_or_else(|| self.judge.now())
+        lock(&self.state).stopping_since.unwrap_or_else(|| self.checker.now())
     }
 
     /// Returns when a platform would kill a director that was asked to stop.
@@ -281,7 +286,7 @@
     /// Whether clients open connections to the director.
     pub(crate) fn accepts_connections(&self) -> bool {
         let state = lock(&self.state);
-        let is_early = |since| self.judge.now() < since + ACCEPTS_AFTER_STOP_SECONDS;
+        let is_early = |since| self.checker.now() < since + ACCEPTS_AFTER_STOP_SECONDS;
         state.process.is_some() && state.stopping_since.is_none_or(is_early)
     }
 
@@ -299,7 +304,7 @@
 
     /// Whether connections of the director may break now because of a fault.
     pub(crate) fn may_break_connections(&self) -> bool {
-        let now = self.judge.now();
+        let now = self.checker.now();
         lock(&self.state).breaking.iter().any(|span| (span.from..span.to).contains(&now))
     }
 }
--- a/crates/testbed/src/soak/director/tests.rs
+++ b/crates/testbed/src/soak/director/tests.rs
@@ -19,15 +19,15 @@
     config["known"]["events"].as_array().unwrap().len()
 }
 
-/// Guards against false violations: the judge counts a director as notified of the events in its configuration, so a
+/// Guards against false violations: the checker counts a director as notified of the events in its configuration, so a
 /// reload must not replace that by one with fewer events.
 #[test]
 fn no_configuration_is_replaced_by_one_with_fewer_events() {
     let folder = tempfile::tempdir().unwrap();
-    let judge = Arc::new(Judge::new());
+    let checker = Arc::new(RuleChecker::new());
     let port = PortAllocator::new().allocate().unwrap();
-    let director = Director::new(0, port, folder.path(), &judge);
-    let discovery = Discovery::start(&judge, 1).unwrap();
+    let director = Director::new(0, port, folder.path(), &checker);
+    let discovery = Discovery::start(&checker, 1).unwrap();
     let over = AtomicBool::new(false);
     std::thread::scope(|scope| {
         scope.spawn(|| {
--- a/crates/testbed/src/soak/discovery.rs
+++ b/crates/testbed/src/soak/discovery.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 
 use super::Seconds;
-use super::judge::Judge;
+use super::rule_checker::RuleChecker;
 use crate::threads::{lock, spawn};
 
 const POLL: Duration = Duration::from_millis(20);
@@ -20,7 +20,7 @@
 /// How long after an outage or silence directors may still not have been notified; see `NOTIFIED_AFTER_SECONDS`.
 const NOTIFIED_AFTER_OUTAGE_SECONDS: f64 = 3.0;
 
-/// The part of an event that the judge uses.
+/// The part of an event that the checker uses.
 #[derive(Clone, Debug)]
 pub(crate) enum Notification {
     /// A node drains or was removed.
@@ -48,20 +48,21 @@
 /// A source of events with two addresses for each director, so that it knows which director has connected.
 pub(crate) struct Discovery {
     pub(crate) addresses: Vec<[SocketAddr; 2]>,
-    judge: Arc<Judge>,
+    checker: Arc<RuleChecker>,
     state: Mutex<DiscoveryState>,
 }
 
 impl Discovery {
     /// Listens on both addresses of each director.
-    pub(crate) fn start(judge: &Arc<Judge>, directors: usize) -> io::Result<Arc<Discovery>> {
+    pub(crate) fn start(checker: &Arc<RuleChecker>, directors: usize) -> io::Result<Arc<Discovery>> {
         let listen = || TcpListener::bind("127.0.0.1:0");
         let listeners: Vec<[TcpListener; 2]> =
             (0..directors).map(|_| Ok([listen()?, listen()?])).collect::<io::Result<_>>()?;
         let addresses =
             listeners.iter().map(|[first, second]| Ok([first.local_addr()?, second.local_addr()?]));
         let addresses = addresses.collect::<io::Result<_>>()?;
-        let discovery = Arc::new(Discovery { addresses, judge: Arc::clone(judge), state: Mutex::default() });
+        let discovery =
+            Arc::new(Discovery { addresses, checker: Arc::clone(checker), state: Mutex::default() });
         for (director, director_listeners) in listeners.into_iter().enumerate() {
             for listener in director_listeners {
                 let this = Arc::clone(&discovery);
@@ -94,7 +95,7 @@
         state.events.iter().filter_map(|event| serde_json::from_str(&event.text).ok()).collect()
     }
 
-    /// Reports to the judge that a director has started with the first `count` events in its configuration.
+    /// Reports to the checker that a director has started with the first `count` events in its configuration.
     pub(crate) fn note_known_at_start(&self, director: usize, count: usize) {
         let events = lock(&self.state).events.clone();
         for notification in events.iter().take(count).filter_map(|event| event.notification.as_ref()) {
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Reports to the judge that a director is about to get a configuration with the first `count` events.
+    /// Reports to the checker that a director is about to get a configuration with the first `count` events.
     pub(crate) fn note_configured(&self, director: usize, count: usize) {
         let events = lock(&self.state).events.clone();
         events.iter().take(count).for_each(|event| self.note_start_sent(director, event));
@@ -111,7 +112,7 @@
     /// Ends all connections, and for this many seconds also each new one at once.
     pub(crate) fn start_outage(&self, seconds: f64) {
         let mut state = lock(&self.state);
-        state.down_until = self.judge.now() + seconds;
+        state.down_until = self.checker.now() + seconds;
         for connection in std::mem::take(&mut state.connections) {
             let _ = connection.shutdown(Shutdown::Both);
         }
@@ -119,29 +120,29 @@
 
     /// Sends nothing for this many seconds.
     pub(crate) fn start_silence(&self, seconds: f64) {
-        lock(&self.state).silent_until = self.judge.now() + seconds;
+        lock(&self.state).silent_until = self.checker.now() + seconds;
     }
 
-    /// Reports to the judge that a director has been notified.
+    /// Reports to the checker that a director has been notified.
     fn report_notified(&self, director: usize, notification: &Notification) {
         match notification {
-            Notification::Drained(node) => self.judge.on_notified_drained(director, *node),
-            Notification::Ready(node) => self.judge.on_notified_ready(director, *node),
+            Notification::Drained(node) => self.checker.on_notified_drained(director, *node),
+            Notification::Ready(node) => self.checker.on_notified_ready(director, *node),
             Notification::Purge { object, made_ms } => {
-                self.judge.on_notified_purge(director, *object, *made_ms)
+                self.checker.on_notified_purge(director, *object, *made_ms)
             }
         }
     }
 
-    /// Reports to the judge that this event is about to be sent to a director, if it is the start of a node.
+    /// Reports to the checker that this event is about to be sent to a director, if it is the start of a node.
     fn note_start_sent(&self, director: usize, event: &Event) {
         if let Some(Notification::Ready(node)) = event.notification {
-            self.judge.on_start_sent(director, node);
+            self.checker.on_start_sent(director, node);
         }
     }
 
     fn serve(&self, stream: &Arc<TcpStream>, director: usize) -> io::Result<()> {
-        if self.judge.now() < lock(&self.state).down_until {
+        if self.checker.now() < lock(&self.state).down_until {
             return stream.shutdown(Shutdown::Both);
         }
         lock(&self.state).connections.push(Arc::clone(stream));
@@ -155,7 +156,7 @@
         let mut sent = last_event;
         let mut kept_alive_at = 0.0;
         loop {
-            let now = self.judge.now();
+            let now = self.checker.now();
             let (events, is_silent) = {
                 let state = lock(&self.state);
                 (state.events.get(sent..).unwrap_or_default().to_vec(), now < state.silent_until)
@@ -204,7 +205,7 @@
         let mut reported = 0;
         let mut unavailable_until: Seconds = 0.0;
         loop {
-            let now = discovery.judge.now();
+            let now = discovery.checker.now();
             let (events, until) = {
                 let state = lock(&discovery.state);
                 (state.events.clone(), state.down_until.max(state.silent_until))
--- a/crates/testbed/src/soak/fault_injection.rs
+++ b/crates/testbed/src/soak/fault_injection.rs
@@ -36,17 +36,17 @@
         thread::scope(|scope| {
             for scheduled in plan_faults(self.options) {
                 self.sleep_until(scheduled.at);
-                if self.judge.now() > end {
+                if self.checker.now() > end {
                     return;
                 }
                 let fault = scheduled.fault;
                 scope.spawn(move || {
                     let _guard = restarted_director(&fault).map(|director| lock(&restarts[director]));
-                    let record = self.faults.begin(self.judge.now(), format!("{fault:?}"));
+                    let record = self.faults.begin(self.checker.now(), format!("{fault:?}"));
                     if let Err(e) = self.inject(&fault) {
-                        self.judge.record_violation(Rule::Crash, format!("{fault:?}: {e}"));
+                        self.checker.record_violation(Rule::Crash, format!("{fault:?}: {e}"));
                     }
-                    self.faults.end(self.judge.now(), record);
+                    self.faults.end(self.checker.now(), record);
                 });
             }
         });
@@ -111,9 +111,9 @@
 
     /// Starts a stopped director; records a violation if it does not start.
     pub(super) fn start_or_report(&self, director: &Director) {
-        let since = self.judge.now();
+        let since = self.checker.now();
         if let Err(e) = self.start_director(director) {
-            self.judge.record_observed(Rule::Crash, since, e.to_string());
+            self.checker.record_observed(Rule::Crash, since, e.to_string());
         }
     }
 
@@ -130,10 +130,10 @@
         thread::sleep(Duration::from_secs_f64(DRAIN_SECONDS));
         self.announce(&old, "gone", 0);
         let number = lock(&self.nodes_by_number).len();
-        let since = self.judge.now();
+        let since = self.checker.now();
         let capacity = Capacity { warm: CACHE_CAPACITY, cold_since: Some(since) };
         let new = self.add_node(&format!("cache-{number}"), "small", Some(capacity))?;
-        self.judge.on_cold_start(new.number, since, CACHE_CAPACITY);
+        self.checker.on_cold_start(new.number, since, CACHE_CAPACITY);
         lock(&self.places)[place] = new.number;
         self.announce(&new, "ready", unix_ms());
         thread::sleep(Duration::from_secs_f64(DRAIN_GRACE_SECONDS));
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -1,12 +1,12 @@
 //! A soak test: it runs real directors as processes on loopback under overlapping faults and checks their behavior from
 //! outside.
 //!
-//! Stub clients, nodes and discovery speak the published protocol and report what they observe to the `Judge`, which
-//! checks the invariants. The faults are caused by signals and a preloaded fault library, two or three at a time, as
-//! drawn from the seed; in addition directors get series of signals and, with some seeds, a crowd of idle clients. Each
-//! cache has a capacity in calls per second, and a cold cache that is overloaded collapses and stays down. Clients use
-//! their connections until the director ends them. What the directors report themselves (violations, panics) is read
-//! from their logs at the end.
+//! Stub clients, nodes and discovery speak the published protocol and report what they observe to the `RuleChecker`,
+//! which checks the invariants. The faults are caused by signals and a preloaded fault library, two or three at a time,
+//! as drawn from the seed; in addition directors get series of signals and, with some seeds, a crowd of idle clients.
+//! Each cache has a capacity in calls per second, and a cold cache that is overloaded collapses and stays down. Clients
+//! use their connections until the director ends them. What the directors report themselves (violations, panics) is
+//! read from their logs at the end.
 
 mod capacity;
 mod client;
@@ -17,10 +17,10 @@
 mod fault_log;
 mod fault_plan;
 mod invariants;
-mod judge;
 mod lateness;
 mod node;
 mod report;
+mod rule_checker;
 mod run;
 mod send_log;
 mod service;
@@ -32,10 +32,10 @@
 pub use fault_log::FaultSpan;
 pub use fault_plan::{Fault, ScheduledFault, plan_faults};
 pub use invariants::{Rule, Violation};
-pub use judge::NearestColdNode;
 pub use lateness::{Delays, Lateness};
 pub use node::Misbehavior;
 pub use report::{SoakReport, Verdict};
+pub use rule_checker::NearestColdNode;
 pub use run::run;
 pub use service_plan::{Crowd, ServicePlan, SignalSeries, SignalStep, plan_service};
 
--- a/crates/testbed/src/soak/node.rs
+++ b/crates/testbed/src/soak/node.rs
@@ -11,7 +11,7 @@
 
 use super::Seconds;
 use super::capacity::{Admission, AdmissionQueue, Capacity};
-use super::judge::{Attempt, Judge, NodeCondition, NodeLink};
+use super::rule_checker::{Attempt, NodeCondition, NodeLink, RuleChecker};
 use super::send_log::LinkPorts;
 use crate::clock::unix_ms;
 use crate::pull_request::PullRequest;
@@ -88,7 +88,7 @@
     /// The node type in the endpoint list.
     pub(crate) kind: &'static str,
     pub(crate) address: SocketAddr,
-    judge: Arc<Judge>,
+    checker: Arc<RuleChecker>,
     state: Mutex<NodeState>,
 }
 
@@ -144,7 +144,7 @@
 struct QueuedPull {
     pull: Pull,
     /// The result of `Node::report_attempt`: when the attempt was sent or, if that is not known, when it was received.
-    received_at: Seconds,
+    attempted_at: Seconds,
     admission: Admission,
 }
 
@@ -194,7 +194,7 @@
         name: &str,
         kind: &'static str,
         capacity: Option<Capacity>,
-        judge: &Arc<Judge>,
+        checker: &Arc<RuleChecker>,
         nodes: &Nodes,
     ) -> io::Result<Arc<Node>> {
         let listener = listen()?;
@@ -203,7 +203,7 @@
             name: name.to_owned(),
             kind,
             address: listener.local_addr()?,
-            judge: Arc::clone(judge),
+            checker: Arc::clone(checker),
             state: Mutex::new(NodeState {
                 admissions: capacity.map(AdmissionQueue::new),
                 ..NodeState::default()
@@ -217,7 +217,7 @@
 
     /// Makes the node misbehave for this many seconds.
     pub(crate) fn misbehave(&self, behavior: Misbehavior, seconds: f64) {
-        let until = self.judge.now() + seconds;
+        let until = self.checker.now() + seconds;
         let mut state = lock(&self.state);
         (state.behavior, state.misbehaves_until) = (behavior, until);
         if behavior == Misbehavior::Stuck {
@@ -227,7 +227,7 @@
 
     /// Makes the node accept no connection for this many seconds.
     pub(crate) fn delay_connections(&self, seconds: f64) {
-        let until = self.judge.now() + seconds;
+        let until = self.checker.now() + seconds;
         let mut state = lock(&self.state);
         state.accepts_from = state.accepts_from.max(until);
     }
@@ -268,30 +268,30 @@
     /// Returns how long to pause reading, at most one poll interval; none if the node is not stuck or has collapsed.
     fn stuck_for(&self) -> Option<Duration> {
         let state = lock(&self.state);
-        let stuck = state.stuck_until - self.judge.now();
+        let stuck = state.stuck_until - self.checker.now();
         (stuck > 0.0 && !state.has_collapsed).then(|| Duration::from_secs_f64(stuck).min(STUCK_POLL))
     }
 
     /// Decides when a call that was received begins, or that it is rejected.
     fn admit(&self) -> Admission {
-        let now = self.judge.now();
+        let now = self.checker.now();
         lock(&self.state).admissions.as_mut().map_or(Admission::BeginsAt(now), |queue| queue.admit(now))
     }
 
     /// Whether bytes that are read now may have waited unread because the node was stuck or accepted late.
     fn is_reading_late(&self) -> bool {
         let state = lock(&self.state);
-        state.stuck_until.max(state.accepts_from) > self.judge.now() - LATE_READ_SECONDS
+        state.stuck_until.max(state.accepts_from) > self.checker.now() - LATE_READ_SECONDS
     }
 
     fn behavior(&self) -> Misbehavior {
         let state = lock(&self.state);
-        if self.judge.now() < state.misbehaves_until { state.behavior } else { Misbehavior::Normal }
+        if self.checker.now() < state.misbehaves_until { state.behavior } else { Misbehavior::Normal }
     }
 
     fn accept_connections(self: &Arc<Node>, listener: &TcpListener, nodes: &Nodes) {
         for stream in listener.incoming().map_while(Result::ok) {
-            let delay = lock(&self.state).accepts_from - self.judge.now();
+            let delay = lock(&self.state).accepts_from - self.checker.now();
             if delay > 0.0 {
                 // Calling listen again sets the new backlog.
                 let _ = SockRef::from(listener).listen(DELAYED_BACKLOG);
@@ -301,7 +301,7 @@
             let (this, nodes, stream) = (Arc::clone(self), Arc::clone(nodes), Arc::new(stream));
             let port = stream.peer_addr().map_or(0, |address| address.port());
             let ports = LinkPorts { director: port, node: self.address.port() };
-            let link = NodeLink { ports, accepted_at: self.judge.now() };
+            let link = NodeLink { ports, accepted_at: self.checker.now() };
             if !self.register_connection(&stream) {
                 reset_when_dropped(&stream);
                 continue;
@@ -360,27 +360,27 @@
             let pull = Pull::from_request(&request);
             request.skip_body(&mut reader)?;
             let Some(pull) = pull else { continue };
-            let Some(received_at) = self.report_attempt(&pull, link, nodes) else {
+            let Some(attempted_at) = self.report_attempt(&pull, link, nodes) else {
                 self.collapse();
                 return Ok(());
             };
             let admission = self.admit();
-            if queue.send(QueuedPull { pull, received_at, admission }).is_err() {
+            if queue.send(QueuedPull { pull, attempted_at, admission }).is_err() {
                 return Ok(());
             }
         }
     }
 
-    /// Reports an attempt to the judge. Returns when it was sent or, if that is not known, when it was received: 0 if
+    /// Reports an attempt to the checker. Returns when it was sent or, if that is not known, when it was received: 0 if
     /// it may have arrived at any earlier time because the node was not reading. Returns none if the node is down.
     fn report_attempt(&self, pull: &Pull, link: NodeLink, nodes: &Nodes) -> Option<Seconds> {
         let source = pull.source.as_ref().and_then(|name| lock(nodes).get(name).map(|node| node.number));
         let read_late = self.is_reading_late();
         let (request, node, wait_ms) = (pull.request, self.number, pull.wait_ms);
-        let sent_at = self.judge.sent_at(request, link.ports);
+        let sent_at = self.checker.sent_at(request, link.ports);
         let attempt = Attempt { request, node, source, wait_ms, read_late, link, sent_at };
-        let is_up = self.judge.on_attempt(&attempt) == NodeCondition::Up;
-        is_up.then(|| sent_at.unwrap_or(if read_late { 0.0 } else { self.judge.now() }))
+        let is_up = self.checker.on_attempt(&attempt) == NodeCondition::Up;
+        is_up.then(|| sent_at.unwrap_or(if read_late { 0.0 } else { self.checker.now() }))
     }
 
     /// Executes one attempt and answers it according to the current behavior.
@@ -392,7 +392,7 @@
         mut stream: &TcpStream,
         nodes: &Nodes,
     ) -> io::Result<Connection> {
-        let QueuedPull { pull, received_at, admission } = queued;
+        let QueuedPull { pull, attempted_at, admission } = queued;
         let source = pull.source.as_ref().and_then(|name| lock(nodes).get(name).cloned());
         self.wait_for_turn(*admission);
         std::thread::sleep(Duration::from_micros(1_000 + pull.object % 7_000));
@@ -400,26 +400,26 @@
             return Ok(Connection::Closed);
         }
         if lock(cancelled).contains(pull.request) {
-            self.judge.count("attempts given up before they were begun");
+            self.checker.count("attempts given up before they were begun");
             return Ok(Connection::Open);
         }
         let behavior = self.behavior_for(*admission);
         if behavior == Misbehavior::Full {
-            self.judge.on_not_run(pull.request, link.ports);
+            self.checker.on_not_run(pull.request, link.ports);
         }
         if let Some(connection) = misbehave_before_work(behavior, pull, stream)? {
             return Ok(connection);
         }
         let Some(issued_ms) = self.copy_issued_ms(pull, source.as_deref()) else {
-            self.judge.on_not_run(pull.request, link.ports);
+            self.checker.on_not_run(pull.request, link.ports);
             stream.write_all(pull.empty_answer("NOENT").as_bytes())?;
             return Ok(Connection::Open);
         };
-        self.judge.on_executed(pull.request);
+        self.checker.on_executed(pull.request);
         if let Some(connection) = misbehave_after_work(behavior, pull, stream)? {
             return Ok(connection);
         }
-        self.judge.on_copy_served(pull.request, *received_at, issued_ms);
+        self.checker.on_copy_served(pull.request, *attempted_at, issued_ms);
         let answer = pull.copy_answer(issued_ms, behavior);
         stream.write_all(answer.as_bytes())?;
         if behavior == Misbehavior::Twice {
@@ -431,7 +431,7 @@
 
     fn wait_for_turn(&self, admission: Admission) {
         let Admission::BeginsAt(begins_at) = admission else { return };
-        let wait = begins_at - self.judge.now();
+        let wait = begins_at - self.checker.now();
         if wait > 0.0 {
             std::thread::sleep(Duration::from_secs_f64(wait));
         }
@@ -441,7 +441,7 @@
     fn behavior_for(&self, admission: Admission) -> Misbehavior {
         let behavior = self.behavior();
         if admission == Admission::Full && behavior.serves() {
-            self.judge.count("attempts turned away as full");
+            self.checker.count("attempts turned away as full");
             return Misbehavior::Full;
         }
         behavior
--- a/crates/testbed/src/soak/report.rs
+++ b/crates/testbed/src/soak/report.rs
@@ -6,8 +6,8 @@
 use super::evidence::TimeSpan;
 use super::fault_log::FaultSpan;
 use super::invariants::{Rule, Violation};
-use super::judge::NearestColdNode;
 use super::lateness::Lateness;
+use super::rule_checker::NearestColdNode;
 
 #[cfg(test)]
 mod tests;
--- a/crates/testbed/src/soak/judge.rs
+++ b/crates/testbed/src/soak/rule_checker.rs
@@ -84,7 +84,7 @@
 }
 
 #[derive(Default)]
-struct JudgeState {
+struct CheckerState {
     requests: HashMap<u64, Request>,
     directors: HashMap<usize, DirectorView>,
     cold_nodes: HashMap<usize, ColdNode>,
@@ -95,10 +95,10 @@
 }
 
 /// Collects the reports of clients, discovery and nodes, checks them, and keeps the violations.
-pub(crate) struct Judge {
+pub(crate) struct RuleChecker {
     /// When the soak began, in nanoseconds of the monotonic clock, which is the same for all processes of the machine.
     started_ns: u64,
-    state: Mutex<JudgeState>,
+    state: Mutex<CheckerState>,
     /// The send logs of the directors; empty if no fault library writes them.
     send_logs: OnceLock<Vec<Mutex<SendLog>>>,
 }
@@ -109,9 +109,9 @@
     time.tv_sec as u64 * 1_000_000_000 + time.tv_nsec as u64
 }
 
-impl Judge {
-    pub(crate) fn new() -> Judge {
-        Judge { started_ns: monotonic_ns(), state: Mutex::default(), send_logs: OnceLock::new() }
+impl RuleChecker {
+    pub(crate) fn new() -> RuleChecker {
+        RuleChecker { started_ns: monotonic_ns(), state: Mutex::default(), send_logs: OnceLock::new() }
     }
 
     /// Sets the files, one for each director, from which the send times of attempts are read.
@@ -339,9 +339,9 @@
     }
 
     /// Checks a served copy: one made (at `issued_ms`, Unix time) before a purge is a violation if its attempt was sent
-    /// later than the purge grace after the director was notified of the purge. `received_at` is when the attempt was
+    /// later than the purge grace after the director was notified of the purge. `attempted_at` is when the attempt was
     /// sent or, if that is not known, when it was received.
-    pub(crate) fn on_copy_served(&self, id: u64, received_at: Seconds, issued_ms: u64) {
+    pub(crate) fn on_copy_served(&self, id: u64, attempted_at: Seconds, issued_ms: u64) {
         let violated = {
             let state = lock(&self.state);
             let Some(request) = state.requests.get(&id) else { return };
@@ -349,7 +349,7 @@
             let purge = view.and_then(|view| view.purged.get(&request.object)).copied();
             purge.filter(|purge| {
                 issued_ms < purge.made_ms
-                    && received_at > purge.notified_at + PURGE_GRACE_SECONDS + OBSERVER_TOLERANCE_SECONDS
+                    && attempted_at > purge.notified_at + PURGE_GRACE_SECONDS + OBSERVER_TOLERANCE_SECONDS
             })
         };
         if let Some(NotifiedPurge { notified_at, made_ms }) = violated {
@@ -357,7 +357,7 @@
             let detail = format!(
                 "request {id:016x}: a copy {older} ms older than a purge, notified at {notified_at:.3}"
             );
-            let evidence = Evidence::Observed(TimeSpan { from: notified_at, to: received_at });
+            let evidence = Evidence::Observed(TimeSpan { from: notified_at, to: attempted_at });
             self.record(Finding { rule: Rule::Purged, evidence, detail });
         }
     }
@@ -376,7 +376,7 @@
     }
 }
 
-impl JudgeState {
+impl CheckerState {
     fn count(&mut self, counter: &'static str) {
         *self.counts.entry(counter).or_default() += 1;
     }
--- a/crates/testbed/src/soak/judge/checks.rs
+++ b/crates/testbed/src/soak/rule_checker/checks.rs
@@ -2,7 +2,7 @@
 
 use super::attempt::{Attempt, SentAttempt};
 use super::slow_start::ColdCall;
-use super::{JudgeState, Request};
+use super::{CheckerState, Request};
 use crate::soak::Seconds;
 use crate::soak::evidence::{Evidence, TimeSpan};
 use crate::soak::invariants::{
@@ -17,7 +17,7 @@
     pub(super) detail: String,
 }
 
-impl JudgeState {
+impl CheckerState {
     pub(super) fn check_attempt(&mut self, attempt: &Attempt, now: Seconds) -> Vec<Finding> {
         let mut findings = Vec::new();
         self.count("attempts");
--- a/crates/testbed/src/soak/judge/slow_start.rs
+++ b/crates/testbed/src/soak/rule_checker/slow_start.rs
@@ -8,7 +8,7 @@
 use std::collections::{HashMap, HashSet};
 use std::fmt;
 
-use super::JudgeState;
+use super::CheckerState;
 use super::checks::Finding;
 use crate::soak::Seconds;
 use crate::soak::capacity::slow_start_share;
@@ -189,7 +189,7 @@
     }
 }
 
-impl JudgeState {
+impl CheckerState {
     /// Checks the calls that a cold node received within a second against those that make it collapse. Records the
     /// call, and the collapse if there is one.
     pub(super) fn check_slow_start(&mut self, node: usize, call: ColdCall) -> Option<Finding> {
--- a/crates/testbed/src/soak/judge/slow_start/tests.rs
+++ b/crates/testbed/src/soak/rule_checker/slow_start/tests.rs
@@ -6,8 +6,8 @@
 const NODE: usize = 12;
 
 /// Returns a state with a cold node that started at second 10.
-fn started(capacity: f64) -> JudgeState {
-    let mut state = JudgeState::default();
+fn started(capacity: f64) -> CheckerState {
+    let mut state = CheckerState::default();
     state.cold_nodes.insert(NODE, ColdNode { since: 10.0, capacity, ..ColdNode::default() });
     state
 }
@@ -17,7 +17,7 @@
 }
 
 /// Reports this many calls of a director. Returns whether one of them broke the rule.
-fn report(state: &mut JudgeState, director: usize, at: Seconds, count: usize) -> bool {
+fn report(state: &mut CheckerState, director: usize, at: Seconds, count: usize) -> bool {
     (0..count).filter_map(|_| state.check_slow_start(NODE, call(director, at))).count() > 0
 }
 
@@ -40,7 +40,7 @@
 fn a_node_that_is_warm_or_never_was_cold_does_not_collapse() {
     let mut state = started(1.0);
     assert!(!report(&mut state, 1, 16.01, 500) && !state.has_collapsed(NODE));
-    let mut state = JudgeState::default();
+    let mut state = CheckerState::default();
     assert!(!report(&mut state, 1, 10.0, 500) && !state.has_collapsed(NODE));
 }
 
--- a/crates/testbed/src/soak/run.rs
+++ b/crates/testbed/src/soak/run.rs
@@ -15,10 +15,10 @@
 use super::fault_log::FaultLog;
 use super::fault_plan::plan_faults;
 use super::invariants::Rule;
-use super::judge::Judge;
 use super::lateness::{Lateness, LatenessSampler};
 use super::node::{Node, Nodes};
 use super::report::SoakReport;
+use super::rule_checker::RuleChecker;
 use crate::director_process::{endpoint_json, members_event, wait_until_serving};
 use crate::ports::PortAllocator;
 use crate::process::{TrialError, io_error};
@@ -34,7 +34,7 @@
 pub(super) struct Soak<'a> {
     pub(super) options: &'a Options,
     program: &'a (dyn Fn() -> Command + Sync),
-    pub(super) judge: Arc<Judge>,
+    pub(super) checker: Arc<RuleChecker>,
     pub(super) discovery: Arc<Discovery>,
     pub(super) directors: Vec<Arc<Director>>,
     nodes: Nodes,
@@ -58,7 +58,7 @@
         capacity: Option<Capacity>,
     ) -> Result<Arc<Node>, TrialError> {
         let number = lock(&self.nodes_by_number).len();
-        let node = Node::start(number, name, kind, capacity, &self.judge, &self.nodes)
+        let node = Node::start(number, name, kind, capacity, &self.checker, &self.nodes)
             .map_err(io_error("node stub"))?;
         lock(&self.nodes_by_number).push(Arc::clone(&node));
         Ok(node)
@@ -122,7 +122,7 @@
             for number in 0..self.options.clients_per_director {
                 let client = Client {
                     director: Arc::clone(director),
-                    judge: Arc::clone(&self.judge),
+                    checker: Arc::clone(&self.checker),
                     finished: Arc::clone(finished),
                     next_id: Arc::clone(&next_id),
                     seed: self.options.seed ^ ((director.number as u64) << 32) ^ ((number as u64) << 16),
@@ -138,7 +138,7 @@
         for director in &self.directors {
             if director.has_crashed() {
                 let detail = format!("director {} exited by itself", director.number);
-                self.judge.record_violation(Rule::Crash, detail);
+                self.checker.record_violation(Rule::Crash, detail);
             } else {
                 director.terminate();
                 director.wait_for_exit();
@@ -152,16 +152,20 @@
             let log = std::fs::read_to_string(&director.log).unwrap_or_default();
             let is_found = |line: &&str| line.contains(VIOLATION_IN_LOG) || line.contains(PANIC_IN_LOG);
             for line in log.lines().filter(is_found) {
-                self.judge.record_violation(Rule::Inside, format!("director {}: {line}", director.number));
+                self.checker.record_violation(Rule::Inside, format!("director {}: {line}", director.number));
             }
         }
     }
 }
 
 /// Creates the directors, each with its own port.
-fn make_directors(count: usize, folder: &Path, judge: &Arc<Judge>) -> Result<Vec<Arc<Director>>, TrialError> {
+fn make_directors(
+    count: usize,
+    folder: &Path,
+    checker: &Arc<RuleChecker>,
+) -> Result<Vec<Arc<Director>>, TrialError> {
     let mut ports = PortAllocator::new();
-    let director = |number| Ok(Arc::new(Director::new(number, ports.allocate()?, folder, judge)));
+    let director = |number| Ok(Arc::new(Director::new(number, ports.allocate()?, folder, checker)));
     (0..count).map(director).collect()
 }
 
@@ -178,25 +182,25 @@
     folder: &Path,
 ) -> Result<SoakReport, TrialError> {
     std::fs::create_dir_all(folder).map_err(io_error(folder.display().to_string()))?;
-    let judge = Arc::new(Judge::new());
+    let checker = Arc::new(RuleChecker::new());
     let soak = Soak {
         options,
         program,
-        judge: Arc::clone(&judge),
-        discovery: Discovery::start(&judge, options.directors).map_err(io_error("discovery"))?,
-        directors: make_directors(options.directors, folder, &judge)?,
+        checker: Arc::clone(&checker),
+        discovery: Discovery::start(&checker, options.directors).map_err(io_error("discovery"))?,
+        directors: make_directors(options.directors, folder, &checker)?,
         nodes: Nodes::default(),
         faults: FaultLog::default(),
         nodes_by_number: Mutex::default(),
         places: Mutex::default(),
     };
-    judge.read_send_logs(soak.directors.iter().map(|director| director.send_log.clone()));
+    checker.read_send_logs(soak.directors.iter().map(|director| director.send_log.clone()));
     soak.start_nodes()?;
     report_overdue_notifications(&soak.discovery, options.directors);
     soak.start_directors()?;
 
     let finished = Arc::new(AtomicBool::new(false));
-    let clock = Arc::clone(&judge);
+    let clock = Arc::clone(&checker);
     let lateness = LatenessSampler::start(move || clock.now());
     let clients = soak.start_clients(&finished);
     let started = Instant::now();
@@ -211,15 +215,15 @@
     finished.store(true, Ordering::Relaxed);
     for client in clients {
         if client.join().is_err() {
-            judge.record_violation(Rule::Unknown, "a client of the soak panicked".into());
+            checker.record_violation(Rule::Unknown, "a client of the soak panicked".into());
         }
     }
     soak.stop_directors();
     soak.check_logs();
-    let lateness = Lateness { writes: judge.writes(), ..lateness.finish() };
+    let lateness = Lateness { writes: checker.writes(), ..lateness.finish() };
     let faults = soak.faults.spans();
-    let nearest_cold_node = judge.nearest_cold_node();
-    let (violations, counts) = judge.finish();
+    let nearest_cold_node = checker.nearest_cold_node();
+    let (violations, counts) = checker.finish();
     let planned_faults = plan_faults(options).len();
     Ok(SoakReport { violations, counts, nearest_cold_node, planned_faults, faults, lateness })
 }
--- a/crates/testbed/src/soak/service.rs
+++ b/crates/testbed/src/soak/service.rs
@@ -28,15 +28,15 @@
             }
             for series in plan.signals {
                 self.sleep_until(series.at);
-                if self.judge.now() > end {
+                if self.checker.now() > end {
                     return;
                 }
                 scope.spawn(move || {
                     let director = &self.directors[series.director];
                     let _guard = series.stops().then(|| lock(&restarts[series.director]));
-                    let fault = self.faults.begin(self.judge.now(), format!("{series:?}"));
+                    let fault = self.faults.begin(self.checker.now(), format!("{series:?}"));
                     self.send_series(director, &series);
-                    self.faults.end(self.judge.now(), fault);
+                    self.faults.end(self.checker.now(), fault);
                 });
             }
         });
@@ -61,20 +61,20 @@
     /// again.
     fn run_crowd(&self, crowd: &Crowd, end: Seconds) {
         self.sleep_until(crowd.at);
-        let fault = self.faults.begin(self.judge.now(), format!("{crowd:?}"));
+        let fault = self.faults.begin(self.checker.now(), format!("{crowd:?}"));
         let address = self.directors[crowd.director].address;
         let connections: Vec<TcpStream> =
             (0..crowd.connections).filter_map(|_| TcpStream::connect(address).ok()).collect();
         let until = (crowd.at + crowd.seconds).min(end);
-        while self.judge.now() < until {
+        while self.checker.now() < until {
             thread::sleep(CROWD_POLL);
         }
         drop(connections);
-        self.faults.end(self.judge.now(), fault);
+        self.faults.end(self.checker.now(), fault);
     }
 
     pub(super) fn sleep_until(&self, at: Seconds) {
-        let wait = at - self.judge.now();
+        let wait = at - self.checker.now();
         if wait > 0.0 {
             thread::sleep(Duration::from_secs_f64(wait));
         }
