--- a/crates/relay/src/retention.rs
+++ b/crates/relay/src/retention.rs
@@ -7,7 +7,7 @@
 use sablecross_coordination::Ns;
 
 /// For how long the router keeps applying a purge after nodes have cleared the purged objects; equals
-/// `PURGE_EXTRA_TIME` of the router (`src/cache_policy.rs`).
+/// `PURGE_HOLD_TIME` of the router (`src/cache_policy.rs`).
 pub const PURGE_HOLD_TIME: Ns = 120_000_000_000;
 
 const NS_PER_MS: Ns = 1_000_000;
--- a/crates/testbed/src/scale/evaluation.rs
+++ b/crates/testbed/src/scale/evaluation.rs
@@ -4,8 +4,8 @@
 
 use super::pool_messages::{EventArrival, Finished, PoolProgress};
 use super::report::{DirectorUse, Latency, RecoveryTime, RelayUse, Report};
-use super::settings::Scale;
-use super::source::Published;
+use super::settings::ScaleTrial;
+use super::source::LoadEvent;
 
 /// Bytes of packet headers for each read, by arithmetic: a data packet and its acknowledgement.
 const HEADER_BYTES_PER_READ: f64 = 132.0;
@@ -71,7 +71,7 @@
     /// When the load started, by the shared clock.
     pub(crate) start_ns: u64,
     /// The event with content `n` is at index `n - 1`.
-    pub(crate) published: Vec<Published>,
+    pub(crate) load_events: Vec<LoadEvent>,
     pub(crate) publish_retries: usize,
     pub(crate) progress: Vec<PoolProgress>,
     pub(crate) finished: Vec<Finished>,
@@ -89,7 +89,7 @@
 
 /// The input from which the report is computed.
 pub(crate) struct Evaluation<'a> {
-    pub(crate) settings: &'a Scale,
+    pub(crate) settings: &'a ScaleTrial,
     pub(crate) counts: &'a Counts,
     /// The sample at the end of the warm-up.
     pub(crate) first: &'a Sample,
@@ -126,21 +126,21 @@
         // A content under two numbers counts as applied twice, even if no single director applied it twice.
         let duplicated = (contents.len() - contents.iter().collect::<BTreeSet<_>>().len()) as u64;
         let mut arrivals = Arrivals { by_number, different, duplicated };
-        arrivals.different += arrivals.wrong_contents(&counts.published);
+        arrivals.different += arrivals.wrong_contents(&counts.load_events);
         arrivals
     }
 
     /// Counts the published events under whose number another event arrived.
-    fn wrong_contents(&self, published: &[Published]) -> u64 {
-        let is_wrong = |(place, event): &(usize, &Published)| {
+    fn wrong_contents(&self, load_events: &[LoadEvent]) -> u64 {
+        let is_wrong = |(place, event): &(usize, &LoadEvent)| {
             let content = event.number.and_then(|number| self.by_number.get(&number)?.content);
             content.is_some_and(|content| content as usize != place + 1)
         };
-        published.iter().enumerate().filter(is_wrong).count() as u64
+        load_events.iter().enumerate().filter(is_wrong).count() as u64
     }
 
     /// When an event was applied everywhere; none if it was not confirmed or has no timed arrival.
-    fn applied_everywhere(&self, event: &Published) -> Option<u64> {
+    fn applied_everywhere(&self, event: &LoadEvent) -> Option<u64> {
         let arrival = self.by_number.get(&event.number?)?;
         Some(arrival.last_ns).filter(|at| *at > 0)
     }
@@ -188,8 +188,8 @@
             counts.finished.iter().flat_map(|finished| &finished.catch_up).map(|ms| *ms as f64).collect();
         Report {
             trial: self.settings.clone(),
-            published: counts.published.len(),
-            unconfirmed: counts.published.iter().filter(|event| event.number.is_none()).count(),
+            published: counts.load_events.len(),
+            unconfirmed: counts.load_events.iter().filter(|event| event.number.is_none()).count(),
             publish_retries: counts.publish_retries,
             confirmed: self.confirmation_latency(),
             purges: latencies.purges.latency(),
@@ -234,7 +234,7 @@
     /// For each fault, when all events queued before its end were applied everywhere.
     fn recovered_at(&self, arrivals: &Arrivals) -> Vec<u64> {
         let recovered_at = |fault: &FaultWindow| {
-            let before = self.counts.published.iter().filter(|event| event.queued_ns <= fault.to_ns);
+            let before = self.counts.load_events.iter().filter(|event| event.queued_ns <= fault.to_ns);
             let applied = before.filter_map(|event| arrivals.applied_everywhere(event));
             applied.filter(|at| *at >= fault.from_ns).max().unwrap_or(fault.to_ns).max(fault.to_ns)
         };
@@ -242,7 +242,7 @@
     }
 
     /// The end times of the faults that overlap with the delivery of an event and excuse its lateness.
-    fn faults_in_way(&self, event: &Published, applied_at: u64, recovered_at: &[u64]) -> Vec<u64> {
+    fn faults_in_way(&self, event: &LoadEvent, applied_at: u64, recovered_at: &[u64]) -> Vec<u64> {
         let faults = self.faults.iter().zip(recovered_at);
         faults
             .filter(|(fault, _)| self.settings.faults[fault.number].kind.excuses_lateness())
@@ -262,7 +262,7 @@
             reported_early: 0,
             seconds: vec![0; self.settings.seconds as usize],
         };
-        for event in &self.counts.published {
+        for event in &self.counts.load_events {
             let Some(applied_at) = arrivals.applied_everywhere(event) else { continue };
             let ends = self.faults_in_way(event, applied_at, &recovered_at);
             let millis = applied_at.saturating_sub(event.queued_ns) as f64 / NS_PER_MS;
@@ -288,7 +288,7 @@
 
     /// Whether an event took longer than the settings allow, counted from its publication or, if later, from the end of
     /// the last fault in its way.
-    fn is_late(&self, event: &Published, applied_at: u64, fault_ends: &[u64]) -> bool {
+    fn is_late(&self, event: &LoadEvent, applied_at: u64, fault_ends: &[u64]) -> bool {
         let settings = self.settings;
         let within_ms = 1e3 * if event.is_change { settings.change_within } else { settings.purge_within };
         let since = fault_ends.iter().copied().fold(event.queued_ns, u64::max);
@@ -296,7 +296,7 @@
     }
 
     /// Records when the relays reported that an event was applied everywhere, and whether that was too early.
-    fn add_reported(&self, all: &mut Latencies, event: &Published, applied_at: u64) {
+    fn add_reported(&self, all: &mut Latencies, event: &LoadEvent, applied_at: u64) {
         let reported = &self.counts.reported;
         // A leader reports only numbers that were applied everywhere after it became the leader.
         if reported.first().is_none_or(|first| first.since_ns > event.queued_ns) {
@@ -310,7 +310,7 @@
     }
 
     fn confirmation_latency(&self) -> Latency {
-        let confirmed = self.counts.published.iter().filter(|event| event.number.is_some());
+        let confirmed = self.counts.load_events.iter().filter(|event| event.number.is_some());
         let millis: Vec<f64> = confirmed
             .map(|event| event.confirmed_ns.saturating_sub(event.queued_ns) as f64 / NS_PER_MS)
             .collect();
@@ -320,7 +320,7 @@
     fn recovery_times(&self, arrivals: &Arrivals) -> Vec<RecoveryTime> {
         let recovered_at = self.recovered_at(arrivals);
         let recovery_time = |(fault, recovered_at): (&FaultWindow, &u64)| {
-            let before = self.counts.published.iter().filter(|event| event.queued_ns <= *recovered_at);
+            let before = self.counts.load_events.iter().filter(|event| event.queued_ns <= *recovered_at);
             let applied =
                 before.filter_map(|event| Some((event.queued_ns, arrivals.applied_everywhere(event)?)));
             let late =
--- a/crates/testbed/src/scale/installation.rs
+++ b/crates/testbed/src/scale/installation.rs
@@ -17,7 +17,7 @@
 use super::pool_messages::{DirectorIdentity, Finished, PoolCommand, PoolProgress, PoolReport, shared_ns};
 use super::processes::{PoolProcess, RealDirector, ReportFromPool, process_use};
 use super::run::ScheduledAction;
-use super::settings::{Fault, FaultKind, Scale};
+use super::settings::{Fault, FaultKind, ScaleTrial};
 use super::source::{Source, status};
 use super::tier::{Program, Tier, purge_retention_ms};
 use crate::clock::unix_ms;
@@ -63,7 +63,7 @@
 
 /// The processes of a trial and the links between them.
 pub(super) struct Installation<'a> {
-    settings: &'a Scale,
+    settings: &'a ScaleTrial,
     program: Program<'a>,
     pub(super) tier: Tier,
     pools: Vec<PoolProcess>,
@@ -77,7 +77,7 @@
 impl<'a> Installation<'a> {
     /// Starts all directors with the given known events.
     pub(super) fn start(
-        settings: &'a Scale,
+        settings: &'a ScaleTrial,
         program: Program<'a>,
         folder: &Path,
         tier: Tier,
@@ -245,7 +245,7 @@
 
     /// Ends the simulated directors and collects their results. A process that reports no result in time is left out.
     pub(super) fn finish(&mut self, source: &Source) -> Result<Vec<Finished>, TrialError> {
-        self.send_to_all(&PoolCommand::Finish { published: source.events(), list: source.list() })?;
+        self.send_to_all(&PoolCommand::Finish { published: source.confirmed_events(), list: source.list() })?;
         let started = Instant::now();
         while self.pools.iter().any(|pool| pool.finished.is_none()) && started.elapsed() < RESULT_TIMEOUT {
             self.take_reports();
@@ -376,7 +376,7 @@
 
 /// The configuration of a director, real or simulated.
 fn config_text(
-    settings: &Scale,
+    settings: &ScaleTrial,
     number: usize,
     listen: SocketAddr,
     feeds: &[SocketAddr],
@@ -398,7 +398,7 @@
 
 /// Creates a link from each real director to each of its relays.
 fn link_real_directors(
-    settings: &Scale,
+    settings: &ScaleTrial,
     tier: &Tier,
     has_ended: &Arc<AtomicBool>,
 ) -> Result<LinkProxies, TrialError> {
@@ -413,7 +413,7 @@
 }
 
 fn start_real_directors(
-    settings: &Scale,
+    settings: &ScaleTrial,
     program: Program,
     folder: &Path,
     links: &LinkProxies,
@@ -439,7 +439,7 @@
 
 /// Starts the processes of simulated directors and assigns the directors to them in turn.
 fn start_pools(
-    settings: &Scale,
+    settings: &ScaleTrial,
     program: Program,
     folder: &Path,
     tier: &Tier,
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -16,4 +16,4 @@
 pub use pool::run as run_simulated_directors;
 pub use report::{DirectorUse, Latency, RecoveryTime, RelayUse, Report};
 pub use run::run;
-pub use settings::Scale;
+pub use settings::ScaleTrial;
--- a/crates/testbed/src/scale/pool_messages.rs
+++ b/crates/testbed/src/scale/pool_messages.rs
@@ -23,7 +23,7 @@
 
 /// A confirmed event of the load.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub(crate) struct PublishedEvent {
+pub(crate) struct ConfirmedEvent {
     /// The number under which it was confirmed.
     pub(crate) number: u64,
     /// Identifies the event within the load, from 1.
@@ -57,7 +57,7 @@
     /// Compares what the directors applied with what was published, reports the result and exits.
     Finish {
         #[serde(rename = "told")]
-        published: Vec<PublishedEvent>,
+        published: Vec<ConfirmedEvent>,
         /// For each node, the content of its last change and whether it has gone.
         list: Vec<(u32, bool)>,
     },
--- a/crates/testbed/src/scale/report.rs
+++ b/crates/testbed/src/scale/report.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::settings::Scale;
+use super::settings::ScaleTrial;
 use crate::client_load::histogram;
 use crate::trial_report::{Chart, TrialReport};
 
@@ -107,7 +107,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Report {
     /// The settings.
-    pub trial: Scale,
+    pub trial: ScaleTrial,
     /// Events that were published.
     pub published: usize,
     /// Of these, those that the leader of the relays or the source never confirmed.
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -13,8 +13,8 @@
 use super::installation::{ActiveFault, Installation};
 use super::pool_messages::{PoolCommand, shared_ns};
 use super::report::Report;
-use super::settings::Scale;
-use super::source::{Outlet, Source, first_event};
+use super::settings::ScaleTrial;
+use super::source::{PublishTarget, Source, first_event};
 use super::tier::{Program, Tier, purge_retention_ms};
 use crate::discovery_stub::DiscoveryStub;
 use crate::process::{TrialError, io_error, machine_memory_mb};
@@ -44,7 +44,7 @@
 }
 
 /// Fails if a trial needs more than half of the machine's memory or more than `MAX_PROCESSES` processes.
-fn check_size(settings: &Scale) -> Result<(), TrialError> {
+fn check_size(settings: &ScaleTrial) -> Result<(), TrialError> {
     let kept_seconds = (purge_retention_ms(settings) as f64 / 1e3).min(settings.seconds as f64);
     let bursts: f64 = settings.faults.iter().map(|fault| fault.count as f64).sum();
     let known_purges = settings.purges * kept_seconds + bursts;
@@ -76,7 +76,7 @@
 /// Returns an error if the machine is too small for the trial, or a file, socket or process of the trial can't be
 /// created. Violations are not errors: the report lists them.
 pub fn run(
-    settings: &Scale,
+    settings: &ScaleTrial,
     program: Program,
     folder: &Path,
     mut progress: impl FnMut(&str),
@@ -85,8 +85,8 @@
     std::fs::create_dir_all(folder).map_err(io_error(folder.display().to_string()))?;
     let has_ended = Arc::new(AtomicBool::new(false));
     let state = Arc::new(TrialState::new(Instant::now()));
-    let (tier, outlet) = start_tier(settings, program, folder, &state, &has_ended)?;
-    let Some((source, first_number)) = Source::start(settings, outlet) else {
+    let (tier, target) = start_tier(settings, program, folder, &state, &has_ended)?;
+    let Some((source, first_number)) = Source::start(settings, target) else {
         return Err(TrialError::TooLarge("the endpoint list could not be published".into()));
     };
     let known = known_events(settings, first_number);
@@ -107,27 +107,27 @@
 
 /// Starts the relays, and the one source if no relay votes.
 fn start_tier(
-    settings: &Scale,
+    settings: &ScaleTrial,
     program: Program,
     folder: &Path,
     state: &Arc<TrialState>,
     has_ended: &Arc<AtomicBool>,
-) -> Result<(Tier, Outlet), TrialError> {
+) -> Result<(Tier, PublishTarget), TrialError> {
     if settings.voters > 0 {
         let tier = Tier::start(settings, program, folder, None, has_ended)?;
         let voters = tier.voters();
-        return Ok((tier, Outlet::Relays(voters)));
+        return Ok((tier, PublishTarget::Relays(voters)));
     }
     let source = DiscoveryStub::start(state, channel().0).map_err(io_error("the discovery source"))?;
     let tier = match settings.relays {
         0 => Tier::without_relays(source.address, has_ended)?,
         _ => Tier::start(settings, program, folder, Some(source.address), has_ended)?,
     };
-    Ok((tier, Outlet::Source(source)))
+    Ok((tier, PublishTarget::Source(source)))
 }
 
 /// The events that directors know at their start: a snapshot of the endpoint list.
-fn known_events(settings: &Scale, number: u64) -> Value {
+fn known_events(settings: &ScaleTrial, number: u64) -> Value {
     let text = format!("{{\"n\":{number},{}}}", first_event(settings));
     let event: Value = serde_json::from_str(&text).unwrap_or_default();
     json!({"n": number, "events": [event]})
@@ -135,7 +135,7 @@
 
 /// The phase of a trial in which events are published and faults are injected.
 struct LoadPhase<'a> {
-    settings: &'a Scale,
+    settings: &'a ScaleTrial,
     installation: Installation<'a>,
     source: Source,
     /// The number of the first event, the snapshot of the endpoint list.
@@ -157,7 +157,7 @@
 
 impl<'a> LoadPhase<'a> {
     fn new(
-        settings: &'a Scale,
+        settings: &'a ScaleTrial,
         installation: Installation<'a>,
         source: Source,
         first_number: u64,
@@ -200,7 +200,7 @@
             }
             if now as u64 > self.reported_second {
                 self.reported_second = now as u64;
-                let published = self.source.published().len();
+                let published = self.source.load_events().len();
                 progress(&self.installation.progress_line(self.reported_second, published));
             }
             last_step = Instant::now();
@@ -281,7 +281,7 @@
     fn counts(&mut self) -> Result<Counts, TrialError> {
         let settle = Duration::from_secs(self.settings.settle);
         self.source.finish(settle);
-        let numbers = self.source.events();
+        let numbers = self.source.confirmed_events();
         let last_number = numbers.iter().map(|event| event.number).max().unwrap_or(self.first_number);
         let installation = &mut self.installation;
         let behind = installation.wait_for_number(last_number, settle);
@@ -292,7 +292,7 @@
         let silent = installation.pool_count() - finished.len();
         Ok(Counts {
             start_ns: self.start_ns,
-            published: self.source.published(),
+            load_events: self.source.load_events(),
             publish_retries: self.source.retries(),
             progress: installation.progress(),
             silent,
--- a/crates/testbed/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 enum Form {
-    Scale(#[garde(dive)] Scale),
+    Scale(#[garde(dive)] ScaleTrial),
 }
 
 /// A kind of fault. Its name is part of reports.
@@ -82,7 +82,7 @@
 /// Fields with bounds have the names of their keys, as errors find the key in the file by the field's name.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate, PartialEq)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct Scale {
+pub struct ScaleTrial {
     /// The name of the trial, with which the report begins.
     #[garde(length(min = 1, max = 40))]
     pub name: String,
@@ -236,7 +236,7 @@
     7_000.0
 }
 
-impl Scale {
+impl ScaleTrial {
     /// The number of processes of simulated directors.
     pub(crate) fn process_count(&self) -> usize {
         let own = if self.processes > 0 { self.processes } else { self.hollow.div_ceil(500) };
@@ -281,7 +281,7 @@
     }
 
     /// The same trial without relays and their faults, in which one source serves all directors.
-    pub fn without_relays(mut self) -> Scale {
+    pub fn without_relays(mut self) -> ScaleTrial {
         (self.relays, self.voters) = (0, 0);
         self.faults.retain(|f| !f.kind.affects_relays());
         self
@@ -293,7 +293,7 @@
 /// # Errors
 ///
 /// Returns one error for each problem, with file, line and key.
-pub fn parse(file: &str, text: &str) -> Result<Scale, Vec<ConfigError>> {
+pub fn parse(file: &str, text: &str) -> Result<ScaleTrial, Vec<ConfigError>> {
     let form = parse_single_form(file, text, "scale")?;
     let Form::Scale(scale) = &form.value;
     match scale.inconsistency() {
--- a/crates/testbed/src/scale/simulated_director.rs
+++ b/crates/testbed/src/scale/simulated_director.rs
@@ -1,6 +1,6 @@
 //! A simulated director: it runs the product's own discovery code and serves no clients. It follows the event stream by
 //! the rules of `sablecross-discovery`, parses events with the code of the real director, and applies them to a real
-//! decision module.
+//! router.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
@@ -23,7 +23,7 @@
 use crate::fleet::link_proxy::connect_from;
 
 use super::pool_messages::{
-    DirectorIdentity, EventArrival, Finished, PoolProgress, PublishedEvent, shared_ns,
+    ConfirmedEvent, DirectorIdentity, EventArrival, Finished, PoolProgress, shared_ns,
 };
 
 /// State that all simulated directors of one process share.
@@ -239,7 +239,7 @@
     /// the age at which a snapshot may leave it out; else it counts as missed.
     fn compare_with_published(
         &self,
-        published: &[PublishedEvent],
+        published: &[ConfirmedEvent],
         list: &[(u32, bool)],
         known: u64,
         purge_retention_ms: u64,
@@ -501,7 +501,7 @@
 
     pub(crate) fn compare_with_published(
         &self,
-        published: &[PublishedEvent],
+        published: &[ConfirmedEvent],
         list: &[(u32, bool)],
         purge_retention_ms: u64,
         shared: &mut Shared,
--- a/crates/testbed/src/scale/source.rs
+++ b/crates/testbed/src/scale/source.rs
@@ -17,8 +17,8 @@
 use sablecross_relay_server::settings::MemberForm;
 use serde_json::{Value, json};
 
-use super::pool_messages::{PublishedEvent, shared_ns};
-use super::settings::Scale;
+use super::pool_messages::{ConfirmedEvent, shared_ns};
+use super::settings::ScaleTrial;
 use crate::clock::unix_ms;
 use crate::discovery_stub::DiscoveryStub;
 use crate::schedule::exponential_interval;
@@ -33,7 +33,7 @@
 
 /// Where events are published.
 #[derive(Clone)]
-pub(crate) enum Outlet {
+pub(crate) enum PublishTarget {
     /// The one source.
     Source(DiscoveryStub),
     /// The voters, one of which is the leader.
@@ -80,7 +80,7 @@
 
 /// An event of the load, and when it was confirmed.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Published {
+pub(crate) struct LoadEvent {
     /// Whether the event changes the endpoint list; else it is a purge.
     pub(crate) is_change: bool,
     /// When the event was queued for publication, by the shared clock.
@@ -126,14 +126,14 @@
 }
 
 /// The first event of a trial: a snapshot of the endpoint list.
-pub(crate) fn first_event(settings: &Scale) -> String {
+pub(crate) fn first_event(settings: &ScaleTrial) -> String {
     let list = EndpointList::new(settings);
     let entries: Vec<Value> = (0..settings.nodes).map(|n| list.entry(n)).collect();
     format!("\"members\":{}", json!({"index": 0, "snapshot": true, "endpoints": entries}))
 }
 
 impl EndpointList {
-    fn new(settings: &Scale) -> EndpointList {
+    fn new(settings: &ScaleTrial) -> EndpointList {
         EndpointList {
             zones: settings.zones,
             entries: vec![ListEntry { status: "ready", since: 0, change: 0 }; settings.nodes],
@@ -197,15 +197,15 @@
 }
 
 /// The event with content `n` is at index `n - 1`. Content 0 is the first snapshot, which is not part of the load.
-type PublishedEvents = Arc<Mutex<Vec<Published>>>;
+type LoadEvents = Arc<Mutex<Vec<LoadEvent>>>;
 
 /// The source of all events.
 pub(crate) struct Source {
-    published: PublishedEvents,
+    load_events: LoadEvents,
     list: Arc<Mutex<EndpointList>>,
     /// The queue of purges and the queue of changes.
     queues: Arc<[Queue; 2]>,
-    outlet: Outlet,
+    target: PublishTarget,
     /// Prefix of the keys of all events.
     key_prefix: u64,
     seed: u64,
@@ -219,15 +219,15 @@
 impl Source {
     /// Publishes the first snapshot and starts the publishers. Returns the snapshot's number, or none if it was not
     /// confirmed.
-    pub(crate) fn start(settings: &Scale, outlet: Outlet) -> Option<(Source, u64)> {
+    pub(crate) fn start(settings: &ScaleTrial, target: PublishTarget) -> Option<(Source, u64)> {
         let mut rng = Pcg32::seed_from_u64(settings.seed);
         let due_seconds = [settings.purges, settings.changes]
             .map(|r| if r > 0.0 { exponential_interval(&mut rng, r) } else { f64::INFINITY });
         let source = Source {
-            published: PublishedEvents::default(),
+            load_events: LoadEvents::default(),
             list: Arc::new(Mutex::new(EndpointList::new(settings))),
             queues: Arc::default(),
-            outlet,
+            target,
             key_prefix: unix_ms(),
             seed: settings.seed + 1,
             retries: Arc::default(),
@@ -237,9 +237,9 @@
         };
         let first =
             source.publisher().publish(&first_event(settings), &format!("{}-0", source.key_prefix))?;
-        let publishers = match &source.outlet {
-            Outlet::Source(_) => 1,
-            Outlet::Relays(_) => ((settings.purges * 0.3) as usize + 4).min(MAX_PUBLISHERS),
+        let publishers = match &source.target {
+            PublishTarget::Source(_) => 1,
+            PublishTarget::Relays(_) => ((settings.purges * 0.3) as usize + 4).min(MAX_PUBLISHERS),
         };
         (0..publishers).for_each(|_| source.start_publisher(false));
         // All changes go through one publisher, so that those of one node keep their order.
@@ -248,9 +248,9 @@
     }
 
     fn publisher(&self) -> Publisher {
-        match &self.outlet {
-            Outlet::Source(source) => Publisher::Source(source.clone()),
-            Outlet::Relays(voters) => Publisher::Relays {
+        match &self.target {
+            PublishTarget::Source(source) => Publisher::Source(source.clone()),
+            PublishTarget::Relays(voters) => Publisher::Relays {
                 publisher: publisher::Publisher::new(voters),
                 retries: Arc::clone(&self.retries),
                 given_up: Arc::clone(&self.given_up),
@@ -260,7 +260,7 @@
 
     /// Starts a thread that publishes the events of one queue.
     fn start_publisher(&self, of_changes: bool) {
-        let (published, list) = (Arc::clone(&self.published), Arc::clone(&self.list));
+        let (load_events, list) = (Arc::clone(&self.load_events), Arc::clone(&self.list));
         let queues = Arc::clone(&self.queues);
         let (mut publisher, key_prefix) = (self.publisher(), self.key_prefix);
         let mut rng = Pcg32::seed_from_u64(self.seed);
@@ -269,20 +269,20 @@
                 let event = if of_changes {
                     lock(&list).change_node(&mut rng, content)
                 } else {
-                    let purged_ms = lock(&published)[content as usize - 1].purged_ms;
+                    let purged_ms = lock(&load_events)[content as usize - 1].purged_ms;
                     format!("\"purge\":{{\"key\":\"{content:016x}\",\"at\":{purged_ms}}}")
                 };
                 let key = format!("{key_prefix}-{content}");
                 let Some(number) = publisher.publish(&event, &key) else { return };
-                let published = &mut lock(&published)[content as usize - 1];
-                published.number = Some(number);
-                published.confirmed_ns = shared_ns();
+                let load_event = &mut lock(&load_events)[content as usize - 1];
+                load_event.number = Some(number);
+                load_event.confirmed_ns = shared_ns();
             }
         });
     }
 
     /// Queues the events that are due. `now` is in seconds from the start of the load.
-    pub(crate) fn step(&mut self, settings: &Scale, now: f64) {
+    pub(crate) fn step(&mut self, settings: &ScaleTrial, now: f64) {
         for (queue, rate) in [settings.purges, settings.changes].into_iter().enumerate() {
             while self.due_seconds[queue] <= now {
                 self.due_seconds[queue] += exponential_interval(&mut self.rng, rate);
@@ -293,16 +293,16 @@
 
     fn enqueue(&self, is_change: bool) {
         let content = {
-            let mut published = lock(&self.published);
+            let mut load_events = lock(&self.load_events);
             let purged_ms = if is_change { 0 } else { unix_ms() };
-            published.push(Published {
+            load_events.push(LoadEvent {
                 is_change,
                 queued_ns: shared_ns(),
                 purged_ms,
                 number: None,
                 confirmed_ns: 0,
             });
-            published.len() as u32
+            load_events.len() as u32
         };
         self.queues[usize::from(is_change)].push(content);
     }
@@ -316,24 +316,26 @@
     pub(crate) fn finish(&self, timeout: Duration) {
         self.queues.iter().for_each(Queue::end);
         let begun = Instant::now();
-        while begun.elapsed() < timeout && lock(&self.published).iter().any(|event| event.number.is_none()) {
+        while begun.elapsed() < timeout && lock(&self.load_events).iter().any(|event| event.number.is_none())
+        {
             std::thread::sleep(Duration::from_millis(20));
         }
         self.given_up.store(true, Ordering::Relaxed);
     }
 
     /// All events of the load, by content.
-    pub(crate) fn published(&self) -> Vec<Published> {
-        lock(&self.published).clone()
+    pub(crate) fn load_events(&self) -> Vec<LoadEvent> {
+        lock(&self.load_events).clone()
     }
 
     /// The confirmed events, as simulated directors compare them with what they applied.
-    pub(crate) fn events(&self) -> Vec<PublishedEvent> {
-        let published = lock(&self.published);
-        let confirmed =
-            (1..).zip(published.iter()).filter_map(|(content, event)| Some((content, event, event.number?)));
+    pub(crate) fn confirmed_events(&self) -> Vec<ConfirmedEvent> {
+        let load_events = lock(&self.load_events);
+        let confirmed = (1..)
+            .zip(load_events.iter())
+            .filter_map(|(content, event)| Some((content, event, event.number?)));
         confirmed
-            .map(|(content, event, number)| PublishedEvent { number, content, purged_ms: event.purged_ms })
+            .map(|(content, event, number)| ConfirmedEvent { number, content, purged_ms: event.purged_ms })
             .collect()
     }
 
--- a/crates/testbed/src/scale/tier.rs
+++ b/crates/testbed/src/scale/tier.rs
@@ -11,7 +11,7 @@
 use sablecross_relay_server::settings::MemberForm;
 
 use super::evaluation::{ProcessUse, RelayBytes};
-use super::settings::Scale;
+use super::settings::ScaleTrial;
 use super::source::leader;
 use crate::fleet::link_proxy::{HeldDirections, LinkProxies, Pair, PlannedLink};
 use crate::ports::{PortAllocator, ReservedPort, addresses_of};
@@ -135,7 +135,7 @@
     /// Starts the relays and waits until they serve. If some vote, it also waits until one of them is the leader; if
     /// none votes, they follow `source`.
     pub(crate) fn start(
-        settings: &Scale,
+        settings: &ScaleTrial,
         program: Program,
         folder: &Path,
         source: Option<SocketAddr>,
@@ -256,7 +256,7 @@
 
 /// The settings of a relay, in which the other relays have the addresses of its links to them.
 fn relay_settings(
-    settings: &Scale,
+    settings: &ScaleTrial,
     own: usize,
     feeds: &[SocketAddr],
     source: Option<SocketAddr>,
@@ -287,6 +287,6 @@
 const SLACK_MS: u64 = 2_000;
 
 /// How long relays keep a purge after it was made, in milliseconds.
-pub(crate) fn purge_retention_ms(settings: &Scale) -> u64 {
+pub(crate) fn purge_retention_ms(settings: &ScaleTrial) -> u64 {
     CLEARED_MS + settings.held_ms
 }
