--- a/crates/fault-injection/src/calls.rs
+++ b/crates/fault-injection/src/calls.rs
@@ -1,5 +1,6 @@
-//! Replacements for functions of the C library. Each injects a fault if one is due, and otherwise makes the system call
-//! itself.
+//! Replacements for functions of the C library. Most inject a fault if one is due, and otherwise make the system call
+//! themselves. `clock_gettime` shifts the wall clock, `shutdown` is only logged, and `pthread_create` without a fault
+//! calls the function of the C library.
 #![allow(clippy::missing_safety_doc)]
 
 use libc::{
@@ -32,7 +33,7 @@
     Other,
 }
 
-/// Whether a socket is of an internet family. Socket pairs within the process get no faults.
+/// Whether a socket is of an internet family. Transfers on socket pairs within the process get no faults.
 fn is_internet(socket: c_int) -> bool {
     let mut domain: c_int = 0;
     let mut length = size_of::<c_int>() as libc::socklen_t;
@@ -67,7 +68,7 @@
     }
 }
 
-/// The maximum number of bytes of a transfer, or the result with which it fails.
+/// The maximum number of bytes of a transfer (`usize::MAX` if it is not limited), or the result with which it fails.
 fn transfer(descriptor: c_int, on_socket: Call, on_file: Call) -> Result<usize, c_int> {
     let call = match descriptor_kind(descriptor) {
         DescriptorKind::Socket => on_socket,
--- a/crates/fault-injection/src/plan.rs
+++ b/crates/fault-injection/src/plan.rs
@@ -7,6 +7,9 @@
 //! fail CALL ERRNO FROM TO PERCENT      makes this percentage of the calls fail with this error
 //! short CALL BYTES FROM TO PERCENT     limits this percentage of the calls to a transfer of BYTES bytes
 //! ```
+//!
+//! The rules `fail` and `short` are in force from `FROM` until before `TO`. `short` affects only the calls that
+//! transfer data: `receive`, `send`, `file_read` and `file_write`.
 
 use std::str::{FromStr, SplitWhitespace};
 
@@ -54,7 +57,7 @@
 pub enum Fault {
     /// The call fails with this error number.
     Errno(i32),
-    /// The call transfers at most this many bytes.
+    /// The call transfers at most this many bytes; 0 counts as 1.
     Short(usize),
 }
 
@@ -166,14 +169,14 @@
         words.next().is_none().then_some(())
     }
 
-    /// The offset of the wall clock at this time: that of the latest step.
+    /// The offset of the wall clock at this time, which the latest step has set; 0 before the first step.
     pub(crate) fn clock_offset_ms(&self, at_ms: u64) -> i64 {
         let past = self.steps.iter().filter(|step| step.from_ms <= at_ms);
         past.max_by_key(|step| step.from_ms).map_or(0, |step| step.offset_ms)
     }
 
-    /// The fault that this call gets, if any: that of the first rule in force whose percentage exceeds the next value
-    /// of `roll`, a random number from 0 to 99.
+    /// The fault that this call gets, if any. Each rule in force for the call draws a value of `roll`, a random number
+    /// from 0 to 99, until the value is below the rule's percentage; that rule gives the fault.
     pub(crate) fn fault(&self, call: Call, at_ms: u64, mut roll: impl FnMut() -> u64) -> Option<Fault> {
         let mut due = self.rules.iter().filter(|r| r.call == call && (r.from_ms..r.to_ms).contains(&at_ms));
         due.find(|rule| roll() < rule.percent).map(|rule| rule.fault)
--- a/crates/fault-injection/src/send_log.rs
+++ b/crates/fault-injection/src/send_log.rs
@@ -1,6 +1,6 @@
-//! The send log: when a process is about to write an attempt or a kill to a node's socket, when it is about to shut a
-//! socket down, and when it has read a client's request. Times are of the monotonic clock, which all processes of the
-//! machine share.
+//! The send log records when a process is about to write an attempt or its cancellation (`KILL`) to a node's socket,
+//! when it is about to shut a socket down, and when it has read a client's request. Times are of the monotonic clock,
+//! which all processes of the machine share.
 //!
 //! The environment variable `SABLECROSS_SEND_LOG` names the file; without it nothing is logged. Each event is one line:
 //!
--- a/crates/fault-injection/src/state.rs
+++ b/crates/fault-injection/src/state.rs
@@ -11,7 +11,7 @@
 
 /// The environment variable that names the plan's file.
 const VARIABLE: &std::ffi::CStr = c"SABLECROSS_FAULTS";
-/// The interval at which the file is read again.
+/// The first call after this interval reads the file again.
 const REREAD_MS: u64 = 10;
 /// The largest plan file that is read.
 const MAX_PLAN_BYTES: usize = 16 << 10;
