--- a/crates/testbed/src/experiment/rollout_driver.rs
+++ b/crates/testbed/src/experiment/rollout_driver.rs
@@ -24,7 +24,8 @@
 use crate::settings::Experiment;
 use crate::trial_state::TrialState;
 
-/// Requests to a node that has left count as stray from this long after the end of the last lookup that began before.
+/// Requests to a node that has left the hierarchy count as stray from this long after the end of the last lookup that
+/// began before the node left.
 const STRAY_GRACE_MS: u64 = 2_000;
 /// The longest delay of a version on its way to a parent, without faults.
 const MAX_VERSION_DELAY_MS: u64 = 100;
@@ -38,7 +39,8 @@
 /// `PARENT_FAILURE_MS`.
 const PARENT_FAILURE_PROBABILITY: f64 = 0.000_5;
 const PARENT_FAILURE_MS: u64 = 1_000;
-/// The interval at which a version is published again until all participants have applied it.
+/// The interval at which a version is published again until all participants have applied it, and at which health is
+/// reported to the rollout.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 /// How long the driver retries writes to a failing disk.
 const DISK_RETRY_TIMEOUT: Duration = Duration::from_secs(10);
@@ -78,10 +80,10 @@
     trial: Arc<TrialState>,
     /// How often the driver was killed.
     pub(super) kills: u64,
-    /// Log lines of the rollout, and injected faults.
+    /// Log lines of the rollout, rejected inputs, and injected failures of parents.
     pub(super) notes: Vec<String>,
     next_retry: Instant,
-    /// The committed version at which nodes that left were last notified.
+    /// The committed version for which `announce_departures` last set the times.
     departures_announced_version: u64,
 }
 
--- a/crates/testbed/src/node_stub.rs
+++ b/crates/testbed/src/node_stub.rs
@@ -309,8 +309,8 @@
         }
     }
 
-    /// Counts a request, and returns whether the node is down or collapses. A cold node collapses under load at a multiple
-    /// of its reduced capacity.
+    /// Returns whether the node is down or collapses under this request, which counts unless the node is down. A cold
+    /// node collapses under load at a multiple of its reduced capacity.
     fn is_overloaded(&self, now_ms: u64) -> bool {
         if now_ms < self.down_until_ms.load(Ordering::Relaxed) {
             return true;
@@ -400,7 +400,7 @@
     }
 }
 
-/// Reads the answer to a fill. Returns when the copy was issued, if the answer has one.
+/// Reads the answer to a fill. Returns when the copy was issued, if the answer has a copy.
 fn read_fill_answer(stream: &TcpStream) -> io::Result<Option<u64>> {
     let mut reader = BufReader::new(stream);
     let mut line = String::new();
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -50,7 +50,7 @@
     pub origin_mean: f64,
     /// Requests that nodes answered from their copies.
     pub hits: u64,
-    /// Requests for which nodes fetched a copy.
+    /// Requests for which nodes began a fill, including fills that failed.
     pub fills: u64,
     /// Fills that arrived at a node that they had already passed.
     pub loops: u64,
@@ -70,7 +70,7 @@
     pub driver_kills: u64,
     /// The counts of each second.
     pub seconds: Vec<Second>,
-    /// Log lines of the rollout driver, and injected faults.
+    /// Log lines of the rollout, rejected inputs, and injected failures of parents.
     pub notes: Vec<String>,
 }
 
--- a/crates/testbed/src/schedule.rs
+++ b/crates/testbed/src/schedule.rs
@@ -10,7 +10,7 @@
     Some(actions.remove(earliest).1)
 }
 
-/// Draws a random sample of this share of the numbers below `count`, with at least one number.
+/// Draws a random sample of this share of the numbers below `count`, with at least one number. `count` must not be 0.
 pub(crate) fn sample(rng: &mut Pcg32, count: usize, share: f64) -> Vec<usize> {
     let mut numbers: Vec<usize> = (0..count).collect();
     let drawn = ((count as f64 * share).round() as usize).clamp(1, count);
--- a/crates/testbed/src/settings.rs
+++ b/crates/testbed/src/settings.rs
@@ -27,7 +27,8 @@
     /// The duration of the load in seconds.
     #[garde(range(min = 2, max = 3600))]
     pub seconds: u64,
-    /// Seconds at the start of the load that the figures leave out.
+    /// Seconds at the start of the load without a change of the hierarchy. The report's figures on latencies, origin
+    /// fetches, hits and fills leave them out.
     #[garde(range(max = 600))]
     #[serde(default = "default_warm_up")]
     pub warm_up: u64,
@@ -56,7 +57,7 @@
     #[garde(range(min = 0.0, max = 1.0))]
     #[serde(default = "default_half")]
     pub hit: f64,
-    /// The number of changes of the hierarchy.
+    /// The highest number of changes of the hierarchy. Changes for which no time is left are not made.
     #[garde(range(max = 1_000))]
     #[serde(default)]
     pub rewirings: usize,
@@ -132,7 +133,7 @@
         return Err(vec![first.error(
             file,
             "experiment.warm-up",
-            "longer than the experiment",
+            "longer than the experiment, or as long",
             "make it shorter than the key seconds",
         )]);
     }
--- a/crates/testbed/src/trial_state.rs
+++ b/crates/testbed/src/trial_state.rs
@@ -19,7 +19,7 @@
     pub origin_fetches: u64,
     /// Requests that a node answered from its copies.
     pub hits: u64,
-    /// Requests for which a node fetched a copy.
+    /// Requests for which a node began a fill, including fills that failed.
     pub fills: u64,
     /// Fills that arrived at a node that they had already passed.
     pub loops: u64,
@@ -38,7 +38,7 @@
     pub failed: u64,
     /// The newest hierarchy version that was published.
     pub version: u64,
-    /// The 99th percentile of the latency of lookups, in microseconds.
+    /// The 99th percentile of the latency of lookups that succeeded, in microseconds.
     #[serde(rename = "p99")]
     pub p99_us: u64,
 }
