--- a/crates/testbed/src/fleet/coordination_report.rs
+++ b/crates/testbed/src/fleet/coordination_report.rs
@@ -29,7 +29,7 @@
     pub refused: u64,
     /// Messages of former holders that voters rejected, since each voter's last start.
     pub refused_by_voters: u64,
-    /// Stale assignments that members ignored, since each member's last start.
+    /// Stale assignments that voters ignored, since each voter's last start. Other members are not asked.
     #[serde(rename = "passed_over")]
     pub stale_assignments: u64,
     /// Health checks that a node accepted although it had already accepted a newer token.
@@ -49,14 +49,17 @@
     /// Faults injected into holders.
     #[serde(rename = "blows")]
     pub holder_faults: usize,
-    /// Faults of holders after which no other member held the role before the next such fault.
+    /// Faults of holders after which no other member acquired the role before the next fault of a holder of that role,
+    /// or before the end of the load.
     #[serde(rename = "unanswered")]
     pub without_takeover: usize,
-    /// The longest gap between two health checks of a node, in seconds.
+    /// The longest gap between two accepted health checks of a node, in seconds, without gaps that a fault of the node
+    /// excuses.
     pub gap: f64,
     /// The node with the longest gap.
     pub gap_at: String,
-    /// The highest number of health checks of one node within a second.
+    /// The highest number of health checks of one node within a second, without bursts that a fault of the node
+    /// excuses.
     pub burst: u32,
     /// The ratio of `burst` to the configured rate.
     pub burst_times: f64,
@@ -66,7 +69,7 @@
     pub bytes: f64,
     /// The CPU use of one director on average, in seconds per second.
     pub cpu: f64,
-    /// Changes of the hierarchy that were proposed.
+    /// Proposals of a changed hierarchy that a holder of the hierarchy role accepted.
     #[serde(rename = "wished")]
     pub changes_proposed: u64,
     /// Changes that were started.
@@ -75,10 +78,10 @@
     /// Changes that ended.
     #[serde(rename = "changed")]
     pub changes_ended: u64,
-    /// How often a member applied an older version than the one that it had applied since its start.
+    /// How often a member replaced its version with an older one without a restart in between.
     #[serde(rename = "back")]
     pub regressions: u64,
-    /// The largest difference between the version numbers of two members.
+    /// The largest difference between the version numbers of two members at the same time.
     #[serde(rename = "apart")]
     pub max_version_difference: u64,
     /// The newest version that a member applied.
@@ -285,8 +288,8 @@
     fn write_health_checks(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
-            "coordination: {} health checks, {:.2} per node and second, {} of old holders refused, {} accepted; {} tokens with two \
-             holders; {} messages of old holders refused by voters, {} older assignments ignored",
+            "coordination: {} health checks, {:.2} per node and second, {} of former holders refused, {} accepted; {} tokens with two \
+             holders; {} messages of former holders refused by voters, {} older assignments ignored",
             self.health_checks,
             self.rate,
             self.refused,
@@ -318,7 +321,7 @@
         writeln!(
             f,
             "restarted caches: {:.3} of {early} requests found a copy in 5 s, {:.3} of {late} in the next 5; {} objects fetched to \
-             warm them, {} of old holders refused",
+             warm them, {} of former holders refused",
             share(early_hits, early),
             share(late_hits, late),
             self.warming_requests,
@@ -329,7 +332,7 @@
     fn write_hierarchy(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
-            "hierarchy: {} changes proposed, {} begun, {} ended, version {}; members {} versions apart at most, {} times one went back",
+            "hierarchy: {} changes proposed, {} begun, {} ended, version {}; members {} versions apart at most, {} times a member returned to an older version",
             self.changes_proposed,
             self.changes_begun,
             self.changes_ended,
--- a/crates/testbed/src/fleet/fault_injection.rs
+++ b/crates/testbed/src/fleet/fault_injection.rs
@@ -54,7 +54,8 @@
     }
 }
 
-/// Draws the configured rounds of faults, which follow the faults of the file.
+/// Draws the configured rounds of faults, which follow the faults of the file. Faults that would not end before the
+/// load are left out.
 pub(super) fn draw_faults(trial: &Trial, rng: &mut Pcg32) -> Vec<Fault> {
     let Some(coordination) = &trial.duties else { return Vec::new() };
     let ends = trial.faults.iter().map(|fault| fault.at + fault.lasts);
@@ -227,8 +228,8 @@
     pub(super) since_ms: u64,
 }
 
-/// Draws a partition: the links that cross between a minority of the voters with a third of the other members, and
-/// everyone else.
+/// Draws a partition: the links that cross between a minority of the voters (at least one) with a third of the other
+/// members, and everyone else.
 fn draw_partition(rng: &mut Pcg32, members: usize, voters: usize) -> Vec<Pair> {
     let minority = sample(rng, voters, (voters.saturating_sub(1) / 2) as f64 / voters as f64);
     let is_apart = |member: usize| {
--- a/crates/testbed/src/fleet/load.rs
+++ b/crates/testbed/src/fleet/load.rs
@@ -19,7 +19,8 @@
 
 /// The time budget of a lookup.
 const BUDGET_SECONDS: f64 = BUDGET_MS as f64 / 1e3;
-/// A lookup counts as unanswered this long after its budget has run out. (An answer between the two counts as late.)
+/// A lookup counts as unanswered this long after its budget has run out. A success that arrives in between counts as
+/// late.
 const UNANSWERED_AFTER_SECONDS: f64 = 0.5;
 /// The longest sleep of the sender before it checks for overdue lookups.
 const MAX_SLEEP_SECONDS: f64 = 0.1;
--- a/crates/testbed/src/fleet/node/requests.rs
+++ b/crates/testbed/src/fleet/node/requests.rs
@@ -283,7 +283,8 @@
         Some((done_at + ORIGIN_FETCH_SECONDS, issued_ms))
     }
 
-    /// Counts a request and queues its work. Returns when the work will be done, or the answer if it is not accepted.
+    /// Counts a request and queues its work. Returns when the work will be done, plus the network delay of its answer,
+    /// or the outcome if the work is not accepted.
     fn work(&self, now: Seconds) -> Result<Seconds, PullOutcome> {
         let due = now + NETWORK_DELAY_SECONDS;
         let mut state = lock(&self.state);
--- a/crates/testbed/src/fleet/report.rs
+++ b/crates/testbed/src/fleet/report.rs
@@ -59,8 +59,8 @@
     pub at: f64,
     /// The highest ratio of load to fair share in the second after the fault began.
     pub next_second: f64,
-    /// Seconds from the end of the fault until the load of all undisturbed caches was even for two seconds. `None` if it
-    /// was not before the end of the trial.
+    /// Seconds from the end of the fault until the load of all undisturbed caches was even for two seconds. `None` if
+    /// that did not happen before the end of the trial.
     pub even_after: Option<f64>,
 }
 
@@ -82,7 +82,7 @@
     pub herd_max: f64,
     /// The average of that share over all caches and seconds.
     pub herd_mean: f64,
-    /// The share of seconds of undisturbed nodes in which no request arrived.
+    /// The share of seconds of undisturbed caches and parents in which no request arrived.
     #[serde(rename = "idle")]
     pub idle_share: f64,
     /// Cold nodes that collapsed under their load.
@@ -179,7 +179,8 @@
         total
     }
 
-    /// Whether the node was cold or affected by a fault in this period.
+    /// Whether the node was cold or affected by a fault in this period. A node that was restarted also counts as cold
+    /// in all periods before the restart.
     fn is_disturbed(&self, node: &NodeOutcome, from: f64, to: f64) -> bool {
         let is_cold = node.counts.cold_since.is_some_and(|since| since + SLOW_START_WINDOW_SECONDS > from);
         is_cold
@@ -226,7 +227,7 @@
             .collect()
     }
 
-    /// The highest ratio of load to fair share of any cache in a second.
+    /// The highest ratio of load to fair share of any undisturbed cache in a second.
     fn max_load_ratio(&self, second: usize) -> f64 {
         self.evenness(Tier::Cache, second, second + 1).map_or(0.0, |evenness| evenness.most)
     }
@@ -392,7 +393,7 @@
         let share = self.total.satisfied as f64 / owed as f64;
         if share < self.trial.satisfied {
             violations.push(format!(
-                "satisfied {share:.3} of all lookups, at least {:.3} required",
+                "satisfied {share:.3} of the lookups that were not excused, at least {:.3} required",
                 self.trial.satisfied
             ));
         }
--- a/crates/testbed/src/fleet/run.rs
+++ b/crates/testbed/src/fleet/run.rs
@@ -239,6 +239,7 @@
     windows: Vec<FaultWindow>,
     /// The number of accepted hierarchy proposals.
     proposals: u64,
+    /// Directors that had exited by themselves when the last progress line was printed.
     exited_directors: usize,
     /// The longest wake-up delay of this thread in seconds. On a machine that is too busy, the trial's result is not
     /// valid.
@@ -384,6 +385,7 @@
         }
     }
 
+    /// Once per second, counts the directors that have exited by themselves and prints a progress line.
     fn report_progress(&mut self, now: f64, progress: &mut impl FnMut(&str)) {
         let second = now as u64;
         if second <= self.reported_second {
--- a/crates/testbed/src/fleet/settings.rs
+++ b/crates/testbed/src/fleet/settings.rs
@@ -171,7 +171,7 @@
     #[garde(range(min = 0.0, max = 600.0))]
     #[serde(default = "default_one")]
     pub lasts: f64,
-    /// The share of the caches, parents or directors that the fault affects. At least one is affected.
+    /// The share of the caches, parents, directors or voters that the fault affects. At least one is affected.
     #[garde(range(min = 0.0, max = 1.0))]
     #[serde(default)]
     pub of: f64,
@@ -261,7 +261,7 @@
     #[garde(range(min = 0.0, max = 1.0))]
     #[serde(default)]
     pub least: f64,
-    /// The lowest allowed share of lookups that succeed.
+    /// The lowest allowed share of successes among the lookups that are not excused.
     #[garde(range(min = 0.0, max = 1.0))]
     #[serde(default)]
     pub satisfied: f64,
@@ -309,7 +309,7 @@
     fn inconsistency(&self) -> Option<(&'static str, &'static str)> {
         let end = self.seconds as f64;
         if self.warm_up as f64 >= end {
-            Some(("fleet.warm-up", "longer than the trial"))
+            Some(("fleet.warm-up", "longer than the trial, or as long"))
         } else if self.duties.is_none() && self.faults.iter().any(|fault| fault.kind.needs_coordination()) {
             Some(("fleet.faults", "one needs coordination, and there are no duties"))
         } else if self.duties.as_ref().is_some_and(|duties| duties.voters > self.directors) {
