--- a/crates/testbed/src/soak/invariants.rs
+++ b/crates/testbed/src/soak/invariants.rs
@@ -15,8 +15,8 @@
 pub(crate) const SEND_TOLERANCE_SECONDS: f64 = 0.05;
 /// The longest time budget that clients give a request.
 pub(crate) const MAX_BUDGET_SECONDS: f64 = 2.0;
-/// A request counts as lost if it has no answer this long after the end of its budget. (An answer after the end of the
-/// budget has no value.)
+/// A request counts as lost if it has no answer this long after the end of its budget. An answer that arrives in between
+/// is of no value to the client, but is no violation.
 pub(crate) const LOST_AFTER_SECONDS: f64 = 0.5;
 /// How long attempts may still reach a node after their director was notified that it drains.
 pub(crate) const DRAIN_GRACE_SECONDS: f64 = 2.0;
