--- a/crates/director/src/coordination/agent.rs
+++ b/crates/director/src/coordination/agent.rs
@@ -233,7 +233,9 @@
         }
     }
 
-    /// Applies reloaded settings. They may have one voter more or one voter less, or other addresses of voters.
+    /// Applies reloaded settings. They may have one voter more or one voter less, or other addresses of voters. Any other
+    /// change of `config` is rejected. The settings of health checks and warming, and `member_gone_after`, keep their
+    /// values until a restart.
     fn reconfigure(&mut self, settings: CoordinationSettings, now: Ns) {
         let voters = settings.config.voters.clone();
         if let Err(e) = self.coordinator.reconfigure(now, settings.config) {
--- a/crates/director/src/coordination/agent/hierarchy.rs
+++ b/crates/director/src/coordination/agent/hierarchy.rs
@@ -70,8 +70,8 @@
         controller.tick(now);
         let token = controller.token();
         for action in controller.take_actions() {
-            // The lease is checked before each action. Once it has expired, the remaining actions are dropped; the
-            // voters reject them as soon as they have admitted the fencing token of another holder.
+            // The lease is checked before each action, and the remaining actions are dropped once it has expired: the
+            // voters reject them only after they have admitted the fencing token of another holder.
             if coordinator.token(now, HIERARCHY_ROLE) != Some(token) {
                 break;
             }
--- a/crates/director/src/coordination/endpoint_list.rs
+++ b/crates/director/src/coordination/endpoint_list.rs
@@ -8,7 +8,7 @@
 use crate::discovery_event::Endpoint;
 use crate::name_table::NameTable;
 
-/// A hash ring of nodes of one kind.
+/// A hash ring of the caches of one zone, or of all parents.
 pub(super) struct NodeRing {
     ring: HashRing,
     /// The targets of the nodes, by their index in the ring.
--- a/crates/director/src/coordination/mod.rs
+++ b/crates/director/src/coordination/mod.rs
@@ -41,7 +41,7 @@
 /// The maximum number of objects for which requests are counted.
 const MAX_COUNTED_OBJECTS: usize = 64;
 
-/// The number of requests of this director's clients, by object.
+/// The number of recent requests of this director's clients, by object. The counts decay with each report of them.
 type RequestCounts = Arc<Mutex<SpaceSaving<HotObject>>>;
 
 /// A message from the dispatcher to the agent.
--- a/crates/director/src/counters.rs
+++ b/crates/director/src/counters.rs
@@ -86,7 +86,7 @@
     pub expired: AtomicU64,
     /// Attempts that were not begun because they had been withdrawn.
     pub withdrawn: AtomicU64,
-    /// Attempts that were not begun because their client had disconnected.
+    /// Attempts that were not begun because their client had disconnected or cancelled the request.
     pub client_gone: AtomicU64,
     /// How often an attempt waited because it had to be checked first whether its client was still connected.
     pub unconfirmed: AtomicU64,
--- a/crates/director/src/dispatch/action_executor.rs
+++ b/crates/director/src/dispatch/action_executor.rs
@@ -18,7 +18,8 @@
 use crate::wire::response::{PendingResponse, Response};
 use crate::wire::response_sender::ResponseSender;
 
-/// The result of an attempt that ended without an event: it timed out, was cancelled or could not be sent.
+/// The result of an attempt that ended without an answer: it timed out, was cancelled, could not be sent or lost its
+/// connection.
 pub(super) struct LocalResult {
     pub(super) key: RequestKey,
     pub(super) attempt: usize,
--- a/crates/director/src/dispatch/dispatcher.rs
+++ b/crates/director/src/dispatch/dispatcher.rs
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Passes the results of attempts that ended without an event to the router, and writes the router's log lines.
+    /// Passes the results of attempts that ended without an answer to the router, and writes the router's log lines.
     fn process_local_results(&mut self) {
         while let Some(LocalResult { key, attempt, result }) = self.executor.local_results.pop_front() {
             self.process_result(key, attempt, result);
--- a/crates/director/src/dispatch/inflight_requests.rs
+++ b/crates/director/src/dispatch/inflight_requests.rs
@@ -82,7 +82,8 @@
     requests: BTreeMap<RequestKey, InflightRequest>,
     /// The requests of each client's open calls, by the number of the call.
     by_call: HashMap<ClientId, HashMap<u32, RequestKey>>,
-    /// The first request in flight for each request id.
+    /// The first request in flight for each request id. Later requests with the same id get no entry, not even when the
+    /// first one is removed before them.
     by_request_id: HashMap<RequestId, RequestKey>,
     next_key: RequestKey,
 }
--- a/crates/director/src/events.rs
+++ b/crates/director/src/events.rs
@@ -185,7 +185,7 @@
         /// The encoded messages.
         body: Vec<u8>,
     },
-    /// The answer of the coordination agent to such a call.
+    /// The coordination agent has answered a coordination call.
     PeerCallAnswered {
         /// The connection.
         client: ClientId,
--- a/crates/director/src/lib.rs
+++ b/crates/director/src/lib.rs
@@ -1,8 +1,9 @@
 //! One director on real sockets: it answers the requests of clients by forwarding them to cache nodes, parents and the
 //! origin, as the router of the root package decides.
 //!
-//! Three threads own sockets, in `wire`: the client thread, the node thread, and the discovery thread, which follows
-//! the event stream. They send `events` to the dispatcher. The dispatcher, in `dispatch`, owns the router and all
+//! In `wire`, three threads own sockets: the client thread, the node thread, and the discovery thread, which follows
+//! the event stream. With the feature `coordination`, the thread of that module owns further connections to directors
+//! and nodes. All these threads send `events` to the dispatcher. The dispatcher, in `dispatch`, owns the router and all
 //! requests in flight, and answers with responses and commands. `process` reads the configuration, starts the threads
 //! and handles signals.
 //! `coordination` and `parent_hierarchy` are only compiled with the features `coordination` and `hierarchy`; without
--- a/crates/director/src/limits.rs
+++ b/crates/director/src/limits.rs
@@ -109,8 +109,8 @@
 
 impl Limits {
     /// Derives the limits from what the machine allows, and from the times that the settings give for connections to
-    /// nodes. `sockets` is a number of file descriptors: those that no limit here uses are spare for connections that
-    /// are closing, the event stream, the listener and the log.
+    /// nodes. `sockets` is a number of file descriptors: those that the limits of client and node connections leave are
+    /// for connections that are closing, the event stream, the listener and the log.
     pub fn new(sockets: usize, memory_mb: usize, connect_timeout: Ns, keepalive: Ns) -> Limits {
         Limits {
             max_client_connections: sockets / 3 + 8,
--- a/crates/director/src/memory_budget.rs
+++ b/crates/director/src/memory_budget.rs
@@ -1,9 +1,9 @@
-//! Bodies, which are shared and never copied, with a limit on the memory of all of them.
+//! Bodies, which threads share without copying them, and a limit on the memory of all bodies and grown read buffers.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The memory for bodies, with its limit.
+/// The memory for bodies and grown read buffers, with its limit.
 #[derive(Debug)]
 pub struct MemoryBudget {
     max_bytes: usize,
--- a/crates/director/src/os_error.rs
+++ b/crates/director/src/os_error.rs
@@ -9,8 +9,8 @@
     matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::WouldBlock)
 }
 
-/// Whether this machine, not the peer, lacks a resource: descriptors, memory, ports, threads or a route. Such errors
-/// are transient.
+/// Whether this machine, not the peer, is the cause: it lacks descriptors, memory, ports, threads or a route, or the
+/// call was interrupted or failed with an I/O error. Such errors are taken to be transient.
 pub(crate) fn is_local_shortage(e: &io::Error) -> bool {
     const SHORTAGES: [i32; 11] = [
         libc::EMFILE,
@@ -46,7 +46,8 @@
     e.raw_os_error().is_some_and(|number| FAILED.contains(&number))
 }
 
-/// Whether there is currently no route to the peer. If this lasts, the peer may be the cause as well.
+/// Whether there is currently no route to the peer, or no local address or port for a connection to it. If this lasts,
+/// the peer may be the cause as well.
 pub(crate) fn is_network_unreachable(e: &io::Error) -> bool {
     const NETWORK: [i32; 3] = [libc::EADDRNOTAVAIL, libc::ENETDOWN, libc::ENETUNREACH];
     e.raw_os_error().is_some_and(|number| NETWORK.contains(&number))
--- a/crates/director/src/parent_hierarchy.rs
+++ b/crates/director/src/parent_hierarchy.rs
@@ -49,7 +49,7 @@
     /// The settings file is invalid.
     #[error("{}", join_errors(.0))]
     Settings(Vec<ConfigError>),
-    /// The version contains a loop, or a node without a path to the origin.
+    /// The version breaks a rule about nodes, sources or loops, or a node that is in use has no path to the origin.
     #[error(transparent)]
     Admission(#[from] AdmissionError),
 }
@@ -127,7 +127,8 @@
         VersionAnnouncement::checked(number, version, channel)
     }
 
-    /// Rejects a version that contains a loop or a node without a path to the origin, however it was announced.
+    /// Rejects a version that breaks a rule about nodes, sources or loops, or in which a node that is in use has no path
+    /// to the origin, however the version was announced.
     fn checked(
         number: u64,
         version: Hierarchy,
@@ -166,15 +167,16 @@
         }
     }
 
-    /// Returns the number of virtual nodes that a parent leaves to others in the hash ring of parents.
+    /// Returns the number of virtual nodes that a parent leaves to others in the hash ring of parents: all of them if no
+    /// edge cache prefers it as a source.
     fn withheld_virtual_nodes(&self, name: &str) -> u16 {
         let parent = self.version.node_id(name).filter(|id| self.edge_parents.contains(id));
         let parent = parent.and_then(|id| self.version.get(id));
         parent.map_or(FULL_SHARE, |node| FULL_SHARE - node.ring_share.min(FULL_SHARE))
     }
 
-    /// Returns the path of an object's fill beyond its source. Returns `None` if there is only the origin on the path,
-    /// or if the version does not contain the source.
+    /// Returns the path of an object's fill beyond its source. Returns `None` if the path has fewer than two nodes, as
+    /// when the source is the origin or fills from it, or if the version does not contain the source.
     pub fn fill_path(&self, source: &str, object: u64) -> Option<String> {
         let id = self.version.node_id(source)?;
         let path = self.fill_paths.path(&self.version, id, parent_position(object), |_| true);
--- a/crates/director/src/process/director.rs
+++ b/crates/director/src/process/director.rs
@@ -29,7 +29,7 @@
 use crate::wire::node_pool::NodePool;
 use crate::wire::response_sender::ResponseSender;
 
-/// Why a director can't start, or has stopped without a request.
+/// Why a director can't start, or has stopped without a stop signal.
 #[derive(Debug, Error)]
 pub(super) enum RunError {
     #[error("signals: handlers can't be registered: {0}")]
@@ -38,7 +38,7 @@
     Config(#[from] ConfigLoadError),
     #[error("feed: missing")]
     NoFeed,
-    /// The settings file of coordination or of the hierarchy is invalid. The error names the file.
+    /// The settings file of coordination or of the hierarchy can't be read or is invalid.
     #[error(transparent)]
     SettingsFile(Box<dyn StdError + Send + Sync>),
     #[error("listen: {address}: {cause}")]
--- a/crates/director/src/process/logging.rs
+++ b/crates/director/src/process/logging.rs
@@ -27,7 +27,7 @@
 /// The maximum number of lines that wait to be written.
 const QUEUE_LENGTH: usize = 4_096;
 const STACK_BYTES: usize = 128 << 10;
-/// How long the end of the program waits for the last lines to be written.
+/// How long the end of the program waits for room in the queue, and then again for the last lines to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
 enum Message {
--- a/crates/director/src/shared.rs
+++ b/crates/director/src/shared.rs
@@ -23,7 +23,7 @@
     pub clock: Clock,
     /// The counters of the threads that serve connections.
     pub counters: ConnectionCounters,
-    /// The memory for bodies.
+    /// The memory for bodies and grown read buffers.
     pub memory_budget: Arc<MemoryBudget>,
     /// The queue of events to the dispatcher.
     pub events: Sender<Event>,
--- a/crates/director/src/source_clock.rs
+++ b/crates/director/src/source_clock.rs
@@ -1,4 +1,4 @@
-//! An estimate of the clock by which discovery events are stamped, inferred from the stamps.
+//! An estimate of the clock by which discovery stamps the start times of nodes, inferred from the stamps.
 //!
 //! This machine's wall clock may differ from the source's clock by an hour, and may step, so the age of a stamp is not
 //! measured by it. A stamp that has been received has already passed at its source: the latest stamp, plus the
--- a/crates/director/src/stall_detector.rs
+++ b/crates/director/src/stall_detector.rs
@@ -53,8 +53,8 @@
         if unread > STALL_THRESHOLD { unread } else { 0 }
     }
 
-    /// Whether the next wait must return at once, to find the input that the last one may have missed. That input
-    /// counts as arrived at the beginning of the last wait, so no other input may arrive during the next one.
+    /// Whether the next wait must return at once, to find the input that the last one may have missed. The time that was
+    /// carried over is added to the age of all input that the next wait finds, so no other input may arrive during it.
     pub(crate) fn must_poll_again(&self) -> bool {
         self.carried_over > 0
     }
--- a/crates/director/src/stall_detector/tests.rs
+++ b/crates/director/src/stall_detector/tests.rs
@@ -17,7 +17,7 @@
 fn input_during_work_counts_from_the_last_wakeup() {
     let mut stalls = StallDetector::new(0);
     assert_eq!(stalls.on_wakeup(400 * MS, WAIT, 410 * MS, true), 400 * MS);
-    // Input that had arrived by then was there when the wait began, and was reported.
+    // Input that arrived during the work was there when the wait began, so the wait reported it.
     assert!(!stalls.must_poll_again());
     assert_eq!(stalls.on_wakeup(411 * MS, WAIT, 420 * MS, true), 0);
 }
@@ -25,7 +25,7 @@
 /// Guards against arrival times of requests that are too late: a wait reports only the input that had arrived when it
 /// found something, and more may arrive if the thread is stopped after that.
 #[test]
-fn input_during_a_stopped_wait_counts_from_the_start_of_the_wait() {
+fn input_during_a_stopped_wait_counts_from_the_wakeup_before_it() {
     for (has_reported_all, found) in [(true, "something"), (false, "nothing, as it was interrupted")] {
         let mut stalls = StallDetector::new(0);
         assert_eq!(stalls.on_wakeup(MS, WAIT, 451 * MS, has_reported_all), 451 * MS, "{found}");
--- a/crates/director/src/wire/client_acceptor.rs
+++ b/crates/director/src/wire/client_acceptor.rs
@@ -1,5 +1,5 @@
-//! The listener for client connections. It accepts waiting connections, and remembers since when accepting has failed for
-//! lack of a resource.
+//! The listener for client connections. It accepts waiting connections, and remembers since when connections may have
+//! been waiting while accepting fails.
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
--- a/crates/director/src/wire/discovery_client.rs
+++ b/crates/director/src/wire/discovery_client.rs
@@ -24,7 +24,7 @@
 /// The size of one read from the stream.
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// A change of the feeds by a reloaded configuration.
+/// The feeds and events of a reloaded configuration, which may be the same as before.
 pub(crate) struct FeedChange {
     /// The feeds, with the home feed first.
     pub feeds: Vec<SocketAddr>,
@@ -52,7 +52,7 @@
     Resubscribe(String),
     /// The feed closed the stream, which is normal at any time.
     Ended,
-    /// The configuration names other feeds.
+    /// The configuration was reloaded: its home feed is called.
     FeedsChanged(FeedChange),
     DispatcherGone,
 }
@@ -170,7 +170,7 @@
         self.shared.events.send(Event::Discovery(event)).map_err(|_| CallEnd::DispatcherGone)
     }
 
-    /// Fails with `CallEnd::FeedsChanged` if the configuration names other feeds.
+    /// Fails with `CallEnd::FeedsChanged` if the configuration was reloaded.
     fn check_feed_change(&self) -> Result<(), CallEnd> {
         self.feed_changes.try_recv().map_or(Ok(()), |feed_change| Err(CallEnd::FeedsChanged(feed_change)))
     }
@@ -204,8 +204,8 @@
         Ok(socket)
     }
 
-    /// Reads more bytes of the stream; false at its end. Fails if no data comes for `feed_silence_timeout`, or if the feeds
-    /// have changed. Sends pending reports of the applied version while it waits.
+    /// Reads more bytes of the stream; false at its end. Fails if no data comes for `feed_silence_timeout`, or if the
+    /// configuration was reloaded. Sends pending reports of the applied version while it waits.
     fn read(&mut self, parser: &mut EventStreamParser, mut socket: &TcpStream) -> Result<bool, CallEnd> {
         let (began, mut bytes) = (Instant::now(), [0; READ_BUFFER_BYTES]);
         loop {
--- a/crates/director/src/wire/node_connection.rs
+++ b/crates/director/src/wire/node_connection.rs
@@ -164,7 +164,7 @@
             }
             if self.bytes_written == 0 {
                 message.begin.set();
-                // The line carries the time that the client has left when the message is begun.
+                // The line carries the time that is left for the answer when the message is begun.
                 match message.may_begin(now, shared.clients_checked_at()) {
                     Ok(time_left) => self.current_line = message.line(time_left),
                     Err(BeginDenied::Unconfirmed) => {
--- a/crates/director/src/wire/node_protocol.rs
+++ b/crates/director/src/wire/node_protocol.rs
@@ -81,7 +81,7 @@
     settings::load_report(values.filter_map(|(name, value)| Some((name, value.parse().ok()?))))
 }
 
-/// The line of an attempt without the value of its `wait` field: the time that the client has left is known only when
+/// The line of an attempt without the value of its `wait` field: the time that is left for the answer is known only when
 /// the line is written.
 #[derive(Debug, Default)]
 pub struct PullHead {
--- a/crates/director/src/wire/outgoing_message.rs
+++ b/crates/director/src/wire/outgoing_message.rs
@@ -44,7 +44,7 @@
 pub enum Content {
     /// An attempt.
     Pull {
-        /// The line of the attempt, without the time that the client has left.
+        /// The line of the attempt, without the time that is left for the answer.
         head: node_protocol::PullHead,
         /// The body that follows the line.
         body: Arc<Body>,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Checks whether the first byte may be written now. Returns the time that the client has left; 0 for a `Kill`.
+    /// Checks whether the first byte may be written now. Returns the time that is left for the answer; 0 for a `Kill`.
     pub(super) fn may_begin(&self, now: Ns, clients_checked_at: Ns) -> Result<Ns, BeginDenied> {
         match self.content {
             Content::Kill { .. } => Ok(0),
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The line of the message; for an attempt, `time_left` is the time that the client has left now.
+    /// The line of the message; for an attempt, `time_left` is the time that is left for the answer.
     pub(super) fn line(&self, time_left: Ns) -> Vec<u8> {
         match &self.content {
             Content::Pull { head, .. } => head.with_wait(time_left),
--- a/crates/director/tests/races.rs
+++ b/crates/director/tests/races.rs
@@ -332,7 +332,7 @@
 }
 
 #[test]
-fn an_effect_is_not_repeated_past_its_retention_window() {
+fn an_effect_is_not_repeated_past_its_deduplication_window() {
     // An at-most-once request whose connection breaks fails at once and is not attempted again.
     let harness = Harness::with_config(|config| config.replacen("\"idempotent\"", "\"at_most_once\"", 1));
     let mut client = harness.client();
@@ -340,7 +340,7 @@
     harness.cache.expect_pull().stream.shutdown(std::net::Shutdown::Both).expect("shut");
     assert_eq!(client.read_response(), (1, Response::Error("Failed".into(), vec![])));
     assert_eq!(harness.current_counters()["sends"], 1);
-    // The second attempt of a deduplicated request waits for its connection for longer than the retention window.
+    // The second attempt of a deduplicated request waits for its connection for longer than the deduplication window.
     let delayed_node = DelayedNodeStub::start();
     let harness = Harness::with_config(|config| {
         with_delayed_node(&config, "parent-a", &delayed_node).replacen(
--- a/crates/director/tests/sockets.rs
+++ b/crates/director/tests/sockets.rs
@@ -216,7 +216,7 @@
     let mut bad = harness.client();
     bad.write(b"\x94\x00\x05\xa5other\x92\x80\xc4\x00");
     assert_eq!(bad.read_response(), (5, Response::Error("Failed".into(), vec![])));
-    // A request id that is in use for another object is rejected; for the same object it is allowed.
+    // A request whose id is in use for another object fails; for the same object, the id may be used again.
     let mut first = harness.client();
     first.send_request(9, 0x55, 3_000);
     bad.send_request(9, 0x55, 3_000);
--- a/crates/director/tests/stalls.rs
+++ b/crates/director/tests/stalls.rs
@@ -272,7 +272,7 @@
 /// Guards against an effect that runs twice: a stalled node could begin the repeat after the other nodes have forgotten the
 /// attempt that ran.
 #[test]
-fn a_repeat_is_killed_before_its_retention_window_ends() {
+fn a_repeat_is_killed_before_its_deduplication_window_ends() {
     const WINDOW: Duration = Duration::from_millis(600);
     let harness = Harness::with_config(|config| {
         config.replacen(
--- a/crates/director/tests/syscalls.rs
+++ b/crates/director/tests/syscalls.rs
@@ -243,7 +243,7 @@
         let (_, feed) = setup.harness.feed.accept_call();
         setup.fail_calls(call, error);
         let start = Instant::now();
-        // The client receives data, which fails for `receive`, or the end of its connection.
+        // The discovery client receives data, which fails for `receive`, or the end of its connection.
         let _ = (&feed).write_all(b": tick\n\n");
         if !matches!(call, "receive") {
             drop(feed);
--- a/crates/discovery/src/event_cursor.rs
+++ b/crates/discovery/src/event_cursor.rs
@@ -7,8 +7,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EventCursor {
     last: u64,
-    /// The last number at which a gap or an unreadable event led to a new call. If the same happens at this number
-    /// again, the feed no longer has the events, and the subscriber continues without them.
+    /// The value of `last` when a gap or an unreadable event last led to a new call. If either follows this number
+    /// again, the feed no longer has the missing events, and the subscriber continues without them.
     gap_after: Option<u64>,
 }
 
--- a/crates/discovery/src/event_stream.rs
+++ b/crates/discovery/src/event_stream.rs
@@ -75,7 +75,7 @@
     raw: Vec<u8>,
     /// The decoded body.
     text: Vec<u8>,
-    /// Number of bytes of `text` that were returned as items.
+    /// Number of bytes of `text` that were returned as items, or skipped as blocks without an item.
     consumed: usize,
     /// Position up to which `text` has been searched for the end of the next block.
     searched: usize,
