--- a/crates/director/src/coordination_settings.rs
+++ b/crates/director/src/coordination_settings.rs
@@ -1,5 +1,5 @@
 //! The settings of coordination: `(duty ...)` and `(voter ...)` forms in the file that `SABLECROSS_DUTY` names. The
-//! settings are the same at all directors.
+//! settings must be the same at all directors.
 
 use std::io;
 use std::net::SocketAddr;
--- a/crates/director/src/dispatch/event_handlers.rs
+++ b/crates/director/src/dispatch/event_handlers.rs
@@ -154,8 +154,8 @@
         for InflightAttempt { key, attempt, sent_at } in self.executor.nodes.on_connection_lost(connection) {
             let Some(request) = self.executor.requests.get_mut(key) else { continue };
             request.end_attempt(attempt);
-            // A node that resets an idle connection is not to blame: attempts that were not begun on it count as not
-            // sent.
+            // A node may reset an idle connection at any time, which is no failure: attempts that were not begun on it
+            // count as not sent.
             let outcome = match loss {
                 ConnectionLoss::Unreachable => Outcome::ConnectFailed,
                 ConnectionLoss::Broken if begun_requests.contains(&request.incoming.request_id) => {
--- a/crates/director/src/process/startup.rs
+++ b/crates/director/src/process/startup.rs
@@ -66,8 +66,8 @@
         events: &Sender<Event>,
         run: impl FnOnce() + Send + 'static,
     ) -> io::Result<()> {
-        // The closure is sent to the thread once it has started: an attempt to start a thread that fails drops what it
-        // was given, and the closure would be lost for the next attempt.
+        // `run` is sent to the thread once it has started. A failed attempt to start a thread drops the closure that it
+        // was given, so `run` would be lost for the next attempt if that closure contained it.
         let (closure_sender, closure_receiver) = bounded::<Box<dyn FnOnce() + Send>>(1);
         self.retry(|| {
             let (events, closure_receiver) = (events.clone(), closure_receiver.clone());
--- a/crates/director/tests/syscalls.rs
+++ b/crates/director/tests/syscalls.rs
@@ -278,7 +278,8 @@
     }
 }
 
-/// The fault library logs each send and each shutdown of a connection with its time; `sablecross soak` reads this log.
+/// The fault library logs each write that begins an attempt or a `KILL`, and each shutdown of a connection, with its time;
+/// `sablecross soak` reads this log.
 #[test]
 fn the_fault_library_logs_sends_and_shutdowns() {
     let fault_plan = FaultPlan::new("");
--- a/crates/inflight/src/settings.rs
+++ b/crates/inflight/src/settings.rs
@@ -133,6 +133,7 @@
 }
 
 /// Returns whether the note with this number says that a cached copy was served, or `None` if the note does not tell.
+/// The notes are the cache statuses HIT, MISS, MISS_ORIGIN, COLLAPSED and STALE, numbered from 1.
 pub fn is_cache_hit(note: u32) -> Option<bool> {
     match note {
         1 | 5 => Some(true),
