--- a/crates/director/src/coordination/endpoint_list.rs
+++ b/crates/director/src/coordination/endpoint_list.rs
@@ -52,7 +52,7 @@
         self.endpoints.get(&target).map(|endpoint| endpoint.name.as_str())
     }
 
-    /// Returns the start time of each ready cache.
+    /// Returns the start time of each ready cache as listed: Unix time by the clock of the source, 0 if it started long ago.
     pub(super) fn cache_starts(&self, names: &NameTable) -> BTreeMap<u64, Ns> {
         let ready = self
             .endpoints
