--- a/crates/director/src/coordination/endpoint_list.rs
+++ b/crates/director/src/coordination/endpoint_list.rs
@@ -8,7 +8,7 @@
 use crate::discovery_event::Endpoint;
 use crate::name_table::NameTable;
 
-/// A hash ring of nodes of one kind.
+/// A hash ring of the caches of one zone, or of all parents.
 pub(super) struct NodeRing {
     ring: HashRing,
     /// The targets of the nodes, by their index in the ring.
@@ -52,7 +52,7 @@
         self.endpoints.get(&target).map(|endpoint| endpoint.name.as_str())
     }
 
-    /// Returns the start time of each ready cache.
+    /// Returns the start time of each ready cache as listed: Unix time by the clock of the source, 0 if it started long ago.
     pub(super) fn cache_starts(&self, names: &NameTable) -> BTreeMap<u64, Ns> {
         let ready = self
             .endpoints
--- a/crates/director/tests/syscalls.rs
+++ b/crates/director/tests/syscalls.rs
@@ -243,7 +243,7 @@
         let (_, feed) = setup.harness.feed.accept_call();
         setup.fail_calls(call, error);
         let start = Instant::now();
-        // The client receives data, which fails for `receive`, or the end of its connection.
+        // The discovery client receives data, which fails for `receive`, or the end of its connection.
         let _ = (&feed).write_all(b": tick\n\n");
         if !matches!(call, "receive") {
             drop(feed);
@@ -278,7 +278,8 @@
     }
 }
 
-/// The fault library logs each send and each shutdown of a connection with its time; `sablecross soak` reads this log.
+/// The fault library logs each write that begins an attempt or a `KILL`, and each shutdown of a connection, with its time;
+/// `sablecross soak` reads this log.
 #[test]
 fn the_fault_library_logs_sends_and_shutdowns() {
     let fault_plan = FaultPlan::new("");
