--- a/src/cache_policy.rs
+++ b/src/cache_policy.rs
@@ -11,13 +11,13 @@
 /// The length of a history generation. Requests are remembered for one to two generations, which bounds the memory
 /// that objects requested only once take up.
 const HISTORY_GENERATION: Ns = 20 * SECOND;
-/// The number of requests within the history from which a copy counts as reused. A copy below this number is certain
-/// to be a miss.
+/// The number of requests within the history from which a copy counts as reused. Below this number, an answer counts
+/// as a fill unless it is known to be a cache hit.
 const MIN_REQUESTS_FOR_REUSE: u32 = 2;
 /// How long a purge stays active after the last copies that are older than it should have disappeared. A node that
 /// has already applied the purge may be filled with an outdated copy again, through a director that does not know the
-/// purge yet, from a parent that has not applied it yet. The longer time costs only memory: such a copy is too old to
-/// be served to anyone.
+/// purge yet, from a parent that has not applied it yet. The longer time costs only memory, because an active purge
+/// excludes only copies that are older than the purge.
 const PURGE_HOLD_TIME: Ns = 120 * SECOND;
 /// How often purges that are no longer active are removed. A sweep at each purge would cost the square of the purge
 /// rate.
--- a/src/hash_ring.rs
+++ b/src/hash_ring.rs
@@ -3,7 +3,7 @@
 //! All functions here are pure, so all directors agree on the owners, and a restart of a director changes none.
 
 /// The number of virtual nodes of a member that withholds none. The segments of a member are then small and border on
-/// those of all other members, so that its loss burdens all others alike and a new member takes its share from all.
+/// segments of all other members, so that its loss burdens all others alike and a new member takes its share from all.
 pub const VIRTUAL_NODES: u16 = 256;
 
 /// The number of distinct values of [`unit_fraction`]. All versions have to use the same number.
--- a/src/load_shedding.rs
+++ b/src/load_shedding.rs
@@ -53,7 +53,7 @@
 /// The weight of a long attempt in the share of late attempts, which therefore covers about twenty attempts.
 const LATE_GAIN: f64 = 0.05;
 /// An attempt whose transfer takes this multiple of the base latency has half that weight. A short attempt says
-/// little about the links, because most of its time may be that of a fill.
+/// little about the links, because a fill may account for most of its time.
 const HALF_WEIGHT_LATENCIES: f64 = 4.0;
 
 /// The limit on the attempts that this director has outstanding at one node. It grows with answers in time and
@@ -136,8 +136,8 @@
 }
 
 impl OverloadDetector {
-    /// Creates a detector that has to see some attempts in time first, because a director may start during an
-    /// overload.
+    /// Creates a detector for which a few late attempts suffice to detect an overload, because a director may start
+    /// during one.
     pub(crate) fn new() -> Self {
         OverloadDetector { late_share: OVERLOAD_EXIT_SHARE, is_overloaded: false }
     }
--- a/src/outlier_ejection.rs
+++ b/src/outlier_ejection.rs
@@ -30,7 +30,7 @@
 /// node is then likely dead and not slow.
 pub(crate) const SILENT_TIMEOUT_COUNT: i32 = 3;
 /// The fill failure rate above which a parent is suspected and checked by attempts sent directly to it, without a
-/// fill. If the parent answers with a miss, it works, and the failures are those of the origin behind it.
+/// fill. If the parent answers with a miss, it works, and the failures come from the origin behind it.
 const SUSPECT_FILL_FAILURE_RATE: f64 = 0.25;
 /// A node and its source are both blamed for a failure unless the failure rate of one is higher by at least this
 /// much. A smaller difference may be chance.
@@ -59,10 +59,11 @@
     pub(crate) failure_rate: f64,
     /// The share of recent attempts with the node as their source that failed.
     pub(crate) fill_failure_rate: f64,
-    /// The shortest time in which the node gave any outcome. A rejection that is about as quick comes from the node
-    /// itself, a slower one from its source.
+    /// The shortest time after which an attempt sent directly to the node ended, whatever its outcome. A rejection that
+    /// is about as quick comes from the node itself, a slower one from its source.
     fastest_outcome: Ns,
-    /// When the node last answered any attempt.
+    /// When an attempt sent directly to the node last ended with any outcome but a timeout, a failed connection or a
+    /// cancellation. All other outcomes count as answers.
     last_answer_at: Ns,
     /// When the node may next be checked without a fill, if it is suspected.
     next_check_at: Ns,
@@ -120,8 +121,8 @@
         }
     }
 
-    /// Whether a rejection that took this long came from the node itself and not from its source, because it took at
-    /// most about twice the node's shortest time.
+    /// Whether a rejection that took this long came from the node itself and not from its source: it took at most
+    /// twice the node's shortest time plus one tick.
     pub(crate) fn is_own_rejection(&self, elapsed: Ns, tick: Ns) -> bool {
         elapsed <= 2 * self.fastest_outcome + tick
     }
@@ -205,8 +206,8 @@
     }
 }
 
-/// Whether a failed attempt is attributed to its node, its source or both, by the failure rates of both before the
-/// attempt.
+/// Whether a failed attempt is attributed to its node, its source or both, by the failure rates of both before this
+/// failure is recorded.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Blame {
     pub(crate) node: bool,
--- a/src/router/selection.rs
+++ b/src/router/selection.rs
@@ -54,7 +54,8 @@
         }
     }
 
-    /// The attempt to make now; none if no node is suitable.
+    /// The attempt to make now; none if no node is suitable, or if the request already has attempts and no source is
+    /// available and affordable.
     pub(super) fn attempt(&self) -> Option<AttemptSpec> {
         let target = self.target().filter(|target| self.is_effect_safe(target.node))?;
         let source = target.source.filter(|&source| source != target.node && self.is_affordable(source));
@@ -149,7 +150,8 @@
         self.request.attempts.iter().any(|attempt| attempt.source == Some(source) && failed(attempt))
     }
 
-    /// The nearest other parent with a much lower price, if the price of `parent` is above the request's priority.
+    /// The nearest other parent with a much lower price that the request's priority reaches. None if the price of
+    /// `parent` is not above that priority, or if this fill is not to be offloaded.
     fn cheaper_parent(&self, parent: usize) -> Option<usize> {
         let price_of = |node: usize| Some(self.router.endpoints.get(node)?.fill_price);
         let price = price_of(parent)?;
@@ -209,8 +211,8 @@
         Some(if self.is_first_attempt && is_primary { self.spread_in_burst(cache) } else { cache })
     }
 
-    /// Whether the request may go to this node a second time: its only attempt so far went there, and the answer
-    /// broke off or was an error. The node still has the copy, so it is asked once more while it is up.
+    /// Whether the request may go to this node a second time: its only attempt so far went there, and it ended with an
+    /// error or a lost connection. The node probably has the copy, so it gets one more attempt while it is up.
     fn may_retry_at(&self, node: usize) -> bool {
         use Outcome::{ConnectionLost, Error};
         let [only_attempt] = &self.request.attempts[..] else { return false };
--- a/src/types.rs
+++ b/src/types.rs
@@ -245,12 +245,14 @@
     CancelOutstanding,
     /// End all outstanding attempts as timed out: the answer has to be sent now to arrive before the deadline.
     TimeOutOutstanding,
-    /// Reject the request. A rejection guarantees to the client that the request had no effect.
+    /// Reject the request. This is returned only if a retry by the client, made after the named delay, cannot repeat
+    /// an effect that the request may have had.
     Reject {
         /// How long the client is asked to wait before it retries; 0 if it is not asked to wait.
         retry_after: Ns,
     },
-    /// Answer with a failure, because the request may have taken effect.
+    /// Answer with a failure, because the request may have taken effect and a retry by the client could repeat the
+    /// effect.
     Fail,
 }
 
