--- a/crates/coordination/src/coordinator/assignments.rs
+++ b/crates/coordination/src/coordinator/assignments.rs
@@ -103,9 +103,9 @@
         members
     }
 
-    /// Applies an assignment from a voter, unless it is not newer than the current one. Checks of targets that still
-    /// belong to this member continue. The confirmation of the previous assignment does not extend the validity
-    /// beyond that of a fresh confirmation of the new one.
+    /// Applies an assignment from a voter if it is newer than the current one. Checks of targets that still belong to
+    /// this member continue. The new assignment stays valid until the previous one would have expired, but no longer
+    /// than if it had been confirmed now. It is not valid at all if it does not include this member.
     pub(super) fn on_assignment(&mut self, now: Ns, new: Assignment) {
         if new.version <= self.assignment.version {
             self.stale_assignments_ignored += u64::from(new.version < self.assignment.version);
--- a/crates/coordination/src/health_check_schedule.rs
+++ b/crates/coordination/src/health_check_schedule.rs
@@ -119,7 +119,7 @@
         due
     }
 
-    /// Postpones the checks that are due, because this member has no valid assignment.
+    /// Postpones the checks that are due, because this member has no valid assignment or is about to stop.
     pub(crate) fn postpone_due(&mut self, now: Ns) {
         for target in self.targets.values_mut().filter(|target| now >= target.due_at) {
             target.due_at = now + self.interval / 4;
--- a/crates/coordination/src/hot_object_counts.rs
+++ b/crates/coordination/src/hot_object_counts.rs
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Halves all counts, and removes the objects with the lowest counts if there are more than [`MAX_OBJECTS`].
+    /// Halves all counts, and removes the objects with the lowest counts if there are more than [`MAX_OBJECTS`]. If
+    /// several objects tie for the last place, all of them are removed.
     fn halve(&mut self) {
         let mut descending: Vec<f32> = self.counts.values().copied().collect();
         descending.sort_by(|a, b| b.total_cmp(a));
--- a/crates/coordination/src/member.rs
+++ b/crates/coordination/src/member.rs
@@ -8,7 +8,8 @@
 pub struct Member {
     /// The director's number in the settings.
     pub number: u32,
-    /// The time when the process started, in milliseconds since the Unix epoch. It grows with each start.
+    /// The time when the process started, in milliseconds since the Unix epoch. A process that starts after the clock
+    /// was set back replaces it with a number above the incarnation that the voters know.
     #[serde(rename = "life")]
     pub incarnation: u64,
 }
--- a/crates/coordination/src/voter_set.rs
+++ b/crates/coordination/src/voter_set.rs
@@ -8,7 +8,7 @@
     /// Only indexes below this can be in a set.
     pub(crate) const CAPACITY: u32 = 64;
 
-    /// Returns the set of the first `count` voters.
+    /// Returns the set of the first `count` voters, at most `CAPACITY` - 1 of them.
     pub(crate) fn first(count: u32) -> VoterSet {
         VoterSet((1u64 << count.min(Self::CAPACITY - 1)) - 1)
     }
--- a/crates/estimators/src/space_saving.rs
+++ b/crates/estimators/src/space_saving.rs
@@ -64,7 +64,8 @@
         all
     }
 
-    /// Multiplies all counts by a factor between 0 and 1. To be called at the end of each time window.
+    /// Multiplies all counts by a factor between 0 and 1, and drops those that become negligible. Callers do this
+    /// at the end of each time window.
     pub fn decay(&mut self, factor: f64) {
         let factor = factor.clamp(0.0, 1.0);
         self.total *= factor;
