--- a/crates/hierarchy-controller/src/controller.rs
+++ b/crates/hierarchy-controller/src/controller.rs
@@ -44,8 +44,10 @@
     /// The rollout rejected the version.
     #[error(transparent)]
     Rollout(#[from] RolloutError),
-    /// The register has not been read yet.
-    #[error("the register has not been read yet: propose again later")]
+    /// The register has not been read yet, or its content is invalid.
+    #[error(
+        "the register has not been read yet, or its content is invalid (see the log): propose again later"
+    )]
     NotReady,
 }
 
--- a/crates/sim-adapter/src/error.rs
+++ b/crates/sim-adapter/src/error.rs
@@ -19,7 +19,7 @@
     ClockOutOfRange,
     #[error("truncated record")]
     TruncatedRecord,
-    #[error("not an integer: {0}")]
+    #[error("not an unsigned 32-bit integer: {0}")]
     NotAnInteger(f32),
     #[error("unknown record code {0}")]
     UnknownRecord(u8),
