--- a/crates/coordination/tests/leases.rs
+++ b/crates/coordination/tests/leases.rs
@@ -236,7 +236,7 @@
     let token = |term, number, incarnation| FencingToken { term, holder: Member { number, incarnation } };
     let mut guard = FencingGuard::default();
     // No token, a first one, the same again, an older one, another holder of the same term, a newer incarnation of
-    // the same term's holder.
+    // the same term's holder, a higher term, the first one again.
     let cases = [
         (token(0, 0, 0), false),
         (token(2, 1, 1), true),
--- a/crates/coordination/tests/model_check.rs
+++ b/crates/coordination/tests/model_check.rs
@@ -26,7 +26,7 @@
     NoGuard,
     /// The guard forgets its newest token after each effect.
     GuardForgets,
-    /// The holder checks its clock only once, when it acquires the lease, and there is no guard.
+    /// A candidate checks only once whether it holds the lease, keeps using that token, and there is no guard.
     ClockTrusted,
 }
 
--- a/crates/estimators/tests/estimates.rs
+++ b/crates/estimators/tests/estimates.rs
@@ -1,5 +1,5 @@
-//! Compares the estimates with the true means, and their error with that of a plain exponential moving average per
-//! member whose smoothing factor is 0.12.
+//! Compares the estimates with the true means, and their error with the error of a plain exponential moving average per
+//! member (smoothing factor 0.12). Checks that the sketch finds the most frequent key.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
--- a/crates/hierarchy-controller/tests/controller.rs
+++ b/crates/hierarchy-controller/tests/controller.rs
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Runs the current holder for `time`. Before action number `limit` the holder is replaced, and the former holder
-    /// then carries out its remaining actions late. Returns whether the holder was replaced.
+    /// Runs the current holder for `time`. Before action number `limit`, counted from 0, the holder is replaced, and
+    /// the former holder then carries out its remaining actions late. Returns whether the holder was replaced.
     fn run(&mut self, time: Ns, limit: usize) -> bool {
         let until = self.now + time;
         while self.now < until {
@@ -182,7 +182,8 @@
     }
 }
 
-/// Replaces the holder before each of its actions in turn. The former holder then carries out that action late.
+/// Replaces the holder before each of its actions in turn. The former holder then carries out late that action and
+/// those that it had taken together with it.
 #[test]
 fn change_completes_when_the_holder_is_replaced_before_any_action() {
     let (mut cases, mut rejected_actions) = (0, 0);
--- a/tests/router/cache_policy.rs
+++ b/tests/router/cache_policy.rs
@@ -77,7 +77,8 @@
 
 #[test]
 fn bursts_need_history_and_deviation_and_end() {
-    // (requests for other objects in each 2 s window, whether the hot object is then in burst)
+    // (a quarter of the requests for other objects in each window of about 2 s, whether the hot object is then in
+    // burst)
     let varied = [40, 60, 50, 45, 55, 50, 62, 41, 50, 47, 53, 50];
     let cases: [(&[u64], bool); 3] = [(&varied, true), (&[50; 12], false), (&varied[..2], false)];
     for (windows, is_burst) in cases {
--- a/tests/router/load_shedding.rs
+++ b/tests/router/load_shedding.rs
@@ -7,9 +7,9 @@
 
 #[test]
 fn busy_parent_fills_only_high_priority_requests_and_recovers() {
-    // (directors, the most late answers until large objects are no longer filled): of many directors, each sees few
-    // answers.
-    for (directors, max_late) in [(1, 20), (4, 14), (300, 4)] {
+    // (directors, the most large objects, one request in five, that are still filled while answers are late): of many
+    // directors, each sees few answers.
+    for (directors, max_filled) in [(1, 20), (4, 14), (300, 4)] {
         let case_settings = Settings { directors_per_zone: vec![0, 0, directors], ..settings() };
         let mut router = router_with(case_settings, &endpoint_list(1, 1));
         let mut send = |index: u64, latency: Ns| {
@@ -24,7 +24,7 @@
         };
         assert!((0..40).all(|index| send(index, 60 * MS).1), "all are filled while answers come in time");
         let first_unfilled = (40..80).position(|index| send(index, 4 * SEC) == (800.0, false));
-        assert!(first_unfilled.is_some_and(|n| n <= 5 * max_late), "{directors}: {first_unfilled:?}");
+        assert!(first_unfilled.is_some_and(|n| n <= 5 * max_filled), "{directors}: {first_unfilled:?}");
         let first_refilled = (80..400).position(|index| send(index, 60 * MS) == (800.0, true));
         assert!(first_refilled.is_some_and(|n| n < 100), "{directors}: {first_refilled:?}");
     }
--- a/tests/router/main.rs
+++ b/tests/router/main.rs
@@ -1,4 +1,4 @@
-//! Table tests of the router, without the simulator.
+//! Table-driven tests of the router, and simulations of a fleet of directors. The operators' simulator is not used.
 
 mod answers;
 mod cache_policy;
--- a/tests/router/slow_start_classes.rs
+++ b/tests/router/slow_start_classes.rs
@@ -22,8 +22,8 @@
 }
 
 /// Checks that neither a cold cache nor a cold parent collapses while the traffic of `phases` arrives. Warm nodes
-/// have the capacity for `capacity_traffic` or for the traffic of the last phase, whichever is more work by the
-/// transfer times of the last phase.
+/// have the capacity for `capacity_traffic` or for the traffic of the last phase, whichever is more work. Work is the
+/// sum of each traffic's own transfer times, in units of the mean transfer time of the last phase.
 fn assert_no_collapse_during(
     fleet: &mut Fleet,
     settings: &Settings,
@@ -98,8 +98,8 @@
     assert_no_collapse_during(&mut fleet, &settings, &phases, &traffic, "while answers are slow");
 }
 
-/// Guards against an initial credit below 0 because of a class of which nothing is known. The minimum share is that
-/// of `cold_nodes_get_a_growing_share`, which requires it of a younger cache.
+/// Guards against an initial credit below 0 because of a class of which nothing is known. The minimum share is the
+/// one that `cold_nodes_get_a_growing_share` requires of a younger cache.
 #[test]
 fn class_without_requests_does_not_keep_a_cold_cache_idle() {
     let short = 2 * MS;
