--- a/src/types.rs
+++ b/src/types.rs
@@ -245,8 +245,8 @@
     CancelOutstanding,
     /// End all outstanding attempts as timed out: the answer has to be sent now to arrive before the deadline.
     TimeOutOutstanding,
-    /// Reject the request. This is returned only if a retry by the client, made after the named delay, cannot repeat
-    /// an effect that the request may have had.
+    /// Reject the request. This is returned only if a retry that the client makes right after the named delay cannot
+    /// repeat an effect of the request.
     Reject {
         /// How long the client is asked to wait before it retries; 0 if it is not asked to wait.
         retry_after: Ns,
