--- a/crates/hierarchy/src/plan/mod.rs
+++ b/crates/hierarchy/src/plan/mod.rs
@@ -82,7 +82,7 @@
     /// A fill could return to a node that it has passed.
     #[error("after {done} of {of} moves a fill could run in a loop: {}", .path.join(" > "))]
     Cycle {
-        /// The number of state changes (moves) that were possible.
+        /// The number of state changes (moves) before the step that violates the bound.
         done: usize,
         /// The number of state changes (moves) of the whole change.
         of: usize,
@@ -94,7 +94,7 @@
         "after {done} of {of} moves {node} could get requests and has no path to the origin (give it a source)"
     )]
     NoPathToOrigin {
-        /// The number of state changes (moves) that were possible.
+        /// The number of state changes (moves) before the step that violates the bound.
         done: usize,
         /// The number of state changes (moves) of the whole change.
         of: usize,
@@ -107,7 +107,7 @@
          raise its capacity, or start it earlier"
     )]
     NodeOverloaded {
-        /// The number of state changes (moves) that were possible.
+        /// The number of state changes (moves) before the step that violates the bound.
         done: usize,
         /// The number of state changes (moves) of the whole change.
         of: usize,
@@ -124,7 +124,7 @@
          raise the ceiling, or move less at a time"
     )]
     OriginOverloaded {
-        /// The number of state changes (moves) that were possible.
+        /// The number of state changes (moves) before the step that violates the bound.
         done: usize,
         /// The number of state changes (moves) of the whole change.
         of: usize,
--- a/crates/hierarchy/src/rollout/active_change.rs
+++ b/crates/hierarchy/src/rollout/active_change.rs
@@ -13,7 +13,8 @@
     /// Every participant applies the version, but requests that were routed by the previous version may still be in
     /// flight.
     Draining { until: Ns },
-    /// The minimum delay before the next step: moved objects are being filled, and cold nodes warm up.
+    /// The minimum delay before the next step: moved objects are being filled, and cold nodes warm up. From `until` on,
+    /// the step also waits until the origin can take its load.
     Waiting { until: Ns },
 }
 
--- a/crates/hierarchy/src/rollout/messages.rs
+++ b/crates/hierarchy/src/rollout/messages.rs
@@ -39,7 +39,7 @@
     HealthReport {
         /// The load that the origin measured, in fetches per second.
         origin_load: f64,
-        /// The nodes that the majority of directors considers down.
+        /// The nodes that the caller considers down.
         down_nodes: Vec<NodeId>,
     },
     /// An operator asks for the running change to be rolled back.
@@ -128,7 +128,7 @@
         #[serde(rename = "version")]
         version: HierarchySpec,
     },
-    /// Every participant applies the version of the last step.
+    /// Every participant applies the version of the step that was started last.
     #[serde(rename = "in-force")]
     StepCommitted {
         /// The number of the version.
--- a/crates/hierarchy/src/rollout/mod.rs
+++ b/crates/hierarchy/src/rollout/mod.rs
@@ -26,7 +26,7 @@
 use crate::spec::HierarchySpec;
 use crate::version::{Hierarchy, NodeId};
 
-/// The version that a participant last reported as applied, if it is the one that was published last.
+/// The version that a participant last reported as applied, if it is the one that was published last; zeros otherwise.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct AppliedVersion {
     number: u64,
@@ -293,7 +293,8 @@
     }
 
     /// A key of the state that determines the rollout's next actions, by which a model checker recognizes states that
-    /// it has visited. Times are relative to `now`, so that the same state at another time has the same key.
+    /// it has visited. Times are relative to `now`, so that the same state at another time has the same key. The last
+    /// reported load of the origin, which can delay a step, is not part of the key.
     pub fn state_key(&self, now: Ns) -> impl std::hash::Hash + Eq + use<> {
         let change = self.change.as_ref().map(|change| {
             let steps: Vec<u64> = change.steps.iter().map(|step| step.target.digest()).collect();
--- a/crates/hierarchy/src/rollout/recovery.rs
+++ b/crates/hierarchy/src/rollout/recovery.rs
@@ -9,7 +9,7 @@
 use crate::spec::HierarchySpec;
 use crate::version::Hierarchy;
 
-/// A step that was published but not committed: at least one participant did not report that it applies it.
+/// A step whose start is in the log but whose commit is not. Its version may have been published.
 struct PendingStep {
     is_rollback: bool,
     version: Hierarchy,
--- a/crates/hierarchy/src/version_holder.rs
+++ b/crates/hierarchy/src/version_holder.rs
@@ -16,7 +16,7 @@
     Accepted,
     /// The version is applied already.
     Unchanged,
-    /// The version is older than the applied one and ignored.
+    /// The version is older than the applied one, or its number is 0. It is ignored.
     Older,
     /// The version has the number of the applied one but different content. It is ignored, and must not be reported as
     /// applied.
--- a/crates/hierarchy/tests/model.rs
+++ b/crates/hierarchy/tests/model.rs
@@ -3,8 +3,8 @@
 //! reports are bad. Each node routes fills by the version that it applies.
 //!
 //! `SABLECROSS_MODEL=all` searches every first version with every pair of changes of it, except those that differ from
-//! another by the names of nodes alone. `N` searches one in N of them, and `N:PART` another part of the same size.
-//! Without the variable, a fixed sample is searched.
+//! another by the names of nodes alone. `N` searches one in N of them, and `N:PART` another part of the same size, with
+//! PART from 1 to N - 1. Without the variable, a fixed sample is searched.
 
 mod support;
 
@@ -360,7 +360,10 @@
     let (each, part) = match selection.split_once(':') {
         _ if selection == "all" => (1, 0),
         None => (selection.parse().expect("SABLECROSS_MODEL: all, N, or N:PART"), 0),
-        Some((n, part)) => (n.parse().expect("one in how many"), part.parse().expect("which part")),
+        Some((n, part)) => (
+            n.parse().expect("SABLECROSS_MODEL: N is not a number"),
+            part.parse().expect("SABLECROSS_MODEL: PART is not a number"),
+        ),
     };
     let mut triples = Vec::new();
     for n in 1..=3 {
