--- a/crates/cli/src/coordination.rs
+++ b/crates/cli/src/coordination.rs
@@ -1,4 +1,4 @@
-//! The command `sablecross coordination` (`duty` up to 0.1.0), which shows the holders of the fleet's roles, hands roles
+//! The command `sablecross coordination` (alias `duty`), which shows the holders of the fleet's roles, hands roles
 //! over, and proposes hierarchy changes.
 
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
 const FOLLOW_INTERVAL: Duration = Duration::from_millis(100);
 /// The interval at which the directors are polled for the new holder after a hand-over.
 const HAND_OVER_INTERVAL: Duration = Duration::from_millis(50);
-/// The minimum time for which the directors are polled for the new holder.
+/// The minimum time after which polling for the new holder is given up. A longer timeout of calls extends it.
 const MIN_HAND_OVER_WAIT: Duration = Duration::from_secs(2);
 
 /// The directors that a command calls.
@@ -224,7 +224,7 @@
     Ok(target.addresses()?.into_iter().filter_map(holder).max_by_key(|holder| holder.term))
 }
 
-fn role_status(status: MemberStatus, role: RoleId) -> Option<String> {
+fn role_report_text(status: MemberStatus, role: RoleId) -> Option<String> {
     status.role_reports.into_iter().find(|report| report.role == role).map(|report| report.text)
 }
 
@@ -253,7 +253,8 @@
     proposed_to: SocketAddr,
     follow: f64,
 ) -> Result<CommandOutcome, Vec<String>> {
-    let first = target.member_status(proposed_to).ok().and_then(|status| role_status(status, HIERARCHY_ROLE));
+    let first =
+        target.member_status(proposed_to).ok().and_then(|status| role_report_text(status, HIERARCHY_ROLE));
     let mut has_run = first.is_none_or(|status| !is_idle(&status));
     let started = Instant::now();
     let mut last = String::new();
@@ -262,7 +263,7 @@
         // If the holder is lost, the next holder continues the change.
         let Some(holder) = find_holder(target, HIERARCHY_ROLE)? else { continue };
         let Ok(member) = target.member_status(holder.address) else { continue };
-        let Some(status) = role_status(member, HIERARCHY_ROLE) else { continue };
+        let Some(status) = role_report_text(member, HIERARCHY_ROLE) else { continue };
         if status != last {
             println!("{:>7.1} s  member {}: {status}", started.elapsed().as_secs_f64(), holder.member);
         }
--- a/crates/cli/src/relay.rs
+++ b/crates/cli/src/relay.rs
@@ -51,8 +51,8 @@
     Publish {
         #[command(flatten)]
         target: Target,
-        /// Idempotency key: an event is committed once, however often it is published with the same key. With several
-        /// events, -1, -2 and so on are appended. Without the option, a key is generated.
+        /// Idempotency key: while the log keeps an event, publishing again with its key only returns its number. With
+        /// several events, -1, -2 and so on are appended. Without the option, a key is generated.
         #[arg(long)]
         mark: Option<String>,
         /// JSON, or @FILE
@@ -194,7 +194,7 @@
     match applied.since_unix_ms {
         Some(since) => println!("{number}: in force everywhere that counts since {since} ({})", age(since)),
         None if applied.missing.is_empty() => {
-            println!("{number}: in force at all that are known; since when is not known")
+            println!("{number}: in force at all known subscribers; since when is not known")
         }
         None => println!("{number}: not in force everywhere"),
     }
--- a/crates/cli/tests/capacity.rs
+++ b/crates/cli/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! Tests of the commands `sablecross capacity` and `sablecross slopes`.
+//! Tests of the commands `sablecross capacity` and `sablecross cost-slopes`, which is called by its alias `slopes`.
 
 use std::path::Path;
 use std::process::{Command, Output};
--- a/crates/cli/tests/scale.rs
+++ b/crates/cli/tests/scale.rs
@@ -34,7 +34,7 @@
 
 /// Guards against events that directors miss, get twice or get out of order when relays fail. Two hundred simulated
 /// directors and five real ones are behind four relays, three of them voters; the leader and another relay are killed,
-/// directors restart, and a thousand purges are published within a second.
+/// directors restart, and a thousand purges are queued at once.
 #[test]
 fn two_hundred_directors_miss_no_event_when_relays_fail() {
     let text = "(scale (name . \"short\") (seed . 3) (seconds . 22) (warm-up . 4) (hollow . 200) (real . 5) (relays . 4) (voters . 3)
