--- a/crates/capacity/src/cost.rs
+++ b/crates/capacity/src/cost.rs
@@ -11,11 +11,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MeasurementKind {
-    /// Counted: the values are the same in each run.
+    /// Counted: numbers of bytes, calls or open file descriptors.
     Counted,
-    /// Timed: the median of rounds in which all sizes take turns.
+    /// Timed: durations or processor time; medians of rounds, except for lookups and bodies, which are measured once.
     Timed,
-    /// Resident memory of a process that holds many instances, divided by their number.
+    /// Resident memory: of a director process, or the growth of a process that creates many instances, divided by their
+    /// number.
     Resident,
 }
 
--- a/crates/capacity/src/discovery.rs
+++ b/crates/capacity/src/discovery.rs
@@ -16,7 +16,7 @@
 const MAX_BUFFERED_BYTES: usize = 4 << 20;
 /// Number of the first event. It has as many digits as the numbers of a source that has run for some days.
 const FIRST_NUMBER: u64 = 10_000_000;
-/// Unix time of the purges in milliseconds.
+/// Unix time in milliseconds to which the number of a purge event is added to get the time of the purge.
 const PURGED_AT_MS: u64 = 1_764_576_000_123;
 
 pub(crate) fn event_block(n: u64, payload: &str) -> String {
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -25,7 +25,7 @@
     /// Largest residual as a share of the value measured at that size.
     #[serde(rename = "worst")]
     pub max_relative_residual: f64,
-    /// Slope between the last two sizes divided by the slope between the first two.
+    /// Slope between the last two sizes divided by the slope between the first two; 1 for three points.
     #[serde(rename = "turn")]
     pub slope_ratio: f64,
     /// The first size whose value lies more than a quarter above the line through the smaller half of the sizes.
--- a/crates/capacity/src/model.rs
+++ b/crates/capacity/src/model.rs
@@ -30,8 +30,8 @@
 ///
 /// # Errors
 ///
-/// Returns all errors of the file: wrong syntax, unknown keys, values out of range, forms that appear twice, and missing
-/// forms, slopes or figures that the tables need.
+/// Returns the errors of single forms: wrong syntax, unknown keys and values out of range. If there are none, returns
+/// forms that appear twice, and missing forms, slopes or figures that the tables need.
 pub fn parse(file: &str, text: &str) -> Result<CapacityModel, Vec<ConfigError>> {
     let mut builder = ModelBuilder::default();
     for form in sablecross_sexpr_config::parse_forms::<Form>(file, text)? {
@@ -199,7 +199,7 @@
         self.target.purges * self.assumptions.binds_s
     }
 
-    /// Returns the number of purges that a relay keeps and sends to a reader that has none.
+    /// Returns the number of purges that a relay keeps and sends to a subscriber that has none.
     pub fn retained_purges(&self) -> f64 {
         self.target.purges * (self.assumptions.binds_s + self.assumptions.slack_s)
     }
@@ -216,13 +216,14 @@
         self.event_bytes_per_s() + comment + packets * 2.0 * self.assumptions.head
     }
 
-    /// Returns the bytes a second of the calls by which a reader reports what it has applied.
+    /// Returns the bytes a second of the calls by which a subscriber reports what it has applied.
     pub fn reconnect_bytes_per_s(&self) -> f64 {
         let a = &self.assumptions;
         (2.0 * a.call + a.connection * a.head) * 1e3 / a.ack_ms
     }
 
-    /// Returns the bytes that a reader without any state receives: the endpoint list and the purges that the relay keeps.
+    /// Returns the bytes that a subscriber without any state receives: the endpoint list and the purges that the relay
+    /// keeps.
     pub fn snapshot_bytes(&self) -> f64 {
         self.predict("feed-list-bytes", self.target.nodes)
             + self.retained_purges() * self.slope("feed-purge-bytes")
--- a/crates/capacity/src/model/forms.rs
+++ b/crates/capacity/src/model/forms.rs
@@ -99,14 +99,14 @@
     /// Milliseconds between two batches of events.
     #[garde(range(min = 1.0, max = 1e5))]
     pub batch_ms: f64,
-    /// Mean milliseconds until a stream of a relay ends and its reader calls again.
+    /// Mean milliseconds until a stream of a relay ends and its subscriber calls again.
     #[garde(range(min = 1.0, max = 1e6))]
     pub ack_ms: f64,
     /// Seconds for which a purge affects decisions.
     #[garde(range(min = 1.0, max = 1e5))]
     pub binds_s: f64,
-    /// Maximum further seconds for which a relay keeps a purge: 10 s for clock skew, and up to 10 s until its log is
-    /// compacted.
+    /// Maximum further seconds for which a relay keeps a purge: 10 s for clock differences and delivery, and up to 10 s
+    /// until its log is compacted.
     #[garde(range(min = 0.0, max = 1e4))]
     pub slack_s: f64,
     /// Capacity of the network link of one control machine, in bits a second.
--- a/crates/capacity/src/real_director/lookup_load.rs
+++ b/crates/capacity/src/real_director/lookup_load.rs
@@ -70,7 +70,7 @@
 struct LoadResult {
     cpu_percent: f64,
     satisfied_per_s: f64,
-    memory: f64,
+    memory_bytes: f64,
     descriptors: f64,
 }
 
@@ -101,14 +101,14 @@
     let cpu_percent = director.cpu_percent(MEASUREMENT_SPAN)?;
     let (after, elapsed_s) = (response_counts(), started.elapsed().as_secs_f64());
     let [satisfied, others] = [0, 1].map(|n| (after[n] - before[n]) / elapsed_s);
-    // With fewer satisfied lookups, the figures would include lookups that were not served.
+    // With fewer satisfied lookups, the figures would not be those of the intended load.
     if satisfied < 0.98 * rate || others > 0.02 * rate {
         return Err(MeasurementError::LookupsNotSatisfied { rate, satisfied, others });
     }
     Ok(LoadResult {
         cpu_percent,
         satisfied_per_s: satisfied,
-        memory: resident_bytes_of(&director.child.id().to_string()).unwrap_or(f64::NAN),
+        memory_bytes: resident_bytes_of(&director.child.id().to_string()).unwrap_or(f64::NAN),
         descriptors: director.descriptors()? as f64,
     })
 }
@@ -134,7 +134,7 @@
             "memory of a real director",
             size_unit,
             "bytes",
-            points_of(|result| result.memory),
+            points_of(|result| result.memory_bytes),
         ),
         cost(
             "real-lookup-descriptors",
--- a/crates/capacity/src/real_director/startup.rs
+++ b/crates/capacity/src/real_director/startup.rs
@@ -63,8 +63,7 @@
         start_with_feeds(director_command, &[purges], script_for).map(|mut directors| directors.remove(0))
     };
     let [time, memory] = measure_starts(&sizes, start)?;
-    let description =
-        "start of a real director with 490 nodes listed that receives the purges of the last hour at once";
+    let description = "start of a real director with 490 nodes listed that receives earlier purges at once";
     Ok(vec![
         cost("real-told-time", description, "purges", "ms of a core", time),
         cost("real-told-memory", description, "purges", "bytes", memory),
--- a/crates/capacity/src/report/sections/workload.rs
+++ b/crates/capacity/src/report/sections/workload.rs
@@ -189,7 +189,7 @@
         )
     }
 
-    /// Returns the sections about what directors receive after a partition between regions of the target's duration.
+    /// Returns the sections about what directors receive after a partition between regions that lasted `cut_s` seconds.
     fn reconnect_sections(&self) -> [Section; 2] {
         let t = &self.target;
         let (snapshot_bytes, directors_per_region) = (self.snapshot_bytes(), t.directors / t.regions);
