--- a/crates/capacity/src/router.rs
+++ b/crates/capacity/src/router.rs
@@ -16,7 +16,7 @@
 const MS: Ns = 1_000_000;
 const SEC: Ns = 1_000 * MS;
 const START_TIME: Ns = 10_000 * SEC;
-/// Time within which nodes apply a purge. The router keeps the purge 120 s longer.
+/// Time within which nodes clear purged objects. The router keeps the purge 120 s longer.
 const PURGE_PROPAGATION: Ns = 6 * SEC;
 /// Seconds for which the router keeps a purge: the propagation window and 120 s.
 const PURGE_WINDOW_S: u64 = 126;
--- a/crates/hierarchy/src/rollout/messages.rs
+++ b/crates/hierarchy/src/rollout/messages.rs
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum RolloutRecord {
-    /// Every participant applies this version and no change is running, so earlier records are no longer needed.
+    /// No change is running and this version is committed, so earlier records are no longer needed.
     #[serde(rename = "start")]
     Checkpoint {
         /// The last version number that was assigned.
--- a/crates/hierarchy/src/spec/settings_file.rs
+++ b/crates/hierarchy/src/spec/settings_file.rs
@@ -14,7 +14,8 @@
 /// `known` has keep their ids.
 ///
 /// # Errors
-/// Returns all errors of the file up to a limit, each with its line, column, key and cause.
+/// Returns the errors of single forms or, if there are none, those across forms. Each has its line, column, key and
+/// cause.
 pub fn parse_settings(
     file: &str,
     text: &str,
--- a/crates/sexpr-config/src/error.rs
+++ b/crates/sexpr-config/src/error.rs
@@ -43,7 +43,7 @@
 }
 
 impl<T> Located<T> {
-    /// Creates an error of the form or of one of its keys.
+    /// Creates an error of the form or of one of its keys. Its position is the first column of the form's line.
     pub fn error(
         &self,
         file: &str,
