--- a/crates/hierarchy/src/rollout/messages.rs
+++ b/crates/hierarchy/src/rollout/messages.rs
@@ -39,7 +39,7 @@
     HealthReport {
         /// The load that the origin measured, in fetches per second.
         origin_load: f64,
-        /// The nodes that the majority of directors considers down.
+        /// The nodes that the caller considers down.
         down_nodes: Vec<NodeId>,
     },
     /// An operator asks for the running change to be rolled back.
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum RolloutRecord {
-    /// Every participant applies this version and no change is running, so earlier records are no longer needed.
+    /// No change is running and this version is committed, so earlier records are no longer needed.
     #[serde(rename = "start")]
     Checkpoint {
         /// The last version number that was assigned.
@@ -128,7 +128,7 @@
         #[serde(rename = "version")]
         version: HierarchySpec,
     },
-    /// Every participant applies the version of the last step.
+    /// Every participant applies the version of the step that was started last.
     #[serde(rename = "in-force")]
     StepCommitted {
         /// The number of the version.
