--- a/crates/relay/src/config.rs
+++ b/crates/relay/src/config.rs
@@ -39,7 +39,7 @@
     /// Maximum bytes of entries in one call.
     pub max_call_bytes: usize,
     /// If too few voters remember the log, the leader resets it once all voters have answered, or once a majority has
-    /// answered and this time has passed.
+    /// answered and this time has passed. By the same rule a restarted voter stops waiting for complete logs.
     pub reset_timeout: Ns,
     /// How far a purge's timestamp may be ahead of the leader's clock.
     pub max_purge_lead: Ns,
--- a/crates/relay/src/error.rs
+++ b/crates/relay/src/error.rs
@@ -13,7 +13,8 @@
     /// This relay is not the leader; the value is the leader, if known.
     #[error("not the leader: {}", describe_leader(.0))]
     NotLeader(Option<Member>),
-    /// This relay lost its leadership before the event was committed; a later leader may still commit it.
+    /// This relay lost its leadership, or reset the log, before the event was committed. The event may still be
+    /// committed, by a later leader or with the reset.
     #[error(
         "no longer the leader: whether the event will be committed is not known; publish it again with the same mark"
     )]
--- a/crates/relay/src/log.rs
+++ b/crates/relay/src/log.rs
@@ -79,8 +79,8 @@
     pub limit: usize,
 }
 
-/// Events with consecutive numbers, which are never truncated. Voters keep entries that may still be truncated
-/// separately.
+/// Events with consecutive numbers, which are never truncated. Entries that may still be truncated are not part of it:
+/// a voter keeps them in a list of its own.
 #[derive(Clone, Debug)]
 pub struct Log {
     snapshot: Snapshot,
--- a/crates/relay/src/messages.rs
+++ b/crates/relay/src/messages.rs
@@ -73,7 +73,8 @@
         /// The entry before the first one of `entries`.
         #[serde(rename = "previous")]
         previous_entry: EntryPosition,
-        /// Replaces the receiver's log if that is of another epoch or its committed part is behind the snapshot.
+        /// Replaces the receiver's log if that is of an outdated epoch, or the committed part of it if that is behind
+        /// the snapshot.
         #[serde(rename = "base")]
         snapshot: Option<Snapshot>,
         /// Consecutive entries.
@@ -159,7 +160,7 @@
         applied_number: u64,
     },
     /// Answers [`PeerCall::Append`]: the voter restarted when too few other voters remembered the log, and stores
-    /// nothing until the log is reset.
+    /// nothing until it has recovered the complete log or the log is reset.
     #[serde(rename = "Unsure")]
     NeedsReset {
         /// Token of the call.
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -1,4 +1,5 @@
-//! A relay: either a voter or a plain relay that follows another one. Both send the same events to subscribers.
+//! A relay: either a voter, or a plain relay that follows another relay or an external feed. Both send the same events
+//! to subscribers.
 
 use sablecross_coordination::{FencingToken, Member, Ns};
 use thiserror::Error;
@@ -218,7 +219,8 @@
     }
 
     /// Accepts the JSON of an event from a publisher. The result is emitted as [`Action::Published`] with this
-    /// ticket. An event with an idempotency key is published once, however often it is sent.
+    /// ticket. An event with an idempotency key is published once, however often it is sent while the log keeps it
+    /// individually.
     pub fn publish(
         &mut self,
         now: Ns,
--- a/crates/relay/src/replica_group/replication.rs
+++ b/crates/relay/src/replica_group/replication.rs
@@ -56,7 +56,7 @@
     /// Id of the call that the follower has not answered.
     call_in_flight: Option<u64>,
     last_sent_at: Option<Ns>,
-    /// Whether the follower stores nothing until the log is reset.
+    /// Whether the follower stores nothing until it has recovered the complete log or the log is reset.
     needs_reset: bool,
 }
 
@@ -193,8 +193,8 @@
         self.send_appends(now);
     }
 
-    /// Handles a follower that stores nothing until the log is reset. If the voters that do store entries are no
-    /// majority, the leader returns to the read phase, which may reset the log.
+    /// Handles a follower that answered [`PeerAnswer::NeedsReset`](crate::messages::PeerAnswer::NeedsReset). If the
+    /// voters that do store entries are no majority, the leader returns to the read phase, which may reset the log.
     pub(super) fn on_needs_reset(&mut self, now: Ns, voter: u32) {
         let Some(leading) = &mut self.leading else { return };
         if let Some(follower) = leading.followers.get_mut(voter as usize) {
@@ -231,8 +231,9 @@
         }
     }
 
-    /// Accepts an event. The result is emitted as [`Action::Published`] once the event is committed; if an event
-    /// with the same idempotency key is committed already, it is emitted at once.
+    /// Accepts an event. The result is emitted as [`Action::Published`] once the event is committed or this voter can
+    /// no longer tell whether it will be; if an event with the same idempotency key is committed already, the result is
+    /// emitted at once.
     pub(crate) fn publish(
         &mut self,
         now: Ns,
--- a/crates/relay/src/snapshot.rs
+++ b/crates/relay/src/snapshot.rs
@@ -88,8 +88,9 @@
     ///
     /// - The complete list is sent under the snapshot's number.
     /// - A hierarchy that the subscriber doesn't have is sent before that, under the hierarchy's own number.
-    /// - Before that hierarchy, the current complete list is sent as well. A subscriber that received it and continues
-    ///   elsewhere is sent the later changes to the list again, which leads to the same list.
+    /// - Before that hierarchy, the current complete list is sent as well, unless the hierarchy is the next event after
+    ///   the cursor. A subscriber that received the list and continues elsewhere is sent the later changes to it again,
+    ///   which leads to the same list.
     pub(crate) fn to_frames(&self, cursor: u64) -> Vec<u8> {
         let list = self.to_list_event();
         let mut out = Vec::new();
--- a/crates/relay/src/staleness.rs
+++ b/crates/relay/src/staleness.rs
@@ -5,8 +5,9 @@
 
 const NS_PER_MS: Ns = 1_000_000;
 
-/// The time at which a relay last knew the leader to lead. Ages add up along a chain of relays, and only the leader
-/// resets them. If relays follow one another in a cycle, the ages of all of them grow.
+/// The time at which a relay last knew the leader to lead. Ages add up along a chain of relays, and only the leader, or
+/// an external feed that is followed, resets them. If relays follow one another in a cycle, the ages of all of them
+/// grow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Staleness {
     /// When the leader was last known to lead, by this process's clock; `None` if it never was.
--- a/crates/relay/tests/schedules.rs
+++ b/crates/relay/tests/schedules.rs
@@ -2,7 +2,8 @@
 //! reordered, links are cut in one direction, processes are paused and wake late, and voters lose their logs in
 //! restarts.
 //!
-//! `SABLECROSS_RELAY_SCHEDULES=N` sets the number of schedules.
+//! `SABLECROSS_RELAY_SCHEDULES=N` sets the number of schedules in which a majority keeps its log, by default 10,000. A
+//! tenth as many run in which a majority may lose it.
 
 mod help;
 
