--- a/crates/relay-server/src/connection.rs
+++ b/crates/relay-server/src/connection.rs
@@ -70,7 +70,8 @@
     /// How many bytes of `output` are written.
     written: usize,
     has_large_send_buffer: bool,
-    /// When request bytes were last read, bytes were last written, or the connection began to close or to drain.
+    /// When the connection was accepted, request bytes were last read, bytes were last written, or the connection began
+    /// to close or to drain, whichever was last.
     pub(crate) last_active: Ns,
 }
 
--- a/crates/relay-server/src/peers.rs
+++ b/crates/relay-server/src/peers.rs
@@ -22,7 +22,8 @@
 /// How often the follower checks for a new subscription while it reads a stream.
 const SUBSCRIPTION_POLL_INTERVAL: Duration = Duration::from_millis(100);
 const MAX_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Delay before the next subscription after one that failed, or that ended early without any item.
+/// Delay before the next subscription after one that failed, or that within this time was replaced or ended without any
+/// item.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 const THREAD_STACK_BYTES: usize = 256 << 10;
 const READ_CHUNK_BYTES: usize = 16_384;
@@ -52,7 +53,7 @@
 }
 
 impl Inbox {
-    /// Returns false once the event loop has ended.
+    /// Sends an event and wakes the event loop. Returns false if the event loop has ended or could not be woken.
     pub(crate) fn send(&self, event: ServerEvent) -> bool {
         // If only the wake-up fails, the event loop handles the event on its next tick.
         self.sender.send(event).is_ok() && self.waker.wake().is_ok()
--- a/crates/relay-server/src/server/events.rs
+++ b/crates/relay-server/src/server/events.rs
@@ -107,8 +107,8 @@
         self.last_upstream_subscription_id += 1;
         // A relay gets the applied number in a header of its own, so the stream continues after this relay's last event
         // and repeats none. An external feed knows only one number, so its stream starts after the applied one.
-        let is_outside = !self.config.upstreams.is_empty();
-        let (after, applied_number) = if is_outside {
+        let is_external_feed = !self.config.upstreams.is_empty();
+        let (after, applied_number) = if is_external_feed {
             (target.applied_number, None)
         } else {
             (self.relay.last_number(), Some(target.applied_number))
--- a/crates/relay-server/src/settings/forms.rs
+++ b/crates/relay-server/src/settings/forms.rs
@@ -35,7 +35,8 @@
     #[garde(range(min = 512, max = 1_048_576))]
     #[serde(default = "default_batch_bytes")]
     pub batch_bytes: usize,
-    /// Duration of a stream. Its subscriber then reconnects, and so reports what it has applied.
+    /// Longest duration of a stream; a stream to another relay lasts at most a quarter of it. The subscriber then
+    /// reconnects, and so reports what it has applied.
     #[garde(range(min = 100, max = 600_000))]
     #[serde(default = "default_ack_ms")]
     pub ack_ms: u64,
@@ -47,7 +48,8 @@
     #[garde(range(min = 1_000, max = 604_800_000))]
     #[serde(default = "default_forgotten_ms")]
     pub forgotten_ms: u64,
-    /// A connection with unwritten output that accepts no byte for longer than this is closed.
+    /// An event stream or a closing connection with unwritten output that accepts no byte for longer than this is
+    /// dropped.
     #[garde(range(min = 200, max = 600_000))]
     #[serde(default = "default_stuck_ms")]
     pub stuck_ms: u64,
@@ -64,7 +66,7 @@
     #[garde(range(max = 600_000))]
     #[serde(default = "default_slack_ms")]
     pub slack_ms: u64,
-    /// Size limit of the log. While the log is full, events from publishers are rejected.
+    /// Size limit of the log in bytes. While the log is full, events from publishers are rejected.
     #[garde(range(min = 65_536, max = 4_294_967_296))]
     #[serde(default = "default_log_bytes")]
     pub log_bytes: usize,
@@ -84,7 +86,7 @@
     #[garde(range(min = 1, max = 60_000))]
     #[serde(default = "default_apart_ms")]
     pub apart_ms: u64,
-    /// If too few voters still have the log, it is reset after this time, even if not all voters have replied.
+    /// If too few voters still have the log, it is reset after this time, even if only a majority has replied.
     #[garde(range(min = 500, max = 3_600_000))]
     #[serde(default = "default_anew_ms")]
     pub anew_ms: u64,
--- a/crates/relay-server/tests/processes/common.rs
+++ b/crates/relay-server/tests/processes/common.rs
@@ -508,7 +508,8 @@
     }
 }
 
-/// Returns whether a voter rejects an event because it is not, or no longer, the leader.
+/// Sends an event to one voter once. Returns whether the call failed, as at a voter that is not, or no longer, the
+/// leader: the event was neither committed nor rejected as invalid.
 pub(crate) fn rejects_as_non_leader(fleet: &RelayFleet, relay: u32, event: &str) -> bool {
     let member = MemberForm { number: relay, address: fleet.address(relay), votes: true };
     let result = Publisher::new(&[member]).publish("once", event.as_bytes(), Duration::ZERO);
