--- a/crates/tls-keys/src/error.rs
+++ b/crates/tls-keys/src/error.rs
@@ -75,19 +75,19 @@
     /// The subject of a certificate in a chain is not the issuer of the one before it.
     #[error("{subject} does not follow the one that it issued")]
     BrokenChain {
-        /// Its subject.
+        /// Subject of the certificate.
         subject: String,
     },
     /// A certificate is not yet valid at the current time.
     #[error("{subject}: not yet valid")]
     NotYetValid {
-        /// Its subject.
+        /// Subject of the certificate.
         subject: String,
     },
     /// A certificate has expired at the current time.
     #[error("{subject}: expired")]
     Expired {
-        /// Its subject.
+        /// Subject of the certificate.
         subject: String,
     },
     /// The file holds no private key. The parser's message is left out, as it may quote the key.
--- a/crates/tls-keys/src/handshake_limiter.rs
+++ b/crates/tls-keys/src/handshake_limiter.rs
@@ -59,7 +59,7 @@
 }
 
 impl HandshakeLimiter {
-    /// Creates a limiter with a full token bucket, which holds the handshakes of one second.
+    /// Creates a limiter with a full token bucket, which holds the handshakes of one second, but at least one.
     pub fn new(limits: HandshakeLimits, now: Ns) -> HandshakeLimiter {
         HandshakeLimiter {
             limits,
--- a/crates/tls-keys/src/key_files.rs
+++ b/crates/tls-keys/src/key_files.rs
@@ -69,8 +69,8 @@
 }
 
 impl KeyFiles {
-    /// Reads all files. Fails at the first one that cannot be read, or if group or others have permissions on the
-    /// private key's file and `allow_world_readable_key` is not set.
+    /// Reads all files. Fails at the first one that cannot be read or is larger than 4 MiB, or if group or others have
+    /// permissions on the private key's file and `allow_world_readable_key` is not set.
     pub fn read(&self) -> Result<KeyMaterial, KeyError> {
         let identity = match &self.identity {
             None => None,
