--- a/crates/cli/tests/scale.rs
+++ b/crates/cli/tests/scale.rs
@@ -82,7 +82,7 @@
         (format!("{head} (relays . 2) (voters . 3))"), "scale.voters"),
         (
             format!("{head} (faults ((kind . kill-owner) (at . 1))))"),
-            "scale.faults: one strikes plain relays",
+            "scale.faults: one affects plain relays",
         ),
         (
             format!("{head} (faults ((kind . kill-directors) (at . 8) (lasts . 3))))"),
--- a/crates/testbed/src/scale/evaluation.rs
+++ b/crates/testbed/src/scale/evaluation.rs
@@ -7,9 +7,9 @@
 use super::settings::ScaleTrial;
 use super::source::LoadEvent;
 
-/// Bytes of packet headers for each read, by arithmetic: a data packet and its acknowledgement.
+/// Bytes of packet headers for each read: a data packet and its acknowledgement, with 66 bytes each.
 const HEADER_BYTES_PER_READ: f64 = 132.0;
-/// Bytes of packet headers for each call beyond those of its reads, by arithmetic: nine packets.
+/// Bytes of packet headers for each call beyond those of its reads: nine packets with 66 bytes each.
 const HEADER_BYTES_PER_CALL: f64 = 594.0;
 const NS_PER_MS: f64 = 1e6;
 const NS_PER_SECOND: f64 = 1e9;
@@ -55,7 +55,7 @@
     pub(crate) real_bytes: [u64; 2],
     pub(crate) relays: Vec<ProcessUse>,
     pub(crate) relay_bytes: Vec<RelayBytes>,
-    /// CPU time of this program, which is the source if there are no relays.
+    /// CPU time of this program, which is also the source if no relay votes.
     pub(crate) own_cpu_seconds: f64,
 }
 
--- a/crates/testbed/src/scale/report.rs
+++ b/crates/testbed/src/scale/report.rs
@@ -93,13 +93,14 @@
 pub struct RecoveryTime {
     /// The fault.
     pub what: String,
-    /// When it began, in seconds.
+    /// When it began, in seconds from the start of the load.
     pub at: f64,
     /// How many seconds it lasted.
     pub lasted: f64,
     /// Seconds from its start until the last late event was applied everywhere; 0 if none was late.
     pub from_begin: f64,
-    /// Seconds from its end until the last late event was applied everywhere; 0 if none was late.
+    /// Seconds from its end until the last late event was applied everywhere; 0 if none was late, or if that was before
+    /// its end.
     pub from_end: f64,
 }
 
@@ -142,7 +143,7 @@
     /// Events that were applied twice.
     #[serde(rename = "twice")]
     pub applied_twice: u64,
-    /// Numbers under which not all directors had the same event.
+    /// Events that differ from the one that another director had, or that was published, under the same number.
     #[serde(rename = "differs")]
     pub different_events: u64,
     /// Events that a director did not apply, as a snapshot replaced them and need not contain them any more.
@@ -150,9 +151,9 @@
     pub expired: u64,
     /// Endpoint lists that are not as they were published.
     pub wrong_lists: u64,
-    /// New subscriptions because an event was missing or unreadable.
+    /// New subscriptions of simulated directors because an event was missing or unreadable.
     pub gaps: u64,
-    /// Events that were skipped as unreadable.
+    /// Events that simulated directors skipped as unreadable.
     pub skipped: u64,
     /// Restarts of directors.
     pub restarts: u64,
@@ -173,7 +174,7 @@
     /// What each relay used.
     #[serde(rename = "roles")]
     pub relays: Vec<RelayUse>,
-    /// This program's part of a core; without relays, the source is in it.
+    /// This program's part of a core; if no relay votes, it includes the source.
     pub own_cpu: f64,
     /// The faults, and how long they made events late.
     pub faults: Vec<RecoveryTime>,
@@ -350,7 +351,7 @@
         let mut violations = self.counted_violations();
         violations.extend(self.late_events());
         // If the bytes differ, the simulated directors did not have the load of real ones. With faults the bytes are
-        // not compared, as faults affect simulated directors alone.
+        // not compared, as some faults affect only simulated directors.
         if self.trial.faults.is_empty()
             && let Some(SimulationRatios { bytes, .. }) = self.simulation_ratios()
             && (bytes - 1.0).abs() > MAX_BYTES_DIFFERENCE
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -73,8 +73,9 @@
 ///
 /// # Errors
 ///
-/// Returns an error if the machine is too small for the trial, or a file, socket or process of the trial can't be
-/// created. Violations are not errors: the report lists them.
+/// Returns an error if the machine is too small for the trial, a file, socket or process of the trial can't be created,
+/// a process does not serve in time, or the endpoint list can't be published. Violations are not errors: the report
+/// lists them.
 pub fn run(
     settings: &ScaleTrial,
     program: Program,
--- a/crates/testbed/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -33,7 +33,7 @@
     CutRegion,
     /// A share of the directors is killed, and restarted at the end of the fault.
     KillDirectors,
-    /// `count` directors are restarted, one after another.
+    /// `count` times, a random director is killed at a random time and restarted within half a second.
     RestartDirectors,
     /// A share of the directors reads one byte at each timer tick.
     SlowDirectors,
@@ -42,7 +42,8 @@
 }
 
 impl FaultKind {
-    /// Whether events may be late because of the fault. Restarts of directors and bursts of purges are no excuse.
+    /// Whether events may be late because of the fault. Killing or restarting directors and bursts of purges are no
+    /// excuse.
     pub(crate) fn excuses_lateness(self) -> bool {
         self.affects_relays() || self == FaultKind::SlowDirectors
     }
@@ -97,7 +98,8 @@
     #[garde(range(max = 600))]
     #[serde(default = "warm_up")]
     pub warm_up: u64,
-    /// Seconds after the load within which the last event must be applied everywhere.
+    /// The timeout in seconds of each wait after the load: until all events are confirmed, until all simulated
+    /// directors have applied the last event, and until all real directors have.
     #[garde(range(min = 1, max = 600))]
     #[serde(default = "settle")]
     pub settle: u64,
@@ -149,7 +151,8 @@
     #[garde(range(min = 1, max = 10_000))]
     #[serde(default = "batch_ms")]
     pub batch_ms: u64,
-    /// How many milliseconds relays keep a purge beyond the time in which caches clear it.
+    /// For how many milliseconds after caches have cleared a purged object the purge stays active. Relays keep it
+    /// longer.
     #[garde(range(min = 100, max = 3_600_000))]
     #[serde(default = "held_ms")]
     pub held_ms: u64,
@@ -270,7 +273,7 @@
         } else if self.voters > self.relays {
             Some(("scale.voters", "more than there are relays"))
         } else if self.faults.iter().any(|f| f.kind.affects_relays() && self.has_no_target(f.kind)) {
-            Some(("scale.faults", "one strikes plain relays, or the owner, and there are none"))
+            Some(("scale.faults", "one affects plain relays, or the owner, and there are none"))
         } else if self.faults.iter().any(|f| f.at + f.lasts > end) {
             Some(("scale.faults", "one lasts past the end"))
         } else if self.nodes < self.zones + 2 {
--- a/crates/testbed/src/scale/simulated_director.rs
+++ b/crates/testbed/src/scale/simulated_director.rs
@@ -81,8 +81,8 @@
     cursor: EventCursor,
     feeds: FeedSelector,
     started: Instant,
-    /// The highest number that another director of the process had applied when this one started. The director has
-    /// caught up once it has applied this number.
+    /// The highest number that any director of the process had applied when this one was restarted; 0 at its first
+    /// start. The director has caught up once it has applied this number.
     catch_up_target: u64,
     caught_up: bool,
     /// Whether a feed has answered since the start.
@@ -313,7 +313,7 @@
         self.drop_connection(connection, shared);
     }
 
-    /// Starts a director that was killed with the events of the configuration; does nothing if it runs.
+    /// Restarts a killed director, which then knows the events of the configuration. Does nothing if the director runs.
     pub(crate) fn start(&mut self, shared: &mut Shared) {
         if self.is_running() {
             return;
--- a/crates/testbed/src/scale/source.rs
+++ b/crates/testbed/src/scale/source.rs
@@ -24,7 +24,7 @@
 use crate::schedule::exponential_interval;
 use crate::threads::{lock, spawn};
 
-/// Timeout of a call to a relay.
+/// Timeout of a request for a relay's status, and of each attempt to publish an event, which may call several relays.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum size of a relay's status.
 const MAX_STATUS_BYTES: usize = 16 << 20;
@@ -206,7 +206,7 @@
     /// The queue of purges and the queue of changes.
     queues: Arc<[Queue; 2]>,
     target: PublishTarget,
-    /// Prefix of the keys of all events.
+    /// Prefix of the idempotency keys of all events.
     key_prefix: u64,
     seed: u64,
     retries: Arc<AtomicUsize>,
@@ -217,8 +217,8 @@
 }
 
 impl Source {
-    /// Publishes the first snapshot and starts the publishers. Returns the snapshot's number, or none if it was not
-    /// confirmed.
+    /// Publishes the first snapshot and starts the publishers. Returns the source and the snapshot's number; none if
+    /// the snapshot was not confirmed.
     pub(crate) fn start(settings: &ScaleTrial, target: PublishTarget) -> Option<(Source, u64)> {
         let mut rng = Pcg32::seed_from_u64(settings.seed);
         let due_seconds = [settings.purges, settings.changes]
--- a/crates/testbed/src/scale/tier.rs
+++ b/crates/testbed/src/scale/tier.rs
@@ -283,10 +283,10 @@
 
 /// Time in which caches clear a purged object, as relays are told.
 const CLEARED_MS: u64 = 1_000;
-/// Largest clock difference that relays allow for.
+/// Largest sum of clock differences and the delivery time of a purge that relays allow for.
 const SLACK_MS: u64 = 2_000;
 
-/// How long relays keep a purge after it was made, in milliseconds.
+/// How long a purge is active after it was made, in milliseconds. Relays keep it for at least `SLACK_MS` longer.
 pub(crate) fn purge_retention_ms(settings: &ScaleTrial) -> u64 {
     CLEARED_MS + settings.held_ms
 }
