--- a/crates/relay-server/src/bin/test-relay.rs
+++ b/crates/relay-server/src/bin/test-relay.rs
@@ -1,4 +1,4 @@
-//! Runs a relay in a process of its own, for tests. `sablecross relay run FILE` does the same.
+//! Runs a relay in a process of its own, for tests. `sablecross relay run --with-parent FILE` does the same.
 
 use std::path::Path;
 use std::process::ExitCode;
--- a/crates/relay-server/src/settings/forms.rs
+++ b/crates/relay-server/src/settings/forms.rs
@@ -62,7 +62,8 @@
     #[garde(range(min = 100, max = 86_400_000))]
     #[serde(default = "default_held_ms")]
     pub held_ms: u64,
-    /// Upper bound on the sum of clock differences and the delivery time of a purge.
+    /// Upper bound on the sum of clock differences and the delivery time of a purge. A purge whose timestamp is ahead
+    /// of the leader's clock by more than half of this is rejected.
     #[garde(range(max = 600_000))]
     #[serde(default = "default_slack_ms")]
     pub slack_ms: u64,
--- a/crates/relay-server/tests/processes/faults.rs
+++ b/crates/relay-server/tests/processes/faults.rs
@@ -174,8 +174,8 @@
     assert_complete(&subscribers, &published, &fleet);
 }
 
-/// The leader is partitioned from the other voters, but not from its publishers and subscribers. No relay may send an
-/// event that it accepts from then on.
+/// The leader is partitioned from the other voters, but not from its publishers and subscribers. An event that this
+/// leader accepts from then on must not be sent by any relay.
 #[test]
 fn leader_partitioned_from_other_voters() {
     let mut fleet = RelayFleet::new(9, 3, 0, "");
--- a/crates/relay/src/log.rs
+++ b/crates/relay/src/log.rs
@@ -236,7 +236,8 @@
     /// Returns whether an event may be moved into the snapshot at `unix_ms`.
     fn is_expired(&self, event: &StoredEvent, unix_ms: u64) -> bool {
         match event.kind {
-            // Until a complete list is known, no subscriber is sent events of this log.
+            // Until a complete list is known, subscribers behind the snapshot are sent nothing. Changes that precede
+            // the list move into the snapshot early, so that the log then begins with the list.
             EventKind::Members { is_snapshot: false }
                 if !self.snapshot.has_list && self.snapshot.number > 0 =>
             {
--- a/crates/relay/src/replica_group/recovery.rs
+++ b/crates/relay/src/replica_group/recovery.rs
@@ -130,8 +130,8 @@
         }
     }
 
-    /// Begins a new epoch with the endpoint list, the hierarchy and the active purges that are still known, under
-    /// numbers that no subscriber can have seen.
+    /// Begins a new epoch with what is still known of the endpoint list, the hierarchy and, if the list is known, the
+    /// active purges, under numbers that no subscriber can have seen.
     pub(super) fn reset_log(&mut self, unix_ms: u64, token: FencingToken) {
         self.reject_waiting_publishers();
         self.commit(unix_ms, self.log.last_number());
--- a/crates/testbed/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -68,7 +68,7 @@
     #[garde(range(min = 0.0, max = 3600.0))]
     #[serde(default = "second")]
     pub lasts: f64,
-    /// The share of the directors that the fault affects.
+    /// The share of the simulated directors that the fault affects; at least one is affected.
     #[garde(range(min = 0.0, max = 1.0))]
     #[serde(default)]
     pub of: f64,
