--- a/crates/relay-server/src/server/accept.rs
+++ b/crates/relay-server/src/server/accept.rs
@@ -22,7 +22,7 @@
     socket: TcpListener,
     /// Name of the subscriber that this listener is reserved for, if any.
     pub(super) subscriber: Option<Arc<str>>,
-    /// Accepting has failed, and connections may still be queued: it is retried on the next tick.
+    /// Whether accepting has failed, so that connections may still be queued. It is retried on the next tick.
     pub(super) needs_retry: bool,
 }
 
