--- a/crates/relay/src/messages.rs
+++ b/crates/relay/src/messages.rs
@@ -110,7 +110,7 @@
 /// The answer to a [`PeerCall`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerAnswer {
-    /// The voter can't answer this call yet, or at all.
+    /// The voter can't answer this call yet or at all, or the call has no answer, as the return of a lease.
     #[default]
     #[serde(rename = "Nothing")]
     NotReady,
