--- a/crates/director/src/log_rate_limiter.rs
+++ b/crates/director/src/log_rate_limiter.rs
@@ -34,7 +34,7 @@
     pub(crate) fn warn(&mut self, now: Ns, line: impl FnOnce() -> String) {
         match self.admit(now) {
             Some(0) => tracing::warn!("{}", line()),
-            Some(suppressed) => tracing::warn!("{}; {suppressed} earlier warnings suppressed", line()),
+            Some(suppressed) => tracing::warn!("{}; {suppressed} such lines left out before", line()),
             None => {}
         }
     }
