--- a/crates/relay/src/config.rs
+++ b/crates/relay/src/config.rs
@@ -11,7 +11,7 @@
     pub name: String,
     /// For how long events are kept.
     pub retention: RetentionWindow,
-    /// The largest event in bytes.
+    /// The largest event of a publisher in bytes. An event of an upstream may have `max_log_bytes` if that is more.
     pub max_event_bytes: usize,
     /// Size of the log in bytes past which events of publishers are rejected.
     pub max_log_bytes: usize,
@@ -32,11 +32,12 @@
     pub lease: LeaseConfig,
     /// Time without an answer after which a call to a voter is sent again.
     pub call_timeout: Ns,
-    /// The leader calls each voter at least this often.
+    /// The leader calls each voter that has answered the last call at least this often.
     pub heartbeat_interval: Ns,
-    /// The shortest time between two calls to the same voter, which batches events; 0 sends each event at once.
+    /// The shortest time between two calls to the same voter, which batches events. With 0, events only wait for the
+    /// answer to the last call.
     pub batch_interval: Ns,
-    /// Maximum bytes of entries in one call.
+    /// Maximum bytes of entries in one call; a larger entry is sent alone.
     pub max_call_bytes: usize,
     /// If too few voters remember the log, the leader resets it once all voters have answered, or once a majority has
     /// answered and this time has passed. By the same rule a restarted voter stops waiting for complete logs.
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! The crate does no I/O: it takes times, calls, replies and events, and returns calls, results and bytes for
 //! subscribers. Times are whole nanoseconds of a monotonic clock of this process. A time that has to mean the same
-//! in two processes is a Unix time in milliseconds, and its name contains `unix`.
+//! in two processes is a Unix time in milliseconds, and its name contains `unix`, except for the `epoch` of a log.
 //!
 //! [`Relay`] is the entry point, one per process. [`Log`] holds the events, [`Subscribers`] records which
 //! subscriber has applied which number, `replica_group` replicates the log among the voters, and
--- a/crates/relay/src/log.rs
+++ b/crates/relay/src/log.rs
@@ -217,9 +217,9 @@
         }
     }
 
-    /// Moves the events that have expired at `unix_ms` into the snapshot: all of them at once, when the first has
-    /// been expired for a compaction step. A snapshot that moved with every event would be sent again and again to
-    /// a subscriber that is behind it.
+    /// Moves the events before the first one that has not expired at `unix_ms` into the snapshot: all of them at once,
+    /// when the first has been expired for a compaction step. A snapshot that moved with every event would be sent
+    /// again and again to a subscriber that is behind it.
     pub fn compact(&mut self, unix_ms: u64) {
         self.latest_unix_ms = self.latest_unix_ms.max(unix_ms);
         let step_ms = self.retention.compaction_step_ms();
@@ -243,8 +243,8 @@
             {
                 true
             }
-            // A purge that had expired when it was appended is kept for one step, so that subscribers that are
-            // nearly up to date are sent it and not the snapshot.
+            // A purge that had expired when it was appended is kept for at least one step, so that subscribers that
+            // are nearly up to date are sent it and not the snapshot.
             EventKind::Purge { created_unix_ms } => {
                 let step_ms = self.retention.compaction_step_ms();
                 self.retention.is_expired(created_unix_ms, unix_ms)
@@ -278,8 +278,8 @@
     /// `cursor` if there is nothing to send.
     ///
     /// A subscriber that is behind the snapshot is sent the whole snapshot, which does not count towards
-    /// `max_bytes`, and at least one event after it. The events that the next snapshot may include don't count
-    /// either: a subscriber that received only some of them would soon be behind the next snapshot.
+    /// `max_bytes`, and at least one event after it. All events that the next snapshot may include are sent, even if
+    /// they exceed `max_bytes`: a subscriber that received only some of them would soon be behind the next snapshot.
     pub fn encode_after(&mut self, cursor: u64, max_bytes: usize, out: &mut Vec<u8>) -> u64 {
         let mut cursor = cursor;
         let len_before = out.len();
--- a/crates/relay/src/messages.rs
+++ b/crates/relay/src/messages.rs
@@ -1,7 +1,7 @@
 //! Messages between voters.
 //!
-//! They are encoded as MessagePack arrays: fields by their order, variants by the names in the `serde`
-//! attributes. Neither may change while voters of different versions have to understand each other.
+//! They are encoded as MessagePack arrays: fields by their order, variants by name, which is the one in the `serde`
+//! attribute if there is one. Neither may change while voters of different versions have to understand each other.
 
 use sablecross_coordination::{FencingToken, LeaseReply, LeaseRequest};
 use serde::{Deserialize, Serialize};
@@ -22,8 +22,8 @@
 /// The log of a voter, either all of it or the part after some number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaState {
-    /// Unix time in milliseconds at which the log was last reset. The same number stands for different events in
-    /// different epochs.
+    /// Unix time in milliseconds at which the log was last reset, or the previous epoch plus 1 if that is higher; 0 if
+    /// it was never reset. The same number stands for different events in different epochs.
     #[serde(rename = "era")]
     pub epoch: u64,
     /// The last entry that is stored, committed or not.
@@ -60,8 +60,8 @@
         #[serde(rename = "after")]
         after_number: u64,
     },
-    /// Sent by the leader: the receiver has to store these entries after `previous_entry`. Without entries, the
-    /// call is a heartbeat.
+    /// Sent by the leader: the receiver has to store these entries after `previous_entry`. Without a snapshot and
+    /// entries, the call is a heartbeat.
     #[serde(rename = "Keep")]
     Append {
         /// Token of the leader.
@@ -181,7 +181,7 @@
         /// to this number.
         committed: u64,
     },
-    /// Rejects a call whose token is older than this one.
+    /// Rejects a call whose token is older than this one, or has the same term and another holder.
     #[serde(rename = "Old")]
     StaleToken(FencingToken),
 }
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -121,8 +121,8 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Counts a subscriber named in the settings as having applied nothing, until it connects or is missing for too
-    /// long. Without this call, a relay that has started knows no subscribers until they connect.
+    /// Counts a subscriber named in the settings as having applied nothing, until it connects or counts as missing.
+    /// Without this call, a relay that has started knows no subscribers until they connect.
     pub fn expect_subscriber(&mut self, now: Ns, name: &str) {
         self.subscribers.expect(now, name);
     }
--- a/crates/relay/src/replica_group/lease.rs
+++ b/crates/relay/src/replica_group/lease.rs
@@ -57,7 +57,8 @@
         self.step_down();
     }
 
-    /// Accepts a leader's token, or returns the newer token that was accepted before.
+    /// Accepts a leader's token, or returns the newest accepted token if that is of a later term, or of the same term
+    /// and another holder.
     fn admit_token(&mut self, token: FencingToken) -> Result<(), FencingToken> {
         let admitted = self.guard.admit(token).map_err(|stale| stale.highest);
         self.voter.observe_term(self.guard.highest().term);
--- a/crates/relay/src/replica_group/mod.rs
+++ b/crates/relay/src/replica_group/mod.rs
@@ -54,7 +54,8 @@
     /// Remembers the newest token that this voter accepted, and rejects older ones.
     guard: FencingGuard,
     log: ReplicaLog,
-    /// Unix time in milliseconds at which the log was last reset; 0 if it never was.
+    /// Unix time in milliseconds at which the log was last reset, or the previous epoch plus 1 if that is higher; 0 if
+    /// it was never reset.
     epoch: u64,
     /// Token of the newest leader that is known to use this epoch.
     epoch_token: FencingToken,
@@ -79,7 +80,7 @@
 pub(crate) struct AppliedByVoter {
     /// Name of the replying voter's relay.
     pub(crate) name: String,
-    /// The number that this relay and all its subscribers have applied.
+    /// The number that the replying voter's relay and all its subscribers have applied.
     pub(crate) number: u64,
 }
 
--- a/crates/relay/src/retention.rs
+++ b/crates/relay/src/retention.rs
@@ -39,8 +39,8 @@
         self.purge_lifetime() + self.clock_tolerance
     }
 
-    /// Returns the milliseconds between two moves of the snapshot: the time that a subscriber has to continue from
-    /// one snapshot before the next replaces it.
+    /// Returns the shortest time in milliseconds between two moves of the snapshot: the time that a subscriber has to
+    /// continue from one snapshot before the next replaces it.
     pub fn compaction_step_ms(&self) -> u64 {
         (self.retention_time() / NS_PER_MS / COMPACTION_STEPS).min(MAX_COMPACTION_STEP_MS)
     }
--- a/crates/relay/src/snapshot.rs
+++ b/crates/relay/src/snapshot.rs
@@ -32,7 +32,7 @@
     /// until the first event after the snapshot is a complete list.
     #[serde(rename = "listed")]
     pub has_list: bool,
-    /// The latest index that the publisher gave the list.
+    /// The highest index that the publisher gave the list.
     #[serde(rename = "index")]
     pub list_index: u64,
     /// The JSON of each endpoint, by name.
@@ -86,11 +86,11 @@
     /// The subscriber's stream may break after any frame, and it may continue at another relay whose snapshot is
     /// lower. It must not miss anything there, whichever frames it received:
     ///
-    /// - The complete list is sent under the snapshot's number.
+    /// - The complete list is sent under the snapshot's number, unless the hierarchy below is sent under that number.
     /// - A hierarchy that the subscriber doesn't have is sent before that, under the hierarchy's own number.
-    /// - Before that hierarchy, the current complete list is sent as well, unless the hierarchy is the next event after
-    ///   the cursor. A subscriber that received the list and continues elsewhere is sent the later changes to it again,
-    ///   which leads to the same list.
+    /// - Before that hierarchy, the current complete list is sent as well, under the number before the hierarchy's,
+    ///   unless the hierarchy is the next event after the cursor. A subscriber that received the list and continues
+    ///   elsewhere is sent the later changes to it again, which leads to the same list.
     pub(crate) fn to_frames(&self, cursor: u64) -> Vec<u8> {
         let list = self.to_list_event();
         let mut out = Vec::new();
--- a/crates/relay/src/status.rs
+++ b/crates/relay/src/status.rs
@@ -1,4 +1,5 @@
-//! Status of relays as JSON for operators and scripts. The `serde` attributes define the names in the JSON.
+//! Status of relays as JSON for operators and scripts. The names in the JSON must not change: they are the ones in the
+//! `serde` attributes or, without an attribute, the names of the fields.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -54,7 +55,7 @@
 /// A subscriber, as known to a relay that it is connected to or was connected to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubscriberStatus {
-    /// Name of the subscriber in the settings, or its IP address.
+    /// Name of the subscriber if it is a relay or is named in the settings, otherwise its IP address.
     pub name: String,
     /// The number that the subscriber has applied.
     pub number: u64,
@@ -79,7 +80,8 @@
     /// Member number of the last known leader.
     #[serde(rename = "owner")]
     pub leader: Option<u32>,
-    /// Term of that leader.
+    /// Term of that leader; at a voter that is not the leader, the term of the newest token that it has accepted. 0 if
+    /// there is none.
     pub term: u64,
     /// Milliseconds since that leader was last known to lead, added up along the chain of relays.
     #[serde(rename = "fresh_ms")]
@@ -99,7 +101,7 @@
     pub endpoints: Option<usize>,
     /// The number that this relay and all its subscribers that are not missing have applied.
     pub floor: u64,
-    /// At the leader: numbers, and since when they have been applied everywhere.
+    /// Numbers, and since when they have been applied everywhere, recorded while this relay was the leader.
     #[serde(rename = "passed")]
     pub floor_history: Vec<AppliedSince>,
     /// Subscribers of the relay in the order of their names.
@@ -108,11 +110,12 @@
     /// Milliseconds since the start, while a voter recovers its log after a restart.
     #[serde(rename = "learning_ms")]
     pub recovering_ms: Option<u64>,
-    /// Unix time in milliseconds at which the log was last reset; 0 if it never was. After a reset, the list and the
-    /// purges that are still active have to be published again.
+    /// Unix time in milliseconds at which the log was last reset (or the previous value plus 1 if that is higher); 0 if
+    /// it never was. After a reset, the list and the purges that are still active have to be published again.
     #[serde(rename = "anew_unix_ms")]
     pub reset_unix_ms: u64,
-    /// Number of calls that this voter rejected because their token was older than the newest one.
+    /// Number of tokens that this voter rejected because it had accepted one of a later term, or one of the same term
+    /// and another holder. The count starts again when the voter recovers a newer token from others.
     #[serde(rename = "refused")]
     pub rejected_tokens: u64,
 }
@@ -120,7 +123,7 @@
 /// A subscriber, as known to the relay that received its latest report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MergedSubscriber {
-    /// Name of the subscriber in the settings, or its IP address.
+    /// Name of the subscriber if it is a relay or is named in the settings, otherwise its IP address.
     pub name: String,
     /// The number that the subscriber has applied.
     pub number: u64,
@@ -152,8 +155,8 @@
 pub struct AppliedStatus {
     /// The number in question.
     pub number: u64,
-    /// Unix time in milliseconds by which all subscribers that were not missing had applied the number; `None` if
-    /// they have not, or if the time is no longer in the history.
+    /// Unix time in milliseconds by which all subscribers that were not missing had applied the number: the earliest
+    /// time that the history has for this number or a higher one. `None` if it has neither.
     pub since_unix_ms: Option<u64>,
     /// Subscribers that have applied a lower number, including those that no relay waits for.
     pub missing: Vec<MergedSubscriber>,
--- a/crates/relay/tests/retention.rs
+++ b/crates/relay/tests/retention.rs
@@ -52,8 +52,9 @@
 }
 
 /// Returns how many decision sequences are the same with and without the purge, and how many differ. The decisions
-/// begin `before` ahead of the time that `lifetime` returns. The cases are purges of an object and of a group, and
-/// request classes whose copies are fresh until purged, that expire, and that may be served stale after that.
+/// begin `before` ahead of the end of the purge's lifetime, which `lifetime` returns. The cases are purges of an object
+/// and of a group, and request classes whose copies are fresh until purged, that expire, and that may be served stale
+/// after that.
 fn count_same_and_different(before: Ns, lifetime: impl Fn(&RetentionWindow) -> Ns) -> (usize, usize) {
     let at = START + SEC;
     let (mut same, mut different) = (0, 0);
--- a/crates/relay/tests/schedules.rs
+++ b/crates/relay/tests/schedules.rs
@@ -1,6 +1,6 @@
 //! Random schedules of voters, plain relays, publishers and directors. Messages are delayed, lost, duplicated and
-//! reordered, links are cut in one direction, processes are paused and wake late, and voters lose their logs in
-//! restarts.
+//! reordered, links are cut in one or both directions, processes are paused and wake late, and voters lose their logs
+//! in restarts.
 //!
 //! `SABLECROSS_RELAY_SCHEDULES=N` sets the number of schedules in which a majority keeps its log, by default 10,000. A
 //! tenth as many run in which a majority may lose it.
@@ -580,8 +580,9 @@
         self.processes.iter_mut().filter(|p| is_lost(&p.stream)).for_each(|p| p.stream = None);
     }
 
-    /// Checks that each subscriber known to any relay has applied the numbers that relays report as applied
-    /// everywhere.
+    /// Checks that no director is reported to have applied more than it has, and that each director known to any relay
+    /// has applied the numbers that relays report as applied everywhere, unless a subscriber is reported as missing
+    /// them.
     fn check_statuses(&mut self) {
         let (now, unix_ms) = (self.now, self.unix_ms());
         let statuses: Vec<RelayStatus> =
