--- a/crates/relay-server/src/peers.rs
+++ b/crates/relay-server/src/peers.rs
@@ -37,7 +37,7 @@
     UpstreamItems { subscription_id: u64, items: Vec<StreamItem> },
     /// The stream of this subscription has ended, with an error if it broke.
     UpstreamEnded { subscription_id: u64, result: Result<(), UpstreamError> },
-    /// The upstream has accepted or rejected the report that came in on this connection.
+    /// The upstream has accepted the report that came in on this connection, or has rejected it or not responded.
     ReportForwarded { connection: usize, is_accepted: bool },
     /// The process was asked to stop.
     Stop,
--- a/crates/relay-server/src/server/streams.rs
+++ b/crates/relay-server/src/server/streams.rs
@@ -21,7 +21,8 @@
 const RELAY_STREAM_DIVISOR: u64 = 4;
 /// Streams are shortened by up to their duration divided by this, so that they don't all end at once.
 const STREAM_JITTER_DIVISOR: u64 = 4;
-/// How many encoded batches are kept during a tick, each for all subscribers with the same cursor.
+/// How many encoded batches are kept during a tick, or for new streams between two ticks, each for all subscribers with
+/// the same cursor.
 const MAX_SHARED_BATCHES: usize = 8;
 const TIMEOUT_BODY: &[u8] = br#"{"error":"nobody answered in time"}"#;
 
@@ -152,7 +153,8 @@
         self.retry_accepts(now);
     }
 
-    /// Applies the timeouts to one connection. The caller must drop the connection after an error.
+    /// Applies the timeouts to one connection, and sends new events if it has a stream. The caller must drop the
+    /// connection after an error.
     fn tick_connection(
         &mut self,
         connection: &mut Connection,
--- a/crates/relay-server/src/settings/forms.rs
+++ b/crates/relay-server/src/settings/forms.rs
@@ -71,7 +71,7 @@
     #[garde(range(min = 65_536, max = 4_294_967_296))]
     #[serde(default = "default_log_bytes")]
     pub log_bytes: usize,
-    /// Largest event in bytes.
+    /// Largest event in bytes that a publisher may send.
     #[garde(range(min = 256, max = 16_777_216))]
     #[serde(default = "default_event_bytes")]
     pub event_bytes: usize,
--- a/crates/relay-server/tests/processes/common.rs
+++ b/crates/relay-server/tests/processes/common.rs
@@ -477,8 +477,9 @@
     Ok(())
 }
 
-/// Waits until all subscribers have reached the last number. Then checks that each has received every published event
-/// once, in order and unchanged, and that no two subscribers have different events under one number.
+/// Waits until all subscribers have reached the last number. Then checks that each has applied every published event
+/// once, in order and unchanged, and that no two subscribers have different events under one number. Events that are
+/// sent again under the same number are ignored, as at a director.
 pub(crate) fn assert_complete(subscribers: &[Subscriber], published: &Published, fleet: &RelayFleet) {
     let last = *published.0.keys().last().expect("something was published");
     let have_all = wait_until(TIMEOUT, || subscribers.iter().all(|r| r.last() >= last));
--- a/crates/relay-server/tests/processes/faults.rs
+++ b/crates/relay-server/tests/processes/faults.rs
@@ -224,7 +224,8 @@
     assert_complete(&subscribers, &published, &fleet);
 }
 
-/// After SIGTERM the leader must hand over leadership, without waiting for its lease, and end streams without an error.
+/// After SIGTERM the leader must exit without an error, another voter must become the leader, and no subscriber may
+/// miss an event.
 #[test]
 fn sigterm_hands_over_leadership() {
     let mut fleet = RelayFleet::start(7, 3, 0, "");
--- a/crates/relay-server/tests/processes/subscribers.rs
+++ b/crates/relay-server/tests/processes/subscribers.rs
@@ -188,7 +188,7 @@
 }
 
 /// An external control feed ends streams within an event and has one event that can't be parsed. Numbers must stay the
-/// same, and no event may be sent twice.
+/// same, and the subscriber must apply each event once.
 #[test]
 fn external_feed_with_faults() {
     let mut fleet = RelayFleet::new(26, 0, 1, "");
