--- a/crates/relay-server/src/publisher.rs
+++ b/crates/relay-server/src/publisher.rs
@@ -10,7 +10,7 @@
 use crate::settings::MemberForm;
 
 const MAX_RESPONSE_BYTES: usize = 64 << 10;
-/// Delay after each round of calls to all voters.
+/// Delay after each round, which has as many calls as there are voters.
 const ROUND_DELAY: Duration = Duration::from_millis(50);
 /// How long the client waits for one voter before it calls the next. A stopped leader must not cost more time than its
 /// lease, after which there is another leader. A response takes some milliseconds; if one comes too late, the event is
--- a/crates/relay-server/src/server/mod.rs
+++ b/crates/relay-server/src/server/mod.rs
@@ -38,9 +38,9 @@
 /// How many events of threads may be queued for the event loop.
 const INBOX_CAPACITY: usize = 1_024;
 const POLL_CAPACITY: usize = 1_024;
-/// How long after the signal to stop the process waits for leadership to be handed over, even without connections.
+/// For how long after SIGTERM the relay waits for leadership to be handed over, even without connections.
 const HANDOVER_TIMEOUT: Ns = 200 * NS_PER_MS;
-/// How long after the signal to stop the process waits at most for streams to be read to their end.
+/// For how long after SIGTERM the relay waits at most for streams to be read to their end.
 const SHUTDOWN_TIMEOUT: Ns = 700 * NS_PER_MS;
 /// Size of the kernel's send buffer for another relay, and the smallest batch size for its event stream.
 const RELAY_SEND_BUFFER_BYTES: usize = 1 << 20;
--- a/crates/relay/src/event.rs
+++ b/crates/relay/src/event.rs
@@ -1,4 +1,5 @@
-//! An event of the control feed: checked once when it is received, then stored and sent with unchanged bytes.
+//! An event of the control feed. It is checked when it is received. Its content is then stored and sent as received,
+//! except that line ends become spaces.
 
 use std::net::SocketAddr;
 
--- a/crates/relay/src/log.rs
+++ b/crates/relay/src/log.rs
@@ -1,5 +1,4 @@
-//! The numbered log: a snapshot that holds the state up to a number, and every later event that may still be
-//! active.
+//! The numbered log: a snapshot that holds the state up to a number, and every later event.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -36,7 +36,7 @@
 /// Why the upstream has to be called again.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ResubscribeReason {
-    /// The event has no number.
+    /// The event has no `id`, and its data has no number or can't be parsed.
     #[error("an event has no number")]
     NoNumber,
     /// Events between `last` and `number` are missing.
--- a/crates/relay/src/subscribers.rs
+++ b/crates/relay/src/subscribers.rs
@@ -1,5 +1,6 @@
 //! The subscribers of a relay, the number that each has applied, and the floor: the number that all have applied. A
-//! call with `Last-Event-ID: n` reports that the subscriber has applied n, so no other report is needed.
+//! call with `Last-Event-ID: n` reports that the subscriber has applied n, so no other report is needed. Other relays
+//! report their own floors instead: plain relays in a header of the call, voters in their answers to the leader.
 
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/relay/tests/schedules.rs
+++ b/crates/relay/tests/schedules.rs
@@ -740,7 +740,7 @@
 fn the_schedules_detect_each_disabled_safety_check() {
     let all = SafetyChecks::default();
     // Delayed calls of any leader can't change what is already committed. A missing fencing check is therefore seldom
-    // detected, and gets more seeds.
+    // detected, and gets more seeds. `tests/replica_group.rs` disables the check of incarnations.
     let disabled = [
         ("fencing", 800, SafetyChecks { fencing: false, ..all }),
         ("previous entry", 100, SafetyChecks { previous_entry: false, ..all }),
