--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -36,7 +36,7 @@
 /// Why the upstream has to be called again.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ResubscribeReason {
-    /// The event has no number.
+    /// The event has no `id`, and its data has no number or can't be parsed.
     #[error("an event has no number")]
     NoNumber,
     /// Events between `last` and `number` are missing.
@@ -121,8 +121,8 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Counts a subscriber named in the settings as having applied nothing, until it connects or is missing for too
-    /// long. Without this call, a relay that has started knows no subscribers until they connect.
+    /// Counts a subscriber named in the settings as having applied nothing, until it connects or counts as missing.
+    /// Without this call, a relay that has started knows no subscribers until they connect.
     pub fn expect_subscriber(&mut self, now: Ns, name: &str) {
         self.subscribers.expect(now, name);
     }
