--- a/src/burst.rs
+++ b/src/burst.rs
@@ -79,7 +79,8 @@
     current_window: f64,
     /// The threshold at which the object's burst was detected; none if the object is not in burst.
     burst_threshold: Option<f64>,
-    /// The number of requests during the burst, by which they rotate over several caches.
+    /// The number of requests while the object was in burst, by which they rotate over several caches. A later burst
+    /// continues the count.
     rotation: usize,
 }
 
@@ -120,7 +121,7 @@
         status
     }
 
-    /// The number of requests during the burst of an object; none if it is not in burst.
+    /// The number of requests for an object while it was in burst; none if it is not in burst now.
     pub(crate) fn rotation(&self, object: u64) -> Option<usize> {
         let traffic = self.objects.get(&object)?;
         traffic.burst_threshold.map(|_| traffic.rotation)
--- a/src/deadline_margin.rs
+++ b/src/deadline_margin.rs
@@ -9,8 +9,8 @@
 /// Longer delays count as this one. They mean that the process was stopped; later delays are as short as before the
 /// stop.
 const MAX_COUNTED_DELAY: Ns = 50 * MS;
-/// The margin is this multiple of the counted delay. An answer waits for two threads to be woken, and each of them
-/// may be woken later than any thread was recently.
+/// The margin is this multiple of the part of the counted delay above [`TOLERATED_DELAY`]. An answer waits for two
+/// threads to be woken, and each of them may be woken later than any thread was recently.
 const DELAY_MULTIPLE: Ns = 3;
 /// The time in which the longest delay loses half of its weight.
 const HALF_LIFE: Ns = 1_000 * MS;
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -48,12 +48,12 @@
 pub(crate) struct Endpoint {
     /// The latest entry of the node in the endpoint list.
     pub(crate) listing: EndpointUpdate,
-    /// The role of the node when it was first listed.
+    /// The role of the node when its present process was first listed.
     pub(crate) role: EndpointRole,
     /// The square root of the number of directors that share the node. The demand of a single director varies by this
     /// factor, so its limits depend on it.
     pub(crate) sharing_factor: f64,
-    /// The number of outstanding attempts that involve the node, as their node or as their source.
+    /// The number of outstanding attempts that were sent to the node, or to a cache with the node as their source.
     pub(crate) outstanding: u32,
     /// The number of outstanding attempts that were sent directly to the node.
     pub(crate) outstanding_direct: u32,
@@ -63,7 +63,8 @@
     pub(crate) concurrency: ConcurrencyLimit,
     /// The slow-start credit of the node.
     pub(crate) credit: Credit,
-    /// The requests that the node served or filled in the current window.
+    /// The successful attempts in the current window that were sent to the node, or to a cache with the node as their
+    /// source.
     pub(crate) served: ClassCounts,
     /// For a parent: the lowest priority of a request that is filled from it.
     pub(crate) fill_price: FillPrice,
@@ -270,7 +271,8 @@
     }
 }
 
-/// Rebuilds a ring if its members have changed. The first members of a ring are not reported as a change of mode.
+/// Rebuilds a ring if its members have changed. Members added to an empty ring are not reported as a change
+/// of mode.
 fn replace_ring(ring: &mut HashRing, members: Vec<RingMember>) -> Option<ModeChange> {
     if members == ring.members() {
         return None;
--- a/src/fill_price.rs
+++ b/src/fill_price.rs
@@ -34,8 +34,8 @@
 const MIN_PRICE_GAP: f64 = 0.4;
 /// How much an offloaded fill in time raises the offloaded share.
 const OFFLOAD_GROWTH: f64 = 0.05;
-/// How much a late or failed offloaded fill lowers it. This is more than the growth, so that other parents do not
-/// become busy too.
+/// How much an offloaded fill that is late, times out or is rejected lowers it. This is more than the growth, so that
+/// other parents do not become busy too.
 const OFFLOAD_SHRINK: f64 = 0.1;
 /// The minimum offloaded share. Some fills have to show whether the other parents have room again.
 const MIN_OFFLOADED_SHARE: f64 = 0.05;
--- a/src/hash_ring.rs
+++ b/src/hash_ring.rs
@@ -59,9 +59,9 @@
 }
 
 /// A ring of members, each with many virtual nodes. A position belongs to the member whose virtual node is nearest,
-/// in either direction. If a member is lost, each of its segments is therefore divided equally between the two
-/// neighbours. The neighbours are the same whether the member is ejected, cold or removed from the list, so a loss
-/// moves a position only once.
+/// in either direction. If a member is lost, each of its segments is therefore divided between the two neighbours. The
+/// neighbours are the same whether the member is ejected, cold or removed from the list, so a loss moves a position
+/// only once.
 #[derive(Clone, Debug, Default)]
 pub struct HashRing {
     members: Vec<RingMember>,
--- a/src/load_shedding.rs
+++ b/src/load_shedding.rs
@@ -8,16 +8,17 @@
 use crate::transfer_time::BASE_LATENCY;
 use crate::types::{LoadReport, Ns, SECOND};
 
-/// The initial limit at a node, before it is divided among directors: enough for measurements, too few to overload a
-/// node.
+/// The initial limit at a node, before it is divided by the square root of the number of directors: enough for
+/// measurements, too few to overload a node.
 const INITIAL_LIMIT: f64 = 16.0;
-/// The minimum limit, before it is divided among directors. A node has to get some attempts to show that it has
-/// recovered.
+/// The minimum limit, before it is divided by the square root of the number of directors. A node has to get some
+/// attempts to show that it has recovered.
 const MIN_LIMIT: f64 = 2.0;
-/// How much an answer in time raises a limit that is in use.
+/// How much an answer in time raises a limit that is in use, before division by the square root of the number of
+/// directors.
 const LIMIT_GROWTH: f64 = 0.5;
-/// The share of a limit that one late answer takes away. Limits shrink multiplicatively and grow additively, which
-/// divides a node fairly among directors.
+/// The share of a limit that one late answer takes away if only one director sends to the node. Limits shrink
+/// multiplicatively and grow additively, which divides a node fairly among directors.
 const LIMIT_SHRINK_SHARE: f64 = 0.06;
 /// A limit is in use if the outstanding attempts exceed this share of it. Below that, an answer in time does not show
 /// that a higher limit would do.
--- a/src/origin_limit.rs
+++ b/src/origin_limit.rs
@@ -4,10 +4,11 @@
 //! This protects the origin from collapsing while no parent is available. The cost is that the number of fetches
 //! recovers slowly after failures.
 
-/// The initial limit, before it is divided among directors. It is low, because the capacity of the origin is unknown.
+/// The initial limit, before it is divided by the square root of the number of directors. It is low, because the
+/// capacity of the origin is unknown.
 const INITIAL_LIMIT: f64 = 4.0;
-/// The growth per answer in time, before it is divided among directors. It is slow, because all locations share the
-/// origin.
+/// The growth per answer in time, before it is divided by the square root of the number of directors. It is slow,
+/// because all locations share the origin.
 const GROWTH: f64 = 0.2;
 /// A late answer multiplies the limit by this.
 const LATE_DECREASE_FACTOR: f64 = 0.85;
--- a/src/outlier_ejection.rs
+++ b/src/outlier_ejection.rs
@@ -9,7 +9,7 @@
 use crate::types::{Ns, SECOND};
 
 /// The weight of one outcome in the failure rate of a cache and in the fill failure rate of a source. A few failures
-/// in a row eject a node, a single one never does.
+/// in a row eject a cache that has not failed recently, a single one does not.
 pub(crate) const OUTCOME_WEIGHT: f64 = 0.12;
 /// The weight of one outcome of an attempt sent directly to a parent or the origin. Few attempts are sent directly to
 /// them, so each counts more.
--- a/src/router.rs
+++ b/src/router.rs
@@ -50,7 +50,7 @@
 /// A request is answered this many ticks before its deadline, so that an answer decided one tick late is still in
 /// time.
 const DEADLINE_MARGIN_TICKS: Ns = 2;
-/// A request is given up if less than this share of its predicted transfer time is left until its deadline. The value
+/// A request is given up if at most this share of its predicted transfer time is left until its deadline. The value
 /// is less than 1, because the prediction may be too long.
 const MIN_TRANSFER_SHARE_LEFT: f64 = 0.7;
 /// The maximum number of outstanding attempts of a request: the first one and one hedge.
--- a/src/router/outcome.rs
+++ b/src/router/outcome.rs
@@ -248,8 +248,8 @@
     }
 }
 
-/// Turns a timeout into a cancellation if the client gave less time than the transfer takes, so that no node is
-/// blamed for it.
+/// Turns a timeout into a cancellation if the client gave less time than an answer may take without being late, so
+/// that no node is blamed for it.
 fn reclassify_short_deadline(request: &Request, outcome: Outcome, predicted_transfer_time: f64) -> Outcome {
     let given = request.deadline.saturating_sub(request.arrived_at) as f64;
     if outcome == Outcome::TimedOut && given < late_after(predicted_transfer_time) {
--- a/src/types.rs
+++ b/src/types.rs
@@ -26,7 +26,8 @@
     pub origin_kind: usize,
     /// Whether changes of the endpoint list are sent only on request, so that the director has to subscribe to them.
     pub must_subscribe_to_endpoint_list: bool,
-    /// Whether outstanding attempts may be cancelled once a request is answered.
+    /// Whether outstanding attempts may be cancelled: once a request is answered, or before nodes stop recognising
+    /// repeats of it.
     pub may_cancel: bool,
     /// Whether one request may have two attempts outstanding at the same time.
     pub may_hedge: bool,
@@ -50,13 +51,14 @@
     pub parent_collapse_multiple: f64,
     /// The rate of one transfer to a client, in kilobytes per second; 0 if unknown.
     pub stream_kb_per_s: f64,
-    /// Whether attempts may bypass the caches and go directly to parents and the origin.
+    /// Whether attempts may bypass the caches and go directly to parents.
     pub may_bypass_cache: bool,
     /// Whether a cache can let a request join a fill of the same object that is already in progress.
     pub may_coalesce: bool,
     /// How long after a purge copies that are older than the purge may still exist.
     pub purge_propagation_window: Ns,
-    /// The resolution of the caller's timers. The margins before deadlines are multiples of it.
+    /// The resolution of the caller's timers. The fixed margins before deadlines are multiples of it; the margin for
+    /// wakeup delays is not.
     pub tick: Ns,
 }
 
