--- a/crates/hierarchy/src/fill_path.rs
+++ b/crates/hierarchy/src/fill_path.rs
@@ -62,7 +62,8 @@
     }
 
     /// The path of an object's fill from a node to the origin, or to the first node that has no usable source. The path
-    /// does not include the node that it starts at.
+    /// does not include the node that it starts at, except in a version with a loop, where it ends before a node would
+    /// repeat.
     pub fn path(
         &self,
         version: &Hierarchy,
--- a/crates/hierarchy/src/load_flow.rs
+++ b/crates/hierarchy/src/load_flow.rs
@@ -71,7 +71,7 @@
     pub origin_peak: f64,
     /// The load of the origin before the step, in fetches per second.
     pub origin_before: f64,
-    /// The load that goes to another node than before the step, in requests per second.
+    /// The sum over all nodes except the origin of the load that the step moves to them, in requests per second.
     pub moved_load: f64,
     /// The nodes that must be warm to some degree before the step, each with its required warmth from 0 to 1.
     pub required_warmth: Vec<(u32, f64)>,
@@ -213,9 +213,10 @@
     .collect()
 }
 
-/// Finds a node that may get requests by one of the versions while it has no source in the other one. If the node applied
-/// the other version, it could not fill. So a node has to be in the version before other nodes fill from it, and it can be
-/// removed only when no node fills from it any more.
+/// Finds a node that other nodes may fill from by one of the versions while it has no source in at least one of them,
+/// or that has demand from clients in the later version and no source there. If the node applied the version without a
+/// source, it could not fill. So a node has to be in the version before other nodes fill from it, and it can be removed
+/// only when no node fills from it any more.
 fn find_dead_end(before: &FlowGraph<'_>, after: &FlowGraph<'_>, union: &[Vec<u32>]) -> Option<u32> {
     let mut is_source = vec![false; union.len()];
     union.iter().flatten().for_each(|&source| is_source[source as usize] = true);
@@ -230,7 +231,8 @@
     })
 }
 
-/// For each node the load that it gets from nodes that sent it less before, in requests per second; 0 for the origin.
+/// For each node the sum of the increases of the load that other nodes forward to it, in requests per second; 0 for the
+/// origin.
 fn moved_load(before: &FlowGraph<'_>, after: &FlowGraph<'_>) -> Vec<f64> {
     let mut moved = vec![0.0; before.nodes.len()];
     let indexes = 0..before.nodes.len() as u32;
--- a/crates/hierarchy/src/plan/mod.rs
+++ b/crates/hierarchy/src/plan/mod.rs
@@ -46,7 +46,7 @@
     pub origin_peak: f64,
     /// The load of the origin before the step, in fetches per second.
     pub origin_before: f64,
-    /// The load that goes to another node than before the step, in requests per second.
+    /// The sum over all nodes except the origin of the load that the step moves to them, in requests per second.
     pub moved_load: f64,
     /// The warmth that nodes need before the step.
     pub required_warmth: Vec<RequiredWarmth>,
--- a/crates/hierarchy/src/rollout/messages.rs
+++ b/crates/hierarchy/src/rollout/messages.rs
@@ -182,7 +182,7 @@
         /// The number of the running change.
         running: u64,
     },
-    /// The proposed version is committed, or is the target of the running change.
+    /// The proposed version is the target of the running change or, if no change is running, the committed version.
     #[error("this version is already active")]
     AlreadyActive,
     /// A participant applies a version that is newer than the last one in the log.
--- a/crates/hierarchy/src/rollout/mod.rs
+++ b/crates/hierarchy/src/rollout/mod.rs
@@ -2,7 +2,9 @@
 //!
 //! A step starts only when every participant applies the version of the previous step, and no request that was routed
 //! by an earlier version is in flight any more. So at most two successive versions are in use at any time, and the
-//! plan guarantees that the edges of these two versions together contain no loop.
+//! plan guarantees that the edges of these two versions together contain no loop. The rollback of a step that
+//! is not committed does not wait: it publishes the content of the committed version again at once, under a new number,
+//! so that still only two different contents are in use.
 //!
 //! This module does no I/O. The caller carries out each [`RolloutAction`] in order and reports events as
 //! [`RolloutInput`]. A [`RolloutAction::Persist`] must be durable before any later action is carried out.
--- a/crates/hierarchy/src/rollout/recovery.rs
+++ b/crates/hierarchy/src/rollout/recovery.rs
@@ -27,7 +27,8 @@
     /// published again.
     ///
     /// # Errors
-    /// Returns [`RolloutError::InvalidLog`] if no rollout can have written these records in this order.
+    /// Returns [`RolloutError::InvalidLog`] if no rollout can have written these records in this order, or
+    /// [`RolloutError::NotAdmitted`] if a committed version violates a rule about nodes, sources or loops.
     pub fn recover(
         records: &[RolloutRecord],
         participants: impl IntoIterator<Item = Participant>,
--- a/crates/hierarchy/src/spec/settings_file.rs
+++ b/crates/hierarchy/src/spec/settings_file.rs
@@ -7,7 +7,7 @@
 use super::{HierarchySpec, NodeSpec, SpecForm, SpecHeader};
 use crate::version::{FULL_SHARE, Hierarchy};
 
-/// The maximum number of errors that are reported for a file.
+/// The maximum number of errors across forms that are reported for a file with a `(hierarchy ...)` form.
 const MAX_ERRORS: usize = 20;
 
 /// Parses the text of a settings file and returns the version with its number. Errors name the file as `file`. Nodes that
