--- a/crates/hierarchy/tests/plans.rs
+++ b/crates/hierarchy/tests/plans.rs
@@ -143,7 +143,7 @@
     // A warm node gets 100 requests a second in two steps: it is added, then it becomes a source.
     let (from, to) = with_new_parent(110.0, 0);
     assert_eq!(plan(&from, &to, 0).unwrap().steps.len(), 2);
-    // A cold node can take a quarter of its 110 requests a second at first, so it takes a quarter of its virtual nodes,
+    // A cold node can take a quarter of its 110 requests a second at first, so it takes some of its virtual nodes,
     // and all of them once it is warm.
     let (from, to) = with_new_parent(110.0, 1_000 * SEC);
     let found = plan(&from, &to, 1_000 * SEC).unwrap();
--- a/crates/hierarchy/tests/versions.rs
+++ b/crates/hierarchy/tests/versions.rs
@@ -266,7 +266,7 @@
     }
     assert!(paths_found.len() > 50);
     // A node without virtual nodes gets no objects. With a quarter of its virtual nodes, it gets about a quarter of the
-    // objects.
+    // objects that it gets with all of them.
     let of = |share: u16| {
         let m = (**h.get(1).unwrap()).clone();
         let h = h.with_node(1, HierarchyNode { ring_share: share, ..m });
--- a/crates/sexpr-config/src/form.rs
+++ b/crates/sexpr-config/src/form.rs
@@ -6,7 +6,8 @@
 use serde::de::{Deserialize, DeserializeOwned, Deserializer};
 use serde_path_to_error::Segment;
 
-/// An error within one form. Line and column count from 0 and are relative to the start of the form.
+/// An error within one form. Line and column count from 0. The line, and on the first line also the column, are
+/// relative to the start of the form.
 pub(crate) struct FormError {
     pub(crate) line: usize,
     pub(crate) column: usize,
--- a/crates/sexpr-config/src/lib.rs
+++ b/crates/sexpr-config/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! The text is split into forms before lexpr parses each form, for two reasons. lexpr frees lists recursively, so a
 //! single list of a hundred thousand entries would overflow a small stack. And a missing closing parenthesis is
-//! reported at the line of its opening parenthesis instead of the end of the file.
+//! reported at the beginning of its form instead of the end of the file.
 
 mod error;
 mod form;
