--- a/crates/hierarchy/src/load_flow.rs
+++ b/crates/hierarchy/src/load_flow.rs
@@ -1,6 +1,7 @@
 //! The load of each node, and its peak while participants apply two successive versions.
 //!
-//! A request that a node can't answer from its cache goes to one of its sources, in proportion to their virtual nodes.
+//! A request that a node can't answer from its cache goes to one of its sources of the highest tier, in proportion to
+//! their virtual nodes.
 //! The load is linear in the clients' demand, so the peak over all mixtures of two versions is found exactly by one pass
 //! backwards from the target, in which each node uses whichever of its two versions sends more load to the target.
 //! Objects that have moved to a node are not cached there yet, so the node forwards all requests for them.
--- a/crates/sexpr-config/src/error.rs
+++ b/crates/sexpr-config/src/error.rs
@@ -12,7 +12,7 @@
     /// The column, from 1.
     pub column: usize,
     /// The key, with the word of its form and the keys that contain it, such as `node.sources[1]`. Empty for an error
-    /// that concerns the text itself.
+    /// that concerns the text itself or the word of a form.
     pub key: String,
     /// What is wrong.
     pub problem: String,
