--- a/crates/estimators/src/shrinkage_estimator.rs
+++ b/crates/estimators/src/shrinkage_estimator.rs
@@ -51,9 +51,10 @@
 impl ShrinkageEstimator {
     /// Creates an estimator without samples.
     ///
-    /// The weight of a sample halves every `half_life` nanoseconds. The total weight of one member's samples is limited
-    /// to `max_weight`, by scaling down the older ones. `prior_mean` is the mean before there are samples; it has the
-    /// weight of one sample.
+    /// The weight of a sample halves every `half_life` nanoseconds. The total weight of a member's samples stays
+    /// below `max_weight + 1`: once it has reached `max_weight`, which must be at least 1, the next sample scales
+    /// down the older ones so that the total is `max_weight` again. `prior_mean` is the mean before there are
+    /// samples; it has the weight of one sample.
     pub fn new(half_life: Ns, max_weight: f64, prior_mean: f64) -> ShrinkageEstimator {
         ShrinkageEstimator {
             half_life: half_life.max(1),
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! The environment variable `SABLECROSS_FAULTS` names the plan, a text file. Intercepted calls read it again every few
 //! milliseconds, so that a test can switch faults on and off while the process runs. The module `plan` documents the
-//! grammar. Calls that no rule names go straight to the kernel. The variable `SABLECROSS_SEND_LOG` names a log of
+//! grammar. Calls that no rule names are passed on unchanged. The variable `SABLECROSS_SEND_LOG` names a log of
 //! messages to nodes, requests of clients and shutdowns of sockets (`send_log`). Once a call has failed, nothing here
 //! allocates or changes `errno` before the call returns.
 
--- a/crates/fault-injection/src/plan.rs
+++ b/crates/fault-injection/src/plan.rs
@@ -1,6 +1,7 @@
 //! The plan: which calls fail, how and when.
 //!
-//! Each line holds one rule. `FROM` and `TO` are milliseconds of the monotonic clock since the process started:
+//! Each line holds one rule; empty lines and lines that begin with `#` are skipped. `FROM` and `TO` are milliseconds of
+//! the monotonic clock since the first call for which the process needed the plan, soon after its start:
 //!
 //! ```text
 //! clock FROM OFFSET                    shifts the wall clock by OFFSET milliseconds from then on
--- a/crates/fault-injection/src/state.rs
+++ b/crates/fault-injection/src/state.rs
@@ -1,5 +1,5 @@
-//! The plan in force in this process, and the time since the process started. All system calls of this module go
-//! straight to the kernel.
+//! The plan in force in this process, and the time since the process first needed it, soon after its start. All system
+//! calls of this module go straight to the kernel.
 
 use std::cell::Cell;
 use std::ffi::CString;
@@ -13,7 +13,7 @@
 const VARIABLE: &std::ffi::CStr = c"SABLECROSS_FAULTS";
 /// The first call after this interval reads the file again.
 const REREAD_MS: u64 = 10;
-/// The largest plan file that is read.
+/// The maximum length of a plan. Only this many bytes of the file are read.
 const MAX_PLAN_BYTES: usize = 16 << 10;
 
 /// The plan, and the state that is needed to apply it.
@@ -48,7 +48,7 @@
     monotonic_ns() / 1_000_000
 }
 
-/// The state at the start of the process.
+/// The state at its first use.
 fn new_state() -> Mutex<State> {
     // SAFETY: the variable is read once, before the process has other threads.
     let path = unsafe {
@@ -94,8 +94,8 @@
     }
 }
 
-/// Calls `access` with the state and the milliseconds since the process started. Returns `None` if this thread uses the
-/// state already.
+/// Calls `access` with the state and the milliseconds since its first use. Returns `None` without calling it if this
+/// thread uses the state already, or is ending.
 fn with_state<T>(access: impl FnOnce(&mut State, u64) -> Option<T>) -> Option<T> {
     if IN_STATE.try_with(|inside| inside.replace(true)).unwrap_or(true) {
         return None;
