--- a/crates/director/src/coordination/agent.rs
+++ b/crates/director/src/coordination/agent.rs
@@ -90,7 +90,7 @@
         Ok((agent, waker))
     }
 
-    /// Runs until the dispatcher has ended, or until the handover period after a request to stop has passed.
+    /// Runs until the dispatcher has ended, the handover period after a request to stop has passed, or polling fails.
     pub fn serve(mut self) {
         let mut events = Events::with_capacity(POLL_EVENT_CAPACITY);
         loop {
@@ -233,9 +233,9 @@
         }
     }
 
-    /// Applies reloaded settings. They may have one voter more or one voter less, or other addresses of voters. Any other
-    /// change of `config` is rejected. The settings of health checks and warming, and `member_gone_after`, keep their
-    /// values until a restart.
+    /// Applies reloaded settings. They may have one voter more or one voter less, the voters in another order, or other
+    /// addresses of voters. With any other change of `config`, nothing is applied. Changes of `checks_health`,
+    /// `warming` and `member_gone_after` are ignored until a restart.
     fn reconfigure(&mut self, settings: CoordinationSettings, now: Ns) {
         let voters = settings.config.voters.clone();
         if let Err(e) = self.coordinator.reconfigure(now, settings.config) {
--- a/crates/director/src/coordination/outbound_connection.rs
+++ b/crates/director/src/coordination/outbound_connection.rs
@@ -10,7 +10,8 @@
 
 use crate::clock::NS_PER_MS;
 
-/// The bounds of the delay before a connection is opened again. The delay doubles with each failure.
+/// The bounds of the delay before a connection is opened again. The delay doubles each time the connection is closed,
+/// and returns to the minimum when bytes are received.
 const MIN_RECONNECT_DELAY: Ns = 50 * NS_PER_MS;
 const MAX_RECONNECT_DELAY: Ns = 1_000 * NS_PER_MS;
 /// How long a connection may take to be established, or to receive an answer.
--- a/crates/director/src/counters.rs
+++ b/crates/director/src/counters.rs
@@ -9,7 +9,7 @@
 /// The counters of the dispatcher.
 #[derive(Default, Debug)]
 pub struct Counters {
-    /// Calls for objects.
+    /// Calls for objects, and unusable calls.
     pub received: u64,
     /// Requests that were answered with the object.
     pub succeeded: u64,
@@ -33,11 +33,11 @@
     pub further_attempts: u64,
     /// The outcomes of attempts.
     pub outcomes: OutcomeCounts,
-    /// Answers that were sent after their client's deadline.
+    /// Answers that were given at or after their client's deadline.
     pub late: u64,
-    /// Connections to nodes made since the start.
+    /// Connections to nodes opened since the start, including those that were never established.
     pub connections_opened: u64,
-    /// Connections to nodes that are open.
+    /// Connections to nodes that are open or being opened.
     pub connections_open: u64,
     /// Discovery events.
     pub discovery_events: u64,
@@ -74,7 +74,7 @@
     pub bad_messages: AtomicU64,
     /// Faults of nodes that caused their connection to be closed.
     pub bad_lines: AtomicU64,
-    /// Client connections.
+    /// Client connections accepted since the start, without those in `rejected_connections`.
     pub clients: AtomicU64,
     /// Client connections that were closed because a timeout had expired.
     pub idle_closed: AtomicU64,
--- a/crates/director/src/dispatch/dispatcher.rs
+++ b/crates/director/src/dispatch/dispatcher.rs
@@ -17,7 +17,7 @@
 use crate::wire::node_pool::NodePool;
 use crate::wire::response_sender::ResponseSender;
 
-/// Why the dispatcher stopped without a shutdown request.
+/// Why the dispatcher stopped before a shutdown was complete.
 #[derive(Debug, Error)]
 pub(crate) enum DispatchError {
     /// An essential thread, without which the director can't serve, has ended.
@@ -85,8 +85,7 @@
             self.run_due_timers();
             self.executor.flush_responses();
             self.advance_shutdown();
-            // Every client has received its responses or has disconnected, so attempts that are still outstanding no
-            // longer matter.
+            // Every client has received its responses or has disconnected, and no attempt is outstanding any more.
             if self.phase == Phase::ClientsFinished && self.executor.requests.is_empty() {
                 return Ok(());
             }
--- a/crates/director/src/events.rs
+++ b/crates/director/src/events.rs
@@ -167,7 +167,7 @@
         /// The requests whose attempts have been written, at least in part, and have not ended.
         begun_requests: BTreeSet<RequestId>,
     },
-    /// An attempt expired or was withdrawn before any of it was written, and is never sent.
+    /// An attempt expired, was withdrawn or lost its client before any of it was written, and is never sent.
     AttemptNotSent {
         /// The connection.
         connection: NodeConnectionId,
--- a/crates/director/src/lib.rs
+++ b/crates/director/src/lib.rs
@@ -6,9 +6,9 @@
 //! and nodes. All these threads send `events` to the dispatcher. The dispatcher, in `dispatch`, owns the router and all
 //! requests in flight, and answers with responses and commands. `process` reads the configuration, starts the threads
 //! and handles signals.
-//! `coordination` and `parent_hierarchy` are only compiled with the features `coordination` and `hierarchy`; without
-//! them, modules with the same interface and no effect take their place. The other modules are types without sockets
-//! and threads, which the modules above share.
+//! `coordination` and `coordination_settings` are only compiled with the feature `coordination`, `parent_hierarchy` only
+//! with the feature `hierarchy`; without them, modules with the same interface and no effect take their place. The other
+//! modules are types without sockets and threads, which the modules above share.
 
 pub mod clock;
 #[cfg_attr(not(feature = "coordination"), path = "coordination_off.rs")]
--- a/crates/director/src/limits.rs
+++ b/crates/director/src/limits.rs
@@ -17,7 +17,8 @@
     pub max_connections_per_node: usize,
     /// The number of open calls on one client connection at which further calls are rejected.
     pub max_open_per_client: usize,
-    /// The number of open calls on one client connection at which no more is read from it.
+    /// The number of open calls on one client connection at which no more is read from it, until fewer than
+    /// `max_open_per_client` are open.
     pub max_unanswered_per_client: usize,
     /// The maximum number of attempts that are outstanding on one connection to a node.
     pub max_open_per_connection: usize,
@@ -94,7 +95,7 @@
     pub feed_silence_timeout: Duration,
     /// How often the discovery thread checks whether the feeds have changed, while the stream is silent.
     pub feed_poll_interval: Duration,
-    /// The delay after a call of the feed that failed or ended at once.
+    /// The delay after a call of the feed that ended within this time without a new event.
     pub feed_retry_delay: Duration,
     /// How long requests are still accepted after the signal to stop.
     pub shutdown_delay: Ns,
--- a/crates/director/src/process/director.rs
+++ b/crates/director/src/process/director.rs
@@ -29,7 +29,7 @@
 use crate::wire::node_pool::NodePool;
 use crate::wire::response_sender::ResponseSender;
 
-/// Why a director can't start, or has stopped without a stop signal.
+/// Why a director can't start, or has stopped before a shutdown was complete.
 #[derive(Debug, Error)]
 pub(super) enum RunError {
     #[error("signals: handlers can't be registered: {0}")]
--- a/crates/director/src/wire/client_connection.rs
+++ b/crates/director/src/wire/client_connection.rs
@@ -158,7 +158,7 @@
     }
 
     /// Reads messages and passes them to the dispatcher, in at most `max_messages_per_turn` steps. Returns whether more
-    /// may be readable at once. Fails on bytes that are not a message, or after too many unusable messages.
+    /// may be readable at once. Fails if the client has closed the connection or has caused a `ClientFault`.
     pub(super) fn read(
         &mut self,
         client: ClientId,
--- a/crates/director/src/wire/client_server.rs
+++ b/crates/director/src/wire/client_server.rs
@@ -84,7 +84,7 @@
         self.acceptor.local_addr()
     }
 
-    /// Serves until a shutdown is complete or the dispatcher is gone.
+    /// Serves until a shutdown is complete, the dispatcher is gone or polling fails.
     pub(crate) fn run(mut self) {
         // One poll must be able to report all connections: a connection that is reported by a later poll would have its
         // arrival time counted from that poll.
--- a/crates/director/src/wire/discovery_client.rs
+++ b/crates/director/src/wire/discovery_client.rs
@@ -46,7 +46,7 @@
 
 /// Why a call ended.
 enum CallEnd {
-    /// The call failed or the stream was interrupted: the next feed is called.
+    /// The call failed or the stream was interrupted: another feed is called, if there is one.
     Failed(CallError),
     /// An event is missing or unreadable: the feed is called again from the last applied event.
     Resubscribe(String),
@@ -76,7 +76,8 @@
     feeds: FeedSelector,
     feed_changes: Receiver<FeedChange>,
     reporter: AppliedVersionReporter,
-    /// Whether the last call succeeded. True before the first call, because only changes are logged.
+    /// Whether no call has failed, and no event was missing or unreadable, since the last connect. Only changes of this
+    /// are logged; it begins as true, so that a failure of the first call is logged.
     is_up: bool,
     /// Whether any call has succeeded.
     has_been_up: bool,
--- a/crates/director/src/wire/node_connections.rs
+++ b/crates/director/src/wire/node_connections.rs
@@ -110,7 +110,7 @@
         Ok((server, sender))
     }
 
-    /// Serves until the dispatcher has dropped its command sender.
+    /// Serves until the dispatcher has dropped its command sender, or polling fails.
     pub fn run(mut self) {
         let mut events = Events::with_capacity(self.shared.limits.max_messages_per_turn);
         loop {
--- a/crates/director/src/wire/outgoing_message.rs
+++ b/crates/director/src/wire/outgoing_message.rs
@@ -55,7 +55,7 @@
     },
     /// Cancels an attempt that was written before.
     Kill {
-        /// The time by which the message must be begun.
+        /// The time by which the message must be written, not counting `write_finish_grace`.
         deadline: Ns,
     },
 }
@@ -76,7 +76,8 @@
         matches!(self.content, Content::Pull { .. })
     }
 
-    /// The time by which the message must be begun.
+    /// The time by which an attempt must be begun, and a `Kill` be written. A message that is not written completely
+    /// within `write_finish_grace` of this time ends the connection.
     pub(super) fn deadline(&self) -> Ns {
         match self.content {
             Content::Pull { begin_by, answer_by, .. } => begin_by.min(answer_by),
--- a/crates/director/src/wire/response.rs
+++ b/crates/director/src/wire/response.rs
@@ -17,7 +17,8 @@
     pub client: ClientId,
     /// The call that is answered.
     pub call: CallId,
-    /// The time until which the client waits for the response.
+    /// The time until which the client waits for the response. For a response without a deadline of its own, the end of
+    /// the default write timeout.
     pub deadline: Ns,
     /// The content of the response.
     pub response: Response,
