--- a/crates/coordination/src/coordinator/assignments.rs
+++ b/crates/coordination/src/coordinator/assignments.rs
@@ -163,7 +163,8 @@
     }
 
     /// As the assigner, returns the assignment of targets to the members that are alive, if it is time to send one.
-    /// It has a new version if the members have changed.
+    /// It has a new version if the members have changed, or if this member's voter stores no assignment of this term
+    /// yet.
     fn next_assignment(&mut self, now: Ns) -> Option<(FencingToken, Assignment)> {
         let current_token = self.token(now, ASSIGNMENT_ROLE);
         let assigner = self.assigner.as_mut().filter(|assigner| now >= assigner.next_at)?;
--- a/crates/coordination/src/fencing.rs
+++ b/crates/coordination/src/fencing.rs
@@ -65,7 +65,7 @@
         self.highest
     }
 
-    /// The number of rejected tokens, each an effect of a former holder that was prevented.
+    /// The number of rejected tokens. Each rejection prevented an effect.
     pub fn rejected_count(&self) -> u64 {
         self.rejected
     }
--- a/crates/coordination/src/health_log.rs
+++ b/crates/coordination/src/health_log.rs
@@ -5,7 +5,7 @@
 use crate::Ns;
 use crate::messages::{HealthObservation, HealthState};
 
-/// Observations older than this are not returned.
+/// Observations of this age or older are not returned.
 const MAX_OBSERVATION_AGE: Ns = 10_000_000_000;
 
 #[derive(Clone, Copy, Debug)]
@@ -35,7 +35,7 @@
         self.next_sequence - 1
     }
 
-    /// Records an observation, unless a later observation of the target is known.
+    /// Records an observation, unless one of the target that is as recent or more recent is known.
     pub(crate) fn record(&mut self, now: Ns, observation: HealthObservation) {
         let HealthObservation { target, age, state } = observation;
         let observed_at = now.saturating_sub(age);
--- a/crates/coordination/src/register_writer.rs
+++ b/crates/coordination/src/register_writer.rs
@@ -88,7 +88,7 @@
         self.begin_write(now)
     }
 
-    /// Sends the read or write again to voters that have not replied.
+    /// Sends the read or write to the voters that have not replied, if it is due.
     pub(crate) fn step(&mut self, now: Ns) -> Vec<RegisterAction> {
         if now < self.next_wakeup() {
             return Vec::new();
--- a/crates/coordination/src/voter_node.rs
+++ b/crates/coordination/src/voter_node.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Applies a change of the voters, which gives this voter a new index.
+    /// Applies a change of the voters, which may give this voter a new index.
     pub fn reconfigure(&mut self, index: u32, config: &CoordinationConfig) {
         self.index = index;
         for register in self.registers.values_mut() {
--- a/crates/discovery/src/event_cursor.rs
+++ b/crates/discovery/src/event_cursor.rs
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Advances if `number` is the next one, and returns whether it is. For events that were already received through
-    /// another feed.
+    /// Advances if `number` is the next one, and returns whether it is. Used for events that don't come from a feed,
+    /// such as those in a reloaded configuration.
     pub fn advance_if_next(&mut self, number: u64) -> bool {
         let is_next = number == self.last + 1;
         if is_next {
--- a/crates/discovery/src/event_stream.rs
+++ b/crates/discovery/src/event_stream.rs
@@ -29,7 +29,7 @@
     /// The status code is not 200.
     #[error("answer {0}")]
     UnexpectedStatus(u16),
-    /// The response head is not valid HTTP.
+    /// The response head is not valid HTTP, or has too many headers.
     #[error("not HTTP: {0}")]
     NotHttp(httparse::Error),
     /// The size of a chunk can't be parsed.
@@ -84,7 +84,8 @@
 }
 
 impl EventStreamParser {
-    /// Creates a parser that rejects a head or an event longer than `max_bytes`.
+    /// Creates a parser that rejects an event longer than `max_bytes`, and a head that is incomplete after more bytes
+    /// than that.
     pub fn new(max_bytes: usize) -> EventStreamParser {
         EventStreamParser {
             raw: Vec::new(),
--- a/crates/testbed/src/soak/client.rs
+++ b/crates/testbed/src/soak/client.rs
@@ -46,7 +46,7 @@
     Cancels,
     /// It gives requests a very short time budget.
     ShortBudget,
-    /// It sends bytes that are no request, or half of one.
+    /// It sends bytes that are no request, or the beginning of one.
     Garbage,
     /// It pauses between requests for so long that the director may end the connection.
     Idles,
@@ -175,8 +175,8 @@
         self.finished.load(Ordering::Relaxed)
     }
 
-    /// Uses one connection from its beginning to its end. If the director is stopping, the client goes on until the
-    /// director ends the connection.
+    /// Uses one connection from its beginning to its end. While the director is stopping, the client goes on until the
+    /// director ends the connection, unless the client's behavior is to end it.
     fn use_connection(&self, mut session: Session, rng: &mut Pcg32) {
         let behavior = draw_behavior(rng);
         let mut rounds: u32 = rng.random_range(1..6);
@@ -393,7 +393,7 @@
     }
 }
 
-/// Sends bytes that are no request, or half of one, and ends the connection after a while.
+/// Sends bytes that are no request, or the beginning of one, and ends the connection after a while.
 fn send_garbage(session: &mut Session, rng: &mut Pcg32) {
     let request = encode_request(1, 1, CLASSES[0].0, 1, 500, None);
     let bytes = if rng.random() { &request[..30] } else { &b"what is this"[..] };
--- a/crates/testbed/src/soak/discovery.rs
+++ b/crates/testbed/src/soak/discovery.rs
@@ -1,4 +1,5 @@
-//! Stub discovery: it sends numbered events to each director, has outages and silent phases, and a second address.
+//! Stub discovery: it sends numbered events to each director, has outages and silent phases, and listens on two
+//! addresses for each director.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -45,7 +46,8 @@
     connections: Vec<Arc<TcpStream>>,
 }
 
-/// A source of events with two addresses for each director, so that it knows which director has connected.
+/// A source of events. Each director has its own addresses, so that the source knows which director has connected, and
+/// has two of them, so that a reload can move it from one to the other.
 pub(crate) struct Discovery {
     pub(crate) addresses: Vec<[SocketAddr; 2]>,
     checker: Arc<RuleChecker>,
--- a/crates/testbed/src/soak/evidence.rs
+++ b/crates/testbed/src/soak/evidence.rs
@@ -20,7 +20,7 @@
 //! | `Drained`, `Purged` | discovery: when the director must know, which is valid only if the event was sent in time; send log or node: the attempt | from the first to the second |
 //! | `SlowStart`, all calls in send logs | send log: the calls; fault injection: the start, taken before the node was listed, which favors the director | exact |
 //! | `SlowStart`, otherwise | send log or node: each call within a second | that second |
-//! | `Unknown` | requests, which are recorded before they are written; no time | exact |
+//! | `Unknown` | requests, which are recorded before they are written, and panics of client threads; no time | exact |
 //! | `Crash`, exit | the kernel: that the process has exited, and its status | exact |
 //! | `Crash`, no exit | before the signal; when the soak stopped waiting for the exit | from the first to the second |
 //! | `Crash`, not serving | before the start; when the soak stopped waiting for the director to serve | from the first to the second |
--- a/crates/testbed/src/soak/fault_plan.rs
+++ b/crates/testbed/src/soak/fault_plan.rs
@@ -155,7 +155,8 @@
 
 /// How many directors share one sequence of rounds.
 const DIRECTORS_PER_GROUP: usize = 4;
-/// The probability that a fault of a director affects the target director of its round.
+/// The probability that a fault of a director affects the target director of its round. Otherwise one of all directors
+/// is drawn.
 const SAME_DIRECTOR_PROBABILITY: f64 = 0.7;
 
 /// Whether connections of the director may break while this rule is in force.
--- a/crates/testbed/src/soak/node.rs
+++ b/crates/testbed/src/soak/node.rs
@@ -1,4 +1,4 @@
-//! Stub nodes: caches, a parent and an origin that keep copies and misbehave on request.
+//! Stub nodes: caches, a parent and an origin that keep copies, and misbehave while a fault makes them.
 
 use std::collections::{HashMap, HashSet};
 use std::io::{self, BufRead, BufReader, Write};
--- a/crates/testbed/src/soak/rule_checker.rs
+++ b/crates/testbed/src/soak/rule_checker.rs
@@ -99,7 +99,8 @@
     /// When the soak began, in nanoseconds of the monotonic clock, which is the same for all processes of the machine.
     started_ns: u64,
     state: Mutex<CheckerState>,
-    /// The send logs of the directors; empty if no fault library writes them.
+    /// The send logs of the directors, once [`read_send_logs`](Self::read_send_logs) has set their files. They have no
+    /// entries if no fault library writes them.
     send_logs: OnceLock<Vec<Mutex<SendLog>>>,
 }
 
--- a/crates/testbed/src/soak/run.rs
+++ b/crates/testbed/src/soak/run.rs
@@ -175,7 +175,8 @@
 ///
 /// # Errors
 ///
-/// Fails if a folder, socket or process of the soak can't be created. Violations are no errors: they are in the report.
+/// Fails if a folder, socket or process of the soak can't be created, or if a director does not serve in time at its
+/// first start. Violations are no errors: they are in the report.
 pub fn run(
     options: &Options,
     program: &(dyn Fn() -> Command + Sync),
