--- a/crates/discovery/src/feed_selector.rs
+++ b/crates/discovery/src/feed_selector.rs
@@ -41,8 +41,9 @@
         self.feeds[self.current]
     }
 
-    /// Switches to the next feed after the current one could not be reached, sent nothing or rejected the call. If
-    /// the home feed was being tried, switches back to the feed that was followed before.
+    /// Switches to the next feed after a call of the current one failed: it could not be reached, rejected the call, or
+    /// its stream was interrupted, malformed or silent for too long. If the home feed was being tried, switches back to
+    /// the feed that was followed before.
     pub fn on_failed(&mut self, now: Duration) {
         if self.current == 0 {
             self.home_due_at = now + self.return_delay();
