--- a/crates/coordination/src/messages.rs
+++ b/crates/coordination/src/messages.rs
@@ -66,7 +66,7 @@
 pub struct Request {
     /// The calling member.
     pub from: Member,
-    /// The messages, handled in this order.
+    /// The messages. The receiver handles those of operators first and then those to its voter, each in this order.
     #[serde(rename = "words")]
     pub messages: Vec<Message>,
 }
