--- a/crates/capacity/src/cost.rs
+++ b/crates/capacity/src/cost.rs
@@ -93,7 +93,7 @@
     }
 }
 
-/// Formats a number with four significant digits.
+/// Formats a number with four significant digits, or as an integer from a thousand on.
 pub(crate) fn format_significant(value: f64) -> String {
     if value == 0.0 || !value.is_finite() {
         return format!("{value}");
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -39,8 +39,8 @@
         self.intercept + self.slope * size
     }
 
-    /// Fits a line through the points. Returns `None` if there are fewer than three points, if all sizes are equal, or if
-    /// a number is not finite.
+    /// Fits a line through the points, which must be in the order of their sizes. Returns `None` if there are fewer
+    /// than three points, if all sizes or those of the smaller half are equal, or if a number is not finite.
     pub fn least_squares(points: &[Point]) -> Option<LinearFit> {
         let (slope, intercept) = weighted_least_squares(points)?;
         let relative_residual =
--- a/crates/capacity/src/real_director.rs
+++ b/crates/capacity/src/real_director.rs
@@ -1,6 +1,7 @@
 //! Measures the processor time, memory and file descriptors of a real director process. Stub servers on loopback take
-//! the place of the discovery source, the nodes and the clients. Processor time is the time that the system counts for
-//! the director's threads, so that other load on the machine has little effect.
+//! the place of the discovery source and the nodes; threads of this process take the place of the clients. Processor
+//! time is the time that the system counts for the director's threads, so that other load on the machine has little
+//! effect.
 
 mod discovery_load;
 mod lookup_load;
--- a/crates/capacity/tests/settings_format.rs
+++ b/crates/capacity/tests/settings_format.rs
@@ -4,7 +4,8 @@
 use sablecross_capacity::{Cost, LinearFit, MeasurementKind, Point, model};
 use serde_json::json;
 
-/// A settings file with every form and every key. The keys `value`, `run`, `bend` and `command` have defaults.
+/// A settings file with every form and every key. The keys `bend` and `command` of a slope and the keys `value` and
+/// `run` of a figure may be left out.
 const ALL_KEYS: &str = r#"
 (target (directors . 11) (nodes . 12) (regions . 13) (zones . 14) (machines . 15) (lookups . 16) (busiest . 17) (bits . 18)
   (purges . 19) (changes-a-day . 20) (restarts-a-day . 21) (cut-s . 22))
@@ -19,7 +20,8 @@
 (figure (name . "fourth") (what . "an open figure") (unit . "B") (command . "run it later"))
 "#;
 
-/// Returns `ALL_KEYS` with a figure without a value for each name that the tables need.
+/// Returns `ALL_KEYS` with a figure without a value for each name in docs/capacity.scm, which include all names that
+/// the tables need.
 fn complete() -> String {
     let settings = include_str!("../../../docs/capacity.scm");
     let names = settings.split("(name . \"").skip(1).filter_map(|rest| rest.split('"').next());
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,5 +1,6 @@
 //! The command line of sablecross. Exit codes: 0 success; 1 the checked input is rejected or differs, or the operation
-//! did not succeed; 2 the command line or a file can't be used; 3 the machine was too busy for a verdict.
+//! did not succeed; 2 the command line or a file can't be used, or an error ended the command; 3 the machine was too
+//! busy for a verdict.
 
 mod capacity;
 mod coordination;
