--- a/crates/testbed/src/fleet/coordination_report.rs
+++ b/crates/testbed/src/fleet/coordination_report.rs
@@ -38,7 +38,7 @@
     /// Terms for which one node accepted health checks of two holders, summed over the nodes.
     #[serde(rename = "twins")]
     pub shared_tokens: u64,
-    /// Terms with two holders, which occur if all voters have lost their memory of the term.
+    /// Terms with two holders, which occur if a majority of the voters does not know that the term was granted before.
     #[serde(rename = "same_term")]
     pub reused_terms: u64,
     /// Leases that were acquired.
--- a/crates/testbed/src/fleet/load.rs
+++ b/crates/testbed/src/fleet/load.rs
@@ -44,7 +44,8 @@
     /// Lookups without an answer although one was required.
     #[serde(rename = "lost")]
     pub unanswered: u64,
-    /// Answers without a matching lookup, and repeated answers.
+    /// Answers without a matching lookup, repeated answers, and answers to lookups that were already counted as
+    /// unanswered.
     #[serde(rename = "strange")]
     pub unexpected: u64,
 }
--- a/crates/testbed/src/fleet/node.rs
+++ b/crates/testbed/src/fleet/node.rs
@@ -246,7 +246,8 @@
         lock(&self.state).slowdown = factor;
     }
 
-    /// Answers nothing for some seconds, then processes the requests that arrived meanwhile.
+    /// Processes no requests for some seconds, then those that arrived meanwhile. Answers to earlier requests are still
+    /// sent when they are due.
     pub(crate) fn stop(&self, seconds: f64) {
         lock(&self.state).stopped_until = self.now() + seconds;
     }
--- a/crates/testbed/src/fleet/node/requests.rs
+++ b/crates/testbed/src/fleet/node/requests.rs
@@ -44,7 +44,7 @@
     Error {
         due: Seconds,
     },
-    /// The fencing token is older than one that was already admitted.
+    /// The fencing token is older than one that was already admitted, or belongs to another holder of the same term.
     Fenced {
         due: Seconds,
         newest: HealthCheckTag,
--- a/crates/testbed/src/fleet/report.rs
+++ b/crates/testbed/src/fleet/report.rs
@@ -57,7 +57,7 @@
     pub what: String,
     /// When the fault began, in seconds from the start of the load.
     pub at: f64,
-    /// The highest ratio of load to fair share in the second after the fault began.
+    /// The highest ratio of load to fair share of an undisturbed cache in the first whole second after the fault began.
     pub next_second: f64,
     /// Seconds from the end of the fault until the load of all undisturbed caches was even for two seconds. `None` if
     /// that did not happen before the end of the trial.
@@ -80,7 +80,7 @@
     /// The largest share of all directors that started to send to the same cache in the same second.
     #[serde(rename = "herd_most")]
     pub herd_max: f64,
-    /// The average of that share over all caches and seconds.
+    /// The average of that share over all caches and all seconds after the warm-up.
     pub herd_mean: f64,
     /// The share of seconds of undisturbed caches and parents in which no request arrived.
     #[serde(rename = "idle")]
@@ -404,7 +404,7 @@
         format!("{}: {} directors, {} lookups", self.trial.name, self.trial.directors, self.total.asked)
     }
 
-    /// Charts of the requests at each node and of the outcomes of lookups, by second.
+    /// Charts of the requests at each cache and parent, and of the outcomes of lookups, by second.
     fn charts(&self) -> Vec<Chart> {
         let fields: [fn(&ClientTally) -> u64; 3] =
             [|tally| tally.asked, |tally| tally.satisfied, |tally| tally.rejected];
--- a/crates/testbed/src/fleet/run.rs
+++ b/crates/testbed/src/fleet/run.rs
@@ -484,7 +484,7 @@
     directors.iter().map(|director| director.process.cpu_seconds()).sum()
 }
 
-/// Starts the clients of all directors. One in ten directors gets `uneven` times more lookups than the others.
+/// Starts the clients of all directors. One in ten directors gets `uneven` times as many lookups as each of the others.
 fn start_clients(trial: &Trial, directors: &mut [Director], start: Instant, over: &Arc<AtomicBool>) {
     let weight = |number: usize| if number.is_multiple_of(10) { trial.uneven } else { 1.0 };
     let all_weights: f64 = (0..directors.len()).map(weight).sum();
--- a/crates/testbed/src/fleet/settings.rs
+++ b/crates/testbed/src/fleet/settings.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Some caches answer nothing for the duration, then process the requests that arrived meanwhile.
+    /// Some caches process no requests for the duration, then those that arrived meanwhile.
     StopCaches,
     /// Like `StopCaches`, for parents.
     StopParents,
@@ -197,8 +197,8 @@
     /// The duration of the load in seconds.
     #[garde(range(min = 2, max = 3600))]
     pub seconds: u64,
-    /// Seconds at the start of the load that the figures on load balance and on gaps and bursts of health checks leave
-    /// out. Drawn faults begin after it.
+    /// Seconds at the start of the load that the figures on load balance, new senders and idle nodes, and on gaps and
+    /// bursts of health checks, leave out. Drawn faults begin after them.
     #[garde(range(max = 600))]
     #[serde(default = "default_warm_up")]
     pub warm_up: u64,
@@ -228,7 +228,7 @@
     #[garde(range(min = 0.0, max = 0.99))]
     #[serde(default = "default_hits")]
     pub hits: f64,
-    /// The factor by which one in ten directors gets more lookups than the others.
+    /// How many times as many lookups one in ten directors gets as each of the others.
     #[garde(range(min = 1.0, max = 50.0))]
     #[serde(default = "default_one")]
     pub uneven: f64,
