--- a/crates/testbed/src/client_load.rs
+++ b/crates/testbed/src/client_load.rs
@@ -45,7 +45,8 @@
     pub(crate) failed: u64,
     /// Requests that ended without an answer.
     pub(crate) unanswered: u64,
-    /// Answers without a matching lookup, repeated answers, and bytes that are not a valid answer.
+    /// Answers without a matching lookup, repeated answers, bytes that are not a valid answer, and successes whose body
+    /// does not begin with an issue time.
     pub(crate) unexpected: u64,
     /// Answers with a copy from before a purge, to lookups sent after the grace period of the purge.
     pub(crate) stale: u64,
@@ -215,7 +216,8 @@
 ///
 /// # Errors
 ///
-/// Returns `ErrorKind::InvalidData` for bytes that are not a valid answer, otherwise the error of the connection.
+/// Returns `ErrorKind::InvalidData` for bytes that are not a valid answer, and also if the connection fails where a
+/// number or a length is expected. Otherwise returns the error of the connection.
 pub fn read_any_response(stream: &mut impl Read) -> io::Result<(u32, Response)> {
     let mut byte = [0; 1];
     stream.read_exact(&mut byte)?;
--- a/crates/testbed/src/node_stub.rs
+++ b/crates/testbed/src/node_stub.rs
@@ -1,5 +1,5 @@
 //! Stub caches, parents and origin of an experiment. They keep copies, fill from named sources, collapse under too much
-//! load while they are cold, and count fills that arrive at the same node twice.
+//! load while they are cold, and count fills that arrive at the same node twice or with a path that is too long.
 
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -99,7 +99,7 @@
 struct Pull {
     tag: String,
     object: u64,
-    /// The highest accepted age of a copy. 0 means any age.
+    /// Only copies that are younger than this are accepted. 0 means any age.
     max_age_ms: u64,
     source: Option<String>,
     /// The sources after the first one.
@@ -325,7 +325,8 @@
         true
     }
 
-    /// The load at which the node collapses, in requests per second. `None` once the node is warm.
+    /// The load at which the node collapses, in requests per second. `None` if the node is warm or not in the applied
+    /// hierarchy version.
     fn collapse_limit(&self, now_ms: u64) -> Option<f64> {
         let cold_since_ms = self.cold_since_ms.load(Ordering::Relaxed);
         if cold_since_ms == 0 {
@@ -341,7 +342,8 @@
         (share < 1.0).then_some(node.capacity * share * rules.collapse_multiple)
     }
 
-    /// The source that the request named, or else the source of the applied hierarchy version.
+    /// The source that the request named, or else, for a parent, the source of the applied hierarchy version. A cache
+    /// fills only from a named source.
     fn source(&self, pull: &Pull) -> Option<String> {
         if let Some(source) = &pull.source {
             return Some(source.clone());
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -28,7 +28,8 @@
     /// Lookups without an answer.
     #[serde(rename = "lost")]
     pub unanswered: u64,
-    /// Answers without a matching lookup, and bytes that are not a valid answer.
+    /// Answers without a matching lookup, repeated answers, bytes that are not a valid answer, and successes whose body
+    /// does not begin with an issue time.
     #[serde(rename = "strange")]
     pub unexpected: u64,
     /// Answers with a copy from before a purge, to lookups sent after the grace period of the purge.
@@ -52,7 +53,7 @@
     pub hits: u64,
     /// Requests for which nodes began a fill, including fills that failed.
     pub fills: u64,
-    /// Fills that arrived at a node that they had already passed.
+    /// Fills that arrived at a node that they had already passed, or with a path that was too long.
     pub loops: u64,
     /// Cold nodes that collapsed under their load.
     #[serde(rename = "falls")]
@@ -79,7 +80,8 @@
     pub(crate) seconds: Vec<Second>,
     pub(crate) client_stats: Vec<ClientStats>,
     pub(crate) unfinished_clients: usize,
-    /// The seconds of the trial that the figures cover, without the warm-up.
+    /// The seconds of the trial that the figures on latencies, origin fetches, hits and fills cover: the load without
+    /// its warm-up.
     pub(crate) window: Range<u64>,
     pub(crate) changes: usize,
     pub(crate) change_outcomes: BTreeMap<String, u64>,
--- a/crates/testbed/src/scale/evaluation.rs
+++ b/crates/testbed/src/scale/evaluation.rs
@@ -286,8 +286,8 @@
         all
     }
 
-    /// Whether an event took longer than the settings allow, counted from its publication or, if later, from the end of
-    /// the last fault in its way.
+    /// Whether an event took longer than the settings allow, counted from when it was queued for publication or, if
+    /// later, from the end of the last fault in its way.
     fn is_late(&self, event: &LoadEvent, applied_at: u64, fault_ends: &[u64]) -> bool {
         let settings = self.settings;
         let within_ms = 1e3 * if event.is_change { settings.change_within } else { settings.purge_within };
--- a/crates/testbed/src/scale/pool_messages.rs
+++ b/crates/testbed/src/scale/pool_messages.rs
@@ -17,7 +17,7 @@
     pub(crate) number: usize,
     /// The address from which it connects.
     pub(crate) source: Ipv4Addr,
-    /// The feeds that it may connect to, in order of preference.
+    /// The feeds that it may connect to, its home feed first. It chooses among the others by their hashes.
     pub(crate) feeds: Vec<SocketAddr>,
 }
 
--- a/crates/testbed/src/scale/report.rs
+++ b/crates/testbed/src/scale/report.rs
@@ -109,11 +109,11 @@
 pub struct Report {
     /// The settings.
     pub trial: ScaleTrial,
-    /// Events that were published.
+    /// Events that were queued for publication. The times from publication below count from then.
     pub published: usize,
     /// Of these, those that the leader of the relays or the source never confirmed.
     pub unconfirmed: usize,
-    /// Calls that were retried after a failure.
+    /// Failed attempts to publish an event. Each is followed by a retry until the trial gives up.
     #[serde(rename = "again")]
     pub publish_retries: usize,
     /// The time from publication to the confirmation by the leader of the relays or by the source.
--- a/crates/testbed/src/scale/settings.rs
+++ b/crates/testbed/src/scale/settings.rs
@@ -156,8 +156,8 @@
     #[garde(range(min = 100, max = 3_600_000))]
     #[serde(default = "held_ms")]
     pub held_ms: u64,
-    /// Maximum seconds from the publication of a purge, or the end of a fault in its way, until it is applied
-    /// everywhere.
+    /// Maximum seconds from when a purge is queued for publication, or from the end of a fault in its way if that is
+    /// later, until the purge is applied everywhere.
     #[garde(range(min = 0.1, max = 600.0))]
     #[serde(default = "purge_within")]
     pub purge_within: f64,
--- a/crates/testbed/src/scale/source.rs
+++ b/crates/testbed/src/scale/source.rs
@@ -344,7 +344,7 @@
         lock(&self.list).entries.iter().map(|entry| (entry.change, entry.status == "gone")).collect()
     }
 
-    /// The number of calls that were retried after a failure.
+    /// The number of failed attempts to publish an event.
     pub(crate) fn retries(&self) -> usize {
         self.retries.load(Ordering::Relaxed)
     }
--- a/crates/testbed/src/trial_state.rs
+++ b/crates/testbed/src/trial_state.rs
@@ -21,7 +21,7 @@
     pub hits: u64,
     /// Requests for which a node began a fill, including fills that failed.
     pub fills: u64,
-    /// Fills that arrived at a node that they had already passed.
+    /// Fills that arrived at a node that they had already passed, or with a path that was too long.
     pub loops: u64,
     /// Cold nodes that collapsed under their load.
     #[serde(rename = "falls")]
--- a/crates/testbed/tests/soak_plan.rs
+++ b/crates/testbed/tests/soak_plan.rs
@@ -82,7 +82,8 @@
     format!("{:.6} director {}: {}\n", series.at, series.director, steps.join(", "))
 }
 
-/// The signals of seed 3 do not depend on the fault library, and between 50 and 120 of 200 seeds have a crowd.
+/// The signals of seed 3 do not depend on the fault library, and at least 50 but fewer than 120 of 200 seeds have a
+/// crowd of idle clients.
 #[test]
 fn seed_3_draws_its_signals_and_some_seeds_draw_a_crowd() {
     let plan = plan_service(&options(3, None));
