--- a/crates/testbed/src/scale/pool_messages.rs
+++ b/crates/testbed/src/scale/pool_messages.rs
@@ -17,7 +17,7 @@
     pub(crate) number: usize,
     /// The address from which it connects.
     pub(crate) source: Ipv4Addr,
-    /// The feeds that it may connect to, its home feed first. It chooses among the others by their hashes.
+    /// The feeds that it may connect to, its home feed first. `FeedSelector` orders the others by hash.
     pub(crate) feeds: Vec<SocketAddr>,
 }
 
